--- a/decide/api.go
+++ b/decide/api.go
@@ -11,10 +11,14 @@
 
 // Identifiers are opaque; they carry no meaning beyond equality and order.
 type (
+	// RequestID identifies an open request.
 	RequestID uint64
-	ServerID  uint32
-	Key       uint64 // a session or shared prompt beginning; 0 is none
-	TimerID   uint64
+	// ServerID identifies a replica.
+	ServerID uint32
+	// Key identifies a session or a shared prompt prefix; 0 means none.
+	Key uint64
+	// TimerID identifies a timer that the router asked for.
+	TimerID uint64
 )
 
 // Effect says what repeating a request of a class may do.
--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -147,7 +147,7 @@
 	}
 	w.Header().Set("X-Request-Id", j.req.Call.ID)
 	if !j.filing {
-		f.run(w, r.Context(), j)
+		f.run(r.Context(), w, j)
 		return
 	}
 	j.req.Finish = true
@@ -164,7 +164,7 @@
 	}
 	switch v {
 	case fresh:
-		f.file(w, r.Context(), j, key, try)
+		f.file(r.Context(), w, j, key, try)
 	case answered:
 		w.Header().Set("Idempotent-Replayed", "true")
 		f.replay(w, j, known)
@@ -192,11 +192,11 @@
 
 // file runs a filing's first try. If the client leaves, what was sent to a writer goes on to its end, so that a repeat can be answered;
 // no further attempt begins.
-func (f *Front) file(w http.ResponseWriter, client context.Context, j *job, key string, try claim.Try) {
+func (f *Front) file(client context.Context, w http.ResponseWriter, j *job, key string, try claim.Try) {
 	var answer *completion
 	ran := true // also if what follows panics
 	defer func() { f.note(key, try, answer, ran) }()
-	answer, ran = f.run(w, client, j)
+	answer, ran = f.run(client, w, j)
 }
 
 // read checks a request and says what the core is to decide by.
@@ -237,7 +237,7 @@
 
 // run takes a request through the core and writes its one final answer. It returns the answer if that is
 // known whole, and whether anything may have run.
-func (f *Front) run(w http.ResponseWriter, client context.Context, j *job) (*completion, bool) {
+func (f *Front) run(client context.Context, w http.ResponseWriter, j *job) (*completion, bool) {
 	a := f.core.Do(client, j.req)
 	switch a.Kind {
 	case core.Served:
--- a/internal/fleet/share/bucket.go
+++ b/internal/fleet/share/bucket.go
@@ -48,9 +48,9 @@
 		return 0
 	}
 	if past := now - r.at; past > 0 {
-		new := float64(max(count-r.count, 0)) / past.Seconds()
+		latest := float64(max(count-r.count, 0)) / past.Seconds()
 		part := min(float64(past)/float64(rateFade), 1)
-		r.rate += part * (new - r.rate)
+		r.rate += part * (latest - r.rate)
 		r.count, r.at = count, now
 	}
 	return r.rate
--- a/internal/fleet/tasks/tasks.go
+++ b/internal/fleet/tasks/tasks.go
@@ -61,10 +61,13 @@
 	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]core.Target{}}
 }
 
-// Bad is how many results made no sense, Renewed how many times a list was asked for anew, Dropped how many news the core
-// had no room for.
-func (t *Tasks) Bad() int64     { return t.bad.Load() }
+// Bad returns how many results could not be decoded.
+func (t *Tasks) Bad() int64 { return t.bad.Load() }
+
+// Renewed returns how many times the endpoint list was requested again.
 func (t *Tasks) Renewed() int64 { return t.renewed.Load() }
+
+// Dropped returns how many load reports the core's queue had no capacity for.
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
 // Roster takes discovery's list, or changes to it, as the core does.
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -271,7 +271,7 @@
 }
 
 // asked is a command that makes an operator's call and prints its JSON, as it is or as a table.
-func asked[T any](out io.Writer, call, short string, print func(io.Writer, T) error) *cobra.Command {
+func asked[T any](out io.Writer, call, short string, render func(io.Writer, T) error) *cobra.Command {
 	var at string
 	var asJSON bool
 	c := &cobra.Command{Use: call, Short: short, Args: cli.NoWords, RunE: func(*cobra.Command, []string) error {
@@ -287,7 +287,7 @@
 		if err := json.Unmarshal([]byte(text), &s); err != nil {
 			return fmt.Errorf("%s: %w", call, err)
 		}
-		return print(out, s)
+		return render(out, s)
 	}}
 	c.Flags().StringVar(&at, "at", "127.0.0.1:9600", "a member's ops `address`")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
--- a/internal/state/handover/handover.go
+++ b/internal/state/handover/handover.go
@@ -23,8 +23,9 @@
 
 const (
 	magic = "rampspread beliefs 1\n"
-	// Most bounds a file in bytes, Texts what goes into it.
-	Most  = 4 << 20
+	// Most bounds a file in bytes.
+	Most = 4 << 20
+	// Texts bounds the number of prefix entries in a file.
 	Texts = 10_000
 
 	lookEvery = 500 * time.Millisecond // whether somebody asks
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Build, format, vet, static checks, tests and the line width of the decision module.
+# Build, format, vet, static checks (lint/run.sh) and tests with the race detector.
 set -euo pipefail
 cd "$(dirname "$0")"
 mkdir -p bin
@@ -10,9 +10,7 @@
 	exit 1
 fi
 go vet ./...
-go tool staticcheck ./...
-awk '{ line = $0; gsub(/\t/, "    ", line); if (length(line) > 110) { print FILENAME ":" FNR ": over 110 characters"; bad = 1 } }
-	END { exit bad }' decide/{decide,roster,cold,health,estimate,admit,write,held,outcome,answer}.go
+bash lint/run.sh
 # Tests of real faults that are not mended yet, one line each: name, cause, issue. They are passed over and printed.
 known_red=
 if [ -f KNOWN-RED.txt ]; then
