--- /dev/null
+++ b/internal/state/atomicfile/golden_test.go
@@ -0,0 +1,44 @@
+package atomicfile
+
+import (
+	"encoding/hex"
+	"errors"
+	"path/filepath"
+	"testing"
+)
+
+// A sealed file as 1ac8dd0 wrote it: what says its kind, the body, and the xxhash of both, the highest byte first.
+const (
+	goldenMagic = "rampspread golden 1\n"
+	goldenBody  = "a body\x00\xff"
+	goldenSeal  = "72616d7073707265616420676f6c64656e20310a6120626f647900ff0d9f55af9a099abb"
+)
+
+func TestGoldenSeal(t *testing.T) {
+	want, err := hex.DecodeString(goldenSeal)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := Seal(goldenMagic, []byte(goldenBody)); string(got) != string(want) {
+		t.Errorf("sealed %x", got)
+	}
+	if body, err := Open(goldenMagic, want); err != nil || string(body) != goldenBody {
+		t.Errorf("opened %q, %v", body, err)
+	}
+	if _, err := Open("rampspread other 1\n", want); !errors.Is(err, ErrSpoilt) {
+		t.Errorf("opened as another kind: %v", err)
+	}
+}
+
+// Processes of different versions that write one file keep each other out by a lock on this name.
+func TestGoldenAsideName(t *testing.T) {
+	dir := t.TempDir()
+	aside, err := openAside(filepath.Join(dir, "file"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer aside.Close()
+	if got := aside.Name(); got != filepath.Join(dir, ".file.aside") {
+		t.Errorf("written aside as %s", got)
+	}
+}
--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,159 @@
+package state
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"rampspread/internal/fleet/claim"
+	"rampspread/internal/state/internal/golden"
+)
+
+const (
+	goldenFileName = "filings.db"
+	goldenLived    = 3*time.Hour + 5
+)
+
+var (
+	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
+	goldenRecords  = map[claim.Key]claim.Record{
+		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Try: claim.Try{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Digest: claim.Digest{19, 31: 20}, State: claim.Answered, At: 21 * time.Second, Until: 22 * time.Second, Answer: []byte("golden answer")},
+		{23, 15: 24}: {Try: claim.Try{Name: "n3", Incarnation: 25, Seq: 26}, Digest: claim.Digest{27, 31: 28}, State: claim.Out, At: 29, Until: 30},
+		{31, 15: 32}: {Try: claim.Try{Name: "n4", Incarnation: 33, Seq: 34}, Digest: claim.Digest{35, 31: 36}, State: claim.MayHaveRun, At: 37, Until: 38},
+	}
+)
+
+// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its entries.
+func writeGoldenState(t *testing.T) (file []byte, entryList string) {
+	t.Helper()
+	dir := t.TempDir()
+	s, err := Open(dir, goldenIdentity) // not made by Init: one that says that it was lost
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, first := range []byte{1, 23, 31} {
+		for key, record := range goldenRecords {
+			if key[0] != first {
+				continue
+			}
+			if err := s.Put(key, record); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	if err := s.update(func(e *entries) error { return e.put(bucketMeta, keyLived, encodeNumber(uint64(goldenLived))) }); err != nil {
+		t.Fatal(err)
+	}
+	entryList = listEntries(t, s.db)
+	if err := s.db.Close(); err != nil {
+		t.Fatal(err)
+	}
+	file, err = os.ReadFile(filepath.Join(dir, goldenFileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file, entryList
+}
+
+// listEntries writes every bucket, key and value as a line.
+func listEntries(t *testing.T, db *bbolt.DB) string {
+	t.Helper()
+	var out strings.Builder
+	if err := db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				key := string(k)
+				if string(bucket) != "meta" {
+					key = hex.EncodeToString(k)
+				}
+				fmt.Fprintf(&out, "%s %s = %x\n", bucket, key, v)
+				return nil
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is the database's affair, and
+// may have its pages in another order.
+func TestGoldenEntriesAreWritten(t *testing.T) {
+	_, entryList := writeGoldenState(t)
+	if want := golden.Text(t, "entries.txt", entryList); entryList != want {
+		t.Errorf("wrote\n%s\nnot\n%s", entryList, want)
+	}
+}
+
+// The database file that 1ac8dd0 wrote is sound, and is read to the same values.
+func TestGoldenFileIsRead(t *testing.T) {
+	current, entryList := writeGoldenState(t)
+	file := golden.Bytes(t, "filings.db.hex", current)
+	if err := verify(bytes.NewReader(file), int64(len(file))); err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, goldenFileName), file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Look(dir, goldenIdentity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.db.Close()
+	if got, want := listEntries(t, s.db), golden.Text(t, "entries.txt", entryList); got != want {
+		t.Errorf("read\n%s\nnot\n%s", got, want)
+	}
+	if !s.lost || s.lived != goldenLived || s.Keys() != len(goldenRecords) {
+		t.Errorf("lost %t, lived %v, %d keys", s.lost, s.lived, s.Keys())
+	}
+	got := map[claim.Key]claim.Record{}
+	if err := s.Each(func(key claim.Key, record claim.Record, err error) {
+		if err != nil {
+			t.Error(err)
+		}
+		got[key] = record
+	}); err != nil || !reflect.DeepEqual(got, goldenRecords) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	if left, err := s.Expire(30, 10); err != nil || left != 2 { // the one that was written at 29 ns goes
+		t.Errorf("%d left, %v", left, err)
+	}
+}
+
+// A record with every field set, so that one that is new cannot be left out unseen.
+func TestGoldenRecordSetsEveryField(t *testing.T) {
+	for _, record := range goldenRecords {
+		if record.State != claim.Answered {
+			continue
+		}
+		for _, v := range []reflect.Value{reflect.ValueOf(record), reflect.ValueOf(record.Try)} {
+			for i := range v.NumField() {
+				if v.Field(i).IsZero() {
+					t.Errorf("%s.%s is zero", v.Type(), v.Type().Field(i).Name)
+				}
+			}
+		}
+	}
+}
+
+// Operators look for a state that was refused under this name.
+func TestGoldenNameOfStateSetAside(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, goldenFileName), nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := SetAside(dir, time.Unix(1_700_000_000, 5))
+	if want := filepath.Join(dir, "filings.db.bad-1700000000"); err != nil || got != want {
+		t.Errorf("%s, %v", got, err)
+	}
+}
--- /dev/null
+++ b/internal/state/handover/golden_test.go
@@ -0,0 +1,222 @@
+package handover
+
+import (
+	"bytes"
+	"encoding/gob"
+	"fmt"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"rampspread/decide"
+	"rampspread/internal/state/atomicfile"
+	"rampspread/internal/state/internal/golden"
+)
+
+// What processes of different versions leave for each other, on the disk and over the network, has the form that commit 1ac8dd0 wrote:
+// these words, then two gob values whose field names are those of the types below.
+const (
+	goldenMagic    = "rampspread beliefs 1\n"
+	goldenName     = "golden"
+	goldenSettings = 0x0102030405060708
+)
+
+type (
+	oldHead struct {
+		Name     string
+		Settings uint64
+	}
+	oldBeliefs struct {
+		At          time.Duration
+		Read, Fetch oldFit
+		Lag         oldEvidence
+		Scatter     oldEvidence
+		Trust       oldEvidence
+		Arrivals    oldEvidence
+		Each        oldEvidence
+		Texts       []oldTextBelief
+		Servers     []oldServerBelief
+	}
+	oldFit struct {
+		A  [3][3]float64
+		B  [3]float64
+		At time.Duration
+	}
+	oldEvidence struct {
+		Sum, N float64
+		At     time.Duration
+	}
+	oldLevel struct {
+		Value float64
+		At    time.Duration
+	}
+	oldTextBelief struct {
+		Key    uint64
+		Reader uint32
+		Tokens int
+		At     time.Duration
+		Asked  oldEvidence
+	}
+	oldServerBelief struct {
+		ID       uint32
+		Started  time.Duration
+		VoidTill time.Duration
+		Heard    time.Duration
+		Health   []oldLevel
+		Excess   oldEvidence
+		Wait     oldEvidence
+		Turn     float64
+	}
+)
+
+func goldenBeliefs() decide.Beliefs {
+	return decide.Beliefs{
+		At:       101,
+		Read:     decide.Fit{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Fetch:    decide.Fit{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Lag:      decide.Evidence{Sum: 41.5, N: 42.5, At: 104},
+		Scatter:  decide.Evidence{Sum: 43.5, N: 44.5, At: 105},
+		Trust:    decide.Evidence{Sum: 45.5, N: 46.5, At: 106},
+		Arrivals: decide.Evidence{Sum: 47.5, N: 48.5, At: 107},
+		Each:     decide.Evidence{Sum: 49.5, N: 50.5, At: 108},
+		Texts: []decide.TextBelief{
+			{Key: 1<<63 + 1, Reader: 1<<31 + 1, Tokens: 1<<40 + 1, At: 109, Asked: decide.Evidence{Sum: 51.5, N: 52.5, At: 110}},
+			{Key: 111, Reader: 112, Tokens: 113, At: 114, Asked: decide.Evidence{Sum: 53.5, N: 54.5, At: 115}},
+		},
+		Servers: []decide.ServerBelief{
+			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118, Health: []decide.Level{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+				Excess: decide.Evidence{Sum: 57.5, N: 58.5, At: 121}, Wait: decide.Evidence{Sum: 59.5, N: 60.5, At: 122}, Turn: 61.5},
+			{ID: 123, Started: 1<<62 + 124, VoidTill: 125, Heard: 126, Health: []decide.Level{{Value: 62.5, At: 127}},
+				Excess: decide.Evidence{Sum: 63.5, N: 64.5, At: 128}, Wait: decide.Evidence{Sum: 65.5, N: 66.5, At: 129}, Turn: 67.5},
+		},
+	}
+}
+
+// goldenOldBeliefs holds the values of goldenBeliefs.
+func goldenOldBeliefs() oldBeliefs {
+	return oldBeliefs{
+		At:       101,
+		Read:     oldFit{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Fetch:    oldFit{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Lag:      oldEvidence{Sum: 41.5, N: 42.5, At: 104},
+		Scatter:  oldEvidence{Sum: 43.5, N: 44.5, At: 105},
+		Trust:    oldEvidence{Sum: 45.5, N: 46.5, At: 106},
+		Arrivals: oldEvidence{Sum: 47.5, N: 48.5, At: 107},
+		Each:     oldEvidence{Sum: 49.5, N: 50.5, At: 108},
+		Texts: []oldTextBelief{
+			{Key: 1<<63 + 1, Reader: 1<<31 + 1, Tokens: 1<<40 + 1, At: 109, Asked: oldEvidence{Sum: 51.5, N: 52.5, At: 110}},
+			{Key: 111, Reader: 112, Tokens: 113, At: 114, Asked: oldEvidence{Sum: 53.5, N: 54.5, At: 115}},
+		},
+		Servers: []oldServerBelief{
+			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118, Health: []oldLevel{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+				Excess: oldEvidence{Sum: 57.5, N: 58.5, At: 121}, Wait: oldEvidence{Sum: 59.5, N: 60.5, At: 122}, Turn: 61.5},
+			{ID: 123, Started: 1<<62 + 124, VoidTill: 125, Heard: 126, Health: []oldLevel{{Value: 62.5, At: 127}},
+				Excess: oldEvidence{Sum: 63.5, N: 64.5, At: 128}, Wait: oldEvidence{Sum: 65.5, N: 66.5, At: 129}, Turn: 67.5},
+		},
+	}
+}
+
+func goldenPlace() Place { return Place{Name: goldenName, Settings: goldenSettings} }
+
+// The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers types by what the
+// process encoded before, and writes the types' names, which no reader looks at.
+func TestGoldenBytesAreRead(t *testing.T) {
+	current, err := goldenPlace().Encode(goldenBeliefs())
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := goldenPlace().Decode(golden.Bytes(t, "beliefs.hex", current))
+	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	got, err = goldenPlace().Decode(current)
+	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+		t.Errorf("encoded and decoded: %+v, %v", got, err)
+	}
+}
+
+// A program of 1ac8dd0 reads all fields of what this one writes.
+func TestGoldenEncodingIsReadByOldProgram(t *testing.T) {
+	text, err := goldenPlace().Encode(goldenBeliefs())
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := atomicfile.Open(goldenMagic, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	decoder := gob.NewDecoder(bytes.NewReader(body))
+	var head oldHead
+	if err := decoder.Decode(&head); err != nil || head != (oldHead{Name: goldenName, Settings: goldenSettings}) {
+		t.Errorf("read the head %+v, %v", head, err)
+	}
+	var beliefs oldBeliefs
+	if err := decoder.Decode(&beliefs); err != nil || !reflect.DeepEqual(beliefs, goldenOldBeliefs()) {
+		t.Errorf("read %+v, %v", beliefs, err)
+	}
+}
+
+// This program reads all fields of what one of 1ac8dd0 writes, and takes it only under its own name and settings.
+func TestGoldenOldEncodingIsRead(t *testing.T) {
+	var body bytes.Buffer
+	encoder := gob.NewEncoder(&body)
+	if err := encoder.Encode(oldHead{Name: goldenName, Settings: goldenSettings}); err != nil {
+		t.Fatal(err)
+	}
+	if err := encoder.Encode(goldenOldBeliefs()); err != nil {
+		t.Fatal(err)
+	}
+	text := atomicfile.Seal(goldenMagic, body.Bytes())
+	got, err := goldenPlace().Decode(text)
+	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	for _, other := range []Place{{Name: "other", Settings: goldenSettings}, {Name: goldenName, Settings: goldenSettings + 1}} {
+		if _, err := other.Decode(text); err == nil {
+			t.Errorf("%+v took what is not its own", other)
+		}
+	}
+}
+
+// The values above set every field, so that one that is new or renamed cannot be left out unseen.
+func TestGoldenValuesSetEveryField(t *testing.T) {
+	for _, zero := range zeroFields("Beliefs", reflect.ValueOf(goldenBeliefs())) {
+		t.Errorf("%s is zero", zero)
+	}
+	for _, zero := range zeroFields("oldBeliefs", reflect.ValueOf(goldenOldBeliefs())) {
+		t.Errorf("%s is zero", zero)
+	}
+}
+
+// zeroFields returns the paths of all zero leaves of a value.
+func zeroFields(path string, v reflect.Value) (zero []string) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			zero = append(zero, zeroFields(path+"."+v.Type().Field(i).Name, v.Field(i))...)
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Len() == 0 {
+			zero = append(zero, path)
+		}
+		for i := range v.Len() {
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
+		}
+	default:
+		if v.IsZero() {
+			zero = append(zero, path)
+		}
+	}
+	return zero
+}
+
+// Processes of different versions meet at files of these names.
+func TestGoldenFileNames(t *testing.T) {
+	place := Place{Dir: "folder", Name: "a/b\x01c"}
+	for kind, want := range map[string]string{".beliefs": "rampspread-a_b_c.beliefs", ".ask": "rampspread-a_b_c.ask"} {
+		if got := place.file(kind); got != filepath.Join("folder", want) {
+			t.Errorf("%s: %s", kind, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/state/inflight/golden_test.go
@@ -0,0 +1,123 @@
+package inflight
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/internal/system"
+)
+
+// Processes of different versions that run beside each other read one another's folders. The forms below are those of 1ac8dd0; they are
+// short enough to stand here.
+const goldenShown = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
+
+var (
+	goldenShownForm = regexp.MustCompile(`^\{"Taken":\{"Wall":[1-9][0-9]*,"Boot":-?[1-9][0-9]*,"BootID":"[0-9a-f-]+"\},"Ran":(true|false)\}$`)
+	goldenOwnFolder = regexp.MustCompile(`^[0-9]+-[0-9a-z]+$`)
+)
+
+func TestGoldenShownText(t *testing.T) {
+	want := shown{Taken: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"}, Ran: true}
+	var got shown
+	if err := json.Unmarshal([]byte(goldenShown), &got); err != nil || got != want {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	if text, err := json.Marshal(want); err != nil || string(text) != goldenShown {
+		t.Errorf("wrote %s, %v", text, err)
+	}
+}
+
+// What is written of a name, and what is read of it: by the machine's own clock after the same boot, by the wall clock after another, and
+// from the earliest version's word.
+func TestGoldenNameFiles(t *testing.T) {
+	table, err := Start(system.Real(), t.TempDir(), "golden", keep)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer table.lock.Close()
+	path := filepath.Join(table.own, "name")
+	for _, ran := range []bool{false, true} {
+		if err := table.show(path, time.Now().Add(-time.Hour), ran); err != nil {
+			t.Fatal(err)
+		}
+		text, err := os.ReadFile(path)
+		if found := goldenShownForm.FindStringSubmatch(string(text)); err != nil || found == nil || found[1] != fmt.Sprint(ran) {
+			t.Errorf("wrote %s, %v", text, err)
+		}
+		if info, err := os.Stat(path); err != nil || !about(time.Since(info.ModTime()), time.Hour) {
+			t.Errorf("the file's own time is off: %v", err)
+		}
+	}
+	now := system.Now(system.Real())
+	ago := func(age time.Duration) int64 { return int64(-age) }
+	for _, c := range []struct {
+		name, text string
+		want       file
+	}{
+		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot+ago(time.Minute), now.BootID), file{time.Minute, true}},
+		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall+ago(time.Hour)), file{time.Hour, false}},
+		{"earliest, ended", "ran", file{2 * time.Hour, true}},
+		{"earliest, not ended", "", file{2 * time.Hour, false}},
+	} {
+		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		modified := time.Now().Add(-2 * time.Hour)
+		if err := os.Chtimes(path, modified, modified); err != nil {
+			t.Fatal(err)
+		}
+		if got, err := table.read(path); err != nil || got.ran != c.want.ran || !about(got.age, c.want.age) {
+			t.Errorf("%s: read %+v, %v", c.name, got, err)
+		}
+	}
+}
+
+// about tells whether two durations are the same but for what a busy machine takes.
+func about(got, want time.Duration) bool { return (got - want).Abs() < 20*time.Second }
+
+func TestGoldenFileNames(t *testing.T) {
+	dir := t.TempDir()
+	table, err := Start(system.Real(), dir, "golden", keep)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer table.lock.Close()
+	if got, want := table.base, filepath.Join(dir, "rampspread-dd56de4137951d9c.beside"); got != want {
+		t.Errorf("the folder that is shared: %s, not %s", got, want)
+	}
+	if own := filepath.Base(table.own); filepath.Dir(table.own) != table.base || !goldenOwnFolder.MatchString(own) || !strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
+		t.Errorf("the process's own folder: %s", table.own)
+	}
+	if info, err := os.Stat(filepath.Join(table.own, "lock")); err != nil || info.Size() != 0 {
+		t.Errorf("the lock: %v", err)
+	}
+	if _, err := os.Stat(filepath.Join(table.own, "shown")); err == nil {
+		t.Error("a process that is alone has the mark that it shows what it has")
+	}
+	other, err := Start(system.Real(), dir, "golden", keep)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.lock.Close()
+	table.step()
+	if info, err := os.Stat(filepath.Join(table.own, "shown")); err != nil || info.Size() != 0 {
+		t.Errorf("the mark of a process that shows what it has: %v", err)
+	}
+	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", Filing: "key-dd56de4137951d9c92681b03416ec15f"} {
+		if got := fileOf(kind, "golden"); got != want {
+			t.Errorf("%s, not %s", got, want)
+		}
+	}
+	if table.Take(Request, "golden") != Free {
+		t.Error("nobody has the name")
+	}
+	if _, err := os.Stat(filepath.Join(table.own, "id-dd56de4137951d9c92681b03416ec15f")); err != nil {
+		t.Errorf("a name that is taken: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/state/lastlist/golden_test.go
@@ -0,0 +1,46 @@
+package lastlist
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"rampspread/internal/state/internal/golden"
+	"rampspread/internal/system"
+)
+
+const goldenFileName = "newest.list"
+
+var goldenList = List{
+	Owner:   Owner{Fleet: "golden-fleet", Name: "golden-name", Discovery: "192.0.2.1:8500"},
+	At:      system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
+	Version: 1<<63 + 3,
+	Entries: []byte(`[{"instanceId":"s1","cell":4}]`),
+}
+
+// The file that 1ac8dd0 wrote is found and read to the same values, and the same bytes are written.
+func TestGoldenFile(t *testing.T) {
+	written := t.TempDir()
+	if err := Save(system.Real(), written, goldenList); err != nil {
+		t.Fatal(err)
+	}
+	current, err := os.ReadFile(filepath.Join(written, goldenFileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden.Bytes(t, "newest.list.hex", current)
+	if !bytes.Equal(current, want) {
+		t.Errorf("wrote %q, not %q", current, want)
+	}
+	left := t.TempDir()
+	if err := os.WriteFile(filepath.Join(left, goldenFileName), want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	now := goldenList.At
+	now.Boot++
+	if got, err := Find(left, goldenList.Owner, now); err != nil || !reflect.DeepEqual(got, goldenList) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
