--- a/internal/state/handover/golden_test.go
+++ b/internal/state/handover/golden_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -211,6 +212,36 @@
 	return zero
 }
 
+// The serialized types have the fields of 1ac8dd0 and no others, by name and kind.
+func TestGoldenShapeOfRecords(t *testing.T) {
+	for _, pair := range [][2]reflect.Type{
+		{reflect.TypeFor[header](), reflect.TypeFor[oldHead]()},
+		{reflect.TypeFor[snapshotRecord](), reflect.TypeFor[oldBeliefs]()},
+	} {
+		if got, want := shape(pair[0]), shape(pair[1]); got != want {
+			t.Errorf("%v is\n%s\nnot\n%s", pair[0], got, want)
+		}
+	}
+}
+
+// shape writes a type as the names and kinds of its fields, without the names of types, which gob does not compare.
+func shape(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.Struct:
+		fields := make([]string, t.NumField())
+		for i := range fields {
+			fields[i] = t.Field(i).Name + " " + shape(t.Field(i).Type)
+		}
+		return "{" + strings.Join(fields, "; ") + "}"
+	case reflect.Slice:
+		return "[]" + shape(t.Elem())
+	case reflect.Array:
+		return fmt.Sprintf("[%d]%s", t.Len(), shape(t.Elem()))
+	default:
+		return t.Kind().String()
+	}
+}
+
 // Processes of different versions meet at files of these names.
 func TestGoldenFileNames(t *testing.T) {
 	place := Place{Dir: "folder", Name: "a/b\x01c"}
--- a/internal/state/handover/handover.go
+++ b/internal/state/handover/handover.go
@@ -57,17 +57,11 @@
 	return filepath.Join(p.Dir, "rampspread-"+name+kind)
 }
 
-// head is what stands before the beliefs.
-type head struct {
-	Name     string
-	Settings uint64
-}
-
 // Encode packs beliefs, with a checksum behind them.
 func (p Place) Encode(b decide.Beliefs) ([]byte, error) {
 	var out bytes.Buffer
 	e := gob.NewEncoder(&out)
-	if err := errors.Join(e.Encode(head{p.Name, p.Settings}), e.Encode(b)); err != nil {
+	if err := errors.Join(e.Encode(header{Name: p.Name, Settings: p.Settings}), e.Encode(newSnapshotRecord(b))); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return atomicfile.Seal(magic, out.Bytes()), nil
@@ -83,17 +77,18 @@
 		return b, fmt.Errorf("%w: %w", ErrVoid, err)
 	}
 	d := gob.NewDecoder(bytes.NewReader(body))
-	var h head
+	var h header
 	if err := d.Decode(&h); err != nil {
 		return b, fmt.Errorf("%w: %w", ErrVoid, err)
 	}
 	if h.Name != p.Name || h.Settings != p.Settings {
 		return b, fmt.Errorf("%w: it is %q's, or of other settings", ErrVoid, h.Name)
 	}
-	if err := d.Decode(&b); err != nil {
+	var snapshot snapshotRecord
+	if err := d.Decode(&snapshot); err != nil {
 		return b, fmt.Errorf("%w: %w", ErrVoid, err)
 	}
-	return b, nil
+	return snapshot.beliefs(), nil
 }
 
 // Leave replaces what is left for others, whole.
--- a/internal/state/inflight/file.go
+++ b/internal/state/inflight/file.go
@@ -9,10 +9,10 @@
 	"rampspread/internal/system"
 )
 
-// shown is what a name's file says.
+// shown is what a name's file says. The tags are the names in the file, which a process of another version reads: they never change.
 type shown struct {
-	Taken system.Stamp // when the name was taken
-	Ran   bool         // it has ended, and may have run
+	Taken system.Stamp `json:"Taken"` // when the name was taken
+	Ran   bool         `json:"Ran"`   // it has ended, and may have run
 }
 
 // plainRan is all that the file of an ended filing said in earlier versions, which told its time by the file's own.
--- a/internal/state/lastlist/lastlist.go
+++ b/internal/state/lastlist/lastlist.go
@@ -27,15 +27,17 @@
 
 // Owner says whose list it is, and from where: versions of two discoveries cannot be compared.
 type Owner struct {
-	Fleet, Name, Discovery string
+	Fleet     string `json:"Fleet"`
+	Name      string `json:"Name"`
+	Discovery string `json:"Discovery"`
 }
 
-// List is what is stored.
+// List is what is stored. The tags are the names in the file, which other versions of the program read: they never change.
 type List struct {
-	Owner   Owner
-	At      system.Stamp
-	Version uint64
-	Entries json.RawMessage // in discovery's form
+	Owner   Owner           `json:"Owner"`
+	At      system.Stamp    `json:"At"`
+	Version uint64          `json:"Version"`
+	Entries json.RawMessage `json:"Entries"` // in discovery's form
 }
 
 // Save replaces the list in a folder; it is on the disk when Save returns.
--- a/internal/state/terms/terms.go
+++ b/internal/state/terms/terms.go
@@ -28,12 +28,14 @@
 
 // Owner says whose bound it is.
 type Owner struct {
-	Fleet, Name string
+	Fleet string `json:"Fleet"`
+	Name  string `json:"Name"`
 }
 
+// stored is the file's body. The tags are the names in the file, which other versions of the program read: they never change.
 type stored struct {
-	Owner Owner
-	Bound uint64
+	Owner Owner  `json:"Owner"`
+	Bound uint64 `json:"Bound"`
 }
 
 // Numbers keeps the bound of one process. It is safe for use by several goroutines.
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -42,11 +42,12 @@
 // Before implements System.
 func (machine) Before(Op) error { return nil }
 
-// Stamp is a moment by both clocks of a machine: the wall clock may be stepped, and the other begins anew with each boot.
+// Stamp is a moment by both clocks of a machine: the wall clock may be stepped, and the other begins anew with each boot. The tags are its
+// names in stored files, which other versions of the program read: they never change.
 type Stamp struct {
-	Wall   int64  // ns since 1970
-	Boot   int64  // ns since the machine started, asleep or not
-	BootID string // of this start; empty: Boot is not known
+	Wall   int64  `json:"Wall"`   // ns since 1970
+	Boot   int64  `json:"Boot"`   // ns since the machine started, asleep or not
+	BootID string `json:"BootID"` // of this start; empty: Boot is not known
 }
 
 // Now reads both clocks.
