--- /dev/null
+++ b/internal/program/golden_test.go
@@ -0,0 +1,297 @@
+package program
+
+import (
+	"bytes"
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"os"
+	"os/exec"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"rampspread/internal/fleet/claim"
+	"rampspread/internal/ops"
+	"rampspread/internal/state"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/wire"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// checkGolden compares a text with a file of testdata.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := "testdata/" + name
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// Members of different versions compare the digests of their settings, so a digest must stay what it was. The first
+// settings have every field set, the second what most deployments say, the third none. The zone does not count.
+func TestGoldenFingerprint(t *testing.T) {
+	full, err := os.ReadFile("../wire/testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := wire.ParseConfig(full)
+	if err != nil {
+		t.Fatal(err)
+	}
+	usual, err := wire.ParseSettings([]byte(testkit.SettingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		settings *wire.Settings
+		want     uint64
+	}{
+		"every field": {&config.Settings, 0xc818a407ecc4b8ec},
+		"usual":       {usual, 0x30721805bc892e8e},
+		"none":        {&wire.Settings{}, 0x123b4247d7b350ff},
+	} {
+		if got := fingerprint(c.settings); got != c.want {
+			t.Errorf("%s: digest %#016x, want %#016x", name, got, c.want)
+		}
+		other := *c.settings
+		other.Az = 7
+		if got := fingerprint(&other); got != c.want {
+			t.Errorf("%s, another zone: digest %#016x, want %#016x", name, got, c.want)
+		}
+	}
+}
+
+// describe writes a command's use, its flags by name with type and default, and its sub-commands.
+func describe(out io.Writer, c *cobra.Command, indent string) {
+	fmt.Fprintf(out, "%s%s\n", indent, c.Use)
+	var lines []string
+	c.LocalFlags().VisitAll(func(f *pflag.Flag) {
+		lines = append(lines, fmt.Sprintf("%s  --%s type=%s default=%q short=%q\n", indent, f.Name, f.Value.Type(), f.DefValue, f.Shorthand))
+	})
+	slices.Sort(lines)
+	fmt.Fprint(out, strings.Join(lines, ""))
+	for _, sub := range c.Commands() {
+		describe(out, sub, indent+"    ")
+	}
+}
+
+func TestGoldenCommands(t *testing.T) {
+	t.Setenv("LB_CONFIG", "from-the-environment")
+	var out bytes.Buffer
+	describe(&out, commands(system.Real(), signals{}, io.Discard), "")
+	checkGolden(t, "commands.golden", out.String())
+}
+
+// A sound command line ends with 0, any error with 1 and one line on stderr.
+func TestGoldenExitCodes(t *testing.T) {
+	for _, c := range []struct {
+		args   []string
+		code   int
+		stderr string
+	}{
+		{[]string{"version"}, 0, ""},
+		{[]string{"-h"}, 0, ""},
+		{[]string{"dance"}, 1, "rampspread: unknown sub-command \"dance\": see rampspread -h\n"},
+		{[]string{"serve", "-dance"}, 1, "rampspread: unknown flag: --dance\n"},
+		{[]string{"check"}, 1, "rampspread: no configuration: set LB_CONFIG or -config\n"},
+	} {
+		p := exec.Command(os.Args[0], c.args...)
+		p.Env = append(os.Environ(), "RAMPSPREAD_TEST_PROGRAM=1", "LB_CONFIG=")
+		var stderr bytes.Buffer
+		p.Stderr = &stderr
+		err := p.Run()
+		if p.ProcessState == nil {
+			t.Fatal(err)
+		}
+		if code := p.ProcessState.ExitCode(); code != c.code || stderr.String() != c.stderr {
+			t.Errorf("%q: exit code %d, %q; want %d, %q", c.args, code, stderr.String(), c.code, c.stderr)
+		}
+	}
+}
+
+// The operators' calls of a program that is alone, and what it answers.
+func TestGoldenCalls(t *testing.T) {
+	const (
+		alone = "FAILURE no fleet: the program was started without -fleet"
+		names = "check, drain-off, drain-on, duties, filings, freeze, judge, let-in, lists, members, shares, shut-out, subset, versions"
+	)
+	reader, writer := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	list := listText(reader.Addr, writer.Addr)
+	discovery, _ := newAgent(t, list)
+	listen, opsAddr := freeAddr(t), freeAddr(t)
+	t.Setenv("LB_CONFIG", file(t, "config.json", configText(listen, discovery, list)))
+	t.Setenv("LB_OPS", opsAddr)
+	ctx, term := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() {
+		ended <- run(ctx, system.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: make(chan os.Signal)}, &output{})
+	}()
+	ready(t, listen)
+	for _, c := range []struct{ call, want string }{
+		{"check", "SUCCESS serving"},
+		{"drain-on", "SUCCESS draining"},
+		{"drain-on", "SUCCESS draining already"},
+		{"check", "SUCCESS serving, drained"},
+		{"drain-off", "SUCCESS serving"},
+		{"drain-off", "SUCCESS serving already"},
+		{"members", alone}, {"duties", alone}, {"shares", alone}, {"versions", alone},
+		{"shut-out", alone}, {"let-in", alone}, {"judge", alone}, {"freeze", alone},
+		{"subset", "FAILURE no subset: the fleet's file has no subset_readers"},
+		{"lists", "FAILURE its own list is all: the fleet's file has no ends"},
+		{"filings", "FAILURE no ledger: the fleet's file has no filings, and the program was started without -state"},
+		{"dance", `FAILURE unknown call "dance": there are ` + names},
+		{strings.Repeat("x", 300), "FAILURE line too long"},
+	} {
+		if got := rawCall(t, opsAddr, c.call); got != c.want+"\n" {
+			t.Errorf("%.20s: %q, want %q", c.call, got, c.want)
+		}
+	}
+	term()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// rawCall makes one operator's call by the line protocol itself and returns all that comes back.
+func rawCall(t *testing.T, addr, line string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	fmt.Fprintf(c, "%s\n", line)
+	text, err := io.ReadAll(c)
+	if err != nil && len(text) == 0 {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// goldenAnswers are what a member says to the operators' calls, each key with a value of its own.
+var goldenAnswers = map[string]string{
+	"members": `{"fleet":"fleet-1","self":"self-1","view":2,"fresh":true,"members":[{"name":"name-1","state":"state-1","for_s":3.1,"heard_s":4.1,` +
+		`"zone":"zone-1","incarnation":5,"lives":6,"started":"start-1","version":"version-1","settings":"settings-1","list":7,"skew_ms":8}],` +
+		`"conflicts":["conflict-1"],"bad":9,"stale":10,"strangers":11}`,
+	"duties": `{"self":"self-1","voters":["voter-1","voter-2"],"mute":true,"duties":[{"duty":"duty-1","owner":"owner-1","standby":"standby-1","held":true,` +
+		`"number":2,"for_s":3.1,"left_s":4.1,"heard_s":5.1}],"lapsed":"lapsed-1","acts":6,"late":7,"bytes":8}`,
+	"shares": `{"self":"self-1","part":0.2,"least":0.3,"left_s":4.1,"demand_s":5.1,"lends":true,"lent":0.6,"asking":7,"offers":8,"dropped":9}`,
+	"subset": `{"self":"self-1","kept":["kept-1","kept-2"],"of":3,"members":4,"times":5,"took_ms":6.1}`,
+	"versions": `{"self":"self-1","list":2,"settings":"settings-1","fault":"fault-1","judged":true,"blind":false,"frozen":true,"members":[` +
+		`{"name":"name-1","state":"state-1","heard_s":3.1,"program":"program-1","settings":"settings-2","list":4,"lease":5,"step":"step-1",` +
+		`"why":"why-1","behind_s":6.1,"step_for_s":7.1}]}`,
+	"lists": `{"list":2,"held_back":3,"told":4,"refused":5}`,
+	"filings": `{"self":"self-1","keepers":["keeper-1","keeper-2"],"keeps":true,"mute_s":2,"keys":3,"granted":4,"refused":5,"no_majority":6,` +
+		`"grant_ms":7.1,"dropped":8,"errors":9,"bad":10}`,
+	"shut-out": "shut-out", "let-in": "let-in", "judge": "judge", "freeze": "freeze",
+}
+
+// An operator's table is made of the keys that a member answers with, which may be one of another version.
+func TestGoldenFleetTables(t *testing.T) {
+	calls := map[string]ops.Call{}
+	for name, text := range goldenAnswers {
+		calls[name] = func() (bool, string) { return true, text }
+	}
+	s := ops.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	l, err := net.Listen("tcp", testkit.Net()+"1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go s.Serve(l)
+	t.Cleanup(s.Close)
+	var all strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(goldenAnswers)) {
+		var out bytes.Buffer
+		if err := run(t.Context(), system.Real(), []string{"fleet", name, "-at", l.Addr().String()}, signals{}, &out); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		fmt.Fprintf(&all, "$ rampspread fleet %s\n%s\n", name, out.String())
+		if !strings.HasPrefix(goldenAnswers[name], "{") {
+			continue
+		}
+		out.Reset()
+		if err := run(t.Context(), system.Real(), []string{"fleet", name, "-json", "-at", l.Addr().String()}, signals{}, &out); err != nil ||
+			out.String() != goldenAnswers[name]+"\n" {
+			t.Errorf("%s -json: %q, %v", name, out.String(), err)
+		}
+	}
+	checkGolden(t, "fleet.golden", all.String())
+}
+
+// What is printed of a stored state, with a filing in each state.
+func TestGoldenStateCommands(t *testing.T) {
+	dir := t.TempDir()
+	var all strings.Builder
+	command := func(args ...string) {
+		t.Helper()
+		var out bytes.Buffer
+		err := run(t.Context(), system.Real(), append([]string{"state"}, args...), signals{}, &out)
+		text := fmt.Sprintf("$ rampspread state %s\n%s", strings.Join(args, " "), out.String())
+		if err != nil {
+			text += fmt.Sprintln("error:", err)
+		}
+		all.WriteString(strings.ReplaceAll(text, dir, "FOLDER"))
+	}
+	command("init", dir)
+	command("init", dir, "-name", "name-1", "-of", "fleet-1")
+	command("init", dir, "-name", "name-1", "-of", "fleet-1")
+	s, err := state.Open(dir, state.Identity{Name: "name-1", Fleet: "fleet-1"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, at := range []claim.State{claim.Out, claim.MayHaveRun, claim.Answered} {
+		n := byte(i + 1)
+		record := claim.Record{Try: claim.Try{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
+			Digest: claim.Digest{n}, State: at, At: time.Duration(n) * time.Minute, Until: time.Duration(n) * time.Hour}
+		if at == claim.Answered {
+			record.Answer = []byte("{...}")
+		}
+		if err := s.Put(claim.Key{n}, record); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	command("check", dir, "-name", "name-1", "-of", "fleet-1")
+	command("show", dir)
+	command("check", dir, "-name", "name-2", "-of", "fleet-1")
+	checkGolden(t, "state.golden", all.String())
+}
+
+// What check and import print.
+func TestGoldenFiles(t *testing.T) {
+	var all strings.Builder
+	config := file(t, "config.json", configText("127.0.0.1:1", "127.0.0.1:2", "{}"))
+	members := file(t, "apache.conf", "BalancerMember balancer://kind-a http://10.1.0.1:9000 loadfactor=3\n"+
+		"BalancerMember balancer://kind-b http://10.1.0.2:9001 status=+D\n")
+	for _, args := range [][]string{{"version"}, {"check", "-config", config}, {"import", "-from", members, "-zone", "zone-a"},
+		{"import", "-from", members, "-zone", "zone-a", "-port", "9100"}} {
+		var out bytes.Buffer
+		if err := run(t.Context(), system.Real(), args, signals{}, &out); err != nil {
+			t.Errorf("%q: %v", args, err)
+		}
+		fmt.Fprintf(&all, "$ rampspread %s\n%s", args[0], strings.ReplaceAll(out.String(), config, "CONFIG"))
+	}
+	checkGolden(t, "files.golden", all.String())
+}
