--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -29,24 +29,6 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares a text with a file of testdata.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := "testdata/" + name
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
-	}
-}
-
 // Members of different versions compare the digests of their settings, so a digest must stay what it was. The first
 // settings have every field set, the second what most deployments say, the third none. The zone does not count.
 func TestGoldenFingerprint(t *testing.T) {
@@ -99,7 +81,7 @@
 	t.Setenv("LB_CONFIG", "from-the-environment")
 	var out bytes.Buffer
 	describe(&out, commands(system.Real(), signals{}, io.Discard), "")
-	checkGolden(t, "commands.golden", out.String())
+	testkit.CheckGolden(t, *update, "commands.golden", out.String())
 }
 
 // A sound command line ends with 0, any error with 1 and one line on stderr.
@@ -235,7 +217,7 @@
 			t.Errorf("%s -json: %q, %v", name, out.String(), err)
 		}
 	}
-	checkGolden(t, "fleet.golden", all.String())
+	testkit.CheckGolden(t, *update, "fleet.golden", all.String())
 }
 
 // What is printed of a stored state, with a filing in each state.
@@ -276,7 +258,7 @@
 	command("check", dir, "-name", "name-1", "-of", "fleet-1")
 	command("show", dir)
 	command("check", dir, "-name", "name-2", "-of", "fleet-1")
-	checkGolden(t, "state.golden", all.String())
+	testkit.CheckGolden(t, *update, "state.golden", all.String())
 }
 
 // What check and import print.
@@ -293,5 +275,5 @@
 		}
 		fmt.Fprintf(&all, "$ rampspread %s\n%s", args[0], strings.ReplaceAll(out.String(), config, "CONFIG"))
 	}
-	checkGolden(t, "files.golden", all.String())
+	testkit.CheckGolden(t, *update, "files.golden", all.String())
 }
