--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,58 @@
+package discovery_test
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"rampspread/decide"
+	"rampspread/internal/core"
+	"rampspread/internal/discovery"
+	"rampspread/internal/wire"
+)
+
+const goldenList = `{"generation":2,"reset":true,"instances":[` +
+	`{"instanceId":"id-1","hostPort":"127.0.0.1:1","zone":"zone-b","machineType":"kind-b","cell":3,"lifecycle":"ready","weight":4.5,"startedAtMs":1700000000001.5},` +
+	`{"instanceId":"id-2","hostPort":"127.0.0.1:2","zone":"zone-a","machineType":"kind-a","cell":5,"lifecycle":"draining","weight":6.5,"startedAtMs":1700000000002}]}`
+
+// Discovery's form of a list, as it is read, handed on and written again.
+func TestGoldenList(t *testing.T) {
+	var l discovery.List
+	if err := json.Unmarshal([]byte(goldenList), &l); err != nil {
+		t.Fatal(err)
+	}
+	if text, err := json.Marshal(l); err != nil || string(text) != goldenList {
+		t.Errorf("wrote %s, %v", text, err)
+	}
+	var in discovery.Instance
+	wantIn := discovery.Instance{ID: "id-1", HostPort: "127.0.0.1:1", Zone: "zone-b", MachineType: "kind-b", Cell: 3, Lifecycle: "ready",
+		Weight: 4.5, StartedAtMS: 1700000000001.5}
+	if err := json.Unmarshal(l.Instances[0], &in); err != nil || in != wantIn {
+		t.Errorf("read %+v, %v, want %+v", in, err, wantIn)
+	}
+
+	settings, err := wire.ParseSettings([]byte(`{"zones":["zone-a","zone-b"],"kinds":["kind-a","kind-b"]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []core.Listing
+	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []core.Listing) { got = entries })
+	if !w.Apply(l, true) || w.Version() != 2 {
+		t.Errorf("not read whole, version %d", w.Version())
+	}
+	want := []core.Listing{
+		{Name: "id-1", Addr: "127.0.0.1:1", State: decide.Ready, Zone: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMicro(1700000000001500)},
+		{Name: "id-2", Addr: "127.0.0.1:2", State: decide.Draining, Zone: 0, Kind: 0, Cell: 5, Weight: 6.5, Started: time.UnixMicro(1700000000002000)},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("handed on %+v, want %+v", got, want)
+	}
+	held, err := w.Held()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text, err := json.Marshal(held); err != nil || string(text) != goldenList {
+		t.Errorf("held %s, %v, want %s", text, err, goldenList)
+	}
+}
--- /dev/null
+++ b/internal/servers/golden_test.go
@@ -0,0 +1,116 @@
+package servers_test
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/decide"
+	"rampspread/internal/core"
+	"rampspread/internal/servers"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
+
+// recorder is a replica that answers each request alike, and hands on its bytes as they came.
+func recorder(t *testing.T, answer string) (to core.Target, requests <-chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp", testkit.Net()+"1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	out := make(chan string, 16)
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			var raw strings.Builder
+			in := bufio.NewReader(io.TeeReader(conn, &raw))
+			if req, err := http.ReadRequest(in); err == nil {
+				io.Copy(io.Discard, req.Body)
+				out <- raw.String()
+				io.WriteString(conn, answer)
+			}
+			conn.Close()
+		}
+	}()
+	return core.Target{Name: "replica-1", Addr: l.Addr().String()}, out
+}
+
+// The bytes of each kind of request that replicas are sent.
+func TestGoldenRequests(t *testing.T) {
+	const loads = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
+	const taken = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
+	const read = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
+	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
+	defer pool.Close()
+	var all strings.Builder
+	record := func(name string, to core.Target, request string) {
+		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
+		fmt.Fprintf(&all, "# %s\n%s\n\n", name, strings.ReplaceAll(request, "\r\n", "\n"))
+	}
+
+	to, requests := recorder(t, read)
+	ev := newEvents()
+	withType := call
+	withType.Type = "application/json"
+	pool.Send(core.Order{Call: withType, To: to, Limit: 5 * time.Second}, ev)
+	record("a call", to, <-requests)
+	if o := <-ev.ended; o.Outcome != decide.ReadDone || o.Kept != 3 {
+		t.Errorf("%+v", o)
+	}
+
+	to, requests = recorder(t, taken)
+	pool.Release(core.Call{ID: "id-2"}, []core.Target{to})
+	record("a release", to, <-requests)
+	testkit.Eventually(t, "the release", func() bool { return pool.Releasing() == 0 })
+
+	to, requests = recorder(t, loads)
+	for _, duty := range []string{"", "duty-1 7"} {
+		told := make(chan *decide.Load, 1)
+		pool.ProbeFor(duty, to, 5*time.Second, func(l *decide.Load) { told <- l })
+		record("a probe, duty "+fmt.Sprintf("%q", duty), to, <-requests)
+		if l := <-told; l == nil || l.Busy != 0.5 || l.Queue != 1 {
+			t.Errorf("load %+v", l)
+		}
+	}
+	testkit.CheckGolden(t, *update, "requests.golden", all.String())
+}
+
+// What a replica's answer says: its status, its proof that nothing ran, and its load report.
+func TestGoldenOutcomes(t *testing.T) {
+	report := &decide.Load{Memory: 0.25, Waiting: -1, Queue: 3, Busy: 0.5}
+	for head, want := range map[string]core.Outcome{
+		"202 Accepted": {Outcome: decide.ReadDone, Kept: 3, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: decide.Full, Load: report},
+		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: decide.Full, Load: report},
+		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: decide.NoState, Load: report},
+		"500 Internal Server Error":                  {Outcome: decide.Errored, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: decide.Errored, Load: report},
+	} {
+		to, _ := recorder(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
+			"Content-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}")
+		_, ev := send(t, to.Addr)
+		got := <-ev.ended
+		if got.Load == nil || *got.Load != *want.Load {
+			t.Errorf("%q: load %+v", head, got.Load)
+		}
+		if got.Outcome != want.Outcome || got.Kept != want.Kept {
+			t.Errorf("%q: %+v, want %+v", head, got, want)
+		}
+	}
+}
