--- a/internal/chat/config.go
+++ b/internal/chat/config.go
@@ -13,16 +13,16 @@
 
 // Config is the chat front's own file, such as deploy/chat.json.
 type Config struct {
-	Listen string
+	Listen string `json:"Listen"`
 	// Models maps the model that a client names to a class of the settings; "*" to "*" offers each class under its own name.
-	Models map[string]string
+	Models map[string]string `json:"Models"`
 	// MaxTokens is asked for where a client names no limit.
 	MaxTokens int `json:"max_tokens"`
 	// Filings bounds the table of idempotency keys.
 	Filings struct {
-		Entries int
+		Entries int     `json:"Entries"`
 		KeepS   float64 `json:"keep_s"`
-	}
+	} `json:"Filings"`
 }
 
 // all, as a model and as its class, stands for each class of the settings.
--- /dev/null
+++ b/internal/chat/decodeerror.go
@@ -0,0 +1,62 @@
+package chat
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"strings"
+)
+
+// Type names in the error texts that clients are sent for a request of the wrong type. They were the names of Go types once, and stay
+// as clients know them, whatever the types are called now.
+const (
+	requestTypeName       = "ask"
+	messageTypeName       = "message"
+	typeNamePrefix        = "chat."
+	streamOptionsTypeName = `struct { IncludeUsage bool "json:\"include_usage\"" }`
+)
+
+// Paths of a request's fields, as encoding/json reports them.
+const (
+	messagesField      = "Messages"
+	streamOptionsField = "stream_options"
+)
+
+// decodeError is the error that clients are sent for one of encoding/json's, whose own text for a value of the wrong type holds
+// names of Go types.
+func decodeError(err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if !errors.As(err, &mismatch) {
+		return err
+	}
+	if mismatch.Field == "" {
+		return fmt.Errorf("json: cannot unmarshal %s into Go value of type %s", mismatch.Value, typeNamePrefix+requestTypeName)
+	}
+	return fmt.Errorf("json: cannot unmarshal %s into Go struct field %s.%s of type %s",
+		mismatch.Value, enclosingTypeName(mismatch.Field), mismatch.Field, fieldTypeName(mismatch))
+}
+
+// enclosingTypeName names the type that holds a field; that of the stream options has no name.
+func enclosingTypeName(field string) string {
+	switch {
+	case strings.HasPrefix(field, messagesField+"."):
+		return messageTypeName
+	case strings.HasPrefix(field, streamOptionsField+"."):
+		return ""
+	}
+	return requestTypeName
+}
+
+// fieldTypeName names the type that a value should have had.
+func fieldTypeName(mismatch *json.UnmarshalTypeError) string {
+	switch {
+	case mismatch.Field == messagesField && mismatch.Type.Kind() == reflect.Slice:
+		return "[]" + typeNamePrefix + messageTypeName
+	case mismatch.Field == messagesField:
+		return typeNamePrefix + messageTypeName
+	case mismatch.Field == streamOptionsField:
+		return streamOptionsTypeName
+	}
+	return mismatch.Type.String()
+}
--- a/internal/chat/message.go
+++ b/internal/chat/message.go
@@ -13,21 +13,21 @@
 
 // ask is what is used of a client's request. All else passes on to the servers as it came.
 type ask struct {
-	Model               string
-	Messages            []message
-	Stream              bool
-	N                   *int
-	MaxTokens           *int   `json:"max_tokens"`
-	MaxCompletionTokens *int   `json:"max_completion_tokens"`
-	PromptCacheKey      string `json:"prompt_cache_key"`
+	Model               string    `json:"Model"`
+	Messages            []message `json:"Messages"`
+	Stream              bool      `json:"Stream"`
+	N                   *int      `json:"N"`
+	MaxTokens           *int      `json:"max_tokens"`
+	MaxCompletionTokens *int      `json:"max_completion_tokens"`
+	PromptCacheKey      string    `json:"prompt_cache_key"`
 	StreamOptions       struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 }
 
 type message struct {
-	Role    string
-	Content content
+	Role    string  `json:"Role"`
+	Content content `json:"Content"`
 }
 
 // content is a message's text: a string, parts of which those with text count, or null.
@@ -43,8 +43,8 @@
 		return nil
 	}
 	var parts []struct {
-		Type string
-		Text string
+		Type string `json:"Type"`
+		Text string `json:"Text"`
 	}
 	if err := json.Unmarshal(data, &parts); err != nil {
 		return errors.New("content is neither text nor parts")
@@ -65,7 +65,7 @@
 func parse(body []byte) (*ask, []byte, error) {
 	var a ask
 	if err := json.Unmarshal(body, &a); err != nil {
-		return nil, nil, fmt.Errorf("the body is no chat request: %w", err)
+		return nil, nil, fmt.Errorf("the body is no chat request: %w", decodeError(err))
 	}
 	if len(a.Messages) == 0 {
 		return nil, nil, errors.New("messages must not be empty")
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -10,18 +10,18 @@
 
 // Config is what a dispatcher is told when it starts.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Ops       string // where operators call; none: nowhere
-	Seed      string
+	Name      string `json:"Name"`
+	Listen    string `json:"Listen"`
+	Discovery string `json:"Discovery"`
+	Ops       string `json:"Ops"` // where operators call; none: nowhere
+	Seed      string `json:"Seed"`
 	Limits    struct {
-		Cores    float64
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int
-	}
-	Known    json.RawMessage // in discovery's form
-	Settings Settings
+		Cores    float64 `json:"Cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"Sockets"`
+	} `json:"Limits"`
+	Known    json.RawMessage `json:"Known"` // in discovery's form
+	Settings Settings        `json:"Settings"`
 }
 
 // ParseConfig decodes and checks a dispatcher's configuration.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,51 +11,56 @@
 	"rampspread/decide"
 )
 
-// Settings is the part of an instance's settings text that is used. Unknown keys are skipped.
+// Settings is the part of an instance's settings text that is used. Unknown keys are skipped. Keys are read in any case.
+//
+// Members of a fleet compare digests of this type's JSON, also between versions of the program: the tags, and the order of the fields,
+// must stay as they are, whatever the fields are called.
 type Settings struct {
-	Az        int
-	Balancers int
+	Az        int `json:"Az"`
+	Balancers int `json:"Balancers"`
 	Classes   []struct {
-		Name        string
-		Effect      string
-		Group       string
-		Importance  float64
-		PromiseMs   float64
-		HardLimitMs float64
-		WindowMs    float64
-	}
-	Discovery  string
+		Name        string  `json:"Name"`
+		Effect      string  `json:"Effect"`
+		Group       string  `json:"Group"`
+		Importance  float64 `json:"Importance"`
+		PromiseMs   float64 `json:"PromiseMs"`
+		HardLimitMs float64 `json:"HardLimitMs"`
+		WindowMs    float64 `json:"WindowMs"`
+	} `json:"Classes"`
+	Discovery  string `json:"Discovery"`
 	FamilyInfo struct {
-		AimUsPer1000PromptTokens []float64
-		DutyByKind               []string
-		LocalRead                bool
-		ReleaseWithinMs          float64
-	}
-	Kinds  []string
+		AimUsPer1000PromptTokens []float64 `json:"AimUsPer1000PromptTokens"`
+		DutyByKind               []string  `json:"DutyByKind"`
+		LocalRead                bool      `json:"LocalRead"`
+		ReleaseWithinMs          float64   `json:"ReleaseWithinMs"`
+	} `json:"FamilyInfo"`
+	Kinds  []string `json:"Kinds"`
 	Limits struct {
-		Cancelling       bool
-		ConnIdleMs       float64
-		ConnectTimeoutMs float64
-		MaxRetryAfterMs  float64
-		MostHeld         int
-		Probing          bool
-		MostTries        int
-		RetryAfter       bool
-	}
+		Cancelling       bool    `json:"Cancelling"`
+		ConnIdleMs       float64 `json:"ConnIdleMs"`
+		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+		MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+		MostHeld         int     `json:"MostHeld"`
+		Probing          bool    `json:"Probing"`
+		MostTries        int     `json:"MostTries"`
+		RetryAfter       bool    `json:"RetryAfter"`
+	} `json:"Limits"`
 	Parties []struct {
-		Name      string
-		QuotaPerS float64
-	}
+		Name      string  `json:"Name"`
+		QuotaPerS float64 `json:"QuotaPerS"`
+	} `json:"Parties"`
 	Rules struct {
-		AnswerSlackMs float64
-		ColdFrom      float64
-		ColdMs        float64
-		FallMultiple  float64
+		AnswerSlackMs float64 `json:"AnswerSlackMs"`
+		ColdFrom      float64 `json:"ColdFrom"`
+		ColdMs        float64 `json:"ColdMs"`
+		FallMultiple  float64 `json:"FallMultiple"`
 
-		StopSendingWithinMs float64
-	}
-	Telemetry struct{ Fields []string }
-	Zones     []string
+		StopSendingWithinMs float64 `json:"StopSendingWithinMs"`
+	} `json:"Rules"`
+	Telemetry struct {
+		Fields []string `json:"Fields"`
+	} `json:"Telemetry"`
+	Zones []string `json:"Zones"`
 }
 
 // ParseSettings decodes an instance's settings text.
