--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,334 @@
+package fleet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/internal/fleet/lease"
+	"rampspread/internal/fleet/removals"
+	"rampspread/internal/fleet/share"
+	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/warmup"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit/golden"
+)
+
+// The tests of this file freeze what members send to each other and what operators are answered. Members of different versions
+// run side by side during a rolling update, so the bytes must not change.
+
+var goldenInfo = view.Info{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
+	Settings: 0x1122334455667788, List: 41, Lease: 77, Serving: true, Leaving: true}
+
+const goldenSent = 1700000001234
+
+var goldenVoters = []string{"v0", "v1", "v2"}
+
+func TestGoldenMessageKinds(t *testing.T) {
+	got := []int{kindBeat, kindRequest, kindReply, kindResults, kindClaim, kindLoan, kindClaims, kindAskBeliefs, kindBeliefs, kindList}
+	if want := []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !slices.Equal(got, want) {
+		t.Errorf("kinds are %v, want %v", got, want)
+	}
+}
+
+// Member info goes into memberlist's meta data, and with a time into heartbeats.
+func TestGoldenMemberInfo(t *testing.T) {
+	n := &Node{info: goldenInfo}
+	cases := []struct {
+		file string
+		got  []byte
+		want view.Info
+		sent int64
+	}{
+		{"member-meta.hex", n.NodeMeta(512), goldenInfo, 0},
+		{"member-heartbeat.hex", encode(goldenInfo, goldenSent), goldenInfo, goldenSent},
+	}
+	for _, serving := range []bool{true, false} {
+		one := goldenInfo
+		one.Serving, one.Leaving = serving, !serving
+		cases = append(cases, struct {
+			file string
+			got  []byte
+			want view.Info
+			sent int64
+		}{fmt.Sprintf("member-serving-%t.hex", serving), encode(one, goldenSent), one, goldenSent})
+	}
+	for _, c := range cases {
+		info, sent, err := decode(golden.Bytes(t, c.file, c.got))
+		if err != nil || info != c.want || sent != c.sent {
+			t.Errorf("%s: %+v sent %d, %v", c.file, info, sent, err)
+		}
+	}
+}
+
+// A heartbeat is the kind and the member info with the highest lease number. The message's time is the sender's own.
+func TestGoldenHeartbeatFrame(t *testing.T) {
+	n := &Node{info: goldenInfo}
+	before := time.Now().UnixMilli()
+	b := n.sign()
+	info, sent, err := decode(b[1:])
+	want := goldenInfo
+	want.Lease = 0 // no duties, so no lease is known
+	if b[0] != 1 || err != nil || info != want || sent < before || sent > time.Now().UnixMilli() {
+		t.Errorf("kind %d, %+v sent %d, %v", b[0], info, sent, err)
+	}
+	if string(b) != string(append([]byte{1}, encode(want, sent)...)) {
+		t.Errorf("the message is % x", b)
+	}
+}
+
+func TestGoldenPeerMessages(t *testing.T) {
+	request := lease.Request{Seq: 3, From: lease.Claimer{Name: "n1", Incarnation: 1001},
+		Claims:   []lease.Claim{{Duty: 0x1122334455667788, Number: 21, Renew: true}, {Duty: 12, Number: 22}},
+		Releases: []lease.Claim{{Duty: 13, Number: 23, Renew: true}, {Duty: 14, Number: 24}}}
+	reply := lease.Reply{Seq: 4, To: lease.Claimer{Name: "n1", Incarnation: 1002}, Voter: "v1", Grants: []lease.Grant{
+		{Duty: 0x1122334455667788, Asked: 31, Number: 32, Yes: true, Left: 33 * time.Microsecond},
+		{Duty: 12, Asked: 34, Number: 35, Left: 1200 * time.Millisecond}}}
+	now := 10 * time.Second
+	results := []result{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
+	claim := share.Claim{From: share.Life{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, Acts: map[string]uint64{"v0": 52, "v2": 53}, Leaves: true}
+	loan := share.Loan{To: share.Life{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Part: 0.0625}
+	digest := removals.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
+	requests := encodeRequest(request)
+	if len(requests) != 1 {
+		t.Fatalf("%d packets", len(requests))
+	}
+	packet, rest := encodeResults(now, results)
+	if len(rest) != 0 {
+		t.Fatalf("%d results are left", len(rest))
+	}
+	for _, c := range []struct {
+		file string
+		kind byte
+		got  []byte
+		want message
+	}{
+		{"lease-request.hex", 2, requests[0], message{seq: 3, from: "n1", life: 1001, claims: request.Claims, releases: request.Releases}},
+		{"lease-reply.hex", 3, encodeReply(reply), message{seq: 4, from: "v1", life: 1002, grants: reply.Grants}},
+		{"duty-results.hex", 4, packet, message{results: results}},
+		{"share-claim.hex", 5, encodeClaim(claim, goldenVoters),
+			message{seq: 5, from: "n1", life: 1003, demand: 51.25, leaves: true, acts: []uint64{0, 52, 2, 53}}},
+		{"share-loan.hex", 6, encodeLoan(loan), message{seq: 6, from: "v2", life: 1004, part: 0.0625}},
+		{"beliefs-question.hex", 8, heading(kindAskBeliefs, 0, "n1", 1005), message{from: "n1", life: 1005}},
+		{"beliefs-answer.hex", 9, encodeBeliefs("n1", []byte("told")), message{from: "n1", beliefs: []byte("told")}},
+		{"beliefs-answer-empty.hex", 9, encodeBeliefs("n1", nil), message{from: "n1"}},
+		{"list.hex", 10, encodeList("n1", digest), message{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
+		{"list-empty.hex", 10, encodeList("n1", removals.Digest{Version: 8}), message{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
+	} {
+		b := golden.Bytes(t, c.file, c.got)
+		if b[0] != c.kind {
+			t.Errorf("%s is of kind %d, want %d", c.file, b[0], c.kind)
+		}
+		if m, err := decodeMessage(b[1:], now); err != nil || !reflect.DeepEqual(m, c.want) {
+			t.Errorf("%s: %+v, %v, want %+v", c.file, m, err, c.want)
+		}
+	}
+	m, err := decodeMessage(encodeClaim(claim, goldenVoters)[1:], now)
+	if got := m.claim(goldenVoters); err != nil || !reflect.DeepEqual(got, claim) {
+		t.Errorf("claim %+v, %v", got, err)
+	}
+}
+
+// A request with more claims than a packet holds goes in several, releases first.
+func TestGoldenRequestPackets(t *testing.T) {
+	request := lease.Request{Seq: 9, From: lease.Claimer{Name: "n1", Incarnation: 1001}}
+	for i := range uint64(30) {
+		request.Releases = append(request.Releases, lease.Claim{Duty: lease.Duty(100 + i), Number: 200 + i})
+		request.Claims = append(request.Claims, lease.Claim{Duty: lease.Duty(300 + i), Number: 400 + i, Renew: i%2 == 0})
+	}
+	var text []byte
+	for _, p := range encodeRequest(request) {
+		text = fmt.Appendf(text, "%x\n", p)
+	}
+	golden.Text(t, "lease-request-packets.txt", text)
+}
+
+// toldLists notes what it was told last.
+type toldLists struct {
+	from   string
+	digest removals.Digest
+}
+
+func (l *toldLists) Version() uint64         { return 0 }
+func (l *toldLists) Digest() removals.Digest { return removals.Digest{} }
+func (l *toldLists) Tick()                   {}
+func (l *toldLists) Told(from string, d removals.Digest) {
+	l.from, l.digest = from, d
+}
+
+// offlineNode is a node without a network: what it is given by NotifyMsg goes to its parts.
+func offlineNode(t *testing.T, self Self) *Node {
+	t.Helper()
+	cfg, err := Parse([]byte(goldenConfig), self.Name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
+	n.info = view.Info{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
+	n.table = view.New(n.info, cfg.names(), view.Limits{Sign: func(int) time.Duration { return time.Second }, SuspectAfter: 3, Gap: time.Second}, n.now())
+	n.publish()
+	n.up.Store(true)
+	return n
+}
+
+// Golden bytes reach the part that they are for, with the values that they were written with.
+func TestGoldenMessagesAreTaken(t *testing.T) {
+	var claims []byte
+	lists := &toldLists{}
+	n := offlineNode(t, Self{Name: "n0", Claims: func(message []byte) { claims = message }})
+	n.ends = &ends{node: n, lists: lists}
+	take := func(file string, kind byte, encoded []byte) {
+		t.Helper()
+		b := golden.Bytes(t, file, encoded)
+		n.NotifyMsg(append([]byte{kind}, b...))
+	}
+	take("member-heartbeat.hex", 1, encode(goldenInfo, goldenSent))
+	for _, m := range n.View().Members {
+		if m.Name == "n1" && m.Info != goldenInfo {
+			t.Errorf("heartbeat gives %+v", m.Info)
+		}
+	}
+	if skew, ok := n.skews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
+		t.Errorf("skew %v", skew)
+	}
+	n.NotifyMsg([]byte{7, 8, 9})
+	if string(claims) != "\x08\x09" {
+		t.Errorf("claims were given % x", claims)
+	}
+	digest := removals.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
+	n.NotifyMsg(golden.Bytes(t, "list.hex", encodeList("n1", digest)))
+	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
+		t.Errorf("list %+v", lists)
+	}
+	if n.Bad() != 0 {
+		t.Errorf("%d bad messages", n.Bad())
+	}
+}
+
+// Members exchange the incarnations that they know in memberlist's push and pull.
+func TestGoldenPushPull(t *testing.T) {
+	n := offlineNode(t, Self{Name: "n0"})
+	n.view.Store(&view.View{Members: []view.Member{{Info: view.Info{Name: "n0", Incarnation: 6}}, {Info: view.Info{Name: "n1", Incarnation: 7}}, {Info: view.Info{Name: "n2"}}}})
+	b := golden.Text(t, "push-pull.json", n.LocalState(true))
+	n.MergeRemoteState(b, true)
+	if n.info.Incarnation != 7 || n.Bad() != 0 { // one over what was told of it
+		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Bad())
+	}
+	n.view.Store(&view.View{})
+	golden.Text(t, "push-pull-empty.json", n.LocalState(false))
+}
+
+func TestGoldenStatus(t *testing.T) {
+	golden.JSON(t, "status-members.json", Status{Fleet: "f", Self: "n1", View: 2, Fresh: true, Bad: 3, Stale: 4, Strangers: 5, Conflicts: []string{"n2 at 10.0.0.9:7946"},
+		Members: []MemberStatus{{Name: "n3", State: "alive", For: 1.5, Heard: 0.25, Zone: "wien", Incarnation: 6, Lives: 7, Started: "2023-11-14T22:13:20Z",
+			Version: "1.2.3", Settings: "0000000000000008", List: 9, SkewMS: 10}}})
+	golden.JSON(t, "status-duties.json", DutiesStatus{Self: "n1", Voters: []string{"v0", "v1"}, Mute: true, Lapsed: "list, lease 2", Acts: 3, Late: 4, Bytes: 5,
+		Duties: []DutyStatus{{Duty: "list", Owner: "n2", Standby: "n3", Held: true, Number: 6, For: 7.5, Left: 8.5, Heard: 9.5}}})
+	golden.JSON(t, "status-shares.json", ShareStatus{Self: "n1", Part: 0.1, Least: 0.2, Left: 0.3, Demand: 0.4, Lends: true, Mute: true, Lent: 0.5, Asking: 6, Offers: 7, Dropped: 8})
+	golden.JSON(t, "status-beliefs.json", BeliefsStatus{Taken: 1, Given: 2, Busy: 3, Bad: 4})
+	golden.JSON(t, "status-versions.json", VersionsStatus{Self: "n1", List: 2, Settings: "0000000000000003", Fault: "fault", Judged: true, Blind: true, Frozen: true,
+		Members: []VersionStatus{{Name: "n4", State: "alive", Heard: 5.5, Program: "1.2.3", Settings: "0000000000000006", List: 7, Lease: 8, Step: "behind", Why: "list", Behind: 9.5, For: 10.5}}})
+}
+
+// What operators are answered is filled from the view as it was: names of states, hexadecimal fingerprints, times.
+func TestGoldenStatusText(t *testing.T) {
+	n := offlineNode(t, Self{Name: "n0"})
+	n.hear(func(table *view.Table, now time.Duration) {
+		table.Sign(goldenInfo, now)
+		table.Claimed("n1", "10.0.0.9:7946", now)
+	})
+	s := n.Status()
+	m := s.Members[1]
+	if s.Fleet != "f" || s.Self != "n0" || m.Name != "n1" || m.State != "left" || m.Zone != "wien" || m.Incarnation != 1001 || m.Started != "2023-11-14T22:13:20Z" ||
+		m.Version != "1.2.3" || m.Settings != "1122334455667788" || m.List != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
+		t.Errorf("%+v", s)
+	}
+	v := n.Versions()
+	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "1122334455667788" || m.List != 41 || m.Lease != 77 || m.Step != "-" || m.State != "left" {
+		t.Errorf("%+v", v)
+	}
+}
+
+const goldenConfig = `{
+  "fleet": "f",
+  "key": "000102030405060708090a0b0c0d0e0f",
+  "listen": "127.0.0.1:7001",
+  "members": [
+    {"name": "n0", "address": "127.0.0.1:7001"},
+    {"name": "n1", "address": "127.0.0.1:7002"},
+    {"name": "n2", "address": "127.0.0.1:7003"}
+  ],
+  "probe_ms": 300,
+  "voters": ["n0", "n1", "n2"],
+  "term_ms": 900,
+  "filings": {"keep_s": 61, "entries": 62},
+  "beliefs": true,
+  "ends": true,
+  "stragglers": {"restrict_s": 4, "out_s": 11, "part": 0.3},
+  "subset_readers": 8,
+  "budgets": {"floor": 0.4, "probes_per_replica_s": 2.5, "repeats_per_request": 0.5, "repeats_s": 1.5}
+}`
+
+// Operators' files keep their keys.
+func TestGoldenConfig(t *testing.T) {
+	got, err := Parse([]byte(goldenConfig), "n0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{Fleet: "f", Key: "000102030405060708090a0b0c0d0e0f", Listen: "127.0.0.1:7001",
+		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300, Voters: []string{"n0", "n1", "n2"}, TermMS: 900,
+		Filings: &Filings{KeepS: 61, Entries: 62}, Beliefs: true, Ends: true, Stragglers: &Stragglers{RestrictS: 4, OutS: 11, Part: 0.3}, SubsetReaders: 8,
+		Budgets: &Budgets{Floor: 0.4, Probes: 2.5, Repeats: 0.5, Spare: 1.5}}
+	golden.JSON(t, "config.json", want)
+	got.key, got.addrs, got.probe, got.term = nil, nil, 0, 0
+	if !reflect.DeepEqual(*got, want) {
+		t.Errorf("%+v", got)
+	}
+}
+
+// Operators read the limits that were refused.
+func TestGoldenConfigError(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(goldenConfig, `"part": 0.3`, `"part": 0.5`, 1)), "n0")
+	want := "fleet: stragglers: straggler: limits {Settle:1.5s Restrict:4s Out:11s Back:2s Part:0.5}: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5"
+	if err == nil || err.Error() != want {
+		t.Errorf("got %v, want %s", err, want)
+	}
+}
+
+// The draws of a part come from the process's seed and a constant of the part's own, in a fixed order. What the node itself draws
+// (the order of first calls, the pauses between calls, whom of the missing it calls) is interleaved with timers and is not compared here.
+func TestGoldenDraws(t *testing.T) {
+	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
+	var text []byte
+	b := newBeliefs(n, nil)
+	members := []warmup.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
+	for now, asked := time.Duration(0), 0; asked < 4 && now < time.Minute; now += time.Microsecond {
+		if to, ok := b.asker.Step(now, members); ok {
+			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
+			b.asker.Took(now, to, false)
+			asked++
+		}
+	}
+	d := newDuties(n, part{&chores{}, "n0"})
+	d.holder.Want(0, map[lease.Duty]bool{1: true, 2: true})
+	for now, sent := time.Duration(0), 0; sent < 6 && now < time.Minute; now += time.Microsecond {
+		q, ok := d.holder.Step(now)
+		if !ok {
+			continue
+		}
+		text = fmt.Appendf(text, "duties: %v claims %v releases %v\n", now, q.Claims, q.Releases)
+		for i, voter := range []string{"n0", "n1", "n2"} {
+			r := lease.Reply{Seq: q.Seq, To: q.From, Voter: voter}
+			for _, c := range q.Claims {
+				r.Grants = append(r.Grants, lease.Grant{Duty: c.Duty, Asked: c.Number, Number: c.Number, Yes: i == 0})
+			}
+			d.holder.Take(now, r)
+		}
+		sent++
+	}
+	golden.Text(t, "draws.txt", text)
+}
--- /dev/null
+++ b/internal/fleet/tasks/golden_test.go
@@ -0,0 +1,54 @@
+package tasks
+
+import (
+	"context"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"rampspread/decide"
+	"rampspread/internal/core"
+	"rampspread/internal/fleet"
+	"rampspread/internal/testkit/golden"
+)
+
+// goldenProber notes the header by which a replica is asked, and gives one report.
+type goldenProber struct{ duty string }
+
+func (p *goldenProber) ProbeFor(duty string, _ core.Target, _ time.Duration, told func(*decide.Load)) {
+	p.duty = duty
+	told(&decide.Load{Memory: 0.25, Waiting: 2, Queue: 3.5, Busy: 0.75})
+}
+
+type goldenList struct{}
+
+func (goldenList) Version() uint64                      { return 301 }
+func (goldenList) Peek(context.Context) (uint64, error) { return 300, nil }
+func (goldenList) Refresh()                             {}
+
+// The names of duties are hashed into what members claim, the name and the lease's number go to replicas in a header, and what was
+// found goes to all members.
+func TestGoldenResults(t *testing.T) {
+	prober := &goldenProber{}
+	var heard []core.Heard
+	tasks := New(prober, goldenList{}, func(h []core.Heard) bool { heard = h; return true }, time.Now)
+	tasks.Roster(true, []core.Listing{{Name: "s-1", State: decide.Ready}})
+	if got := tasks.Duties(); !slices.Equal(got, []string{"list", "probe/s-1"}) {
+		t.Fatalf("duties %v", got)
+	}
+	found := make(chan []byte, 1)
+	tasks.Do("probe/s-1", 77, func(b []byte) { found <- b })
+	load := golden.Bytes(t, "load.hex", <-found)
+	if prober.duty != "probe/s-1 77" {
+		t.Errorf("the header is %q", prober.duty)
+	}
+	tasks.Do("list", 78, func(b []byte) { found <- b })
+	golden.Bytes(t, "list.hex", <-found)
+	none := golden.Bytes(t, "load-none.hex", encodeLoad(nil))
+	tasks.Told([]fleet.Found{{Duty: "probe/s-1", Data: load, Age: time.Second}, {Duty: "probe/s-2", Data: none, Age: 2 * time.Second}})
+	want := []core.Heard{{Name: "s-1", Load: &decide.Load{Memory: 0.25, Waiting: 2, Queue: 3.5, Busy: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
+	if !reflect.DeepEqual(heard, want) || tasks.Bad() != 0 {
+		t.Errorf("heard %+v, %d bad", heard, tasks.Bad())
+	}
+}
