--- a/internal/fleet/straggler/straggler.go
+++ b/internal/fleet/straggler/straggler.go
@@ -48,7 +48,9 @@
 // Validate tells whether limits can work.
 func (l Limits) Validate() error {
 	if l.Settle <= 0 || l.Restrict < l.Settle || l.Out < l.Restrict || l.Back <= 0 || !(l.Part > 0 && l.Part < 0.5) {
-		return fmt.Errorf("straggler: limits %+v: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5", l)
+		// The names are what operators read, whatever the fields are called.
+		return fmt.Errorf("straggler: limits {Settle:%v Restrict:%v Out:%v Back:%v Part:%v}: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5",
+			l.Settle, l.Restrict, l.Out, l.Back, l.Part)
 	}
 	return nil
 }
