--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net"
 	"reflect"
 	"slices"
 	"strings"
@@ -237,18 +238,20 @@
 // What operators are answered is filled from the view as it was: names of states, hexadecimal fingerprints, times.
 func TestGoldenStatusText(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
+	info := goldenInfo
+	info.Settings = 0xab // is shown with its leading zeros
 	n.hear(func(table *view.Table, now time.Duration) {
-		table.Sign(goldenInfo, now)
+		table.Sign(info, now)
 		table.Claimed("n1", "10.0.0.9:7946", now)
 	})
 	s := n.Status()
 	m := s.Members[1]
 	if s.Fleet != "f" || s.Self != "n0" || m.Name != "n1" || m.State != "left" || m.Zone != "wien" || m.Incarnation != 1001 || m.Started != "2023-11-14T22:13:20Z" ||
-		m.Version != "1.2.3" || m.Settings != "1122334455667788" || m.List != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
+		m.Version != "1.2.3" || m.Settings != "00000000000000ab" || m.List != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
 		t.Errorf("%+v", s)
 	}
 	v := n.Versions()
-	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "1122334455667788" || m.List != 41 || m.Lease != 77 || m.Step != "-" || m.State != "left" {
+	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "00000000000000ab" || m.List != 41 || m.Lease != 77 || m.Step != "-" || m.State != "left" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -300,7 +303,7 @@
 }
 
 // The draws of a part come from the process's seed and a constant of the part's own, in a fixed order. What the node itself draws
-// (the order of first calls, the pauses between calls, whom of the missing it calls) is interleaved with timers and is not compared here.
+// (the order of first calls, the pauses between calls, whom of the missing it calls) hangs on timers: of it only the seed is compared.
 func TestGoldenDraws(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
 	var text []byte
@@ -332,3 +335,17 @@
 	}
 	golden.Text(t, "draws.txt", text)
 }
+
+// A node that waits for its address has drawn nothing yet, so its source is as it was seeded.
+func TestGoldenNodeSeed(t *testing.T) {
+	taken, err := net.Listen("tcp", addr(95))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	n := start(t, file("f", key, 95, 96), 95, nil)
+	n.Close()
+	if got, want := n.rng.Uint64(), uint64(0x3d0110e9a8579436); got != want {
+		t.Errorf("first draw %#x, want %#x", got, want)
+	}
+}
