--- a/internal/program/golden_fingerprint_test.go
+++ b/internal/program/golden_fingerprint_test.go
@@ -18,7 +18,7 @@
 
 // Members compare the fingerprints of their settings, and may shut out one that differs from most: a fingerprint must be the same in all
 // versions. It is a hash of the settings' JSON, so the names and the order of the fields are part of it.
-func TestGoldenFingerprint(t *testing.T) {
+func TestGoldenFingerprintText(t *testing.T) {
 	var s wire.Settings
 	if err := json.Unmarshal([]byte(goldenSettings), &s); err != nil {
 		t.Fatal(err)
--- a/internal/program/state_golden_test.go
+++ b/internal/program/state_golden_test.go
@@ -24,7 +24,7 @@
 }
 
 // What the commands print of a state is read by operators and their scripts: it stays as 1ac8dd0 printed it.
-func TestGoldenStateCommands(t *testing.T) {
+func TestGoldenStateCommandLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	expect := func(want string, args ...string) {
 		t.Helper()
@@ -97,8 +97,8 @@
 	}
 }
 
-// goldenSettings sets every field of the settings.
-const goldenSettings = `{"az":1,"balancers":2,
+// goldenParsedSettings sets every field of the settings.
+const goldenParsedSettings = `{"az":1,"balancers":2,
 "classes":[{"name":"c","effect":"safe","group":"g","importance":3,"promiseMs":4,"hardLimitMs":5,"windowMs":6}],"discovery":"192.0.2.1:8500",
 "familyInfo":{"aimUsPer1000PromptTokens":[7,8],"dutyByKind":["read","write"],"localRead":true,"releaseWithinMs":9},"kinds":["k1","k2"],
 "limits":{"cancelling":true,"connIdleMs":10,"connectTimeoutMs":11,"maxRetryAfterMs":12,"mostHeld":13,"probing":true,"mostTries":14,"retryAfter":true},
@@ -106,8 +106,8 @@
 "telemetry":{"fields":["util","queue","x0"],"how":"pull"},"zones":["z1","z2"]}`
 
 // What was handed over counts only under the same fingerprint of the settings, and members compare theirs: it is that of 1ac8dd0.
-func TestGoldenFingerprint(t *testing.T) {
-	settings, err := wire.ParseSettings([]byte(goldenSettings))
+func TestGoldenFingerprintOfParsedSettings(t *testing.T) {
+	settings, err := wire.ParseSettings([]byte(goldenParsedSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
