--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -12,7 +12,7 @@
 // host keeps the routers of one process; they share nothing but the numbered directories.
 type host struct {
 	routers map[uint16]*instance
-	banks   map[uint16][]decide.Server
+	banks   map[uint16][]decide.Endpoint
 	frame   []byte
 	actions []decide.Action
 }
@@ -24,7 +24,7 @@
 }
 
 func newHost() *host {
-	return &host{routers: map[uint16]*instance{}, banks: map[uint16][]decide.Server{}}
+	return &host{routers: map[uint16]*instance{}, banks: map[uint16][]decide.Endpoint{}}
 }
 
 // next reads one batch and returns the encoded reply.
@@ -122,31 +122,31 @@
 	case wire.Fleet:
 		return h.roster(e)
 	case wire.Order:
-		return decide.Arrival{
+		return decide.RequestArrived{
 			Request: decide.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
-			Session: decide.Key(e.Talk), Shared: decide.Key(e.SharedPrefix),
-			Prompt: tokens(e.InputLen), SharedTokens: tokens(e.NPrefix), MaxOutput: tokens(e.MaxOut),
+			Session: decide.Key(e.Talk), SharedPrefix: decide.Key(e.SharedPrefix),
+			PromptTokens: tokens(e.InputLen), SharedPrefixTokens: tokens(e.NPrefix), MaxOutputTokens: tokens(e.MaxOut),
 			TimeLeft: wire.FromMS(e.ExpiresInMs),
 		}, nil
 	case wire.ClientGone:
 		return decide.ClientGone{Request: decide.RequestID(e.OpID)}, nil
 	case wire.Accepted:
-		return decide.Started{
+		return decide.FirstToken{
 			Request: decide.RequestID(e.OpID), Attempt: int(e.Hop),
-			Server: decide.ServerID(e.Worker), After: wire.FromMS(e.DelaySeenMs),
+			Endpoint: decide.EndpointID(e.Worker), Elapsed: wire.FromMS(e.DelaySeenMs),
 		}, nil
 	case wire.Response:
 		o, err := outcome(e.RC, e.Detail)
 		if err != nil {
 			return nil, err
 		}
-		return decide.Ended{
-			Request: decide.RequestID(e.OpID), Attempt: int(e.Hop), Server: decide.ServerID(e.Worker),
-			Outcome: o, After: wire.FromMS(e.DelaySeenMs), Kept: int(e.Detail), Final: e.Final != 0,
+		return decide.AttemptEnded{
+			Request: decide.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: decide.EndpointID(e.Worker),
+			Outcome: o, Elapsed: wire.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
 			Load: in.settings.Load(e.Load),
 		}, nil
 	case wire.Reminder:
-		return decide.Timer{ID: decide.TimerID(e.Ref)}, nil
+		return decide.TimerFired{ID: decide.TimerID(e.Ref)}, nil
 	}
 	return nil, nil
 }
@@ -162,15 +162,15 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown list number %d", e.Bank)
 	}
-	return decide.Roster{Full: e.Form != 0, Servers: list}, nil
+	return decide.EndpointUpdate{Full: e.Form != 0, Endpoints: list}, nil
 }
 
-func servers(entries []wire.Entry) []decide.Server {
-	states := map[uint8]decide.ServerState{1: decide.Ready, 2: decide.Draining}
-	out := make([]decide.Server, len(entries))
+func servers(entries []wire.Entry) []decide.Endpoint {
+	states := map[uint8]decide.EndpointState{1: decide.Ready, 2: decide.Draining}
+	out := make([]decide.Endpoint, len(entries))
 	for i, e := range entries {
-		out[i] = decide.Server{
-			ID: decide.ServerID(e.Worker), Zone: int(e.Zone), Cell: int(e.Bay), Kind: int(e.Shape),
+		out[i] = decide.Endpoint{
+			ID: decide.EndpointID(e.Worker), Zone: int(e.Zone), Cell: int(e.Bay), Kind: int(e.Shape),
 			State: states[e.Condition], Weight: float64(e.PowerHint), Started: wire.FromMS(e.LastStartMs),
 		}
 	}
@@ -186,21 +186,21 @@
 		return decide.Errored, nil
 	case 2:
 		if note == 1 {
-			return decide.NoState, nil
+			return decide.StateMissing, nil
 		}
-		return decide.Full, nil
+		return decide.QueueFull, nil
 	case 3:
 		return decide.TimedOut, nil
 	case 4:
 		return decide.ConnectFailed, nil
 	case 5:
-		return decide.Reset, nil
+		return decide.ConnectionReset, nil
 	case 6:
 		return decide.Cancelled, nil
 	case 7:
-		return decide.Moot, nil
+		return decide.NotSent, nil
 	case 202:
-		return decide.ReadDone, nil
+		return decide.PrefillDone, nil
 	}
 	return 0, fmt.Errorf("unknown outcome %d", rc)
 }
@@ -209,17 +209,17 @@
 func action(id uint16, a decide.Action) any {
 	switch a := a.(type) {
 	case decide.Send:
-		return wire.Send{Router: id, OpID: uint64(a.Request), Worker: uint32(a.Server), PatienceMs: wire.ToMS(a.Timeout)}
+		return wire.Send{Router: id, OpID: uint64(a.Request), Worker: uint32(a.Endpoint), PatienceMs: wire.ToMS(a.Timeout)}
 	case decide.Release:
 		return wire.DropState{Router: id, OpID: uint64(a.Request)}
-	case decide.Refuse:
+	case decide.Reject:
 		return wire.Refuse{Router: id, OpID: uint64(a.Request), StayAwayMs: wire.ToMS(a.RetryAfter)}
 	case decide.Fail:
 		return wire.Surrender{Router: id, OpID: uint64(a.Request)}
 	case decide.Cancel:
 		return wire.Retract{Router: id, OpID: uint64(a.Request), Hop: uint16(a.Attempt)}
-	case decide.Wake:
-		return wire.Schedule{Router: id, SpanMs: wire.ToMS(a.After), Ref: uint64(a.ID)}
+	case decide.SetTimer:
+		return wire.Schedule{Router: id, SpanMs: wire.ToMS(a.After), Ref: uint64(a.Timer)}
 	}
 	return wire.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", a)}
 }
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -160,28 +160,28 @@
 		t.Fatal(err)
 	}
 	want := decide.Config{
-		Classes: []decide.Class{{Aim: time.Second, AimPer1K: 60 * time.Millisecond, Worth: 1}},
-		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}},
-		Routers: 2, MaxAttempts: 5, MaxRetryAfter: time.Second, ReleaseWithin: 500 * time.Millisecond,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: 2.5, MayCancel: true,
+		Classes: []decide.Class{{TTFTObjective: time.Second, TTFTObjectivePer1K: 60 * time.Millisecond, Weight: 1}},
+		Kinds:   []decide.Kind{{Role: decide.Prefill}, {Role: decide.Decode}},
+		Routers: 2, MaxAttempts: 5, MaxRetryAfter: time.Second, ReservationTTL: 500 * time.Millisecond,
+		SlowStartInitial: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 2.5, CanCancel: true,
 	}
 	if !reflect.DeepEqual(cfg, want) {
 		t.Errorf("got %+v, want %+v", cfg, want)
 	}
-	load := func(fields []string, values []float32) *decide.Load {
+	load := func(fields []string, values []float32) *decide.LoadReport {
 		var s wire.Settings
 		s.Telemetry.Fields = fields
 		return s.Load(values)
 	}
 	l := load([]string{"inflight", "novel", "x0"}, []float32{3, 9, 0.5})
-	if *l != (decide.Load{Memory: 0.5, Waiting: -1, Queue: -1, Busy: -1}) {
+	if *l != (decide.LoadReport{Memory: 0.5, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}) {
 		t.Errorf("load %+v", *l)
 	}
 	// A short report, one longer than its names, and none at all.
-	if l := load([]string{"x1", "x0"}, []float32{2}); *l != (decide.Load{Memory: -1, Waiting: 2, Queue: -1, Busy: -1}) {
+	if l := load([]string{"x1", "x0"}, []float32{2}); *l != (decide.LoadReport{Memory: -1, QueuedKiloTokens: 2, QueuedRequests: -1, SlotUtilization: -1}) {
 		t.Errorf("short load %+v", *l)
 	}
-	if l := load([]string{"x0"}, []float32{0.1, 0.2, 0.3}); math.Abs(l.Memory-0.1) > 1e-6 || l.Waiting != -1 {
+	if l := load([]string{"x0"}, []float32{0.1, 0.2, 0.3}); math.Abs(l.Memory-0.1) > 1e-6 || l.QueuedKiloTokens != -1 {
 		t.Errorf("long load %+v", *l)
 	}
 	if load([]string{"x0"}, nil) != nil {
--- a/decide/admit.go
+++ b/decide/admit.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func (r *Router) arrive(e Arrival) {
+func (r *Router) requestArrived(e RequestArrived) {
 	if r.requests[e.Request] != nil {
 		return
 	}
@@ -18,20 +18,20 @@
 		return
 	}
 	c := r.cfg.Classes[e.Class]
-	q := &request{Arrival: e, at: r.now, deadline: r.now + e.TimeLeft, lookAt: r.now}
-	q.aim = c.Aim + time.Duration(float64(c.AimPer1K)*float64(e.Prompt)/1000)
+	q := &request{RequestArrived: e, arrivedAt: r.now, deadline: r.now + e.TimeLeft, selectionStart: r.now}
+	q.ttftObjective = c.TTFTObjective + time.Duration(float64(c.TTFTObjectivePer1K)*float64(e.PromptTokens)/1000)
 	q.overQuota = r.overQuota(e.Tenant)
 	r.requests[e.Request] = q
 	r.arrivals.add(r.now, 0)
-	if q.Shared != 0 {
-		t := entry(r.table, q.Shared)
-		t.asked.fade = shareFade
-		t.asked.add(r.now, 0)
+	if q.SharedPrefix != 0 {
+		t := getOrCreate(r.prefixCache, q.SharedPrefix)
+		t.requests.timeConstant = popularityTimeConstant
+		t.requests.add(r.now, 0)
 	}
-	if r.now-r.swept >= sweepEvery {
-		r.swept = r.now
-		old := r.now - 2*shareFade
-		maps.DeleteFunc(r.table, func(_ Key, t *text) bool { return max(t.at, t.asked.at) < old })
+	if r.now-r.sweptAt >= sweepEvery {
+		r.sweptAt = r.now
+		old := r.now - 2*popularityTimeConstant
+		maps.DeleteFunc(r.prefixCache, func(_ Key, t *prefixEntry) bool { return max(t.updatedAt, t.requests.updatedAt) < old })
 	}
 	r.advance(q)
 }
@@ -40,74 +40,74 @@
 // tenant's share. The part of one router among many is small and its traffic uneven, so some seconds of
 // it may come at once. Refused requests spend nothing, or clients' retries would use the share up.
 func (r *Router) overQuota(id int) bool {
-	if id < 0 || id >= len(r.tenants) || r.cfg.TenantQuotas[id] <= 0 {
+	if id < 0 || id >= len(r.tenantBuckets) || r.cfg.TenantQuotas[id] <= 0 {
 		return false
 	}
-	rate := r.own(r.cfg.TenantQuotas[id])
-	return r.tenants[id].Fill(r.now, rate, quotaSpan.Seconds()*rate+quotaMore) < 1
+	rate := r.ownFraction(r.cfg.TenantQuotas[id])
+	return r.tenantBuckets[id].Fill(r.now, rate, quotaBurstSpan.Seconds()*rate+quotaBurstExtra) < 1
 }
 
 // advance moves a request that has no attempt out.
 func (r *Router) advance(q *request) {
-	if q.sends >= r.attempts(q) {
-		r.giveUp(q, NoAttempt, 0)
+	if q.attempts >= r.attempts(q) {
+		r.rejectOrFail(q, AttemptsExhausted, 0)
 		return
 	}
-	if r.now+answerBefore >= q.deadline {
-		r.giveUp(q, NoTime, 0)
+	if r.now+answerMargin >= q.deadline {
+		r.rejectOrFail(q, DeadlineExceeded, 0)
 		return
 	}
-	if !r.mayRepeat(q) {
-		r.giveUp(q, NoRepeat, toMS(r.cfg.MaxRetryAfter))
+	if !r.withinRetryBudget(q) {
+		r.rejectOrFail(q, RetryBudgetExhausted, toMS(r.cfg.MaxRetryAfter))
 		return
 	}
-	if q.phase == read {
-		r.toWriter(q)
+	if q.state == awaitingDecode {
+		r.startDecode(q)
 	} else {
-		r.toReader(q)
+		r.startPrefill(q)
 	}
 }
 
-// pause holds a request for a moment, unless what it holds would be pinned or its time ran out.
-func (r *Router) pause(q *request, why Why, limit time.Duration) {
-	if r.now+2*retryPause >= min(limit, q.deadline-answerBefore) {
-		r.giveUp(q, why, 0)
+// retryLater holds a request for a moment, unless what it holds would be pinned or its time ran out.
+func (r *Router) retryLater(q *request, why Reason, limit time.Duration) {
+	if r.now+2*selectionRetryInterval >= min(limit, q.deadline-answerMargin) {
+		r.rejectOrFail(q, why, 0)
 		return
 	}
-	r.emit(Wake{retryPause, TimerID(q.Request)})
+	r.emit(SetTimer{selectionRetryInterval, TimerID(q.Request)})
 }
 
-// toReader applies the admission test and sends the request to the reader with the lowest estimate.
-func (r *Router) toReader(q *request) {
-	if q.sends+2 > r.attempts(q) {
-		r.giveUp(q, NoAttempt, 0)
+// startPrefill applies the admission test and sends the request to the reader with the lowest estimate.
+func (r *Router) startPrefill(q *request) {
+	if q.attempts+2 > r.attempts(q) {
+		r.rejectOrFail(q, AttemptsExhausted, 0)
 		return
 	}
-	if r.asks(q) {
+	if r.pollLoads(q) {
 		return
 	}
-	c, ok := r.bestReader(q)
+	c, ok := r.bestPrefillReplica(q)
 	if !ok {
-		if r.cfg.LocalRead || r.most[Reader] == 0 && r.most[Mixed] > 0 {
-			r.toWriter(q)
+		if r.cfg.DecodeCanPrefill || r.maxReady[Prefill] == 0 && r.maxReady[Combined] > 0 {
+			r.startDecode(q)
 			return
 		}
-		r.pause(q, NoReader, q.at+q.aim)
+		r.retryLater(q, NoPrefillReplica, q.arrivedAt+q.ttftObjective)
 		return
 	}
-	if !r.admit(q, c.queue, c.cost) {
-		r.giveUp(q, OverBudget, c.queue+c.cost-toMS(q.aim))
+	if !r.admit(q, c.queueDelay, c.prefillTime) {
+		r.rejectOrFail(q, OverLatencyBudget, c.queueDelay+c.prefillTime-toMS(q.ttftObjective))
 		return
 	}
-	s, est := c.server, fromMS(c.queue+c.cost)
-	q.phase, q.reader = reading, s.ID
-	q.promised, q.ahead, q.load = r.keptAt(s, q, c.rank < notHome), float64(len(s.waits)), r.loadOf(s)
-	r.note(q.Session, s.ID, q.Prompt)
-	r.note(q.Shared, s.ID, q.SharedTokens)
-	limit := fromMS(patience*(c.queue+c.cost)+r.scatter.mean(r.now, 0, priorWeight)) + readGrace
+	s, est := c.replica, fromMS(c.queueDelay+c.prefillTime)
+	q.state, q.prefillEndpoint = prefilling, s.ID
+	q.expectedCachedTokens, q.ownAttemptsAhead, q.reportedQueue = r.expectedCachedTokens(s, q, c.rank < notPrefixReplica), float64(len(s.pending)), r.reportedQueueOf(s)
+	r.recordPrefix(q.Session, s.ID, q.PromptTokens)
+	r.recordPrefix(q.SharedPrefix, s.ID, q.SharedPrefixTokens)
+	limit := fromMS(prefillTimeoutFactor*(c.queueDelay+c.prefillTime)+r.estimateError.mean(r.now, 0, priorWeight)) + prefillTimeoutGrace
 	left := q.deadline - r.now
-	limit = min(limit, max(left/2, readGrace))
-	if r.now+limit+est+readGrace > q.deadline || q.sends+3 > r.attempts(q) {
+	limit = min(limit, max(left/2, prefillTimeoutGrace))
+	if r.now+limit+est+prefillTimeoutGrace > q.deadline || q.attempts+3 > r.attempts(q) {
 		limit = left // no time or attempt for another reader: wait for this one
 	}
 	r.send(q, s, limit, r.now+time.Duration(1.5*float64(est))+100*ms)
@@ -121,55 +121,55 @@
 // passes only while most of its own aim is left: a flood of it would make all late. Traffic beyond a
 // tenant's share has no free pass and half the budget.
 func (r *Router) admit(q *request, queue, cost float64) bool {
-	budget, most := toMS(q.aim)*headroom, r.tightest
+	budget, most := toMS(q.ttftObjective)*latencyHeadroom, r.tightestBudget
 	if q.overQuota {
 		budget, most = budget/2, most/2
 	} else if r.critical[q.Class] {
-		budget = toMS(q.aim) * criticalRoom
+		budget = toMS(q.ttftObjective) * criticalHeadroom
 		most = budget
 	}
 	return queue <= min(budget, most) && (cost > budget || queue+cost <= budget)
 }
 
-// asks asks the readers that the keys rank first, or two writers of the reader's cell, for their load and
+// pollLoads pollLoads the readers that the keys rank first, or two writers of the reader's cell, for their load and
 // reports whether the request waits. Ranks keep it where its text is, at all routers alike; loads tell which
 // of these few is jammed.
-func (r *Router) asks(q *request) bool {
-	if !r.cfg.MayProbe || q.options != nil || r.evidence() >= thin {
+func (r *Router) pollLoads(q *request) bool {
+	if !r.cfg.CanPollLoad || q.pollCandidates != nil || r.samplesPerReplica() >= minSamplesPerReplica {
 		return false
 	}
-	r.survey(q.Class)
-	homes, from := r.homes(q), r.byID[q.reader]
-	r.choices = r.choices[:0]
-	for _, s := range r.near {
-		c, warm := choice{server: s, rank: r.rng.Float64()}, r.warmth(s) == 1
-		ok := warm && s.role != Reader && from != nil && s.cell == from.cell
-		if q.phase == arrived {
-			ok, c.rank = s.role == Reader && (warm || s.turn+r.ahead(q) >= 1), r.homeRank(s, q, homes)
+	r.sumCapacity(q.Class)
+	homes, from := r.prefixReplicas(q), r.byID[q.prefillEndpoint]
+	r.candidates = r.candidates[:0]
+	for _, s := range r.active {
+		c, warm := candidate{replica: s, rank: r.rng.Float64()}, r.rampFraction(s) == 1
+		ok := warm && s.role != Prefill && from != nil && s.cell == from.cell
+		if q.state == awaitingPrefill {
+			ok, c.rank = s.role == Prefill && (warm || s.slowStartCredit+r.slowStartAllowance(q) >= 1), r.rendezvousRank(s, q, homes)
 		}
-		if ok && r.usable(s, q.Class) {
-			r.choices = append(r.choices, c)
+		if ok && r.healthy(s, q.Class) {
+			r.candidates = append(r.candidates, c)
 		}
 	}
-	for _, c := range r.mayAsk(lowest(r.choices, askOf)) {
-		q.options = append(q.options, c.ID)
-		if r.now-c.loadAt <= loadFresh {
+	for _, c := range r.withinPollBudget(lowestRanked(r.candidates, pollCandidateCount)) {
+		q.pollCandidates = append(q.pollCandidates, c.ID)
+		if r.now-c.loadReportedAt <= loadMaxAge {
 			continue
 		}
-		q.unheard++
-		if c.askers = append(c.askers, q.Request); len(c.askers) == 1 {
-			r.emit(Probe{c.ID})
+		q.pendingPolls++
+		if c.pollWaiters = append(c.pollWaiters, q.Request); len(c.pollWaiters) == 1 {
+			r.emit(PollLoad{c.ID})
 		}
 	}
-	if q.unheard > 0 {
-		r.emit(Wake{askWait, TimerID(q.Request)})
+	if q.pendingPolls > 0 {
+		r.emit(SetTimer{pollTimeout, TimerID(q.Request)})
 	}
-	return q.unheard > 0
+	return q.pendingPolls > 0
 }
 
-// lowest moves the choices of the lowest ranks to the front, in their order, and returns these: so many, or
+// lowestRanked moves the choices of the lowestRanked ranks to the front, in their order, and returns these: so many, or
 // all. A large list is not sorted for the sake of two.
-func lowest(choices []choice, many int) []choice {
+func lowestRanked(choices []candidate, many int) []candidate {
 	many = min(many, len(choices))
 	for i := range many {
 		least := i
@@ -183,93 +183,93 @@
 	return choices[:many]
 }
 
-// probed takes a server's load, and goes on with the requests that waited for no other.
-func (r *Router) probed(e Probed) {
-	s := r.byID[e.Server]
+// loadPolled takes a server's load, and goes on with the requests that waited for no other.
+func (r *Router) loadPolled(e LoadPolled) {
+	s := r.byID[e.Endpoint]
 	if s == nil {
 		return
 	}
-	if e.Load == nil || e.Load.Queue < 0 {
-		s.health[0].move(r.now, 1, hardWeight)
+	if e.Load == nil || e.Load.QueuedRequests < 0 {
+		s.health[0].update(r.now, 1, transportFailureWeight)
 	} else {
-		s.heard = r.now
-		s.takeLoad(e.Load, r.now)
+		s.lastResponse = r.now
+		s.applyLoad(e.Load, r.now)
 	}
-	askers := s.askers
-	s.askers = nil
+	askers := s.pollWaiters
+	s.pollWaiters = nil
 	for _, id := range askers {
-		if q := r.requests[id]; q != nil && q.unheard > 0 {
-			if q.unheard--; q.unheard == 0 {
-				q.lookAt = r.now
+		if q := r.requests[id]; q != nil && q.pendingPolls > 0 {
+			if q.pendingPolls--; q.pendingPolls == 0 {
+				q.selectionStart = r.now
 				r.advance(q)
 			}
 		}
 	}
 }
 
-// bestReader returns the reader with the lowest estimate; near-equal ones go by rank. Bad health alone
+// bestPrefillReplica returns the reader with the lowest estimate; near-equal ones go by rank. Bad health alone
 // never leaves a request without a reader.
-func (r *Router) bestReader(q *request) (choice, bool) {
-	r.survey(q.Class)
-	homes := r.homes(q)
+func (r *Router) bestPrefillReplica(q *request) (candidate, bool) {
+	r.sumCapacity(q.Class)
+	homes := r.prefixReplicas(q)
 	for _, healthy := range []bool{true, false} {
 		low := math.Inf(1)
-		r.choices = r.choices[:0]
-		asked := healthy && q.options != nil && q.sends == 0
-		for _, s := range r.near {
-			if s.role != Reader || s.State != Ready || healthy && !r.usable(s, q.Class) {
+		r.candidates = r.candidates[:0]
+		asked := healthy && q.pollCandidates != nil && q.attempts == 0
+		for _, s := range r.active {
+			if s.role != Prefill || s.State != Ready || healthy && !r.healthy(s, q.Class) {
 				continue
 			}
-			if asked && (!slices.Contains(q.options, s.ID) || r.now-s.loadAt > loadFresh) {
+			if asked && (!slices.Contains(q.pollCandidates, s.ID) || r.now-s.loadReportedAt > loadMaxAge) {
 				continue
 			}
-			cold, tried := r.warmth(s) < 1, slices.Contains(q.tried, s.ID)
-			if cold && !(healthy && r.coldTurn(s, q, 1, r.ahead(q))) {
+			cold, tried := r.rampFraction(s) < 1, slices.Contains(q.failedEndpoints, s.ID)
+			if cold && !(healthy && r.takeSlowStartTurn(s, q, 1, r.slowStartAllowance(q))) {
 				continue
 			}
-			c := choice{server: s, rank: r.homeRank(s, q, homes)}
-			c.queue, c.cost = r.readerEstimate(s, r.keptAt(s, q, c.rank < notHome), q)
-			c.queue += r.cellWait(s.cell)
-			c.order = c.queue + c.cost
+			c := candidate{replica: s, rank: r.rendezvousRank(s, q, homes)}
+			c.queueDelay, c.prefillTime = r.prefillEstimate(s, r.expectedCachedTokens(s, q, c.rank < notPrefixReplica), q)
+			c.queueDelay += r.cellDecodeWait(s.cell)
+			c.score = c.queueDelay + c.prefillTime
 			if s.Zone != r.cfg.Zone {
-				c.order += farHandicap
+				c.score += crossZonePenalty
 			}
 			if !healthy {
-				c.order += 1000 * s.health[0].now(r.now)
+				c.score += 1000 * s.health[0].current(r.now)
 			}
 			if tried {
-				c.order += 1000
+				c.score += 1000
 			}
-			low = min(low, c.order)
-			r.choices = append(r.choices, c)
+			low = min(low, c.score)
+			r.candidates = append(r.candidates, c)
 		}
-		sure := 1 + r.evidence()/priorWeight
-		off := nearScatter * r.scatter.mean(r.now, 0, priorWeight) / sure
+		sure := 1 + r.samplesPerReplica()/priorWeight
+		off := estimateErrorTolerance * r.estimateError.mean(r.now, 0, priorWeight) / sure
 		if asked {
 			off = 0 // what was told is no guess
 		}
-		near := low + max(nearEqual, off)
-		best := choice{rank: math.Inf(1)}
-		for _, c := range r.choices {
-			if c.order <= near && c.rank < best.rank {
+		near := low + max(minEstimateTolerance, off)
+		best := candidate{rank: math.Inf(1)}
+		for _, c := range r.candidates {
+			if c.score <= near && c.rank < best.rank {
 				best = c
 			}
 		}
-		if best.server != nil {
-			if r.warmth(best.server) < 1 {
-				best.turn--
+		if best.replica != nil {
+			if r.rampFraction(best.replica) < 1 {
+				best.slowStartCredit--
 			}
 			return best, true
 		}
 	}
-	return choice{}, false
+	return candidate{}, false
 }
 
 // send makes an attempt; every Send leaves here.
-func (r *Router) send(q *request, s *server, limit, due time.Duration) {
-	r.count(q)
-	q.server, q.sentAt = s.ID, r.now
-	q.sends++
-	s.waits = append(s.waits, waiting{q.Request, r.now, due})
+func (r *Router) send(q *request, s *replica, limit, due time.Duration) {
+	r.chargeBudgets(q)
+	q.endpoint, q.sentAt = s.ID, r.now
+	q.attempts++
+	s.pending = append(s.pending, pendingAttempt{q.Request, r.now, due})
 	r.emit(Send{q.Request, s.ID, limit})
 }
--- a/decide/answer.go
+++ b/decide/answer.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// giveUp answers a request that has no attempt out: a refusal when that is true, with advice to return about
+// rejectOrFail answers a request that has no attempt out: a refusal when that is true, with advice to return about
 // when the excess, in ms, should be gone, drawn lest all come back at once; else a failure.
-func (r *Router) giveUp(q *request, why Why, excess float64) {
+func (r *Router) rejectOrFail(q *request, why Reason, excess float64) {
 	c := r.cfg.Classes[q.Class]
-	if q.ran && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-		r.settle(q, Fail{q.Request, why})
+	if q.mayHaveRun && (c.Idempotency == NonIdempotent || c.Idempotency == IdempotentByKey && c.DedupScope != ScopeAll) {
+		r.finish(q, Fail{q.Request, why})
 		return
 	}
 	back := min(fromMS(max(excess, 0)), r.cfg.MaxRetryAfter)
-	r.settle(q, Refuse{q.Request, time.Duration((0.5 + r.rng.Float64()/2) * float64(back)), why})
+	r.finish(q, Reject{q.Request, time.Duration((0.5 + r.rng.Float64()/2) * float64(back)), why})
 }
 
-// settle is the one exit: it releases what may be held, answers, and forgets the request.
-func (r *Router) settle(q *request, answer Action) {
-	if q.sends > 0 {
-		r.release(q, Settled)
+// finish is the one exit: it releases what may be held, answers, and forgets the request.
+func (r *Router) finish(q *request, answer Action) {
+	if q.attempts > 0 {
+		r.release(q, AfterAnswer)
 	}
 	r.emit(answer)
 	delete(r.requests, q.Request)
--- a/decide/api.go
+++ b/decide/api.go
@@ -13,32 +13,32 @@
 type (
 	// RequestID identifies an open request.
 	RequestID uint64
-	// ServerID identifies a replica.
-	ServerID uint32
+	// EndpointID identifies a replica.
+	EndpointID uint32
 	// Key identifies a session or a shared prompt prefix; 0 means none.
 	Key uint64
 	// TimerID identifies a timer that the router asked for.
 	TimerID uint64
 )
 
-// Effect says what repeating a request of a class may do.
-type Effect uint8
+// Idempotency says what repeating a request of a class may do.
+type Idempotency uint8
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are discarded inside a group and window
-	Unsafe               // must never run twice
+	Idempotent   Idempotency = iota // may be repeated and refused at will
+	IdempotentByKey                // repeats are discarded inside a group and window
+	NonIdempotent               // must never run twice
 )
 
-// Group names the servers that discard repeats of a keyed request together.
-type Group uint8
+// DedupScope names the servers that discard repeats of a keyed request together.
+type DedupScope uint8
 
 // The groups of a keyed class.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll DedupScope = iota
+	ScopeZone
+	ScopeCell
 )
 
 // Role is what a kind of server does.
@@ -46,19 +46,19 @@
 
 // The roles of a kind.
 const (
-	Reader Role = iota
-	Writer
-	Mixed
+	Prefill Role = iota
+	Decode
+	Combined
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Aim      time.Duration // first token wanted within this
-	AimPer1K time.Duration // added to Aim for each 1,000 prompt tokens
-	Worth    float64
-	Effect   Effect
-	Group    Group
-	Window   time.Duration // keyed: repeats are remembered this long
+	TTFTObjective      time.Duration // first token wanted within this
+	TTFTObjectivePer1K time.Duration // added to Aim for each 1,000 prompt tokens
+	Weight    float64
+	Idempotency   Idempotency
+	DedupScope    DedupScope
+	DedupWindow   time.Duration // keyed: repeats are remembered this long
 }
 
 // Kind describes one kind of server.
@@ -75,22 +75,22 @@
 	Routers       int
 	MaxAttempts   int
 	MaxRetryAfter time.Duration // 0: clients take no advice
-	ReleaseWithin time.Duration // held state or place is used or let go within this
-	ColdFrom      float64       // share of capacity a server starts with
-	ColdFor       time.Duration // warm no later than this
-	FallMultiple  float64       // a cold server falls past this multiple of its capacity
-	MayProbe      bool          // servers tell their load when asked
-	MayCancel     bool          // Cancel is allowed
-	LocalRead     bool          // writers may read prompts themselves
+	ReservationTTL time.Duration // held state or place is used or let go within this
+	SlowStartInitial      float64       // share of capacity a server starts with
+	SlowStartDuration       time.Duration // warm no later than this
+	OverloadMultiple  float64       // a cold server falls past this multiple of its capacity
+	CanPollLoad      bool          // servers tell their load when asked
+	CanCancel     bool          // Cancel is allowed
+	DecodeCanPrefill     bool          // writers may read prompts themselves
 	Budgets       Budgets
 }
 
 // Budgets limit what all routers do together, of which each has its part (Share). A limit of 0 is none.
 type Budgets struct {
-	Part    float64 // this router's without a word of the others; 0: an even one of Routers
-	Probes  float64 // of one server in a second, that routers ask for themselves
-	Repeats float64 // steps taken again after a failure, for each request that was sent,
-	Spare   float64 // and so many in a second besides
+	Fraction    float64 // this router's without a word of the others; 0: an even one of Routers
+	PollsPerReplica  float64 // of one server in a second, that routers ask for themselves
+	RetriesPerRequest float64 // steps taken again after a failure, for each request that was sent,
+	RetriesPerSecond   float64 // and so many in a second besides
 }
 
 // Validate reports the first setting that no Router can work with.
@@ -99,41 +99,41 @@
 		return errors.New("config: needs a class, a router and an attempt")
 	}
 	for _, c := range cfg.Classes {
-		if min(c.Aim, c.AimPer1K, c.Window) < 0 || c.Effect > Unsafe || c.Group > GroupCell {
+		if min(c.TTFTObjective, c.TTFTObjectivePer1K, c.DedupWindow) < 0 || c.Idempotency > NonIdempotent || c.DedupScope > ScopeCell {
 			return errors.New("config: class out of range")
 		}
 	}
 	for _, k := range cfg.Kinds {
-		if k.Role > Mixed {
+		if k.Role > Combined {
 			return errors.New("config: kind out of range")
 		}
 	}
-	if min(cfg.ReleaseWithin, cfg.ColdFor, cfg.MaxRetryAfter) < 0 {
+	if min(cfg.ReservationTTL, cfg.SlowStartDuration, cfg.MaxRetryAfter) < 0 {
 		return errors.New("config: negative time")
 	}
-	if b := cfg.Budgets; !(min(b.Part, b.Probes, b.Repeats, b.Spare) >= 0 && b.Part <= 1) {
+	if b := cfg.Budgets; !(min(b.Fraction, b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond) >= 0 && b.Fraction <= 1) {
 		return errors.New("config: budgets out of range")
 	}
 	return nil
 }
 
-// ServerState is the roster's view of a server.
-type ServerState uint8
+// EndpointState is the roster's view of a server.
+type EndpointState uint8
 
 // The states of a server.
 const (
-	Gone ServerState = iota
+	Gone EndpointState = iota
 	Ready
 	Draining
 )
 
-// Server is one roster entry.
-type Server struct {
-	ID      ServerID
+// Endpoint is one roster entry.
+type Endpoint struct {
+	ID      EndpointID
 	Zone    int
 	Cell    int
 	Kind    int
-	State   ServerState
+	State   EndpointState
 	Weight  float64
 	Started time.Duration // time of the latest start; 0 is long past
 }
@@ -145,27 +145,27 @@
 const (
 	Served Outcome = iota
 	Errored
-	Full
-	NoState
+	QueueFull
+	StateMissing
 	TimedOut
 	ConnectFailed
-	Reset
+	ConnectionReset
 	Cancelled
-	Moot
-	ReadDone
+	NotSent
+	PrefillDone
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool {
-	return o == Full || o == NoState || o == ConnectFailed || o == Moot || o == ReadDone
+	return o == QueueFull || o == StateMissing || o == ConnectFailed || o == NotSent || o == PrefillDone
 }
 
-// Load is a server's report; a negative value is absent.
-type Load struct {
+// LoadReport is a server's report; a negative value is absent.
+type LoadReport struct {
 	Memory  float64 // share of memory held
-	Waiting float64 // thousands of prompt tokens waiting to be read or fetched
-	Queue   float64 // requests waiting
-	Busy    float64 // share of slots in use
+	QueuedKiloTokens float64 // thousands of prompt tokens waiting to be read or fetched
+	QueuedRequests   float64 // requests waiting
+	SlotUtilization    float64 // share of slots in use
 }
 
 // Event is something that happened to a Router.
@@ -173,92 +173,92 @@
 
 // The events.
 type (
-	// Roster changes the list of servers; Full replaces it.
-	Roster struct {
+	// EndpointUpdate changes the list of servers; Full replaces it.
+	EndpointUpdate struct {
 		Full    bool
-		Servers []Server
+		Endpoints []Endpoint
 	}
-	// Arrival is a client's request; it is owed one final answer.
-	Arrival struct {
+	// RequestArrived is a client's request; it is owed one final answer.
+	RequestArrived struct {
 		Request      RequestID
 		Class        int
 		Tenant       int
 		Session      Key
-		Shared       Key // the prompt's shared beginning
-		Prompt       int // tokens
-		SharedTokens int
-		MaxOutput    int
+		SharedPrefix       Key // the prompt's shared beginning
+		PromptTokens       int // tokens
+		SharedPrefixTokens int
+		MaxOutputTokens    int
 		TimeLeft     time.Duration
 	}
-	// Started says that the answer's stream has begun; its attempt runs on.
-	Started struct {
+	// FirstToken says that the answer's stream has begun; its attempt runs on.
+	FirstToken struct {
 		Request RequestID
 		Attempt int
-		Server  ServerID
-		After   time.Duration
+		Endpoint  EndpointID
+		Elapsed   time.Duration
 	}
-	// Ended is the one outcome of an attempt. Final: the request is finished.
-	Ended struct {
+	// AttemptEnded is the one outcome of an attempt. Final: the request is finished.
+	AttemptEnded struct {
 		Request RequestID
 		Attempt int
-		Server  ServerID
+		Endpoint  EndpointID
 		Outcome Outcome
-		After   time.Duration
-		Kept    int  // prompt tokens found kept
-		Begun   bool // its answer had begun, so that a writer's attempt has used up the state
+		Elapsed   time.Duration
+		CachedTokens    int  // prompt tokens found kept
+		StreamStarted   bool // its answer had begun, so that a writer's attempt has used up the state
 		Final   bool
-		Load    *Load
+		Load    *LoadReport
 	}
-	// Probed answers a Probe; Load is nil where none came in time or the server is not well.
-	Probed struct {
-		Server ServerID
-		Load   *Load
+	// LoadPolled answers a Probe; Load is nil where none came in time or the server is not well.
+	LoadPolled struct {
+		Endpoint EndpointID
+		Load   *LoadReport
 	}
-	// Heard is what another router found out about a server, Age ago: its Load, or nil where it told none in time.
-	Heard struct {
-		Server ServerID
-		Load   *Load
+	// PeerLoadReport is what another router found out about a server, Age ago: its Load, or nil where it told none in time.
+	PeerLoadReport struct {
+		Endpoint EndpointID
+		Load   *LoadReport
 		Age    time.Duration
 	}
-	// Share is this router's part of what all routers may do together (Budgets, tenants' quotas), for a time. From then on
-	// it is that of Budgets, unless another Share has come. Its host keeps the sum over all routers to 1.
-	Share struct {
-		Part float64
-		For  time.Duration
+	// QuotaShare is this router's part of what all routers may do together (Budgets, tenants' quotas), for a time. From then on
+	// it is that of Budgets, unless another QuotaShare has come. Its host keeps the sum over all routers to 1.
+	QuotaShare struct {
+		Fraction float64
+		Duration  time.Duration
 	}
-	// Subset names the servers that the router keeps to while enough of them are well; none: all. Those that are not on
+	// SubsetAssigned names the servers that the router keeps to while enough of them are well; none: all. Those that are not on
 	// the roster count once they come.
-	Subset struct{ Servers []ServerID }
+	SubsetAssigned struct{ Endpoints []EndpointID }
 	// ClientGone ends a request from outside.
 	ClientGone struct{ Request RequestID }
-	// Timer is due.
-	Timer struct{ ID TimerID }
+	// TimerFired is due.
+	TimerFired struct{ ID TimerID }
 )
 
-func (Roster) event()     {}
-func (Arrival) event()    {}
-func (Started) event()    {}
-func (Ended) event()      {}
-func (Probed) event()     {}
-func (Heard) event()      {}
-func (Share) event()      {}
-func (Subset) event()     {}
+func (EndpointUpdate) event()     {}
+func (RequestArrived) event()    {}
+func (FirstToken) event()    {}
+func (AttemptEnded) event()      {}
+func (LoadPolled) event()     {}
+func (PeerLoadReport) event()      {}
+func (QuotaShare) event()      {}
+func (SubsetAssigned) event()     {}
 func (ClientGone) event() {}
-func (Timer) event()      {}
+func (TimerFired) event()      {}
 
-// Why says what a request was refused or failed for, in logs and counters.
-type Why string
+// Reason says what a request was refused or failed for, in logs and counters.
+type Reason string
 
 // The reasons.
 const (
-	NoAttempt    Why = "no_attempt_left"
-	NoTime       Why = "no_time_left"
-	NoRepeat     Why = "repeats_used_up" // of what all routers may send again
-	NoReader     Why = "no_reader"
-	NoWriter     Why = "no_writer"
-	OverBudget   Why = "over_budget" // it would be late
-	MayHaveRun   Why = "may_have_run"
-	UnknownClass Why = "unknown_class"
+	AttemptsExhausted    Reason = "no_attempt_left"
+	DeadlineExceeded       Reason = "no_time_left"
+	RetryBudgetExhausted     Reason = "repeats_used_up" // of what all routers may send again
+	NoPrefillReplica     Reason = "no_reader"
+	NoDecodeReplica     Reason = "no_writer"
+	OverLatencyBudget   Reason = "over_budget" // it would be late
+	MayHaveRun   Reason = "may_have_run"
+	UnknownClass Reason = "unknown_class"
 )
 
 // ReleaseReason says why a state is let go, in logs.
@@ -266,11 +266,11 @@
 
 // The reasons.
 const (
-	Settled     ReleaseReason = "answered"
-	ClientLeft  ReleaseReason = "client_left"
+	AfterAnswer     ReleaseReason = "answered"
+	ClientDisconnected  ReleaseReason = "client_left"
 	LateOutcome ReleaseReason = "ended_after_the_answer"
-	ReadAgain   ReleaseReason = "read_again"
-	NoWord      ReleaseReason = "no_word_of_the_attempt"
+	BeforePrefillRetry   ReleaseReason = "read_again"
+	ReservationExpired      ReleaseReason = "no_word_of_the_attempt"
 )
 
 // Action is something for the router's host to carry out, in order.
@@ -281,43 +281,43 @@
 	// Send makes the next attempt; Timeout 0 waits until the client quits.
 	Send struct {
 		Request RequestID
-		Server  ServerID
+		Endpoint  EndpointID
 		Timeout time.Duration
 	}
-	// Probe asks a server for its load.
-	Probe struct{ Server ServerID }
+	// PollLoad asks a server for its load.
+	PollLoad struct{ Endpoint EndpointID }
 	// Release lets go of every state and place that is held for the request and that no attempt waits for.
 	Release struct {
 		Request RequestID
-		Why     ReleaseReason
+		Reason     ReleaseReason
 	}
-	// Refuse is a final answer that promises that a retry is harmless.
-	Refuse struct {
+	// Reject is a final answer that promises that a retry is harmless.
+	Reject struct {
 		Request    RequestID
 		RetryAfter time.Duration
-		Why        Why
+		Reason        Reason
 	}
 	// Fail is a final answer without a promise.
 	Fail struct {
 		Request RequestID
-		Why     Why
+		Reason     Reason
 	}
 	// Cancel stops waiting for one attempt.
 	Cancel struct {
 		Request RequestID
 		Attempt int
 	}
-	// Wake asks for a Timer event.
-	Wake struct {
+	// SetTimer asks for a Timer event.
+	SetTimer struct {
 		After time.Duration
-		ID    TimerID
+		Timer    TimerID
 	}
 )
 
 func (Send) action()    {}
-func (Probe) action()   {}
+func (PollLoad) action()   {}
 func (Release) action() {}
-func (Refuse) action()  {}
+func (Reject) action()  {}
 func (Fail) action()    {}
 func (Cancel) action()  {}
-func (Wake) action()    {}
+func (SetTimer) action()    {}
--- a/decide/budget.go
+++ b/decide/budget.go
@@ -5,76 +5,76 @@
 // What all routers may do together, and this one's part of it. The sums over routers are package share's.
 
 const (
-	askSpan     = 10 * time.Second // of questions to a server may come at once, since a router that starts knows of none,
-	askBurst    = 1.0              // and one more, however small the part: the least that can be asked
-	repeatSpan  = 5 * time.Second  // of the spare repeats that may come at once,
-	repeatBurst = 1.0              // and so many more
-	repeatKept  = 0.5              // of what may come at once is kept for critical requests
+	pollBurstSpan     = 10 * time.Second // of questions to a server may come at once, since a router that starts knows of none,
+	pollBurstExtra    = 1.0              // and one more, however small the part: the least that can be asked
+	retryBurstSpan  = 5 * time.Second  // of the spare repeats that may come at once,
+	retryBurstExtra = 1.0              // and so many more
+	criticalRetryReserve  = 0.5              // of what may come at once is kept for critical requests
 )
 
-// own is this router's part of a limit on what all routers do, as of now.
-func (r *Router) own(limit float64) float64 {
+// ownFraction is this router's part of a limit on what all routers do, as of now.
+func (r *Router) ownFraction(limit float64) float64 {
 	switch {
-	case r.now < r.part.For:
-		return limit * r.part.Part
-	case r.cfg.Budgets.Part > 0:
-		return limit * r.cfg.Budgets.Part
+	case r.now < r.quotaShare.Duration:
+		return limit * r.quotaShare.Fraction
+	case r.cfg.Budgets.Fraction > 0:
+		return limit * r.cfg.Budgets.Fraction
 	}
 	return limit / float64(r.cfg.Routers)
 }
 
-// mayAsk returns the servers and spends a question at each whose load is not known, or returns none of them if one has
+// withinPollBudget returns the servers and spends a question at each whose load is not known, or returns none of them if one has
 // none left: a choice among some would keep a request from where its text is.
-func (r *Router) mayAsk(of []choice) []choice {
-	limit := r.cfg.Budgets.Probes
+func (r *Router) withinPollBudget(of []candidate) []candidate {
+	limit := r.cfg.Budgets.PollsPerReplica
 	if limit <= 0 {
 		return of
 	}
-	asked := func(c choice) bool { return r.now-c.loadAt <= loadFresh || len(c.askers) > 0 }
-	rate := r.own(limit)
-	most := rate*askSpan.Seconds() + askBurst
+	asked := func(c candidate) bool { return r.now-c.loadReportedAt <= loadMaxAge || len(c.pollWaiters) > 0 }
+	rate := r.ownFraction(limit)
+	most := rate*pollBurstSpan.Seconds() + pollBurstExtra
 	for _, c := range of {
-		if !asked(c) && c.asks.Fill(r.now, rate, most) < 1 {
+		if !asked(c) && c.pollBudget.Fill(r.now, rate, most) < 1 {
 			return nil
 		}
 	}
 	for _, c := range of {
 		if !asked(c) {
-			c.asks.Spend()
+			c.pollBudget.Spend()
 		}
 	}
 	return of
 }
 
-// mostRepeats is how many repeats may come at once.
-func (r *Router) mostRepeats() float64 {
-	return r.own(r.cfg.Budgets.Spare)*repeatSpan.Seconds() + repeatBurst
+// retryBurstLimit is how many repeats may come at once.
+func (r *Router) retryBurstLimit() float64 {
+	return r.ownFraction(r.cfg.Budgets.RetriesPerSecond)*retryBurstSpan.Seconds() + retryBurstExtra
 }
 
-// mayRepeat reports whether a request that failed at a step may take it again. It guards against a disturbance that is
+// withinRetryBudget reports whether a request that failed at a step may take it again. It guards against a disturbance that is
 // multiplied by all who try again; critical requests have what others leave.
-func (r *Router) mayRepeat(q *request) bool {
+func (r *Router) withinRetryBudget(q *request) bool {
 	b := r.cfg.Budgets
-	if !q.again || b.Repeats <= 0 && b.Spare <= 0 {
+	if !q.retrying || b.RetriesPerRequest <= 0 && b.RetriesPerSecond <= 0 {
 		return true
 	}
-	need, most := 1.0, r.mostRepeats()
+	need, most := 1.0, r.retryBurstLimit()
 	if !r.critical[q.Class] {
-		need += repeatKept * (most - 1)
+		need += criticalRetryReserve * (most - 1)
 	}
-	return r.retries.Fill(r.now, r.own(b.Spare), most) >= need
+	return r.retryBucket.Fill(r.now, r.ownFraction(b.RetriesPerSecond), most) >= need
 }
 
-// count takes an attempt into the budgets: a first one earns repeats and is one of its tenant's, one again spends a repeat.
-func (r *Router) count(q *request) {
-	if q.again {
-		r.retries.Spend()
+// chargeBudgets takes an attempt into the budgets: a first one earns repeats and is one of its tenant's, one again spends a repeat.
+func (r *Router) chargeBudgets(q *request) {
+	if q.retrying {
+		r.retryBucket.Spend()
 	}
-	if id := q.Tenant; q.sends == 0 && id >= 0 && id < len(r.tenants) {
-		r.tenants[id].Spend()
+	if id := q.Tenant; q.attempts == 0 && id >= 0 && id < len(r.tenantBuckets) {
+		r.tenantBuckets[id].Spend()
 	}
-	if q.sends == 0 {
-		r.retries.Add(r.cfg.Budgets.Repeats, r.mostRepeats())
+	if q.attempts == 0 {
+		r.retryBucket.Add(r.cfg.Budgets.RetriesPerRequest, r.retryBurstLimit())
 	}
-	q.again = false
+	q.retrying = false
 }
--- a/decide/budget_test.go
+++ b/decide/budget_test.go
@@ -7,29 +7,29 @@
 
 // A tenant's quota follows the router's part while that lasts, and falls back to the part for good after it.
 func TestPartOfAQuota(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Routers, c.Budgets.Part = 4, 0.05 })
-	part := func() float64 { return b.r.own(100) }
+	b := newBench(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
+	part := func() float64 { return b.r.ownFraction(100) }
 	if got := part(); got != 5 {
 		t.Errorf("%v without a word, want 5", got)
 	}
-	b.do(0, Share{Part: 0.5, For: time.Second})
+	b.do(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
 	if got := part(); got != 50 {
 		t.Errorf("%v of a half, want 50", got)
 	}
-	b.do(999*ms, Timer{})
+	b.do(999*ms, TimerFired{})
 	if got := part(); got != 50 {
 		t.Errorf("%v before its end, want 50", got)
 	}
-	b.do(ms, Timer{})
+	b.do(ms, TimerFired{})
 	if got := part(); got != 5 {
 		t.Errorf("%v after its end, want 5", got)
 	}
-	b.do(0, Share{Part: 0.9, For: -time.Second}) // it was old when it came
+	b.do(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it was old when it came
 	if got := part(); got != 5 {
 		t.Errorf("%v of one that had ended, want 5", got)
 	}
 	even := newBench(t, func(c *Config) { c.Routers = 4 })
-	if got := even.r.own(100); got != 25 {
+	if got := even.r.ownFraction(100); got != 25 {
 		t.Errorf("%v without budgets, want 25", got)
 	}
 }
@@ -37,30 +37,30 @@
 // Many routers together ask a server no more often than its budget allows, and go on without asking.
 func TestAskingIsLimitedOverAllRouters(t *testing.T) {
 	const routers, span = 100, 80 * time.Second
-	probes, sent := map[ServerID]int{}, 0
+	probes, sent := map[EndpointID]int{}, 0
 	for range routers {
-		b := newBench(t, func(c *Config) { c.MayProbe, c.Budgets = true, Budgets{Part: 1.0 / routers, Probes: 1} })
+		b := newBench(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
 		id := RequestID(0)
 		for end := b.now + span; b.now < end; {
 			id++
-			acts := b.do(8*time.Second, Arrival{Request: id, Tenant: -1, Session: Key(id), Prompt: 1000, TimeLeft: 4 * time.Second})
+			acts := b.do(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 			for len(acts) > 0 {
 				a := acts[0]
 				acts = acts[1:]
 				switch a := a.(type) {
-				case Probe:
-					probes[a.Server]++
-					acts = append(acts, b.do(0, Probed{a.Server, &Load{}})...)
+				case PollLoad:
+					probes[a.Endpoint]++
+					acts = append(acts, b.do(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
 				case Send:
 					sent++
-					acts = append(acts, b.do(20*ms, Ended{Request: a.Request, Server: a.Server, Outcome: ReadDone, After: 20 * ms, Final: true})...)
+					acts = append(acts, b.do(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
 				}
 			}
 		}
 	}
 	for id, n := range probes {
 		// One a second, and at the start ten seconds' and one of each; unlimited it would be two for each of 1,000 requests.
-		if most := int((span + askSpan).Seconds()) + routers; n > most {
+		if most := int((span + pollBurstSpan).Seconds()) + routers; n > most {
 			t.Errorf("server %d was asked %d times, at most %d", id, n, most)
 		}
 	}
@@ -72,23 +72,23 @@
 // fails takes a request to a reader that fails it.
 func (b *bench) fails(id RequestID, class int) []Action {
 	b.Helper()
-	return b.do(5*ms, Ended{Request: id, Server: b.sent(b.arrive(id, class)), Outcome: ConnectFailed, After: 5 * ms})
+	return b.do(5*ms, AttemptEnded{Request: id, Endpoint: b.sent(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
 }
 
 // Repeats are a part of first tries and a few besides; what is beyond is refused at once with when to come back. Critical
 // requests have what others leave.
 func TestRepeatsAreLimited(t *testing.T) {
 	b := newBench(t, func(c *Config) {
-		c.Budgets, c.MaxRetryAfter = Budgets{Part: 0.5, Repeats: 0.1, Spare: 0.8}, 400*ms // 0.4 a second, 3 at once
+		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
 	})
 	again := map[bool]int{}
 	for id := RequestID(1); id <= 20; id++ {
 		acts := b.fails(id, 0)
 		again[has[Send](acts)]++
 		if has[Send](acts) {
-			b.do(5*ms, Ended{Request: id, Attempt: 1, Server: b.sent(acts), Outcome: ReadDone, After: 5 * ms, Final: true})
+			b.do(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: b.sent(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
 		} else {
-			r, ok := acts[len(acts)-1].(Refuse)
+			r, ok := acts[len(acts)-1].(Reject)
 			if !ok || r.RetryAfter < 200*ms || r.RetryAfter > 400*ms {
 				t.Fatalf("without a repeat: %+v", acts)
 			}
@@ -101,8 +101,8 @@
 	if !has[Send](acts) {
 		t.Error("a critical request is not tried again though something was kept for it")
 	}
-	b.do(5*ms, Ended{Request: 100, Attempt: 1, Server: b.sent(acts), Outcome: ReadDone, After: 5 * ms, Final: true})
-	b.do(time.Minute, Timer{}) // the readers' failures are forgotten too
+	b.do(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: b.sent(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
+	b.do(time.Minute, TimerFired{}) // the readers' failures are forgotten too
 	if acts := b.fails(200, 0); !has[Send](acts) {
 		t.Errorf("%+v: not tried again though the budget has filled", acts)
 	}
@@ -116,26 +116,26 @@
 
 // An unsafe request that may have run is never refused for want of a repeat: that would promise that nothing ran.
 func TestNoRepeatLeftIsNoPromise(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Part: 1, Repeats: 1e-9} })
+	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
 	for id := RequestID(1); id < 5; id++ {
 		b.fails(id, 1)
 	}
 	_, w := b.reads(10, 1)
-	if acts := b.do(ms, Ended{Request: 10, Attempt: 1, Server: w, Outcome: Reset}); has[Refuse](acts) || has[Send](acts) || !has[Fail](acts) {
+	if acts := b.do(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); has[Reject](acts) || has[Send](acts) || !has[Fail](acts) {
 		t.Errorf("%+v", acts)
 	}
 }
 
 // A retune keeps the budgets: they are the fleet's, not the settings'.
 func TestRetuneKeepsBudgets(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Part: 0.1, Repeats: 0.2} })
-	if err := b.r.Retune(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Part != 0.1 {
+	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
+	if err := b.r.Reconfigure(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Fraction != 0.1 {
 		t.Errorf("%+v, %v", b.r.cfg.Budgets, err)
 	}
 }
 
 func TestBudgetsAreChecked(t *testing.T) {
-	for _, bad := range []Budgets{{Part: 1.5}, {Part: -1}, {Probes: -1}, {Repeats: -1}, {Spare: -1}} {
+	for _, bad := range []Budgets{{Fraction: 1.5}, {Fraction: -1}, {PollsPerReplica: -1}, {RetriesPerRequest: -1}, {RetriesPerSecond: -1}} {
 		cfg := testConfig()
 		cfg.Budgets = bad
 		if cfg.Validate() == nil {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{T: t, r: r, now: time.Hour}
-	b.do(0, Roster{Full: true, Servers: []Server{
+	b.do(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: 1, Kind: 0, State: Ready}, {ID: 2, Kind: 0, State: Ready},
 		{ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
 		{ID: 13, Kind: 1, State: Ready, Cell: 1, Zone: 1}}})
@@ -43,15 +43,15 @@
 }
 
 func (b *bench) arrive(id RequestID, class int) []Action {
-	return b.do(ms, Arrival{Request: id, Class: class, Tenant: -1, Session: Key(id), Prompt: 1000, TimeLeft: 4 * time.Second})
+	return b.do(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 }
 
 // sent returns the server of the only Send.
-func (b *bench) sent(acts []Action) ServerID {
+func (b *bench) sent(acts []Action) EndpointID {
 	b.Helper()
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			return s.Server
+			return s.Endpoint
 		}
 	}
 	b.Fatalf("no send in %+v", acts)
@@ -68,10 +68,10 @@
 }
 
 // reads takes a request to the end of its read and returns the writer.
-func (b *bench) reads(id RequestID, class int) (reader, writer ServerID) {
+func (b *bench) reads(id RequestID, class int) (reader, writer EndpointID) {
 	b.Helper()
 	reader = b.sent(b.arrive(id, class))
-	writer = b.sent(b.do(20*ms, Ended{Request: id, Server: reader, Outcome: ReadDone, After: 20 * ms}))
+	writer = b.sent(b.do(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms}))
 	return reader, writer
 }
 
@@ -81,12 +81,12 @@
 	if w == 13 {
 		t.Error("a writer outside the reader's cell was chosen though its own has room")
 	}
-	b.do(20*ms, Started{Request: 1, Attempt: 1, Server: w, After: 20 * ms})
+	b.do(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
 	_, other := b.reads(2, 0)
 	if other == w || other == 13 {
 		t.Errorf("second went to %d, want the other writer of the cell than %d", other, w)
 	}
-	b.do(ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: Served, Final: true})
+	b.do(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 	if b.r.requests[1] != nil || b.r.byID[w].streams != 0 {
 		t.Error("a served request left something behind")
 	}
@@ -94,16 +94,16 @@
 
 func TestRefusesBeforeReading(t *testing.T) {
 	b := newBench(t, nil)
-	for _, s := range b.r.servers {
+	for _, s := range b.r.replicas {
 		for i := range 200 {
-			s.waits = append(s.waits, waiting{id: RequestID(1000 + i), at: b.now, due: b.now + time.Minute})
+			s.pending = append(s.pending, pendingAttempt{request: RequestID(1000 + i), sentAt: b.now, expectedBy: b.now + time.Minute})
 		}
 	}
 	acts := b.arrive(1, 0)
-	if !has[Refuse](acts) || has[Send](acts) {
+	if !has[Reject](acts) || has[Send](acts) {
 		t.Errorf("got %+v, want a refusal before any read", acts)
 	}
-	if acts[0].(Refuse).RetryAfter <= 0 {
+	if acts[0].(Reject).RetryAfter <= 0 {
 		t.Error("no advice when to return")
 	}
 }
@@ -111,7 +111,7 @@
 // A read that alone is over the budget is judged by its queue wait.
 func TestLongReadPasses(t *testing.T) {
 	b := newBench(t, nil)
-	b.r.fit.prior = [3]float64{10, 900, 7}
+	b.r.prefillModel.prior = [3]float64{10, 900, 7}
 	if !has[Send](b.arrive(1, 0)) {
 		t.Error("a long read with no queue was refused")
 	}
@@ -119,23 +119,23 @@
 
 func TestKeptPrefixDraws(t *testing.T) {
 	b := newBench(t, nil)
-	b.r.note(77, 2, 900)
-	a := Arrival{Request: 1, Tenant: -1, Session: 77, Prompt: 1000, TimeLeft: 4 * time.Second}
+	b.r.recordPrefix(77, 2, 900)
+	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
 	if got := b.sent(b.do(ms, a)); got != 2 {
 		t.Errorf("went to %d, want the reader that keeps the session", got)
 	}
-	b.do(ms, Roster{Servers: []Server{{ID: 2, State: Ready, Started: b.now}}})
-	if n := b.r.keptAt(b.r.byID[2], &request{Arrival: a}, false); n != 0 {
+	b.do(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
+	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, false); n != 0 {
 		t.Errorf("%d tokens are promised by a reader that started anew", n)
 	}
 }
 
 func TestUnsafeNeverTwice(t *testing.T) {
-	for o := Served + 1; o < ReadDone; o++ {
+	for o := Served + 1; o < PrefillDone; o++ {
 		b := newBench(t, nil)
 		_, w := b.reads(1, 1)
-		acts := b.do(50*ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: o})
-		if o.NeverRan() != (has[Send](acts) || has[Wake](acts)) || !o.NeverRan() != has[Fail](acts) || has[Refuse](acts) {
+		acts := b.do(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: o})
+		if o.NeverRan() != (has[Send](acts) || has[SetTimer](acts)) || !o.NeverRan() != has[Fail](acts) || has[Reject](acts) {
 			t.Errorf("outcome %d: got %+v", o, acts)
 		}
 	}
@@ -144,11 +144,11 @@
 func TestFullKeepsStateNoStateReadsAgain(t *testing.T) {
 	b := newBench(t, nil)
 	_, w := b.reads(1, 1)
-	next := b.sent(b.do(ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: Full}))
+	next := b.sent(b.do(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
 	if next == w || next < 11 {
 		t.Errorf("after full went to %d, want another writer", next)
 	}
-	if again := b.sent(b.do(ms, Ended{Request: 1, Attempt: 2, Server: next, Outcome: NoState})); again > 2 {
+	if again := b.sent(b.do(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
 		t.Errorf("with no state went to %d, want a reader", again)
 	}
 }
@@ -159,12 +159,12 @@
 	if !has[Cancel](b.do(ms, ClientGone{1})) {
 		t.Error("the read was not cancelled")
 	}
-	acts := b.do(ms, Ended{Request: 1, Server: s, Outcome: ReadDone, Final: true})
+	acts := b.do(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
 	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(b.r.requests) != 0 {
 		t.Errorf("got %+v, want only the state released", acts)
 	}
-	for _, ev := range []Event{Timer{1}, ClientGone{1}, Ended{Request: 1, Server: s}, Started{Request: 1},
-		Ended{Request: 8, Server: 99}} {
+	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
+		AttemptEnded{Request: 8, Endpoint: 99}} {
 		if acts := b.do(-time.Second, ev); len(acts) != 0 {
 			t.Errorf("%T of a finished request or unknown server: %+v", ev, acts)
 		}
@@ -175,7 +175,7 @@
 func TestDeadline(t *testing.T) {
 	b := newBench(t, nil)
 	_, w := b.reads(1, 1)
-	acts := b.do(4*time.Second, Ended{Request: 1, Attempt: 1, Server: w, Outcome: TimedOut})
+	acts := b.do(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: TimedOut})
 	if !has[Fail](acts) || !has[Release](acts) {
 		t.Errorf("got %+v", acts)
 	}
@@ -185,15 +185,15 @@
 func TestNoWriterLeft(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.sent(b.arrive(1, 1))
-	b.do(ms, Roster{Servers: []Server{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
+	b.do(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
 		{ID: 13, Kind: 1, State: Draining}}})
-	acts := b.do(20*ms, Ended{Request: 1, Server: s, Outcome: ReadDone, After: 20 * ms})
-	for start := b.now; !has[Release](acts); acts = b.do(retryPause, Timer{1}) {
-		if !has[Wake](acts) || has[Send](acts) || b.now > start+b.r.cfg.ReleaseWithin {
+	acts := b.do(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
+	for start := b.now; !has[Release](acts); acts = b.do(selectionRetryInterval, TimerFired{1}) {
+		if !has[SetTimer](acts) || has[Send](acts) || b.now > start+b.r.cfg.ReservationTTL {
 			t.Fatalf("after %v: %+v", b.now-start, acts)
 		}
 	}
-	if !has[Refuse](acts) {
+	if !has[Reject](acts) {
 		t.Errorf("got %+v, want a refusal: nothing has run", acts)
 	}
 }
@@ -238,9 +238,9 @@
 	}
 	now := time.Hour
 	rng := rand.New(rand.NewPCG(seed, 5))
-	var list []Server
+	var list []Endpoint
 	for i := range 16 { // four cells of two readers and two writers
-		list = append(list, Server{ID: ServerID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
 	}
 	var all []*Router
 	var turns []int // routers by their traffic
@@ -249,7 +249,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, Roster{Full: true, Servers: list}, nil)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
 		all = append(all, r)
 		for range 1 + 5*(i%5/4) { // each fifth sees six times as much as the others
 			turns = append(turns, i)
@@ -261,12 +261,12 @@
 	}
 	home := Key(1000)
 	for i := 0; i < 16; i++ {
-		if list[i].Kind == 0 && list[i].ID != cold.ID && draw(home, list[i].ID) < draw(home, cold.ID)/(coldPull*cfg.ColdFrom) {
+		if list[i].Kind == 0 && list[i].ID != cold.ID && exponentialDraw(home, list[i].ID) < exponentialDraw(home, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
 			home, i = home+1, -1
 		}
 	}
 	var sent []time.Duration
-	handle := func(r *Router, q *Arrival) {
+	handle := func(r *Router, q *RequestArrived) {
 		events := []Event{*q}
 		for at := 0; at < len(events); at++ {
 			for _, a := range r.Handle(now, events[at], nil) {
@@ -274,21 +274,21 @@
 				if !ok {
 					continue
 				}
-				if s.Server == cold.ID && cold.Started > 0 {
+				if s.Endpoint == cold.ID && cold.Started > 0 {
 					sent, total = append(sent, now), total+1
 				}
-				o, in := ReadDone, list[s.Server-10]
+				o, in := PrefillDone, list[s.Endpoint-10]
 				if in.Kind == 1 {
 					o = Served
 				} else if cut && in.Cell > 0 && cold.Started > 0 {
 					o = ConnectFailed
 				}
-				events = append(events, Ended{Request: q.Request, Attempt: at, Server: s.Server, Outcome: o, After: 40 * ms, Final: o == Served})
+				events = append(events, AttemptEnded{Request: q.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: o, Elapsed: 40 * ms, Final: o == Served})
 			}
 		}
 	}
 	begin := now + 20*time.Second // by then the routers know the traffic
-	for id := RequestID(1); now < begin+cfg.ColdFor; id++ {
+	for id := RequestID(1); now < begin+cfg.SlowStartDuration; id++ {
 		gap := rng.ExpFloat64() / rate
 		if now > begin {
 			gap /= 1.5
@@ -297,21 +297,21 @@
 		if now >= begin && cold.Started == 0 {
 			cold.Started = now
 			for _, r := range all {
-				r.Handle(now, Roster{Full: true, Servers: list}, nil)
+				r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
 			}
 		}
 		shared := Key(100 + rng.IntN(16)) // texts that all know
 		if cold.Started > 0 && rng.Float64() < hot {
 			shared = home
 		}
-		handle(all[turns[rng.IntN(len(turns))]], &Arrival{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), Shared: shared, SharedTokens: 15, Prompt: 20,
+		handle(all[turns[rng.IntN(len(turns))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
 			TimeLeft: 4 * time.Second})
 		for len(sent) > 0 && sent[0] < now-fallAfter {
 			sent = sent[1:]
 		}
 		if cold.Started > 0 {
-			warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(now-cold.Started)/float64(cfg.ColdFor)
-			n := cfg.FallMultiple * warmth * rate / 8 * fallAfter.Seconds() // the even share of a warm server is the least that it can surely do
+			warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+			n := cfg.OverloadMultiple * warmth * rate / 8 * fallAfter.Seconds() // the even share of a warm server is the least that it can surely do
 			worst = max(worst, float64(len(sent))/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -320,13 +320,13 @@
 
 // A router that comes back with only its last list keeps to a cold server's part at once.
 func TestColdServer(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.ColdFor = 10 * time.Second })
-	b.do(0, Roster{Servers: []Server{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
-	n := map[ServerID]int{}
+	b := newBench(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
+	b.do(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
+	n := map[EndpointID]int{}
 	for i := range RequestID(100) {
 		s := b.sent(b.arrive(i+1, 0))
 		n[s]++
-		b.do(20*ms, Ended{Request: i + 1, Server: s, Outcome: ReadDone, After: 20 * ms, Final: true})
+		b.do(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
 	if n[2] > 30 || n[1] < 70 {
 		t.Errorf("sends %v: the cold reader got more than its part", n)
@@ -337,27 +337,27 @@
 func TestEjection(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.r.byID[1]
-	b.r.failure(s, 0, hardWeight, true)
-	b.r.failure(s, 0, hardWeight, true)
+	b.r.recordFailure(s, 0, transportFailureWeight, true)
+	b.r.recordFailure(s, 0, transportFailureWeight, true)
 	for i := range RequestID(5) {
 		if got := b.sent(b.arrive(i+1, 0)); got != 2 {
 			t.Fatalf("an ejected reader got request %d", i+1)
 		}
-		b.do(20*ms, Ended{Request: i + 1, Server: 2, Outcome: ReadDone, After: 20 * ms, Final: true})
+		b.do(20*ms, AttemptEnded{Request: i + 1, Endpoint: 2, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
-	b.do(healthFade, Timer{})
-	if !b.r.usable(s, 1) {
+	b.do(healthTimeConstant, TimerFired{})
+	if !b.r.healthy(s, 1) {
 		t.Error("no way back")
 	}
 	for range 4 {
-		b.r.success(s, 0)
+		b.r.recordSuccess(s, 0)
 	}
-	if s.health[0].now(b.now) >= ejectAt/2 {
+	if s.health[0].current(b.now) >= ejectionThreshold/2 {
 		t.Error("successes do not heal")
 	}
 	// All bad: health is ignored rather than starving all.
-	for _, s := range b.r.servers {
-		s.health[0].move(b.now, 1, 1)
+	for _, s := range b.r.replicas {
+		s.health[0].update(b.now, 1, 1)
 	}
 	if !has[Send](b.arrive(9, 0)) {
 		t.Error("nothing was sent though only bad servers are left")
@@ -368,17 +368,17 @@
 // absence from the estimate would have everything refused and nothing lead it back.
 func TestTrialAmongJammed(t *testing.T) {
 	b := newBench(t, nil)
-	for _, id := range []ServerID{11, 12, 13} {
+	for _, id := range []EndpointID{11, 12, 13} {
 		s := b.r.byID[id]
-		s.wait.add(b.now, 1e5)
+		s.firstTokenDelay.add(b.now, 1e5)
 	}
 	if has[Send](b.arrive(1, 0)) {
 		t.Fatal("the writers are not jammed")
 	}
-	b.r.byID[12].health[0].move(b.now, 1, ejectAt*0.9)
-	b.r.byID[12].wait = evidence{fade: waitFade}
+	b.r.byID[12].health[0].update(b.now, 1, ejectionThreshold*0.9)
+	b.r.byID[12].firstTokenDelay = decayedMean{timeConstant: decodeWaitTimeConstant}
 	s := b.sent(b.arrive(2, 0))
-	if w := b.sent(b.do(20*ms, Ended{Request: 2, Server: s, Outcome: ReadDone})); w != 12 {
+	if w := b.sent(b.do(20*ms, AttemptEnded{Request: 2, Endpoint: s, Outcome: PrefillDone})); w != 12 {
 		t.Errorf("the trial went to %d", w)
 	}
 }
@@ -386,28 +386,28 @@
 // The refit follows reads, keeps its bounds, and is unharmed by outliers or inputs that do not vary.
 func TestFit(t *testing.T) {
 	b := newBench(t, nil)
-	f := &b.r.fit
+	f := &b.r.prefillModel
 	for i := range 300 {
-		b.do(20*ms, Timer{})
+		b.do(20*ms, TimerFired{})
 		k, ahead := float64(i%7)/2, float64(i%4)
 		f.add(b.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
 	}
 	for i, want := range []float64{12, 50, 20} {
-		if math.Abs(f.coef[i]-want) > 0.1*want {
-			t.Errorf("coefficient %d is %.1f, want about %.1f", i, f.coef[i], want)
+		if math.Abs(f.coefficients[i]-want) > 0.1*want {
+			t.Errorf("coefficient %d is %.1f, want about %.1f", i, f.coefficients[i], want)
 		}
 	}
 	id, s := RequestID(1000), b.r.byID[1]
-	b.r.learnRead(s, &request{Arrival: Arrival{Request: id, Prompt: 1000}}, Ended{Outcome: ReadDone, After: time.Hour})
+	b.r.recordPrefill(s, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
 	if y := f.predict([3]float64{1, 1, 0}); y > 150 {
 		t.Errorf("one outlier moved the estimate to %.0f ms", y)
 	}
 	for range 1000 {
-		b.do(20*ms, Timer{})
+		b.do(20*ms, TimerFired{})
 		f.add(b.now, [3]float64{1, 2, 0}, 80)
 	}
-	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coef[2] > 60 {
-		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", y, f.coef)
+	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coefficients[2] > 60 {
+		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", y, f.coefficients)
 	}
 }
 
@@ -416,10 +416,10 @@
 		"no classes":   func(c *Config) { c.Classes = nil },
 		"no routers":   func(c *Config) { c.Routers = 0 },
 		"no attempts":  func(c *Config) { c.MaxAttempts = 0 },
-		"effect":       func(c *Config) { c.Classes[0].Effect = 9 },
-		"negative aim": func(c *Config) { c.Classes[0].Aim = -1 },
+		"effect":       func(c *Config) { c.Classes[0].Idempotency = 9 },
+		"negative aim": func(c *Config) { c.Classes[0].TTFTObjective = -1 },
 		"role":         func(c *Config) { c.Kinds[0].Role = 9 },
-		"release":      func(c *Config) { c.ReleaseWithin = -1 },
+		"release":      func(c *Config) { c.ReservationTTL = -1 },
 	} {
 		cfg := testConfig()
 		change(&cfg)
@@ -444,11 +444,11 @@
 	id := RequestID(1 << 40)
 	for b.Loop() {
 		id++
-		out = d.r.Handle(d.now, Arrival{Request: id, Session: Key(id % 100), Prompt: 900, TimeLeft: time.Second}, out[:0])
+		out = d.r.Handle(d.now, RequestArrived{Request: id, Session: Key(id % 100), PromptTokens: 900, TimeLeft: time.Second}, out[:0])
 		d.now += ms
 		d.r.Handle(d.now, ClientGone{id}, nil)
 		for i := range 12 {
-			d.r.Handle(d.now, Ended{Request: id, Server: ServerID(100 + 7*i), Outcome: ReadDone, Final: true}, nil)
+			d.r.Handle(d.now, AttemptEnded{Request: id, Endpoint: EndpointID(100 + 7*i), Outcome: PrefillDone, Final: true}, nil)
 		}
 	}
 }
@@ -456,7 +456,7 @@
 // Where servers report the tokens that wait, the report is the queue wait.
 func TestReportedBacklog(t *testing.T) {
 	b := newBench(t, nil)
-	b.do(ms, Ended{Request: 99, Server: 1, Load: &Load{Memory: -1, Waiting: 50}})
+	b.do(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
 	for id := range RequestID(5) {
 		if s := b.sent(b.arrive(id+1, 0)); s != 2 {
 			t.Fatalf("went to %d, which reports a long queue", s)
@@ -466,8 +466,8 @@
 
 // With no limit in the settings a cold server is not held back.
 func TestNoColdRule(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.FallMultiple = 0 })
-	b.do(0, Roster{Servers: []Server{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
+	b := newBench(t, func(c *Config) { c.OverloadMultiple = 0 })
+	b.do(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
 	if s := b.sent(b.arrive(1, 0)); s != 2 {
 		t.Errorf("went to %d", s)
 	}
@@ -492,12 +492,12 @@
 	cfg := testConfig()
 	cfg.Routers = routers
 	now := time.Hour
-	var list []Server
+	var list []Endpoint
 	for i := range 20 {
-		list = append(list, Server{ID: ServerID(10 + i), Cell: i / 5, State: Ready})
+		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready})
 	}
 	for i := range 4 {
-		list = append(list, Server{ID: ServerID(1 + i), Kind: 1, Cell: i, State: Ready})
+		list = append(list, Endpoint{ID: EndpointID(1 + i), Kind: 1, Cell: i, State: Ready})
 	}
 	cold := &list[19]
 	cold.Started = now
@@ -507,14 +507,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, Roster{Full: true, Servers: list}, nil)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
 		all = append(all, r)
 	}
 	var sent []time.Duration
 	rng := rand.New(rand.NewPCG(1, 2))
 	home := Key(1)
 	for i := 0; i < 19; i++ {
-		if draw(home, list[i].ID) < draw(home, cold.ID)/(coldPull*cfg.ColdFrom) {
+		if exponentialDraw(home, list[i].ID) < exponentialDraw(home, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
 			home, i = home+1, -1
 		}
 	}
@@ -525,27 +525,27 @@
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		r := all[rng.IntN(routers)]
-		for _, a := range r.Handle(now, Arrival{Request: id, Tenant: -1, Session: session, Prompt: 20, TimeLeft: 4 * time.Second}, nil) {
+		for _, a := range r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: session, PromptTokens: 20, TimeLeft: 4 * time.Second}, nil) {
 			s, ok := a.(Send)
 			if !ok {
 				continue
 			}
-			if s.Server == cold.ID {
+			if s.Endpoint == cold.ID {
 				sent = append(sent, now)
 				total++
 			}
 			after := 400 * ms // the warm ones are slow, so that all would rather use the cold one
-			if s.Server == cold.ID {
+			if s.Endpoint == cold.ID {
 				after = 40 * ms
 			}
-			r.Handle(now, Ended{Request: id, Server: s.Server, Outcome: ReadDone, After: after, Final: true}, nil)
+			r.Handle(now, AttemptEnded{Request: id, Endpoint: s.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true}, nil)
 		}
 		for len(sent) > 0 && sent[0] < now-fallAfter {
 			sent = sent[1:]
 		}
 		// The even share of a warm server is the least that it can surely do.
-		warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(now-cold.Started)/float64(cfg.ColdFor)
-		allowed := cfg.FallMultiple * warmth * rate / 20 * fallAfter.Seconds()
+		warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+		allowed := cfg.OverloadMultiple * warmth * rate / 20 * fallAfter.Seconds()
 		worst = max(worst, float64(len(sent))/allowed)
 	}
 	return worst, total
@@ -557,10 +557,10 @@
 	b := newBench(t, nil)
 	first := b.sent(b.arrive(1, 0))
 	for range 20 {
-		b.r.lag.add(b.now, 5000)
+		b.r.commonQueueDelay.add(b.now, 5000)
 	}
-	acts := b.do(ms, Ended{Request: 1, Server: first, Outcome: Full})
-	if !has[Refuse](acts) || has[Send](acts) {
+	acts := b.do(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
+	if !has[Reject](acts) || has[Send](acts) {
 		t.Errorf("got %+v, want a refusal", acts)
 	}
 }
@@ -569,7 +569,7 @@
 func TestFullReaderIsAvoided(t *testing.T) {
 	b := newBench(t, nil)
 	first := b.sent(b.arrive(1, 0))
-	b.do(ms, Ended{Request: 1, Server: first, Outcome: Full, Final: true})
+	b.do(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
 	for id := range RequestID(5) {
 		if s := b.sent(b.arrive(id+2, 0)); s == first {
 			t.Fatalf("request %d went to the reader that is full", id+2)
@@ -584,23 +584,23 @@
 	if b.r.overQuota(1) {
 		t.Error("a tenant's first request counts as beyond its share")
 	}
-	left := b.r.tenants[1].Left()
+	left := b.r.tenantBuckets[1].Left()
 	for range 20 {
-		b.r.lag.add(b.now, 9000)
+		b.r.commonQueueDelay.add(b.now, 9000)
 	}
 	for id := range RequestID(50) {
-		if !has[Refuse](b.do(ms, Arrival{Request: id + 1, Tenant: 1, Prompt: 500, TimeLeft: 4 * time.Second})) {
+		if !has[Reject](b.do(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second})) {
 			t.Fatal("not refused")
 		}
 	}
-	if got := b.r.tenants[1].Left(); got < left {
+	if got := b.r.tenantBuckets[1].Left(); got < left {
 		t.Errorf("refusals left %.2f of %.2f", got, left)
 	}
-	b.do(time.Minute, Timer{})
+	b.do(time.Minute, TimerFired{})
 	n := 0
 	for id := RequestID(100); !b.r.overQuota(1); id++ {
-		a := Arrival{Request: id, Tenant: 1, Prompt: 500, TimeLeft: 4 * time.Second}
-		b.do(10*ms, Ended{Request: id, Server: b.sent(b.do(ms, a)), Outcome: ReadDone, After: 10 * ms, Final: true})
+		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second}
+		b.do(10*ms, AttemptEnded{Request: id, Endpoint: b.sent(b.do(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
 		if n++; n > 20 {
 			t.Fatal("never beyond its share")
 		}
@@ -608,10 +608,10 @@
 }
 
 // fleet lists n servers in cells of five; every third is a reader unless a cell's make-up is given.
-func fleet(n int) []Server {
-	var out []Server
+func fleet(n int) []Endpoint {
+	var out []Endpoint
 	for i := range n {
-		s := Server{ID: ServerID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
+		s := Endpoint{ID: EndpointID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
 		if i%3 == 0 {
 			s.Kind = 0
 		}
@@ -623,18 +623,18 @@
 // Routers that share nothing and differ in seed still read a session, and a text that few ask for, at
 // the same reader, so that it is found kept.
 func TestSharedHomes(t *testing.T) {
-	reader := func(seed uint64, id RequestID, session Key) ServerID {
+	reader := func(seed uint64, id RequestID, session Key) EndpointID {
 		cfg := testConfig()
 		cfg.Routers = 200
 		r, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(time.Hour, Roster{Full: true, Servers: fleet(60)}, nil)
-		for _, a := range r.Handle(time.Hour, Arrival{Request: id, Tenant: -1, Session: session, Shared: 7,
-			SharedTokens: 2000, Prompt: 2500, TimeLeft: 4 * time.Second}, nil) {
+		r.Handle(time.Hour, EndpointUpdate{Full: true, Endpoints: fleet(60)}, nil)
+		for _, a := range r.Handle(time.Hour, RequestArrived{Request: id, Tenant: -1, Session: session, SharedPrefix: 7,
+			SharedPrefixTokens: 2000, PromptTokens: 2500, TimeLeft: 4 * time.Second}, nil) {
 			if s, ok := a.(Send); ok {
-				return s.Server
+				return s.Endpoint
 			}
 		}
 		t.Fatal("no send")
@@ -654,18 +654,18 @@
 	for i := range list {
 		list[i].Zone = 0
 	}
-	b.do(0, Roster{Full: true, Servers: list})
-	to := map[ServerID]int{}
+	b.do(0, EndpointUpdate{Full: true, Endpoints: list})
+	to := map[EndpointID]int{}
 	for id := range RequestID(300) {
-		a := Arrival{Request: id + 1, Tenant: -1, Session: Key(1000 + id), Prompt: 2500, TimeLeft: 4 * time.Second}
+		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, TimeLeft: 4 * time.Second}
 		if id%2 == 0 {
-			a.Shared, a.SharedTokens = 7, 2000
+			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
 		}
 		s := b.sent(b.do(300*ms, a))
-		if a.Shared != 0 && id > 100 {
+		if a.SharedPrefix != 0 && id > 100 {
 			to[s]++
 		}
-		b.do(30*ms, Ended{Request: id + 1, Server: s, Outcome: ReadDone, After: 30 * ms, Kept: 2000, Final: true})
+		b.do(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
 	}
 	if len(to) < 8 {
 		t.Errorf("half of all requests were read at %d of 20 readers", len(to))
@@ -675,20 +675,20 @@
 // The states that a cell's only writer cannot bear go to cells with writers to spare.
 func TestCellWithFewWriters(t *testing.T) {
 	b := newBench(t, nil)
-	var list []Server
+	var list []Endpoint
 	for i := range 10 {
-		s := Server{ID: ServerID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
+		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
 		if i == 4 || i > 5 { // four readers and a writer, a reader and four writers
 			s.Kind = 1
 		}
 		list = append(list, s)
 	}
-	b.do(0, Roster{Full: true, Servers: list})
-	n := map[ServerID]int{}
+	b.do(0, EndpointUpdate{Full: true, Endpoints: list})
+	n := map[EndpointID]int{}
 	for id := range RequestID(500) {
 		_, w := b.reads(id+1, 0)
-		b.do(20*ms, Started{Request: id + 1, Attempt: 1, Server: w, After: 20 * ms})
-		b.do(ms, Ended{Request: id + 1, Attempt: 1, Server: w, Outcome: Served, Final: true})
+		b.do(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+		b.do(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 		n[w]++
 	}
 	if n[14] > 175 || n[14] < 50 {
@@ -699,22 +699,22 @@
 // What reads take everywhere counts at a reader that this router has not met, and is let go of soon.
 func TestCommonWait(t *testing.T) {
 	b := newBench(t, func(c *Config) { c.Routers = 100 })
-	b.do(0, Roster{Full: true, Servers: fleet(60)})
-	fresh := b.r.servers[0]
-	q := &request{Arrival: Arrival{Prompt: 1000}}
-	b.r.survey(0)
-	before, _ := b.r.readerEstimate(fresh, 0, q)
+	b.do(0, EndpointUpdate{Full: true, Endpoints: fleet(60)})
+	fresh := b.r.replicas[0]
+	q := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
+	b.r.sumCapacity(0)
+	before, _ := b.r.prefillEstimate(fresh, 0, q)
 	for id := range RequestID(6) {
-		s := b.r.servers[3+3*id]
-		b.r.learnRead(s, q, Ended{Outcome: ReadDone, After: 900 * ms})
+		s := b.r.replicas[3+3*id]
+		b.r.recordPrefill(s, q, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
 	}
-	b.r.survey(0)
-	if after, _ := b.r.readerEstimate(fresh, 0, q); after < before+300 {
+	b.r.sumCapacity(0)
+	if after, _ := b.r.prefillEstimate(fresh, 0, q); after < before+300 {
 		t.Errorf("the wait went from %.0f to %.0f ms, want it to follow the others", before, after)
 	}
-	b.do(2*fitFade, Timer{})
-	b.r.survey(0)
-	if after, _ := b.r.readerEstimate(fresh, 0, q); after > before+80 {
+	b.do(2*modelTimeConstant, TimerFired{})
+	b.r.sumCapacity(0)
+	if after, _ := b.r.prefillEstimate(fresh, 0, q); after > before+80 {
 		t.Errorf("the wait is still %.0f ms", after)
 	}
 }
@@ -725,20 +725,20 @@
 	b := newBench(t, nil)
 	s := b.r.byID[11]
 	for range 2 {
-		b.r.failure(s, 1, hardWeight, false)
+		b.r.recordFailure(s, 1, transportFailureWeight, false)
 	}
-	if b.r.usable(s, 1) || !b.r.usable(s, 0) {
+	if b.r.healthy(s, 1) || !b.r.healthy(s, 0) {
 		t.Error("want the server left alone by the class that fails there, and by no other")
 	}
-	b.do(3*healthFade, Timer{})
-	if !b.r.usable(s, 1) {
+	b.do(3*healthTimeConstant, TimerFired{})
+	if !b.r.healthy(s, 1) {
 		t.Error("no way back")
 	}
 }
 
 // Lists and settings beyond any seen are handled: no panic, and a request gets its answer.
 func TestOddFleets(t *testing.T) {
-	for name, list := range map[string][]Server{
+	for name, list := range map[string][]Endpoint{
 		"nobody":       nil,
 		"writers only": {{ID: 1, Kind: 1, State: Ready}},
 		"odd weights":  {{ID: 1, State: Ready, Weight: math.NaN()}, {ID: 2, Kind: 1, State: Ready, Weight: -3}},
@@ -746,15 +746,15 @@
 		"thousands":    fleet(3000),
 	} {
 		b := newBench(t, func(c *Config) { c.Routers = 5000 })
-		b.do(ms, Roster{Full: true, Servers: list})
+		b.do(ms, EndpointUpdate{Full: true, Endpoints: list})
 		acts := b.arrive(1, 0)
 		for range 200 {
-			if !has[Wake](acts) {
+			if !has[SetTimer](acts) {
 				break
 			}
-			acts = b.do(retryPause, Timer{1})
+			acts = b.do(selectionRetryInterval, TimerFired{1})
 		}
-		if !has[Refuse](acts) && !has[Send](acts) {
+		if !has[Reject](acts) && !has[Send](acts) {
 			t.Errorf("%s: got %+v", name, acts)
 		}
 	}
@@ -770,18 +770,18 @@
 				b.Fatal(err)
 			}
 			now := time.Hour
-			out := r.Handle(now, Roster{Full: true, Servers: fleet(n)}, nil)
+			out := r.Handle(now, EndpointUpdate{Full: true, Endpoints: fleet(n)}, nil)
 			id := RequestID(0)
 			for b.Loop() {
 				id++
 				now += ms
-				out = r.Handle(now, Arrival{Request: id, Tenant: -1, Session: Key(id % 100), Prompt: 900,
+				out = r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: Key(id % 100), PromptTokens: 900,
 					TimeLeft: time.Second}, out[:0])
-				reader := out[0].(Send).Server
-				out = r.Handle(now, Ended{Request: id, Server: reader, Outcome: ReadDone, After: ms}, out[:0])
-				writer := out[0].(Send).Server
-				out = r.Handle(now, Started{Request: id, Attempt: 1, Server: writer, After: ms}, out[:0])
-				out = r.Handle(now, Ended{Request: id, Attempt: 1, Server: writer, Final: true}, out[:0])
+				reader := out[0].(Send).Endpoint
+				out = r.Handle(now, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: ms}, out[:0])
+				writer := out[0].(Send).Endpoint
+				out = r.Handle(now, FirstToken{Request: id, Attempt: 1, Endpoint: writer, Elapsed: ms}, out[:0])
+				out = r.Handle(now, AttemptEnded{Request: id, Attempt: 1, Endpoint: writer, Final: true}, out[:0])
 			}
 		})
 	}
@@ -791,13 +791,13 @@
 func TestOddReports(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
 		b := newBench(t, nil)
-		for i, s := range b.r.servers {
-			b.do(ms, Ended{Request: 99, Server: s.ID, Load: &Load{Memory: x, Waiting: -1}})
+		for i, s := range b.r.replicas {
+			b.do(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
 			if i > 0 {
-				b.do(ms, Ended{Request: 99, Server: s.ID, Load: &Load{Memory: x, Waiting: x}})
+				b.do(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
 			}
 		}
-		b.r.byID[1].backlog = -1 // one reader without a report
+		b.r.byID[1].reportedBacklog = -1 // one reader without a report
 		if s, _ := b.reads(1, 0); s != 1 && s != 2 {
 			t.Errorf("%v: sent to %d", x, s)
 		}
@@ -811,11 +811,11 @@
 		b := newBench(t, nil)
 		s := b.r.byID[b.sent(b.arrive(1, 0))]
 		if answers {
-			b.do(400*ms, Timer{})
-			b.r.success(s, 0)
+			b.do(400*ms, TimerFired{})
+			b.r.recordSuccess(s, 0)
 		}
-		b.do(100*ms, Ended{Request: 1, Server: s.ID, Outcome: TimedOut, After: 500 * ms})
-		if b.r.usable(s, 0) != answers {
+		b.do(100*ms, AttemptEnded{Request: 1, Endpoint: s.ID, Outcome: TimedOut, Elapsed: 500 * ms})
+		if b.r.healthy(s, 0) != answers {
 			t.Errorf("answers %t: usable %t", answers, !answers)
 		}
 	}
@@ -826,7 +826,7 @@
 func TestBrokenAnswerReadsAgain(t *testing.T) {
 	b := newBench(t, nil)
 	_, w := b.reads(1, 0)
-	acts := b.do(20*ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: Reset, Begun: true})
+	acts := b.do(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset, StreamStarted: true})
 	if s := b.sent(acts); s > 2 || !has[Release](acts) {
 		t.Errorf("sent to %d: %+v", s, acts)
 	}
@@ -837,14 +837,14 @@
 	b := newBench(t, nil)
 	_, w := b.reads(1, 0)
 	s := b.r.byID[w]
-	b.r.success(s, 0)
-	b.do(20*ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: Reset})
-	s.waits = []waiting{{id: 9}} // no trial is due
-	if !b.r.usable(s, 0) {
+	b.r.recordSuccess(s, 0)
+	b.do(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset})
+	s.pending = []pendingAttempt{{request: 9}} // no trial is due
+	if !b.r.healthy(s, 0) {
 		t.Error("left out after one break")
 	}
-	b.r.judge(s, &request{}, Ended{Outcome: Reset}, writing)
-	if b.r.usable(s, 0) {
+	b.r.recordOutcome(s, &request{}, AttemptEnded{Outcome: ConnectionReset}, decoding)
+	if b.r.healthy(s, 0) {
 		t.Error("left in after two")
 	}
 }
@@ -852,32 +852,32 @@
 // A router that hears little of each reader asks the two that a request's keys rank first, and goes to the one with
 // the shorter queue; nothing is sent before both have told or the wait is over, and a dead one gets nothing.
 func TestAsksBeforeARead(t *testing.T) {
-	start := func() (*bench, []ServerID) {
-		b := newBench(t, func(c *Config) { c.MayProbe = true })
-		var asked []ServerID
+	start := func() (*bench, []EndpointID) {
+		b := newBench(t, func(c *Config) { c.CanPollLoad = true })
+		var asked []EndpointID
 		for _, a := range b.arrive(1, 0) {
 			switch a := a.(type) {
-			case Probe:
-				asked = append(asked, a.Server)
-			case Wake:
-				if a.After != askWait || a.ID != 1 {
+			case PollLoad:
+				asked = append(asked, a.Endpoint)
+			case SetTimer:
+				if a.After != pollTimeout || a.Timer != 1 {
 					t.Errorf("wake %+v", a)
 				}
 			default:
 				t.Errorf("before any answer: %+v", a)
 			}
 		}
-		if len(asked) != askOf {
+		if len(asked) != pollCandidateCount {
 			t.Fatalf("asked %v", asked)
 		}
 		return b, asked
 	}
-	for first := range askOf {
+	for first := range pollCandidateCount {
 		b, asked := start()
-		if acts := b.do(ms, Probed{asked[first], &Load{Queue: 0}}); len(acts) != 0 {
+		if acts := b.do(ms, LoadPolled{asked[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
 			t.Errorf("after one answer: %+v", acts)
 		}
-		if s := b.sent(b.do(ms, Probed{asked[1-first], &Load{Queue: 20, Busy: 1}})); s != asked[first] {
+		if s := b.sent(b.do(ms, LoadPolled{asked[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != asked[first] {
 			t.Errorf("went to %d, not to %d, which has no queue", s, asked[first])
 		}
 		if s := b.sent(b.arrive(2, 0)); s != asked[first] {
@@ -885,16 +885,16 @@
 		}
 	}
 	b, asked := start()
-	b.do(ms, Probed{asked[0], nil})
-	if s := b.sent(b.do(askWait, Timer{1})); s == asked[0] {
+	b.do(ms, LoadPolled{asked[0], nil})
+	if s := b.sent(b.do(pollTimeout, TimerFired{1})); s == asked[0] {
 		t.Errorf("went to %d, which told nothing", s)
 	}
-	if acts := b.do(ms, Probed{asked[1], &Load{}}); len(acts) != 0 {
+	if acts := b.do(ms, LoadPolled{asked[1], &LoadReport{}}); len(acts) != 0 {
 		t.Errorf("a late answer: %+v", acts)
 	}
 	b, asked = start()
 	for _, id := range asked {
-		b.do(0, Probed{id, &Load{Queue: 500}})
+		b.do(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
 	}
 	if b.r.requests[1] != nil {
 		t.Error("passed, though both its readers have told of long queues")
@@ -904,15 +904,15 @@
 // What a request ahead of one takes is learnt from reads: a queue that passed at first is too long once the reads
 // behind such queues have taken three times as long as thought.
 func TestLearnsWhatARequestAheadTakes(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.MayProbe = true })
+	b := newBench(t, func(c *Config) { c.CanPollLoad = true })
 	passes := func(id RequestID, after time.Duration) bool {
 		acts := b.arrive(id, 0)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i].(type) {
-			case Probe:
-				acts = append(acts, b.do(ms, Probed{a.Server, &Load{Queue: 5}})...)
+			case PollLoad:
+				acts = append(acts, b.do(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
 			case Send:
-				b.do(after, Ended{Request: id, Server: a.Server, Outcome: ReadDone, After: after, Final: true})
+				b.do(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
 				return true
 			}
 		}
@@ -927,7 +927,7 @@
 	if passed == 0 || passed > 10 {
 		t.Errorf("%d of 20 passed", passed)
 	}
-	b = newBench(t, func(c *Config) { c.MayProbe = true })
+	b = newBench(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
 		if !passes(id+1, 200*ms) {
 			t.Errorf("request %d was refused, though the queue is short in time", id+1)
@@ -940,9 +940,9 @@
 	b := newBench(t, nil)
 	var least, most time.Duration
 	for id := range RequestID(200) {
-		b.r.requests[id+1] = &request{Arrival: Arrival{Request: id + 1}}
-		b.r.giveUp(b.r.requests[id+1], NoAttempt, 5000)
-		refused := b.r.out[len(b.r.out)-1].(Refuse)
+		b.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
+		b.r.rejectOrFail(b.r.requests[id+1], AttemptsExhausted, 5000)
+		refused := b.r.actions[len(b.r.actions)-1].(Reject)
 		if id == 0 {
 			least = refused.RetryAfter
 		}
@@ -956,20 +956,20 @@
 // Before a state goes on, the writers of its cell are asked: one with requests waiting is passed over, and where all
 // have them the state leaves the cell.
 func TestAsksBeforeAWrite(t *testing.T) {
-	for full, want := range map[int][]ServerID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
-		b := newBench(t, func(c *Config) { c.MayProbe = true })
+	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
+		b := newBench(t, func(c *Config) { c.CanPollLoad = true })
 		b.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the state is none of those that go to cells with room to spare
 		b.arrive(1, 0)
-		b.do(ms, Probed{1, &Load{}})
-		s := b.sent(b.do(ms, Probed{2, &Load{}}))
+		b.do(ms, LoadPolled{1, &LoadReport{}})
+		s := b.sent(b.do(ms, LoadPolled{2, &LoadReport{}}))
 		var acts []Action
-		for _, a := range b.do(ms, Ended{Request: 1, Server: s, Outcome: ReadDone, After: 20 * ms}) {
-			if p, ok := a.(Probe); ok {
+		for _, a := range b.do(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms}) {
+			if p, ok := a.(PollLoad); ok {
 				queue := 0.0
-				if full == int(p.Server) || full == 23 {
+				if full == int(p.Endpoint) || full == 23 {
 					queue = 2
 				}
-				acts = append(acts, b.do(ms, Probed{p.Server, &Load{Memory: 0.3, Queue: queue}})...)
+				acts = append(acts, b.do(ms, LoadPolled{p.Endpoint, &LoadReport{Memory: 0.3, QueuedRequests: queue}})...)
 			}
 		}
 		if to := b.sent(acts); !slices.Contains(want, to) {
@@ -982,10 +982,10 @@
 func TestAsksNobody(t *testing.T) {
 	b := newBench(t, nil)
 	b.sent(b.arrive(1, 0))
-	b = newBench(t, func(c *Config) { c.MayProbe = true })
+	b = newBench(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(40) {
-		b.do(ms, Ended{Request: 99, Server: 1, Outcome: ReadDone, After: 10 * ms})
-		b.r.scatter.add(b.r.now, 1)
+		b.do(ms, AttemptEnded{Request: 99, Endpoint: 1, Outcome: PrefillDone, Elapsed: 10 * ms})
+		b.r.estimateError.add(b.r.now, 1)
 		if id > 20 {
 			b.sent(b.arrive(100+id, 0))
 		}
--- a/decide/driver_test.go
+++ b/decide/driver_test.go
@@ -37,7 +37,7 @@
 
 // watched is what the checks know of one request.
 type watched struct {
-	Arrival
+	RequestArrived
 	deadline  time.Duration
 	out       int // attempts out,
 	arrived   int // those of them that have reached a running server,
@@ -47,7 +47,7 @@
 	finished  bool
 	ran       bool
 	ranAt     time.Duration
-	ranOn     ServerID
+	ranOn     EndpointID
 	held      bool
 	free      time.Duration // end of the last attempt that arrived
 	streaming bool
@@ -62,9 +62,9 @@
 	agenda  agenda
 	seq     int
 	reqs    map[RequestID]*watched
-	servers map[ServerID]*Server
-	sick    map[ServerID]bool
-	cold    map[ServerID][]time.Duration // sends while cold
+	servers map[EndpointID]*Endpoint
+	sick    map[EndpointID]bool
+	cold    map[EndpointID][]time.Duration // sends while cold
 	sends   int
 	spoil   func(Action) []Action // tampers with actions, to show that the checks can fail
 	broken  []string
@@ -76,28 +76,28 @@
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
-			{Aim: time.Second, AimPer1K: 60 * ms, Worth: 1, Effect: Safe},
-			{Aim: 2 * time.Second, AimPer1K: 100 * ms, Worth: 3, Effect: Unsafe},
-			{Aim: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 3 * time.Second},
-			{Aim: 2 * time.Second, Worth: 1, Effect: Keyed, Group: GroupZone, Window: time.Second},
-			{Aim: 2 * time.Second, Worth: 1, Effect: Keyed, Group: GroupAll, Window: time.Second},
+			{TTFTObjective: time.Second, TTFTObjectivePer1K: 60 * ms, Weight: 1, Idempotency: Idempotent},
+			{TTFTObjective: 2 * time.Second, TTFTObjectivePer1K: 100 * ms, Weight: 3, Idempotency: NonIdempotent},
+			{TTFTObjective: 2 * time.Second, Weight: 2, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 3 * time.Second},
+			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: ScopeZone, DedupWindow: time.Second},
+			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: ScopeAll, DedupWindow: time.Second},
 		},
 		TenantQuotas:  []float64{20, 5},
-		Kinds:         []Kind{{Role: Reader}, {Role: Writer}},
+		Kinds:         []Kind{{Role: Prefill}, {Role: Decode}},
 		Routers:       3,
 		MaxAttempts:   5,
 		MaxRetryAfter: time.Second,
-		ReleaseWithin: 500 * ms,
-		ColdFrom:      0.3, ColdFor: 10 * time.Second, FallMultiple: 2.5,
-		MayCancel: true,
+		ReservationTTL: 500 * ms,
+		SlowStartInitial:      0.3, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2.5,
+		CanCancel: true,
 	}
 }
 
 func newDriver(t testing.TB, seed uint64) *driver {
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
-		reqs: map[RequestID]*watched{}, servers: map[ServerID]*Server{}, sick: map[ServerID]bool{},
-		cold: map[ServerID][]time.Duration{}, counts: map[Outcome]int{},
+		reqs: map[RequestID]*watched{}, servers: map[EndpointID]*Endpoint{}, sick: map[EndpointID]bool{},
+		cold: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
 	}
 	d.boot()
 	return d
@@ -112,13 +112,13 @@
 	d.r, d.agenda, d.reqs = r, nil, map[RequestID]*watched{}
 	if len(d.servers) == 0 {
 		for i := range 12 {
-			id := ServerID(100 + 7*i)
-			d.servers[id] = &Server{ID: id, Zone: i / 6, Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1}
+			id := EndpointID(100 + 7*i)
+			d.servers[id] = &Endpoint{ID: id, Zone: i / 6, Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1}
 		}
 	}
 	d.most = [2]int{1, 1}
 	d.countReady()
-	d.handle(Roster{Full: true, Servers: d.list()})
+	d.handle(EndpointUpdate{Full: true, Endpoints: d.list()})
 	d.after(0, d.arrive)
 	d.after(time.Second, d.trouble)
 }
@@ -135,12 +135,12 @@
 	}
 }
 
-func (d *driver) list() []Server {
-	var out []Server
+func (d *driver) list() []Endpoint {
+	var out []Endpoint
 	for _, s := range d.servers {
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(a, b Server) int { return int(a.ID) - int(b.ID) })
+	slices.SortFunc(out, func(a, b Endpoint) int { return int(a.ID) - int(b.ID) })
 	return out
 }
 
@@ -166,13 +166,13 @@
 	d.after(time.Duration(d.rng.ExpFloat64()*40)*ms, d.arrive)
 	d.nextID++
 	left := time.Duration(500+d.rng.IntN(6000)) * ms
-	a := Arrival{
+	a := RequestArrived{
 		Request: d.nextID, Class: d.rng.IntN(len(d.cfg.Classes)), Tenant: d.rng.IntN(2),
-		Session: Key(d.rng.IntN(50)), Shared: Key(1000 + d.rng.IntN(5)), Prompt: 100 + d.rng.IntN(4000),
-		MaxOutput: 200, TimeLeft: left,
+		Session: Key(d.rng.IntN(50)), SharedPrefix: Key(1000 + d.rng.IntN(5)), PromptTokens: 100 + d.rng.IntN(4000),
+		MaxOutputTokens: 200, TimeLeft: left,
 	}
-	a.SharedTokens = a.Prompt / 2
-	q := &watched{Arrival: a, deadline: d.now + left}
+	a.SharedPrefixTokens = a.PromptTokens / 2
+	q := &watched{RequestArrived: a, deadline: d.now + left}
 	d.reqs[a.Request] = q
 	d.handle(a)
 	id := a.Request
@@ -212,9 +212,9 @@
 	}
 	d.countReady()
 	if d.rng.IntN(3) == 0 {
-		d.handle(Roster{Full: true, Servers: slices.DeleteFunc(d.list(), func(s Server) bool { return s.State == Gone })})
+		d.handle(EndpointUpdate{Full: true, Endpoints: slices.DeleteFunc(d.list(), func(s Endpoint) bool { return s.State == Gone })})
 	} else {
-		d.handle(Roster{Servers: []Server{*s}})
+		d.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	}
 }
 
@@ -238,16 +238,16 @@
 		if q := d.reqs[a.Request]; q != nil && q.waiting == 0 {
 			q.held = false // what an attempt waits for stays
 		}
-	case Refuse:
+	case Reject:
 		if q := d.reqs[a.Request]; q != nil && q.ran &&
-			(d.cfg.Classes[q.Class].Effect == Unsafe || d.cfg.Classes[q.Class].Group != GroupAll) {
+			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != ScopeAll) {
 			d.breaks("rule 2: request %d was refused after it may have run", a.Request)
 		}
 		d.answer(a.Request)
 	case Fail:
 		d.answer(a.Request)
-	case Wake:
-		d.after(a.After, func() { d.handle(Timer{a.ID}) })
+	case SetTimer:
+		d.after(a.After, func() { d.handle(TimerFired{a.Timer}) })
 	}
 }
 
@@ -262,7 +262,7 @@
 
 func (d *driver) checkSend(a Send) {
 	d.sends++
-	q, s := d.reqs[a.Request], d.servers[a.Server]
+	q, s := d.reqs[a.Request], d.servers[a.Endpoint]
 	if q == nil || q.answered || q.finished {
 		d.breaks("rule 1: request %d was sent after its end", a.Request)
 		return
@@ -273,10 +273,10 @@
 	if q.out > 0 {
 		d.breaks("rule 2: request %d has two attempts out", a.Request)
 	}
-	if q.ran && d.cfg.Kinds[s.Kind].Role != Reader {
+	if q.ran && d.cfg.Kinds[s.Kind].Role != Prefill {
 		d.checkRepeat(q, s)
 	}
-	if s.Started > 0 && d.now-s.Started < d.cfg.ColdFor {
+	if s.Started > 0 && d.now-s.Started < d.cfg.SlowStartDuration {
 		d.checkCold(s)
 	}
 	q.out++
@@ -288,47 +288,47 @@
 	d.schedule(q, s, attempt, a.Timeout)
 }
 
-func (d *driver) checkRepeat(q *watched, s *Server) {
+func (d *driver) checkRepeat(q *watched, s *Endpoint) {
 	c, on := d.cfg.Classes[q.Class], d.servers[q.ranOn]
 	switch {
-	case c.Effect == Safe:
-	case c.Effect == Unsafe:
+	case c.Idempotency == Idempotent:
+	case c.Idempotency == NonIdempotent:
 		d.breaks("rule 2: unsafe request %d was sent again after it may have run", q.Request)
-	case d.now > q.ranAt+c.Window:
+	case d.now > q.ranAt+c.DedupWindow:
 		d.breaks("rule 2: keyed request %d was sent again past its window", q.Request)
-	case c.Group == GroupCell && s.Cell != on.Cell, c.Group == GroupZone && s.Zone != on.Zone:
+	case c.DedupScope == ScopeCell && s.Cell != on.Cell, c.DedupScope == ScopeZone && s.Zone != on.Zone:
 		d.breaks("rule 2: keyed request %d was sent again outside its group", q.Request)
 	}
 }
 
 // checkCold holds a cold server's sends to this router's even part of what the rule allows, by the
 // rate of all sends so far.
-func (d *driver) checkCold(s *Server) {
+func (d *driver) checkCold(s *Endpoint) {
 	list := append(d.cold[s.ID], d.now)
 	list = slices.DeleteFunc(list, func(at time.Duration) bool { return at < d.now-fallAfter })
 	d.cold[s.ID] = list
-	age := float64(d.now-s.Started) / float64(d.cfg.ColdFor)
-	warmth := d.cfg.ColdFrom + (1-d.cfg.ColdFrom)*age
+	age := float64(d.now-s.Started) / float64(d.cfg.SlowStartDuration)
+	warmth := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
 	// Arrivals a second for each server of the role, by the most that this router was ever told of: of
 	// servers that its lists never named it can know nothing.
 	normal := 25.0 / float64(d.most[s.Kind])
-	allowed := d.cfg.FallMultiple*warmth*normal*fallAfter.Seconds() + 2
+	allowed := d.cfg.OverloadMultiple*warmth*normal*fallAfter.Seconds() + 2
 	if float64(len(list)) > allowed {
 		d.breaks("rule 4: cold server %d of kind %d got %d sends of %.1f", s.ID, s.Kind, len(list), allowed)
 	}
 }
 
 // schedule draws how an attempt ends.
-func (d *driver) schedule(q *watched, s *Server, attempt int, timeout time.Duration) {
+func (d *driver) schedule(q *watched, s *Endpoint, attempt int, timeout time.Duration) {
 	left := q.deadline - d.now
 	if timeout <= 0 || timeout > left {
 		timeout = left
 	}
 	took := time.Duration(5+d.rng.IntN(300)) * ms
 	role := d.cfg.Kinds[s.Kind].Role
-	outcomes := []Outcome{Errored, Full, NoState, TimedOut, ConnectFailed, Reset, Moot}
-	o := ReadDone
-	if role != Reader {
+	outcomes := []Outcome{Errored, QueueFull, StateMissing, TimedOut, ConnectFailed, ConnectionReset, NotSent}
+	o := PrefillDone
+	if role != Prefill {
 		o = Served
 	}
 	if d.rng.IntN(5) == 0 || d.sick[s.ID] {
@@ -337,8 +337,8 @@
 	if o == TimedOut || took > timeout {
 		o, took = TimedOut, timeout
 	}
-	arrives := o.arrives() || o == Reset || o == TimedOut && d.rng.IntN(2) == 0
-	waits := arrives && role != Reader
+	arrives := o.reachedReplica() || o == ConnectionReset || o == TimedOut && d.rng.IntN(2) == 0
+	waits := arrives && role != Prefill
 	if arrives {
 		q.arrived++
 	}
@@ -346,16 +346,16 @@
 		q.waiting++
 	}
 	end := func(o Outcome, final bool) {
-		e := Ended{Request: q.Request, Attempt: attempt, Server: s.ID, Outcome: o, After: took, Kept: q.Prompt / 3}
+		e := AttemptEnded{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Outcome: o, Elapsed: took, CachedTokens: q.PromptTokens / 3}
 		if d.rng.IntN(3) == 0 {
-			e.Load = &Load{Memory: d.rng.Float64(), Waiting: -1}
+			e.Load = &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1}
 		}
 		q.out--
 		d.counts[o]++
 		q.finished = q.finished || final
 		e.Final = q.finished || q.answered
-		lost := role == Reader && arrives && (o == TimedOut || o == Reset) // it may have ended well all the same
-		q.held = q.held && o != Served || o == ReadDone || lost
+		lost := role == Prefill && arrives && (o == TimedOut || o == ConnectionReset) // it may have ended well all the same
+		q.held = q.held && o != Served || o == PrefillDone || lost
 		if waits {
 			q.waiting--
 		}
@@ -363,7 +363,7 @@
 			q.arrived--
 			q.free = d.now
 		}
-		if role != Reader && !o.NeverRan() && !q.ran {
+		if role != Prefill && !o.NeverRan() && !q.ran {
 			q.ran, q.ranAt, q.ranOn = true, d.now-took, s.ID
 		}
 		d.handle(e)
@@ -378,11 +378,11 @@
 			return
 		}
 		q.streaming = true
-		d.handle(Started{Request: q.Request, Attempt: attempt, Server: s.ID, After: took})
+		d.handle(FirstToken{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Elapsed: took})
 		d.after(time.Second, func() {
 			o := Served
 			if d.rng.IntN(10) == 0 {
-				o = Reset // a stream that breaks is finished too
+				o = ConnectionReset // a stream that breaks is finished too
 			}
 			end(o, true)
 		})
@@ -391,7 +391,7 @@
 
 func (d *driver) checkHeld() {
 	for id, q := range d.reqs {
-		if q.arrived == 0 && q.held && d.now > q.free+d.cfg.ReleaseWithin+8*ms {
+		if q.arrived == 0 && q.held && d.now > q.free+d.cfg.ReservationTTL+8*ms {
 			d.breaks("rule 5: request %d is left pinned", id)
 			q.held = false
 		}
@@ -418,7 +418,7 @@
 		if d.sends < 5000 {
 			t.Errorf("seed %d: only %d sends", seed, d.sends)
 		}
-		for o := Served; o <= ReadDone; o++ {
+		for o := Served; o <= PrefillDone; o++ {
 			if d.counts[o] == 0 {
 				t.Errorf("seed %d: outcome %d never came", seed, o)
 			}
@@ -426,7 +426,7 @@
 		if n := len(d.r.requests); n > 1000 {
 			t.Errorf("seed %d: %d requests are still kept", seed, n)
 		}
-		if n := len(d.r.table); n > 60 {
+		if n := len(d.r.prefixCache); n > 60 {
 			t.Errorf("seed %d: %d keys are kept", seed, n)
 		}
 	}
@@ -437,7 +437,7 @@
 	for rule, spoil := range map[string]func(d *driver) func(Action) []Action{
 		"rule 1": func(*driver) func(Action) []Action {
 			return func(a Action) []Action {
-				if _, ok := a.(Refuse); ok {
+				if _, ok := a.(Reject); ok {
 					return nil
 				}
 				return []Action{a}
@@ -446,7 +446,7 @@
 		"rule 2": func(*driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if f, ok := a.(Fail); ok {
-					return []Action{Refuse{Request: f.Request}}
+					return []Action{Reject{Request: f.Request}}
 				}
 				return []Action{a}
 			}
@@ -455,8 +455,8 @@
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
 					for _, x := range d.list() {
-						if x.State != Ready && x.Kind == d.servers[s.Server].Kind {
-							s.Server = x.ID
+						if x.State != Ready && x.Kind == d.servers[s.Endpoint].Kind {
+							s.Endpoint = x.ID
 						}
 					}
 					return []Action{s}
@@ -468,8 +468,8 @@
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
 					for _, x := range d.list() {
-						if x.State == Ready && x.Kind == d.servers[s.Server].Kind && x.Started > d.now-2*time.Second {
-							s.Server = x.ID // herd to the coldest
+						if x.State == Ready && x.Kind == d.servers[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
+							s.Endpoint = x.ID // herd to the coldest
 						}
 					}
 					return []Action{s}
@@ -499,7 +499,7 @@
 func TestChecksCatchSendsThatDoNotArrive(t *testing.T) {
 	d := newDriver(t, 3)
 	d.spoil = func(a Action) []Action {
-		if release, ok := a.(Release); ok && release.Why == NoWord {
+		if release, ok := a.(Release); ok && release.Reason == ReservationExpired {
 			return nil
 		}
 		return []Action{a}
--- a/decide/focus_test.go
+++ b/decide/focus_test.go
@@ -16,41 +16,41 @@
 	}
 	b := &bench{r: r, now: time.Hour}
 	b.T, _ = t.(*testing.T)
-	var list []Server
+	var list []Endpoint
 	for i := range n / 2 {
-		list = append(list, Server{ID: ServerID(1 + i), Kind: 0, State: Ready, Cell: i / 5}, Server{ID: ServerID(1001 + i), Kind: 1, State: Ready, Cell: i / 5})
+		list = append(list, Endpoint{ID: EndpointID(1 + i), Kind: 0, State: Ready, Cell: i / 5}, Endpoint{ID: EndpointID(1001 + i), Kind: 1, State: Ready, Cell: i / 5})
 	}
-	b.do(0, Roster{Full: true, Servers: list})
+	b.do(0, EndpointUpdate{Full: true, Endpoints: list})
 	return b
 }
 
-func cellsOf(cells ...int) (s Subset) {
+func cellsOf(cells ...int) (s SubsetAssigned) {
 	for _, c := range cells {
 		for i := range 5 {
-			s.Servers = append(s.Servers, ServerID(1+5*c+i), ServerID(1001+5*c+i))
+			s.Endpoints = append(s.Endpoints, EndpointID(1+5*c+i), EndpointID(1001+5*c+i))
 		}
 	}
 	return s
 }
 
 // whole plays one request from its arrival to its answer and returns where it went.
-func (b *bench) whole(id RequestID) (reader, writer ServerID, ok bool) {
-	send := func(acts []Action) (ServerID, bool) {
+func (b *bench) whole(id RequestID) (reader, writer EndpointID, ok bool) {
+	send := func(acts []Action) (EndpointID, bool) {
 		for _, a := range acts {
 			if s, ok := a.(Send); ok {
-				return s.Server, true
+				return s.Endpoint, true
 			}
 		}
 		return 0, false
 	}
-	if reader, ok = send(b.do(ms, Arrival{Request: id, Tenant: -1, Session: Key(id), Prompt: 1000, TimeLeft: 4 * time.Second})); !ok {
+	if reader, ok = send(b.do(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
 		return 0, 0, false
 	}
-	if writer, ok = send(b.do(20*ms, Ended{Request: id, Server: reader, Outcome: ReadDone, After: 20 * ms})); !ok {
+	if writer, ok = send(b.do(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
 		return reader, 0, false
 	}
-	b.do(30*ms, Started{Request: id, Attempt: 1, Server: writer, After: 30 * ms})
-	b.do(100*ms, Ended{Request: id, Attempt: 1, Server: writer, Outcome: Served, After: 130 * ms, Final: true})
+	b.do(30*ms, FirstToken{Request: id, Attempt: 1, Endpoint: writer, Elapsed: 30 * ms})
+	b.do(100*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: writer, Outcome: Served, Elapsed: 130 * ms, Final: true})
 	return reader, writer, true
 }
 
@@ -59,10 +59,10 @@
 	b := wideBench(t, 200)
 	subset := cellsOf(2, 7)
 	b.do(0, subset)
-	used := map[ServerID]bool{}
+	used := map[EndpointID]bool{}
 	for id := RequestID(1); id <= 300; id++ {
 		r, w, ok := b.whole(id)
-		if !ok || !slices.Contains(subset.Servers, r) || !slices.Contains(subset.Servers, w) {
+		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
 			t.Fatalf("request %d went to %d and %d, %t", id, r, w, ok)
 		}
 		used[r], used[w] = true, true
@@ -70,7 +70,7 @@
 	if len(used) != 20 {
 		t.Errorf("%d of 20 were used", len(used))
 	}
-	b.do(0, Subset{})
+	b.do(0, SubsetAssigned{})
 	for id := RequestID(1001); id <= 1100; id++ {
 		r, _, _ := b.whole(id)
 		used[r] = true
@@ -87,38 +87,38 @@
 		subset := cellsOf(1, 4)
 		b.do(0, subset)
 		b.whole(1)
-		for _, id := range subset.Servers {
+		for _, id := range subset.Endpoints {
 			if by == "list" {
-				b.do(0, Roster{Servers: []Server{{ID: id, State: Gone}}})
+				b.do(0, EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Gone}}})
 				continue
 			}
 			for range 6 {
 				s := b.r.byID[id]
-				b.r.failure(s, 0, hardWeight, true)
+				b.r.recordFailure(s, 0, transportFailureWeight, true)
 			}
 		}
 		for id := RequestID(10); id < 40; id++ {
 			r, w, ok := b.whole(id)
-			if !ok || slices.Contains(subset.Servers, r) || slices.Contains(subset.Servers, w) {
+			if !ok || slices.Contains(subset.Endpoints, r) || slices.Contains(subset.Endpoints, w) {
 				t.Fatalf("%s: request %d went to %d and %d, %t", by, id, r, w, ok)
 			}
 		}
 		if by == "list" {
-			var back []Server
-			for _, id := range subset.Servers {
+			var back []Endpoint
+			for _, id := range subset.Endpoints {
 				kind := 0
 				if id > 1000 {
 					kind = 1
 				}
-				back = append(back, Server{ID: id, Kind: kind, State: Ready, Cell: int((id - 1) % 1000 / 5)})
+				back = append(back, Endpoint{ID: id, Kind: kind, State: Ready, Cell: int((id - 1) % 1000 / 5)})
 			}
-			b.do(0, Roster{Servers: back})
+			b.do(0, EndpointUpdate{Endpoints: back})
 		} else {
-			b.do(2*time.Minute, Timer{}) // failures fade
+			b.do(2*time.Minute, TimerFired{}) // failures fade
 		}
 		b.whole(50) // it finds that all is well
 		r, w, ok := b.whole(51)
-		if !ok || !slices.Contains(subset.Servers, r) || !slices.Contains(subset.Servers, w) {
+		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
 			t.Errorf("%s: back it went to %d and %d, %t", by, r, w, ok)
 		}
 	}
@@ -126,11 +126,11 @@
 
 // A subset without a writer, or of servers that are not there, is none.
 func TestSubsetWithoutARole(t *testing.T) {
-	for _, s := range []Subset{{Servers: []ServerID{1, 2, 3}}, {Servers: []ServerID{777}}} {
+	for _, s := range []SubsetAssigned{{Endpoints: []EndpointID{1, 2, 3}}, {Endpoints: []EndpointID{777}}} {
 		b := wideBench(t, 100)
 		b.do(0, s)
-		if _, _, ok := b.whole(1); !ok || b.r.narrow {
-			t.Errorf("%v: narrow %t", s, b.r.narrow)
+		if _, _, ok := b.whole(1); !ok || b.r.limited {
+			t.Errorf("%v: narrow %t", s, b.r.limited)
 		}
 	}
 }
@@ -140,13 +140,13 @@
 func TestColdPartOfASubset(t *testing.T) {
 	all, near := wideBench(t, 200), wideBench(t, 200)
 	near.do(0, cellsOf(0, 1))
-	even := func(b *bench) float64 { return 1 / float64(b.r.most[Reader]) }
+	even := func(b *bench) float64 { return 1 / float64(b.r.maxReady[Prefill]) }
 	// Ten routers with a tenth of the cells each, or ten with all.
 	if one, of := even(near), even(all); one*10/100 > of+1e-9 {
 		t.Errorf("a router with a tenth of the readers counts %v of its requests for one, a router with all %v", one, of)
 	}
-	if near.r.most[Reader] != 10 || all.r.most[Reader] != 100 {
-		t.Errorf("%v and %v readers count", near.r.most, all.r.most)
+	if near.r.maxReady[Prefill] != 10 || all.r.maxReady[Prefill] != 100 {
+		t.Errorf("%v and %v readers count", near.r.maxReady, all.r.maxReady)
 	}
 }
 
--- a/decide/golden_test.go
+++ b/decide/golden_test.go
@@ -17,19 +17,19 @@
 func writeAction(w io.Writer, now time.Duration, a Action) {
 	switch a := a.(type) {
 	case Send:
-		writeNumbers(w, now, 1, a.Request, a.Server, int64(a.Timeout))
-	case Probe:
-		writeNumbers(w, now, 2, a.Server)
+		writeNumbers(w, now, 1, a.Request, a.Endpoint, int64(a.Timeout))
+	case PollLoad:
+		writeNumbers(w, now, 2, a.Endpoint)
 	case Release:
 		writeNumbers(w, now, 3, a.Request)
-	case Refuse:
+	case Reject:
 		writeNumbers(w, now, 4, a.Request, int64(a.RetryAfter))
 	case Fail:
 		writeNumbers(w, now, 5, a.Request)
 	case Cancel:
 		writeNumbers(w, now, 6, a.Request, a.Attempt)
-	case Wake:
-		writeNumbers(w, now, 7, int64(a.After), a.ID)
+	case SetTimer:
+		writeNumbers(w, now, 7, int64(a.After), a.Timer)
 	default:
 		panic("an action without a number")
 	}
@@ -71,20 +71,20 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		hash, actions := fnv.New64a(), 0
 		d := newDriver(t, seed)
-		d.cfg.MayProbe, d.cfg.MayCancel = true, seed%2 == 0
-		d.cfg.Budgets = Budgets{Part: 0.25, Probes: 8, Repeats: 0.2, Spare: 2}
+		d.cfg.CanPollLoad, d.cfg.CanCancel = true, seed%2 == 0
+		d.cfg.Budgets = Budgets{Fraction: 0.25, PollsPerReplica: 8, RetriesPerRequest: 0.2, RetriesPerSecond: 2}
 		d.boot()
 		d.spoil = func(a Action) []Action {
 			actions++
 			writeAction(hash, d.now, a)
-			if probe, ok := a.(Probe); ok {
-				d.answerPoll(probe.Server)
+			if probe, ok := a.(PollLoad); ok {
+				d.answerPoll(probe.Endpoint)
 			}
 			return []Action{a}
 		}
 		d.after(2*time.Second, d.disturb)
 		d.run(d.now + 40*time.Second)
-		fmt.Fprintf(hash, "%v", d.r.Tell(d.now, 100))
+		fmt.Fprintf(hash, "%v", d.r.Snapshot(d.now, 100))
 		if got := hash.Sum64(); got != goldenPolledSeeds[seed] || actions < 1000 {
 			t.Errorf("seed %d: %d actions hash to %#x, want %#x", seed, actions, got, goldenPolledSeeds[seed])
 		}
@@ -92,21 +92,21 @@
 }
 
 // drawLoad draws a load report, in which fields may be absent.
-func (d *driver) drawLoad() *Load {
+func (d *driver) drawLoad() *LoadReport {
 	if d.rng.IntN(8) == 0 {
 		return nil
 	}
-	load := &Load{Memory: d.rng.Float64(), Waiting: -1, Queue: float64(d.rng.IntN(6)), Busy: d.rng.Float64()}
+	load := &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1, QueuedRequests: float64(d.rng.IntN(6)), SlotUtilization: d.rng.Float64()}
 	if d.rng.IntN(3) == 0 {
-		load.Waiting = 20 * d.rng.Float64()
+		load.QueuedKiloTokens = 20 * d.rng.Float64()
 	}
 	return load
 }
 
 // answerPoll draws when and how a server answers a poll for its load.
-func (d *driver) answerPoll(server ServerID) {
+func (d *driver) answerPoll(server EndpointID) {
 	load := d.drawLoad()
-	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(Probed{Server: server, Load: load}) })
+	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(LoadPolled{Endpoint: server, Load: load}) })
 }
 
 // disturb draws one of the events that only members of a fleet see.
@@ -115,28 +115,28 @@
 	servers := d.list()
 	switch d.rng.IntN(6) {
 	case 0:
-		d.handle(Share{Part: d.rng.Float64(), For: time.Second})
+		d.handle(QuotaShare{Fraction: d.rng.Float64(), Duration: time.Second})
 	case 1:
-		subset := Subset{}
+		subset := SubsetAssigned{}
 		for _, s := range servers {
 			if d.rng.IntN(3) > 0 {
-				subset.Servers = append(subset.Servers, s.ID)
+				subset.Endpoints = append(subset.Endpoints, s.ID)
 			}
 		}
 		d.handle(subset)
 	case 2, 3:
 		age := time.Duration(d.rng.IntN(400)) * ms
-		d.handle(Heard{Server: servers[d.rng.IntN(len(servers))].ID, Load: d.drawLoad(), Age: age})
+		d.handle(PeerLoadReport{Endpoint: servers[d.rng.IntN(len(servers))].ID, Load: d.drawLoad(), Age: age})
 	case 4:
-		learned := d.r.Tell(d.now, 20)
-		for i := range learned.Texts {
-			learned.Texts[i].At = d.now
-			learned.Texts[i].Asked.N++
+		learned := d.r.Snapshot(d.now, 20)
+		for i := range learned.Prefixes {
+			learned.Prefixes[i].UpdatedAt = d.now
+			learned.Prefixes[i].Requests.Count++
 		}
-		d.handle(Learnt{Beliefs: learned})
+		d.handle(SnapshotReceived{Snapshot: learned})
 	case 5:
 		d.cfg.MaxAttempts = 4 + d.rng.IntN(2)
-		if err := d.r.Retune(d.now, d.cfg); err != nil {
+		if err := d.r.Reconfigure(d.now, d.cfg); err != nil {
 			d.t.Fatal(err)
 		}
 	}
--- a/decide/held.go
+++ b/decide/held.go
@@ -6,82 +6,82 @@
 
 import "time"
 
-// releasePart is the part of Config.ReleaseWithin after which a state is let go; the rest is for the release
+// releaseFraction is the part of Config.ReleaseWithin after which a state is let go; the rest is for the release
 // to arrive.
-const releasePart = 0.8
+const releaseFraction = 0.8
 
-// releaseTimer marks the TimerIDs that look after what a request holds; the others look for a server for it.
-const releaseTimer TimerID = 1 << 63
+// releaseTimerFlag marks the TimerIDs that look after what a request holds; the others look for a server for it.
+const releaseTimerFlag TimerID = 1 << 63
 
-// hold is what may be held for a request at some server.
-type hold struct {
-	may   bool          // something may be held, and is not known to have been let go
+// reservation is what may be held for a request at some server.
+type reservation struct {
+	mayExist   bool          // something may be held, and is not known to have been let go
 	since time.Duration // with may: when the time began to run
-	watch bool          // a timer is under way
-	let   bool          // it was let go while a write was out: if that arrives later, it finds nothing
+	timerSet bool          // a timer is under way
+	releasedWhileDecoding   bool          // it was let go while a write was out: if that arrives later, it finds nothing
 }
 
-// releaseDue is when what is held for a request must be let go, if no attempt is known to have arrived by
+// releaseDeadline is when what is held for a request must be let go, if no attempt is known to have arrived by
 // then.
-func (r *Router) releaseDue(q *request) time.Duration {
-	return q.hold.since + time.Duration(releasePart*float64(r.cfg.ReleaseWithin))
+func (r *Router) releaseDeadline(q *request) time.Duration {
+	return q.reservation.since + time.Duration(releaseFraction*float64(r.cfg.ReservationTTL))
 }
 
-// arrives reports whether an outcome tells that the attempt reached a running server: there was an answer.
-func (o Outcome) arrives() bool {
+// reachedReplica reports whether an outcome tells that the attempt reached a running server: there was an answer.
+func (o Outcome) reachedReplica() bool {
 	switch o {
-	case Served, Errored, Full, NoState, ReadDone:
+	case Served, Errored, QueueFull, StateMissing, PrefillDone:
 		return true
 	}
 	return false
 }
 
-// noteHeld takes an attempt's end. One that did not arrive leaves the time running; of one that was given up
+// updateReservation takes an attempt's end. One that did not arrive leaves the time running; of one that was given up
 // or broke off nobody knows whether it did, and what it left.
-func (q *request) noteHeld(now time.Duration, o Outcome, writes bool) {
+func (q *request) updateReservation(now time.Duration, o Outcome, writes bool) {
 	switch {
-	case o == Served, o == NoState && writes:
-		q.hold.may = false
-	case o == ReadDone, writes && o.arrives():
-		q.hold.may, q.hold.since = true, now
-	case o == TimedOut || o == Reset || o == Cancelled:
-		if !q.hold.may {
-			q.hold.may, q.hold.since = true, now
+	case o == Served, o == StateMissing && writes:
+		q.reservation.mayExist = false
+	case o == PrefillDone, writes && o.reachedReplica():
+		q.reservation.mayExist, q.reservation.since = true, now
+	case o == TimedOut || o == ConnectionReset || o == Cancelled:
+		if !q.reservation.mayExist {
+			q.reservation.mayExist, q.reservation.since = true, now
 		}
 	}
 }
 
 // release lets go of all that is held for a request.
 func (r *Router) release(q *request, why ReleaseReason) {
-	q.hold.may = false
+	q.reservation.mayExist = false
 	r.emit(Release{q.Request, why})
 }
 
-// watchHeld sees to it that what may be held is let go in time, whatever becomes of the attempt that is out.
-func (r *Router) watchHeld(q *request) {
-	if !q.hold.may || q.hold.watch {
+// scheduleRelease sees to it that what may be held is let go in time, whatever becomes of the attempt that is out.
+func (r *Router) scheduleRelease(q *request) {
+	if !q.reservation.mayExist || q.reservation.timerSet {
 		return
 	}
-	q.hold.watch = true
-	r.emit(Wake{max(r.releaseDue(q)-r.now, 0), TimerID(q.Request) | releaseTimer})
+	q.reservation.timerSet = true
+	r.emit(SetTimer{max(r.releaseDeadline(q)-r.now, 0), TimerID(q.Request) | releaseTimerFlag})
 }
 
-// releaseIfDue is called when the timer of watchHeld is due.
-func (r *Router) releaseIfDue(q *request) {
-	q.hold.watch = false
-	if !q.hold.may {
+// releaseIfExpired is called when the timer of watchHeld is due.
+func (r *Router) releaseIfExpired(q *request) {
+	q.reservation.timerSet = false
+	if !q.reservation.mayExist {
 		return
 	}
-	if r.now < r.releaseDue(q) {
-		r.watchHeld(q)
+	if r.now < r.releaseDeadline(q) {
+		r.scheduleRelease(q)
 		return
 	}
-	r.release(q, NoWord)
-	switch q.phase {
-	case read: // without a writer yet: it has to be read anew
-		q.phase, q.again, q.unheard, q.lookAt = arrived, true, 0, r.now
+	r.release(q, ReservationExpired)
+	switch q.state {
+	case awaitingDecode: // without a writer yet: it has to be read anew
+		q.state, q.retrying, q.pendingPolls, q.selectionStart = awaitingPrefill, true, 0, r.now
 		r.advance(q)
-	case writing:
-		q.hold.let = true
+	case decoding:
+		q.reservation.releasedWhileDecoding = true
 	}
 }
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -11,7 +11,7 @@
 	b.reads(id, class)
 	var due []timerAt
 	held := b.now
-	failAt, attempt, writer := held+each, 1, b.r.requests[id].server
+	failAt, attempt, writer := held+each, 1, b.r.requests[id].endpoint
 	due = append(due, timersOf(b.last, b.now)...)
 	for b.now < held+2*time.Second {
 		next := failAt
@@ -25,9 +25,9 @@
 		if at >= 0 {
 			timer := due[at]
 			due = append(due[:at], due[at+1:]...)
-			acts = b.do(timer.at-b.now, Timer{timer.id})
+			acts = b.do(timer.at-b.now, TimerFired{timer.id})
 		} else {
-			acts = b.do(failAt-b.now, Ended{Request: id, Attempt: attempt, Server: writer, Outcome: ConnectFailed, After: each})
+			acts = b.do(failAt-b.now, AttemptEnded{Request: id, Attempt: attempt, Endpoint: writer, Outcome: ConnectFailed, Elapsed: each})
 			failAt = held + time.Hour
 		}
 		due = append(due, timersOf(acts, b.now)...)
@@ -37,7 +37,7 @@
 				return b.now - held, true
 			case Send:
 				attempt++
-				writer, failAt = a.Server, b.now+each
+				writer, failAt = a.Endpoint, b.now+each
 			}
 		}
 	}
@@ -51,8 +51,8 @@
 
 func timersOf(acts []Action, now time.Duration) (out []timerAt) {
 	for _, a := range acts {
-		if w, ok := a.(Wake); ok {
-			out = append(out, timerAt{now + w.After, w.ID})
+		if w, ok := a.(SetTimer); ok {
+			out = append(out, timerAt{now + w.After, w.Timer})
 		}
 	}
 	return out
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			for class := range 2 {
 				b := newBench(t, nil)
-				within := b.r.cfg.ReleaseWithin
+				within := b.r.cfg.ReservationTTL
 				if took, ok := b.releasedAt(1, class, each); !ok || took > within {
 					t.Errorf("class %d: let go %t, after %v, want within %v", class, ok, took, within)
 				}
--- a/decide/quiet_test.go
+++ b/decide/quiet_test.go
@@ -23,12 +23,12 @@
 	const readers, perToken = 8, 50 * time.Microsecond // 20,000 tokens a second
 	cfg := testConfig()
 	cfg.Routers, cfg.TenantQuotas = routers, nil
-	cfg.Classes = []Class{{Aim: 1100 * ms, AimPer1K: 40 * ms, Worth: 1, Effect: Safe}, {Aim: 2800 * ms, AimPer1K: 40 * ms, Worth: 2, Effect: Unsafe}}
+	cfg.Classes = []Class{{TTFTObjective: 1100 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 1, Idempotency: Idempotent}, {TTFTObjective: 2800 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 2, Idempotency: NonIdempotent}}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Hour
-	var list []Server
+	var list []Endpoint
 	for i := range 2 * readers {
-		list = append(list, Server{ID: ServerID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
 	}
 	var all []*Router
 	for i := range routers {
@@ -36,38 +36,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, Roster{Full: true, Servers: list}, nil)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
 		all = append(all, r)
 	}
 	var agenda agenda
 	after := func(dt time.Duration, do func()) { heap.Push(&agenda, due{now + dt, len(agenda), do}) }
-	free := map[ServerID]time.Duration{}
-	kept := map[ServerID]map[Key]int{}
+	free := map[EndpointID]time.Duration{}
+	kept := map[EndpointID]map[Key]int{}
 	var out []quietRequest
 	var handle func(r *Router, n int, ev Event)
 	handle = func(r *Router, n int, ev Event) {
 		q := &out[n]
 		for _, a := range r.Handle(now, ev, nil) {
 			switch a := a.(type) {
-			case Wake:
-				after(a.After, func() { handle(r, n, Timer{a.ID}) })
+			case SetTimer:
+				after(a.After, func() { handle(r, n, TimerFired{a.Timer}) })
 			case Send:
-				if list[a.Server-10].Kind == 1 {
+				if list[a.Endpoint-10].Kind == 1 {
 					q.passed = true
 					after(30*ms, func() {
-						handle(r, n, Ended{Request: RequestID(n), Attempt: 1, Server: a.Server, Outcome: Served, After: 30 * ms, Final: true})
+						handle(r, n, AttemptEnded{Request: RequestID(n), Attempt: 1, Endpoint: a.Endpoint, Outcome: Served, Elapsed: 30 * ms, Final: true})
 					})
 					continue
 				}
-				if kept[a.Server] == nil {
-					kept[a.Server] = map[Key]int{}
+				if kept[a.Endpoint] == nil {
+					kept[a.Endpoint] = map[Key]int{}
 				}
-				had := min(kept[a.Server][q.session], q.prompt)
-				free[a.Server] = max(free[a.Server], now) + 7*ms + time.Duration(q.prompt-had)*perToken
-				kept[a.Server][q.session] = q.prompt
+				had := min(kept[a.Endpoint][q.session], q.prompt)
+				free[a.Endpoint] = max(free[a.Endpoint], now) + 7*ms + time.Duration(q.prompt-had)*perToken
+				kept[a.Endpoint][q.session] = q.prompt
 				sent := now
-				after(free[a.Server]-now, func() {
-					handle(r, n, Ended{Request: RequestID(n), Server: a.Server, Outcome: ReadDone, Kept: had, After: now - sent})
+				after(free[a.Endpoint]-now, func() {
+					handle(r, n, AttemptEnded{Request: RequestID(n), Endpoint: a.Endpoint, Outcome: PrefillDone, CachedTokens: had, Elapsed: now - sent})
 				})
 			}
 		}
@@ -83,7 +83,7 @@
 		q.prompt = min(600+int(rng.ExpFloat64()*2400)+100*turns[q.session], 30000)
 		out = append(out, q)
 		n := len(out) - 1
-		handle(all[rng.IntN(routers)], n, Arrival{Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, Prompt: q.prompt, TimeLeft: 6 * time.Second})
+		handle(all[rng.IntN(routers)], n, RequestArrived{Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt, TimeLeft: 6 * time.Second})
 	}
 	arrive()
 	for end := now + 2*time.Minute; agenda[0].at < end; {
--- a/decide/retune.go
+++ b/decide/retune.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// tune is the number of attempts in force from a time on.
-type tune struct {
-	from     time.Duration
+// attemptLimit is the number of attempts in force from a time on.
+type attemptLimit struct {
+	until     time.Duration
 	attempts int
 }
 
-// Retune takes a new configuration while requests are open. Its classes must begin with the ones in force,
+// Reconfigure takes a new configuration while requests are open. Its classes must begin with the ones in force,
 // unchanged, so that a number means the same class for every request that is open; classes that clients may
 // no longer name stay in the list. An open request may take no more attempts than the least that was in force
 // since it came. The zone, the quotas, the kinds and the budgets stay as they were. now is the time of the change.
-func (r *Router) Retune(now time.Duration, cfg Config) error {
+func (r *Router) Reconfigure(now time.Duration, cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -28,24 +28,24 @@
 	cfg.Zone, cfg.TenantQuotas, cfg.Kinds, cfg.Budgets = r.cfg.Zone, r.cfg.TenantQuotas, r.cfg.Kinds, r.cfg.Budgets
 	oldest := r.now
 	for _, q := range r.requests {
-		oldest = min(oldest, q.at)
+		oldest = min(oldest, q.arrivedAt)
 	}
 	// What was in force before the oldest open request came binds no one any more.
-	r.tunes = slices.DeleteFunc(r.tunes, func(t tune) bool { return t.from < oldest })
-	r.tunes = append(r.tunes, tune{from: r.now, attempts: r.cfg.MaxAttempts})
+	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(t attemptLimit) bool { return t.until < oldest })
+	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
 	r.cfg = cfg
 	top, low := math.Inf(-1), math.Inf(1)
 	for _, c := range cfg.Classes {
-		top, low = math.Max(top, c.Worth), math.Min(low, c.Worth)
-		r.tightest = min(r.tightest, toMS(c.Aim)*headroom)
+		top, low = math.Max(top, c.Weight), math.Min(low, c.Weight)
+		r.tightestBudget = min(r.tightestBudget, toMS(c.TTFTObjective)*latencyHeadroom)
 	}
 	r.critical = r.critical[:0]
 	for _, c := range cfg.Classes {
-		r.critical = append(r.critical, c.Worth == top && top > low)
+		r.critical = append(r.critical, c.Weight == top && top > low)
 	}
 	for _, s := range r.byID {
 		for len(s.health) < 1+len(cfg.Classes) {
-			s.health = append(s.health, level{fade: healthFade})
+			s.health = append(s.health, ewma{timeConstant: healthTimeConstant})
 		}
 	}
 	return nil
@@ -54,9 +54,9 @@
 // attempts is how many attempts a request may take: the least number in force since it came.
 func (r *Router) attempts(q *request) int {
 	n := r.cfg.MaxAttempts
-	for _, t := range r.tunes {
+	for _, t := range r.attemptLimits {
 		// t.attempts held until t.from; the request saw it if it came before.
-		if q.at < t.from {
+		if q.arrivedAt < t.until {
 			n = min(n, t.attempts)
 		}
 	}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -12,23 +12,23 @@
 	b := newBench(t, nil)
 	_, w := b.reads(1, 1) // unsafe
 	cfg := testConfig()
-	cfg.Classes = append(cfg.Classes, Class{Aim: 2 * time.Second, Worth: 3, Effect: Safe}) // 5: the name of 1, now safe
+	cfg.Classes = append(cfg.Classes, Class{TTFTObjective: 2 * time.Second, Weight: 3, Idempotency: Idempotent}) // 5: the name of 1, now safe
 	cfg.MaxAttempts = 2                                                                    // a read and a write
-	if err := b.r.Retune(b.now, cfg); err != nil {
+	if err := b.r.Reconfigure(b.now, cfg); err != nil {
 		t.Fatal(err)
 	}
-	if acts := b.do(50*ms, Ended{Request: 1, Attempt: 1, Server: w, Outcome: Reset}); has[Send](acts) || !has[Fail](acts) {
+	if acts := b.do(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); has[Send](acts) || !has[Fail](acts) {
 		t.Errorf("the unsafe request that may have run: %+v", acts)
 	}
 	if acts := b.arrive(2, 5); !has[Send](acts) {
 		t.Errorf("the new class: %+v", acts)
 	}
 	// Two attempts are in force: a read that failed leaves no room for another and a write.
-	if acts := b.do(30*ms, Ended{Request: 3, Attempt: 1, Server: b.sent(b.arrive(3, 0)), Outcome: ConnectFailed}); has[Send](acts) {
+	if acts := b.do(30*ms, AttemptEnded{Request: 3, Attempt: 1, Endpoint: b.sent(b.arrive(3, 0)), Outcome: ConnectFailed}); has[Send](acts) {
 		t.Errorf("a third attempt where two are in force: %+v", acts)
 	}
 	cfg.MaxAttempts = 5
-	if err := b.r.Retune(b.now, cfg); err != nil {
+	if err := b.r.Reconfigure(b.now, cfg); err != nil {
 		t.Fatal(err)
 	}
 	if n := b.r.attempts(b.r.requests[2]); n != 2 {
@@ -39,7 +39,7 @@
 	}
 	dropped := testConfig()
 	dropped.Classes = dropped.Classes[1:]
-	if err := b.r.Retune(b.now, dropped); err == nil {
+	if err := b.r.Reconfigure(b.now, dropped); err == nil {
 		t.Error("a retune that renumbers the classes was taken")
 	}
 }
--- a/decide/roster.go
+++ b/decide/roster.go
@@ -8,44 +8,44 @@
 	"slices"
 )
 
-func (r *Router) roster(e Roster) {
+func (r *Router) updateEndpoints(e EndpointUpdate) {
 	if e.Full {
-		for _, s := range r.servers {
+		for _, s := range r.replicas {
 			s.State = Gone
 		}
 	}
-	for _, in := range e.Servers {
-		r.listServer(in)
+	for _, in := range e.Endpoints {
+		r.updateEndpoint(in)
 	}
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
-		if s.State != Gone || len(s.waits) > 0 || s.streams > 0 {
+	r.replicas = slices.DeleteFunc(r.replicas, func(s *replica) bool {
+		if s.State != Gone || len(s.pending) > 0 || s.streams > 0 {
 			return false
 		}
 		delete(r.byID, s.ID)
 		return true
 	})
-	r.refocus()
+	r.updateActive()
 }
 
-func (r *Router) listServer(in Server) {
+func (r *Router) updateEndpoint(in Endpoint) {
 	s := r.byID[in.ID]
 	if s == nil {
 		if in.State == Gone {
 			return
 		}
-		s = &server{Server: in}
-		s.forget(r)
+		s = &replica{Endpoint: in}
+		s.resetStats(r)
 		r.byID[in.ID] = s
-		at, _ := slices.BinarySearchFunc(r.servers, in.ID, func(s *server, id ServerID) int {
+		at, _ := slices.BinarySearchFunc(r.replicas, in.ID, func(s *replica, id EndpointID) int {
 			return cmp.Compare(s.ID, id)
 		})
-		r.servers = slices.Insert(r.servers, at, s)
+		r.replicas = slices.Insert(r.replicas, at, s)
 	}
 	if in.Started != s.Started || in.State == Gone {
-		s.forget(r)
+		s.resetStats(r)
 	}
-	s.Server = in
-	s.cell = entry(r.cells, in.Cell)
+	s.Endpoint = in
+	s.cell = getOrCreate(r.cells, in.Cell)
 	if in.Kind >= 0 && in.Kind < len(r.cfg.Kinds) {
 		s.role = r.cfg.Kinds[in.Kind].Role
 	}
@@ -54,56 +54,56 @@
 	}
 }
 
-// forget drops what was learnt of a server's last process: what it kept is void, its failures are not
+// resetStats drops what was learnt of a server's last process: what it kept is void, its failures are not
 // the new one's.
-func (s *server) forget(r *Router) {
-	s.voidTill, s.fullTill, s.memory, s.backlog = r.now, 0, -1, -1
-	s.excess, s.wait, s.turn = evidence{fade: fitFade}, evidence{fade: waitFade}, r.rng.Float64()
-	s.health = slices.Repeat([]level{{fade: healthFade}}, 1+len(r.cfg.Classes))
+func (s *replica) resetStats(r *Router) {
+	s.cacheValidFrom, s.fullUntil, s.reportedMemory, s.reportedBacklog = r.now, 0, -1, -1
+	s.queueDelay, s.firstTokenDelay, s.slowStartCredit = decayedMean{timeConstant: modelTimeConstant}, decayedMean{timeConstant: decodeWaitTimeConstant}, r.rng.Float64()
+	s.health = slices.Repeat([]ewma{{timeConstant: healthTimeConstant}}, 1+len(r.cfg.Classes))
 }
 
-// survey sums up the cells for a decision about a class, in two passes over the servers.
-func (r *Router) survey(class int) {
-	none := cell{wait: math.Inf(1)}
-	for _, s := range r.near {
+// sumCapacity sums up the cells for a decision about a class, in two passes over the servers.
+func (r *Router) sumCapacity(class int) {
+	none := cell{minDecodeWait: math.Inf(1)}
+	for _, s := range r.active {
 		*s.cell = none
 	}
-	r.every = none
-	r.fit.solve(r.now)
-	r.fetch.solve(r.now)
-	for _, s := range r.near {
-		weight := r.share(s)
-		if s.role == Reader && s.State == Ready {
-			s.cell.sends += weight
-			r.every.sends += weight
+	r.total = none
+	r.prefillModel.solve(r.now)
+	r.decodeModel.solve(r.now)
+	for _, s := range r.active {
+		weight := r.effectiveWeight(s)
+		if s.role == Prefill && s.State == Ready {
+			s.cell.readyPrefillCapacity += weight
+			r.total.readyPrefillCapacity += weight
 		}
-		if !r.usable(s, class) {
+		if !r.healthy(s, class) {
 			continue
 		}
-		if s.role == Reader {
-			s.cell.readers += weight
-			r.every.readers += weight
+		if s.role == Prefill {
+			s.cell.prefillCapacity += weight
+			r.total.prefillCapacity += weight
 			continue
 		}
-		s.cell.writers += weight
-		r.every.writers += weight
-		w := r.writerWait(s)
-		s.cell.wait, r.every.wait = min(s.cell.wait, w), min(r.every.wait, w)
+		s.cell.decodeCapacity += weight
+		r.total.decodeCapacity += weight
+		w := r.decodeWait(s)
+		s.cell.minDecodeWait, r.total.minDecodeWait = min(s.cell.minDecodeWait, w), min(r.total.minDecodeWait, w)
 	}
-	if r.turns() {
-		r.survey(class)
+	if r.toggleFallback() {
+		r.sumCapacity(class)
 	}
 }
 
-// pull weighs a cell's readers by what its writers bear; room is the part of its readers' states that
+// cellPreference weighs a cell's readers by what its writers bear; room is the part of its readers' states that
 // its writers can then take if all servers are used evenly. Few of a cell's servers are ever seen busy
 // by one router among many, so the list must tell that a cell has too few writers. It could do harm
 // where weights in the list mean nothing.
-func (r *Router) pull(c *cell) (pull, room float64) {
+func (r *Router) cellPreference(c *cell) (pull, room float64) {
 	bears := math.Inf(1)
-	if c.readers > 0 && r.every.writers > 0 {
-		bears = c.writers / r.every.writers * r.every.readers / c.readers
+	if c.prefillCapacity > 0 && r.total.decodeCapacity > 0 {
+		bears = c.decodeCapacity / r.total.decodeCapacity * r.total.prefillCapacity / c.prefillCapacity
 	}
-	pull = clamp(bears, minPull, 1)
+	pull = clamp(bears, minCellPreference, 1)
 	return pull, bears / pull
 }
--- a/decide/stats.go
+++ b/decide/stats.go
@@ -7,90 +7,90 @@
 	"time"
 )
 
-// evidence is a fading mean that leans on its pool's value, given as so many samples, where it is thin.
-type evidence struct {
-	sum, n float64
-	at     time.Duration
-	fade   time.Duration
+// decayedMean is a fading mean that leans on its pool's value, given as so many samples, where it is thin.
+type decayedMean struct {
+	sum, samples float64
+	updatedAt     time.Duration
+	timeConstant   time.Duration
 }
 
-// left is the part of the evidence that has not faded. Of most servers of a large list there is none: an exponential for each of them at
+// remaining is the part of the evidence that has not faded. Of most servers of a large list there is none: an exponential for each of them at
 // each decision would be most of what the router does.
-func (e *evidence) left(now time.Duration) float64 {
-	if e.n == 0 && e.sum == 0 {
+func (e *decayedMean) remaining(now time.Duration) float64 {
+	if e.samples == 0 && e.sum == 0 {
 		return 0
 	}
-	return faded(now-e.at, e.fade)
+	return decay(now-e.updatedAt, e.timeConstant)
 }
 
-func (e *evidence) add(now time.Duration, x float64) {
-	f := e.left(now)
-	e.sum, e.n, e.at = e.sum*f+x, e.n*f+1, now
+func (e *decayedMean) add(now time.Duration, x float64) {
+	f := e.remaining(now)
+	e.sum, e.samples, e.updatedAt = e.sum*f+x, e.samples*f+1, now
 }
 
-func (e *evidence) count(now time.Duration) float64 { return e.n * e.left(now) }
+func (e *decayedMean) count(now time.Duration) float64 { return e.samples * e.remaining(now) }
 
-func (e *evidence) mean(now time.Duration, pool, weight float64) float64 {
-	f := e.left(now)
-	return (e.sum*f + weight*pool) / (e.n*f + weight)
+func (e *decayedMean) mean(now time.Duration, pool, weight float64) float64 {
+	f := e.remaining(now)
+	return (e.sum*f + weight*pool) / (e.samples*f + weight)
 }
 
-// level is an average that fades towards zero.
-type level struct {
+// ewma is an average that fades towards zero.
+type ewma struct {
 	value float64
-	at    time.Duration
-	fade  time.Duration
+	updatedAt    time.Duration
+	timeConstant  time.Duration
 }
 
-func (l *level) now(now time.Duration) float64 {
+func (l *ewma) current(now time.Duration) float64 {
 	if l.value == 0 {
 		return 0
 	}
-	return l.value * faded(now-l.at, l.fade)
+	return l.value * decay(now-l.updatedAt, l.timeConstant)
 }
 
-// move takes the level a part of the way to x.
-func (l *level) move(now time.Duration, x, part float64) {
-	v := l.now(now)
-	l.value, l.at = v+part*(x-v), now
+// update takes the level a part of the way to x.
+func (l *ewma) update(now time.Duration, x, part float64) {
+	v := l.current(now)
+	l.value, l.updatedAt = v+part*(x-v), now
 }
 
-// faded is what is left of a weight after some time.
-func faded(age, fade time.Duration) float64 { return math.Exp(-float64(age) / float64(fade)) }
+// decay is what is left of a weight after some time.
+func decay(age, fade time.Duration) float64 { return math.Exp(-float64(age) / float64(fade)) }
 
-// fit is a fading least-squares fit of a time in ms to three inputs. Its prior coefficients weigh as
+// latencyModel is a fading least-squares latencyModel of a time in ms to three inputs. Its prior coefficients weigh as
 // some samples, so inputs that do not vary leave the rest where they were; bounds hold whatever comes.
-type fit struct {
-	a                    [3][3]float64
-	b, coef, prior, most [3]float64
-	weight               float64
-	at, fade             time.Duration
+type latencyModel struct {
+	normal                    [3][3]float64
+	moments, coefficients, prior, maxCoefficients [3]float64
+	priorWeight               float64
+	updatedAt, timeConstant             time.Duration
 }
 
-func (f *fit) predict(x [3]float64) float64 { return f.coef[0]*x[0] + f.coef[1]*x[1] + f.coef[2]*x[2] }
+func (f *latencyModel) predict(x [3]float64) float64 { return f.coefficients[0]*x[0] + f.coefficients[1]*x[1] + f.coefficients[2]*x[2] }
 
-func (f *fit) add(now time.Duration, x [3]float64, y float64) {
-	left := faded(now-f.at, f.fade)
-	f.at = now
+func (f *latencyModel) add(now time.Duration, x [3]float64, y float64) {
+	left := decay(now-f.updatedAt, f.timeConstant)
+	f.updatedAt = now
 	for i := range x {
 		for j := range x {
-			f.a[i][j] = f.a[i][j]*left + x[i]*x[j]
+			f.normal[i][j] = f.normal[i][j]*left + x[i]*x[j]
 		}
-		f.b[i] = f.b[i]*left + x[i]*y
+		f.moments[i] = f.moments[i]*left + x[i]*y
 	}
 	f.solve(now)
 }
 
 // solve sets the coefficients from what is left of the samples.
-func (f *fit) solve(now time.Duration) {
-	left := faded(now-f.at, f.fade)
-	m, v := f.a, f.b
+func (f *latencyModel) solve(now time.Duration) {
+	left := decay(now-f.updatedAt, f.timeConstant)
+	m, v := f.normal, f.moments
 	for i := range v {
 		for j := range v {
 			m[i][j] *= left
 		}
-		m[i][i] += f.weight
-		v[i] = v[i]*left + f.weight*f.prior[i]
+		m[i][i] += f.priorWeight
+		v[i] = v[i]*left + f.priorWeight*f.prior[i]
 	}
 	for i := range v {
 		for j := i + 1; j < len(v); j++ {
@@ -106,7 +106,7 @@
 			v[i] -= m[i][l] * v[l]
 		}
 		v[i] /= m[i][i]
-		f.coef[i] = clamp(v[i], 0, f.most[i])
+		f.coefficients[i] = clamp(v[i], 0, f.maxCoefficients[i])
 	}
 }
 
@@ -120,8 +120,8 @@
 func toMS(d time.Duration) float64   { return float64(d) / float64(time.Millisecond) }
 func fromMS(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// draw is an exponential variate that hangs on the key and the server alone.
-func draw(key Key, id ServerID) float64 {
+// exponentialDraw is an exponential variate that hangs on the key and the server alone.
+func exponentialDraw(key Key, id EndpointID) float64 {
 	x := uint64(key) ^ (uint64(id)+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/decide/window_test.go
+++ b/decide/window_test.go
@@ -9,9 +9,9 @@
 // longer drop its repeats.
 func TestRepeatsAllowForAHoldUp(t *testing.T) {
 	for left, again := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
-		b := newBench(t, func(c *Config) { c.Classes[2].Window = 3 * time.Second })
+		b := newBench(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
 		_, writer := b.reads(1, 2)
-		acts := b.do(3*time.Second-left, Ended{Request: 1, Attempt: 1, Server: writer, Outcome: Reset, After: 3*time.Second - left})
+		acts := b.do(3*time.Second-left, AttemptEnded{Request: 1, Attempt: 1, Endpoint: writer, Outcome: ConnectionReset, Elapsed: 3*time.Second - left})
 		if has[Send](acts) != again {
 			t.Errorf("with %v of the window left: %+v", left, acts)
 		}
--- a/decide/write.go
+++ b/decide/write.go
@@ -7,67 +7,67 @@
 	"slices"
 )
 
-// toWriter sends a read request to the writer with most room in its reader's cell.
-func (r *Router) toWriter(q *request) {
-	if r.asks(q) {
+// startDecode sends a read request to the writer with most room in its reader's cell.
+func (r *Router) startDecode(q *request) {
+	if r.pollLoads(q) {
 		return
 	}
-	s := r.bestWriter(q)
+	s := r.bestDecodeReplica(q)
 	if s == nil {
-		r.pause(q, NoWriter, r.releaseDue(q))
+		r.retryLater(q, NoDecodeReplica, r.releaseDeadline(q))
 		return
 	}
 	left := q.deadline - r.now
 	limit := left
 	// A silent writer is left while there is time for another, where a repeat is allowed.
-	if r.cfg.Classes[q.Class].Effect == Safe && left > 2*writeGrace && q.sends+1 < r.attempts(q) {
-		limit = max(left/2, writeGrace)
+	if r.cfg.Classes[q.Class].Idempotency == Idempotent && left > 2*minDecodeTimeout && q.attempts+1 < r.attempts(q) {
+		limit = max(left/2, minDecodeTimeout)
 	}
-	q.phase, q.ahead = writing, float64(len(s.waits))
-	r.send(q, s, limit, r.now+writeGrace)
+	q.state, q.ownAttemptsAhead = decoding, float64(len(s.pending))
+	r.send(q, s, limit, r.now+minDecodeTimeout)
 }
 
-// bestWriter prefers a writer with room in the reader's cell, then one elsewhere, then any. The part of
+// bestDecodeReplica prefers a writer with room in the reader's cell, then one elsewhere, then any. The part of
 // the states that a cell's writers cannot bear goes to cells that have writers to spare.
-func (r *Router) bestWriter(q *request) *server {
-	r.survey(q.Class)
-	from := r.byID[q.reader]
-	if q.phase != read {
+func (r *Router) bestDecodeReplica(q *request) *replica {
+	r.sumCapacity(q.Class)
+	from := r.byID[q.prefillEndpoint]
+	if q.state != awaitingDecode {
 		from = nil
 	}
 	zone, spill := r.cfg.Zone, false
 	if from != nil {
-		_, room := r.pull(from.cell)
+		_, room := r.cellPreference(from.cell)
 		zone, spill = from.Zone, r.rng.Float64() > room
 	}
-	var best *server
+	var best *replica
 	low, ties := [4]float64{math.Inf(1)}, 0
-	for _, s := range r.near {
-		if s.role == Reader || s.State != Ready || q.ran && !r.repeats(q, s) {
+	for _, s := range r.active {
+		if s.role == Prefill || s.State != Ready || q.mayHaveRun && !r.canRetryOn(q, s) {
 			continue
 		}
-		if q.phase == arrived && s.role == Writer && !r.cfg.LocalRead {
+		if q.state == awaitingPrefill && s.role == Decode && !r.cfg.DecodeCanPrefill {
 			continue
 		}
-		tried, usable := slices.Contains(q.tried, s.ID), r.usable(s, q.Class)
-		if tried && r.now < s.fullTill {
+		tried, usable := slices.Contains(q.failedEndpoints, s.ID), r.healthy(s, q.Class)
+		if tried && r.now < s.fullUntil {
 			continue
 		}
 		near := from != nil && s.cell == from.cell
-		if r.warmth(s) < 1 {
+		if r.rampFraction(s) < 1 {
 			flow := 1.0 // the part of all states that the cell's readers send, also if others do not answer
-			if s.cell.sends > 0 {
-				flow = max(s.cell.sends/r.every.sends, s.cell.readers/max(r.every.readers, 1e-9))
+			if s.cell.readyPrefillCapacity > 0 {
+				flow = max(s.cell.readyPrefillCapacity/r.total.readyPrefillCapacity, s.cell.prefillCapacity/max(r.total.prefillCapacity, 1e-9))
 			}
-			if s.cell.sends > 0 && (!near || spill) || !r.coldTurn(s, q, flow, 0) {
+			if s.cell.readyPrefillCapacity > 0 && (!near || spill) || !r.takeSlowStartTurn(s, q, flow, 0) {
 				continue
 			}
-			s.turn--
+			s.slowStartCredit--
 			if usable {
 				return s
 			}
 		}
-		tier, wait, spread := 0.0, r.writerWait(s), 0.0
+		tier, wait, spread := 0.0, r.decodeWait(s), 0.0
 		switch {
 		case !usable:
 			tier = 8
@@ -78,7 +78,7 @@
 			tier += 4
 		}
 		if spill {
-			_, room := r.pull(s.cell)
+			_, room := r.cellPreference(s.cell)
 			spread = r.rng.ExpFloat64() / (s.Weight * max(1-1/room, 1e-9))
 			if s.Zone != zone {
 				spread *= 3
@@ -88,7 +88,7 @@
 		} else if !near {
 			tier++
 		}
-		key := [4]float64{tier, wait, spread, r.fill(s)}
+		key := [4]float64{tier, wait, spread, r.fillLevel(s)}
 		switch d := slices.Compare(key[:], low[:]); {
 		case best == nil || d < 0:
 			best, low, ties = s, key, 1
@@ -101,29 +101,29 @@
 	return best
 }
 
-// fill is how full a writer is: reported memory where there is a report, plus own streams by size.
-func (r *Router) fill(s *server) float64 {
-	f := float64(s.streams+len(s.waits)+1) / (s.Weight * r.warmth(s))
-	if s.memory >= 0 && r.told(s) {
-		return s.memory + f/1000
+// fillLevel is how full a writer is: reported memory where there is a report, plus own streams by size.
+func (r *Router) fillLevel(s *replica) float64 {
+	f := float64(s.streams+len(s.pending)+1) / (s.Weight * r.rampFraction(s))
+	if s.reportedMemory >= 0 && r.loadKnown(s) {
+		return s.reportedMemory + f/1000
 	}
 	return f
 }
 
-// heldUp is how much sooner a window for repeats is over than its time: a process may be held up for 0.15 s
+// maxStall is how much sooner a window for repeats is over than its time: a process may be held up for 0.15 s
 // between a decision and the bytes that follow from it, and its connection may have to settle.
-const heldUp = 200 * ms
+const maxStall = 200 * ms
 
-// repeats reports whether a request that may have run may go to the server.
-func (r *Router) repeats(q *request, s *server) bool {
+// canRetryOn reports whether a request that may have run may go to the server.
+func (r *Router) canRetryOn(q *request, s *replica) bool {
 	c := r.cfg.Classes[q.Class]
-	if c.Effect == Safe {
+	if c.Idempotency == Idempotent {
 		return true
 	}
-	on := r.byID[q.ranOn]
-	if c.Effect == Unsafe || on == nil || r.now+heldUp >= q.ranAt+c.Window {
+	on := r.byID[q.mayHaveRunOn]
+	if c.Idempotency == NonIdempotent || on == nil || r.now+maxStall >= q.mayHaveRunAt+c.DedupWindow {
 		return false
 	}
-	return c.Group == GroupAll || c.Group == GroupZone && s.Zone == on.Zone ||
-		c.Group == GroupCell && s.Cell == on.Cell
+	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && s.Zone == on.Zone ||
+		c.DedupScope == ScopeCell && s.Cell == on.Cell
 }
--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -216,14 +216,14 @@
 	id := make([]byte, 8)
 	rand.Read(id) // never fails
 	j := &job{ask: a, id: "chatcmpl-" + hex.EncodeToString(id), created: at.Unix(),
-		filing: f.classes[class].Effect != decide.Safe}
+		filing: f.classes[class].Idempotency != decide.Idempotent}
 	j.req = core.Request{Class: class, Call: core.Call{ID: hex.EncodeToString(id), Method: http.MethodPost,
 		Target: path, Type: "application/json", Body: out}}
 	j.req.Gone = clients.Gone(r)
 	a.fill(&j.req, f.config.MaxTokens, clients.Key)
 	// The class's deadline grows by twice what its aim grows for a long prompt.
 	wait := wire.FromMS(f.settings.Classes[class].HardLimitMs) +
-		time.Duration(2*float64(f.classes[class].AimPer1K)*float64(j.req.Prompt)/1000)
+		time.Duration(2*float64(f.classes[class].TTFTObjectivePer1K)*float64(j.req.Prompt)/1000)
 	if text := r.Header.Get("X-Expires-In"); text != "" {
 		asked, err := clients.Expiry(text)
 		if err != nil {
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -62,7 +62,7 @@
 func (f *Front) SetClasses(now wire.Classes) {
 	c := &classes{names: now.Names}
 	for _, class := range now.Config.Classes {
-		c.safe = append(c.safe, class.Effect == decide.Safe)
+		c.safe = append(c.safe, class.Idempotency == decide.Idempotent)
 	}
 	f.classes.Store(c)
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -47,7 +47,7 @@
 	a.to.heard = c.now()
 	c.counters.Served++
 	c.reply(q, Answer{Kind: Served, Stream: s})
-	c.handle(decide.Started{Request: q.id, Attempt: a.number, Server: a.to.ID, After: c.now() - a.sent})
+	c.handle(decide.FirstToken{Request: q.id, Attempt: a.number, Endpoint: a.to.ID, Elapsed: c.now() - a.sent})
 	return true
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	a.ended = true
-	if a.aborted && o.Outcome == decide.Reset {
+	if a.aborted && o.Outcome == decide.ConnectionReset {
 		o.Outcome = a.as
 	}
 	if a.timer != nil {
@@ -75,14 +75,14 @@
 	}
 	q := a.req
 	q.ran.note(a, o)
-	server := decide.ServerID(0)
+	server := decide.EndpointID(0)
 	if a.to != nil {
 		server = a.to.ID
 	}
 	switch o.Outcome {
-	case decide.Served, decide.Errored, decide.Full, decide.NoState, decide.ReadDone:
+	case decide.Served, decide.Errored, decide.QueueFull, decide.StateMissing, decide.PrefillDone:
 		a.to.heard = c.now()
-	case decide.TimedOut, decide.Cancelled, decide.Reset:
+	case decide.TimedOut, decide.Cancelled, decide.ConnectionReset:
 		q.loose = true
 		if a.to.reads && a.to.heard < a.sent {
 			c.follow(a)
@@ -90,7 +90,7 @@
 	}
 	c.counters.outcome(o.Outcome)
 	switch o.Outcome {
-	case decide.Served, decide.ReadDone, decide.Full:
+	case decide.Served, decide.PrefillDone, decide.QueueFull:
 	default:
 		slog.Info("attempt_lost", "id", q.Call.ID, "attempt", a.number, "server", a.name(),
 			"outcome", outcomeName(o.Outcome), "after", c.now()-a.sent, "first", a.first)
@@ -98,9 +98,9 @@
 	if a.first && o.Outcome != decide.Served {
 		c.counters.Broken++
 	}
-	c.handle(decide.Ended{
-		Request: q.id, Attempt: a.number, Server: server, Outcome: o.Outcome, After: c.now() - a.sent,
-		Kept: o.Kept, Begun: o.Begun, Final: q.answer == nil, Load: o.Load,
+	c.handle(decide.AttemptEnded{
+		Request: q.id, Attempt: a.number, Endpoint: server, Outcome: o.Outcome, Elapsed: c.now() - a.sent,
+		CachedTokens: o.Kept, StreamStarted: o.Begun, Final: q.answer == nil, Load: o.Load,
 	})
 	if q.left && q.answer != nil && !q.runs() {
 		c.endLeft(q) // nothing is out that could still be read to its end
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -41,10 +41,10 @@
 			age := func() time.Duration {
 				router.Roster(true, list())
 				b, ok := router.Beliefs(context.Background(), 0)
-				if !ok || len(b.Servers) != 1 {
-					t.Fatalf("%d servers, %t", len(b.Servers), ok)
+				if !ok || len(b.Endpoints) != 1 {
+					t.Fatalf("%d servers, %t", len(b.Endpoints), ok)
 				}
-				return b.At - b.Servers[0].Started
+				return b.TakenAt - b.Endpoints[0].Started
 			}
 			if c.before {
 				age()
--- a/internal/core/contract.go
+++ b/internal/core/contract.go
@@ -67,7 +67,7 @@
 
 // Target is a server as the core was told of it.
 type Target struct {
-	ID   decide.ServerID
+	ID   decide.EndpointID
 	Name string
 	Addr string
 }
@@ -86,7 +86,7 @@
 	Outcome decide.Outcome
 	Kept    int
 	Begun   bool // the answer had begun, and then it broke
-	Load    *decide.Load
+	Load    *decide.LoadReport
 }
 
 // Events takes an attempt's news; its methods may be called from any goroutine.
@@ -113,7 +113,7 @@
 type Servers interface {
 	Send(order Order, ev Events) Attempt
 	// Probe asks a server for its load and calls back once, from any goroutine; nil: it told none in time.
-	Probe(to Target, limit time.Duration, told func(*decide.Load))
+	Probe(to Target, limit time.Duration, told func(*decide.LoadReport))
 	// Release lets go of what is held for the call's request, through the first of the targets that answers.
 	Release(call Call, through []Target)
 }
@@ -125,7 +125,7 @@
 	Zone    int
 	Kind    int
 	Cell    int
-	State   decide.ServerState
+	State   decide.EndpointState
 	Weight  float64
 	Started time.Time // zero: long ago
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -46,7 +46,7 @@
 	done      chan struct{}
 	lastID    decide.RequestID
 	requests  map[decide.RequestID]*request
-	list      map[decide.ServerID]*listed
+	list      map[decide.EndpointID]*listed
 	names     map[string]*listed // the same by name
 	actions   []decide.Action
 	pending   []decide.Event // events that follow from carrying out actions
@@ -58,7 +58,7 @@
 
 type listed struct {
 	Target
-	state      decide.ServerState
+	state      decide.EndpointState
 	zone, cell int
 	reads      bool // it reads prompts only: an attempt there has no effect
 	heard      time.Duration
@@ -90,7 +90,7 @@
 		router: router, config: cfg, servers: servers, machine: machine, audit: audit,
 		start: time.Now(), base: time.Duration(machine.Wall().UnixNano()),
 		queue: make(chan func(), queueSize), done: make(chan struct{}),
-		requests: map[decide.RequestID]*request{}, list: map[decide.ServerID]*listed{},
+		requests: map[decide.RequestID]*request{}, list: map[decide.EndpointID]*listed{},
 		names: map[string]*listed{},
 	}, nil
 }
@@ -169,14 +169,14 @@
 			l.state = decide.Gone
 		}
 	}
-	ev := decide.Roster{Full: full}
+	ev := decide.EndpointUpdate{Full: full}
 	for _, e := range entries {
 		l := c.lookup(e.Name)
 		l.Addr, l.state = e.Addr, e.State
-		s := decide.Server{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State, Weight: e.Weight}
+		s := decide.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State, Weight: e.Weight}
 		s.Started = c.startOf(l, e.Started)
 		l.zone, l.cell, l.reads = e.Zone, e.Cell, c.reads(e.Kind)
-		ev.Servers = append(ev.Servers, s)
+		ev.Endpoints = append(ev.Endpoints, s)
 	}
 	c.withdraw() // before the module hears of the list: what it sends now goes by that
 	c.handle(ev)
@@ -198,7 +198,7 @@
 // Heard is what another dispatcher found out about a server, Age ago; a nil Load: it told none in time.
 type Heard struct {
 	Name string
-	Load *decide.Load
+	Load *decide.LoadReport
 	Age  time.Duration
 }
 
@@ -210,7 +210,7 @@
 		for _, n := range news {
 			if l := c.names[n.Name]; l != nil {
 				c.counters.Heard++
-				c.handle(decide.Heard{Server: l.ID, Load: n.Load, Age: n.Age + time.Since(came)})
+				c.handle(decide.PeerLoadReport{Endpoint: l.ID, Load: n.Load, Age: n.Age + time.Since(came)})
 			}
 		}
 	})
@@ -224,7 +224,7 @@
 func (c *Core) Share(part float64, left time.Duration, applied func()) bool {
 	came := time.Now()
 	return c.offer(func() {
-		c.handle(decide.Share{Part: part, For: left - time.Since(came)})
+		c.handle(decide.QuotaShare{Fraction: part, Duration: left - time.Since(came)})
 		applied()
 	})
 }
@@ -233,21 +233,21 @@
 // returned while the queue is full.
 func (c *Core) Subset(names []string) bool {
 	return c.offer(func() {
-		var ids []decide.ServerID
+		var ids []decide.EndpointID
 		for _, name := range names {
 			if l := c.names[name]; l != nil {
 				ids = append(ids, l.ID)
 			}
 		}
-		c.handle(decide.Subset{Servers: ids})
+		c.handle(decide.SubsetAssigned{Endpoints: ids})
 	})
 }
 
 // Beliefs is what the module has learnt, with so many texts at the most; false: the context or the core ended first.
-func (c *Core) Beliefs(ctx context.Context, texts int) (decide.Beliefs, bool) {
-	got := make(chan decide.Beliefs, 1)
-	if !c.post(func() { got <- c.router.Tell(c.now(), texts) }) {
-		return decide.Beliefs{}, false
+func (c *Core) Beliefs(ctx context.Context, texts int) (decide.Snapshot, bool) {
+	got := make(chan decide.Snapshot, 1)
+	if !c.post(func() { got <- c.router.Snapshot(c.now(), texts) }) {
+		return decide.Snapshot{}, false
 	}
 	select {
 	case b := <-got:
@@ -255,19 +255,19 @@
 	case <-ctx.Done():
 	case <-c.done:
 	}
-	return decide.Beliefs{}, false
+	return decide.Snapshot{}, false
 }
 
 // Learn gives the module what another process has learnt.
-func (c *Core) Learn(b decide.Beliefs) {
-	c.post(func() { c.handle(decide.Learnt{Beliefs: b}) })
+func (c *Core) Learn(b decide.Snapshot) {
+	c.post(func() { c.handle(decide.SnapshotReceived{Snapshot: b}) })
 }
 
 // LearnNow is Learn for what a process of another machine has just told: its clock's now is taken for this one's.
-func (c *Core) LearnNow(b decide.Beliefs) {
+func (c *Core) LearnNow(b decide.Snapshot) {
 	c.post(func() {
-		b.Shift(c.now() - b.At)
-		c.handle(decide.Learnt{Beliefs: b})
+		b.Shift(c.now() - b.TakenAt)
+		c.handle(decide.SnapshotReceived{Snapshot: b})
 	})
 }
 
@@ -278,7 +278,7 @@
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	id := decide.ServerID(h.Sum32())
+	id := decide.EndpointID(h.Sum32())
 	for c.list[id] != nil {
 		id++
 	}
@@ -315,9 +315,9 @@
 		c.left(q)
 		return
 	}
-	c.handle(decide.Arrival{
-		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, Shared: q.Shared,
-		Prompt: q.Prompt, SharedTokens: q.SharedTokens, MaxOutput: q.MaxOutput, TimeLeft: q.deadline - now,
+	c.handle(decide.RequestArrived{
+		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.Shared,
+		PromptTokens: q.Prompt, SharedPrefixTokens: q.SharedTokens, MaxOutputTokens: q.MaxOutput, TimeLeft: q.deadline - now,
 	})
 }
 
@@ -470,21 +470,21 @@
 	switch a := action.(type) {
 	case decide.Send:
 		c.send(a)
-	case decide.Probe:
-		c.probe(a.Server)
+	case decide.PollLoad:
+		c.probe(a.Endpoint)
 	case decide.Release:
-		c.release(a.Request, a.Why)
-	case decide.Refuse:
+		c.release(a.Request, a.Reason)
+	case decide.Reject:
 		if q := c.requests[a.Request]; q != nil && q.answer != nil {
 			c.counters.Refused++
-			q.why = string(a.Why)
+			q.why = string(a.Reason)
 			c.reply(q, Answer{Kind: Refused, RetryAfter: cmp.Or(a.RetryAfter, comeBack)})
 			c.forget(q)
 		}
 	case decide.Fail:
 		if q := c.requests[a.Request]; q != nil && q.answer != nil {
 			c.counters.Failed++
-			q.why = string(a.Why)
+			q.why = string(a.Reason)
 			c.reply(q, Answer{Kind: Failed})
 			c.forget(q)
 		}
@@ -492,16 +492,16 @@
 		if q := c.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
 			c.abort(q.attempts[a.Attempt], decide.Cancelled)
 		}
-	case decide.Wake:
-		time.AfterFunc(a.After, func() { c.post(func() { c.handle(decide.Timer{ID: a.ID}) }) })
+	case decide.SetTimer:
+		time.AfterFunc(a.After, func() { c.post(func() { c.handle(decide.TimerFired{ID: a.Timer}) }) })
 	default:
 		slog.Warn("unknown_action", "type", fmt.Sprintf("%T", a))
 	}
 }
 
-func (c *Core) probe(id decide.ServerID) {
-	told := func(l *decide.Load) {
-		c.post(func() { c.handle(decide.Probed{Server: id, Load: l}) })
+func (c *Core) probe(id decide.EndpointID) {
+	told := func(l *decide.LoadReport) {
+		c.post(func() { c.handle(decide.LoadPolled{Endpoint: id, Load: l}) })
 	}
 	to := c.list[id]
 	if to == nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -44,7 +44,7 @@
 
 func (h *hand) Release(call core.Call, _ []core.Target) { h.releases <- call.ID }
 
-func (h *hand) Probe(_ core.Target, _ time.Duration, told func(*decide.Load)) { go told(nil) }
+func (h *hand) Probe(_ core.Target, _ time.Duration, told func(*decide.LoadReport)) { go told(nil) }
 
 type noStream struct{ io.ReadCloser }
 
@@ -92,7 +92,7 @@
 func TestServed(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 	w := <-h.sends
 	if w.to != "w1" && w.to != "w2" || !w.ev.First(noStream{}) {
 		t.Fatalf("written at %s, or the stream was not taken", w.to)
@@ -101,7 +101,7 @@
 		t.Fatalf("answer %+v", a)
 	}
 	// What breaks after the first event has its answer: nothing more is sent, not even a release.
-	w.ev.Ended(core.Outcome{Outcome: decide.Reset})
+	w.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 	if n := c.Counters(context.Background()); n.Open != 0 || n.Broken != 1 || n.Served != 1 || len(h.sends)+len(h.releases) > 0 {
 		t.Errorf("counters %+v, %d sends, %d releases", n, len(h.sends), len(h.releases))
 	}
@@ -109,10 +109,10 @@
 
 // A filing that may have run is not sent again, and its answer promises nothing.
 func TestFilingMayHaveRun(t *testing.T) {
-	for _, o := range []decide.Outcome{decide.Reset, decide.Errored, decide.TimedOut} {
+	for _, o := range []decide.Outcome{decide.ConnectionReset, decide.Errored, decide.TimedOut} {
 		h, c := start(t)
 		got := ask(context.Background(), c, 1, time.Minute)
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 		(<-h.sends).ev.Ended(core.Outcome{Outcome: o})
 		if a := <-got; a.Kind != core.Failed || len(h.sends) > 0 {
 			t.Errorf("outcome %d: answer %+v, %d more sends", o, a, len(h.sends))
@@ -125,7 +125,7 @@
 func TestFilingNeverRan(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 	first := <-h.sends
 	first.ev.Ended(core.Outcome{Outcome: decide.ConnectFailed})
 	second := <-h.sends
@@ -144,7 +144,7 @@
 		s := <-h.sends
 		<-h.aborts
 		if told {
-			s.ev.Ended(core.Outcome{Outcome: decide.Reset})
+			s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 		}
 		if a := <-got; a.Kind == core.Served {
 			t.Fatalf("told %t: answer %+v", told, a)
@@ -152,7 +152,7 @@
 		if s.ev.First(noStream{}) {
 			t.Errorf("told %t: a stream was taken after the answer", told)
 		}
-		s.ev.Ended(core.Outcome{Outcome: decide.Reset})
+		s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 		n := c.Counters(context.Background())
 		if n.Open != 0 || n.Overdue+n.Refused+n.Failed != 1 || len(h.sends) > 0 {
 			t.Errorf("told %t: counters %+v, %d more sends", told, n, len(h.sends))
@@ -177,7 +177,7 @@
 	if len(h.sends) > 0 {
 		t.Fatal("a copy was sent while the first was out")
 	}
-	s.ev.Ended(core.Outcome{Outcome: decide.Reset})
+	s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 	if next := <-h.sends; next.to == s.to {
 		t.Errorf("the read went to %s again", next.to)
 	}
@@ -194,7 +194,7 @@
 		t.Fatalf("answer %+v", a)
 	}
 	<-h.aborts
-	s.ev.Ended(core.Outcome{Outcome: decide.ReadDone}) // the read won the race against the close
+	s.ev.Ended(core.Outcome{Outcome: decide.PrefillDone}) // the read won the race against the close
 	<-h.releases
 	if n := c.Counters(context.Background()); n.Open != 0 || n.Left != 1 || len(h.sends) > 0 {
 		t.Errorf("counters %+v, %d more sends", n, len(h.sends))
@@ -208,10 +208,10 @@
 	for name, before := range map[string][]decide.Outcome{
 		"reading":       nil,
 		"reading again": outcomes(decide.ConnectFailed),
-		"writing":       outcomes(decide.ReadDone),
-		"writing again": outcomes(decide.ReadDone, decide.ConnectFailed),
+		"writing":       outcomes(decide.PrefillDone),
+		"writing again": outcomes(decide.PrefillDone, decide.ConnectFailed),
 	} {
-		h, c := startWith(t, func(cfg *decide.Config) { cfg.MayCancel = false })
+		h, c := startWith(t, func(cfg *decide.Config) { cfg.CanCancel = false })
 		ctx, leave := context.WithCancel(context.Background())
 		got := ask(ctx, c, 0, time.Minute)
 		s := <-h.sends
@@ -239,7 +239,7 @@
 	h, c := start(t)
 	waits := ask(context.Background(), c, 1, 30*time.Second)
 	read := <-h.sends
-	read.ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+	read.ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 	write := <-h.sends
 	c.GiveUp()
 	if a := <-waits; a.Kind != core.Failed {
@@ -248,7 +248,7 @@
 	if to := <-h.aborts; to != write.to {
 		t.Errorf("%s was aborted, not %s", to, write.to)
 	}
-	write.ev.Ended(core.Outcome{Outcome: decide.Reset})
+	write.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 	<-h.releases
 	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != core.Refused || a.RetryAfter <= 0 {
 		t.Errorf("what came later was answered %+v", a)
@@ -264,7 +264,7 @@
 	for range 50 {
 		ctx, leave := context.WithCancel(context.Background())
 		got := ask(ctx, c, 0, time.Minute)
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 		w := <-h.sends
 		taken := make(chan bool)
 		go func() { taken <- w.ev.First(noStream{}) }()
@@ -275,7 +275,7 @@
 		} else if won {
 			w.ev.Ended(core.Outcome{Outcome: decide.Served})
 		} else {
-			w.ev.Ended(core.Outcome{Outcome: decide.Reset})
+			w.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 		}
 	}
 	if n := c.Counters(context.Background()); n.Open != 0 || n.Served+n.Left != 50 {
@@ -300,7 +300,7 @@
 		got := make(chan core.Answer)
 		req := core.Request{Call: core.Call{ID: "x", Body: body}, Prompt: 100, Deadline: time.Now().Add(time.Hour)}
 		go func() { got <- c.Do(context.Background(), req) }()
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 		w := <-h.sends
 		w.ev.First(noStream{})
 		<-got
@@ -315,7 +315,7 @@
 // News from other dispatchers reaches the module by name, strangers are passed over, and nobody waits for room.
 func TestHeardNeverWaits(t *testing.T) {
 	_, c := start(t)
-	if !c.Heard([]core.Heard{{Name: "r1", Load: &decide.Load{Queue: 1}}, {Name: "stranger"}}) {
+	if !c.Heard([]core.Heard{{Name: "r1", Load: &decide.LoadReport{QueuedRequests: 1}}, {Name: "stranger"}}) {
 		t.Fatal("no room in an empty queue")
 	}
 	if n := c.Counters(context.Background()); n.Heard != 1 {
@@ -364,7 +364,7 @@
 		if next.to == s.to {
 			t.Errorf("%s: sent to %s again", name, next.to)
 		}
-		next.ev.Ended(core.Outcome{Outcome: decide.ReadDone})
+		next.ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
 		(<-h.sends).ev.First(noStream{})
 		if a := <-got; a.Kind != core.Served {
 			t.Errorf("%s: answer %+v", name, a)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -17,9 +17,9 @@
 }
 
 func outcomeName(o decide.Outcome) string {
-	names := [...]string{decide.Served: "served", decide.Errored: "errored", decide.Full: "full",
-		decide.NoState: "no_state", decide.TimedOut: "timed_out", decide.ConnectFailed: "connect_failed",
-		decide.Reset: "reset", decide.Cancelled: "cancelled", decide.Moot: "moot", decide.ReadDone: "read"}
+	names := [...]string{decide.Served: "served", decide.Errored: "errored", decide.QueueFull: "full",
+		decide.StateMissing: "no_state", decide.TimedOut: "timed_out", decide.ConnectFailed: "connect_failed",
+		decide.ConnectionReset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "moot", decide.PrefillDone: "read"}
 	return names[o]
 }
 
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -66,7 +66,7 @@
 
 func (c *Core) releaseNow(q *request, why decide.ReleaseReason) {
 	c.counters.Released++
-	if why == decide.NoWord {
+	if why == decide.ReservationExpired {
 		c.counters.NoWord++
 		slog.Info("released", "id", q.Call.ID, "why", why, "attempts", len(q.attempts), "server", q.lastServer())
 	}
--- a/internal/core/retold_test.go
+++ b/internal/core/retold_test.go
@@ -18,17 +18,17 @@
 		{Name: "r1", Kind: 0, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Second)},
 		{Name: "w1", Kind: 1, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Hour)},
 	}
-	var first []decide.ServerBelief
+	var first []decide.EndpointStats
 	for n := range 5 {
 		c.Roster(true, list)
 		b, ok := c.Beliefs(context.Background(), 0)
-		if !ok || len(b.Servers) != len(list) {
-			t.Fatalf("%d servers, %t", len(b.Servers), ok)
+		if !ok || len(b.Endpoints) != len(list) {
+			t.Fatalf("%d servers, %t", len(b.Endpoints), ok)
 		}
 		if n == 0 {
-			first = b.Servers
-		} else if !reflect.DeepEqual(first, b.Servers) {
-			t.Fatalf("told again:\n%+v\nat first:\n%+v", b.Servers, first)
+			first = b.Endpoints
+		} else if !reflect.DeepEqual(first, b.Endpoints) {
+			t.Fatalf("told again:\n%+v\nat first:\n%+v", b.Endpoints, first)
 		}
 	}
 }
--- a/internal/core/retune.go
+++ b/internal/core/retune.go
@@ -29,7 +29,7 @@
 }
 
 func (c *Core) retune(cfg decide.Config) error {
-	if err := c.router.Retune(c.now(), cfg); err != nil {
+	if err := c.router.Reconfigure(c.now(), cfg); err != nil {
 		return err
 	}
 	cfg.Kinds = c.config.Kinds // they hold from the next start
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -50,7 +50,7 @@
 
 // reads tells whether servers of a kind read prompts only.
 func (c *Core) reads(kind int) bool {
-	return kind >= 0 && kind < len(c.config.Kinds) && c.config.Kinds[kind].Role == decide.Reader
+	return kind >= 0 && kind < len(c.config.Kinds) && c.config.Kinds[kind].Role == decide.Prefill
 }
 
 // window is for how long yet a server drops repeats of what may have run; false: it does not drop them.
@@ -59,15 +59,15 @@
 	if on == nil || to == nil {
 		return 0, false
 	}
-	switch class.Group {
-	case decide.GroupZone:
+	switch class.DedupScope {
+	case decide.ScopeZone:
 		alike = to.zone == on.zone
-	case decide.GroupCell:
+	case decide.ScopeCell:
 		alike = to.cell == on.cell
 	default:
 		alike = true
 	}
-	return q.ran.at + class.Window - now, alike
+	return q.ran.at + class.DedupWindow - now, alike
 }
 
 // sendFacts are what there is to know of an attempt that the module wants.
@@ -81,7 +81,7 @@
 		CopyOut:    q.out(),
 		Runs:       to != nil && !to.reads,
 		MayHaveRun: q.ran.mayHave,
-		Effect:     c.config.Classes[q.Class].Effect,
+		Effect:     c.config.Classes[q.Class].Idempotency,
 		Alike:      alike,
 		Window:     window,
 	}
@@ -89,7 +89,7 @@
 
 // send makes an attempt, if it may be made. One that may not has ended before it began, which has cost no server anything.
 func (c *Core) send(s decide.Send) {
-	q, to := c.requests[s.Request], c.list[s.Server]
+	q, to := c.requests[s.Request], c.list[s.Endpoint]
 	if q == nil {
 		return
 	}
@@ -110,7 +110,7 @@
 	}
 	c.counters.Sent++
 	a.call = c.servers.Send(Order{Call: q.Call, To: to.Target, Limit: limit, Gone: q.Gone,
-		Repeat: facts.Runs && q.ran.mayHave && facts.Effect == decide.Keyed, Window: facts.Window}, a)
+		Repeat: facts.Runs && q.ran.mayHave && facts.Effect == decide.IdempotentByKey, Window: facts.Window}, a)
 	a.timer = time.AfterFunc(limit, func() { c.post(func() { c.abort(a, decide.TimedOut) }) })
 }
 
@@ -122,7 +122,7 @@
 	case permit.CopyOut, permit.MayHaveRun, permit.WindowOver: // the module should not have wanted it
 		c.audit.Violation(permit.ActSend, why, q.Call.ID)
 	}
-	c.finish(a, Outcome{Outcome: decide.Moot})
+	c.finish(a, Outcome{Outcome: decide.NotSent})
 	if why == permit.ClientGone {
 		c.left(q)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -176,7 +176,7 @@
 func (w *Watcher) entry(raw json.RawMessage) (core.Listing, error) {
 	var in Instance
 	badType := json.Unmarshal(raw, &in) // the other fields are read all the same
-	states := map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+	states := map[string]decide.EndpointState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 	state, ok := states[in.Lifecycle]
 	if !ok || in.ID == "" {
 		return core.Listing{}, errors.Join(fmt.Errorf("entry %q: unknown lifecycle %q", in.ID, in.Lifecycle), badType)
@@ -321,7 +321,7 @@
 	w.held.Lock()
 	defer w.held.Unlock()
 	l := List{Generation: w.version.Load(), Reset: true, Instances: []json.RawMessage{}}
-	words := map[decide.ServerState]string{decide.Ready: "ready", decide.Draining: "draining"}
+	words := map[decide.EndpointState]string{decide.Ready: "ready", decide.Draining: "draining"}
 	for _, name := range slices.Sorted(maps.Keys(w.known)) {
 		e := w.known[name]
 		in := Instance{ID: e.Name, HostPort: e.Addr, Zone: w.settings.ZoneName(e.Zone), MachineType: w.settings.Kinds[e.Kind], Cell: e.Cell,
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -75,7 +75,7 @@
 	for i, want := range []struct {
 		full  bool
 		names string
-		state decide.ServerState
+		state decide.EndpointState
 	}{
 		{true, "s1 s2", decide.Ready}, {false, "s1", decide.Draining}, {false, "s1", decide.Gone},
 		{true, "s1 s2", decide.Ready}, // the second watch could not be read
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -25,7 +25,7 @@
 
 // follow starts a watcher of a fleet so large that discovery, where it had to be asked, would be left alone for a
 // minute. It returns what tells the state of s1.
-func follow(t *testing.T, addr, discovery string) (*Watcher, func() decide.ServerState) {
+func follow(t *testing.T, addr, discovery string) (*Watcher, func() decide.EndpointState) {
 	t.Helper()
 	settings := testkit.Settings(t)
 	settings.Discovery, settings.Balancers = discovery, 1024
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done })
-	return w, func() decide.ServerState { return decide.ServerState(state.Load()) }
+	return w, func() decide.EndpointState { return decide.EndpointState(state.Load()) }
 }
 
 // soon is well under any pause that the fleet of follow would draw if its discovery had to be asked, and well over
--- a/internal/fleet/removals/removals.go
+++ b/internal/fleet/removals/removals.go
@@ -41,7 +41,7 @@
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // state is a replica's by the digest.
-func (d *Digest) state(name uint64) decide.ServerState {
+func (d *Digest) state(name uint64) decide.EndpointState {
 	if _, ok := slices.BinarySearch(d.Ready, name); ok {
 		return decide.Ready
 	}
@@ -54,14 +54,14 @@
 // Entry is a replica on a list.
 type Entry struct {
 	Name  string
-	State decide.ServerState
+	State decide.EndpointState
 }
 
 // Table is what one member knows of its own list and others'. It is not safe for use by several goroutines at once.
 type Table struct {
 	limits  Limits
 	version uint64 // of the own list; 0: none yet
-	held    map[string]decide.ServerState
+	held    map[string]decide.EndpointState
 	told    map[string]heard // by teller, the last
 	over    bool             // the others' word would end too much
 	refused int
@@ -74,7 +74,7 @@
 
 // New returns a table that knows no list yet.
 func New(limits Limits) *Table {
-	return &Table{limits: limits, held: map[string]decide.ServerState{}, told: map[string]heard{}}
+	return &Table{limits: limits, held: map[string]decide.EndpointState{}, told: map[string]heard{}}
 }
 
 // Version is that of the own list.
@@ -94,7 +94,7 @@
 }
 
 // State is what a replica is to be taken as.
-func (t *Table) State(name string) decide.ServerState {
+func (t *Table) State(name string) decide.EndpointState {
 	if t.over {
 		return t.held[name]
 	}
@@ -103,7 +103,7 @@
 
 // worst is a replica's state by the own list and all newer ones that were told. One teller's newer word does not undo another's, so
 // none can bring back what others have ended; each tells its newest again and again.
-func (t *Table) worst(name string) decide.ServerState {
+func (t *Table) worst(name string) decide.EndpointState {
 	state, hash := t.held[name], Hash(name)
 	for _, d := range t.told {
 		if d.Version > t.version && state != decide.Gone {
@@ -124,7 +124,7 @@
 			t.told[""] = heard{t.Digest(), now}
 		}
 		if full {
-			t.held = make(map[string]decide.ServerState, len(entries))
+			t.held = make(map[string]decide.EndpointState, len(entries))
 		}
 		for _, e := range entries {
 			if t.held[e.Name] = e.State; e.State == decide.Gone {
@@ -174,7 +174,7 @@
 
 // change does something and returns whom it changed, in order.
 func (t *Table) change(do func()) (changed []string) {
-	before := make(map[string]decide.ServerState, len(t.held))
+	before := make(map[string]decide.EndpointState, len(t.held))
 	for name := range t.held {
 		before[name] = t.State(name)
 	}
--- a/internal/fleet/removals/removals_test.go
+++ b/internal/fleet/removals/removals_test.go
@@ -95,7 +95,7 @@
 func simulate(seed uint64, steps int, m mutant) error {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const members, replicas = 5, 12
-	truth := []map[string]decide.ServerState{nil, {}} // by version
+	truth := []map[string]decide.EndpointState{nil, {}} // by version
 	for i := range replicas {
 		truth[1][fmt.Sprint(i)] = decide.Ready
 	}
@@ -136,7 +136,7 @@
 		now += time.Duration(rng.Int64N(int64(time.Second)))
 		switch i := rng.IntN(members); rng.IntN(8) {
 		case 0, 1: // few are out at once, so that others' word is never past its part
-			next := map[string]decide.ServerState{}
+			next := map[string]decide.EndpointState{}
 			for name, s := range truth[newest()] {
 				next[name] = s
 			}
--- a/internal/fleet/subsetter/subsetter.go
+++ b/internal/fleet/subsetter/subsetter.go
@@ -82,7 +82,7 @@
 		if !(weight > 0) {
 			weight = 1 // as the module takes it
 		}
-		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, Reads: role != decide.Writer, Writes: role != decide.Reader, Weight: weight}
+		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, Reads: role != decide.Decode, Writes: role != decide.Prefill, Weight: weight}
 	}
 	k.changed = true
 }
--- a/internal/fleet/subsetter/subsetter_test.go
+++ b/internal/fleet/subsetter/subsetter_test.go
@@ -20,7 +20,7 @@
 }
 
 func (s *stand) keeper() *Keeper {
-	return New(subset.Limits{Readers: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []decide.Role{decide.Reader, decide.Writer},
+	return New(subset.Limits{Readers: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []decide.Role{decide.Prefill, decide.Decode},
 		func() Fleet { return s.fleet }, func(names []string) bool {
 			if !s.full {
 				s.got = append(s.got, names)
--- a/internal/fleet/tasks/golden_test.go
+++ b/internal/fleet/tasks/golden_test.go
@@ -16,9 +16,9 @@
 // goldenProber notes the header by which a replica is asked, and gives one report.
 type goldenProber struct{ duty string }
 
-func (p *goldenProber) ProbeFor(duty string, _ core.Target, _ time.Duration, told func(*decide.Load)) {
+func (p *goldenProber) ProbeFor(duty string, _ core.Target, _ time.Duration, told func(*decide.LoadReport)) {
 	p.duty = duty
-	told(&decide.Load{Memory: 0.25, Waiting: 2, Queue: 3.5, Busy: 0.75})
+	told(&decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75})
 }
 
 type goldenList struct{}
@@ -47,7 +47,7 @@
 	golden.Bytes(t, "list.hex", <-found)
 	none := golden.Bytes(t, "load-none.hex", encodeLoad(nil))
 	tasks.Told([]fleet.Found{{Duty: "probe/s-1", Data: load, Age: time.Second}, {Duty: "probe/s-2", Data: none, Age: 2 * time.Second}})
-	want := []core.Heard{{Name: "s-1", Load: &decide.Load{Memory: 0.25, Waiting: 2, Queue: 3.5, Busy: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
+	want := []core.Heard{{Name: "s-1", Load: &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
 	if !reflect.DeepEqual(heard, want) || tasks.Bad() != 0 {
 		t.Errorf("heard %+v, %d bad", heard, tasks.Bad())
 	}
--- a/internal/fleet/tasks/tasks.go
+++ b/internal/fleet/tasks/tasks.go
@@ -31,7 +31,7 @@
 
 // Prober asks replicas for their load.
 type Prober interface {
-	ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.Load))
+	ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport))
 }
 
 // Lists is this dispatcher's own way to discovery's list.
@@ -131,22 +131,22 @@
 		done(nil)
 		return
 	}
-	t.prober.ProbeFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *decide.Load) { done(encodeLoad(l)) })
+	t.prober.ProbeFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *decide.LoadReport) { done(encodeLoad(l)) })
 }
 
 // encodeLoad packs a report into 17 bytes; nil: the replica told none.
-func encodeLoad(l *decide.Load) []byte {
+func encodeLoad(l *decide.LoadReport) []byte {
 	if l == nil {
 		return []byte{0}
 	}
 	b := []byte{1}
-	for _, v := range []float64{l.Memory, l.Waiting, l.Queue, l.Busy} {
+	for _, v := range []float64{l.Memory, l.QueuedKiloTokens, l.QueuedRequests, l.SlotUtilization} {
 		b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
 	}
 	return b
 }
 
-func decodeLoad(b []byte) (*decide.Load, error) {
+func decodeLoad(b []byte) (*decide.LoadReport, error) {
 	if len(b) == 1 && b[0] == 0 {
 		return nil, nil
 	}
@@ -160,7 +160,7 @@
 			return nil, fmt.Errorf("work: a load of %v", v[i])
 		}
 	}
-	return &decide.Load{Memory: v[0], Waiting: v[1], Queue: v[2], Busy: v[3]}, nil
+	return &decide.LoadReport{Memory: v[0], QueuedKiloTokens: v[1], QueuedRequests: v[2], SlotUtilization: v[3]}, nil
 }
 
 // Told implements fleet.Work.
--- a/internal/fleet/tasks/tasks_test.go
+++ b/internal/fleet/tasks/tasks_test.go
@@ -26,13 +26,13 @@
 
 type prober struct{ asked []string }
 
-func (p *prober) ProbeFor(duty string, to core.Target, _ time.Duration, told func(*decide.Load)) {
+func (p *prober) ProbeFor(duty string, to core.Target, _ time.Duration, told func(*decide.LoadReport)) {
 	p.asked = append(p.asked, duty+" "+to.Addr)
 	if to.Name == "dead" {
 		told(nil)
 		return
 	}
-	told(&decide.Load{Queue: 3, Busy: 0.5, Memory: 0.25, Waiting: -1})
+	told(&decide.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1})
 }
 
 // What one finds out reaches another's core as it was; who has told nothing is told as silent.
@@ -51,7 +51,7 @@
 	for _, d := range duties[1:] {
 		tasks.Do(d, 7, func(found []byte) { tasks.Told([]fleet.Found{{Duty: d, Data: found, Age: time.Second}}) })
 	}
-	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (decide.Load{Queue: 3, Busy: 0.5, Memory: 0.25, Waiting: -1}) ||
+	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (decide.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}) ||
 		news[1].Age != time.Second || p.asked[1] != "probe/r 7 a:2" {
 		t.Errorf("%+v, asked %v", news, p.asked)
 	}
@@ -63,8 +63,8 @@
 	if !done || tasks.Dropped() != 1 || len(tasks.Duties()) != 2 {
 		t.Errorf("a duty that is no more: done %t, %d dropped, %v", done, tasks.Dropped(), tasks.Duties())
 	}
-	for _, text := range testkit.Broken(4, string(encodeLoad(&decide.Load{Queue: 1}))) {
-		if load, err := decodeLoad([]byte(text)); err == nil && load != nil && !(load.Queue <= 1e9) {
+	for _, text := range testkit.Broken(4, string(encodeLoad(&decide.LoadReport{QueuedRequests: 1}))) {
+		if load, err := decodeLoad([]byte(text)); err == nil && load != nil && !(load.QueuedRequests <= 1e9) {
 			t.Errorf("%q was taken as %+v", text, load)
 		}
 	}
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -79,14 +79,14 @@
 	CopyOut    bool          // another attempt of it has not ended
 	Runs       bool          // an attempt at this server carries the request out, as reads do not
 	MayHaveRun bool          // an earlier attempt may have carried it out
-	Effect     decide.Effect
+	Effect     decide.Idempotency
 	Alike      bool          // with Keyed: the server drops repeats of what may have run
 	Window     time.Duration // with Keyed: for so long yet
 }
 
 // Check tells whether the attempt may be made.
 func (s Send) Check() Reason {
-	repeat := s.Runs && s.MayHaveRun && s.Effect != decide.Safe
+	repeat := s.Runs && s.MayHaveRun && s.Effect != decide.Idempotent
 	switch {
 	case s.Answered:
 		return Answered
@@ -98,7 +98,7 @@
 		return DeadlineOver
 	case s.CopyOut:
 		return CopyOut
-	case repeat && (s.Effect == decide.Unsafe || !s.Alike):
+	case repeat && (s.Effect == decide.NonIdempotent || !s.Alike):
 		return MayHaveRun
 	case repeat && s.Window <= HeldUp:
 		return WindowOver
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -27,11 +27,11 @@
 		{with(func(s *Send) { s.Left = 0 }), DeadlineOver},
 		{with(func(s *Send) { s.CopyOut = true }), CopyOut},
 		{with(func(s *Send) { s.MayHaveRun = true }), Allowed},
-		{with(func(s *Send) { s.MayHaveRun, s.Effect = true, decide.Unsafe }), MayHaveRun},
-		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Runs = true, decide.Unsafe, false }), Allowed}, // a read has no effect
-		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Window = true, decide.Keyed, second }), MayHaveRun},
-		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Alike, s.Window = true, decide.Keyed, true, HeldUp }), WindowOver},
-		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Alike, s.Window = true, decide.Keyed, true, HeldUp+1 }), Allowed},
+		{with(func(s *Send) { s.MayHaveRun, s.Effect = true, decide.NonIdempotent }), MayHaveRun},
+		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Runs = true, decide.NonIdempotent, false }), Allowed}, // a read has no effect
+		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Window = true, decide.IdempotentByKey, second }), MayHaveRun},
+		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Alike, s.Window = true, decide.IdempotentByKey, true, HeldUp }), WindowOver},
+		{with(func(s *Send) { s.MayHaveRun, s.Effect, s.Alike, s.Window = true, decide.IdempotentByKey, true, HeldUp+1 }), Allowed},
 		{Begin{Left: 1}, Allowed}, {Begin{Withdrawn: true, Left: 1}, Withdrawn}, {Begin{ClientGone: true, Left: 1}, ClientGone},
 		{Begin{}, DeadlineOver}, {Begin{Left: 1, Repeat: true, Window: HeldUp}, WindowOver}, {Begin{Left: 1, Repeat: true, Window: second}, Allowed},
 		{Close{Waits: true}, Allowed}, {Close{Waits: true, Open: true}, Unanswered}, {Close{}, Arriving},
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -73,7 +73,7 @@
 // budgets are the module's limits on what the whole fleet does; none without a fleet's file that has them.
 func budgets(file *fleet.Config) (b decide.Budgets) {
 	if file != nil && file.Budgets != nil {
-		b = decide.Budgets{Part: file.LeastPart(), Probes: file.Budgets.Probes, Repeats: file.Budgets.Repeats, Spare: file.Budgets.Spare}
+		b = decide.Budgets{Fraction: file.LeastPart(), PollsPerReplica: file.Budgets.Probes, RetriesPerRequest: file.Budgets.Repeats, RetriesPerSecond: file.Budgets.Spare}
 	}
 	return b
 }
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -41,7 +41,7 @@
 // the context ends.
 func (p *program) handOver(ctx context.Context, at handover.Place) {
 	at.Ask(ctx, p.core.Learn)
-	at.Answer(ctx, func() (decide.Beliefs, bool) { return p.core.Beliefs(ctx, handover.Texts) })
+	at.Answer(ctx, func() (decide.Snapshot, bool) { return p.core.Beliefs(ctx, handover.Texts) })
 }
 
 // leave leaves what this process has learnt: it goes.
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -31,7 +31,7 @@
 		next, err = p.classes.Retune(&cfg.Settings)
 	}
 	if err == nil {
-		next.Config.MayProbe = cfg.Settings.Limits.Probing
+		next.Config.CanPollLoad = cfg.Settings.Limits.Probing
 		err = p.core.Retune(ctx, next.Config)
 	}
 	if err != nil {
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -99,7 +99,7 @@
 		return err
 	}
 	router := classes.Config
-	router.MayProbe, router.Budgets = cfg.Settings.Limits.Probing, budgets(files.fleet)
+	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.Probing, budgets(files.fleet)
 	p := &program{machine: machine, classes: classes, bodies: semaphore.NewWeighted(memory / 8)}
 	p.pool = servers.New(&cfg.Settings, max(sockets/8, 4), max(sockets/8, 4), machine)
 	if p.core, err = core.New(router, seed, p.pool, machine, &p.audit); err != nil {
--- a/internal/servers/begin_test.go
+++ b/internal/servers/begin_test.go
@@ -38,10 +38,10 @@
 			pool.Send(order, second)
 			time.Sleep(200 * time.Millisecond) // that the time passes is what is tested
 			close(answer)
-			if o := <-first.ended; o.Outcome != decide.ReadDone {
+			if o := <-first.ended; o.Outcome != decide.PrefillDone {
 				t.Errorf("the first ended with %d", o.Outcome)
 			}
-			if o := <-second.ended; o.Outcome != decide.Moot {
+			if o := <-second.ended; o.Outcome != decide.NotSent {
 				t.Errorf("ended with %d", o.Outcome)
 			}
 			if n, _ := r.Calls(); n != 1 {
--- a/internal/servers/golden_test.go
+++ b/internal/servers/golden_test.go
@@ -70,7 +70,7 @@
 	withType.Type = "application/json"
 	pool.Send(core.Order{Call: withType, To: to, Limit: 5 * time.Second}, ev)
 	record("a call", to, <-requests)
-	if o := <-ev.ended; o.Outcome != decide.ReadDone || o.Kept != 3 {
+	if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.Kept != 3 {
 		t.Errorf("%+v", o)
 	}
 
@@ -81,10 +81,10 @@
 
 	to, requests = recorder(t, loads)
 	for _, duty := range []string{"", "duty-1 7"} {
-		told := make(chan *decide.Load, 1)
-		pool.ProbeFor(duty, to, 5*time.Second, func(l *decide.Load) { told <- l })
+		told := make(chan *decide.LoadReport, 1)
+		pool.ProbeFor(duty, to, 5*time.Second, func(l *decide.LoadReport) { told <- l })
 		record("a probe, duty "+fmt.Sprintf("%q", duty), to, <-requests)
-		if l := <-told; l == nil || l.Busy != 0.5 || l.Queue != 1 {
+		if l := <-told; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
 			t.Errorf("load %+v", l)
 		}
 	}
@@ -93,12 +93,12 @@
 
 // What a replica's answer says: its status, its proof that nothing ran, and its load report.
 func TestGoldenOutcomes(t *testing.T) {
-	report := &decide.Load{Memory: 0.25, Waiting: -1, Queue: 3, Busy: 0.5}
+	report := &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
 	for head, want := range map[string]core.Outcome{
-		"202 Accepted": {Outcome: decide.ReadDone, Kept: 3, Load: report},
-		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: decide.Full, Load: report},
-		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: decide.Full, Load: report},
-		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: decide.NoState, Load: report},
+		"202 Accepted": {Outcome: decide.PrefillDone, Kept: 3, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: decide.QueueFull, Load: report},
+		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: decide.QueueFull, Load: report},
+		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: decide.StateMissing, Load: report},
 		"500 Internal Server Error":                  {Outcome: decide.Errored, Load: report},
 		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: decide.Errored, Load: report},
 	} {
--- a/internal/servers/local_test.go
+++ b/internal/servers/local_test.go
@@ -31,7 +31,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	if o := <-ev.ended; o.Outcome != decide.ReadDone {
+	if o := <-ev.ended; o.Outcome != decide.PrefillDone {
 		t.Errorf("ended with %d, want a read", o.Outcome)
 	}
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -248,7 +248,7 @@
 	a.giveUp(x.wrote.Load())
 	outcome, why := x.lost(), a.why()
 	if outcome == decide.ConnectFailed && !x.wrote.Load() && (why != permit.Allowed || errors.Is(err, errLocal)) {
-		outcome = decide.Moot
+		outcome = decide.NotSent
 	}
 	slog.Info("call_failed", "id", a.order.Call.ID, "server", a.order.To.Name, "outcome", outcome, "why", why.String(),
 		"idle", time.Duration(x.idle.Load()), "err", err)
@@ -392,7 +392,7 @@
 	case !x.wrote.Load(), x.stale.Load(), x.written.Load() && x.unsent.Load():
 		return decide.ConnectFailed
 	case x.written.Load(), x.body.given:
-		return decide.Reset
+		return decide.ConnectionReset
 	}
 	return decide.ConnectFailed // no connection came up, or the write was cut off
 }
@@ -423,7 +423,7 @@
 	neverRan := resp.Header.Get("X-Never-Ran") == "1"
 	switch resp.StatusCode {
 	case http.StatusAccepted:
-		o.Outcome = decide.ReadDone
+		o.Outcome = decide.PrefillDone
 		var read struct {
 			CachedTokens int `json:"cached_tokens"`
 		}
@@ -436,11 +436,11 @@
 		o.Kept = max(read.CachedTokens, 0)
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if neverRan {
-			o.Outcome = decide.Full
+			o.Outcome = decide.QueueFull
 		}
 	case http.StatusGone:
 		if neverRan {
-			o.Outcome = decide.NoState
+			o.Outcome = decide.StateMissing
 		}
 	case http.StatusInternalServerError:
 	default:
@@ -451,7 +451,7 @@
 }
 
 // load reads a load report such as "TEXT inflight=7, util=0.61"; nil without one.
-func (p *Pool) load(text string) *decide.Load {
+func (p *Pool) load(text string) *decide.LoadReport {
 	rest, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	if !ok {
 		if text != "" {
@@ -481,7 +481,7 @@
 }
 
 // Probe implements core.Servers.
-func (p *Pool) Probe(to core.Target, limit time.Duration, told func(*decide.Load)) {
+func (p *Pool) Probe(to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
 	p.ProbeFor("", to, limit, told)
 }
 
@@ -489,7 +489,7 @@
 const dutyHeader = "X-Duty"
 
 // ProbeFor is Probe on behalf of the fleet; duty says under which lease.
-func (p *Pool) ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.Load)) {
+func (p *Pool) ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
 	go func() {
 		l, err := p.probe(duty, to, limit)
 		if err != nil {
@@ -499,7 +499,7 @@
 	}()
 }
 
-func (p *Pool) probe(duty string, to core.Target, limit time.Duration) (*decide.Load, error) {
+func (p *Pool) probe(duty string, to core.Target, limit time.Duration) (*decide.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	resp, data, err := p.short(ctx, http.MethodGet, to, loadPath, duty)
