--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -60,16 +60,16 @@
 		script testkit.Script
 		want   decide.Outcome
 	}{
-		"read":              {testkit.Read, decide.ReadDone},
+		"read":              {testkit.Read, decide.PrefillDone},
 		"error":             {testkit.Status(500, false), decide.Errored},
-		"full":              {testkit.Status(503, true), decide.Full},
-		"over":              {testkit.Status(504, true), decide.Full},
+		"full":              {testkit.Status(503, true), decide.QueueFull},
+		"over":              {testkit.Status(504, true), decide.QueueFull},
 		"503 without proof": {testkit.Status(503, false), decide.Errored},
-		"no state":          {testkit.Status(410, true), decide.NoState},
+		"no state":          {testkit.Status(410, true), decide.StateMissing},
 		"410 without proof": {testkit.Status(410, false), decide.Errored},
 		"unknown":           {testkit.Status(400, false), decide.Errored},
-		"dropped":           {drop, decide.Reset},
-		"no event":          {testkit.Cut(0, "a"), decide.Reset},
+		"dropped":           {drop, decide.ConnectionReset},
+		"no event":          {testkit.Cut(0, "a"), decide.ConnectionReset},
 	} {
 		r := testkit.NewReplica(t, c.script)
 		from := time.Now()
@@ -130,7 +130,7 @@
 	}()
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
-	for _, want := range []decide.Outcome{decide.ReadDone, decide.Reset} {
+	for _, want := range []decide.Outcome{decide.PrefillDone, decide.ConnectionReset} {
 		pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: l.Addr().String()}, Limit: time.Second}, ev)
 		if o := <-ev.ended; o.Outcome != want {
 			t.Fatalf("outcome %d, want %d", o.Outcome, want)
@@ -152,7 +152,7 @@
 	a, ev := send(t, r.Addr)
 	testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
 	a.Abort()
-	if o := <-ev.ended; o.Outcome != decide.Reset {
+	if o := <-ev.ended; o.Outcome != decide.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 	<-closed
@@ -240,7 +240,7 @@
 		})
 		pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 		to := core.Target{Name: "s", Addr: r.Addr}
-		for n, want := range []decide.Outcome{decide.Full, decide.ReadDone} {
+		for n, want := range []decide.Outcome{decide.QueueFull, decide.PrefillDone} {
 			ev := newEvents()
 			pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, ev)
 			if o := <-ev.ended; o.Outcome != want {
@@ -303,12 +303,12 @@
 	<-begun
 	waits := pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, second)
 	waits.Withdraw()
-	if o := <-second.ended; o.Outcome != decide.Moot { // it says nothing of the replica, unlike a failed connect
+	if o := <-second.ended; o.Outcome != decide.NotSent { // it says nothing of the replica, unlike a failed connect
 		t.Errorf("an attempt without a connection ended with %d", o.Outcome)
 	}
 	out.Withdraw()
 	close(answer)
-	if o := <-first.ended; o.Outcome != decide.ReadDone {
+	if o := <-first.ended; o.Outcome != decide.PrefillDone {
 		t.Errorf("an attempt that was written ended with %d", o.Outcome)
 	}
 	if total, _ := r.Calls(); total != 1 {
@@ -368,7 +368,7 @@
 	for n := 1; n < len(whole); n += 7 {
 		r := testkit.NewReplica(t, testkit.Cut(n, "alpha", "beta"))
 		_, ev := send(t, r.Addr)
-		checkEnd(t, ev, whole[:n], decide.Reset)
+		checkEnd(t, ev, whole[:n], decide.ConnectionReset)
 	}
 }
 
@@ -383,7 +383,7 @@
 			t.Errorf("%q: read %q, %v", text, got, err)
 		}
 	}
-	if o := <-ev.ended; o.Outcome != want || o.Begun != (o.Outcome == decide.Reset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
+	if o := <-ev.ended; o.Outcome != want || o.Begun != (o.Outcome == decide.ConnectionReset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
 		t.Errorf("%q: ended %+v, and %d more", text, o, len(ev.ended)+len(ev.first))
 	}
 }
@@ -442,7 +442,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, ev := send(t, testkit.NewReplica(t, testkit.Raw(c.spoilt)).Addr)
-			want := decide.Reset
+			want := decide.ConnectionReset
 			if strings.HasPrefix(name, "a short") {
 				want = decide.Errored
 			}
@@ -475,7 +475,7 @@
 	defer pool.Close()
 	for n := range 200 {
 		pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: addr}, Limit: time.Second}, ev)
-		if o := <-ev.ended; o.Outcome != decide.ReadDone || o.Kept != 1 {
+		if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.Kept != 1 {
 			t.Fatalf("call %d: %+v", n, o)
 		}
 	}
@@ -495,7 +495,7 @@
 	s := <-ev.first
 	got, err := io.ReadAll(s)
 	s.Close()
-	if o := <-ev.ended; err == nil || string(got) != "data: {}\n\n" || o.Outcome != decide.Reset {
+	if o := <-ev.ended; err == nil || string(got) != "data: {}\n\n" || o.Outcome != decide.ConnectionReset {
 		t.Errorf("read %q, %v, outcome %d", got, err, o.Outcome)
 	}
 }
@@ -512,7 +512,7 @@
 	ev.reject = true
 	pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: r.Addr}, Limit: time.Second}, ev)
 	<-gone
-	if o := <-ev.ended; o.Outcome != decide.Reset {
+	if o := <-ev.ended; o.Outcome != decide.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 }
@@ -595,8 +595,8 @@
 	dead := testkit.NoOne(t)
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
-	for name, want := range map[string]*decide.Load{
-		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, Waiting: -1, Queue: 3, Busy: 0.5},
+	for name, want := range map[string]*decide.LoadReport{
+		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5},
 		"TEXT util=much":                  nil,
 		"":                                nil,
 		"silent":                          nil,
@@ -621,8 +621,8 @@
 		case "silent":
 			limit = 50 * time.Millisecond
 		}
-		told := make(chan *decide.Load, 1)
-		pool.Probe(to, limit, func(l *decide.Load) { told <- l })
+		told := make(chan *decide.LoadReport, 1)
+		pool.Probe(to, limit, func(l *decide.LoadReport) { told <- l })
 		if got := <-told; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q told %+v, want %+v", name, got, want)
 		}
@@ -641,9 +641,9 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	for _, duty := range []string{"", "probe/r 7"} {
-		told := make(chan *decide.Load, 1)
-		pool.ProbeFor(duty, core.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *decide.Load) { told <- l })
-		if got, l := <-duties, <-told; got != duty || l == nil || l.Queue != 1 {
+		told := make(chan *decide.LoadReport, 1)
+		pool.ProbeFor(duty, core.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *decide.LoadReport) { told <- l })
+		if got, l := <-duties, <-told; got != duty || l == nil || l.QueuedRequests != 1 {
 			t.Errorf("asked for %q, told %+v; want %q", got, l, duty)
 		}
 	}
@@ -707,7 +707,7 @@
 	defer pool.Close()
 	pool.Release(call, []core.Target{target})
 	pool.Send(core.Order{Call: call, To: target, Limit: 5 * time.Second}, ev)
-	if o := <-ev.ended; o.Outcome != decide.ReadDone {
+	if o := <-ev.ended; o.Outcome != decide.PrefillDone {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 	if first := <-came; first != http.MethodDelete {
--- a/internal/servers/stream.go
+++ b/internal/servers/stream.go
@@ -55,13 +55,13 @@
 		resp.Body.Close()
 		a.giveUp(true)
 		slog.Warn("no_first_event", "id", a.order.Call.ID, "err", s.err)
-		ev.Ended(core.Outcome{Outcome: decide.Reset, Begun: true}) // it may have run
+		ev.Ended(core.Outcome{Outcome: decide.ConnectionReset, Begun: true}) // it may have run
 		return
 	}
 	if !ev.First(s) {
 		resp.Body.Close()
 		a.giveUp(true)
-		ev.Ended(core.Outcome{Outcome: decide.Reset})
+		ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
 	}
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	s.ended = true
-	o := core.Outcome{Outcome: decide.Reset}
+	o := core.Outcome{Outcome: decide.ConnectionReset}
 	if s.err == io.EOF && len(s.events) == 0 {
 		o.Outcome = decide.Served
 		o.Kept, o.Load = s.attempt.pool.usage(s.tail)
@@ -176,7 +176,7 @@
 }
 
 // usage reads a stream's last lines: the prompt tokens found kept, and the load report in a comment.
-func (p *Pool) usage(tail []byte) (kept int, load *decide.Load) {
+func (p *Pool) usage(tail []byte) (kept int, load *decide.LoadReport) {
 	for line := range strings.Lines(string(tail)) {
 		line = strings.TrimSpace(line)
 		if text, ok := strings.CutPrefix(line, ": Endpoint-Load-Metrics:"); ok {
--- a/internal/state/handover/handover.go
+++ b/internal/state/handover/handover.go
@@ -59,7 +59,7 @@
 }
 
 // Encode packs beliefs, with a checksum behind them.
-func (p Place) Encode(b decide.Beliefs) ([]byte, error) {
+func (p Place) Encode(b decide.Snapshot) ([]byte, error) {
 	var out bytes.Buffer
 	e := gob.NewEncoder(&out)
 	if err := errors.Join(e.Encode(header{Name: p.Name, Settings: p.Settings}), e.Encode(newSnapshotRecord(b))); err != nil {
@@ -69,7 +69,7 @@
 }
 
 // Decode reads what Encode packed; ErrVoid: it is of no use here.
-func (p Place) Decode(text []byte) (b decide.Beliefs, err error) {
+func (p Place) Decode(text []byte) (b decide.Snapshot, err error) {
 	if len(text) > Most {
 		return b, fmt.Errorf("%w: over %d bytes", ErrVoid, Most)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Leave replaces what is left for others, whole.
-func (p Place) Leave(b decide.Beliefs) error {
+func (p Place) Leave(b decide.Snapshot) error {
 	text, err := p.Encode(b)
 	if err != nil {
 		return err
@@ -108,20 +108,20 @@
 }
 
 // Find reads what was left; fs.ErrNotExist: nothing was.
-func (p Place) Find() (decide.Beliefs, error) {
+func (p Place) Find() (decide.Snapshot, error) {
 	text, err := atomicfile.Read(p.file(".beliefs"), Most)
 	switch {
 	case errors.Is(err, atomicfile.ErrSpoilt):
-		return decide.Beliefs{}, fmt.Errorf("%w: %w", ErrVoid, err)
+		return decide.Snapshot{}, fmt.Errorf("%w: %w", ErrVoid, err)
 	case err != nil:
-		return decide.Beliefs{}, fmt.Errorf("handover: %w", err)
+		return decide.Snapshot{}, fmt.Errorf("handover: %w", err)
 	}
 	return p.Decode(text)
 }
 
 // Ask takes what was left, and asks a process of the same name that may be serving for what it knows now. Learn is called with
 // each that is found, once or twice.
-func (p Place) Ask(ctx context.Context, learn func(decide.Beliefs)) {
+func (p Place) Ask(ctx context.Context, learn func(decide.Snapshot)) {
 	var last time.Duration
 	find := func() bool {
 		b, err := p.Find()
@@ -129,9 +129,9 @@
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
 			slog.Warn("handover_refused", "err", err)
-		case b.At > last:
-			last = b.At
-			slog.Info("handover", "texts", len(b.Texts), "servers", len(b.Servers))
+		case b.TakenAt > last:
+			last = b.TakenAt
+			slog.Info("handover", "texts", len(b.Prefixes), "servers", len(b.Endpoints))
 			learn(b)
 			return true
 		}
@@ -164,7 +164,7 @@
 
 // Answer leaves what tell returns whenever somebody asks, and now and then unasked, until the context ends. A process answers once
 // it has asked itself.
-func (p Place) Answer(ctx context.Context, tell func() (decide.Beliefs, bool)) {
+func (p Place) Answer(ctx context.Context, tell func() (decide.Snapshot, bool)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	left := time.Now()
--- a/internal/state/handover/handover_test.go
+++ b/internal/state/handover/handover_test.go
@@ -14,9 +14,9 @@
 	"rampspread/internal/testkit"
 )
 
-func beliefs(at time.Duration) decide.Beliefs {
-	return decide.Beliefs{At: at, Lag: decide.Evidence{Sum: 3, N: 2, At: at}, Texts: []decide.TextBelief{{Key: 7, Reader: 8, Tokens: 9, At: at}},
-		Servers: []decide.ServerBelief{{ID: 8, Health: []decide.Level{{Value: 0.5, At: at}}}}}
+func beliefs(at time.Duration) decide.Snapshot {
+	return decide.Snapshot{TakenAt: at, CommonQueueDelay: decide.DecayedMean{Sum: 3, Count: 2, At: at}, Prefixes: []decide.PrefixCacheEntry{{Key: 7, Endpoint: 8, Tokens: 9, UpdatedAt: at}},
+		Endpoints: []decide.EndpointStats{{ID: 8, Health: []decide.EWMA{{Value: 0.5, At: at}}}}}
 }
 
 // What one leaves the next finds, whole; what is spoilt, cut, another member's or of other settings is void, and never a panic.
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	b, err := p.Find()
-	if err != nil || b.At != time.Hour || b.Texts[0].Tokens != 9 || b.Servers[0].Health[0].Value != 0.5 || b.Lag.Sum != 3 {
+	if err != nil || b.TakenAt != time.Hour || b.Prefixes[0].Tokens != 9 || b.Endpoints[0].Health[0].Value != 0.5 || b.CommonQueueDelay.Sum != 3 {
 		t.Fatalf("%+v, %v", b, err)
 	}
 	for _, other := range []Place{{p.Dir, "n/0", 6, p.Machine}, {p.Dir, "n_0", 5, p.Machine}} { // the second has the same file
@@ -67,15 +67,15 @@
 	if err := p.Leave(beliefs(time.Second)); err != nil { // of an earlier life
 		t.Fatal(err)
 	}
-	wg.Go(func() { p.Answer(ctx, func() (decide.Beliefs, bool) { return beliefs(time.Minute), true }) })
+	wg.Go(func() { p.Answer(ctx, func() (decide.Snapshot, bool) { return beliefs(time.Minute), true }) })
 	var got []time.Duration
-	p.Ask(ctx, func(b decide.Beliefs) { got = append(got, b.At) })
+	p.Ask(ctx, func(b decide.Snapshot) { got = append(got, b.TakenAt) })
 	if len(got) != 2 || got[0] != time.Second || got[1] != time.Minute {
 		t.Errorf("found %v", got)
 	}
 	alone := Place{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
 	from := time.Now()
-	alone.Ask(ctx, func(decide.Beliefs) { t.Error("something was found") })
+	alone.Ask(ctx, func(decide.Snapshot) { t.Error("something was found") })
 	if took := time.Since(from); took > askFor+time.Second {
 		t.Errorf("alone it asked for %v", took)
 	}
@@ -83,7 +83,7 @@
 		t.Error("the question is still there")
 	}
 	testkit.Eventually(t, "no question of the first", func() bool { _, err := os.Stat(p.file(".ask")); return err != nil })
-	(Place{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Ask(ctx, func(decide.Beliefs) { t.Error("something was found") })
+	(Place{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Ask(ctx, func(decide.Snapshot) { t.Error("something was found") })
 }
 
 func FuzzDecode(f *testing.F) {
@@ -101,7 +101,7 @@
 func BenchmarkEncode(b *testing.B) {
 	in := beliefs(1)
 	for i := range Texts {
-		in.Texts = append(in.Texts, decide.TextBelief{Key: decide.Key(i) << 40, Reader: 5, Tokens: 3000, At: time.Hour})
+		in.Prefixes = append(in.Prefixes, decide.PrefixCacheEntry{Key: decide.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
 	}
 	text, _ := Place{}.Encode(in)
 	b.ReportMetric(float64(len(text)), "bytes")
--- a/internal/state/handover/records.go
+++ b/internal/state/handover/records.go
@@ -66,103 +66,103 @@
 	}
 )
 
-func newSnapshotRecord(b decide.Beliefs) snapshotRecord {
+func newSnapshotRecord(b decide.Snapshot) snapshotRecord {
 	return snapshotRecord{
-		At:       b.At,
-		Read:     newLatencyModelRecord(b.Read),
-		Fetch:    newLatencyModelRecord(b.Fetch),
-		Lag:      newDecayedMeanRecord(b.Lag),
-		Scatter:  newDecayedMeanRecord(b.Scatter),
-		Trust:    newDecayedMeanRecord(b.Trust),
+		At:       b.TakenAt,
+		Read:     newLatencyModelRecord(b.Prefill),
+		Fetch:    newLatencyModelRecord(b.Decode),
+		Lag:      newDecayedMeanRecord(b.CommonQueueDelay),
+		Scatter:  newDecayedMeanRecord(b.EstimateError),
+		Trust:    newDecayedMeanRecord(b.CacheHitRatio),
 		Arrivals: newDecayedMeanRecord(b.Arrivals),
-		Each:     newDecayedMeanRecord(b.Each),
-		Texts:    convertAll(b.Texts, newCacheEntryRecord),
-		Servers:  convertAll(b.Servers, newEndpointRecord),
+		Each:     newDecayedMeanRecord(b.PerQueuedRequest),
+		Texts:    convertAll(b.Prefixes, newCacheEntryRecord),
+		Servers:  convertAll(b.Endpoints, newEndpointRecord),
 	}
 }
 
-func (r snapshotRecord) beliefs() decide.Beliefs {
-	return decide.Beliefs{
-		At:       r.At,
-		Read:     r.Read.fit(),
-		Fetch:    r.Fetch.fit(),
-		Lag:      r.Lag.evidence(),
-		Scatter:  r.Scatter.evidence(),
-		Trust:    r.Trust.evidence(),
+func (r snapshotRecord) beliefs() decide.Snapshot {
+	return decide.Snapshot{
+		TakenAt:       r.At,
+		Prefill:     r.Read.fit(),
+		Decode:    r.Fetch.fit(),
+		CommonQueueDelay:      r.Lag.evidence(),
+		EstimateError:  r.Scatter.evidence(),
+		CacheHitRatio:    r.Trust.evidence(),
 		Arrivals: r.Arrivals.evidence(),
-		Each:     r.Each.evidence(),
-		Texts:    convertAll(r.Texts, cacheEntryRecord.textBelief),
-		Servers:  convertAll(r.Servers, endpointRecord.serverBelief),
+		PerQueuedRequest:     r.Each.evidence(),
+		Prefixes:    convertAll(r.Texts, cacheEntryRecord.textBelief),
+		Endpoints:  convertAll(r.Servers, endpointRecord.serverBelief),
 	}
 }
 
-func newLatencyModelRecord(f decide.Fit) latencyModelRecord {
+func newLatencyModelRecord(f decide.LatencyModel) latencyModelRecord {
 	return latencyModelRecord{A: f.A, B: f.B, At: f.At}
 }
 
-func (r latencyModelRecord) fit() decide.Fit {
-	return decide.Fit{A: r.A, B: r.B, At: r.At}
+func (r latencyModelRecord) fit() decide.LatencyModel {
+	return decide.LatencyModel{A: r.A, B: r.B, At: r.At}
 }
 
-func newDecayedMeanRecord(e decide.Evidence) decayedMeanRecord {
-	return decayedMeanRecord{Sum: e.Sum, N: e.N, At: e.At}
+func newDecayedMeanRecord(e decide.DecayedMean) decayedMeanRecord {
+	return decayedMeanRecord{Sum: e.Sum, N: e.Count, At: e.At}
 }
 
-func (r decayedMeanRecord) evidence() decide.Evidence {
-	return decide.Evidence{Sum: r.Sum, N: r.N, At: r.At}
+func (r decayedMeanRecord) evidence() decide.DecayedMean {
+	return decide.DecayedMean{Sum: r.Sum, Count: r.N, At: r.At}
 }
 
-func newAverageRecord(l decide.Level) averageRecord {
+func newAverageRecord(l decide.EWMA) averageRecord {
 	return averageRecord{Value: l.Value, At: l.At}
 }
 
-func (r averageRecord) level() decide.Level {
-	return decide.Level{Value: r.Value, At: r.At}
+func (r averageRecord) level() decide.EWMA {
+	return decide.EWMA{Value: r.Value, At: r.At}
 }
 
-func newCacheEntryRecord(t decide.TextBelief) cacheEntryRecord {
+func newCacheEntryRecord(t decide.PrefixCacheEntry) cacheEntryRecord {
 	return cacheEntryRecord{
 		Key:    uint64(t.Key),
-		Reader: uint32(t.Reader),
+		Reader: uint32(t.Endpoint),
 		Tokens: t.Tokens,
-		At:     t.At,
-		Asked:  newDecayedMeanRecord(t.Asked),
+		At:     t.UpdatedAt,
+		Asked:  newDecayedMeanRecord(t.Requests),
 	}
 }
 
-func (r cacheEntryRecord) textBelief() decide.TextBelief {
-	return decide.TextBelief{
+func (r cacheEntryRecord) textBelief() decide.PrefixCacheEntry {
+	return decide.PrefixCacheEntry{
 		Key:    decide.Key(r.Key),
-		Reader: decide.ServerID(r.Reader),
+		Endpoint: decide.EndpointID(r.Reader),
 		Tokens: r.Tokens,
-		At:     r.At,
-		Asked:  r.Asked.evidence(),
+		UpdatedAt:     r.At,
+		Requests:  r.Asked.evidence(),
 	}
 }
 
-func newEndpointRecord(s decide.ServerBelief) endpointRecord {
+func newEndpointRecord(s decide.EndpointStats) endpointRecord {
 	return endpointRecord{
 		ID:       uint32(s.ID),
 		Started:  s.Started,
-		VoidTill: s.VoidTill,
-		Heard:    s.Heard,
+		VoidTill: s.CacheValidFrom,
+		Heard:    s.LastResponse,
 		Health:   convertAll(s.Health, newAverageRecord),
-		Excess:   newDecayedMeanRecord(s.Excess),
-		Wait:     newDecayedMeanRecord(s.Wait),
-		Turn:     s.Turn,
+		Excess:   newDecayedMeanRecord(s.QueueDelay),
+		Wait:     newDecayedMeanRecord(s.FirstTokenDelay),
+		Turn:     s.SlowStartCredit,
 	}
 }
 
-func (r endpointRecord) serverBelief() decide.ServerBelief {
-	return decide.ServerBelief{
-		ID:       decide.ServerID(r.ID),
+func (r endpointRecord) serverBelief() decide.EndpointStats {
+	return decide.EndpointStats{
+		ID:       decide.EndpointID(r.ID),
 		Started:  r.Started,
-		VoidTill: r.VoidTill,
-		Heard:    r.Heard,
+		CacheValidFrom: r.VoidTill,
+		LastResponse:    r.Heard,
 		Health:   convertAll(r.Health, averageRecord.level),
-		Excess:   r.Excess.evidence(),
-		Wait:     r.Wait.evidence(),
-		Turn:     r.Turn,
+		QueueDelay:   r.Excess.evidence(),
+		FirstTokenDelay:     r.Wait.evidence(),
+		SlowStartCredit:     r.Turn,
 	}
 }
 
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -88,20 +88,20 @@
 	}
 	ms, us := time.Millisecond, time.Microsecond
 	want := decide.Config{
-		Zone: 1, Routers: 2, MaxAttempts: 95, ReleaseWithin: 81 * ms, ColdFrom: 0.125, ColdFor: 112 * ms, FallMultiple: 113,
-		MayCancel: true, LocalRead: true, MaxRetryAfter: 93 * ms, TenantQuotas: []float64{101, 102},
-		Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}, {Role: decide.Mixed}},
+		Zone: 1, Routers: 2, MaxAttempts: 95, ReservationTTL: 81 * ms, SlowStartInitial: 0.125, SlowStartDuration: 112 * ms, OverloadMultiple: 113,
+		CanCancel: true, DecodeCanPrefill: true, MaxRetryAfter: 93 * ms, TenantQuotas: []float64{101, 102},
+		Kinds: []decide.Kind{{Role: decide.Prefill}, {Role: decide.Decode}, {Role: decide.Combined}},
 		Classes: []decide.Class{
-			{Aim: 41 * ms, AimPer1K: 71 * us, Worth: 3.5, Effect: decide.Safe, Group: decide.GroupZone, Window: 61 * ms},
-			{Aim: 42 * ms, AimPer1K: 72 * us, Worth: 4.5, Effect: decide.Keyed, Group: decide.GroupCell, Window: 62 * ms},
-			{Aim: 43 * ms, AimPer1K: 73 * us, Worth: 5.5, Effect: decide.Unsafe, Group: decide.GroupAll, Window: 63 * ms},
+			{TTFTObjective: 41 * ms, TTFTObjectivePer1K: 71 * us, Weight: 3.5, Idempotency: decide.Idempotent, DedupScope: decide.ScopeZone, DedupWindow: 61 * ms},
+			{TTFTObjective: 42 * ms, TTFTObjectivePer1K: 72 * us, Weight: 4.5, Idempotency: decide.IdempotentByKey, DedupScope: decide.ScopeCell, DedupWindow: 62 * ms},
+			{TTFTObjective: 43 * ms, TTFTObjectivePer1K: 73 * us, Weight: 5.5, Idempotency: decide.NonIdempotent, DedupScope: decide.ScopeAll, DedupWindow: 63 * ms},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	load := s.Load([]float32{0.25, 3, 0.5, 7})
-	if want := (&decide.Load{Memory: 0.25, Queue: 3, Busy: 0.5, Waiting: 7}); !reflect.DeepEqual(load, want) {
+	if want := (&decide.LoadReport{Memory: 0.25, QueuedRequests: 3, SlotUtilization: 0.5, QueuedKiloTokens: 7}); !reflect.DeepEqual(load, want) {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
 }
--- a/internal/wire/retune_test.go
+++ b/internal/wire/retune_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("names %v, want %v", got.Names, want)
 	}
 	c := got.Config.Classes
-	if len(c) != 4 || c[1].Effect != decide.Unsafe || c[3].Effect != decide.Safe || c[2].Effect != decide.Keyed ||
+	if len(c) != 4 || c[1].Idempotency != decide.NonIdempotent || c[3].Idempotency != decide.Idempotent || c[2].Idempotency != decide.IdempotentByKey ||
 		got.Config.MaxAttempts != 3 {
 		t.Errorf("classes %+v, attempts %d", c, got.Config.MaxAttempts)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -112,32 +112,32 @@
 func (s *Settings) Router() (decide.Config, error) {
 	cfg := decide.Config{
 		Zone: s.Az, Routers: s.Balancers, MaxAttempts: s.Limits.MostTries,
-		ReleaseWithin: FromMS(s.FamilyInfo.ReleaseWithinMs),
-		ColdFrom:      s.Rules.ColdFrom, ColdFor: FromMS(s.Rules.ColdMs),
-		FallMultiple: s.Rules.FallMultiple,
-		MayCancel:    s.Limits.Cancelling,
-		LocalRead:    s.FamilyInfo.LocalRead,
+		ReservationTTL: FromMS(s.FamilyInfo.ReleaseWithinMs),
+		SlowStartInitial:      s.Rules.ColdFrom, SlowStartDuration: FromMS(s.Rules.ColdMs),
+		OverloadMultiple: s.Rules.FallMultiple,
+		CanCancel:    s.Limits.Cancelling,
+		DecodeCanPrefill:    s.FamilyInfo.LocalRead,
 	}
 	if s.Limits.RetryAfter {
 		cfg.MaxRetryAfter = FromMS(s.Limits.MaxRetryAfterMs)
 	}
-	effects := map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
-	groups := map[string]decide.Group{"": decide.GroupAll, "all": decide.GroupAll, "zone": decide.GroupZone,
-		"cell": decide.GroupCell}
+	effects := map[string]decide.Idempotency{"retryable": decide.Idempotent, "dedup": decide.IdempotentByKey, "fragile": decide.NonIdempotent}
+	groups := map[string]decide.DedupScope{"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone,
+		"cell": decide.ScopeCell}
 	for i, c := range s.Classes {
 		effect, ok := effects[c.Effect]
 		group, known := groups[c.Group]
 		if !ok || !known {
 			return cfg, fmt.Errorf("class %d: unknown effect %q or group %q", i, c.Effect, c.Group)
 		}
-		class := decide.Class{Aim: FromMS(c.PromiseMs), Worth: c.Importance, Effect: effect, Group: group,
-			Window: FromMS(c.WindowMs)}
+		class := decide.Class{TTFTObjective: FromMS(c.PromiseMs), Weight: c.Importance, Idempotency: effect, DedupScope: group,
+			DedupWindow: FromMS(c.WindowMs)}
 		if i < len(s.FamilyInfo.AimUsPer1000PromptTokens) {
-			class.AimPer1K = FromMS(s.FamilyInfo.AimUsPer1000PromptTokens[i] / 1000)
+			class.TTFTObjectivePer1K = FromMS(s.FamilyInfo.AimUsPer1000PromptTokens[i] / 1000)
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	roles := map[string]decide.Role{"read": decide.Reader, "write": decide.Writer, "both": decide.Mixed}
+	roles := map[string]decide.Role{"read": decide.Prefill, "write": decide.Decode, "both": decide.Combined}
 	for i, duty := range s.FamilyInfo.DutyByKind {
 		role, ok := roles[duty]
 		if !ok {
@@ -152,11 +152,11 @@
 }
 
 // Load translates a report whose values stand in the order of the settings' fields; nil if it has none.
-func (s *Settings) Load(values []float32) *decide.Load {
+func (s *Settings) Load(values []float32) *decide.LoadReport {
 	if len(values) == 0 {
 		return nil
 	}
-	l := &decide.Load{Memory: -1, Waiting: -1, Queue: -1, Busy: -1}
+	l := &decide.LoadReport{Memory: -1, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}
 	for i, v := range values {
 		if i >= len(s.Telemetry.Fields) {
 			break
@@ -165,11 +165,11 @@
 		case "x0":
 			l.Memory = float64(v)
 		case "queue":
-			l.Queue = float64(v)
+			l.QueuedRequests = float64(v)
 		case "util":
-			l.Busy = float64(v)
+			l.SlotUtilization = float64(v)
 		case "x1":
-			l.Waiting = float64(v)
+			l.QueuedKiloTokens = float64(v)
 		}
 	}
 	return l
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -31,7 +31,7 @@
 			t.Error(err)
 		}
 	}()
-	entry := func(name string, kind int, state decide.ServerState) core.Listing {
+	entry := func(name string, kind int, state decide.EndpointState) core.Listing {
 		return core.Listing{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
 	}
 	s.Publish(true, []core.Listing{entry("r", 0, decide.Ready), entry("w1", 1, decide.Ready), entry("w2", 1, decide.Ready)})
