--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -42,7 +42,7 @@
 
 // Front answers chat clients.
 type Front struct {
-	core     *core.Core
+	core     *core.Dispatcher
 	settings *wire.Settings
 	classes  []decide.Class
 	config   *Config
@@ -54,7 +54,7 @@
 }
 
 // New returns a Front on the core; now is the clock by which idempotency keys expire.
-func New(c *core.Core, settings *wire.Settings, config *Config, now func() time.Time) (*Front, error) {
+func New(c *core.Dispatcher, settings *wire.Settings, config *Config, now func() time.Time) (*Front, error) {
 	router, err := settings.Router()
 	if err != nil {
 		return nil, fmt.Errorf("chat: %w", err)
@@ -150,7 +150,7 @@
 		f.run(r.Context(), w, j)
 		return
 	}
-	j.req.Finish = true
+	j.req.RunToCompletion = true
 	key := r.Header.Get("Idempotency-Key")
 	if key == "" || len(key) > 255 {
 		f.reject(w, invalid(http.StatusBadRequest, "idempotency_key_missing",
@@ -218,12 +218,12 @@
 	j := &job{ask: a, id: "chatcmpl-" + hex.EncodeToString(id), created: at.Unix(),
 		filing: f.classes[class].Idempotency != decide.Idempotent}
 	j.req = core.Request{Class: class, Call: core.Call{ID: hex.EncodeToString(id), Method: http.MethodPost,
-		Target: path, Type: "application/json", Body: out}}
-	j.req.Gone = clients.Gone(r)
+		Target: path, ContentType: "application/json", Body: out}}
+	j.req.ClientGone = clients.Gone(r)
 	a.fill(&j.req, f.config.MaxTokens, clients.Key)
 	// The class's deadline grows by twice what its aim grows for a long prompt.
 	wait := wire.FromMS(f.settings.Classes[class].HardLimitMs) +
-		time.Duration(2*float64(f.classes[class].TTFTObjectivePer1K)*float64(j.req.Prompt)/1000)
+		time.Duration(2*float64(f.classes[class].TTFTObjectivePer1K)*float64(j.req.PromptTokens)/1000)
 	if text := r.Header.Get("X-Expires-In"); text != "" {
 		asked, err := clients.Expiry(text)
 		if err != nil {
@@ -238,16 +238,16 @@
 // run takes a request through the core and writes its one final answer. It returns the answer if that is
 // known whole, and whether anything may have run.
 func (f *Front) run(client context.Context, w http.ResponseWriter, j *job) (*completion, bool) {
-	a := f.core.Do(client, j.req)
+	a := f.core.Dispatch(client, j.req)
 	switch a.Kind {
 	case core.Served:
 		return f.serve(w, j, a.Stream), true
-	case core.Refused:
+	case core.Rejected:
 		comeBack(w, a.RetryAfter.Seconds())
 		writeError(w, &apiError{status: http.StatusTooManyRequests, Type: "requests", Code: "rate_limit_exceeded",
 			Message: "the service is busy; nothing was run"})
 		return nil, false
-	case core.Left:
+	case core.ClientGone:
 		if j.filing { // it has not run, and its key is free again
 			writeError(w, &apiError{status: http.StatusServiceUnavailable, Type: "server_error", Code: "client_gone", Message: "nothing was run"})
 			return nil, false
--- a/internal/chat/message.go
+++ b/internal/chat/message.go
@@ -113,10 +113,10 @@
 	for _, m := range a.Messages {
 		total += utf8.RuneCountInString(string(m.Content))
 	}
-	req.Prompt = max(tokens(total), 1)
+	req.PromptTokens = max(tokens(total), 1)
 	first := a.Messages[0]
 	if first.Role == "system" || first.Role == "developer" {
-		req.Shared, req.SharedTokens = key(string(first.Content)), tokens(utf8.RuneCountInString(string(first.Content)))
+		req.SharedPrefix, req.SharedPrefixTokens = key(string(first.Content)), tokens(utf8.RuneCountInString(string(first.Content)))
 	}
 	begin := a.PromptCacheKey
 	if begin == "" {
@@ -127,10 +127,10 @@
 			}
 		}
 	}
-	req.Session, req.MaxOutput = key(begin), maxTokens
+	req.Session, req.MaxOutputTokens = key(begin), maxTokens
 	for _, limit := range []*int{a.MaxTokens, a.MaxCompletionTokens} {
 		if limit != nil {
-			req.MaxOutput = *limit
+			req.MaxOutputTokens = *limit
 		}
 	}
 }
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -34,7 +34,7 @@
 
 // Front answers the platform's clients.
 type Front struct {
-	core     *core.Core
+	core     *core.Dispatcher
 	settings *wire.Settings
 	bad      atomic.Int64
 	open     sync.Map                // ids of open requests
@@ -49,7 +49,7 @@
 }
 
 // New returns a Front on the core, for clients that may name these classes.
-func New(c *core.Core, settings *wire.Settings, now wire.Classes) *Front {
+func New(c *core.Dispatcher, settings *wire.Settings, now wire.Classes) *Front {
 	f := &Front{core: c, settings: settings}
 	f.SetClasses(now)
 	return f
@@ -102,11 +102,11 @@
 		http.Error(w, "another process may have this request", http.StatusServiceUnavailable)
 		return
 	}
-	a := f.core.Do(r.Context(), req)
+	a := f.core.Dispatch(r.Context(), req)
 	switch a.Kind {
 	case core.Served:
 		Copy(w, a.Stream, writeWait)
-	case core.Refused:
+	case core.Rejected:
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		http.Error(w, "refused: come back later", http.StatusTooManyRequests)
 	default:
@@ -180,8 +180,8 @@
 	if err != nil {
 		return fail(status, "body: %v", err)
 	}
-	req.Gone = Gone(r)
-	req.Call = core.Call{ID: id, Method: r.Method, Target: r.URL.RequestURI(), Type: h.Get("Content-Type"), Body: body}
+	req.ClientGone = Gone(r)
+	req.Call = core.Call{ID: id, Method: r.Method, Target: r.URL.RequestURI(), ContentType: h.Get("Content-Type"), Body: body}
 	return req, 0, nil
 }
 
@@ -200,7 +200,7 @@
 		return nil, http.StatusServiceUnavailable, err
 	case errors.Is(err, os.ErrDeadlineExceeded) && sentAway(r):
 		w.Header().Set("Retry-After", "0")
-		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", permit.Drained)
+		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", permit.Draining)
 	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge, err
 	case err != nil:
@@ -268,14 +268,14 @@
 		var to *int
 		switch name {
 		case "prefix":
-			req.Shared = Key(value)
+			req.SharedPrefix = Key(value)
 			continue
 		case "prompt_len":
-			to = &req.Prompt
+			to = &req.PromptTokens
 		case "prefix_len":
-			to = &req.SharedTokens
+			to = &req.SharedPrefixTokens
 		case "max_out":
-			to = &req.MaxOutput
+			to = &req.MaxOutputTokens
 		default:
 			continue
 		}
@@ -285,7 +285,7 @@
 		}
 		*to = int(n)
 	}
-	if req.Prompt == 0 {
+	if req.PromptTokens == 0 {
 		return errors.New("no prompt_len")
 	}
 	return nil
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -231,13 +231,13 @@
 }
 
 // closeIf ends a connection, if that may be done now, and says why not else. What comes later is not read, and the client sends it anew.
-func (h *clientConn) closeIf(facts permit.Close) permit.Reason {
+func (h *clientConn) closeIf(facts permit.CloseConnection) permit.Reason {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	bytes, left := h.peek()
-	facts.Waits = h.waits
-	facts.Half = facts.Half || h.fresh
-	facts.Unread = bytes && !left
+	facts.AwaitingBytes = h.waits
+	facts.PartialRequest = facts.PartialRequest || h.fresh
+	facts.UnreadBytes = bytes && !left
 	if why := facts.Check(); why != permit.Allowed {
 		return why
 	}
@@ -289,7 +289,7 @@
 	half, ok := h.Conn.(interface{ CloseWrite() error })
 	_, over := h.peek()
 	if owes && !over {
-		h.guard.audit.Violation(permit.ActClose, permit.Unanswered, h.RemoteAddr().String())
+		h.guard.audit.Record(permit.OperationClose, permit.RequestUnanswered, h.RemoteAddr().String())
 	}
 	if !lingers || over || !ok || !h.guard.linger() {
 		return h.Conn.Close()
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -50,7 +50,7 @@
 	if ends {
 		cause = permit.AtShutdown
 	}
-	return h.closeIf(permit.Close{Cause: cause}) == permit.Allowed
+	return h.closeIf(permit.CloseConnection{Cause: cause}) == permit.Allowed
 }
 
 // A resting connection is closed only while nothing has come on it: bytes that were read and are no whole request yet keep it, and so do
--- a/internal/clients/guard.go
+++ b/internal/clients/guard.go
@@ -59,7 +59,7 @@
 	next    http.Handler
 	bodies  *semaphore.Weighted
 	state   *State
-	audit   *permit.Audit
+	audit   *permit.ViolationCounter
 	bad     atomic.Int64
 	shed    atomic.Int64
 	closed  atomic.Int64     // for room
@@ -103,9 +103,9 @@
 	gone := k.client != nil && !k.client.requestComplete()
 	k.guard.mu.Lock()
 	defer k.guard.mu.Unlock()
-	why := permit.Take{ClientGone: gone, GaveWay: k.closed, Ending: k.guard.state.Late.Load(),
-		Drained: !k.guard.state.Drain.takes(time.Now())}.Check()
-	refused := why == permit.Ending || why == permit.Drained
+	why := permit.Accept{ClientGone: gone, Evicted: k.closed, ShuttingDown: k.guard.state.Late.Load(),
+		Draining: !k.guard.state.Drain.takes(time.Now())}.Check()
+	refused := why == permit.ShuttingDown || why == permit.Draining
 	k.asked, k.open = true, why == permit.Allowed || refused
 	if k.open {
 		k.request, k.taken = r.Header.Get("X-Trace-Id"), time.Now()
@@ -148,7 +148,7 @@
 }
 
 // NewGuard guards next. The fronts of a program share bodies, in bytes, and state.
-func NewGuard(next http.Handler, bodies *semaphore.Weighted, state *State, audit *permit.Audit) *Guard {
+func NewGuard(next http.Handler, bodies *semaphore.Weighted, state *State, audit *permit.ViolationCounter) *Guard {
 	return &Guard{next: next, bodies: bodies, state: state, audit: audit, conns: map[net.Conn]*conn{}}
 }
 
@@ -311,7 +311,7 @@
 		if victim == nil {
 			return false
 		}
-		facts := permit.Close{Cause: permit.ForRoom, Half: half, Silent: now.Sub(lastByte(victim, g.conns[victim].since)), Patience: silentFor}
+		facts := permit.CloseConnection{Cause: permit.ForCapacity, PartialRequest: half, Idle: now.Sub(lastByte(victim, g.conns[victim].since)), PartialRequestTimeout: silentFor}
 		if why := closeIf(victim, facts); why != permit.Allowed {
 			g.kept.Add(1)
 			busy[victim] = true
@@ -327,11 +327,11 @@
 }
 
 // closeIf closes a connection if that may be done now, and says why not else.
-func closeIf(c net.Conn, facts permit.Close) permit.Reason {
+func closeIf(c net.Conn, facts permit.CloseConnection) permit.Reason {
 	if h, ok := c.(*clientConn); ok {
 		return h.closeIf(facts)
 	}
-	facts.Waits = true // nothing is known of its bytes
+	facts.AwaitingBytes = true // nothing is known of its bytes
 	why := facts.Check()
 	if why == permit.Allowed {
 		c.Close()
@@ -371,10 +371,10 @@
 			continue
 		}
 		half := !k.idle && !inHandler && cause == permit.ForDrain
-		facts := permit.Close{Cause: cause, Open: k.open || inHandler, Half: half, Silent: now.Sub(lastByte(c, k.since)), Patience: quiet}
+		facts := permit.CloseConnection{Cause: cause, RequestOpen: k.open || inHandler, PartialRequest: half, Idle: now.Sub(lastByte(c, k.since)), PartialRequestTimeout: quiet}
 		k.kept = closeIf(c, facts)
 		if k.kept != permit.Allowed {
-			if k.kept != permit.Unanswered {
+			if k.kept != permit.RequestUnanswered {
 				g.kept.Add(1)
 			}
 			continue
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,7 +9,7 @@
 
 // attempt is one call of a request that was sent, or was to be sent, to a server.
 type attempt struct {
-	core   *Core
+	core   *Dispatcher
 	req    *request
 	number int
 	to     *listed
@@ -23,8 +23,8 @@
 	as      decide.Outcome // what it then ended as, if it may have run
 }
 
-// First implements Events.
-func (a *attempt) First(s Stream) bool {
+// FirstToken implements Events.
+func (a *attempt) FirstToken(s Stream) bool {
 	won := make(chan bool, 1)
 	if !a.core.post(func() { won <- a.core.first(a, s) }) {
 		return false
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *Core) first(a *attempt, s Stream) bool {
+func (c *Dispatcher) first(a *attempt, s Stream) bool {
 	q := a.req
 	if a.aborted || q.answer == nil {
 		return false // it counts as out until its connection is closed, and its end is reported then
@@ -52,7 +52,7 @@
 }
 
 // Ended implements Events.
-func (a *attempt) Ended(o Outcome) { a.core.post(func() { a.core.finish(a, o) }) }
+func (a *attempt) Ended(o AttemptResult) { a.core.post(func() { a.core.finish(a, o) }) }
 
 func (a *attempt) name() string {
 	if a.to == nil {
@@ -62,7 +62,7 @@
 }
 
 // finish takes an attempt's one outcome.
-func (c *Core) finish(a *attempt, o Outcome) {
+func (c *Dispatcher) finish(a *attempt, o AttemptResult) {
 	if a.ended {
 		return
 	}
@@ -96,11 +96,11 @@
 			"outcome", outcomeName(o.Outcome), "after", c.now()-a.sent, "first", a.first)
 	}
 	if a.first && o.Outcome != decide.Served {
-		c.counters.Broken++
+		c.counters.BrokenStreams++
 	}
 	c.handle(decide.AttemptEnded{
 		Request: q.id, Attempt: a.number, Endpoint: server, Outcome: o.Outcome, Elapsed: c.now() - a.sent,
-		CachedTokens: o.Kept, StreamStarted: o.Begun, Final: q.answer == nil, Load: o.Load,
+		CachedTokens: o.CachedTokens, StreamStarted: o.StreamStarted, Final: q.answer == nil, Load: o.Load,
 	})
 	if q.left && q.answer != nil && !q.runs() {
 		c.endLeft(q) // nothing is out that could still be read to its end
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -35,12 +35,12 @@
 			began := time.Now()
 			_, router := startOn(t, machine, func(*decide.Config) {})
 			started := machine.Wall().Add(-c.ago)
-			list := func() []core.Listing {
-				return []core.Listing{{Name: "r9", Kind: 0, State: decide.Ready, Weight: 1, Started: started}}
+			list := func() []core.Endpoint {
+				return []core.Endpoint{{Name: "r9", Kind: 0, State: decide.Ready, Weight: 1, Started: started}}
 			}
 			age := func() time.Duration {
-				router.Roster(true, list())
-				b, ok := router.Beliefs(context.Background(), 0)
+				router.UpdateEndpoints(true, list())
+				b, ok := router.Snapshot(context.Background(), 0)
 				if !ok || len(b.Endpoints) != 1 {
 					t.Fatalf("%d servers, %t", len(b.Endpoints), ok)
 				}
--- a/internal/core/contract.go
+++ b/internal/core/contract.go
@@ -14,7 +14,7 @@
 	ID     string
 	Method string
 	Target string
-	Type   string // of the body
+	ContentType   string // of the body
 	Body   []byte
 }
 
@@ -24,37 +24,37 @@
 	Class        int
 	Tenant       int
 	Session      decide.Key
-	Shared       decide.Key
-	Prompt       int
-	SharedTokens int
-	MaxOutput    int
+	SharedPrefix       decide.Key
+	PromptTokens       int
+	SharedPrefixTokens int
+	MaxOutputTokens    int
 	Deadline     time.Time // the final answer has left by then
-	// Gone asks the client's connection whether the client has closed it, which its context may tell a moment later; nil: the context
+	// ClientGone asks the client's connection whether the client has closed it, which its context may tell a moment later; nil: the context
 	// is all there is to ask. It does not wait.
-	Gone func() bool
-	// Finish lets what has been sent go on to its end though the client has left; no further attempt begins.
-	Finish bool
+	ClientGone func() bool
+	// RunToCompletion lets what has been sent go on to its end though the client has left; no further attempt begins.
+	RunToCompletion bool
 }
 
-// Kind is how a request was answered.
-type Kind uint8
+// AnswerKind is how a request was answered.
+type AnswerKind uint8
 
 // The kinds of a final answer.
 const (
-	Failed  Kind = iota // no promise
-	Refused             // a retry is harmless
+	Failed  AnswerKind = iota // no promise
+	Rejected             // a retry is harmless
 	Served              // Stream holds the answer
-	Left                // the client went away first, and nothing may have run
+	ClientGone                // the client went away first, and nothing may have run
 )
 
-var kindNames = [...]string{Failed: "failed", Refused: "refused", Served: "served", Left: "left"}
+var kindNames = [...]string{Failed: "failed", Rejected: "refused", Served: "served", ClientGone: "left"}
 
 // String is the kind as logs name it.
-func (k Kind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return kindNames[k] }
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	RetryAfter time.Duration
 	Stream     Stream
 }
@@ -81,45 +81,45 @@
 	Withdraw()
 }
 
-// Outcome is how an attempt ended.
-type Outcome struct {
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
 	Outcome decide.Outcome
-	Kept    int
-	Begun   bool // the answer had begun, and then it broke
+	CachedTokens    int
+	StreamStarted   bool // the answer had begun, and then it broke
 	Load    *decide.LoadReport
 }
 
-// Events takes an attempt's news; its methods may be called from any goroutine.
-type Events interface {
-	// First asks for the client: the stream goes to it, or false is returned and the attempt is to be given up.
-	First(Stream) bool
+// AttemptObserver takes an attempt's news; its methods may be called from any goroutine.
+type AttemptObserver interface {
+	// FirstToken asks for the client: the stream goes to it, or false is returned and the attempt is to be given up.
+	FirstToken(Stream) bool
 	// Ended is called once, when nothing is left of the attempt on its connection.
-	Ended(Outcome)
+	Ended(AttemptResult)
 }
 
-// Order is one attempt to be made.
-type Order struct {
+// AttemptSpec is one attempt to be made.
+type AttemptSpec struct {
 	Call  Call
-	To    Target
-	Limit time.Duration // for all of it
-	// Gone asks whether the client has gone; nil: nobody can tell. It does not wait.
-	Gone func() bool
-	// Window is for how long the servers drop repeats of what may have run already, where Repeat says that it may have.
-	Repeat bool
-	Window time.Duration
+	Target    Target
+	Timeout time.Duration // for all of it
+	// ClientGone asks whether the client has gone; nil: nobody can tell. It does not wait.
+	ClientGone func() bool
+	// Window is for how long the servers drop repeats of what may have run already, where Retry says that it may have.
+	Retry bool
+	DedupWindow time.Duration
 }
 
-// Servers sends calls. None of its methods blocks.
-type Servers interface {
-	Send(order Order, ev Events) Attempt
-	// Probe asks a server for its load and calls back once, from any goroutine; nil: it told none in time.
-	Probe(to Target, limit time.Duration, told func(*decide.LoadReport))
+// Upstream sends calls. None of its methods blocks.
+type Upstream interface {
+	Send(order AttemptSpec, ev AttemptObserver) Attempt
+	// PollLoad asks a server for its load and calls back once, from any goroutine; nil: it told none in time.
+	PollLoad(to Target, limit time.Duration, told func(*decide.LoadReport))
 	// Release lets go of what is held for the call's request, through the first of the targets that answers.
 	Release(call Call, through []Target)
 }
 
-// Listing is one entry of the list of servers.
-type Listing struct {
+// Endpoint is one entry of the list of servers.
+type Endpoint struct {
 	Name    string
 	Addr    string
 	Zone    int
@@ -130,8 +130,8 @@
 	Started time.Time // zero: long ago
 }
 
-// Apply brings a list by name up to date with what discovery told: the whole of it, or changes.
-func Apply(list map[string]Listing, full bool, entries []Listing) {
+// ApplyUpdate brings a list by name up to date with what discovery told: the whole of it, or changes.
+func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) {
 	if full {
 		clear(list)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -32,13 +32,13 @@
 	releaseAgain = 120 * time.Millisecond
 )
 
-// Core is the one owner of a Router.
-type Core struct {
+// Dispatcher is the one owner of a Router.
+type Dispatcher struct {
 	router    *decide.Router
 	config    decide.Config // in force
-	servers   Servers
+	servers   Upstream
 	machine   system.System
-	audit     *permit.Audit
+	audit     *permit.ViolationCounter
 	releasing atomic.Int64 // releases that are to be made once more
 	start     time.Time
 	base      time.Duration
@@ -81,12 +81,12 @@
 }
 
 // New returns a Core that Run must drive.
-func New(cfg decide.Config, seed uint64, servers Servers, machine system.System, audit *permit.Audit) (*Core, error) {
+func New(cfg decide.Config, seed uint64, servers Upstream, machine system.System, audit *permit.ViolationCounter) (*Dispatcher, error) {
 	router, err := decide.New(cfg, seed)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
-	return &Core{
+	return &Dispatcher{
 		router: router, config: cfg, servers: servers, machine: machine, audit: audit,
 		start: time.Now(), base: time.Duration(machine.Wall().UnixNano()),
 		queue: make(chan func(), queueSize), done: make(chan struct{}),
@@ -96,7 +96,7 @@
 }
 
 // Run owns the Router until the context ends.
-func (c *Core) Run(ctx context.Context) {
+func (c *Dispatcher) Run(ctx context.Context) {
 	defer close(c.done)
 	for {
 		select {
@@ -109,7 +109,7 @@
 }
 
 // post hands work to the owner; it waits while the queue is full, and reports false once Run has ended.
-func (c *Core) post(f func()) bool {
+func (c *Dispatcher) post(f func()) bool {
 	select {
 	case c.queue <- f:
 		return true
@@ -119,7 +119,7 @@
 }
 
 // offer hands work to the owner if its queue has room, and reports false if it has none: it never waits.
-func (c *Core) offer(f func()) bool {
+func (c *Dispatcher) offer(f func()) bool {
 	select {
 	case c.queue <- f:
 		return true
@@ -129,14 +129,14 @@
 }
 
 // now is the time by the clock that only advances; at the start it was that since 1970.
-func (c *Core) now() time.Duration { return c.base + time.Since(c.start) }
+func (c *Dispatcher) now() time.Duration { return c.base + time.Since(c.start) }
 
 // at is a time of this process's, by the same clock.
-func (c *Core) at(t time.Time) time.Duration { return c.base + t.Sub(c.start) }
+func (c *Dispatcher) at(t time.Time) time.Duration { return c.base + t.Sub(c.start) }
 
-// Do takes a request and returns its one final answer. If the client's context ends first, the answer is
+// Dispatch takes a request and returns its one final answer. If the client's context ends first, the answer is
 // Left, or one that was on its way.
-func (c *Core) Do(client context.Context, req Request) Answer {
+func (c *Dispatcher) Dispatch(client context.Context, req Request) Answer {
 	answer := make(chan Answer, 1)
 	q := &request{Request: req, client: client, answer: answer}
 	if !c.post(func() { c.take(q) }) {
@@ -154,16 +154,16 @@
 	case a := <-answer:
 		return a
 	case <-c.done:
-		return Answer{Kind: Left}
+		return Answer{Kind: ClientGone}
 	}
 }
 
-// Roster applies a list of servers, or changes to it.
-func (c *Core) Roster(full bool, entries []Listing) {
-	c.post(func() { c.roster(full, entries) })
+// UpdateEndpoints applies a list of servers, or changes to it.
+func (c *Dispatcher) UpdateEndpoints(full bool, entries []Endpoint) {
+	c.post(func() { c.updateEndpoints(full, entries) })
 }
 
-func (c *Core) roster(full bool, entries []Listing) {
+func (c *Dispatcher) updateEndpoints(full bool, entries []Endpoint) {
 	if full {
 		for _, l := range c.list {
 			l.state = decide.Gone
@@ -185,7 +185,7 @@
 
 // withdraw keeps attempts that are waiting for a connection from being sent to servers that are leaving: a send
 // counts from its first byte, and that may come long after the decision.
-func (c *Core) withdraw() {
+func (c *Dispatcher) withdraw() {
 	for _, q := range c.requests {
 		for _, a := range q.attempts {
 			if !a.ended && !a.first && a.to.state != decide.Ready {
@@ -195,33 +195,33 @@
 	}
 }
 
-// Heard is what another dispatcher found out about a server, Age ago; a nil Load: it told none in time.
-type Heard struct {
+// PeerLoad is what another dispatcher found out about a server, Age ago; a nil Load: it told none in time.
+type PeerLoad struct {
 	Name string
 	Load *decide.LoadReport
 	Age  time.Duration
 }
 
-// Heard takes what others found out. It never waits: while the queue is full the news is dropped, since it would be old
+// ApplyPeerLoads takes what others found out. It never waits: while the queue is full the news is dropped, since it would be old
 // by the time there is room, and false is returned.
-func (c *Core) Heard(news []Heard) bool {
+func (c *Dispatcher) ApplyPeerLoads(news []PeerLoad) bool {
 	came := time.Now()
 	return c.offer(func() {
 		for _, n := range news {
 			if l := c.names[n.Name]; l != nil {
-				c.counters.Heard++
+				c.counters.PeerLoadReports++
 				c.handle(decide.PeerLoadReport{Endpoint: l.ID, Load: n.Load, Age: n.Age + time.Since(came)})
 			}
 		}
 	})
 }
 
-// Taken is how many requests it has taken, from any goroutine.
-func (c *Core) Taken() int64 { return c.taken.Load() }
+// Accepted is how many requests it has taken, from any goroutine.
+func (c *Dispatcher) Accepted() int64 { return c.taken.Load() }
 
-// Share acts by a part of what all dispatchers may do until left has passed, and calls applied, from the owner, once it
+// SetQuotaShare acts by a part of what all dispatchers may do until left has passed, and calls applied, from the owner, once it
 // does. It never waits: false is returned while the queue is full.
-func (c *Core) Share(part float64, left time.Duration, applied func()) bool {
+func (c *Dispatcher) SetQuotaShare(part float64, left time.Duration, applied func()) bool {
 	came := time.Now()
 	return c.offer(func() {
 		c.handle(decide.QuotaShare{Fraction: part, Duration: left - time.Since(came)})
@@ -229,9 +229,9 @@
 	})
 }
 
-// Subset keeps the module to the servers of these names while enough of them are well; none: to all. It never waits: false is
+// SetSubset keeps the module to the servers of these names while enough of them are well; none: to all. It never waits: false is
 // returned while the queue is full.
-func (c *Core) Subset(names []string) bool {
+func (c *Dispatcher) SetSubset(names []string) bool {
 	return c.offer(func() {
 		var ids []decide.EndpointID
 		for _, name := range names {
@@ -243,8 +243,8 @@
 	})
 }
 
-// Beliefs is what the module has learnt, with so many texts at the most; false: the context or the core ended first.
-func (c *Core) Beliefs(ctx context.Context, texts int) (decide.Snapshot, bool) {
+// Snapshot is what the module has learnt, with so many texts at the most; false: the context or the core ended first.
+func (c *Dispatcher) Snapshot(ctx context.Context, texts int) (decide.Snapshot, bool) {
 	got := make(chan decide.Snapshot, 1)
 	if !c.post(func() { got <- c.router.Snapshot(c.now(), texts) }) {
 		return decide.Snapshot{}, false
@@ -258,13 +258,13 @@
 	return decide.Snapshot{}, false
 }
 
-// Learn gives the module what another process has learnt.
-func (c *Core) Learn(b decide.Snapshot) {
+// Restore gives the module what another process has learnt.
+func (c *Dispatcher) Restore(b decide.Snapshot) {
 	c.post(func() { c.handle(decide.SnapshotReceived{Snapshot: b}) })
 }
 
-// LearnNow is Learn for what a process of another machine has just told: its clock's now is taken for this one's.
-func (c *Core) LearnNow(b decide.Snapshot) {
+// RestoreFromPeer is Learn for what a process of another machine has just told: its clock's now is taken for this one's.
+func (c *Dispatcher) RestoreFromPeer(b decide.Snapshot) {
 	c.post(func() {
 		b.Shift(c.now() - b.TakenAt)
 		c.handle(decide.SnapshotReceived{Snapshot: b})
@@ -272,7 +272,7 @@
 }
 
 // lookup gives a name the same number at every dispatcher, since the module draws by it.
-func (c *Core) lookup(name string) *listed {
+func (c *Dispatcher) lookup(name string) *listed {
 	if l := c.names[name]; l != nil {
 		return l
 	}
@@ -289,7 +289,7 @@
 
 // prune forgets servers that are gone. Each replacement has a name of its own, so the list would grow for as
 // long as the program runs; attempts that are still out hold what they need.
-func (c *Core) prune() {
+func (c *Dispatcher) prune() {
 	for id, l := range c.list {
 		if l.state == decide.Gone {
 			delete(c.list, id)
@@ -298,17 +298,17 @@
 	}
 }
 
-func (c *Core) take(q *request) {
+func (c *Dispatcher) take(q *request) {
 	now := c.now()
 	c.lastID++
 	q.id, q.deadline = c.lastID, c.at(q.Deadline)
 	c.requests[q.id] = q
-	c.counters.Taken++
+	c.counters.Accepted++
 	c.taken.Add(1)
 	// The guard behind the module: whatever happens, the client is answered by its deadline.
 	q.timer = time.AfterFunc(q.deadline-now, func() { c.post(func() { c.overdue(q) }) })
 	if c.ending {
-		c.giveUp(q)
+		c.abandon(q)
 		return
 	}
 	if q.gone() {
@@ -316,13 +316,13 @@
 		return
 	}
 	c.handle(decide.RequestArrived{
-		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.Shared,
-		PromptTokens: q.Prompt, SharedPrefixTokens: q.SharedTokens, MaxOutputTokens: q.MaxOutput, TimeLeft: q.deadline - now,
+		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.SharedPrefix,
+		PromptTokens: q.PromptTokens, SharedPrefixTokens: q.SharedPrefixTokens, MaxOutputTokens: q.MaxOutputTokens, TimeLeft: q.deadline - now,
 	})
 }
 
 // overdue ends what is still out at the deadline, and answers if the module then does not.
-func (c *Core) overdue(q *request) {
+func (c *Dispatcher) overdue(q *request) {
 	for _, a := range q.attempts {
 		c.abort(a, decide.TimedOut)
 	}
@@ -333,17 +333,17 @@
 }
 
 // force answers a request that nothing else has answered.
-func (c *Core) force(q *request) {
+func (c *Dispatcher) force(q *request) {
 	if q.answer == nil {
 		return
 	}
-	c.counters.Overdue++
+	c.counters.DeadlineForced++
 	c.end(q, Answer{Kind: Failed})
 }
 
 // end answers a request over the module's head, which then ends what is out for it, where that may be cancelled.
 // An attempt that still waits for its connection must not begin in any case: nobody waits for its answer.
-func (c *Core) end(q *request, a Answer) {
+func (c *Dispatcher) end(q *request, a Answer) {
 	c.reply(q, a)
 	c.handle(decide.ClientGone{Request: q.id})
 	c.withdrawAll(q)
@@ -351,7 +351,7 @@
 }
 
 // withdrawAll keeps the attempts of a request that wait for their connection from beginning.
-func (c *Core) withdrawAll(q *request) {
+func (c *Dispatcher) withdrawAll(q *request) {
 	for _, a := range q.attempts {
 		if !a.ended && !a.first {
 			a.call.Withdraw()
@@ -361,7 +361,7 @@
 
 // abort gives an attempt up. It counts as out until its connection is closed: what is sent elsewhere
 // before that would be a second copy.
-func (c *Core) abort(a *attempt, as decide.Outcome) {
+func (c *Dispatcher) abort(a *attempt, as decide.Outcome) {
 	if a.ended || a.first || a.aborted {
 		return
 	}
@@ -370,12 +370,12 @@
 }
 
 // left ends a request whose client has left. Where what was sent is to go on to its end, it does while an attempt is out that may run.
-func (c *Core) left(q *request) {
+func (c *Dispatcher) left(q *request) {
 	if q.answer == nil || q.left {
 		return
 	}
-	c.counters.Left++
-	if q.Finish && q.runs() {
+	c.counters.ClientGone++
+	if q.RunToCompletion && q.runs() {
 		q.left = true
 		c.withdrawAll(q)
 		return
@@ -384,32 +384,32 @@
 }
 
 // endLeft gives the answer that is owed for a request whose client has left: whether anything may have run.
-func (c *Core) endLeft(q *request) {
-	kind := Left
-	if q.Finish && (q.ran.mayHave || q.runs()) {
+func (c *Dispatcher) endLeft(q *request) {
+	kind := ClientGone
+	if q.RunToCompletion && (q.ran.mayHave || q.runs()) {
 		kind = Failed
 	}
 	c.end(q, Answer{Kind: kind})
 }
 
-// GiveUp answers all that is unanswered, lets go of what is held for it, and refuses what comes from now on: the process is about
+// AbandonPending answers all that is unanswered, lets go of what is held for it, and refuses what comes from now on: the process is about
 // to be killed, and what it leaves held another one cannot let go.
-func (c *Core) GiveUp() {
+func (c *Dispatcher) AbandonPending() {
 	c.post(func() {
 		c.ending = true
 		for _, q := range c.requests {
 			if q.answer != nil {
-				c.giveUp(q)
+				c.abandon(q)
 			}
 		}
 	})
 }
 
-// giveUp refuses a request that was never sent, and fails any other.
-func (c *Core) giveUp(q *request) {
+// abandon refuses a request that was never sent, and fails any other.
+func (c *Dispatcher) abandon(q *request) {
 	if len(q.attempts) == 0 {
-		c.counters.Refused++
-		c.end(q, Answer{Kind: Refused, RetryAfter: comeBack})
+		c.counters.Rejected++
+		c.end(q, Answer{Kind: Rejected, RetryAfter: comeBack})
 		return
 	}
 	c.counters.Failed++
@@ -417,9 +417,9 @@
 }
 
 // reply gives the one final answer; the channel has room for it.
-func (c *Core) reply(q *request, a Answer) {
-	if why := (permit.Answer{Answered: q.answer == nil}).Check(); why != permit.Allowed {
-		c.audit.Violation(permit.ActAnswer, why, q.Call.ID)
+func (c *Dispatcher) reply(q *request, a Answer) {
+	if why := (permit.FinalAnswer{Answered: q.answer == nil}).Check(); why != permit.Allowed {
+		c.audit.Record(permit.OperationAnswer, why, q.Call.ID)
 		return
 	}
 	if a.Kind != Served {
@@ -431,7 +431,7 @@
 
 // forget drops an answered request once none of its attempts is out. It waits until the module has taken
 // all that is pending, since a release may still follow from that.
-func (c *Core) forget(q *request) {
+func (c *Dispatcher) forget(q *request) {
 	if q.answer != nil {
 		return
 	}
@@ -447,7 +447,7 @@
 }
 
 // handle gives the module an event and carries out what it answers, with all that follows at once.
-func (c *Core) handle(ev decide.Event) {
+func (c *Dispatcher) handle(ev decide.Event) {
 	c.pending = append(c.pending, ev)
 	if len(c.pending) > 1 {
 		return // the loop below is running further up
@@ -455,7 +455,7 @@
 	for len(c.pending) > 0 {
 		c.actions = c.router.Handle(c.now(), c.pending[0], c.actions[:0])
 		for _, a := range c.actions {
-			c.do(a)
+			c.carryOut(a)
 		}
 		c.pending = c.pending[1:]
 	}
@@ -466,7 +466,7 @@
 	c.stale = c.stale[:0]
 }
 
-func (c *Core) do(action decide.Action) {
+func (c *Dispatcher) carryOut(action decide.Action) {
 	switch a := action.(type) {
 	case decide.Send:
 		c.send(a)
@@ -476,9 +476,9 @@
 		c.release(a.Request, a.Reason)
 	case decide.Reject:
 		if q := c.requests[a.Request]; q != nil && q.answer != nil {
-			c.counters.Refused++
+			c.counters.Rejected++
 			q.why = string(a.Reason)
-			c.reply(q, Answer{Kind: Refused, RetryAfter: cmp.Or(a.RetryAfter, comeBack)})
+			c.reply(q, Answer{Kind: Rejected, RetryAfter: cmp.Or(a.RetryAfter, comeBack)})
 			c.forget(q)
 		}
 	case decide.Fail:
@@ -499,7 +499,7 @@
 	}
 }
 
-func (c *Core) probe(id decide.EndpointID) {
+func (c *Dispatcher) probe(id decide.EndpointID) {
 	told := func(l *decide.LoadReport) {
 		c.post(func() { c.handle(decide.LoadPolled{Endpoint: id, Load: l}) })
 	}
@@ -508,6 +508,6 @@
 		go told(nil)
 		return
 	}
-	c.counters.Probed++
-	c.servers.Probe(to.Target, probeWait, told)
+	c.counters.LoadPolls++
+	c.servers.PollLoad(to.Target, probeWait, told)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,7 +25,7 @@
 
 type sent struct {
 	to string
-	ev core.Events
+	ev core.AttemptObserver
 }
 
 type handAttempt struct {
@@ -37,28 +37,28 @@
 
 func (a handAttempt) Withdraw() { a.h.withdrew <- a.to }
 
-func (h *hand) Send(order core.Order, ev core.Events) core.Attempt {
-	h.sends <- sent{order.To.Name, ev}
-	return handAttempt{h, order.To.Name}
+func (h *hand) Send(order core.AttemptSpec, ev core.AttemptObserver) core.Attempt {
+	h.sends <- sent{order.Target.Name, ev}
+	return handAttempt{h, order.Target.Name}
 }
 
 func (h *hand) Release(call core.Call, _ []core.Target) { h.releases <- call.ID }
 
-func (h *hand) Probe(_ core.Target, _ time.Duration, told func(*decide.LoadReport)) { go told(nil) }
+func (h *hand) PollLoad(_ core.Target, _ time.Duration, told func(*decide.LoadReport)) { go told(nil) }
 
 type noStream struct{ io.ReadCloser }
 
-func start(t *testing.T) (*hand, *core.Core) {
+func start(t *testing.T) (*hand, *core.Dispatcher) {
 	t.Helper()
 	return startWith(t, func(*decide.Config) {})
 }
 
-func startWith(t *testing.T, change func(*decide.Config)) (*hand, *core.Core) {
+func startWith(t *testing.T, change func(*decide.Config)) (*hand, *core.Dispatcher) {
 	t.Helper()
 	return startOn(t, system.Real(), change)
 }
 
-func startOn(t *testing.T, machine system.System, change func(*decide.Config)) (*hand, *core.Core) {
+func startOn(t *testing.T, machine system.System, change func(*decide.Config)) (*hand, *core.Dispatcher) {
 	t.Helper()
 	h := &hand{sends: make(chan sent, 64), aborts: make(chan string, 64), releases: make(chan string, 64),
 		withdrew: make(chan string, 64)}
@@ -75,34 +75,34 @@
 	var done sync.WaitGroup
 	done.Go(func() { c.Run(ctx) })
 	t.Cleanup(func() { stop(); done.Wait() })
-	c.Roster(true, []core.Listing{
+	c.UpdateEndpoints(true, []core.Endpoint{
 		{Name: "r1", Kind: 0, State: decide.Ready, Weight: 1}, {Name: "r2", Kind: 0, State: decide.Ready, Weight: 1},
 		{Name: "w1", Kind: 1, State: decide.Ready, Weight: 1}, {Name: "w2", Kind: 1, State: decide.Ready, Weight: 1},
 	})
 	return h, c
 }
 
-func ask(ctx context.Context, c *core.Core, class int, wait time.Duration) chan core.Answer {
+func ask(ctx context.Context, c *core.Dispatcher, class int, wait time.Duration) chan core.Answer {
 	got := make(chan core.Answer, 2)
-	req := core.Request{Call: core.Call{ID: "x"}, Class: class, Prompt: 100, Deadline: time.Now().Add(wait)}
-	go func() { got <- c.Do(ctx, req) }()
+	req := core.Request{Call: core.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(wait)}
+	go func() { got <- c.Dispatch(ctx, req) }()
 	return got
 }
 
 func TestServed(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
+	(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
 	w := <-h.sends
-	if w.to != "w1" && w.to != "w2" || !w.ev.First(noStream{}) {
+	if w.to != "w1" && w.to != "w2" || !w.ev.FirstToken(noStream{}) {
 		t.Fatalf("written at %s, or the stream was not taken", w.to)
 	}
 	if a := <-got; a.Kind != core.Served || a.Stream == nil {
 		t.Fatalf("answer %+v", a)
 	}
 	// What breaks after the first event has its answer: nothing more is sent, not even a release.
-	w.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
-	if n := c.Counters(context.Background()); n.Open != 0 || n.Broken != 1 || n.Served != 1 || len(h.sends)+len(h.releases) > 0 {
+	w.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+	if n := c.Counters(context.Background()); n.Open != 0 || n.BrokenStreams != 1 || n.Served != 1 || len(h.sends)+len(h.releases) > 0 {
 		t.Errorf("counters %+v, %d sends, %d releases", n, len(h.sends), len(h.releases))
 	}
 }
@@ -112,8 +112,8 @@
 	for _, o := range []decide.Outcome{decide.ConnectionReset, decide.Errored, decide.TimedOut} {
 		h, c := start(t)
 		got := ask(context.Background(), c, 1, time.Minute)
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: o})
+		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: o})
 		if a := <-got; a.Kind != core.Failed || len(h.sends) > 0 {
 			t.Errorf("outcome %d: answer %+v, %d more sends", o, a, len(h.sends))
 		}
@@ -125,11 +125,11 @@
 func TestFilingNeverRan(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
+	(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
 	first := <-h.sends
-	first.ev.Ended(core.Outcome{Outcome: decide.ConnectFailed})
+	first.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
 	second := <-h.sends
-	if second.to == first.to || !second.ev.First(noStream{}) {
+	if second.to == first.to || !second.ev.FirstToken(noStream{}) {
 		t.Errorf("second writer %s after %s", second.to, first.to)
 	}
 	<-got
@@ -144,17 +144,17 @@
 		s := <-h.sends
 		<-h.aborts
 		if told {
-			s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+			s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 		}
 		if a := <-got; a.Kind == core.Served {
 			t.Fatalf("told %t: answer %+v", told, a)
 		}
-		if s.ev.First(noStream{}) {
+		if s.ev.FirstToken(noStream{}) {
 			t.Errorf("told %t: a stream was taken after the answer", told)
 		}
-		s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 		n := c.Counters(context.Background())
-		if n.Open != 0 || n.Overdue+n.Refused+n.Failed != 1 || len(h.sends) > 0 {
+		if n.Open != 0 || n.DeadlineForced+n.Rejected+n.Failed != 1 || len(h.sends) > 0 {
 			t.Errorf("told %t: counters %+v, %d more sends", told, n, len(h.sends))
 		}
 		// What the read may have left is let go, and again once it must have shown.
@@ -170,14 +170,14 @@
 	got := ask(context.Background(), c, 1, 30*time.Second)
 	s := <-h.sends
 	<-h.aborts // the module's time-out for a read
-	if s.ev.First(noStream{}) {
+	if s.ev.FirstToken(noStream{}) {
 		t.Error("a stream was taken after the time-out")
 	}
 	c.Counters(context.Background())
 	if len(h.sends) > 0 {
 		t.Fatal("a copy was sent while the first was out")
 	}
-	s.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+	s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 	if next := <-h.sends; next.to == s.to {
 		t.Errorf("the read went to %s again", next.to)
 	}
@@ -190,13 +190,13 @@
 	got := ask(ctx, c, 0, time.Minute)
 	s := <-h.sends
 	leave()
-	if a := <-got; a.Kind != core.Left {
+	if a := <-got; a.Kind != core.ClientGone {
 		t.Fatalf("answer %+v", a)
 	}
 	<-h.aborts
-	s.ev.Ended(core.Outcome{Outcome: decide.PrefillDone}) // the read won the race against the close
+	s.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone}) // the read won the race against the close
 	<-h.releases
-	if n := c.Counters(context.Background()); n.Open != 0 || n.Left != 1 || len(h.sends) > 0 {
+	if n := c.Counters(context.Background()); n.Open != 0 || n.ClientGone != 1 || len(h.sends) > 0 {
 		t.Errorf("counters %+v, %d more sends", n, len(h.sends))
 	}
 }
@@ -216,17 +216,17 @@
 		got := ask(ctx, c, 0, time.Minute)
 		s := <-h.sends
 		for _, o := range before {
-			s.ev.Ended(core.Outcome{Outcome: o})
+			s.ev.Ended(core.AttemptResult{Outcome: o})
 			s = <-h.sends
 		}
 		leave()
-		if a := <-got; a.Kind != core.Left {
+		if a := <-got; a.Kind != core.ClientGone {
 			t.Fatalf("%s: answer %+v", name, a)
 		}
 		if to := <-h.withdrew; to != s.to || len(h.withdrew) > 0 || len(h.aborts) > 0 {
 			t.Errorf("%s: withdrawn from %s, sent to %s; %d more, %d aborted", name, to, s.to, len(h.withdrew), len(h.aborts))
 		}
-		s.ev.Ended(core.Outcome{Outcome: decide.ConnectFailed})
+		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
 		<-h.releases
 		if n := c.Counters(context.Background()); n.Open != 0 || len(h.sends) > 0 {
 			t.Errorf("%s: %d open, %d more sends", name, n.Open, len(h.sends))
@@ -239,18 +239,18 @@
 	h, c := start(t)
 	waits := ask(context.Background(), c, 1, 30*time.Second)
 	read := <-h.sends
-	read.ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
+	read.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
 	write := <-h.sends
-	c.GiveUp()
+	c.AbandonPending()
 	if a := <-waits; a.Kind != core.Failed {
 		t.Errorf("a filing that may run was answered %+v", a)
 	}
 	if to := <-h.aborts; to != write.to {
 		t.Errorf("%s was aborted, not %s", to, write.to)
 	}
-	write.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+	write.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 	<-h.releases
-	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != core.Refused || a.RetryAfter <= 0 {
+	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != core.Rejected || a.RetryAfter <= 0 {
 		t.Errorf("what came later was answered %+v", a)
 	}
 	if n := c.Counters(context.Background()); n.Open != 0 || len(h.sends) > 0 {
@@ -264,21 +264,21 @@
 	for range 50 {
 		ctx, leave := context.WithCancel(context.Background())
 		got := ask(ctx, c, 0, time.Minute)
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
+		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
 		w := <-h.sends
 		taken := make(chan bool)
-		go func() { taken <- w.ev.First(noStream{}) }()
+		go func() { taken <- w.ev.FirstToken(noStream{}) }()
 		leave()
 		a := <-got
 		if won := <-taken; won != (a.Kind == core.Served) {
 			t.Fatalf("stream taken %t, answer %+v", won, a)
 		} else if won {
-			w.ev.Ended(core.Outcome{Outcome: decide.Served})
+			w.ev.Ended(core.AttemptResult{Outcome: decide.Served})
 		} else {
-			w.ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+			w.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 		}
 	}
-	if n := c.Counters(context.Background()); n.Open != 0 || n.Served+n.Left != 50 {
+	if n := c.Counters(context.Background()); n.Open != 0 || n.Served+n.ClientGone != 50 {
 		t.Errorf("counters %+v", n)
 	}
 }
@@ -287,24 +287,24 @@
 func TestNothingGrows(t *testing.T) {
 	h, c := start(t)
 	for n := range 100 {
-		c.Roster(false, []core.Listing{{Name: fmt.Sprint("s", n), Kind: 1, State: decide.Ready, Weight: 1},
+		c.UpdateEndpoints(false, []core.Endpoint{{Name: fmt.Sprint("s", n), Kind: 1, State: decide.Ready, Weight: 1},
 			{Name: fmt.Sprint("s", n-1), State: decide.Gone}})
 	}
-	if n := c.Counters(context.Background()); n.Listed != 5 {
-		t.Errorf("%d servers listed, want 5", n.Listed)
+	if n := c.Counters(context.Background()); n.Endpoints != 5 {
+		t.Errorf("%d servers listed, want 5", n.Endpoints)
 	}
 	gone := make(chan bool, 1)
 	func() {
 		body := make([]byte, 1<<20)
 		runtime.AddCleanup(&body[0], func(int) { gone <- true }, 0)
 		got := make(chan core.Answer)
-		req := core.Request{Call: core.Call{ID: "x", Body: body}, Prompt: 100, Deadline: time.Now().Add(time.Hour)}
-		go func() { got <- c.Do(context.Background(), req) }()
-		(<-h.sends).ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
+		req := core.Request{Call: core.Call{ID: "x", Body: body}, PromptTokens: 100, Deadline: time.Now().Add(time.Hour)}
+		go func() { got <- c.Dispatch(context.Background(), req) }()
+		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
 		w := <-h.sends
-		w.ev.First(noStream{})
+		w.ev.FirstToken(noStream{})
 		<-got
-		w.ev.Ended(core.Outcome{Outcome: decide.Served})
+		w.ev.Ended(core.AttemptResult{Outcome: decide.Served})
 	}()
 	testkit.Eventually(t, "the request's body to be let go", func() bool {
 		runtime.GC()
@@ -315,10 +315,10 @@
 // News from other dispatchers reaches the module by name, strangers are passed over, and nobody waits for room.
 func TestHeardNeverWaits(t *testing.T) {
 	_, c := start(t)
-	if !c.Heard([]core.Heard{{Name: "r1", Load: &decide.LoadReport{QueuedRequests: 1}}, {Name: "stranger"}}) {
+	if !c.ApplyPeerLoads([]core.PeerLoad{{Name: "r1", Load: &decide.LoadReport{QueuedRequests: 1}}, {Name: "stranger"}}) {
 		t.Fatal("no room in an empty queue")
 	}
-	if n := c.Counters(context.Background()); n.Heard != 1 {
+	if n := c.Counters(context.Background()); n.PeerLoadReports != 1 {
 		t.Errorf("counters %+v", n)
 	}
 	cfg, err := testkit.Settings(t).Router()
@@ -329,7 +329,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; stopped.Heard([]core.Heard{{Name: "r1"}}); n++ {
+	for n := 0; stopped.ApplyPeerLoads([]core.PeerLoad{{Name: "r1"}}); n++ {
 		if n > 1<<20 {
 			t.Fatal("a queue without bounds")
 		}
@@ -339,33 +339,33 @@
 // An attempt that waits for its connection while its server begins to drain, or is left out of the whole list, is
 // withdrawn, and the request goes elsewhere; others are left alone.
 func TestWithdrawnFromLeavingServers(t *testing.T) {
-	for name, tell := range map[string]func(c *core.Core, leaving string){
-		"draining": func(c *core.Core, leaving string) {
-			c.Roster(false, []core.Listing{{Name: leaving, Kind: 0, State: decide.Draining, Weight: 1}})
+	for name, tell := range map[string]func(c *core.Dispatcher, leaving string){
+		"draining": func(c *core.Dispatcher, leaving string) {
+			c.UpdateEndpoints(false, []core.Endpoint{{Name: leaving, Kind: 0, State: decide.Draining, Weight: 1}})
 		},
-		"gone": func(c *core.Core, leaving string) {
-			c.Roster(false, []core.Listing{{Name: leaving, State: decide.Gone}})
+		"gone": func(c *core.Dispatcher, leaving string) {
+			c.UpdateEndpoints(false, []core.Endpoint{{Name: leaving, State: decide.Gone}})
 		},
-		"left out": func(c *core.Core, leaving string) {
+		"left out": func(c *core.Dispatcher, leaving string) {
 			other := map[string]string{"r1": "r2", "r2": "r1"}[leaving]
-			c.Roster(true, []core.Listing{{Name: other, Kind: 0, State: decide.Ready, Weight: 1}, {Name: "w1", Kind: 1, State: decide.Ready, Weight: 1}})
+			c.UpdateEndpoints(true, []core.Endpoint{{Name: other, Kind: 0, State: decide.Ready, Weight: 1}, {Name: "w1", Kind: 1, State: decide.Ready, Weight: 1}})
 		},
 	} {
 		h, c := start(t)
 		got := ask(context.Background(), c, 1, time.Minute)
 		s := <-h.sends
-		c.Roster(false, []core.Listing{{Name: "w2", Kind: 1, State: decide.Draining, Weight: 1}}) // has nothing to do with it
+		c.UpdateEndpoints(false, []core.Endpoint{{Name: "w2", Kind: 1, State: decide.Draining, Weight: 1}}) // has nothing to do with it
 		tell(c, s.to)
 		if to := <-h.withdrew; to != s.to || len(h.withdrew) > 0 {
 			t.Errorf("%s: withdrawn from %s, and %d more; sent to %s", name, to, len(h.withdrew), s.to)
 		}
-		s.ev.Ended(core.Outcome{Outcome: decide.ConnectFailed})
+		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
 		next := <-h.sends
 		if next.to == s.to {
 			t.Errorf("%s: sent to %s again", name, next.to)
 		}
-		next.ev.Ended(core.Outcome{Outcome: decide.PrefillDone})
-		(<-h.sends).ev.First(noStream{})
+		next.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+		(<-h.sends).ev.FirstToken(noStream{})
 		if a := <-got; a.Kind != core.Served {
 			t.Errorf("%s: answer %+v", name, a)
 		}
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -9,11 +9,11 @@
 
 // Counters tells what the core took in, sent and answered.
 type Counters struct {
-	Taken, Sent, Probed, Released, Heard           int
-	NoWord                                         int // releases of them, since nothing told that an attempt had arrived
-	Served, Refused, Failed, Left, Overdue, Broken int
+	Accepted, Attempts, LoadPolls, Releases, PeerLoadReports           int
+	ExpiredReservations                                         int // releases of them, since nothing told that an attempt had arrived
+	Served, Rejected, Failed, ClientGone, DeadlineForced, BrokenStreams int
 	Outcomes                                       map[string]int
-	Open, Listed                                   int
+	Open, Endpoints                                   int
 }
 
 func outcomeName(o decide.Outcome) string {
@@ -31,11 +31,11 @@
 }
 
 // Counters returns a copy.
-func (c *Core) Counters(ctx context.Context) Counters {
+func (c *Dispatcher) Counters(ctx context.Context) Counters {
 	got := make(chan Counters, 1)
 	c.post(func() {
 		n := c.counters
-		n.Outcomes, n.Open, n.Listed = maps.Clone(n.Outcomes), len(c.requests), len(c.list)
+		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(c.requests), len(c.list)
 		got <- n
 	})
 	select {
--- a/internal/core/held_test.go
+++ b/internal/core/held_test.go
@@ -34,11 +34,11 @@
 			t.Parallel()
 			read := make(chan time.Time, 8)
 			f := testkit.NewFleet(t, testkit.ReadAt(read), testkit.Silent)
-			f.Core.Roster(false, []core.Listing{{Name: "w", Addr: silentReplica(t), Kind: 1, State: decide.Ready, Weight: 1}})
+			f.Core.UpdateEndpoints(false, []core.Endpoint{{Name: "w", Addr: silentReplica(t), Kind: 1, State: decide.Ready, Weight: 1}})
 			client, leave := context.WithCancel(context.Background())
 			defer leave()
-			go f.Core.Do(client, core.Request{Call: core.Call{ID: "held", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
-				Class: class, Prompt: 100, Deadline: time.Now().Add(5 * time.Second)})
+			go f.Core.Dispatch(client, core.Request{Call: core.Call{ID: "held", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
+				Class: class, PromptTokens: 100, Deadline: time.Now().Add(5 * time.Second)})
 			from := <-read
 			testkit.Eventually(t, "the release", func() bool { return f.Reader.Releases("held") > 0 || time.Since(from) > 2*heldAtMost })
 			if took := time.Since(from); took > heldAtMost {
@@ -53,9 +53,9 @@
 func TestLostReadIsFollowed(t *testing.T) {
 	t.Parallel()
 	f := testkit.NewFleet(t, testkit.Read, testkit.Silent)
-	f.Core.Roster(false, []core.Listing{{Name: "r", Addr: silentReplica(t), Kind: 0, State: decide.Ready, Weight: 1}})
-	f.Core.Do(context.Background(), core.Request{Call: core.Call{ID: "lost", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
-		Prompt: 100, Deadline: time.Now().Add(200 * time.Millisecond)})
+	f.Core.UpdateEndpoints(false, []core.Endpoint{{Name: "r", Addr: silentReplica(t), Kind: 0, State: decide.Ready, Weight: 1}})
+	f.Core.Dispatch(context.Background(), core.Request{Call: core.Call{ID: "lost", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
+		PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond)})
 	answered := time.Now()
 	const late = time.Second // after the answer
 	before := 0
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -14,7 +14,7 @@
 const releaseThrough = 24
 
 // release lets go of what is held, through servers that have answered of late first.
-func (c *Core) release(id decide.RequestID, why decide.ReleaseReason) {
+func (c *Dispatcher) release(id decide.RequestID, why decide.ReleaseReason) {
 	q := c.requests[id]
 	if q == nil || q.streamed {
 		return // with the first event all else goes by itself, and nothing more is sent
@@ -46,7 +46,7 @@
 )
 
 // follow lets go of what a lost attempt may leave behind later, once its request has its answer.
-func (c *Core) follow(a *attempt) {
+func (c *Dispatcher) follow(a *attempt) {
 	ended := c.now()
 	var again func()
 	wait := func() { time.AfterFunc(followEvery, func() { c.post(again) }) }
@@ -61,13 +61,13 @@
 	wait()
 }
 
-// Releasing is how many releases are to be made once more, from any goroutine.
-func (c *Core) Releasing() int64 { return c.releasing.Load() }
+// PendingReleases is how many releases are to be made once more, from any goroutine.
+func (c *Dispatcher) PendingReleases() int64 { return c.releasing.Load() }
 
-func (c *Core) releaseNow(q *request, why decide.ReleaseReason) {
-	c.counters.Released++
+func (c *Dispatcher) releaseNow(q *request, why decide.ReleaseReason) {
+	c.counters.Releases++
 	if why == decide.ReservationExpired {
-		c.counters.NoWord++
+		c.counters.ExpiredReservations++
 		slog.Info("released", "id", q.Call.ID, "why", why, "attempts", len(q.attempts), "server", q.lastServer())
 	}
 	var through []Target
@@ -104,7 +104,7 @@
 
 // lastHeard lists the servers that run, by the list, and answered last, that one first: so many at the most. A large list is not sorted
 // for the sake of a few.
-func (c *Core) lastHeard(most int) []*listed {
+func (c *Dispatcher) lastHeard(most int) []*listed {
 	order := func(a, b *listed) int {
 		return cmp.Or(cmp.Compare(b.heard, a.heard), strings.Compare(a.Name, b.Name))
 	}
--- a/internal/core/retold_test.go
+++ b/internal/core/retold_test.go
@@ -14,14 +14,14 @@
 // its part of a cold server's budget is used up.
 func TestListToldAgainChangesNothing(t *testing.T) {
 	_, c := start(t)
-	list := []core.Listing{
+	list := []core.Endpoint{
 		{Name: "r1", Kind: 0, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Second)},
 		{Name: "w1", Kind: 1, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Hour)},
 	}
 	var first []decide.EndpointStats
 	for n := range 5 {
-		c.Roster(true, list)
-		b, ok := c.Beliefs(context.Background(), 0)
+		c.UpdateEndpoints(true, list)
+		b, ok := c.Snapshot(context.Background(), 0)
 		if !ok || len(b.Endpoints) != len(list) {
 			t.Fatalf("%d servers, %t", len(b.Endpoints), ok)
 		}
--- a/internal/core/retune.go
+++ b/internal/core/retune.go
@@ -8,9 +8,9 @@
 	"rampspread/decide"
 )
 
-// Retune gives the module a new configuration while requests are open, and returns once it has it or
+// Reconfigure gives the module a new configuration while requests are open, and returns once it has it or
 // has refused it.
-func (c *Core) Retune(ctx context.Context, cfg decide.Config) error {
+func (c *Dispatcher) Reconfigure(ctx context.Context, cfg decide.Config) error {
 	done := make(chan error, 1)
 	if !c.post(func() { done <- c.retune(cfg) }) {
 		return errStopped
@@ -28,7 +28,7 @@
 	}
 }
 
-func (c *Core) retune(cfg decide.Config) error {
+func (c *Dispatcher) retune(cfg decide.Config) error {
 	if err := c.router.Reconfigure(c.now(), cfg); err != nil {
 		return err
 	}
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -16,7 +16,7 @@
 }
 
 // note takes an attempt's end.
-func (e *effect) note(a *attempt, o Outcome) {
+func (e *effect) note(a *attempt, o AttemptResult) {
 	if a.to == nil || a.to.reads || o.Outcome.NeverRan() || e.mayHave {
 		return
 	}
@@ -45,16 +45,16 @@
 
 // gone tells whether the request's client has left.
 func (q *request) gone() bool {
-	return q.left || q.client.Err() != nil || q.Gone != nil && q.Gone()
+	return q.left || q.client.Err() != nil || q.ClientGone != nil && q.ClientGone()
 }
 
 // reads tells whether servers of a kind read prompts only.
-func (c *Core) reads(kind int) bool {
+func (c *Dispatcher) reads(kind int) bool {
 	return kind >= 0 && kind < len(c.config.Kinds) && c.config.Kinds[kind].Role == decide.Prefill
 }
 
 // window is for how long yet a server drops repeats of what may have run; false: it does not drop them.
-func (c *Core) window(q *request, to *listed, now time.Duration) (left time.Duration, alike bool) {
+func (c *Dispatcher) window(q *request, to *listed, now time.Duration) (left time.Duration, alike bool) {
 	class, on := c.config.Classes[q.Class], q.ran.on
 	if on == nil || to == nil {
 		return 0, false
@@ -71,24 +71,24 @@
 }
 
 // sendFacts are what there is to know of an attempt that the module wants.
-func (c *Core) sendFacts(q *request, to *listed, limit, now time.Duration) permit.Send {
+func (c *Dispatcher) sendFacts(q *request, to *listed, limit, now time.Duration) permit.Attempt {
 	window, alike := c.window(q, to, now)
-	return permit.Send{
+	return permit.Attempt{
 		Answered:   q.answer == nil,
 		ClientGone: q.gone(),
-		Leaving:    to == nil || to.state != decide.Ready,
-		Left:       limit,
-		CopyOut:    q.out(),
-		Runs:       to != nil && !to.reads,
+		EndpointLeaving:    to == nil || to.state != decide.Ready,
+		TimeLeft:       limit,
+		AttemptInFlight:    q.out(),
+		Executes:       to != nil && !to.reads,
 		MayHaveRun: q.ran.mayHave,
-		Effect:     c.config.Classes[q.Class].Idempotency,
-		Alike:      alike,
-		Window:     window,
+		Idempotency:     c.config.Classes[q.Class].Idempotency,
+		InDedupScope:      alike,
+		DedupWindow:     window,
 	}
 }
 
 // send makes an attempt, if it may be made. One that may not has ended before it began, which has cost no server anything.
-func (c *Core) send(s decide.Send) {
+func (c *Dispatcher) send(s decide.Send) {
 	q, to := c.requests[s.Request], c.list[s.Endpoint]
 	if q == nil {
 		return
@@ -108,22 +108,22 @@
 	if a.number > 0 {
 		slog.Info("further_attempt", "id", q.Call.ID, "attempt", a.number, "server", a.name(), "may_have_run", q.ran.mayHave)
 	}
-	c.counters.Sent++
-	a.call = c.servers.Send(Order{Call: q.Call, To: to.Target, Limit: limit, Gone: q.Gone,
-		Repeat: facts.Runs && q.ran.mayHave && facts.Effect == decide.IdempotentByKey, Window: facts.Window}, a)
+	c.counters.Attempts++
+	a.call = c.servers.Send(AttemptSpec{Call: q.Call, Target: to.Target, Timeout: limit, ClientGone: q.ClientGone,
+		Retry: facts.Executes && q.ran.mayHave && facts.Idempotency == decide.IdempotentByKey, DedupWindow: facts.DedupWindow}, a)
 	a.timer = time.AfterFunc(limit, func() { c.post(func() { c.abort(a, decide.TimedOut) }) })
 }
 
 // notSent ends an attempt that may not be made.
-func (c *Core) notSent(a *attempt, why permit.Reason) {
+func (c *Dispatcher) notSent(a *attempt, why permit.Reason) {
 	q := a.req
 	slog.Info("not_sent", "id", q.Call.ID, "attempt", a.number, "server", a.name(), "why", why.String())
 	switch why {
-	case permit.CopyOut, permit.MayHaveRun, permit.WindowOver: // the module should not have wanted it
-		c.audit.Violation(permit.ActSend, why, q.Call.ID)
+	case permit.AttemptInFlight, permit.MayHaveRun, permit.DedupWindowExpired: // the module should not have wanted it
+		c.audit.Record(permit.OperationSend, why, q.Call.ID)
 	}
-	c.finish(a, Outcome{Outcome: decide.NotSent})
-	if why == permit.ClientGone {
+	c.finish(a, AttemptResult{Outcome: decide.NotSent})
+	if why == permit.ClientDisconnected {
 		c.left(q)
 	}
 }
--- a/internal/core/start.go
+++ b/internal/core/start.go
@@ -13,7 +13,7 @@
 
 // startOf is when a server was started, by the core's clock; 0: long ago. The same start told again is the same time: only its first
 // telling is compared with the clocks, since the wall clock may be stepped while the server warms up.
-func (c *Core) startOf(l *listed, told time.Time) time.Duration {
+func (c *Dispatcher) startOf(l *listed, told time.Time) time.Duration {
 	if told.IsZero() {
 		l.start = start{}
 		return 0
@@ -27,7 +27,7 @@
 // age is how long ago a server was started, by the more careful of two clocks: the wall clock, and the core's own, which has counted
 // real time since this process's start. They differ once the wall clock has been stepped. A start that lies ahead of the wall clock
 // was told by the clock as it was before a step back.
-func (c *Core) age(told time.Time) time.Duration {
+func (c *Dispatcher) age(told time.Time) time.Duration {
 	byWall := c.machine.Wall().Sub(told)
 	byOwn := c.now() - time.Duration(told.UnixNano())
 	if byWall < -clockSlack {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -57,12 +57,12 @@
 // Watcher follows discovery.
 type Watcher struct {
 	settings *wire.Settings
-	apply    func(full bool, entries []core.Listing)
+	apply    func(full bool, entries []core.Endpoint)
 	client   *http.Client
 	backoff  *backoff // only Run uses it
 	quiet    time.Duration
 	held     sync.Mutex
-	known    map[string]core.Listing // by name, as it was handed on
+	known    map[string]core.Endpoint // by name, as it was handed on
 	version  atomic.Uint64
 	stale    atomic.Bool // no list is held, or a change may be missing from it
 	bad      atomic.Int64
@@ -75,8 +75,8 @@
 }
 
 // New returns a Watcher that hands every list to apply. The seed draws the pauses between its attempts.
-func New(addr string, settings *wire.Settings, seed uint64, apply func(bool, []core.Listing)) *Watcher {
-	w := &Watcher{addr: addr, moved: make(chan struct{}), confirmed: make(chan struct{}), known: map[string]core.Listing{}, settings: settings, apply: apply, quiet: quiet,
+func New(addr string, settings *wire.Settings, seed uint64, apply func(bool, []core.Endpoint)) *Watcher {
+	w := &Watcher{addr: addr, moved: make(chan struct{}), confirmed: make(chan struct{}), known: map[string]core.Endpoint{}, settings: settings, apply: apply, quiet: quiet,
 		backoff: newBackoff(seed, func() float64 { return float64(settings.Balancers) }),
 		client: &http.Client{
 			Transport: &http.Transport{
@@ -141,7 +141,7 @@
 // Apply hands on a list, entry by entry, and tells whether all of it could be read: what makes no sense is
 // counted and skipped. The watch goes on after it.
 func (w *Watcher) Apply(l List, full bool) (whole bool) {
-	out, bad := make([]core.Listing, 0, len(l.Instances)), 0
+	out, bad := make([]core.Endpoint, 0, len(l.Instances)), 0
 	w.held.Lock()
 	for _, raw := range l.Instances {
 		e, err := w.entry(raw)
@@ -162,7 +162,7 @@
 		}
 		out = append(out, e)
 	}
-	core.Apply(w.known, full, out)
+	core.ApplyUpdate(w.known, full, out)
 	w.version.Store(l.Generation) // before it is handed on: who takes it may ask which it is
 	w.held.Unlock()
 	w.apply(full, out)
@@ -173,15 +173,15 @@
 
 // entry reads one entry. With an error the listing names the server and what it is told to be, as far as that
 // could be read.
-func (w *Watcher) entry(raw json.RawMessage) (core.Listing, error) {
+func (w *Watcher) entry(raw json.RawMessage) (core.Endpoint, error) {
 	var in Instance
 	badType := json.Unmarshal(raw, &in) // the other fields are read all the same
 	states := map[string]decide.EndpointState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 	state, ok := states[in.Lifecycle]
 	if !ok || in.ID == "" {
-		return core.Listing{}, errors.Join(fmt.Errorf("entry %q: unknown lifecycle %q", in.ID, in.Lifecycle), badType)
+		return core.Endpoint{}, errors.Join(fmt.Errorf("entry %q: unknown lifecycle %q", in.ID, in.Lifecycle), badType)
 	}
-	e := core.Listing{Name: in.ID, Addr: in.HostPort, State: state, Cell: in.Cell, Weight: in.Weight,
+	e := core.Endpoint{Name: in.ID, Addr: in.HostPort, State: state, Cell: in.Cell, Weight: in.Weight,
 		Zone: w.settings.Zone(in.Zone), Kind: slices.Index(w.settings.Kinds, in.MachineType)}
 	if in.StartedAtMS > 0 && in.StartedAtMS < 1e14 {
 		e.Started = time.UnixMicro(int64(in.StartedAtMS * 1000))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 
 type update struct {
 	full    bool
-	entries []core.Listing
+	entries []core.Endpoint
 }
 
 // agent is a stand-in for discovery: each watch gets the next of its scripts and then ends.
@@ -65,7 +65,7 @@
 	s := httptest.NewServer(a)
 	defer s.Close()
 	updates := make(chan update, 64)
-	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []core.Listing) {
+	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []core.Endpoint) {
 		updates <- update{full, e}
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -108,7 +108,7 @@
 	updates := make(chan update, 64)
 	settings := testkit.Settings(t)
 	settings.Discovery = "ask"
-	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []core.Listing) {
+	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []core.Endpoint) {
 		updates <- update{full, e}
 	})
 	w.Known(discovery.List{Generation: 41, Instances: []json.RawMessage{json.RawMessage(entry("s1", "ready"))}})
@@ -130,8 +130,8 @@
 }
 
 func TestBadEntriesAreSkipped(t *testing.T) {
-	var got []core.Listing
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Listing) { got = e })
+	var got []core.Endpoint
+	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
 	var l discovery.List
 	good := entry("s1", "ready")
 	text := list(1, true, `7`, `{"instanceId":4}`, entry("s2", "asleep"), strings.Replace(good, "wien", "linz", 1),
@@ -153,8 +153,8 @@
 		strings.Replace(good, `"cell":3`, `"cell":"x"`, 1), strings.Replace(good, `"weight":1.0`, `"weight":[]`, 1),
 		strings.Replace(entry("s1", "gone"), `"cell":3`, `"cell":"x"`, 1),
 	} {
-		var got []core.Listing
-		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Listing) { got = e })
+		var got []core.Endpoint
+		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
 		whole := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
 		if len(got) != 1 || got[0].Name != "s1" || got[0].State != decide.Gone || whole || w.Bad() != 1 {
 			t.Errorf("%s: taken as %+v, whole %t, %d bad", text, got, whole, w.Bad())
@@ -164,8 +164,8 @@
 
 // A whole list in which a server's entry makes no sense leaves that server as it was known; one that it does not name is gone.
 func TestKnownStaysBesideABadEntry(t *testing.T) {
-	var got []core.Listing
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Listing) { got = e })
+	var got []core.Endpoint
+	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
 	raw := func(texts ...string) (out []json.RawMessage) {
 		for _, text := range texts {
 			out = append(out, json.RawMessage(text))
@@ -192,7 +192,7 @@
 			return
 		}
 		n := 0
-		w := discovery.New("", settings, 1, func(_ bool, e []core.Listing) { n = len(e) })
+		w := discovery.New("", settings, 1, func(_ bool, e []core.Endpoint) { n = len(e) })
 		w.Apply(l, false)
 		// What is leaving is taken even from a bad entry.
 		if bad := int(w.Bad()); n > len(l.Instances) || bad > len(l.Instances) || n+bad < len(l.Instances) {
@@ -214,7 +214,7 @@
 		settings.Discovery = c.discovery
 		a := &agent{whole: list(41, true, entry("s1", "ready"))}
 		s := httptest.NewServer(a)
-		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []core.Listing) {})
+		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []core.Endpoint) {})
 		var l discovery.List
 		if err := json.Unmarshal([]byte(c.known), &l); err != nil {
 			t.Fatal(err)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -36,12 +36,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []core.Listing
-	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []core.Listing) { got = entries })
+	var got []core.Endpoint
+	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []core.Endpoint) { got = entries })
 	if !w.Apply(l, true) || w.Version() != 2 {
 		t.Errorf("not read whole, version %d", w.Version())
 	}
-	want := []core.Listing{
+	want := []core.Endpoint{
 		{Name: "id-1", Addr: "127.0.0.1:1", State: decide.Ready, Zone: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMicro(1700000000001500)},
 		{Name: "id-2", Addr: "127.0.0.1:2", State: decide.Draining, Zone: 0, Kind: 0, Cell: 5, Weight: 6.5, Started: time.UnixMicro(1700000000002000)},
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -31,7 +31,7 @@
 	settings.Discovery, settings.Balancers = discovery, 1024
 	var state atomic.Int64
 	state.Store(int64(decide.Gone))
-	w := New(addr, settings, 9, func(_ bool, entries []core.Listing) {
+	w := New(addr, settings, 9, func(_ bool, entries []core.Endpoint) {
 		for _, e := range entries {
 			state.Store(int64(e.State))
 		}
@@ -171,7 +171,7 @@
 			for i := range told {
 				settings := testkit.Settings(t)
 				settings.Discovery, settings.Balancers = "ask", 1024
-				w := New(s.Listener.Addr().String(), settings, uint64(i), func(_ bool, entries []core.Listing) {
+				w := New(s.Listener.Addr().String(), settings, uint64(i), func(_ bool, entries []core.Endpoint) {
 					if entries[0].State == decide.Draining {
 						told[i].CompareAndSwap(0, time.Now().UnixNano())
 					}
--- a/internal/fleet/lists/lists.go
+++ b/internal/fleet/lists/lists.go
@@ -14,7 +14,7 @@
 
 // Guard takes a dispatcher's list and what others tell of theirs. It is safe for use by several goroutines.
 type Guard struct {
-	publish func(full bool, entries []core.Listing)
+	publish func(full bool, entries []core.Endpoint)
 	version func() uint64
 	now     func() time.Time
 
@@ -22,7 +22,7 @@
 	mu    sync.Mutex
 	start time.Time
 	table *removals.Table
-	held  map[string]core.Listing
+	held  map[string]core.Endpoint
 	told  int64
 }
 
@@ -35,22 +35,22 @@
 }
 
 // New returns a guard before publish, which must not block. Version is that of the list handed to Roster.
-func New(publish func(bool, []core.Listing), version func() uint64, now func() time.Time) *Guard {
-	return &Guard{publish: publish, version: version, now: now, start: now(), table: removals.New(removals.Usual), held: map[string]core.Listing{}}
+func New(publish func(bool, []core.Endpoint), version func() uint64, now func() time.Time) *Guard {
+	return &Guard{publish: publish, version: version, now: now, start: now(), table: removals.New(removals.Usual), held: map[string]core.Endpoint{}}
 }
 
 // Roster takes discovery's list, or changes to it, and hands on what is to be acted on.
-func (g *Guard) Roster(full bool, entries []core.Listing) {
+func (g *Guard) Roster(full bool, entries []core.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	core.Apply(g.held, full, entries)
+	core.ApplyUpdate(g.held, full, entries)
 	list := make([]removals.Entry, len(entries))
 	named := make(map[string]bool, len(entries))
 	for i, e := range entries {
 		list[i], named[e.Name] = removals.Entry{Name: e.Name, State: e.State}, true
 	}
 	changed := g.table.Listed(g.now().Sub(g.start), g.version(), full, list)
-	out := make([]core.Listing, 0, len(entries))
+	out := make([]core.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		if e = g.as(e); !full || e.State != decide.Gone {
 			out = append(out, e)
@@ -67,7 +67,7 @@
 }
 
 // as is an entry as it is to be taken.
-func (g *Guard) as(e core.Listing) core.Listing {
+func (g *Guard) as(e core.Endpoint) core.Endpoint {
 	if _, ok := g.held[e.Name]; ok {
 		e.State = g.table.State(e.Name)
 	}
@@ -100,7 +100,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	out := make([]core.Listing, 0, len(changed))
+	out := make([]core.Endpoint, 0, len(changed))
 	for _, name := range changed {
 		out = append(out, g.as(g.held[name]))
 	}
--- a/internal/fleet/lists/lists_test.go
+++ b/internal/fleet/lists/lists_test.go
@@ -14,8 +14,8 @@
 // the own one.
 func TestGuard(t *testing.T) {
 	version, now := uint64(4), time.Unix(1000, 0)
-	acts := map[string]core.Listing{}
-	g := New(func(full bool, entries []core.Listing) {
+	acts := map[string]core.Endpoint{}
+	g := New(func(full bool, entries []core.Endpoint) {
 		if full {
 			clear(acts)
 		}
@@ -40,9 +40,9 @@
 			t.Errorf("%s: %v", when, got)
 		}
 	}
-	list := func(names ...string) (out []core.Listing) {
+	list := func(names ...string) (out []core.Endpoint) {
 		for _, n := range names {
-			out = append(out, core.Listing{Name: n, Addr: "at-" + n, State: decide.Ready})
+			out = append(out, core.Endpoint{Name: n, Addr: "at-" + n, State: decide.Ready})
 		}
 		return out
 	}
--- a/internal/fleet/shares.go
+++ b/internal/fleet/shares.go
@@ -24,10 +24,10 @@
 
 // Shared is this process as one that acts by a part of the whole.
 type Shared interface {
-	// Taken is how many requests it has taken so far.
-	Taken() int64
-	// Share acts by a part until left has passed, and then calls applied, once; false: it will not. It must not block.
-	Share(part float64, left time.Duration, applied func()) bool
+	// Accepted is how many requests it has taken so far.
+	Accepted() int64
+	// SetQuotaShare acts by a part until left has passed, and then calls applied, once; false: it will not. It must not block.
+	SetQuotaShare(part float64, left time.Duration, applied func()) bool
 }
 
 // ShareStatus is what operators are shown of this member's part.
@@ -85,7 +85,7 @@
 
 // step is one look at what is to be claimed and acted by.
 func (s *shares) step(now time.Duration) {
-	taken := s.to.Taken()
+	taken := s.to.Accepted()
 	s.mu.Lock()
 	s.demand = s.traffic.See(now, taken)
 	o, offered := s.borrower.Offer(now)
@@ -117,7 +117,7 @@
 	if n := s.node.stragglers; n != nil && n.restricted.Load() {
 		o.Part = 0 // less than what was lent is safe at any time
 	}
-	if s.to.Share(o.Part, o.Until-s.node.now(), func() { settle(func(b *share.Borrower) { b.Applied(o) }) }) {
+	if s.to.SetQuotaShare(o.Part, o.Until-s.node.now(), func() { settle(func(b *share.Borrower) { b.Applied(o) }) }) {
 		s.offers.Add(1)
 		return
 	}
--- a/internal/fleet/shares_test.go
+++ b/internal/fleet/shares_test.go
@@ -23,9 +23,9 @@
 	least float64
 }
 
-func (w *works) Taken() int64 { return w.taken.Load() }
+func (w *works) Accepted() int64 { return w.taken.Load() }
 
-func (w *works) Share(part float64, left time.Duration, applied func()) bool {
+func (w *works) SetQuotaShare(part float64, left time.Duration, applied func()) bool {
 	if w.full.Load() {
 		return false
 	}
--- a/internal/fleet/subsetter/subsetter.go
+++ b/internal/fleet/subsetter/subsetter.go
@@ -67,7 +67,7 @@
 }
 
 // Roster takes discovery's list, or changes to it, as the core does.
-func (k *Keeper) Roster(full bool, entries []core.Listing) {
+func (k *Keeper) Roster(full bool, entries []core.Endpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if full {
--- a/internal/fleet/subsetter/subsetter_test.go
+++ b/internal/fleet/subsetter/subsetter_test.go
@@ -36,10 +36,10 @@
 	return out
 }
 
-func listings(cells int) (out []core.Listing) {
+func listings(cells int) (out []core.Endpoint) {
 	for c := range cells {
 		for i := range 10 {
-			out = append(out, core.Listing{Name: fmt.Sprintf("%d-%d", c, i), Zone: c % 2, Cell: c, Kind: i % 2, State: decide.Ready, Weight: 1})
+			out = append(out, core.Endpoint{Name: fmt.Sprintf("%d-%d", c, i), Zone: c % 2, Cell: c, Kind: i % 2, State: decide.Ready, Weight: 1})
 		}
 	}
 	return out
@@ -86,7 +86,7 @@
 		t.Errorf("%+v", k.Status())
 	}
 	s.full = true
-	k.Roster(false, []core.Listing{{Name: first[0], State: decide.Gone}, {Name: "odd", Kind: 9, State: decide.Ready}})
+	k.Roster(false, []core.Endpoint{{Name: first[0], State: decide.Gone}, {Name: "odd", Kind: 9, State: decide.Ready}})
 	expect("a core without room", 4)
 	s.full = false
 	if without := expect("the core with room again", 5); slices.Contains(without, first[0]) || k.Status().Of != 399 {
--- a/internal/fleet/tasks/golden_test.go
+++ b/internal/fleet/tasks/golden_test.go
@@ -31,9 +31,9 @@
 // found goes to all members.
 func TestGoldenResults(t *testing.T) {
 	prober := &goldenProber{}
-	var heard []core.Heard
-	tasks := New(prober, goldenList{}, func(h []core.Heard) bool { heard = h; return true }, time.Now)
-	tasks.Roster(true, []core.Listing{{Name: "s-1", State: decide.Ready}})
+	var heard []core.PeerLoad
+	tasks := New(prober, goldenList{}, func(h []core.PeerLoad) bool { heard = h; return true }, time.Now)
+	tasks.Roster(true, []core.Endpoint{{Name: "s-1", State: decide.Ready}})
 	if got := tasks.Duties(); !slices.Equal(got, []string{"list", "probe/s-1"}) {
 		t.Fatalf("duties %v", got)
 	}
@@ -47,7 +47,7 @@
 	golden.Bytes(t, "list.hex", <-found)
 	none := golden.Bytes(t, "load-none.hex", encodeLoad(nil))
 	tasks.Told([]fleet.Found{{Duty: "probe/s-1", Data: load, Age: time.Second}, {Duty: "probe/s-2", Data: none, Age: 2 * time.Second}})
-	want := []core.Heard{{Name: "s-1", Load: &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
+	want := []core.PeerLoad{{Name: "s-1", Load: &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
 	if !reflect.DeepEqual(heard, want) || tasks.Bad() != 0 {
 		t.Errorf("heard %+v, %d bad", heard, tasks.Bad())
 	}
--- a/internal/fleet/tasks/tasks.go
+++ b/internal/fleet/tasks/tasks.go
@@ -45,7 +45,7 @@
 type Tasks struct {
 	prober  Prober
 	lists   Lists
-	heard   func([]core.Heard) bool
+	heard   func([]core.PeerLoad) bool
 	now     func() time.Time
 	dropped atomic.Int64 // news that the core had no room for
 	bad     atomic.Int64
@@ -57,7 +57,7 @@
 }
 
 // New returns the tasks; heard takes news for the core and must not block. Without a prober replicas are not asked.
-func New(prober Prober, lists Lists, heard func([]core.Heard) bool, now func() time.Time) *Tasks {
+func New(prober Prober, lists Lists, heard func([]core.PeerLoad) bool, now func() time.Time) *Tasks {
 	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]core.Target{}}
 }
 
@@ -71,7 +71,7 @@
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
 // Roster takes discovery's list, or changes to it, as the core does.
-func (t *Tasks) Roster(full bool, entries []core.Listing) {
+func (t *Tasks) Roster(full bool, entries []core.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
@@ -165,7 +165,7 @@
 
 // Told implements fleet.Work.
 func (t *Tasks) Told(found []fleet.Found) {
-	var news []core.Heard
+	var news []core.PeerLoad
 	for _, f := range found {
 		if f.Duty == list {
 			version, n := binary.Uvarint(f.Data)
@@ -181,7 +181,7 @@
 			t.bad.Add(1)
 			continue
 		}
-		news = append(news, core.Heard{Name: strings.TrimPrefix(f.Duty, probe), Load: l, Age: f.Age})
+		news = append(news, core.PeerLoad{Name: strings.TrimPrefix(f.Duty, probe), Load: l, Age: f.Age})
 	}
 	if len(news) > 0 && !t.heard(news) {
 		t.dropped.Add(int64(len(news)))
--- a/internal/fleet/tasks/tasks_test.go
+++ b/internal/fleet/tasks/tasks_test.go
@@ -38,10 +38,10 @@
 // What one finds out reaches another's core as it was; who has told nothing is told as silent.
 func TestLoadsAreHandedOn(t *testing.T) {
 	p, l := &prober{}, &lists{own: 1, all: 1}
-	var news []core.Heard
+	var news []core.PeerLoad
 	room := true
-	tasks := New(p, l, func(n []core.Heard) bool { news = append(news, n...); return room }, time.Now)
-	tasks.Roster(true, []core.Listing{{Name: "dead", Addr: "a:1", State: decide.Ready}, {Name: "r", Addr: "a:2", State: decide.Ready},
+	tasks := New(p, l, func(n []core.PeerLoad) bool { news = append(news, n...); return room }, time.Now)
+	tasks.Roster(true, []core.Endpoint{{Name: "dead", Addr: "a:1", State: decide.Ready}, {Name: "r", Addr: "a:2", State: decide.Ready},
 		{Name: "going", Addr: "a:3", State: decide.Draining}})
 	duties := tasks.Duties()
 	slices.Sort(duties)
@@ -57,7 +57,7 @@
 	}
 	room = false
 	tasks.Told([]fleet.Found{{Duty: "probe/r", Data: []byte{0}}})
-	tasks.Roster(false, []core.Listing{{Name: "r", State: decide.Gone}})
+	tasks.Roster(false, []core.Endpoint{{Name: "r", State: decide.Gone}})
 	done := false
 	tasks.Do("probe/r", 8, func(found []byte) { done = found == nil })
 	if !done || tasks.Dropped() != 1 || len(tasks.Duties()) != 2 {
--- a/internal/permit/audit.go
+++ b/internal/permit/audit.go
@@ -7,23 +7,23 @@
 	"sync/atomic"
 )
 
-// Act is what a violation was about to do, or has done.
-type Act string
+// Operation is what a violation was about to do, or has done.
+type Operation string
 
 // The acts.
 const (
-	ActSend   Act = "send"
-	ActClose  Act = "close"
-	ActAnswer Act = "answer"
+	OperationSend   Operation = "send"
+	OperationClose  Operation = "close"
+	OperationAnswer Operation = "answer"
 )
 
-// Audit counts violations of the rules, by reason. It is safe for use by several goroutines; a nil one counts nothing.
-type Audit struct {
+// ViolationCounter counts violations of the rules, by reason. It is safe for use by several goroutines; a nil one counts nothing.
+type ViolationCounter struct {
 	counts [reasons]atomic.Int64
 }
 
-// Violation notes that a rule would have been broken by an act, or has been: something before should have prevented it.
-func (a *Audit) Violation(act Act, why Reason, id string) {
+// Record notes that a rule would have been broken by an act, or has been: something before should have prevented it.
+func (a *ViolationCounter) Record(act Operation, why Reason, id string) {
 	slog.Error("violation", "act", string(act), "why", why.String(), "id", id)
 	if a != nil && why < reasons {
 		a.counts[why].Add(1)
@@ -31,7 +31,7 @@
 }
 
 // Total is how many violations there were.
-func (a *Audit) Total() (n int64) {
+func (a *ViolationCounter) Total() (n int64) {
 	if a == nil {
 		return 0
 	}
@@ -42,7 +42,7 @@
 }
 
 // String is the counters that are not 0, as the program's line of counters has them, each behind a space.
-func (a *Audit) String() string {
+func (a *ViolationCounter) String() string {
 	var out strings.Builder
 	if a == nil {
 		return ""
--- a/internal/program/counters.go
+++ b/internal/program/counters.go
@@ -29,8 +29,8 @@
 	slices.Sort(outcomes)
 	return fmt.Sprintf("event=counters taken=%d open=%d servers=%d sent=%d probed=%d heard=%d released=%d released_no_word=%d served=%d broken=%d refused=%d failed=%d "+
 		"overdue=%d left=%d bad_requests=%d shed=%d closed_for_room=%d sent_away=%d kept_open=%d "+
-		"accept_failures=%d connect_failures_here=%d bad_answers=%d bad_entries=%d beside_failed=%d goroutines=%d violations=%d%s", n.Taken, n.Open, n.Listed, n.Sent, n.Probed, n.Heard, n.Released, n.NoWord,
-		n.Served, n.Broken, n.Refused, n.Failed, n.Overdue, n.Left, bad, shed, closed, away, kept,
+		"accept_failures=%d connect_failures_here=%d bad_answers=%d bad_entries=%d beside_failed=%d goroutines=%d violations=%d%s", n.Accepted, n.Open, n.Endpoints, n.Attempts, n.LoadPolls, n.PeerLoadReports, n.Releases, n.ExpiredReservations,
+		n.Served, n.BrokenStreams, n.Rejected, n.Failed, n.DeadlineForced, n.ClientGone, bad, shed, closed, away, kept,
 		accepts, p.pool.LocalFailures(), skipped, p.watch.Bad(), p.beside.Failed(), runtime.NumGoroutine(), p.audit.Total(),
 		p.audit.String()+strings.Join(outcomes, "")+p.fleetCounters())
 }
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
 	for ctx.Err() == nil {
-		if p.core.Counters(ctx).Open == 0 && p.core.Releasing()+p.pool.Releasing() == 0 {
+		if p.core.Counters(ctx).Open == 0 && p.core.PendingReleases()+p.pool.Releasing() == 0 {
 			return
 		}
 		time.Sleep(releasePoll)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -39,7 +39,7 @@
 	if cfg.Settings.Limits.Probing {
 		prober = p.pool
 	}
-	return tasks.New(prober, listOf{p}, p.core.Heard, time.Now)
+	return tasks.New(prober, listOf{p}, p.core.ApplyPeerLoads, time.Now)
 }
 
 // listOf is the program's watcher, which comes to be after its tasks.
@@ -111,7 +111,7 @@
 		f.Part, _ = n.Part()
 		f.Ok = f.View.Fresh(f.Now, fleet.FreshFor)
 		return f
-	}, p.core.Subset)
+	}, p.core.SetSubset)
 }
 
 // subsetCall is the operators' call that shows what this member keeps to, as one line of JSON.
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -33,20 +33,20 @@
 func (p *program) giveUp() {
 	if p.beside.Beside() {
 		slog.Info("given_up")
-		p.core.GiveUp()
+		p.core.AbandonPending()
 	}
 }
 
 // handOver begins with what another process of this name has learnt, and then leaves what this one learns to those that ask, until
 // the context ends.
 func (p *program) handOver(ctx context.Context, at handover.Place) {
-	at.Ask(ctx, p.core.Learn)
-	at.Answer(ctx, func() (decide.Snapshot, bool) { return p.core.Beliefs(ctx, handover.Texts) })
+	at.Ask(ctx, p.core.Restore)
+	at.Answer(ctx, func() (decide.Snapshot, bool) { return p.core.Snapshot(ctx, handover.Texts) })
 }
 
 // leave leaves what this process has learnt: it goes.
 func (p *program) leave(ctx context.Context, at handover.Place) {
-	b, ok := p.core.Beliefs(ctx, handover.Texts)
+	b, ok := p.core.Snapshot(ctx, handover.Texts)
 	if !ok {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // Tell implements fleet.Knows.
 func (k peers) Tell(ctx context.Context) ([]byte, bool) {
-	b, ok := k.p.core.Beliefs(ctx, peerTexts)
+	b, ok := k.p.core.Snapshot(ctx, peerTexts)
 	if !ok {
 		return nil, false
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	k.p.core.LearnNow(b)
+	k.p.core.RestoreFromPeer(b)
 	return nil
 }
 
--- a/internal/program/newest.go
+++ b/internal/program/newest.go
@@ -66,6 +66,6 @@
 }
 
 // andKeep tells a keeper of each list that is handed on.
-func andKeep(k *atomicfile.Keeper) func(bool, []core.Listing) {
-	return func(bool, []core.Listing) { k.Changed() }
+func andKeep(k *atomicfile.Keeper) func(bool, []core.Endpoint) {
+	return func(bool, []core.Endpoint) { k.Changed() }
 }
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -32,7 +32,7 @@
 	}
 	if err == nil {
 		next.Config.CanPollLoad = cfg.Settings.Limits.Probing
-		err = p.core.Retune(ctx, next.Config)
+		err = p.core.Reconfigure(ctx, next.Config)
 	}
 	if err != nil {
 		slog.Warn("reload_failed", "err", err)
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -44,8 +44,8 @@
 // program is one running dispatcher.
 type program struct {
 	machine  system.System
-	audit    permit.Audit
-	core     *core.Core
+	audit    permit.ViolationCounter
+	core     *core.Dispatcher
 	pool     *servers.Pool
 	watch    *discovery.Watcher
 	front    *clients.Front
@@ -107,7 +107,7 @@
 	}
 	failed := make(chan error, 4)
 	p.take(&cfg.Settings)
-	publish := p.core.Roster
+	publish := p.core.UpdateEndpoints
 	if files.fleet != nil {
 		p.tasks = p.share(cfg)
 		publish = also(publish, p.tasks.Roster)
@@ -265,8 +265,8 @@
 }
 
 // also hands a list to both.
-func also(first, second func(bool, []core.Listing)) func(bool, []core.Listing) {
-	return func(full bool, entries []core.Listing) {
+func also(first, second func(bool, []core.Endpoint)) func(bool, []core.Endpoint) {
+	return func(full bool, entries []core.Endpoint) {
 		first(full, entries)
 		second(full, entries)
 	}
--- a/internal/servers/begin_test.go
+++ b/internal/servers/begin_test.go
@@ -16,10 +16,10 @@
 // time is over. Nothing reaches the replica, and nothing is held against it.
 func TestNotBegunAfterAWait(t *testing.T) {
 	gone := func() bool { return true }
-	for name, change := range map[string]func(*core.Order){
-		"the client has gone": func(o *core.Order) { o.Gone = gone },
-		"the window is over":  func(o *core.Order) { o.Repeat, o.Window = true, 300*time.Millisecond },
-		"the time is over":    func(o *core.Order) { o.Limit = 100 * time.Millisecond },
+	for name, change := range map[string]func(*core.AttemptSpec){
+		"the client has gone": func(o *core.AttemptSpec) { o.ClientGone = gone },
+		"the window is over":  func(o *core.AttemptSpec) { o.Retry, o.DedupWindow = true, 300*time.Millisecond },
+		"the time is over":    func(o *core.AttemptSpec) { o.Timeout = 100 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun, answer := make(chan bool, 4), make(chan bool)
@@ -31,7 +31,7 @@
 			pool := servers.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
 			defer pool.Close()
 			first, second := newEvents(), newEvents()
-			order := core.Order{Call: call, To: core.Target{Name: "s", Addr: r.Addr}, Limit: 5 * time.Second}
+			order := core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}
 			pool.Send(order, first)
 			<-begun
 			change(&order)
--- a/internal/servers/golden_test.go
+++ b/internal/servers/golden_test.go
@@ -67,10 +67,10 @@
 	to, requests := recorder(t, read)
 	ev := newEvents()
 	withType := call
-	withType.Type = "application/json"
-	pool.Send(core.Order{Call: withType, To: to, Limit: 5 * time.Second}, ev)
+	withType.ContentType = "application/json"
+	pool.Send(core.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, ev)
 	record("a call", to, <-requests)
-	if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.Kept != 3 {
+	if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.CachedTokens != 3 {
 		t.Errorf("%+v", o)
 	}
 
@@ -94,8 +94,8 @@
 // What a replica's answer says: its status, its proof that nothing ran, and its load report.
 func TestGoldenOutcomes(t *testing.T) {
 	report := &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
-	for head, want := range map[string]core.Outcome{
-		"202 Accepted": {Outcome: decide.PrefillDone, Kept: 3, Load: report},
+	for head, want := range map[string]core.AttemptResult{
+		"202 Accepted": {Outcome: decide.PrefillDone, CachedTokens: 3, Load: report},
 		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: decide.QueueFull, Load: report},
 		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: decide.QueueFull, Load: report},
 		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: decide.StateMissing, Load: report},
@@ -109,7 +109,7 @@
 		if got.Load == nil || *got.Load != *want.Load {
 			t.Errorf("%q: load %+v", head, got.Load)
 		}
-		if got.Outcome != want.Outcome || got.Kept != want.Kept {
+		if got.Outcome != want.Outcome || got.CachedTokens != want.CachedTokens {
 			t.Errorf("%q: %+v, want %+v", head, got, want)
 		}
 	}
--- a/internal/servers/local_test.go
+++ b/internal/servers/local_test.go
@@ -26,7 +26,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: r.Addr}, Limit: 5 * time.Second}, ev)
+	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
 	time.Sleep(30 * time.Millisecond)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -136,7 +136,7 @@
 // attempt implements core.Attempt.
 type attempt struct {
 	pool   *Pool
-	order  core.Order
+	order  core.AttemptSpec
 	until  time.Time // for all of it
 	window time.Time // with order.Repeat: until then servers drop repeats
 	ctx    context.Context
@@ -182,12 +182,12 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refused = permit.Begin{
+	a.refused = permit.FirstByte{
 		Withdrawn:  a.withdrawn,
-		ClientGone: a.order.Gone != nil && a.order.Gone(),
-		Left:       a.until.Sub(now),
-		Repeat:     a.order.Repeat,
-		Window:     a.window.Sub(now),
+		ClientGone: a.order.ClientGone != nil && a.order.ClientGone(),
+		TimeLeft:       a.until.Sub(now),
+		Retry:     a.order.Retry,
+		DedupWindow:     a.window.Sub(now),
 	}.Check()
 	a.writing = a.refused == permit.Allowed
 	return a.writing
@@ -204,22 +204,22 @@
 }
 
 // Send implements core.Servers.
-func (p *Pool) Send(order core.Order, ev core.Events) core.Attempt {
+func (p *Pool) Send(order core.AttemptSpec, ev core.AttemptObserver) core.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := time.Now()
-	a := &attempt{pool: p, order: order, until: now.Add(order.Limit), window: now.Add(order.Window), ctx: ctx, cancel: cancel,
+	a := &attempt{pool: p, order: order, until: now.Add(order.Timeout), window: now.Add(order.DedupWindow), ctx: ctx, cancel: cancel,
 		body: &body{rest: order.Call.Body}}
 	go a.run(ev)
 	return a
 }
 
-func (a *attempt) run(ev core.Events) {
+func (a *attempt) run(ev core.AttemptObserver) {
 	a.pool.awaitRelease(a.ctx, a.order.Call.ID)
 	x := newExchange(a)
 	resp, err := x.roundTrip()
 	for n := 0; n < mostStale && err != nil && x.spent(); n++ {
 		// Its last byte was not written, so it is the same attempt, and the replica is not to blame.
-		slog.Info("other_connection", "id", a.order.Call.ID, "server", a.order.To.Name, "idle", time.Duration(x.idle.Load()), "err", err)
+		slog.Info("other_connection", "id", a.order.Call.ID, "server", a.order.Target.Name, "idle", time.Duration(x.idle.Load()), "err", err)
 		next := a.renew()
 		if next == nil {
 			break
@@ -244,15 +244,15 @@
 
 // failed tells of an attempt without an answer's head. One that this side kept from beginning, or this machine from connecting, has no
 // bearing on the replica.
-func (a *attempt) failed(x *exchange, err error, ev core.Events) {
+func (a *attempt) failed(x *exchange, err error, ev core.AttemptObserver) {
 	a.giveUp(x.wrote.Load())
 	outcome, why := x.lost(), a.why()
 	if outcome == decide.ConnectFailed && !x.wrote.Load() && (why != permit.Allowed || errors.Is(err, errLocal)) {
 		outcome = decide.NotSent
 	}
-	slog.Info("call_failed", "id", a.order.Call.ID, "server", a.order.To.Name, "outcome", outcome, "why", why.String(),
+	slog.Info("call_failed", "id", a.order.Call.ID, "server", a.order.Target.Name, "outcome", outcome, "why", why.String(),
 		"idle", time.Duration(x.idle.Load()), "err", err)
-	ev.Ended(core.Outcome{Outcome: outcome, Begun: x.begun.Load()})
+	ev.Ended(core.AttemptResult{Outcome: outcome, StreamStarted: x.begun.Load()})
 }
 
 // renew begins the attempt anew on another connection; nil: it was given up meanwhile.
@@ -292,7 +292,7 @@
 // roundTrip sends a call and waits for the answer's head. A replica may begin a head and never end it, which
 // the Transport does not notice.
 func (x *exchange) roundTrip() (*http.Response, error) {
-	call, to, until := x.attempt.order.Call, x.attempt.order.To, x.attempt.until
+	call, to, until := x.attempt.order.Call, x.attempt.order.Target, x.attempt.until
 	var req *http.Request
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -336,8 +336,8 @@
 	}
 	req.Body, req.ContentLength = x.body, int64(len(call.Body))
 	req.Header.Set("X-Trace-Id", call.ID)
-	if call.Type != "" {
-		req.Header.Set("Content-Type", call.Type)
+	if call.ContentType != "" {
+		req.Header.Set("Content-Type", call.ContentType)
 	}
 	resp, err := x.attempt.pool.transport.RoundTrip(req)
 	if err != nil {
@@ -418,8 +418,8 @@
 }
 
 // outcome reads an answer that is no stream.
-func (p *Pool) outcome(resp *http.Response, data []byte, err error) core.Outcome {
-	o := core.Outcome{Outcome: decide.Errored, Load: p.load(resp.Header.Get("Endpoint-Load-Metrics"))}
+func (p *Pool) outcome(resp *http.Response, data []byte, err error) core.AttemptResult {
+	o := core.AttemptResult{Outcome: decide.Errored, Load: p.load(resp.Header.Get("Endpoint-Load-Metrics"))}
 	neverRan := resp.Header.Get("X-Never-Ran") == "1"
 	switch resp.StatusCode {
 	case http.StatusAccepted:
@@ -433,7 +433,7 @@
 		if err != nil {
 			p.bad.Add(1) // the read is done all the same: the head says so
 		}
-		o.Kept = max(read.CachedTokens, 0)
+		o.CachedTokens = max(read.CachedTokens, 0)
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if neverRan {
 			o.Outcome = decide.QueueFull
@@ -480,8 +480,8 @@
 	return p.settings.Load(report)
 }
 
-// Probe implements core.Servers.
-func (p *Pool) Probe(to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
+// PollLoad implements core.Servers.
+func (p *Pool) PollLoad(to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
 	p.ProbeFor("", to, limit, told)
 }
 
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -26,16 +26,16 @@
 
 // events records an attempt's news.
 type events struct {
-	ended  chan core.Outcome
+	ended  chan core.AttemptResult
 	first  chan core.Stream
 	reject bool
 }
 
 func newEvents() *events {
-	return &events{ended: make(chan core.Outcome, 4), first: make(chan core.Stream, 4)}
+	return &events{ended: make(chan core.AttemptResult, 4), first: make(chan core.Stream, 4)}
 }
 
-func (e *events) First(s core.Stream) bool {
+func (e *events) FirstToken(s core.Stream) bool {
 	if e.reject {
 		return false
 	}
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (e *events) Ended(o core.Outcome) { e.ended <- o }
+func (e *events) Ended(o core.AttemptResult) { e.ended <- o }
 
 var call = core.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
 
@@ -51,7 +51,7 @@
 	t.Helper()
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	t.Cleanup(pool.Close)
-	return pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: addr}, Limit: 5 * time.Second}, ev), ev
+	return pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: 5 * time.Second}, ev), ev
 }
 
 func TestOutcomes(t *testing.T) {
@@ -131,7 +131,7 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	for _, want := range []decide.Outcome{decide.PrefillDone, decide.ConnectionReset} {
-		pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: l.Addr().String()}, Limit: time.Second}, ev)
+		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 		if o := <-ev.ended; o.Outcome != want {
 			t.Fatalf("outcome %d, want %d", o.Outcome, want)
 		}
@@ -161,12 +161,12 @@
 // taker gives an attempt up once its stream comes, and notes when, and when its end is told.
 type taker struct{ rejected, ended chan time.Time }
 
-func (e taker) First(core.Stream) bool {
+func (e taker) FirstToken(core.Stream) bool {
 	e.rejected <- time.Now()
 	return false
 }
 
-func (e taker) Ended(core.Outcome) { e.ended <- time.Now() }
+func (e taker) Ended(core.AttemptResult) { e.ended <- time.Now() }
 
 // The end of an attempt that is given up is told once its close has had time to reach the replica, since another goes out right
 // then: bench days with three plays on a core counted such a one as sent again while the first was out.
@@ -176,8 +176,8 @@
 			r := testkit.NewReplica(t, script)
 			pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), taker{make(chan time.Time, 1), make(chan time.Time, 1)}
 			defer pool.Close()
-			a := pool.Send(core.Order{Call: core.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
-				To: core.Target{Name: "s", Addr: r.Addr}, Limit: 5 * time.Second}, ev)
+			a := pool.Send(core.AttemptSpec{Call: core.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
+				Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
 			var up time.Time
 			if name == "no answer" {
 				testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
@@ -205,7 +205,7 @@
 	defer pool.Close()
 	big := call
 	big.Body = make([]byte, 64<<20)
-	a := pool.Send(core.Order{Call: big, To: core.Target{Name: "s", Addr: l.Addr().String()}, Limit: time.Second}, ev)
+	a := pool.Send(core.AttemptSpec{Call: big, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 		to := core.Target{Name: "s", Addr: r.Addr}
 		for n, want := range []decide.Outcome{decide.QueueFull, decide.PrefillDone} {
 			ev := newEvents()
-			pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, ev)
+			pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, ev)
 			if o := <-ev.ended; o.Outcome != want {
 				t.Errorf("%v late: call %d ended with %d, want %d", late, n, o.Outcome, want)
 			}
@@ -277,7 +277,7 @@
 	pool, ev := servers.New(settings, 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	from := time.Now()
-	pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: addr}, Limit: 2 * time.Minute}, ev)
+	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: 2 * time.Minute}, ev)
 	if o := <-ev.ended; o.Outcome != decide.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
@@ -299,9 +299,9 @@
 	defer pool.Close()
 	first, second := newEvents(), newEvents()
 	to := core.Target{Name: "s", Addr: r.Addr}
-	out := pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, first)
+	out := pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
-	waits := pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, second)
+	waits := pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
 	waits.Withdraw()
 	if o := <-second.ended; o.Outcome != decide.NotSent { // it says nothing of the replica, unlike a failed connect
 		t.Errorf("an attempt without a connection ended with %d", o.Outcome)
@@ -329,11 +329,11 @@
 	defer pool.Close()
 	first, second := newEvents(), newEvents()
 	to := core.Target{Name: "s", Addr: r.Addr}
-	pool.Send(core.Order{Call: call, To: to, Limit: 5 * time.Second}, first)
+	pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
 	const limit, wait = 5 * time.Second, 400 * time.Millisecond
 	from := time.Now()
-	pool.Send(core.Order{Call: call, To: to, Limit: limit}, second)
+	pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: limit}, second)
 	time.Sleep(wait) // that the time passes is what is tested
 	answer <- true
 	<-first.ended
@@ -356,7 +356,7 @@
 		t.Errorf("read %q, %v", got, err)
 	}
 	s.Close()
-	if o := <-ev.ended; o.Outcome != decide.Served || o.Kept != 4 || len(ev.ended) > 0 {
+	if o := <-ev.ended; o.Outcome != decide.Served || o.CachedTokens != 4 || len(ev.ended) > 0 {
 		t.Errorf("ended %+v and %d more", o, len(ev.ended))
 	}
 }
@@ -383,7 +383,7 @@
 			t.Errorf("%q: read %q, %v", text, got, err)
 		}
 	}
-	if o := <-ev.ended; o.Outcome != want || o.Begun != (o.Outcome == decide.ConnectionReset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
+	if o := <-ev.ended; o.Outcome != want || o.StreamStarted != (o.Outcome == decide.ConnectionReset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
 		t.Errorf("%q: ended %+v, and %d more", text, o, len(ev.ended)+len(ev.first))
 	}
 }
@@ -462,7 +462,7 @@
 	s := <-ev.first
 	got, err := io.ReadAll(s)
 	s.Close()
-	if o := <-ev.ended; err != nil || string(got) != text || o.Outcome != decide.Served || o.Kept != 4 || o.Load != nil {
+	if o := <-ev.ended; err != nil || string(got) != text || o.Outcome != decide.Served || o.CachedTokens != 4 || o.Load != nil {
 		t.Errorf("read %q, %v, ended %+v", got, err, o)
 	}
 }
@@ -474,8 +474,8 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	for n := range 200 {
-		pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: addr}, Limit: time.Second}, ev)
-		if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.Kept != 1 {
+		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: time.Second}, ev)
+		if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.CachedTokens != 1 {
 			t.Fatalf("call %d: %+v", n, o)
 		}
 	}
@@ -510,7 +510,7 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	ev.reject = true
-	pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: r.Addr}, Limit: time.Second}, ev)
+	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: time.Second}, ev)
 	<-gone
 	if o := <-ev.ended; o.Outcome != decide.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
@@ -622,7 +622,7 @@
 			limit = 50 * time.Millisecond
 		}
 		told := make(chan *decide.LoadReport, 1)
-		pool.Probe(to, limit, func(l *decide.LoadReport) { told <- l })
+		pool.PollLoad(to, limit, func(l *decide.LoadReport) { told <- l })
 		if got := <-told; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q told %+v, want %+v", name, got, want)
 		}
@@ -678,7 +678,7 @@
 		}()
 		pool, ev := servers.New(settings, 8, 8, system.Real()), newEvents()
 		defer pool.Close()
-		pool.Send(core.Order{Call: call, To: core.Target{Name: "s", Addr: l.Addr().String()}, Limit: time.Second}, ev)
+		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 		select {
 		case s := <-ev.first:
 			_, err := io.ReadAll(s)
@@ -706,7 +706,7 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	pool.Release(call, []core.Target{target})
-	pool.Send(core.Order{Call: call, To: target, Limit: 5 * time.Second}, ev)
+	pool.Send(core.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, ev)
 	if o := <-ev.ended; o.Outcome != decide.PrefillDone {
 		t.Errorf("outcome %d", o.Outcome)
 	}
--- a/internal/servers/stream.go
+++ b/internal/servers/stream.go
@@ -35,7 +35,7 @@
 	attempt *attempt
 	body    io.ReadCloser
 	lines   *bufio.Reader
-	ev      core.Events
+	ev      core.AttemptObserver
 	events  []byte // whole events not yet handed on
 	whole   bool   // the last event has come
 	err     error
@@ -45,7 +45,7 @@
 }
 
 // stream waits for the first event and offers the stream to the client.
-func (a *attempt) stream(resp *http.Response, ev core.Events) {
+func (a *attempt) stream(resp *http.Response, ev core.AttemptObserver) {
 	s := &stream{attempt: a, body: resp.Body, lines: bufio.NewReader(resp.Body), ev: ev}
 	// The head came with the first token, so its event is due.
 	s.watch = time.AfterFunc(firstEvent, a.cancel)
@@ -55,13 +55,13 @@
 		resp.Body.Close()
 		a.giveUp(true)
 		slog.Warn("no_first_event", "id", a.order.Call.ID, "err", s.err)
-		ev.Ended(core.Outcome{Outcome: decide.ConnectionReset, Begun: true}) // it may have run
+		ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset, StreamStarted: true}) // it may have run
 		return
 	}
-	if !ev.First(s) {
+	if !ev.FirstToken(s) {
 		resp.Body.Close()
 		a.giveUp(true)
-		ev.Ended(core.Outcome{Outcome: decide.ConnectionReset})
+		ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
 	}
 }
 
@@ -165,10 +165,10 @@
 		return
 	}
 	s.ended = true
-	o := core.Outcome{Outcome: decide.ConnectionReset}
+	o := core.AttemptResult{Outcome: decide.ConnectionReset}
 	if s.err == io.EOF && len(s.events) == 0 {
 		o.Outcome = decide.Served
-		o.Kept, o.Load = s.attempt.pool.usage(s.tail)
+		o.CachedTokens, o.Load = s.attempt.pool.usage(s.tail)
 	} else if s.err != nil {
 		slog.Warn("stream_broken", "id", s.attempt.order.Call.ID, "err", s.err)
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -226,7 +226,7 @@
 // Fleet is a core over one reader and one writer.
 type Fleet struct {
 	Settings       *wire.Settings
-	Core           *core.Core
+	Core           *core.Dispatcher
 	Pool           *servers.Pool
 	Reader, Writer *Replica
 }
@@ -247,7 +247,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); f.Core.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done; f.Pool.Close() })
-	f.Core.Roster(true, []core.Listing{
+	f.Core.UpdateEndpoints(true, []core.Endpoint{
 		{Name: "r", Addr: f.Reader.Addr, Kind: 0, State: decide.Ready, Weight: 1},
 		{Name: "w", Addr: f.Writer.Addr, Kind: 1, State: decide.Ready, Weight: 1},
 	})
