--- a/decide/beliefs.go
+++ b/decide/beliefs.go
@@ -11,14 +11,14 @@
 // clock that both share.
 type Snapshot struct {
 	TakenAt          time.Duration
-	Prefill, Decode LatencyModel
-	CommonQueueDelay         DecayedMean
-	EstimateError     DecayedMean
-	CacheHitRatio       DecayedMean
-	Arrivals    DecayedMean
-	PerQueuedRequest        DecayedMean
-	Prefixes       []PrefixCacheEntry
-	Endpoints     []EndpointStats
+	Prefill, Decode  LatencyModel
+	CommonQueueDelay DecayedMean
+	EstimateError    DecayedMean
+	CacheHitRatio    DecayedMean
+	Arrivals         DecayedMean
+	PerQueuedRequest DecayedMean
+	Prefixes         []PrefixCacheEntry
+	Endpoints        []EndpointStats
 }
 
 // Fit is a fading fit of times, Evidence a fading mean, Level a fading average, as this package sums them up.
@@ -32,7 +32,7 @@
 	// DecayedMean holds a sum of samples and their number.
 	DecayedMean struct {
 		Sum, Count float64
-		At     time.Duration
+		At         time.Duration
 	}
 	// EWMA holds a value.
 	EWMA struct {
@@ -41,22 +41,22 @@
 	}
 	// PrefixCacheEntry is where a text is kept.
 	PrefixCacheEntry struct {
-		Key    Key
-		Endpoint EndpointID
-		Tokens int
-		UpdatedAt     time.Duration
+		Key       Key
+		Endpoint  EndpointID
+		Tokens    int
+		UpdatedAt time.Duration
 		Requests  DecayedMean
 	}
 	// EndpointStats is what is known of one server's process: it is void for another start of it.
 	EndpointStats struct {
-		ID       EndpointID
-		Started  time.Duration
-		CacheValidFrom time.Duration
+		ID              EndpointID
+		Started         time.Duration
+		CacheValidFrom  time.Duration
 		LastResponse    time.Duration
-		Health   []EWMA
-		QueueDelay   DecayedMean
-		FirstTokenDelay     DecayedMean
-		SlowStartCredit     float64
+		Health          []EWMA
+		QueueDelay      DecayedMean
+		FirstTokenDelay DecayedMean
+		SlowStartCredit float64
 	}
 )
 
@@ -137,7 +137,9 @@
 		b.Prefixes = append(b.Prefixes, PrefixCacheEntry{key, t.endpoint, t.tokens, t.updatedAt, t.requests.snapshot()})
 	}
 	if len(b.Prefixes) > texts {
-		slices.SortStableFunc(b.Prefixes, func(a, b PrefixCacheEntry) int { return -cmp.Compare(max(a.UpdatedAt, a.Requests.At), max(b.UpdatedAt, b.Requests.At)) })
+		slices.SortStableFunc(b.Prefixes, func(a, b PrefixCacheEntry) int {
+			return -cmp.Compare(max(a.UpdatedAt, a.Requests.At), max(b.UpdatedAt, b.Requests.At))
+		})
 		b.Prefixes = b.Prefixes[:texts]
 	}
 	for _, s := range r.replicas {
--- a/decide/focus.go
+++ b/decide/focus.go
@@ -14,10 +14,10 @@
 
 // activeSubset is which servers a router looks at: all, or a subset. What it knows of the others it keeps.
 type activeSubset struct {
-	active   []*replica // by id
-	subset []EndpointID
-	limited bool          // near is the subset's
-	fallbackUntil   time.Duration // until then near is all, since the subset is not well; 0: it is
+	active        []*replica // by id
+	subset        []EndpointID
+	limited       bool          // near is the subset's
+	fallbackUntil time.Duration // until then near is all, since the subset is not well; 0: it is
 	// Most ready servers by role: of all, and of the subset.
 	maxReadyAll, maxReadySubset [3]int
 }
--- a/decide/held.go
+++ b/decide/held.go
@@ -15,10 +15,10 @@
 
 // reservation is what may be held for a request at some server.
 type reservation struct {
-	mayExist   bool          // something may be held, and is not known to have been let go
-	since time.Duration // with may: when the time began to run
-	timerSet bool          // a timer is under way
-	releasedWhileDecoding   bool          // it was let go while a write was out: if that arrives later, it finds nothing
+	mayExist              bool          // something may be held, and is not known to have been let go
+	since                 time.Duration // with may: when the time began to run
+	timerSet              bool          // a timer is under way
+	releasedWhileDecoding bool          // it was let go while a write was out: if that arrives later, it finds nothing
 }
 
 // releaseDeadline is when what is held for a request must be let go, if no attempt is known to have arrived by
--- a/decide/retune.go
+++ b/decide/retune.go
@@ -9,7 +9,7 @@
 
 // attemptLimit is the number of attempts in force from a time on.
 type attemptLimit struct {
-	until     time.Duration
+	until    time.Duration
 	attempts int
 }
 
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -13,7 +13,7 @@
 	_, w := b.reads(1, 1) // unsafe
 	cfg := testConfig()
 	cfg.Classes = append(cfg.Classes, Class{TTFTObjective: 2 * time.Second, Weight: 3, Idempotency: Idempotent}) // 5: the name of 1, now safe
-	cfg.MaxAttempts = 2                                                                    // a read and a write
+	cfg.MaxAttempts = 2                                                                                          // a read and a write
 	if err := b.r.Reconfigure(b.now, cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -14,71 +14,71 @@
 type requestState uint8
 
 const (
-	awaitingPrefill   requestState = iota // no attempt out, nothing read
-	prefilling                // an attempt at a reader is out
-	awaitingDecode                   // its state waits at the reader, no attempt out
-	decoding                // an attempt at a writer is out
-	streaming              // the answer's stream has begun
-	answered                // answered; the last outcome is still to come
+	awaitingPrefill requestState = iota // no attempt out, nothing read
+	prefilling                          // an attempt at a reader is out
+	awaitingDecode                      // its state waits at the reader, no attempt out
+	decoding                            // an attempt at a writer is out
+	streaming                           // the answer's stream has begun
+	answered                            // answered; the last outcome is still to come
 )
 
 // request is one open request.
 type request struct {
 	RequestArrived
-	state             requestState
+	state                              requestState
 	arrivedAt, deadline, ttftObjective time.Duration // aim: the first-token budget
-	attempts             int
-	endpoint            EndpointID // of the attempt out
-	sentAt            time.Duration
-	selectionStart            time.Duration // of the first look for a server since the last attempt's end
-	reservation              reservation
-	prefillEndpoint            EndpointID
-	reportedQueue              float64    // requests ahead at the reader, as it told
-	expectedCachedTokens          int        // tokens expected to be kept at the reader
-	ownAttemptsAhead             float64    // own unfinished attempts at the server when sent
-	failedEndpoints             []EndpointID // servers that failed this request
-	mayHaveRun               bool       // an attempt may have run
-	mayHaveRunAt             time.Duration
-	mayHaveRunOn             EndpointID
-	overQuota         bool
-	retrying             bool       // its next attempt takes a step once more, after a failure
-	pollCandidates           []EndpointID // the readers whose load was asked for on its behalf
-	pendingPolls           int        // of them, whose answer is still to come
+	attempts                           int
+	endpoint                           EndpointID // of the attempt out
+	sentAt                             time.Duration
+	selectionStart                     time.Duration // of the first look for a server since the last attempt's end
+	reservation                        reservation
+	prefillEndpoint                    EndpointID
+	reportedQueue                      float64      // requests ahead at the reader, as it told
+	expectedCachedTokens               int          // tokens expected to be kept at the reader
+	ownAttemptsAhead                   float64      // own unfinished attempts at the server when sent
+	failedEndpoints                    []EndpointID // servers that failed this request
+	mayHaveRun                         bool         // an attempt may have run
+	mayHaveRunAt                       time.Duration
+	mayHaveRunOn                       EndpointID
+	overQuota                          bool
+	retrying                           bool         // its next attempt takes a step once more, after a failure
+	pollCandidates                     []EndpointID // the readers whose load was asked for on its behalf
+	pendingPolls                       int          // of them, whose answer is still to come
 }
 
 // pendingAttempt is an attempt whose read or first token is still to come.
 type pendingAttempt struct {
-	request      RequestID
+	request            RequestID
 	sentAt, expectedBy time.Duration
 }
 
 // replica is what this router knows of one replica.
 type replica struct {
 	Endpoint
-	role     Role
-	cell     *cell
-	cacheValidFrom time.Duration // texts noted as kept before this are void
-	pending    []pendingAttempt
-	streams  int
+	role            Role
+	cell            *cell
+	cacheValidFrom  time.Duration // texts noted as kept before this are void
+	pending         []pendingAttempt
+	streams         int
 	lastResponse    time.Duration
-	health   []ewma  // by class, after that of all classes
-	queueDelay   decayedMean // readers: ms that reads took beyond the estimate common to all
-	firstTokenDelay     decayedMean // writers: ms to the first token
-	fullUntil time.Duration
-	pollWaiters   []RequestID // requests that wait for its load, which was asked for
-	reportedQueue     float64     // requests ahead of a new one, as told
-	loadReportedAt   time.Duration
-	slowStartCredit     float64 // while cold: the part of a request that is due to it
-	reportedMemory   float64 // reported share of memory, negative: none
-	reportedBacklog  float64 // reported thousands of tokens to read or fetch, negative: none
-	pollBudget     share.Bucket
+	health          []ewma      // by class, after that of all classes
+	queueDelay      decayedMean // readers: ms that reads took beyond the estimate common to all
+	firstTokenDelay decayedMean // writers: ms to the first token
+	fullUntil       time.Duration
+	pollWaiters     []RequestID // requests that wait for its load, which was asked for
+	reportedQueue   float64     // requests ahead of a new one, as told
+	loadReportedAt  time.Duration
+	slowStartCredit float64 // while cold: the part of a request that is due to it
+	reportedMemory  float64 // reported share of memory, negative: none
+	reportedBacklog float64 // reported thousands of tokens to read or fetch, negative: none
+	pollBudget      share.Bucket
 }
 
 // cell sums up a cell's usable servers for one decision.
 type cell struct {
 	prefillCapacity, decodeCapacity float64 // capacity by the list
 	readyPrefillCapacity            float64 // the same of readers in any health: what it is part of all states
-	minDecodeWait             float64 // least wait among its writers
+	minDecodeWait                   float64 // least wait among its writers
 }
 
 // candidate is a reader with its estimate; order and rank settle the candidate alone, not the admission test.
@@ -89,40 +89,40 @@
 
 // prefixEntry is what the table knows of a session or shared beginning.
 type prefixEntry struct {
-	endpoint EndpointID // the last to read it
-	tokens int
-	updatedAt     time.Duration
+	endpoint  EndpointID // the last to read it
+	tokens    int
+	updatedAt time.Duration
 	requests  decayedMean
 }
 
 // Router decides for one router instance.
 type Router struct {
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	actions      []Action
-	critical []bool
-	tightestBudget float64   // the smallest class aim in ms, times headroom
-	replicas  []*replica // by id
+	cfg            Config
+	rng            *rand.Rand
+	now            time.Duration
+	actions        []Action
+	critical       []bool
+	tightestBudget float64    // the smallest class aim in ms, times headroom
+	replicas       []*replica // by id
 	activeSubset
-	byID     map[EndpointID]*replica
-	cells    map[int]*cell
-	total    cell   // all servers
-	maxReady     [3]int // most servers listed, by role
-	candidates  []candidate
-	requests map[RequestID]*request
-	prefixCache    map[Key]*prefixEntry
-	sweptAt    time.Duration
-	prefillModel      latencyModel      // of reads
-	commonQueueDelay      decayedMean // ms that all reads take over the fit of late: the wait common to all readers
-	estimateError  decayedMean // ms that reads lie off their estimates
-	cacheHitRatio    decayedMean // tokens found for each promised
-	decodeModel    latencyModel      // of writers' first tokens
-	arrivals decayedMean
-	perQueuedRequest     decayedMean // ms a request ahead
-	tenantBuckets  []share.Bucket
-	retryBucket  share.Bucket
-	quotaShare     QuotaShare  // For is the time until which it holds
+	byID             map[EndpointID]*replica
+	cells            map[int]*cell
+	total            cell   // all servers
+	maxReady         [3]int // most servers listed, by role
+	candidates       []candidate
+	requests         map[RequestID]*request
+	prefixCache      map[Key]*prefixEntry
+	sweptAt          time.Duration
+	prefillModel     latencyModel // of reads
+	commonQueueDelay decayedMean  // ms that all reads take over the fit of late: the wait common to all readers
+	estimateError    decayedMean  // ms that reads lie off their estimates
+	cacheHitRatio    decayedMean  // tokens found for each promised
+	decodeModel      latencyModel // of writers' first tokens
+	arrivals         decayedMean
+	perQueuedRequest decayedMean // ms a request ahead
+	tenantBuckets    []share.Bucket
+	retryBucket      share.Bucket
+	quotaShare       QuotaShare     // For is the time until which it holds
 	attemptLimits    []attemptLimit // attempts in force before each retune that an open request may have seen
 }
 
@@ -193,7 +193,9 @@
 }
 
 // loadKnown reports whether a server's load is known by now.
-func (r *Router) loadKnown(s *replica) bool { return !r.cfg.CanPollLoad || r.now-s.loadReportedAt <= loadMaxAge }
+func (r *Router) loadKnown(s *replica) bool {
+	return !r.cfg.CanPollLoad || r.now-s.loadReportedAt <= loadMaxAge
+}
 
 // reportedQueueOf is how many requests a server told are ahead of a new one; none where that is not known.
 func (r *Router) reportedQueueOf(s *replica) float64 {
@@ -204,4 +206,6 @@
 }
 
 // samplesPerReplica is how many recent reads this router has seen of each reader.
-func (r *Router) samplesPerReplica() float64 { return r.estimateError.count(r.now) / float64(max(r.maxReady[Prefill], 1)) }
+func (r *Router) samplesPerReplica() float64 {
+	return r.estimateError.count(r.now) / float64(max(r.maxReady[Prefill], 1))
+}
--- a/decide/stats.go
+++ b/decide/stats.go
@@ -10,8 +10,8 @@
 // decayedMean is a fading mean that leans on its pool's value, given as so many samples, where it is thin.
 type decayedMean struct {
 	sum, samples float64
-	updatedAt     time.Duration
-	timeConstant   time.Duration
+	updatedAt    time.Duration
+	timeConstant time.Duration
 }
 
 // remaining is the part of the evidence that has not faded. Of most servers of a large list there is none: an exponential for each of them at
@@ -37,9 +37,9 @@
 
 // ewma is an average that fades towards zero.
 type ewma struct {
-	value float64
+	value        float64
 	updatedAt    time.Duration
-	timeConstant  time.Duration
+	timeConstant time.Duration
 }
 
 func (l *ewma) current(now time.Duration) float64 {
@@ -61,13 +61,15 @@
 // latencyModel is a fading least-squares latencyModel of a time in ms to three inputs. Its prior coefficients weigh as
 // some samples, so inputs that do not vary leave the rest where they were; bounds hold whatever comes.
 type latencyModel struct {
-	normal                    [3][3]float64
+	normal                                        [3][3]float64
 	moments, coefficients, prior, maxCoefficients [3]float64
-	priorWeight               float64
-	updatedAt, timeConstant             time.Duration
+	priorWeight                                   float64
+	updatedAt, timeConstant                       time.Duration
 }
 
-func (f *latencyModel) predict(x [3]float64) float64 { return f.coefficients[0]*x[0] + f.coefficients[1]*x[1] + f.coefficients[2]*x[2] }
+func (f *latencyModel) predict(x [3]float64) float64 {
+	return f.coefficients[0]*x[0] + f.coefficients[1]*x[1] + f.coefficients[2]*x[2]
+}
 
 func (f *latencyModel) add(now time.Duration, x [3]float64, y float64) {
 	left := decay(now-f.updatedAt, f.timeConstant)
--- a/internal/core/contract.go
+++ b/internal/core/contract.go
@@ -11,24 +11,24 @@
 
 // Call is what goes on to the servers for one request, unchanged.
 type Call struct {
-	ID     string
-	Method string
-	Target string
-	ContentType   string // of the body
-	Body   []byte
+	ID          string
+	Method      string
+	Target      string
+	ContentType string // of the body
+	Body        []byte
 }
 
 // Request is what a front has taken from a client.
 type Request struct {
-	Call         Call
-	Class        int
-	Tenant       int
-	Session      decide.Key
+	Call               Call
+	Class              int
+	Tenant             int
+	Session            decide.Key
 	SharedPrefix       decide.Key
 	PromptTokens       int
 	SharedPrefixTokens int
 	MaxOutputTokens    int
-	Deadline     time.Time // the final answer has left by then
+	Deadline           time.Time // the final answer has left by then
 	// ClientGone asks the client's connection whether the client has closed it, which its context may tell a moment later; nil: the context
 	// is all there is to ask. It does not wait.
 	ClientGone func() bool
@@ -41,10 +41,10 @@
 
 // The kinds of a final answer.
 const (
-	Failed  AnswerKind = iota // no promise
-	Rejected             // a retry is harmless
-	Served              // Stream holds the answer
-	ClientGone                // the client went away first, and nothing may have run
+	Failed     AnswerKind = iota // no promise
+	Rejected                     // a retry is harmless
+	Served                       // Stream holds the answer
+	ClientGone                   // the client went away first, and nothing may have run
 )
 
 var kindNames = [...]string{Failed: "failed", Rejected: "refused", Served: "served", ClientGone: "left"}
@@ -83,10 +83,10 @@
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
-	Outcome decide.Outcome
-	CachedTokens    int
-	StreamStarted   bool // the answer had begun, and then it broke
-	Load    *decide.LoadReport
+	Outcome       decide.Outcome
+	CachedTokens  int
+	StreamStarted bool // the answer had begun, and then it broke
+	Load          *decide.LoadReport
 }
 
 // AttemptObserver takes an attempt's news; its methods may be called from any goroutine.
@@ -99,13 +99,13 @@
 
 // AttemptSpec is one attempt to be made.
 type AttemptSpec struct {
-	Call  Call
-	Target    Target
+	Call    Call
+	Target  Target
 	Timeout time.Duration // for all of it
 	// ClientGone asks whether the client has gone; nil: nobody can tell. It does not wait.
 	ClientGone func() bool
 	// Window is for how long the servers drop repeats of what may have run already, where Retry says that it may have.
-	Retry bool
+	Retry       bool
 	DedupWindow time.Duration
 }
 
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -9,11 +9,11 @@
 
 // Counters tells what the core took in, sent and answered.
 type Counters struct {
-	Accepted, Attempts, LoadPolls, Releases, PeerLoadReports           int
-	ExpiredReservations                                         int // releases of them, since nothing told that an attempt had arrived
+	Accepted, Attempts, LoadPolls, Releases, PeerLoadReports            int
+	ExpiredReservations                                                 int // releases of them, since nothing told that an attempt had arrived
 	Served, Rejected, Failed, ClientGone, DeadlineForced, BrokenStreams int
-	Outcomes                                       map[string]int
-	Open, Endpoints                                   int
+	Outcomes                                                            map[string]int
+	Open, Endpoints                                                     int
 }
 
 func outcomeName(o decide.Outcome) string {
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -74,15 +74,15 @@
 func (c *Dispatcher) sendFacts(q *request, to *listed, limit, now time.Duration) permit.Attempt {
 	window, alike := c.window(q, to, now)
 	return permit.Attempt{
-		Answered:   q.answer == nil,
-		ClientGone: q.gone(),
-		EndpointLeaving:    to == nil || to.state != decide.Ready,
-		TimeLeft:       limit,
-		AttemptInFlight:    q.out(),
-		Executes:       to != nil && !to.reads,
-		MayHaveRun: q.ran.mayHave,
+		Answered:        q.answer == nil,
+		ClientGone:      q.gone(),
+		EndpointLeaving: to == nil || to.state != decide.Ready,
+		TimeLeft:        limit,
+		AttemptInFlight: q.out(),
+		Executes:        to != nil && !to.reads,
+		MayHaveRun:      q.ran.mayHave,
 		Idempotency:     c.config.Classes[q.Class].Idempotency,
-		InDedupScope:      alike,
+		InDedupScope:    alike,
 		DedupWindow:     window,
 	}
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -15,20 +15,20 @@
 
 // The reasons.
 const (
-	Allowed       Reason = iota
-	ClientDisconnected           // the client has closed its connection
-	AlreadyAnswered             // the request has its final answer
-	DeadlineExceeded         // no time is left
-	EndpointLeaving        // the server is draining, gone or not listed
-	Withdrawn            // the attempt was withdrawn before it began
-	AttemptInFlight              // another attempt of the request is out
-	MayHaveRun           // it may have run, and must not run again there
-	DedupWindowExpired           // the servers that drop repeats of it do not any more
-	ShuttingDown               // the process may be killed before it could answer
-	Draining              // the operator has sent clients away for so long that nothing new is taken
-	Evicted              // the connection has been closed in favor of another
-	RequestUnanswered           // a request of the connection has no answer yet
-	RequestArriving             // a request is coming on the connection, or has come and is not looked at yet
+	Allowed            Reason = iota
+	ClientDisconnected        // the client has closed its connection
+	AlreadyAnswered           // the request has its final answer
+	DeadlineExceeded          // no time is left
+	EndpointLeaving           // the server is draining, gone or not listed
+	Withdrawn                 // the attempt was withdrawn before it began
+	AttemptInFlight           // another attempt of the request is out
+	MayHaveRun                // it may have run, and must not run again there
+	DedupWindowExpired        // the servers that drop repeats of it do not any more
+	ShuttingDown              // the process may be killed before it could answer
+	Draining                  // the operator has sent clients away for so long that nothing new is taken
+	Evicted                   // the connection has been closed in favor of another
+	RequestUnanswered         // a request of the connection has no answer yet
+	RequestArriving           // a request is coming on the connection, or has come and is not looked at yet
 	UnreadBytes               // bytes wait on the connection
 	reasons
 )
@@ -49,10 +49,10 @@
 
 // Accept holds the facts as a request has come whole.
 type Accept struct {
-	ClientGone bool
-	Evicted    bool
-	ShuttingDown     bool // it came so late after SIGTERM that it might be unanswered at the process's end
-	Draining    bool // it came too late after the begin of an operator's drain
+	ClientGone   bool
+	Evicted      bool
+	ShuttingDown bool // it came so late after SIGTERM that it might be unanswered at the process's end
+	Draining     bool // it came too late after the begin of an operator's drain
 }
 
 // Check tells whether the request may be taken.
@@ -72,15 +72,15 @@
 
 // Attempt holds the facts as an attempt is to be made.
 type Attempt struct {
-	Answered   bool
-	ClientGone bool
-	EndpointLeaving    bool          // the server is draining, gone or not listed
-	TimeLeft       time.Duration // of the request's time
-	AttemptInFlight    bool          // another attempt of it has not ended
-	Executes       bool          // an attempt at this server carries the request out, as reads do not
-	MayHaveRun bool          // an earlier attempt may have carried it out
+	Answered        bool
+	ClientGone      bool
+	EndpointLeaving bool          // the server is draining, gone or not listed
+	TimeLeft        time.Duration // of the request's time
+	AttemptInFlight bool          // another attempt of it has not ended
+	Executes        bool          // an attempt at this server carries the request out, as reads do not
+	MayHaveRun      bool          // an earlier attempt may have carried it out
 	Idempotency     decide.Idempotency
-	InDedupScope      bool          // with Keyed: the server drops repeats of what may have run
+	InDedupScope    bool          // with Keyed: the server drops repeats of what may have run
 	DedupWindow     time.Duration // with Keyed: for so long yet
 }
 
@@ -108,11 +108,11 @@
 
 // FirstByte holds the facts as an attempt's first byte is to be written. The connection for it may have come long after the Send.
 type FirstByte struct {
-	Withdrawn  bool
-	ClientGone bool
-	TimeLeft       time.Duration // of the attempt's time
-	Retry     bool          // Window binds
-	DedupWindow     time.Duration // for which the server drops repeats of what may have run
+	Withdrawn   bool
+	ClientGone  bool
+	TimeLeft    time.Duration // of the attempt's time
+	Retry       bool          // Window binds
+	DedupWindow time.Duration // for which the server drops repeats of what may have run
 }
 
 // Check tells whether the byte may be written.
@@ -135,20 +135,20 @@
 
 // The causes.
 const (
-	ForCapacity    Cause = iota // others need its place
-	ForDrain                // the operator sends clients away
-	AtShutdown              // the process ends
+	ForCapacity Cause = iota // others need its place
+	ForDrain                 // the operator sends clients away
+	AtShutdown               // the process ends
 )
 
 // CloseConnection holds the facts as a client's connection is to be closed by this side.
 type CloseConnection struct {
-	Cause    Cause
-	RequestOpen     bool          // a request on it is being answered
-	AwaitingBytes    bool          // all that has been read was looked at, and makes no whole request
-	PartialRequest     bool          // a part of a request has been read, or none ever came
-	Idle   time.Duration // since its last byte
+	Cause                 Cause
+	RequestOpen           bool          // a request on it is being answered
+	AwaitingBytes         bool          // all that has been read was looked at, and makes no whole request
+	PartialRequest        bool          // a part of a request has been read, or none ever came
+	Idle                  time.Duration // since its last byte
 	PartialRequestTimeout time.Duration // for which half a request is waited for
-	UnreadBytes   bool          // bytes wait to be read
+	UnreadBytes           bool          // bytes wait to be read
 }
 
 // Check tells whether the connection may be closed.
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -30,8 +30,12 @@
 		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency = true, decide.NonIdempotent }), MayHaveRun},
 		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.Executes = true, decide.NonIdempotent, false }), Allowed}, // a read has no effect
 		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.DedupWindow = true, decide.IdempotentByKey, second }), MayHaveRun},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall }), DedupWindowExpired},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall+1 }), Allowed},
+		{with(func(s *Attempt) {
+			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall
+		}), DedupWindowExpired},
+		{with(func(s *Attempt) {
+			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall+1
+		}), Allowed},
 		{FirstByte{TimeLeft: 1}, Allowed}, {FirstByte{Withdrawn: true, TimeLeft: 1}, Withdrawn}, {FirstByte{ClientGone: true, TimeLeft: 1}, ClientDisconnected},
 		{FirstByte{}, DeadlineExceeded}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: MaxStall}, DedupWindowExpired}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: second}, Allowed},
 		{CloseConnection{AwaitingBytes: true}, Allowed}, {CloseConnection{AwaitingBytes: true, RequestOpen: true}, RequestUnanswered}, {CloseConnection{}, RequestArriving},
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -183,11 +183,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refused = permit.FirstByte{
-		Withdrawn:  a.withdrawn,
-		ClientGone: a.order.ClientGone != nil && a.order.ClientGone(),
-		TimeLeft:       a.until.Sub(now),
-		Retry:     a.order.Retry,
-		DedupWindow:     a.window.Sub(now),
+		Withdrawn:   a.withdrawn,
+		ClientGone:  a.order.ClientGone != nil && a.order.ClientGone(),
+		TimeLeft:    a.until.Sub(now),
+		Retry:       a.order.Retry,
+		DedupWindow: a.window.Sub(now),
 	}.Check()
 	a.writing = a.refused == permit.Allowed
 	return a.writing
--- a/internal/state/handover/golden_test.go
+++ b/internal/state/handover/golden_test.go
@@ -73,14 +73,14 @@
 
 func goldenBeliefs() decide.Snapshot {
 	return decide.Snapshot{
-		TakenAt:       101,
-		Prefill:     decide.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Decode:    decide.LatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
-		CommonQueueDelay:      decide.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
-		EstimateError:  decide.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
+		TakenAt:          101,
+		Prefill:          decide.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Decode:           decide.LatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		CommonQueueDelay: decide.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
+		EstimateError:    decide.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
 		CacheHitRatio:    decide.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
-		Arrivals: decide.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
-		PerQueuedRequest:     decide.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
+		Arrivals:         decide.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
+		PerQueuedRequest: decide.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
 		Prefixes: []decide.PrefixCacheEntry{
 			{Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109, Requests: decide.DecayedMean{Sum: 51.5, Count: 52.5, At: 110}},
 			{Key: 111, Endpoint: 112, Tokens: 113, UpdatedAt: 114, Requests: decide.DecayedMean{Sum: 53.5, Count: 54.5, At: 115}},
--- a/internal/state/handover/records.go
+++ b/internal/state/handover/records.go
@@ -83,16 +83,16 @@
 
 func (r snapshotRecord) beliefs() decide.Snapshot {
 	return decide.Snapshot{
-		TakenAt:       r.At,
-		Prefill:     r.Read.fit(),
-		Decode:    r.Fetch.fit(),
-		CommonQueueDelay:      r.Lag.evidence(),
-		EstimateError:  r.Scatter.evidence(),
+		TakenAt:          r.At,
+		Prefill:          r.Read.fit(),
+		Decode:           r.Fetch.fit(),
+		CommonQueueDelay: r.Lag.evidence(),
+		EstimateError:    r.Scatter.evidence(),
 		CacheHitRatio:    r.Trust.evidence(),
-		Arrivals: r.Arrivals.evidence(),
-		PerQueuedRequest:     r.Each.evidence(),
-		Prefixes:    convertAll(r.Texts, cacheEntryRecord.textBelief),
-		Endpoints:  convertAll(r.Servers, endpointRecord.serverBelief),
+		Arrivals:         r.Arrivals.evidence(),
+		PerQueuedRequest: r.Each.evidence(),
+		Prefixes:         convertAll(r.Texts, cacheEntryRecord.textBelief),
+		Endpoints:        convertAll(r.Servers, endpointRecord.serverBelief),
 	}
 }
 
@@ -132,10 +132,10 @@
 
 func (r cacheEntryRecord) textBelief() decide.PrefixCacheEntry {
 	return decide.PrefixCacheEntry{
-		Key:    decide.Key(r.Key),
-		Endpoint: decide.EndpointID(r.Reader),
-		Tokens: r.Tokens,
-		UpdatedAt:     r.At,
+		Key:       decide.Key(r.Key),
+		Endpoint:  decide.EndpointID(r.Reader),
+		Tokens:    r.Tokens,
+		UpdatedAt: r.At,
 		Requests:  r.Asked.evidence(),
 	}
 }
@@ -155,14 +155,14 @@
 
 func (r endpointRecord) serverBelief() decide.EndpointStats {
 	return decide.EndpointStats{
-		ID:       decide.EndpointID(r.ID),
-		Started:  r.Started,
-		CacheValidFrom: r.VoidTill,
+		ID:              decide.EndpointID(r.ID),
+		Started:         r.Started,
+		CacheValidFrom:  r.VoidTill,
 		LastResponse:    r.Heard,
-		Health:   convertAll(r.Health, averageRecord.level),
-		QueueDelay:   r.Excess.evidence(),
-		FirstTokenDelay:     r.Wait.evidence(),
-		SlowStartCredit:     r.Turn,
+		Health:          convertAll(r.Health, averageRecord.level),
+		QueueDelay:      r.Excess.evidence(),
+		FirstTokenDelay: r.Wait.evidence(),
+		SlowStartCredit: r.Turn,
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -112,11 +112,11 @@
 func (s *Settings) Router() (decide.Config, error) {
 	cfg := decide.Config{
 		Zone: s.Az, Routers: s.Balancers, MaxAttempts: s.Limits.MostTries,
-		ReservationTTL: FromMS(s.FamilyInfo.ReleaseWithinMs),
-		SlowStartInitial:      s.Rules.ColdFrom, SlowStartDuration: FromMS(s.Rules.ColdMs),
+		ReservationTTL:   FromMS(s.FamilyInfo.ReleaseWithinMs),
+		SlowStartInitial: s.Rules.ColdFrom, SlowStartDuration: FromMS(s.Rules.ColdMs),
 		OverloadMultiple: s.Rules.FallMultiple,
-		CanCancel:    s.Limits.Cancelling,
-		DecodeCanPrefill:    s.FamilyInfo.LocalRead,
+		CanCancel:        s.Limits.Cancelling,
+		DecodeCanPrefill: s.FamilyInfo.LocalRead,
 	}
 	if s.Limits.RetryAfter {
 		cfg.MaxRetryAfter = FromMS(s.Limits.MaxRetryAfterMs)
