--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -158,7 +158,7 @@
 		return
 	}
 	v, known := f.filings.claim(key, j.req.Call.Body)
-	var try claim.Try
+	var try claim.Attempt
 	if v == fresh {
 		v, known, try = f.granted(j, key)
 	}
@@ -192,7 +192,7 @@
 
 // file runs a filing's first try. If the client leaves, what was sent to a writer goes on to its end, so that a repeat can be answered;
 // no further attempt begins.
-func (f *Front) file(client context.Context, w http.ResponseWriter, j *job, key string, try claim.Try) {
+func (f *Front) file(client context.Context, w http.ResponseWriter, j *job, key string, try claim.Attempt) {
 	var answer *completion
 	ran := true // also if what follows panics
 	defer func() { f.note(key, try, answer, ran) }()
--- a/internal/chat/ledger.go
+++ b/internal/chat/ledger.go
@@ -13,11 +13,11 @@
 // only Claim waits, for less than a second.
 type Ledger interface {
 	// Claim asks whether the first try of a key may run; ends is how long it lasts at the most.
-	Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Verdict, []byte, claim.Try)
+	Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt)
 	// Settle notes how a try ended; nil: it may have run, and its answer is not known.
-	Settle(key string, try claim.Try, answer []byte)
+	Settle(key string, try claim.Attempt, answer []byte)
 	// Withdraw notes that a try never ran.
-	Withdraw(key string, try claim.Try)
+	Withdraw(key string, try claim.Attempt)
 }
 
 // streamMost is how long beyond its deadline an answer's stream goes on at the most, for the ledger to take a try as ended.
@@ -31,20 +31,20 @@
 
 // granted asks the other processes of this name, and the ledger, about a key that is new to this process's table. Where it is not
 // fresh, the table learns what they know, or forgets the key.
-func (f *Front) granted(j *job, key string) (verdict, *completion, claim.Try) {
+func (f *Front) granted(j *job, key string) (verdict, *completion, claim.Attempt) {
 	switch f.beside.Take(inflight.Filing, key) {
 	case inflight.Open:
 		f.filings.release(key)
-		return inProgress, nil, claim.Try{}
+		return inProgress, nil, claim.Attempt{}
 	case inflight.MayRan:
 		f.filings.settle(key, nil)
-		return mayHaveRun, nil, claim.Try{}
+		return mayHaveRun, nil, claim.Attempt{}
 	case inflight.Unknown:
 		f.filings.release(key)
-		return unreachable, nil, claim.Try{}
+		return unreachable, nil, claim.Attempt{}
 	}
 	if f.ledger == nil {
-		return fresh, nil, claim.Try{}
+		return fresh, nil, claim.Attempt{}
 	}
 	out, why, answer, try := f.ledger.Claim(key, j.req.Call.Body, time.Until(j.req.Deadline)+streamMost)
 	v := unreachable
@@ -54,7 +54,7 @@
 	}
 	f.beside.Drop(inflight.Filing, key)
 	switch {
-	case out == claim.Refused && why == claim.HeldKnown:
+	case out == claim.Rejected && why == claim.VoteAnswered:
 		known := new(completion)
 		if err := json.Unmarshal(answer, known); err == nil && len(known.Choices) > 0 {
 			f.filings.settle(key, known)
@@ -63,12 +63,12 @@
 		slog.Warn("ledger_answer", "id", j.req.Call.ID)
 		f.filings.settle(key, nil)
 		return mayHaveRun, nil, try
-	case out == claim.Refused && why == claim.HeldRan:
+	case out == claim.Rejected && why == claim.VoteMayHaveRun:
 		f.filings.settle(key, nil)
 		return mayHaveRun, nil, try
-	case out == claim.Refused && why == claim.Held:
+	case out == claim.Rejected && why == claim.VoteInFlight:
 		v = inProgress
-	case out == claim.Refused && why == claim.OtherBody:
+	case out == claim.Rejected && why == claim.VoteKeyReused:
 		v = otherBody
 	}
 	f.filings.release(key)
@@ -76,7 +76,7 @@
 }
 
 // note tells the table and the ledger how a first try ended.
-func (f *Front) note(key string, try claim.Try, answer *completion, ran bool) {
+func (f *Front) note(key string, try claim.Attempt, answer *completion, ran bool) {
 	if !ran {
 		f.filings.release(key)
 		f.beside.Drop(inflight.Filing, key)
--- a/internal/chat/stored_test.go
+++ b/internal/chat/stored_test.go
@@ -15,11 +15,11 @@
 // memory is a Ledger that keeps what it is given.
 type memory struct{ answer []byte }
 
-func (m *memory) Claim(string, []byte, time.Duration) (claim.Outcome, claim.Verdict, []byte, claim.Try) {
-	return claim.Refused, claim.HeldKnown, m.answer, claim.Try{}
+func (m *memory) Claim(string, []byte, time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt) {
+	return claim.Rejected, claim.VoteAnswered, m.answer, claim.Attempt{}
 }
-func (m *memory) Settle(_ string, _ claim.Try, answer []byte) { m.answer = answer }
-func (m *memory) Withdraw(string, claim.Try)                  {}
+func (m *memory) Settle(_ string, _ claim.Attempt, answer []byte) { m.answer = answer }
+func (m *memory) Withdraw(string, claim.Attempt)                  {}
 
 // A filing's answer is kept in the fleet and on disk, and read by programs of other versions.
 func TestGoldenStoredAnswer(t *testing.T) {
@@ -36,7 +36,7 @@
 
 	ledger := &memory{}
 	f := &Front{filings: newFilings(8, time.Hour, time.Now), ledger: ledger}
-	f.note("key", claim.Try{}, want, true)
+	f.note("key", claim.Attempt{}, want, true)
 	if string(ledger.answer) != stored {
 		t.Errorf("stored %s, want %s", ledger.answer, stored)
 	}
--- a/internal/fleet/beliefs.go
+++ b/internal/fleet/beliefs.go
@@ -11,8 +11,8 @@
 	"rampspread/internal/fleet/warmup"
 )
 
-// Knows is what a process has learnt, for others that start, and takes what they tell it.
-type Knows interface {
+// LearnedState is what a process has learnt, for others that start, and takes what they tell it.
+type LearnedState interface {
 	// Tell packs what this process knows; false: it cannot now.
 	Tell(ctx context.Context) ([]byte, bool)
 	// Learn takes what another has packed.
@@ -31,26 +31,26 @@
 // beliefs asks others for what they know after this process's start, and tells those that ask.
 type beliefs struct {
 	node  *Node
-	knows Knows
+	knows LearnedState
 
 	mu    sync.Mutex
-	asker *warmup.Asker
+	asker *warmup.Requester
 	donor warmup.Donor
 
 	taken, given, busy, bad atomic.Int64
 }
 
-// BeliefsStatus is what operators are shown of them.
-type BeliefsStatus struct {
-	Taken int64 `json:"taken"` // from others, after the start
-	Given int64 `json:"given"`
-	Busy  int64 `json:"busy"` // questions that had no gift: it knew nothing yet, or had given enough
-	Bad   int64 `json:"bad"`  // gifts that made no sense
+// BootstrapStatus is what operators are shown of them.
+type BootstrapStatus struct {
+	Received  int64 `json:"taken"` // from others, after the start
+	Sent      int64 `json:"given"`
+	Declined  int64 `json:"busy"` // questions that had no gift: it knew nothing yet, or had given enough
+	Malformed int64 `json:"bad"`  // gifts that made no sense
 }
 
-func newBeliefs(n *Node, k Knows) *beliefs {
+func newBeliefs(n *Node, k LearnedState) *beliefs {
 	rng := rand.New(rand.NewPCG(n.self.Seed, 0xbe11ef))
-	return &beliefs{node: n, knows: k, asker: warmup.NewAsker(warmup.Usual, n.now(), rng.Int64N)}
+	return &beliefs{node: n, knows: k, asker: warmup.NewRequester(warmup.DefaultLimits, n.now(), rng.Int64N)}
 }
 
 // step asks somebody, if it is time.
@@ -62,12 +62,12 @@
 	}
 	self := b.node.self
 	var members []warmup.Member
-	for _, m := range b.node.View().Counting() {
+	for _, m := range b.node.View().ActiveMembers() {
 		if m.Name != self.Name {
-			members = append(members, warmup.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), Near: m.Zone == self.Zone})
+			members = append(members, warmup.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), SameZone: m.Zone == self.Zone})
 		}
 	}
-	to, ok := b.asker.Step(now, members)
+	to, ok := b.asker.NextDonor(now, members)
 	b.mu.Unlock()
 	if ok {
 		b.node.send(to, heading(kindAskBeliefs, 0, self.Name, uint64(b.node.wall.UnixNano())))
@@ -78,7 +78,7 @@
 func (b *beliefs) answer(from string) {
 	now := b.node.now()
 	b.mu.Lock()
-	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.May(now, warmup.Usual)
+	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.TakeTransfer(now, warmup.DefaultLimits)
 	b.mu.Unlock()
 	if gives {
 		ctx, cancel := context.WithTimeout(context.Background(), tellWait)
@@ -96,7 +96,7 @@
 // take takes an answer of one that was asked.
 func (b *beliefs) take(from string, told []byte) {
 	b.mu.Lock()
-	asked := b.asker.Asked(from)
+	asked := b.asker.WasRequested(from)
 	b.mu.Unlock()
 	if !asked {
 		return
@@ -113,15 +113,15 @@
 		}
 	}
 	b.mu.Lock()
-	b.asker.Took(b.node.now(), from, taught)
+	b.asker.RecordResponse(b.node.now(), from, taught)
 	b.mu.Unlock()
 }
 
-// Beliefs is what was learnt from others and told to them, for operators; false: nothing is.
-func (n *Node) Beliefs() (s BeliefsStatus, ok bool) {
+// BootstrapStatus is what was learnt from others and told to them, for operators; false: nothing is.
+func (n *Node) BootstrapStatus() (s BootstrapStatus, ok bool) {
 	b := n.beliefs
 	if b == nil {
 		return s, false
 	}
-	return BeliefsStatus{Taken: b.taken.Load(), Given: b.given.Load(), Busy: b.busy.Load(), Bad: b.bad.Load()}, true
+	return BootstrapStatus{Received: b.taken.Load(), Sent: b.given.Load(), Declined: b.busy.Load(), Malformed: b.bad.Load()}, true
 }
--- a/internal/fleet/claim/claim.go
+++ b/internal/fleet/claim/claim.go
@@ -28,8 +28,8 @@
 // Digest is the hash of what is asked for under a key.
 type Digest [sha256.Size]byte
 
-// Try is one claim of one life of a member; another claim on the same key is another try.
-type Try struct {
+// Attempt is one claim of one life of a member; another claim on the same key is another try.
+type Attempt struct {
 	Name        string
 	Incarnation uint64
 	Seq         uint64
@@ -40,16 +40,16 @@
 
 // The states of a key.
 const (
-	Out        State = iota + 1 // claimed; its try may be out
+	InFlight   State = iota + 1 // claimed; its try may be out
 	MayHaveRun                  // its try ended, or should have, and what it did is not known
 	Answered                    // its answer is known
 )
 
-var stateNames = [...]string{Out: "out", MayHaveRun: "may have run", Answered: "answered"}
+var stateNames = [...]string{InFlight: "out", MayHaveRun: "may have run", Answered: "answered"}
 
 // String is the state's name as operators see it.
 func (s State) String() string {
-	if s < Out || s > Answered {
+	if s < InFlight || s > Answered {
 		return "unknown"
 	}
 	return stateNames[s]
@@ -57,12 +57,12 @@
 
 // Record is what a keeper keeps of a key.
 type Record struct {
-	Try    Try
-	Digest Digest
-	State  State
-	At     time.Duration // of the keeper's life
-	Until  time.Duration // by then its try has ended
-	Answer []byte
+	Attempt         Attempt
+	Digest          Digest
+	State           State
+	WrittenAt       time.Duration // of the keeper's life
+	AttemptDeadline time.Duration // by then its try has ended
+	Answer          []byte
 }
 
 // Store keeps a keeper's records over its lives. Its methods return only once what they write will be found again.
@@ -77,33 +77,33 @@
 
 // Limits are the same at all members.
 type Limits struct {
-	Keep    time.Duration // for which a key is remembered
-	Entries int           // keys that a keeper keeps
-	Answer  int           // bytes of an answer that is kept
+	Retention      time.Duration // for which a key is remembered
+	Entries        int           // keys that a keeper keeps
+	MaxAnswerBytes int           // bytes of an answer that is kept
 }
 
-// Verdict is a keeper's word on a claim.
-type Verdict uint8
+// Vote is a keeper's word on a claim.
+type Vote uint8
 
 // The verdicts.
 const (
-	Yes        Verdict = iota + 1 // this try has the keeper
-	Held                          // another try's, which may be out
-	HeldRan                       // another try's, which may have run
-	HeldKnown                     // another try's, with its answer
-	OtherBody                     // the key stands for something else
-	Full                          // there is no room for another key
-	cannotTell                    // it has no memory, or cannot write: no word is sent
+	VoteGranted    Vote = iota + 1 // this try has the keeper
+	VoteInFlight                   // another try's, which may be out
+	VoteMayHaveRun                 // another try's, which may have run
+	VoteAnswered                   // another try's, with its answer
+	VoteKeyReused                  // the key stands for something else
+	VoteStoreFull                  // there is no room for another key
+	cannotTell                     // it has no memory, or cannot write: no word is sent
 )
 
-// Keeper keeps claims. It is not safe for use by several goroutines at once.
-type Keeper struct {
+// Replica keeps claims. It is not safe for use by several goroutines at once.
+type Replica struct {
 	limits Limits
 	store  Store
 	mute   time.Duration // of its life: it says nothing before
 	left   int           // keys in the store, at the last look
 	swept  time.Duration
-	gone   map[Try]time.Duration // tries that were taken back
+	gone   map[Attempt]time.Duration // tries that were taken back
 }
 
 const (
@@ -113,31 +113,31 @@
 	goneFor = time.Minute
 )
 
-// ErrAnswer says that an answer is too long to be kept.
-var ErrAnswer = errors.New("claim: the answer is too long")
+// ErrAnswerTooLong says that an answer is too long to be kept.
+var ErrAnswerTooLong = errors.New("claim: the answer is too long")
 
-// NewKeeper returns a keeper. Remembers says that the store holds all that earlier lives of it wrote, or that there was none;
+// NewReplica returns a keeper. Remembers says that the store holds all that earlier lives of it wrote, or that there was none;
 // else it waits until all that they may have said yes to has expired. now is of the keeper's life, which goes on from
 // what the store knows of.
-func NewKeeper(limits Limits, store Store, remembers bool, now time.Duration) *Keeper {
-	k := &Keeper{limits: limits, store: store, gone: map[Try]time.Duration{}}
+func NewReplica(limits Limits, store Store, remembers bool, now time.Duration) *Replica {
+	k := &Replica{limits: limits, store: store, gone: map[Attempt]time.Duration{}}
 	if !remembers {
-		k.mute = now + limits.Keep
+		k.mute = now + limits.Retention
 	}
 	return k
 }
 
-// Mute tells whether it still waits, and for how long.
-func (k *Keeper) Mute(now time.Duration) (left time.Duration, mute bool) {
+// Recovering tells whether it still waits, and for how long.
+func (k *Replica) Recovering(now time.Duration) (left time.Duration, mute bool) {
 	return max(k.mute-now, 0), now < k.mute
 }
 
 // sweep forgets what has expired.
-func (k *Keeper) sweep(now time.Duration) error {
+func (k *Replica) sweep(now time.Duration) error {
 	if k.swept > 0 && now-k.swept < sweepEvery {
 		return nil
 	}
-	left, err := k.store.Expire(now-k.limits.Keep, sweepMost)
+	left, err := k.store.Expire(now-k.limits.Retention, sweepMost)
 	if err != nil {
 		return err
 	}
@@ -150,10 +150,10 @@
 	return nil
 }
 
-// Ask answers a claim; ends is how long from now the try lasts at the most. With an error nothing may be said to the claimer:
+// Claim answers a claim; ends is how long from now the try lasts at the most. With an error nothing may be said to the claimer:
 // what was written is not known.
-func (k *Keeper) Ask(now time.Duration, key Key, digest Digest, try Try, ends time.Duration) (Verdict, []byte, error) {
-	if _, mute := k.Mute(now); mute {
+func (k *Replica) Claim(now time.Duration, key Key, digest Digest, try Attempt, ends time.Duration) (Vote, []byte, error) {
+	if _, mute := k.Recovering(now); mute {
 		return cannotTell, nil, errMute
 	}
 	if err := k.sweep(now); err != nil {
@@ -163,40 +163,40 @@
 	if err != nil {
 		return cannotTell, nil, err
 	}
-	if ok && now-r.At >= k.limits.Keep {
+	if ok && now-r.WrittenAt >= k.limits.Retention {
 		ok = false // it has expired, and is not swept yet
 	}
 	_, taken := k.gone[try]
 	switch {
-	case ok && r.Try == try:
-		return Yes, nil, nil // its packet came twice
+	case ok && r.Attempt == try:
+		return VoteGranted, nil, nil // its packet came twice
 	case ok && r.Digest != digest:
-		return OtherBody, nil, nil
+		return VoteKeyReused, nil, nil
 	case ok && r.State == Answered:
-		return HeldKnown, r.Answer, nil
-	case ok && (r.State == MayHaveRun || now >= r.Until):
-		return HeldRan, nil, nil
+		return VoteAnswered, r.Answer, nil
+	case ok && (r.State == MayHaveRun || now >= r.AttemptDeadline):
+		return VoteMayHaveRun, nil, nil
 	case ok || taken:
-		return Held, nil, nil
+		return VoteInFlight, nil, nil
 	case k.left >= k.limits.Entries:
-		return Full, nil, nil
+		return VoteStoreFull, nil, nil
 	}
-	if err := k.store.Put(key, Record{Try: try, Digest: digest, State: Out, At: now, Until: now + ends}); err != nil {
+	if err := k.store.Put(key, Record{Attempt: try, Digest: digest, State: InFlight, WrittenAt: now, AttemptDeadline: now + ends}); err != nil {
 		return cannotTell, nil, err
 	}
 	k.left++
-	return Yes, nil, nil
+	return VoteGranted, nil, nil
 }
 
 var errMute = errors.New("claim: the keeper has no memory of what it said")
 
 // Settle notes how a try ended: with its answer, or nil for one that may have run. Of another try's key nothing changes.
-func (k *Keeper) Settle(now time.Duration, key Key, try Try, answer []byte) error {
-	if len(answer) > k.limits.Answer {
-		return ErrAnswer
+func (k *Replica) Settle(now time.Duration, key Key, try Attempt, answer []byte) error {
+	if len(answer) > k.limits.MaxAnswerBytes {
+		return ErrAnswerTooLong
 	}
 	r, ok, err := k.store.Get(key)
-	if err != nil || !ok || r.Try != try || r.State == Answered {
+	if err != nil || !ok || r.Attempt != try || r.State == Answered {
 		return err
 	}
 	r.State, r.Answer = MayHaveRun, nil
@@ -207,10 +207,10 @@
 }
 
 // Withdraw takes a claim back: its try never ran and never will. A claim of it that is still under way gets no yes.
-func (k *Keeper) Withdraw(now time.Duration, key Key, try Try) error {
+func (k *Replica) Withdraw(now time.Duration, key Key, try Attempt) error {
 	k.gone[try] = now
 	r, ok, err := k.store.Get(key)
-	if err != nil || !ok || r.Try != try || r.State != Out {
+	if err != nil || !ok || r.Attempt != try || r.State != InFlight {
 		return err
 	}
 	k.left = max(k.left-1, 0)
@@ -220,57 +220,57 @@
 // Round is one claim at the side of who makes it. It is not safe for use by several goroutines at once.
 type Round struct {
 	keepers int
-	words   map[string]Verdict
+	words   map[string]Vote
 	answer  []byte
 }
 
 // NewRound begins a claim at so many keepers.
-func NewRound(keepers int) *Round { return &Round{keepers: keepers, words: map[string]Verdict{}} }
+func NewRound(keepers int) *Round { return &Round{keepers: keepers, words: map[string]Vote{}} }
 
 // Outcome is what a round has come to.
 type Outcome uint8
 
 // The outcomes of a round.
 const (
-	Open     Outcome = iota // not settled yet
+	Pending  Outcome = iota // not settled yet
 	Granted                 // the try may run, and no other ever will
-	Refused                 // another has it, or the key stands for something else: Why
-	Hopeless                // no majority can come any more, and nobody else's try is known
+	Rejected                // another has it, or the key stands for something else: Why
+	NoQuorum                // no majority can come any more, and nobody else's try is known
 )
 
-// Take takes a keeper's word; a second one of the same keeper changes nothing.
-func (r *Round) Take(keeper string, v Verdict, answer []byte) {
-	if _, ok := r.words[keeper]; ok || v < Yes || v > Full {
+// AddVote takes a keeper's word; a second one of the same keeper changes nothing.
+func (r *Round) AddVote(keeper string, v Vote, answer []byte) {
+	if _, ok := r.words[keeper]; ok || v < VoteGranted || v > VoteStoreFull {
 		return
 	}
 	r.words[keeper] = v
-	if v == HeldKnown {
+	if v == VoteAnswered {
 		r.answer = answer
 	}
 }
 
-// Said tells whether a keeper's word was taken.
-func (r *Round) Said(keeper string) bool { return r.words[keeper] != 0 }
+// HasVote tells whether a keeper's word was taken.
+func (r *Round) HasVote(keeper string) bool { return r.words[keeper] != 0 }
 
 // Outcome is what the words so far come to; why is the word that tells most where it is Refused. Once the round is over, at its
 // deadline, what is still open is hopeless.
-func (r *Round) Outcome(over bool) (o Outcome, why Verdict, answer []byte) {
-	count := map[Verdict]int{}
+func (r *Round) Outcome(over bool) (o Outcome, why Vote, answer []byte) {
+	count := map[Vote]int{}
 	for _, v := range r.words {
 		count[v]++
 	}
 	most := r.keepers/2 + 1
-	if count[Yes] >= most {
+	if count[VoteGranted] >= most {
 		return Granted, 0, nil
 	}
-	if !over && count[Yes]+r.keepers-len(r.words) >= most {
-		return Open, 0, nil
+	if !over && count[VoteGranted]+r.keepers-len(r.words) >= most {
+		return Pending, 0, nil
 	}
 	// Any one keeper's word of another try is enough not to run: it may have its majority elsewhere.
-	for _, v := range []Verdict{HeldKnown, OtherBody, HeldRan, Held} {
+	for _, v := range []Vote{VoteAnswered, VoteKeyReused, VoteMayHaveRun, VoteInFlight} {
 		if count[v] > 0 {
-			return Refused, v, r.answer
+			return Rejected, v, r.answer
 		}
 	}
-	return Hopeless, 0, nil
+	return NoQuorum, 0, nil
 }
--- a/internal/fleet/claim/claim_test.go
+++ b/internal/fleet/claim/claim_test.go
@@ -54,7 +54,7 @@
 
 func (m *memory) Expire(before time.Duration, most int) (int, error) {
 	for k, r := range m.records {
-		if r.At <= before && most > 0 {
+		if r.WrittenAt <= before && most > 0 {
 			most--
 			delete(m.records, k)
 		}
@@ -64,7 +64,7 @@
 
 func newMemory() *memory { return &memory{records: map[Key]Record{}} }
 
-var limits = Limits{Keep: 20 * time.Second, Entries: 1000, Answer: 64}
+var limits = Limits{Retention: 20 * time.Second, Entries: 1000, MaxAnswerBytes: 64}
 
 // mutant is a fault built into the code under test, which the checker has to catch.
 type mutant struct {
@@ -80,7 +80,7 @@
 	name  string
 	store *memory
 	late  map[Key]Record // by the mutant: not written yet
-	k     *Keeper
+	k     *Replica
 	up    bool
 	since time.Duration // true time at which its life went on,
 	lived time.Duration // from here
@@ -88,7 +88,7 @@
 
 type simTry struct {
 	key    Key
-	try    Try
+	try    Attempt
 	node   int
 	round  *Round
 	until  time.Duration
@@ -129,7 +129,7 @@
 		k.store = newMemory()
 	}
 	k.late = map[Key]Record{}
-	k.k = NewKeeper(limits, k.store, remembers || s.m.forgetful, s.clock(k))
+	k.k = NewReplica(limits, k.store, remembers || s.m.forgetful, s.clock(k))
 }
 
 func newSim(seed uint64, m mutant) *sim {
@@ -173,7 +173,7 @@
 func (s *sim) ask(t *simTry) {
 	for i := range s.keepers {
 		s.toKeeper(t.node, i, func(k *simKeeper) {
-			var v Verdict
+			var v Vote
 			var answer []byte
 			var err error
 			if s.m.noteLater {
@@ -186,11 +186,11 @@
 					shadow.records[key] = r
 				}
 				k.k.store = shadow
-				v, answer, err = k.k.Ask(s.clock(k), t.key, digest(t.key), t.try, time.Second)
+				v, answer, err = k.k.Claim(s.clock(k), t.key, digest(t.key), t.try, time.Second)
 				k.k.store = store
 				k.late = shadow.records
 			} else {
-				v, answer, err = k.k.Ask(s.clock(k), t.key, digest(t.key), t.try, time.Second)
+				v, answer, err = k.k.Claim(s.clock(k), t.key, digest(t.key), t.try, time.Second)
 			}
 			if err != nil {
 				return
@@ -200,7 +200,7 @@
 	}
 }
 
-func (s *sim) word(t *simTry, from string, v Verdict, answer []byte) {
+func (s *sim) word(t *simTry, from string, v Vote, answer []byte) {
 	if t.over {
 		return
 	}
@@ -208,24 +208,24 @@
 		t.doubly++
 		from = fmt.Sprint(from, t.doubly)
 	}
-	t.round.Take(from, v, answer)
+	t.round.AddVote(from, v, answer)
 	s.judge(t, false)
 }
 
 // judge acts on what a round has come to.
 func (s *sim) judge(t *simTry, over bool) {
 	o, why, answer := t.round.Outcome(over)
-	if s.m.few && slices.Contains(slices.Collect(func(yield func(Verdict) bool) {
+	if s.m.few && slices.Contains(slices.Collect(func(yield func(Vote) bool) {
 		for _, v := range t.round.words {
 			if !yield(v) {
 				return
 			}
 		}
-	}), Yes) {
+	}), VoteGranted) {
 		o = Granted
 	}
 	switch o {
-	case Open:
+	case Pending:
 		return
 	case Granted:
 		t.ran = true
@@ -245,7 +245,7 @@
 			s.withdraw(t)
 		}
 	default:
-		if why == HeldKnown {
+		if why == VoteAnswered {
 			s.known++
 			if !bytes.Equal(answer, []byte(fmt.Sprint("answer to ", t.key))[:20]) {
 				s.wrong = fmt.Sprintf("key %x was answered %q", t.key[:2], answer)
@@ -272,7 +272,7 @@
 	key[0], key[1], key[2] = byte(n), byte(n>>8), byte(n>>16)
 	s.seq++
 	t := &simTry{key: key, node: s.rng.IntN(s.members), round: NewRound(len(s.keepers)), until: s.now + 300*time.Millisecond}
-	t.try = Try{Name: fmt.Sprint("n", t.node), Incarnation: 1, Seq: s.seq}
+	t.try = Attempt{Name: fmt.Sprint("n", t.node), Incarnation: 1, Seq: s.seq}
 	s.tries = append(s.tries, t)
 	s.ask(t)
 	if s.rng.IntN(2) == 0 {
@@ -366,52 +366,52 @@
 	m := newMemory()
 	l := limits
 	l.Entries = 2
-	k := NewKeeper(l, m, true, 0)
+	k := NewReplica(l, m, true, 0)
 	a, b, c := Key{1}, Key{2}, Key{3}
-	one, two, three, four := Try{"n0", 1, 1}, Try{"n1", 1, 1}, Try{"n0", 1, 2}, Try{"n0", 1, 3}
+	one, two, three, four := Attempt{"n0", 1, 1}, Attempt{"n1", 1, 1}, Attempt{"n0", 1, 2}, Attempt{"n0", 1, 3}
 	now := time.Second
-	want := func(key Key, d Digest, try Try, v Verdict) []byte {
+	want := func(key Key, d Digest, try Attempt, v Vote) []byte {
 		t.Helper()
-		got, answer, err := k.Ask(now, key, d, try, time.Second)
+		got, answer, err := k.Claim(now, key, d, try, time.Second)
 		if got != v || err != nil {
 			t.Errorf("%v, %v, want %v", got, err, v)
 		}
 		return answer
 	}
-	want(a, digest(a), one, Yes)
-	want(a, digest(a), one, Yes)
-	want(a, digest(a), two, Held)
-	want(a, digest(b), two, OtherBody)
+	want(a, digest(a), one, VoteGranted)
+	want(a, digest(a), one, VoteGranted)
+	want(a, digest(a), two, VoteInFlight)
+	want(a, digest(b), two, VoteKeyReused)
 	k.Settle(now, a, two, []byte("stranger's"))
 	k.Settle(now, a, one, []byte("answer"))
 	k.Settle(now, a, one, nil)
-	if got := want(a, digest(a), two, HeldKnown); string(got) != "answer" {
+	if got := want(a, digest(a), two, VoteAnswered); string(got) != "answer" {
 		t.Errorf("answered %q", got)
 	}
-	if err := k.Settle(now, a, one, make([]byte, l.Answer+1)); !errors.Is(err, ErrAnswer) {
+	if err := k.Settle(now, a, one, make([]byte, l.MaxAnswerBytes+1)); !errors.Is(err, ErrAnswerTooLong) {
 		t.Errorf("a long answer: %v", err)
 	}
-	want(b, digest(b), one, Yes)
+	want(b, digest(b), one, VoteGranted)
 	now += 2 * time.Second
-	want(b, digest(b), two, HeldRan) // it should have ended
-	want(c, digest(c), three, Full)
+	want(b, digest(b), two, VoteMayHaveRun) // it should have ended
+	want(c, digest(c), three, VoteStoreFull)
 	k.Withdraw(now, b, two)
-	want(b, digest(b), two, HeldRan)
+	want(b, digest(b), two, VoteMayHaveRun)
 	k.Withdraw(now, b, one)
-	want(c, digest(c), three, Yes)
+	want(c, digest(c), three, VoteGranted)
 	k.Withdraw(now, c, three)
-	want(c, digest(c), three, Held) // a packet that the withdrawal has overtaken
-	now += l.Keep
-	want(a, digest(b), four, Yes) // expired
+	want(c, digest(c), three, VoteInFlight) // a packet that the withdrawal has overtaken
+	now += l.Retention
+	want(a, digest(b), four, VoteGranted) // expired
 	m.broken = true
-	if _, _, err := k.Ask(now, Key{9}, Digest{}, one, 0); err == nil {
+	if _, _, err := k.Claim(now, Key{9}, Digest{}, one, 0); err == nil {
 		t.Error("a keeper that cannot write says something")
 	}
-	lost := NewKeeper(l, newMemory(), false, now)
-	if _, _, err := lost.Ask(now+l.Keep-1, a, digest(a), one, 0); err == nil {
+	lost := NewReplica(l, newMemory(), false, now)
+	if _, _, err := lost.Claim(now+l.Retention-1, a, digest(a), one, 0); err == nil {
 		t.Error("a keeper without memory says something")
 	}
-	if v, _, err := lost.Ask(now+l.Keep, a, digest(a), one, 0); v != Yes || err != nil {
+	if v, _, err := lost.Claim(now+l.Retention, a, digest(a), one, 0); v != VoteGranted || err != nil {
 		t.Errorf("a keeper that has waited: %v, %v", v, err)
 	}
 }
@@ -419,21 +419,21 @@
 func TestRound(t *testing.T) {
 	for _, c := range []struct {
 		keepers int
-		words   []Verdict
+		words   []Vote
 		over    bool
 		want    Outcome
-		why     Verdict
+		why     Vote
 	}{
-		{1, []Verdict{Yes}, false, Granted, 0}, {3, []Verdict{Yes}, false, Open, 0}, {3, []Verdict{Yes}, true, Hopeless, 0},
-		{3, []Verdict{Yes, Held, Yes}, false, Granted, 0}, {3, []Verdict{Held}, false, Open, 0}, {3, []Verdict{Held, Yes}, true, Refused, Held},
-		{3, []Verdict{Held, HeldKnown}, false, Refused, HeldKnown}, {3, []Verdict{Full, Full}, false, Hopeless, 0}, {3, nil, true, Hopeless, 0},
-		{5, []Verdict{Yes, Yes, Held, OtherBody}, false, Open, 0}, {5, []Verdict{Yes, Yes, Held, OtherBody, HeldRan}, false, Refused, OtherBody},
-		{3, []Verdict{0, 99}, true, Hopeless, 0},
+		{1, []Vote{VoteGranted}, false, Granted, 0}, {3, []Vote{VoteGranted}, false, Pending, 0}, {3, []Vote{VoteGranted}, true, NoQuorum, 0},
+		{3, []Vote{VoteGranted, VoteInFlight, VoteGranted}, false, Granted, 0}, {3, []Vote{VoteInFlight}, false, Pending, 0}, {3, []Vote{VoteInFlight, VoteGranted}, true, Rejected, VoteInFlight},
+		{3, []Vote{VoteInFlight, VoteAnswered}, false, Rejected, VoteAnswered}, {3, []Vote{VoteStoreFull, VoteStoreFull}, false, NoQuorum, 0}, {3, nil, true, NoQuorum, 0},
+		{5, []Vote{VoteGranted, VoteGranted, VoteInFlight, VoteKeyReused}, false, Pending, 0}, {5, []Vote{VoteGranted, VoteGranted, VoteInFlight, VoteKeyReused, VoteMayHaveRun}, false, Rejected, VoteKeyReused},
+		{3, []Vote{0, 99}, true, NoQuorum, 0},
 	} {
 		r := NewRound(c.keepers)
 		for i, v := range c.words {
-			r.Take(fmt.Sprint(i), v, nil)
-			r.Take(fmt.Sprint(i), Yes, nil) // its second word changes nothing
+			r.AddVote(fmt.Sprint(i), v, nil)
+			r.AddVote(fmt.Sprint(i), VoteGranted, nil) // its second word changes nothing
 		}
 		if len(c.words) > 0 && c.words[0] == 0 {
 			continue // words that are none were passed over, so the second ones count
--- a/internal/fleet/claims/claims.go
+++ b/internal/fleet/claims/claims.go
@@ -33,7 +33,7 @@
 type Config struct {
 	Name        string
 	Incarnation uint64
-	Keepers     []string // by name; this process among them, or not
+	Replicas    []string // by name; this process among them, or not
 	Secret      []byte   // keys travel and are kept as hashes under it
 	Limits      claim.Limits
 	// Open opens this process's state, if it is a keeper. With state.ErrLocked it is asked again: a process that this one is to
@@ -43,21 +43,21 @@
 	Send func(to string, message []byte, large bool)
 }
 
-// Service claims for one process, and keeps claims if it is a keeper.
-type Service struct {
+// Coordinator claims for one process, and keeps claims if it is a keeper.
+type Coordinator struct {
 	cfg     Config
 	jobs    chan func()
 	dropped atomic.Int64
 	bad     atomic.Int64
 	errs    atomic.Int64
-	counts  [claim.Hopeless + 1]atomic.Int64 // of rounds, by outcome
+	counts  [claim.NoQuorum + 1]atomic.Int64 // of rounds, by outcome
 	waited  atomic.Int64                     // ns, for what was granted
 
 	mu     sync.Mutex
 	seq    uint64
 	rounds map[uint64]*round
 	store  *state.Store
-	keeper *claim.Keeper
+	keeper *claim.Replica
 	mute   bool // the keeper, at its start
 }
 
@@ -70,27 +70,27 @@
 
 // Status is what operators are shown.
 type Status struct {
-	Self    string   `json:"self"`
-	Keepers []string `json:"keepers"`
-	Keeps   bool     `json:"keeps"` // this process, with its state open
-	MuteS   float64  `json:"mute_s,omitempty"`
-	Keys    int      `json:"keys"`
-	Granted int64    `json:"granted"`
-	Refused int64    `json:"refused"`
-	None    int64    `json:"no_majority"`
-	GrantMS float64  `json:"grant_ms"` // that a claim waited for its grant, on the mean
-	Dropped int64    `json:"dropped"`  // claims that this keeper had no room for
-	Errors  int64    `json:"errors"`   // of its state
-	Bad     int64    `json:"bad"`      // messages that made no sense
+	Self        string   `json:"self"`
+	Replicas    []string `json:"keepers"`
+	IsReplica   bool     `json:"keeps"` // this process, with its state open
+	RecoveringS float64  `json:"mute_s,omitempty"`
+	Keys        int      `json:"keys"`
+	Granted     int64    `json:"granted"`
+	Rejected    int64    `json:"refused"`
+	NoMajority  int64    `json:"no_majority"`
+	GrantMS     float64  `json:"grant_ms"` // that a claim waited for its grant, on the mean
+	Dropped     int64    `json:"dropped"`  // claims that this keeper had no room for
+	Errors      int64    `json:"errors"`   // of its state
+	Bad         int64    `json:"bad"`      // messages that made no sense
 }
 
 // New returns a Service; Run drives what it keeps.
-func New(cfg Config) *Service {
-	return &Service{cfg: cfg, jobs: make(chan func(), queueSize), rounds: map[uint64]*round{}}
+func New(cfg Config) *Coordinator {
+	return &Coordinator{cfg: cfg, jobs: make(chan func(), queueSize), rounds: map[uint64]*round{}}
 }
 
 // Run opens the state, if this process is a keeper, and keeps claims until the context ends.
-func (s *Service) Run(ctx context.Context) {
+func (s *Coordinator) Run(ctx context.Context) {
 	if s.cfg.Open == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // open opens the state; false: not yet.
-func (s *Service) open() bool {
+func (s *Coordinator) open() bool {
 	store, err := s.cfg.Open()
 	if err != nil {
 		if !errors.Is(err, state.ErrLocked) && s.errs.Add(1) == 1 {
@@ -131,7 +131,7 @@
 		}
 		return false
 	}
-	remembers, left := store.Remembers(s.cfg.Limits.Keep)
+	remembers, left := store.Remembers(s.cfg.Limits.Retention)
 	if !remembers {
 		slog.Warn("state_lost", "member", s.cfg.Name, "keeps_its_peace_for", left)
 	}
@@ -139,18 +139,18 @@
 	defer s.mu.Unlock()
 	// The keeper waits for Keep from what it is told is now; what was lived since the loss counts.
 	s.store, s.mute = store, !remembers
-	s.keeper = claim.NewKeeper(s.cfg.Limits, store, remembers, store.Lived()+left-s.cfg.Limits.Keep)
+	s.keeper = claim.NewReplica(s.cfg.Limits, store, remembers, store.Lived()+left-s.cfg.Limits.Retention)
 	return true
 }
 
 // failed counts what the state could not do, and says so the first time.
-func (s *Service) failed(err error) {
+func (s *Coordinator) failed(err error) {
 	if s.errs.Add(1) == 1 {
 		slog.Warn("state_failed", "err", err)
 	}
 }
 
-func (s *Service) hash(key string) (k claim.Key) {
+func (s *Coordinator) hash(key string) (k claim.Key) {
 	h := hmac.New(sha256.New, s.cfg.Secret)
 	h.Write([]byte(key)) // it cannot fail
 	copy(k[:], h.Sum(nil))
@@ -159,11 +159,11 @@
 
 // Claim asks the keepers whether a key's first try may run, and waits for a majority's word, for askFor at the most. What was not
 // granted is taken back. ends is how long the try lasts at the most.
-func (s *Service) Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Verdict, []byte, claim.Try) {
-	r := &round{r: claim.NewRound(len(s.cfg.Keepers)), news: make(chan struct{}, 1)}
+func (s *Coordinator) Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt) {
+	r := &round{r: claim.NewRound(len(s.cfg.Replicas)), news: make(chan struct{}, 1)}
 	s.mu.Lock()
 	s.seq++
-	try := claim.Try{Name: s.cfg.Name, Incarnation: s.cfg.Incarnation, Seq: s.seq}
+	try := claim.Attempt{Name: s.cfg.Name, Incarnation: s.cfg.Incarnation, Seq: s.seq}
 	s.rounds[try.Seq] = r
 	s.mu.Unlock()
 	m := message{kind: kindAsk, try: try, key: s.hash(key), digest: sha256.Sum256(body), ends: ends}
@@ -182,7 +182,7 @@
 }
 
 // wait sends a claim, again and again, until its round is settled or over.
-func (s *Service) wait(r *round, m message) (claim.Outcome, claim.Verdict, []byte) {
+func (s *Coordinator) wait(r *round, m message) (claim.Outcome, claim.Vote, []byte) {
 	over := time.NewTimer(askFor)
 	defer over.Stop()
 	again := time.NewTicker(askAgain)
@@ -200,16 +200,16 @@
 		r.mu.Lock()
 		out, why, answer := r.r.Outcome(ended)
 		r.mu.Unlock()
-		if out != claim.Open {
+		if out != claim.Pending {
 			return out, why, answer
 		}
 	}
 }
 
 // ask sends a claim to the keepers that have said nothing yet.
-func (s *Service) ask(r *round, m message) {
+func (s *Coordinator) ask(r *round, m message) {
 	r.mu.Lock()
-	missing := slices.DeleteFunc(slices.Clone(s.cfg.Keepers), func(k string) bool { return r.r.Said(k) })
+	missing := slices.DeleteFunc(slices.Clone(s.cfg.Replicas), func(k string) bool { return r.r.HasVote(k) })
 	r.mu.Unlock()
 	for _, k := range missing {
 		s.to(k, m)
@@ -217,20 +217,20 @@
 }
 
 // Settle tells the keepers how a try ended: with its answer, or nil for one that may have run.
-func (s *Service) Settle(key string, try claim.Try, answer []byte) {
+func (s *Coordinator) Settle(key string, try claim.Attempt, answer []byte) {
 	s.tell(message{kind: kindSettle, try: try, key: s.hash(key), answer: answer, answered: answer != nil})
 }
 
 // Withdraw takes a claim back whose try never ran.
-func (s *Service) Withdraw(key string, try claim.Try) {
+func (s *Coordinator) Withdraw(key string, try claim.Attempt) {
 	s.tell(message{kind: kindWithdraw, try: try, key: s.hash(key)})
 }
 
 // tell sends a message to all keepers, several times over.
-func (s *Service) tell(m message) {
+func (s *Coordinator) tell(m message) {
 	for i := range tellTimes {
 		time.AfterFunc(time.Duration(i)*tellAgain, func() {
-			for _, k := range s.cfg.Keepers {
+			for _, k := range s.cfg.Replicas {
 				s.to(k, m)
 			}
 		})
@@ -238,7 +238,7 @@
 }
 
 // to sends a message to a keeper, which may be this process.
-func (s *Service) to(keeper string, m message) {
+func (s *Coordinator) to(keeper string, m message) {
 	if keeper == s.cfg.Name {
 		s.keep(m)
 		return
@@ -247,8 +247,8 @@
 	s.cfg.Send(keeper, b, len(b) > smallMost)
 }
 
-// Take takes another member's message; one that makes no sense is counted and passed over.
-func (s *Service) Take(b []byte) {
+// HandleMessage takes another member's message; one that makes no sense is counted and passed over.
+func (s *Coordinator) HandleMessage(b []byte) {
 	m, err := decode(b)
 	if err != nil {
 		s.bad.Add(1)
@@ -262,16 +262,16 @@
 }
 
 // word takes a keeper's word.
-func (s *Service) word(m message) {
+func (s *Coordinator) word(m message) {
 	s.mu.Lock()
 	r := s.rounds[m.try.Seq]
 	s.mu.Unlock()
 	// A word for an earlier life's claim is none for this one's of the same number.
-	if r == nil || m.try.Name != s.cfg.Name || m.try.Incarnation != s.cfg.Incarnation || !slices.Contains(s.cfg.Keepers, m.keeper) {
+	if r == nil || m.try.Name != s.cfg.Name || m.try.Incarnation != s.cfg.Incarnation || !slices.Contains(s.cfg.Replicas, m.keeper) {
 		return
 	}
 	r.mu.Lock()
-	r.r.Take(m.keeper, m.verdict, m.answer)
+	r.r.AddVote(m.keeper, m.verdict, m.answer)
 	r.mu.Unlock()
 	select {
 	case r.news <- struct{}{}:
@@ -280,7 +280,7 @@
 }
 
 // keep does a keeper's part, in its goroutine: it writes to the disk.
-func (s *Service) keep(m message) {
+func (s *Coordinator) keep(m message) {
 	select {
 	case s.jobs <- func() { s.kept(m) }:
 	default:
@@ -288,13 +288,13 @@
 	}
 }
 
-func (s *Service) kept(m message) {
+func (s *Coordinator) kept(m message) {
 	now := s.store.Lived()
 	switch m.kind {
 	case kindAsk:
-		v, answer, err := s.keeper.Ask(now, m.key, m.digest, m.try, m.ends)
+		v, answer, err := s.keeper.Claim(now, m.key, m.digest, m.try, m.ends)
 		if err != nil {
-			if _, mute := s.keeper.Mute(now); !mute {
+			if _, mute := s.keeper.Recovering(now); !mute {
 				s.failed(err)
 			}
 			return
@@ -322,18 +322,18 @@
 }
 
 // Status is what operators are shown.
-func (s *Service) Status() Status {
-	out := Status{Self: s.cfg.Name, Keepers: s.cfg.Keepers, Granted: s.counts[claim.Granted].Load(), Refused: s.counts[claim.Refused].Load(),
-		None: s.counts[claim.Hopeless].Load(), Dropped: s.dropped.Load(), Errors: s.errs.Load(), Bad: s.bad.Load()}
+func (s *Coordinator) Status() Status {
+	out := Status{Self: s.cfg.Name, Replicas: s.cfg.Replicas, Granted: s.counts[claim.Granted].Load(), Rejected: s.counts[claim.Rejected].Load(),
+		NoMajority: s.counts[claim.NoQuorum].Load(), Dropped: s.dropped.Load(), Errors: s.errs.Load(), Bad: s.bad.Load()}
 	if out.Granted > 0 {
 		out.GrantMS = float64(s.waited.Load()) / float64(out.Granted) / float64(time.Millisecond)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.store != nil {
-		out.Keeps, out.Keys = true, s.store.Keys()
-		if _, left := s.store.Remembers(s.cfg.Limits.Keep); s.mute {
-			out.MuteS = left.Seconds()
+		out.IsReplica, out.Keys = true, s.store.Keys()
+		if _, left := s.store.Remembers(s.cfg.Limits.Retention); s.mute {
+			out.RecoveringS = left.Seconds()
 		}
 	}
 	return out
--- a/internal/fleet/claims/claims_test.go
+++ b/internal/fleet/claims/claims_test.go
@@ -20,14 +20,14 @@
 type net struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
-	all   map[string]*Service
+	all   map[string]*Coordinator
 	cut   map[string]bool
 	rough bool
 	stops map[string]func()
 }
 
 func newNet(t *testing.T) *net {
-	n := &net{rng: rand.New(rand.NewPCG(1, 2)), all: map[string]*Service{}, cut: map[string]bool{}, stops: map[string]func(){}}
+	n := &net{rng: rand.New(rand.NewPCG(1, 2)), all: map[string]*Coordinator{}, cut: map[string]bool{}, stops: map[string]func(){}}
 	t.Cleanup(func() {
 		for _, stop := range n.stops {
 			stop()
@@ -49,17 +49,17 @@
 		late = time.Duration(n.rng.Int64N(int64(20 * time.Millisecond)))
 	}
 	for range times {
-		time.AfterFunc(late, func() { s.Take(b) })
+		time.AfterFunc(late, func() { s.HandleMessage(b) })
 	}
 }
 
 var keepers = []string{"n0", "n1", "n2"}
 
 // start starts a member with the state in a folder; none: it keeps nothing.
-func (n *net) start(t *testing.T, name, dir string, life uint64, keepers ...string) *Service {
+func (n *net) start(t *testing.T, name, dir string, life uint64, keepers ...string) *Coordinator {
 	t.Helper()
-	cfg := Config{Name: name, Incarnation: life, Keepers: keepers, Secret: []byte("secret"),
-		Limits: claim.Limits{Keep: time.Hour, Entries: 100, Answer: 1 << 16}, Send: func(to string, b []byte, _ bool) { n.send(name, to, b) }}
+	cfg := Config{Name: name, Incarnation: life, Replicas: keepers, Secret: []byte("secret"),
+		Limits: claim.Limits{Retention: time.Hour, Entries: 100, MaxAnswerBytes: 1 << 16}, Send: func(to string, b []byte, _ bool) { n.send(name, to, b) }}
 	if dir != "" {
 		cfg.Open = func() (*state.Store, error) { return state.Open(dir, state.Identity{Fleet: "f", Name: name}) }
 	}
@@ -72,7 +72,7 @@
 	n.mu.Unlock()
 	n.stops[name] = sync.OnceFunc(func() { cancel(); wg.Wait() })
 	if dir != "" {
-		testkit.Eventually(t, name+" to keep", func() bool { return s.Status().Keeps })
+		testkit.Eventually(t, name+" to keep", func() bool { return s.Status().IsReplica })
 	}
 	return s
 }
@@ -91,7 +91,7 @@
 func TestOneIsGranted(t *testing.T) {
 	n := newNet(t)
 	dirs := map[string]string{}
-	var all []*Service
+	var all []*Coordinator
 	for _, name := range keepers {
 		dirs[name] = made(t, name)
 		all = append(all, n.start(t, name, dirs[name], 1, keepers...))
@@ -126,7 +126,7 @@
 		if tries == 1 {
 			testkit.Eventually(t, "its answer at another member", func() bool {
 				out, why, answer, _ := all[4].Claim(key, []byte("body"), time.Minute)
-				return out == claim.Refused && why == claim.HeldKnown && bytes.Equal(answer, big)
+				return out == claim.Rejected && why == claim.VoteAnswered && bytes.Equal(answer, big)
 			})
 		}
 	}
@@ -141,10 +141,10 @@
 		n.start(t, name, dirs[name], 2, keepers...)
 	}
 	out, why, answer, _ := all[3].Claim("k", []byte("body"), time.Minute)
-	if out == claim.Granted || out == claim.Refused && why == claim.HeldKnown && !bytes.Equal(answer, big) {
+	if out == claim.Granted || out == claim.Rejected && why == claim.VoteAnswered && !bytes.Equal(answer, big) {
 		t.Errorf("after the restarts: %v, %v", out, why)
 	}
-	if out, why, _, _ := all[3].Claim("k", []byte("another"), time.Minute); out != claim.Refused || why != claim.OtherBody {
+	if out, why, _, _ := all[3].Claim("k", []byte("another"), time.Minute); out != claim.Rejected || why != claim.VoteKeyReused {
 		t.Errorf("another body: %v, %v", out, why)
 	}
 }
@@ -163,7 +163,7 @@
 	n.cut["n0"], n.cut["n1"] = true, true
 	n.mu.Unlock()
 	from := time.Now()
-	if out, _, _, _ := s.Claim("b", nil, time.Minute); out != claim.Hopeless || time.Since(from) > askFor+300*time.Millisecond {
+	if out, _, _, _ := s.Claim("b", nil, time.Minute); out != claim.NoQuorum || time.Since(from) > askFor+300*time.Millisecond {
 		t.Errorf("with one of three: %v after %v", out, time.Since(from))
 	}
 	n.mu.Lock()
@@ -174,7 +174,7 @@
 	for _, name := range keepers[:2] {
 		n.stops[name]()
 		lost := n.start(t, name, filepath.Join(t.TempDir(), "lost"), 2, keepers...)
-		if st := lost.Status(); st.MuteS < 3500 {
+		if st := lost.Status(); st.RecoveringS < 3500 {
 			t.Errorf("a keeper without its state: %+v", st)
 		}
 	}
@@ -197,13 +197,13 @@
 	}
 	n.stops["n0"]() // before it said how that ended
 	two := n.start(t, "n0", dir, 2, "n0")
-	if out, why, _, _ := two.Claim("a", []byte("body"), time.Minute); out != claim.Refused || why != claim.Held {
+	if out, why, _, _ := two.Claim("a", []byte("body"), time.Minute); out != claim.Rejected || why != claim.VoteInFlight {
 		t.Errorf("in the next life: %v, %v", out, why)
 	}
 	two.Settle("a", try, []byte("late"))
 	testkit.Eventually(t, "its answer", func() bool {
 		_, why, _, _ := two.Claim("a", []byte("body"), time.Minute)
-		return why == claim.HeldKnown
+		return why == claim.VoteAnswered
 	})
 }
 
@@ -212,15 +212,15 @@
 	n := newNet(t)
 	s := n.start(t, "n0", made(t, "n0"), 1, "n0")
 	s.store.Close()
-	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != claim.Hopeless || s.Status().Errors == 0 {
+	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != claim.NoQuorum || s.Status().Errors == 0 {
 		t.Errorf("%v, %+v", out, s.Status())
 	}
 }
 
 // Messages survive the wire; garbage is an error, is counted, and changes nothing.
 func FuzzDecode(f *testing.F) {
-	m := message{kind: kindAsk, try: claim.Try{Name: "n1", Incarnation: 5, Seq: 7}, key: claim.Key{1}, digest: claim.Digest{2}, ends: time.Second}
-	w := message{kind: kindWord, try: m.try, key: m.key, keeper: "n2", verdict: claim.HeldKnown, answer: []byte("a"), answered: true}
+	m := message{kind: kindAsk, try: claim.Attempt{Name: "n1", Incarnation: 5, Seq: 7}, key: claim.Key{1}, digest: claim.Digest{2}, ends: time.Second}
+	w := message{kind: kindWord, try: m.try, key: m.key, keeper: "n2", verdict: claim.VoteAnswered, answer: []byte("a"), answered: true}
 	e := message{kind: kindSettle, try: m.try, key: m.key, answer: []byte{}, answered: true}
 	var texts []string
 	for _, in := range []message{m, w, e} {
@@ -231,10 +231,10 @@
 		}
 		texts = append(texts, string(in.encode()))
 	}
-	s := New(Config{Name: "n0", Keepers: keepers})
+	s := New(Config{Name: "n0", Replicas: keepers})
 	for _, text := range testkit.Broken(4, texts...) {
 		f.Add([]byte(text))
-		s.Take([]byte(text))
+		s.HandleMessage([]byte(text))
 	}
 	if s.Status().Bad == 0 {
 		f.Error("nothing bad was counted")
--- a/internal/fleet/claims/golden_test.go
+++ b/internal/fleet/claims/golden_test.go
@@ -14,7 +14,7 @@
 // The tests of this file freeze what members send to each other of claims, which members of other versions read.
 
 var (
-	goldenTry    = claim.Try{Name: "n1", Incarnation: 1001, Seq: 3}
+	goldenTry    = claim.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
 	goldenKey    = claim.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	goldenDigest = claim.Digest{31: 32, 0: 21, 1: 22, 2: 23}
 )
@@ -25,8 +25,8 @@
 		m    message
 	}{
 		{"ask.hex", message{kind: kindAsk, try: goldenTry, key: goldenKey, digest: goldenDigest, ends: 1500 * time.Millisecond}},
-		{"word-yes.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.Yes}},
-		{"word-held-known.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.HeldKnown, answer: []byte("answer"), answered: true}},
+		{"word-yes.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.VoteGranted}},
+		{"word-held-known.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.VoteAnswered, answer: []byte("answer"), answered: true}},
 		{"settle.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte("answer"), answered: true}},
 		{"settle-empty.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte{}, answered: true}},
 		{"settle-unknown.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey}},
@@ -44,11 +44,11 @@
 	if want := []int{1, 2, 3, 4}; !slices.Equal(kinds, want) {
 		t.Errorf("kinds are %v, want %v", kinds, want)
 	}
-	verdicts := []claim.Verdict{claim.Yes, claim.Held, claim.HeldRan, claim.HeldKnown, claim.OtherBody, claim.Full}
-	if want := []claim.Verdict{1, 2, 3, 4, 5, 6}; !slices.Equal(verdicts, want) {
+	verdicts := []claim.Vote{claim.VoteGranted, claim.VoteInFlight, claim.VoteMayHaveRun, claim.VoteAnswered, claim.VoteKeyReused, claim.VoteStoreFull}
+	if want := []claim.Vote{1, 2, 3, 4, 5, 6}; !slices.Equal(verdicts, want) {
 		t.Errorf("verdicts are %v, want %v", verdicts, want)
 	}
-	states := []claim.State{claim.Out, claim.MayHaveRun, claim.Answered}
+	states := []claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered}
 	if want := []claim.State{1, 2, 3}; !slices.Equal(states, want) {
 		t.Errorf("states are %v, want %v", states, want)
 	}
@@ -63,9 +63,9 @@
 func TestGoldenClaim(t *testing.T) {
 	var mu sync.Mutex
 	var sent []byte
-	var service *Service
-	word := message{kind: kindWord, try: claim.Try{Name: "n1", Incarnation: 1001, Seq: 1}, keeper: "k0", verdict: claim.Yes}
-	service = New(Config{Name: "n1", Incarnation: 1001, Keepers: []string{"k0"}, Secret: []byte("secret"), Send: func(to string, b []byte, large bool) {
+	var service *Coordinator
+	word := message{kind: kindWord, try: claim.Attempt{Name: "n1", Incarnation: 1001, Seq: 1}, keeper: "k0", verdict: claim.VoteGranted}
+	service = New(Config{Name: "n1", Incarnation: 1001, Replicas: []string{"k0"}, Secret: []byte("secret"), Send: func(to string, b []byte, large bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		if sent == nil {
@@ -73,7 +73,7 @@
 				t.Errorf("sent to %s, large %t", to, large)
 			}
 			sent = slices.Clone(b)
-			go service.Take(golden.Bytes(t, "claim-word.hex", word.encode()))
+			go service.HandleMessage(golden.Bytes(t, "claim-word.hex", word.encode()))
 		}
 	}})
 	if out, _, _, _ := service.Claim("key", []byte("body"), 1500*time.Millisecond); out != claim.Granted {
@@ -85,5 +85,5 @@
 }
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status.json", Status{Self: "n1", Keepers: []string{"k0", "k1"}, Keeps: true, MuteS: 1.5, Keys: 2, Granted: 3, Refused: 4, None: 5, GrantMS: 6.5, Dropped: 7, Errors: 8, Bad: 9})
+	golden.JSON(t, "status.json", Status{Self: "n1", Replicas: []string{"k0", "k1"}, IsReplica: true, RecoveringS: 1.5, Keys: 2, Granted: 3, Rejected: 4, NoMajority: 5, GrantMS: 6.5, Dropped: 7, Errors: 8, Bad: 9})
 }
--- a/internal/fleet/claims/message.go
+++ b/internal/fleet/claims/message.go
@@ -44,12 +44,12 @@
 // message is what members say to each other of a claim.
 type message struct {
 	kind     uint64
-	try      claim.Try
+	try      claim.Attempt
 	key      claim.Key
 	digest   claim.Digest
 	ends     time.Duration
 	keeper   string
-	verdict  claim.Verdict
+	verdict  claim.Vote
 	answer   []byte
 	answered bool // there is an answer, though it may be empty
 }
@@ -120,8 +120,8 @@
 			m.try.Seq = v
 		case field == fieldEnds:
 			m.ends = time.Duration(min(v, maxEndsInUS)) * time.Microsecond
-		case field == fieldVerdict && v <= uint64(claim.Full):
-			m.verdict = claim.Verdict(v)
+		case field == fieldVerdict && v <= uint64(claim.VoteStoreFull):
+			m.verdict = claim.Vote(v)
 		}
 	}
 	switch {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -34,15 +34,15 @@
 	// TermMS is how long a duty is granted for, in ms; 0: defaultTerm. A duty is taken over about so long after its
 	// holder died.
 	TermMS int `json:"term_ms"`
-	// Filings makes a filing run once in the whole fleet: the voters keep who has claimed it, each in a state of its own. None:
+	// Idempotency makes a filing run once in the whole fleet: the voters keep who has claimed it, each in a state of its own. None:
 	// each dispatcher knows its own filings only.
-	Filings *Filings `json:"filings,omitempty"`
-	// Beliefs lets a member that starts learn from others what they know of replicas and texts.
-	Beliefs bool `json:"beliefs,omitempty"`
-	// Ends lets members hold each other back from replicas that a newer list than their own has ended.
-	Ends bool `json:"ends,omitempty"`
-	// Stragglers lets members that act on something older than most be restricted and shut out; none: nobody is.
-	Stragglers *Stragglers `json:"stragglers,omitempty"`
+	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
+	// Bootstrap lets a member that starts learn from others what they know of replicas and texts.
+	Bootstrap bool `json:"beliefs,omitempty"`
+	// EndpointFilter lets members hold each other back from replicas that a newer list than their own has ended.
+	EndpointFilter bool `json:"ends,omitempty"`
+	// VersionSkew lets members that act on something older than most be restricted and shut out; none: nobody is.
+	VersionSkew *VersionSkewConfig `json:"stragglers,omitempty"`
 	// SubsetReaders is how many readers, with their writers, a dispatcher keeps to at the least; 0: to all replicas.
 	SubsetReaders int `json:"subset_readers,omitempty"`
 	// Budgets are what all may do together; none: each dispatcher goes by the settings' count of dispatchers.
@@ -54,14 +54,16 @@
 	term  time.Duration
 }
 
-// Filings says how long, and how many, the fleet's keepers remember; the same at all.
-type Filings struct {
+// IdempotencyConfig says how long, and how many, the fleet's keepers remember; the same at all.
+type IdempotencyConfig struct {
 	KeepS   float64 `json:"keep_s"`
 	Entries int     `json:"entries"`
 }
 
 // Keep is how long a filing is remembered.
-func (f *Filings) Keep() time.Duration { return time.Duration(f.KeepS * float64(time.Second)) }
+func (f *IdempotencyConfig) Keep() time.Duration {
+	return time.Duration(f.KeepS * float64(time.Second))
+}
 
 // Peer is one name that may be in the fleet, and the address at which others reach it.
 type Peer struct {
@@ -147,7 +149,7 @@
 	if err := private(c.Listen); err != nil {
 		return nil, fmt.Errorf("fleet: listen: %w", err)
 	}
-	if f := c.Filings; f != nil {
+	if f := c.Idempotency; f != nil {
 		if !(f.KeepS >= 1 && f.KeepS < 1e7) || f.Entries < 1 || f.Entries > 1e6 {
 			return nil, errors.New("fleet: filings: keep_s is not from 1 to 10000000, or entries not from 1 to 1000000")
 		}
@@ -155,8 +157,8 @@
 			return nil, errors.New("fleet: filings: there are no voters to keep them")
 		}
 	}
-	if c.Stragglers != nil {
-		if err := c.Stragglers.Limits().Validate(); err != nil {
+	if c.VersionSkew != nil {
+		if err := c.VersionSkew.Limits().Validate(); err != nil {
 			return nil, fmt.Errorf("fleet: stragglers: %w", err)
 		}
 	}
@@ -172,7 +174,7 @@
 		if b.Floor < 1 && len(c.Voters) == 0 {
 			return nil, errors.New("fleet: budgets: there are no voters to lend what is over the floor")
 		}
-		if !(min(b.Probes, b.Repeats, b.Spare) >= 0 && max(b.Probes, b.Repeats, b.Spare) <= 1e6) {
+		if !(min(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond) >= 0 && max(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond) <= 1e6) {
 			return nil, errors.New("fleet: budgets: a limit is not from 0 to 1000000")
 		}
 	}
@@ -180,10 +182,10 @@
 }
 
 // Subset is how small the part of the replicas may be that a dispatcher keeps to.
-func (c *Config) Subset() subset.Limits { return subset.Limits{Readers: c.SubsetReaders} }
+func (c *Config) Subset() subset.Limits { return subset.Limits{MinPrefillReplicas: c.SubsetReaders} }
 
-// Votes tells whether the member of that name is a voter.
-func (c *Config) Votes(name string) bool { return slices.Contains(c.Voters, name) }
+// IsVoter tells whether the member of that name is a voter.
+func (c *Config) IsVoter(name string) bool { return slices.Contains(c.Voters, name) }
 
 // Secret is what hashes are keyed with: the same at all members, and no other fleet's.
 func (c *Config) Secret() []byte { return c.key }
--- a/internal/fleet/duties.go
+++ b/internal/fleet/duties.go
@@ -28,55 +28,55 @@
 	forgetAfter  = time.Minute
 )
 
-// Work is what the fleet does in turn. Its methods may be called from several goroutines; Duties, Every and Told must not
+// TaskRunner is what the fleet does in turn. Its methods may be called from several goroutines; Duties, Every and Told must not
 // block.
-type Work interface {
-	// Duties are the names of what is to be done by one member for all.
-	Duties() []string
-	// Every is how often a duty is carried out.
-	Every(duty string) time.Duration
-	// Do carries it out under a lease, and calls done once with what it found (at most 64 bytes), or with nil.
-	Do(duty string, number uint64, done func(found []byte))
-	// Told takes what was found out, here or by other members.
-	Told(found []Found)
+type TaskRunner interface {
+	// Names are the names of what is to be done by one member for all.
+	Names() []string
+	// Interval is how often a duty is carried out.
+	Interval(duty string) time.Duration
+	// Run carries it out under a lease, and calls done once with what it found (at most 64 bytes), or with nil.
+	Run(duty string, number uint64, done func(found []byte))
+	// HandleResults takes what was found out, here or by other members.
+	HandleResults(found []TaskResult)
 }
 
-// Found is one result of a duty.
-type Found struct {
-	Duty string
+// TaskResult is one result of a duty.
+type TaskResult struct {
+	Task string
 	Data []byte
 	Age  time.Duration
 }
 
-// DutyStatus is a duty as operators are shown it.
-type DutyStatus struct {
-	Duty    string  `json:"duty"`
-	Owner   string  `json:"owner"` // by the view
-	Standby string  `json:"standby"`
-	Held    bool    `json:"held"` // by this member
-	Number  uint64  `json:"number"`
-	For     float64 `json:"for_s"`
-	Left    float64 `json:"left_s"`
-	Heard   float64 `json:"heard_s"` // since its last result, from whomever
+// TaskStatus is a duty as operators are shown it.
+type TaskStatus struct {
+	Task        string  `json:"duty"`
+	Owner       string  `json:"owner"` // by the view
+	Standby     string  `json:"standby"`
+	Held        bool    `json:"held"` // by this member
+	Token       uint64  `json:"number"`
+	HeldForS    float64 `json:"for_s"`
+	RemainingS  float64 `json:"left_s"`
+	LastResultS float64 `json:"heard_s"` // since its last result, from whomever
 }
 
-// DutiesStatus is what operators are shown of the duties.
-type DutiesStatus struct {
-	Self   string       `json:"self"`
-	Voters []string     `json:"voters"`
-	Mute   bool         `json:"mute"` // a voter that does not vote yet
-	Duties []DutyStatus `json:"duties"`
-	Lapsed string       `json:"lapsed,omitempty"` // what ended last here, and why
-	Acts   int64        `json:"acts"`
-	Late   int64        `json:"late"` // results of leases that others have followed
-	Bytes  int64        `json:"bytes"`
+// TasksStatus is what operators are shown of the duties.
+type TasksStatus struct {
+	Self        string       `json:"self"`
+	Voters      []string     `json:"voters"`
+	Recovering  bool         `json:"mute"` // a voter that does not vote yet
+	Tasks       []TaskStatus `json:"duties"`
+	LastExpired string       `json:"lapsed,omitempty"` // what ended last here, and why
+	Executions  int64        `json:"acts"`
+	LateResults int64        `json:"late"` // results of leases that others have followed
+	Bytes       int64        `json:"bytes"`
 }
 
 // duties carries out the fleet's work: it claims what the view says is this member's, votes if it is a voter, acts
 // under its leases and spreads what was found.
 type duties struct {
 	node   *Node
-	work   Work
+	work   TaskRunner
 	limits lease.Limits
 	acts   atomic.Int64
 	late   atomic.Int64
@@ -86,37 +86,37 @@
 	holder     *lease.Holder
 	voter      *lease.Voter // nil: not one
 	fence      lease.Fence
-	names      map[lease.Duty]string
+	names      map[lease.Task]string
 	list       []string // what names was made of
 	assigned   lease.Assignment
 	members    []string
-	next       map[lease.Duty]time.Duration
-	heard      map[lease.Duty]time.Duration // the last result
-	standing   map[lease.Duty]time.Duration // held for another since
-	out        map[lease.Duty]result        // to be sent, the latest of each
+	next       map[lease.Task]time.Duration
+	heard      map[lease.Task]time.Duration // the last result
+	standing   map[lease.Task]time.Duration // held for another since
+	out        map[lease.Task]result        // to be sent, the latest of each
 	flushed    time.Duration
 	budget     float64
 	forgotten  time.Duration
-	lapsedSeen *lease.Lapse
+	lapsedSeen *lease.Expired
 	ended      bool // this process goes
 }
 
 // result is a Found on its way.
 type result struct {
-	duty   lease.Duty
+	duty   lease.Task
 	number uint64
 	at     time.Duration // by this process's clock
 	data   []byte
 }
 
-func newDuties(n *Node, work Work) *duties {
+func newDuties(n *Node, work TaskRunner) *duties {
 	c := n.cfg
 	limits := lease.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6}
 	rng := rand.New(rand.NewPCG(n.self.Seed, 0x1ea5e))
-	d := &duties{node: n, work: work, limits: limits, next: map[lease.Duty]time.Duration{}, heard: map[lease.Duty]time.Duration{},
-		standing: map[lease.Duty]time.Duration{}, out: map[lease.Duty]result{}, names: map[lease.Duty]string{}, budget: resultBytes}
-	d.holder = lease.NewHolder(lease.Claimer{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, c.Voters, limits, rng.Int64N)
-	d.holder.Raise(n.self.Floor)
+	d := &duties{node: n, work: work, limits: limits, next: map[lease.Task]time.Duration{}, heard: map[lease.Task]time.Duration{},
+		standing: map[lease.Task]time.Duration{}, out: map[lease.Task]result{}, names: map[lease.Task]string{}, budget: resultBytes}
+	d.holder = lease.NewHolder(lease.Candidate{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, c.Voters, limits, rng.Int64N)
+	d.holder.ObserveToken(n.self.TokenFloor)
 	if slices.Contains(c.Voters, n.self.Name) {
 		d.voter = lease.NewVoter(n.self.Name, limits, n.now())
 	}
@@ -127,7 +127,7 @@
 func (d *duties) most() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.fence.Most(), d.holder.Seen())
+	return max(d.fence.HighestToken(), d.holder.HighestToken())
 }
 
 // raise takes the highest number that another knows of, so that one that starts grants and claims no lower ones: while it may
@@ -135,7 +135,7 @@
 func (d *duties) raise(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holder.Raise(number)
+	d.holder.ObserveToken(number)
 }
 
 // step is one look at what is to be claimed, done and sent.
@@ -143,29 +143,29 @@
 	v := d.node.View()
 	d.mu.Lock()
 	d.assign(now, v)
-	most := max(d.fence.Most(), d.holder.Seen())
-	d.holder.Raise(most)
-	if d.node.self.Seen != nil {
-		d.node.self.Seen(most)
+	most := max(d.fence.HighestToken(), d.holder.HighestToken())
+	d.holder.ObserveToken(most)
+	if d.node.self.ObserveToken != nil {
+		d.node.self.ObserveToken(most)
 	}
 	if d.voter != nil {
-		d.voter.Raise(most)
+		d.voter.ObserveToken(most)
 		if now-d.forgotten > forgetAfter {
 			d.forgotten = now
-			d.voter.Forget(now, forgetAfter)
+			d.voter.Compact(now, forgetAfter)
 		}
 	}
-	d.holder.Want(now, d.wants(now))
+	d.holder.SetWanted(now, d.wants(now))
 	q, claims := d.holder.Step(now)
-	if l := d.holder.Lapsed(); l != nil && l != d.lapsedSeen {
+	if l := d.holder.LastExpired(); l != nil && l != d.lapsedSeen {
 		d.lapsedSeen = l
-		slog.Info("duty_lapsed", "duty", d.names[l.Duty], "number", l.Number, "why", l.Why)
+		slog.Info("duty_lapsed", "duty", d.names[l.Task], "number", l.Token, "why", l.Reason)
 	}
-	var due []lease.Duty
-	for _, h := range d.holder.All(now) {
-		if now >= d.next[h.Duty] {
-			due = append(due, h.Duty)
-			d.next[h.Duty] = now + d.work.Every(d.names[h.Duty])
+	var due []lease.Task
+	for _, h := range d.holder.Leases(now) {
+		if now >= d.next[h.Task] {
+			due = append(due, h.Task)
+			d.next[h.Task] = now + d.work.Interval(d.names[h.Task])
 		}
 	}
 	packets := d.flush(now)
@@ -191,10 +191,10 @@
 
 // assign works out whose each duty is, when the duties or those who count have changed; the caller holds the lock.
 func (d *duties) assign(now time.Duration, v view.View) {
-	names := d.work.Duties()
+	names := d.work.Names()
 	slices.Sort(names)
 	var members []string
-	for _, m := range v.Counting() {
+	for _, m := range v.ActiveMembers() {
 		if s := d.node.stragglers; s == nil || !s.excluded(m.Name) {
 			members = append(members, m.Name)
 		}
@@ -203,9 +203,9 @@
 		return
 	}
 	d.list, d.members = names, members
-	d.names = map[lease.Duty]string{}
+	d.names = map[lease.Task]string{}
 	for _, name := range names {
-		duty := lease.Of(name)
+		duty := lease.TaskOf(name)
 		d.names[duty] = name
 		if _, ok := d.heard[duty]; !ok {
 			d.heard[duty] = now
@@ -215,19 +215,19 @@
 	forget(d.next, d.names)
 	forget(d.standing, d.names)
 	forget(d.out, d.names)
-	d.fence.Keep(func(duty lease.Duty) bool { return d.names[duty] != "" })
+	d.fence.Retain(func(duty lease.Task) bool { return d.names[duty] != "" })
 	d.assigned = lease.Assign(slices.Collect(maps.Keys(d.names)), members)
 }
 
 // forget drops what is kept of duties that are no more.
-func forget[V any](kept map[lease.Duty]V, names map[lease.Duty]string) {
-	maps.DeleteFunc(kept, func(d lease.Duty, _ V) bool { return names[d] == "" })
+func forget[V any](kept map[lease.Task]V, names map[lease.Task]string) {
+	maps.DeleteFunc(kept, func(d lease.Task, _ V) bool { return names[d] == "" })
 }
 
 // wants are the duties that are this member's, and those that it stands by for and that seem to have lapsed; the caller
 // holds the lock.
-func (d *duties) wants(now time.Duration) map[lease.Duty]bool {
-	out := map[lease.Duty]bool{}
+func (d *duties) wants(now time.Duration) map[lease.Task]bool {
+	out := map[lease.Task]bool{}
 	if d.ended || d.node.stragglers != nil && d.node.stragglers.restricted.Load() {
 		return out
 	}
@@ -248,7 +248,7 @@
 		case standing:
 			delete(d.standing, duty) // the owner counts, or the duty would be another's by now
 			d.heard[duty] = now
-		case now-d.heard[duty] > d.limits.Term+standbyGrace+d.work.Every(d.names[duty])/4:
+		case now-d.heard[duty] > d.limits.Term+standbyGrace+d.work.Interval(d.names[duty])/4:
 			d.standing[duty] = now
 			out[duty] = true
 		}
@@ -278,9 +278,9 @@
 		return
 	}
 	now := d.node.now()
-	r := d.voter.Ask(now, q)
+	r := d.voter.HandleRequest(now, q)
 	if q.From.Name == d.node.self.Name {
-		d.holder.Take(now, r)
+		d.holder.HandleReply(now, r)
 		d.mu.Unlock()
 		return
 	}
@@ -291,7 +291,7 @@
 }
 
 // act carries out one duty, if the lease still runs at this very time.
-func (d *duties) act(duty lease.Duty) {
+func (d *duties) act(duty lease.Task) {
 	d.mu.Lock()
 	name := d.names[duty]
 	now := d.node.now()
@@ -301,7 +301,7 @@
 		return
 	}
 	d.acts.Add(1)
-	d.work.Do(name, number, func(found []byte) {
+	d.work.Run(name, number, func(found []byte) {
 		if found != nil && len(found) <= maxPayload {
 			d.take([]result{{duty, number, d.node.now(), found}}, true)
 		}
@@ -310,7 +310,7 @@
 
 // take takes results, of which those of leases that others have followed are passed over. Own ones go to the others.
 func (d *duties) take(results []result, own bool) {
-	var news []Found
+	var news []TaskResult
 	now := d.node.now()
 	d.mu.Lock()
 	for _, r := range results {
@@ -326,11 +326,11 @@
 		if own {
 			d.out[r.duty] = r
 		}
-		news = append(news, Found{name, r.data, max(now-r.at, 0)})
+		news = append(news, TaskResult{name, r.data, max(now-r.at, 0)})
 	}
 	d.mu.Unlock()
 	if len(news) > 0 {
-		d.work.Told(news)
+		d.work.HandleResults(news)
 	}
 }
 
@@ -374,27 +374,27 @@
 }
 
 // status is what operators are shown.
-func (d *duties) status() DutiesStatus {
+func (d *duties) status() TasksStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.node.now()
-	s := DutiesStatus{Self: d.node.self.Name, Voters: d.node.cfg.Voters, Mute: d.voter != nil && d.voter.Mute(now),
-		Acts: d.acts.Load(), Late: d.late.Load(), Bytes: d.bytes.Load()}
-	held := map[lease.Duty]lease.Held{}
-	for _, h := range d.holder.All(now) {
-		held[h.Duty] = h
+	s := TasksStatus{Self: d.node.self.Name, Voters: d.node.cfg.Voters, Recovering: d.voter != nil && d.voter.Recovering(now),
+		Executions: d.acts.Load(), LateResults: d.late.Load(), Bytes: d.bytes.Load()}
+	held := map[lease.Task]lease.Lease{}
+	for _, h := range d.holder.Leases(now) {
+		held[h.Task] = h
 	}
 	for _, name := range d.list {
-		duty := lease.Of(name)
+		duty := lease.TaskOf(name)
 		h, ok := held[duty]
-		one := DutyStatus{Duty: name, Owner: d.assigned.Owner[duty], Standby: d.assigned.Standby[duty], Held: ok, Heard: (now - d.heard[duty]).Seconds()}
+		one := TaskStatus{Task: name, Owner: d.assigned.Owner[duty], Standby: d.assigned.Standby[duty], Held: ok, LastResultS: (now - d.heard[duty]).Seconds()}
 		if ok {
-			one.Number, one.For, one.Left = h.Number, (now - h.Since).Seconds(), (h.Until - now).Seconds()
+			one.Token, one.HeldForS, one.RemainingS = h.Token, (now - h.Since).Seconds(), (h.Until - now).Seconds()
 		}
-		s.Duties = append(s.Duties, one)
+		s.Tasks = append(s.Tasks, one)
 	}
-	if l := d.holder.Lapsed(); l != nil {
-		s.Lapsed = fmt.Sprintf("%s, lease %d, %.1f s ago: %s", d.names[l.Duty], l.Number, (now - l.At).Seconds(), l.Why)
+	if l := d.holder.LastExpired(); l != nil {
+		s.LastExpired = fmt.Sprintf("%s, lease %d, %.1f s ago: %s", d.names[l.Task], l.Token, (now - l.At).Seconds(), l.Reason)
 	}
 	return s
 }
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/duties_test.go
@@ -34,26 +34,26 @@
 	who string
 }
 
-func (p part) Duties() []string {
+func (p part) Names() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.names)
 }
 
-func (p part) Every(string) time.Duration { return 50 * time.Millisecond }
+func (p part) Interval(string) time.Duration { return 50 * time.Millisecond }
 
-func (p part) Do(duty string, number uint64, done func([]byte)) {
+func (p part) Run(duty string, number uint64, done func([]byte)) {
 	p.mu.Lock()
 	p.done = append(p.done, chore{p.who, duty, number})
 	p.mu.Unlock()
 	done([]byte(p.who))
 }
 
-func (p part) Told(found []Found) {
+func (p part) HandleResults(found []TaskResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, f := range found {
-		p.told[p.who+" of "+f.Duty]++
+		p.told[p.who+" of "+f.Task]++
 	}
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Start(cfg, Self{Name: name, Version: "1", Seed: uint64(host), Work: part{c, name},
+	n, err := Start(cfg, Self{Name: name, Version: "1", Seed: uint64(host), Tasks: part{c, name},
 		Facts: func() Facts { return Facts{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 		defer c.mu.Unlock()
 		return len(c.told) == 4*12
 	})
-	if s, ok := nodes[1].Duties(); !ok || len(s.Duties) != 12 || s.Duties[0].Owner == "" || s.Mute {
+	if s, ok := nodes[1].TasksStatus(); !ok || len(s.Tasks) != 12 || s.Tasks[0].Owner == "" || s.Recovering {
 		t.Errorf("%+v", s)
 	}
 	dead := nodes[3]
@@ -133,9 +133,9 @@
 		n.list.Shutdown()
 	}
 	held := func() int {
-		s, _ := nodes[0].Duties()
+		s, _ := nodes[0].TasksStatus()
 		n := 0
-		for _, d := range s.Duties {
+		for _, d := range s.Tasks {
 			if d.Held {
 				n++
 			}
@@ -162,7 +162,7 @@
 	c := &chores{told: map[string]int{}, names: []string{"one"}}
 	knows := startWorking(t, c, text, 73)
 	knows.duties.mu.Lock()
-	knows.duties.fence.Accept(knows.now(), lease.Of("gone"), 50)
+	knows.duties.fence.Accept(knows.now(), lease.TaskOf("gone"), 50)
 	knows.duties.mu.Unlock()
 	knows.duties.raise(50)
 	for _, h := range []int{70, 71, 72} {
@@ -178,11 +178,11 @@
 
 // Requests, replies and results survive the wire, in as many packets as they need; garbage is an error or nothing.
 func FuzzDecodeMessage(f *testing.F) {
-	q := lease.Request{Seq: 9, From: lease.Claimer{Name: "n1", Incarnation: 5}}
+	q := lease.Request{Seq: 9, From: lease.Candidate{Name: "n1", Incarnation: 5}}
 	for i := range 100 {
-		q.Claims = append(q.Claims, lease.Claim{Duty: lease.Duty(i) << 50, Number: uint64(i), Renew: i%3 == 0})
+		q.Claims = append(q.Claims, lease.Claim{Task: lease.Task(i) << 50, Token: uint64(i), Renew: i%3 == 0})
 	}
-	q.Releases = []lease.Claim{{Duty: 7, Number: 8}}
+	q.Releases = []lease.Claim{{Task: 7, Token: 8}}
 	var claims, releases []lease.Claim
 	packets := encodeRequest(q)
 	for _, p := range packets {
@@ -195,14 +195,14 @@
 	if !slices.Equal(claims, q.Claims) || !slices.Equal(releases, q.Releases) {
 		f.Errorf("%d claims and %d releases came", len(claims), len(releases))
 	}
-	r := lease.Reply{Seq: 9, Voter: "n2", Grants: []lease.Grant{{Duty: 1 << 63, Asked: 4, Number: 5, Left: time.Second}, {Duty: 2, Asked: 6, Number: 6, Yes: true}}}
+	r := lease.Reply{Seq: 9, Voter: "n2", Grants: []lease.Grant{{Task: 1 << 63, ClaimedToken: 4, Token: 5, Remaining: time.Second}, {Task: 2, ClaimedToken: 6, Token: 6, Granted: true}}}
 	reply := encodeReply(r)
 	if m, err := decodeMessage(reply[1:], 0); err != nil || m.from != "n2" || !slices.Equal(m.grants, r.Grants) {
 		f.Errorf("%+v, %v", m, err)
 	}
 	var all []result
 	for i := range 200 {
-		all = append(all, result{lease.Duty(i), uint64(i), time.Second, []byte("0123456789abcdef")})
+		all = append(all, result{lease.Task(i), uint64(i), time.Second, []byte("0123456789abcdef")})
 	}
 	var got []result
 	var seeds []string
@@ -219,7 +219,7 @@
 	if len(got) != len(all) || got[199].duty != 199 || got[0].at != 8*time.Second || string(got[5].data) != "0123456789abcdef" {
 		f.Errorf("%d results came, the first as %+v", len(got), got[0])
 	}
-	claim := encodeClaim(share.Claim{From: share.Life{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4, Acts: map[string]uint64{"n1": 2}}, []string{"n1"})
+	claim := encodeClaim(share.Claim{From: share.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4, InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
 	list := encodeList("n3", removals.Digest{Version: 1 << 60, Ready: []uint64{1, 1 << 63}, Draining: []uint64{7}})
 	if m, err := decodeMessage(list[1:], 0); err != nil || m.from != "n3" || m.seq != 1<<60 || !slices.Equal(m.ready, []uint64{1, 1 << 63}) || !slices.Equal(m.draining, []uint64{7}) {
 		f.Errorf("%+v, %v", m, err)
--- a/internal/fleet/ends.go
+++ b/internal/fleet/ends.go
@@ -8,11 +8,11 @@
 	"rampspread/internal/fleet/removals"
 )
 
-// Ends holds this process back from what others' newer lists have ended, and tells them of its own.
-type Ends interface {
+// EndpointFilter holds this process back from what others' newer lists have ended, and tells them of its own.
+type EndpointFilter interface {
 	Version() uint64
 	Digest() removals.Digest
-	Told(from string, d removals.Digest)
+	UpdatePeer(from string, d removals.Digest)
 	Tick()
 }
 
@@ -28,7 +28,7 @@
 // ends tells members whose list is older what this one's has.
 type ends struct {
 	node  *Node
-	lists Ends
+	lists EndpointFilter
 	next  time.Duration
 
 	mu    sync.Mutex
@@ -44,15 +44,15 @@
 	e.lists.Tick()
 	own := e.lists.Version()
 	var message []byte
-	members := e.node.View().Counting()
+	members := e.node.View().ActiveMembers()
 	for _, m := range members {
-		if m.Name == e.node.self.Name || m.List >= own {
+		if m.Name == e.node.self.Name || m.ListVersion >= own {
 			continue
 		}
 		// Those that have a newer list rank themselves for it; by rendezvous, so that all agree.
-		to, before := lease.Of(m.Name), 0
+		to, before := lease.TaskOf(m.Name), 0
 		for _, o := range members {
-			if o.List > m.List && o.Name != e.node.self.Name && lease.Score(to, o.Name) > lease.Score(to, e.node.self.Name) {
+			if o.ListVersion > m.ListVersion && o.Name != e.node.self.Name && lease.Score(to, o.Name) > lease.Score(to, e.node.self.Name) {
 				before++
 			}
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -54,7 +54,7 @@
 	return n
 }
 
-func beat(i view.Info, sent int64) []byte { return append([]byte{kindBeat}, encode(i, sent)...) }
+func beat(i view.MemberInfo, sent int64) []byte { return append([]byte{kindBeat}, encode(i, sent)...) }
 
 func state(n *Node, name string) view.State {
 	for _, m := range n.View().Members {
@@ -97,9 +97,9 @@
 		for _, name := range []string{"n11", "n12", "n13"} {
 			comes(t, n, name, view.Alive)
 		}
-		testkit.Eventually(t, "a fresh view", func() bool { return n.View().Fresh(n.Now(), FreshFor) })
+		testkit.Eventually(t, "a fresh view", func() bool { return n.View().Fresh(n.Now(), MaxViewAge) })
 	}
-	if s := one.Status(); s.Members[2].List != 41 || s.Members[2].Zone != "wien" || state(one, "n10") != view.Unknown {
+	if s := one.Status(); s.Members[2].ListVersion != 41 || s.Members[2].Zone != "wien" || state(one, "n10") != view.Unknown {
 		t.Errorf("%+v", s)
 	}
 	three.Leave()
@@ -113,8 +113,8 @@
 	again := start(t, text, 12, nil)
 	comes(t, one, "n12", view.Alive)
 	comes(t, again, "n11", view.Alive)
-	one.NotifyMsg(beat(view.Info{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
-	if m := one.Status().Members[2]; m.State != "alive" || m.Lives != 2 || m.Incarnation <= old.Incarnation || one.Status().Stale == 0 {
+	one.NotifyMsg(beat(view.MemberInfo{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
+	if m := one.Status().Members[2]; m.State != "alive" || m.Incarnations != 2 || m.Incarnation <= old.Incarnation || one.Status().Stale == 0 {
 		t.Errorf("after the old life's word: %+v", one.Status())
 	}
 }
@@ -126,7 +126,7 @@
 	comes(t, one, "n21", view.Alive)
 	ahead := two.info.Incarnation + 30_000
 	one.mu.Lock()
-	one.table.Joined(view.Info{Name: "n21", Incarnation: ahead, Serving: true}, one.now())
+	one.table.MarkJoined(view.MemberInfo{Name: "n21", Incarnation: ahead, Serving: true}, one.now())
 	one.publish()
 	one.mu.Unlock()
 	two.list.Join([]string{addr(20)}) // an exchange of all that both know
@@ -140,7 +140,7 @@
 	one := start(t, file("f", key, 30, 31, 32), 30, nil)
 	named := start(t, file("g", key, 30, 31, 32), 31, nil)
 	keyed := start(t, file("f", strings.Repeat("ab", 16), 30, 31, 32), 32, nil)
-	testkit.Eventually(t, "refused packets", func() bool { return one.Bad() > 0 })
+	testkit.Eventually(t, "refused packets", func() bool { return one.Malformed() > 0 })
 	for range 3 {
 		for _, n := range []*Node{named, keyed} {
 			n.list.Join([]string{addr(30)})
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, n := range []*Node{one, named, keyed} {
-		if c := n.View().Counting(); len(c) != 1 {
+		if c := n.View().ActiveMembers(); len(c) != 1 {
 			t.Errorf("%s counts %v", n.self.Name, c)
 		}
 	}
@@ -160,14 +160,14 @@
 	one, first := start(t, text, 70, nil), start(t, text, 71, nil)
 	comes(t, one, "n71", view.Alive)
 	second := start(t, text, 71, nil)
-	if second.up.Load() || second.View().Fresh(second.Now(), FreshFor) {
+	if second.up.Load() || second.View().Fresh(second.Now(), MaxViewAge) {
 		t.Error("up beside the first, or fresh without having heard anybody")
 	}
 	first.Leave()
 	first.Close()
 	testkit.Eventually(t, "the second in its place", func() bool {
 		m := one.Status().Members[1]
-		return m.State == "alive" && m.Lives == 2
+		return m.State == "alive" && m.Incarnations == 2
 	})
 	comes(t, second, "n70", view.Alive)
 	if c := one.View().Conflicts; len(c) > 0 {
@@ -183,7 +183,7 @@
 	comes(t, one, "n41", view.Alive)
 	refused := make(chan error, 1)
 	start(t, file("f", key, 40, 141), 141, func(err error) { refused <- err })
-	if err := <-refused; !errors.Is(err, ErrTwice) || !strings.Contains(err.Error(), addr(41)) {
+	if err := <-refused; !errors.Is(err, ErrDuplicateName) || !strings.Contains(err.Error(), addr(41)) {
 		t.Errorf("refused with %v", err)
 	}
 	if state(one, "n41") != view.Alive || state(first, "n40") != view.Alive {
@@ -209,19 +209,19 @@
 			c.Close()
 		}
 	}
-	testkit.Eventually(t, "the count", func() bool { return one.Bad() > 10 })
-	before := one.View().Number
+	testkit.Eventually(t, "the count", func() bool { return one.Malformed() > 10 })
+	before := one.View().Version
 	for range 50 { // the same beat, again and again, from a life that has ended
-		one.NotifyMsg(beat(view.Info{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
+		one.NotifyMsg(beat(view.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
 	}
-	if v := one.View(); v.Number != before || state(one, "n51") != view.Alive {
-		t.Errorf("view %d after %d", v.Number, before)
+	if v := one.View(); v.Version != before || state(one, "n51") != view.Alive {
+		t.Errorf("view %d after %d", v.Version, before)
 	}
 }
 
 // What members say survives the wire, later programs' fields are passed over, and garbage never panics or is taken.
 func FuzzDecode(f *testing.F) {
-	in := view.Info{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1", Settings: 7, List: 41, Serving: true}
+	in := view.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1", Settings: 7, ListVersion: 41, Serving: true}
 	text := encode(in, 5)
 	if got, sent, err := decode(append(text, 0xa2, 0x06, 1, 'x')); err != nil || sent != 5 || got != in {
 		f.Errorf("%+v, %d, %v", got, sent, err)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -22,8 +22,8 @@
 // The tests of this file freeze what members send to each other and what operators are answered. Members of different versions
 // run side by side during a rolling update, so the bytes must not change.
 
-var goldenInfo = view.Info{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
-	Settings: 0x1122334455667788, List: 41, Lease: 77, Serving: true, Leaving: true}
+var goldenInfo = view.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
+	Settings: 0x1122334455667788, ListVersion: 41, HighestToken: 77, Serving: true, Leaving: true}
 
 const goldenSent = 1700000001234
 
@@ -42,7 +42,7 @@
 	cases := []struct {
 		file string
 		got  []byte
-		want view.Info
+		want view.MemberInfo
 		sent int64
 	}{
 		{"member-meta.hex", n.NodeMeta(512), goldenInfo, 0},
@@ -54,7 +54,7 @@
 		cases = append(cases, struct {
 			file string
 			got  []byte
-			want view.Info
+			want view.MemberInfo
 			sent int64
 		}{fmt.Sprintf("member-serving-%t.hex", serving), encode(one, goldenSent), one, goldenSent})
 	}
@@ -73,7 +73,7 @@
 	b := n.sign()
 	info, sent, err := decode(b[1:])
 	want := goldenInfo
-	want.Lease = 0 // no duties, so no lease is known
+	want.HighestToken = 0 // no duties, so no lease is known
 	if b[0] != 1 || err != nil || info != want || sent < before || sent > time.Now().UnixMilli() {
 		t.Errorf("kind %d, %+v sent %d, %v", b[0], info, sent, err)
 	}
@@ -83,16 +83,16 @@
 }
 
 func TestGoldenPeerMessages(t *testing.T) {
-	request := lease.Request{Seq: 3, From: lease.Claimer{Name: "n1", Incarnation: 1001},
-		Claims:   []lease.Claim{{Duty: 0x1122334455667788, Number: 21, Renew: true}, {Duty: 12, Number: 22}},
-		Releases: []lease.Claim{{Duty: 13, Number: 23, Renew: true}, {Duty: 14, Number: 24}}}
-	reply := lease.Reply{Seq: 4, To: lease.Claimer{Name: "n1", Incarnation: 1002}, Voter: "v1", Grants: []lease.Grant{
-		{Duty: 0x1122334455667788, Asked: 31, Number: 32, Yes: true, Left: 33 * time.Microsecond},
-		{Duty: 12, Asked: 34, Number: 35, Left: 1200 * time.Millisecond}}}
+	request := lease.Request{Seq: 3, From: lease.Candidate{Name: "n1", Incarnation: 1001},
+		Claims:   []lease.Claim{{Task: 0x1122334455667788, Token: 21, Renew: true}, {Task: 12, Token: 22}},
+		Releases: []lease.Claim{{Task: 13, Token: 23, Renew: true}, {Task: 14, Token: 24}}}
+	reply := lease.Reply{Seq: 4, To: lease.Candidate{Name: "n1", Incarnation: 1002}, Voter: "v1", Grants: []lease.Grant{
+		{Task: 0x1122334455667788, ClaimedToken: 31, Token: 32, Granted: true, Remaining: 33 * time.Microsecond},
+		{Task: 12, ClaimedToken: 34, Token: 35, Remaining: 1200 * time.Millisecond}}}
 	now := 10 * time.Second
 	results := []result{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
-	claim := share.Claim{From: share.Life{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, Acts: map[string]uint64{"v0": 52, "v2": 53}, Leaves: true}
-	loan := share.Loan{To: share.Life{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Part: 0.0625}
+	claim := share.Claim{From: share.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
+	loan := share.Grant{To: share.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
 	digest := removals.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
 	requests := encodeRequest(request)
 	if len(requests) != 1 {
@@ -136,10 +136,10 @@
 
 // A request with more claims than a packet holds goes in several, releases first.
 func TestGoldenRequestPackets(t *testing.T) {
-	request := lease.Request{Seq: 9, From: lease.Claimer{Name: "n1", Incarnation: 1001}}
+	request := lease.Request{Seq: 9, From: lease.Candidate{Name: "n1", Incarnation: 1001}}
 	for i := range uint64(30) {
-		request.Releases = append(request.Releases, lease.Claim{Duty: lease.Duty(100 + i), Number: 200 + i})
-		request.Claims = append(request.Claims, lease.Claim{Duty: lease.Duty(300 + i), Number: 400 + i, Renew: i%2 == 0})
+		request.Releases = append(request.Releases, lease.Claim{Task: lease.Task(100 + i), Token: 200 + i})
+		request.Claims = append(request.Claims, lease.Claim{Task: lease.Task(300 + i), Token: 400 + i, Renew: i%2 == 0})
 	}
 	var text []byte
 	for _, p := range encodeRequest(request) {
@@ -157,7 +157,7 @@
 func (l *toldLists) Version() uint64         { return 0 }
 func (l *toldLists) Digest() removals.Digest { return removals.Digest{} }
 func (l *toldLists) Tick()                   {}
-func (l *toldLists) Told(from string, d removals.Digest) {
+func (l *toldLists) UpdatePeer(from string, d removals.Digest) {
 	l.from, l.digest = from, d
 }
 
@@ -169,8 +169,8 @@
 		t.Fatal(err)
 	}
 	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
-	n.info = view.Info{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
-	n.table = view.New(n.info, cfg.names(), view.Limits{Sign: func(int) time.Duration { return time.Second }, SuspectAfter: 3, Gap: time.Second}, n.now())
+	n.info = view.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
+	n.table = view.New(n.info, cfg.names(), view.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
 	n.publish()
 	n.up.Store(true)
 	return n
@@ -180,7 +180,7 @@
 func TestGoldenMessagesAreTaken(t *testing.T) {
 	var claims []byte
 	lists := &toldLists{}
-	n := offlineNode(t, Self{Name: "n0", Claims: func(message []byte) { claims = message }})
+	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { claims = message }})
 	n.ends = &ends{node: n, lists: lists}
 	take := func(file string, kind byte, encoded []byte) {
 		t.Helper()
@@ -189,8 +189,8 @@
 	}
 	take("member-heartbeat.hex", 1, encode(goldenInfo, goldenSent))
 	for _, m := range n.View().Members {
-		if m.Name == "n1" && m.Info != goldenInfo {
-			t.Errorf("heartbeat gives %+v", m.Info)
+		if m.Name == "n1" && m.MemberInfo != goldenInfo {
+			t.Errorf("heartbeat gives %+v", m.MemberInfo)
 		}
 	}
 	if skew, ok := n.skews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
@@ -205,34 +205,34 @@
 	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
 		t.Errorf("list %+v", lists)
 	}
-	if n.Bad() != 0 {
-		t.Errorf("%d bad messages", n.Bad())
+	if n.Malformed() != 0 {
+		t.Errorf("%d bad messages", n.Malformed())
 	}
 }
 
 // Members exchange the incarnations that they know in memberlist's push and pull.
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
-	n.view.Store(&view.View{Members: []view.Member{{Info: view.Info{Name: "n0", Incarnation: 6}}, {Info: view.Info{Name: "n1", Incarnation: 7}}, {Info: view.Info{Name: "n2"}}}})
+	n.view.Store(&view.View{Members: []view.Member{{MemberInfo: view.MemberInfo{Name: "n0", Incarnation: 6}}, {MemberInfo: view.MemberInfo{Name: "n1", Incarnation: 7}}, {MemberInfo: view.MemberInfo{Name: "n2"}}}})
 	b := golden.Text(t, "push-pull.json", n.LocalState(true))
 	n.MergeRemoteState(b, true)
-	if n.info.Incarnation != 7 || n.Bad() != 0 { // one over what was told of it
-		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Bad())
+	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over what was told of it
+		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Malformed())
 	}
 	n.view.Store(&view.View{})
 	golden.Text(t, "push-pull-empty.json", n.LocalState(false))
 }
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status-members.json", Status{Fleet: "f", Self: "n1", View: 2, Fresh: true, Bad: 3, Stale: 4, Strangers: 5, Conflicts: []string{"n2 at 10.0.0.9:7946"},
-		Members: []MemberStatus{{Name: "n3", State: "alive", For: 1.5, Heard: 0.25, Zone: "wien", Incarnation: 6, Lives: 7, Started: "2023-11-14T22:13:20Z",
-			Version: "1.2.3", Settings: "0000000000000008", List: 9, SkewMS: 10}}})
-	golden.JSON(t, "status-duties.json", DutiesStatus{Self: "n1", Voters: []string{"v0", "v1"}, Mute: true, Lapsed: "list, lease 2", Acts: 3, Late: 4, Bytes: 5,
-		Duties: []DutyStatus{{Duty: "list", Owner: "n2", Standby: "n3", Held: true, Number: 6, For: 7.5, Left: 8.5, Heard: 9.5}}})
-	golden.JSON(t, "status-shares.json", ShareStatus{Self: "n1", Part: 0.1, Least: 0.2, Left: 0.3, Demand: 0.4, Lends: true, Mute: true, Lent: 0.5, Asking: 6, Offers: 7, Dropped: 8})
-	golden.JSON(t, "status-beliefs.json", BeliefsStatus{Taken: 1, Given: 2, Busy: 3, Bad: 4})
-	golden.JSON(t, "status-versions.json", VersionsStatus{Self: "n1", List: 2, Settings: "0000000000000003", Fault: "fault", Judged: true, Blind: true, Frozen: true,
-		Members: []VersionStatus{{Name: "n4", State: "alive", Heard: 5.5, Program: "1.2.3", Settings: "0000000000000006", List: 7, Lease: 8, Step: "behind", Why: "list", Behind: 9.5, For: 10.5}}})
+	golden.JSON(t, "status-members.json", Status{Fleet: "f", Self: "n1", ViewVersion: 2, Fresh: true, Malformed: 3, Stale: 4, Unconfigured: 5, Conflicts: []string{"n2 at 10.0.0.9:7946"},
+		Members: []MemberStatus{{Name: "n3", State: "alive", StateForS: 1.5, LastHeartbeatS: 0.25, Zone: "wien", Incarnation: 6, Incarnations: 7, Started: "2023-11-14T22:13:20Z",
+			Version: "1.2.3", Settings: "0000000000000008", ListVersion: 9, SkewMS: 10}}})
+	golden.JSON(t, "status-duties.json", TasksStatus{Self: "n1", Voters: []string{"v0", "v1"}, Recovering: true, LastExpired: "list, lease 2", Executions: 3, LateResults: 4, Bytes: 5,
+		Tasks: []TaskStatus{{Task: "list", Owner: "n2", Standby: "n3", Held: true, Token: 6, HeldForS: 7.5, RemainingS: 8.5, LastResultS: 9.5}}})
+	golden.JSON(t, "status-shares.json", QuotaStatus{Self: "n1", Fraction: 0.1, MinFraction: 0.2, RemainingS: 0.3, Demand: 0.4, IsVoter: true, Recovering: true, Outstanding: 0.5, Borrowers: 6, Shares: 7, Dropped: 8})
+	golden.JSON(t, "status-beliefs.json", BootstrapStatus{Received: 1, Sent: 2, Declined: 3, Malformed: 4})
+	golden.JSON(t, "status-versions.json", VersionSkewStatus{Self: "n1", List: 2, Settings: "0000000000000003", Fault: "fault", Enabled: true, InsufficientView: true, Frozen: true,
+		Members: []MemberVersion{{Name: "n4", State: "alive", LastHeartbeatS: 5.5, Program: "1.2.3", Settings: "0000000000000006", ListVersion: 7, HighestToken: 8, SkewState: "behind", Reason: "list", LaggingS: 9.5, SkewStateForS: 10.5}}})
 }
 
 // What operators are answered is filled from the view as it was: names of states, hexadecimal fingerprints, times.
@@ -241,17 +241,17 @@
 	info := goldenInfo
 	info.Settings = 0xab // is shown with its leading zeros
 	n.hear(func(table *view.Table, now time.Duration) {
-		table.Sign(info, now)
-		table.Claimed("n1", "10.0.0.9:7946", now)
+		table.Heartbeat(info, now)
+		table.RecordConflict("n1", "10.0.0.9:7946", now)
 	})
 	s := n.Status()
 	m := s.Members[1]
 	if s.Fleet != "f" || s.Self != "n0" || m.Name != "n1" || m.State != "left" || m.Zone != "wien" || m.Incarnation != 1001 || m.Started != "2023-11-14T22:13:20Z" ||
-		m.Version != "1.2.3" || m.Settings != "00000000000000ab" || m.List != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
+		m.Version != "1.2.3" || m.Settings != "00000000000000ab" || m.ListVersion != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
 		t.Errorf("%+v", s)
 	}
-	v := n.Versions()
-	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "00000000000000ab" || m.List != 41 || m.Lease != 77 || m.Step != "-" || m.State != "left" {
+	v := n.VersionSkewStatus()
+	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "00000000000000ab" || m.ListVersion != 41 || m.HighestToken != 77 || m.SkewState != "-" || m.State != "left" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -284,8 +284,8 @@
 	}
 	want := Config{Fleet: "f", Key: "000102030405060708090a0b0c0d0e0f", Listen: "127.0.0.1:7001",
 		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300, Voters: []string{"n0", "n1", "n2"}, TermMS: 900,
-		Filings: &Filings{KeepS: 61, Entries: 62}, Beliefs: true, Ends: true, Stragglers: &Stragglers{RestrictS: 4, OutS: 11, Part: 0.3}, SubsetReaders: 8,
-		Budgets: &Budgets{Floor: 0.4, Probes: 2.5, Repeats: 0.5, Spare: 1.5}}
+		Idempotency: &IdempotencyConfig{KeepS: 61, Entries: 62}, Bootstrap: true, EndpointFilter: true, VersionSkew: &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3}, SubsetReaders: 8,
+		Budgets: &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
 	golden.JSON(t, "config.json", want)
 	got.key, got.addrs, got.probe, got.term = nil, nil, 0, 0
 	if !reflect.DeepEqual(*got, want) {
@@ -310,14 +310,14 @@
 	b := newBeliefs(n, nil)
 	members := []warmup.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
 	for now, asked := time.Duration(0), 0; asked < 4 && now < time.Minute; now += time.Microsecond {
-		if to, ok := b.asker.Step(now, members); ok {
+		if to, ok := b.asker.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
-			b.asker.Took(now, to, false)
+			b.asker.RecordResponse(now, to, false)
 			asked++
 		}
 	}
 	d := newDuties(n, part{&chores{}, "n0"})
-	d.holder.Want(0, map[lease.Duty]bool{1: true, 2: true})
+	d.holder.SetWanted(0, map[lease.Task]bool{1: true, 2: true})
 	for now, sent := time.Duration(0), 0; sent < 6 && now < time.Minute; now += time.Microsecond {
 		q, ok := d.holder.Step(now)
 		if !ok {
@@ -327,9 +327,9 @@
 		for i, voter := range []string{"n0", "n1", "n2"} {
 			r := lease.Reply{Seq: q.Seq, To: q.From, Voter: voter}
 			for _, c := range q.Claims {
-				r.Grants = append(r.Grants, lease.Grant{Duty: c.Duty, Asked: c.Number, Number: c.Number, Yes: i == 0})
+				r.Grants = append(r.Grants, lease.Grant{Task: c.Task, ClaimedToken: c.Token, Token: c.Token, Granted: i == 0})
 			}
-			d.holder.Take(now, r)
+			d.holder.HandleReply(now, r)
 		}
 		sent++
 	}
--- a/internal/fleet/lease/assign.go
+++ b/internal/fleet/lease/assign.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Of is the duty of a name, such as probe/s-5be2a07c.
-func Of(name string) Duty { return Duty(xxhash.Sum64String(name)) }
+// TaskOf is the duty of a name, such as probe/s-5be2a07c.
+func TaskOf(name string) Task { return Task(xxhash.Sum64String(name)) }
 
 // loadRoom is how much more than the mean a member may have.
 const loadRoom = 1.25
 
 // Score ranks the members for a duty, the same at every process (rendezvous hashing).
-func Score(d Duty, member string) uint64 {
+func Score(d Task, member string) uint64 {
 	h := xxhash.NewWithSeed(uint64(d))
 	h.WriteString(member) // it cannot fail
 	return h.Sum64()
@@ -22,14 +22,14 @@
 
 // Assignment says whose each duty is, and who stands by for it.
 type Assignment struct {
-	Owner, Standby map[Duty]string
+	Owner, Standby map[Task]string
 }
 
 // Assign gives each duty to the member that ranks highest for it among those with room: nobody gets more than 1.25 times
 // the mean (or the mean, rounded up). It is a function of the sets alone, so members with one view agree. A member
 // more or less moves its own part of the duties, and of the others at most 4 in 100, where the bound changes.
-func Assign(duties []Duty, members []string) Assignment {
-	a := Assignment{map[Duty]string{}, map[Duty]string{}}
+func Assign(duties []Task, members []string) Assignment {
+	a := Assignment{map[Task]string{}, map[Task]string{}}
 	if len(members) == 0 {
 		return a
 	}
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -9,12 +9,12 @@
 
 // Members name duties by their hash and each works out alone whose a duty is, so all versions must come to the same.
 func TestGoldenAssignment(t *testing.T) {
-	var duties []Duty
+	var duties []Task
 	var text []byte
 	for i := range 12 {
 		name := fmt.Sprintf("probe/s-%d", i)
-		duties = append(duties, Of(name))
-		text = fmt.Appendf(text, "%s is %016x, n1 scores %016x\n", name, uint64(Of(name)), Score(Of(name), "n1"))
+		duties = append(duties, TaskOf(name))
+		text = fmt.Appendf(text, "%s is %016x, n1 scores %016x\n", name, uint64(TaskOf(name)), Score(TaskOf(name), "n1"))
 	}
 	for _, members := range [][]string{{"n1"}, {"n3", "n1", "n2"}, {"n1", "n2", "n3", "n4", "n5", "n6", "n7"}} {
 		assigned := Assign(duties, members)
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// Duty is what one member does for all: the hash of its name.
-type Duty uint64
+// Task is what one member does for all: the hash of its name.
+type Task uint64
 
 // Limits are the times of leases, the same at all members.
 type Limits struct {
@@ -28,8 +28,8 @@
 	Renew  time.Duration // between claims for the same duty
 }
 
-// Claimer is one life of a member: a later life of the same name is another claimer.
-type Claimer struct {
+// Candidate is one life of a member: a later life of the same name is another claimer.
+type Candidate struct {
 	Name        string
 	Incarnation uint64
 }
@@ -38,34 +38,34 @@
 // no other has held it since under a higher number, and a voter that had granted one to a claimer without a majority
 // may join in: else the lease would rest on the voters of its first hour, and fall with one of them.
 type Claim struct {
-	Duty   Duty
-	Number uint64
-	Renew  bool
+	Task  Task
+	Token uint64
+	Renew bool
 }
 
 // Request is what a claimer sends to each voter.
 type Request struct {
 	Seq      uint64 // of this claimer
-	From     Claimer
+	From     Candidate
 	Claims   []Claim
 	Releases []Claim
 }
 
 // Grant is a voter's yes, or no with the highest number that it has granted.
 type Grant struct {
-	Duty   Duty
-	Asked  uint64 // the number that was claimed
-	Number uint64
-	Yes    bool
-	// Left is how long the grant to another still runs.
-	Left time.Duration
+	Task         Task
+	ClaimedToken uint64 // the number that was claimed
+	Token        uint64
+	Granted      bool
+	// Remaining is how long the grant to another still runs.
+	Remaining time.Duration
 }
 
 // Reply answers a Request. One that was meant for an earlier life of the same name is none to this one: the voter counts
 // the grant for that life.
 type Reply struct {
 	Seq    uint64
-	To     Claimer
+	To     Candidate
 	Voter  string
 	Grants []Grant
 }
@@ -76,11 +76,11 @@
 	limits Limits
 	mute   time.Duration // it grants nothing before
 	floor  uint64        // the highest number that others remember
-	grants map[Duty]*grant
+	grants map[Task]*grant
 }
 
 type grant struct {
-	to      Claimer
+	to      Candidate
 	number  uint64
 	highest uint64 // number of all that were granted
 	until   time.Duration
@@ -89,47 +89,47 @@
 // NewVoter returns a voter that remembers nothing, and so waits until what an earlier life of it may have granted
 // has ended.
 func NewVoter(name string, limits Limits, now time.Duration) *Voter {
-	return &Voter{name: name, limits: limits, mute: now + limits.Term + limits.Margin, grants: map[Duty]*grant{}}
+	return &Voter{name: name, limits: limits, mute: now + limits.Term + limits.Margin, grants: map[Task]*grant{}}
 }
 
-// Raise tells it of the highest number that another member has seen, so that numbers grow over its lives. A grant that
+// ObserveToken tells it of the highest number that another member has seen, so that numbers grow over its lives. A grant that
 // it remembers keeps its own, or its holder could not renew it.
-func (v *Voter) Raise(number uint64) { v.floor = max(v.floor, number) }
+func (v *Voter) ObserveToken(number uint64) { v.floor = max(v.floor, number) }
 
-// Mute tells whether it still waits.
-func (v *Voter) Mute(now time.Duration) bool { return now < v.mute }
+// Recovering tells whether it still waits.
+func (v *Voter) Recovering(now time.Duration) bool { return now < v.mute }
 
-// Ask answers a request.
-func (v *Voter) Ask(now time.Duration, q Request) Reply {
+// HandleRequest answers a request.
+func (v *Voter) HandleRequest(now time.Duration, q Request) Reply {
 	out := Reply{Seq: q.Seq, To: q.From, Voter: v.name}
-	if v.Mute(now) {
+	if v.Recovering(now) {
 		return out
 	}
 	for _, c := range q.Releases {
-		if g := v.grants[c.Duty]; g != nil && g.to == q.From && g.number == c.Number {
+		if g := v.grants[c.Task]; g != nil && g.to == q.From && g.number == c.Token {
 			g.until = min(g.until, now)
 		}
 	}
 	for _, c := range q.Claims {
-		g := v.grants[c.Duty]
+		g := v.grants[c.Task]
 		if g == nil {
 			g = &grant{highest: v.floor}
-			v.grants[c.Duty] = g
+			v.grants[c.Task] = g
 		}
-		same := g.to == q.From && g.number == c.Number
-		if !same && (now < g.until || c.Number <= g.highest && !c.Renew) {
-			out.Grants = append(out.Grants, Grant{Duty: c.Duty, Asked: c.Number, Number: g.highest, Left: max(g.until-now, 0)})
+		same := g.to == q.From && g.number == c.Token
+		if !same && (now < g.until || c.Token <= g.highest && !c.Renew) {
+			out.Grants = append(out.Grants, Grant{Task: c.Task, ClaimedToken: c.Token, Token: g.highest, Remaining: max(g.until-now, 0)})
 			continue
 		}
-		g.to, g.number, g.highest, g.until = q.From, c.Number, max(g.highest, c.Number), now+v.limits.Term
-		out.Grants = append(out.Grants, Grant{Duty: c.Duty, Asked: c.Number, Number: c.Number, Yes: true})
+		g.to, g.number, g.highest, g.until = q.From, c.Token, max(g.highest, c.Token), now+v.limits.Term
+		out.Grants = append(out.Grants, Grant{Task: c.Task, ClaimedToken: c.Token, Token: c.Token, Granted: true})
 	}
 	return out
 }
 
-// Forget drops grants that ended long ago, of duties that are no more; it keeps the numbers.
-func (v *Voter) Forget(now, age time.Duration) {
-	maps.DeleteFunc(v.grants, func(_ Duty, g *grant) bool {
+// Compact drops grants that ended long ago, of duties that are no more; it keeps the numbers.
+func (v *Voter) Compact(now, age time.Duration) {
+	maps.DeleteFunc(v.grants, func(_ Task, g *grant) bool {
 		old := now-g.until > age
 		if old {
 			v.floor = max(v.floor, g.highest)
@@ -138,32 +138,32 @@
 	})
 }
 
-// Lapse is a lease that ended, and why.
-type Lapse struct {
-	Duty   Duty
-	Number uint64
+// Expired is a lease that ended, and why.
+type Expired struct {
+	Task   Task
+	Token  uint64
 	At     time.Duration
-	Why    string
+	Reason string
 }
 
-// Held is a lease as operators see it.
-type Held struct {
-	Duty   Duty
-	Number uint64
-	Since  time.Duration
-	Until  time.Duration // by which it must be renewed
+// Lease is a lease as operators see it.
+type Lease struct {
+	Task  Task
+	Token uint64
+	Since time.Duration
+	Until time.Duration // by which it must be renewed
 }
 
 // Holder claims duties for one life of a member. It is not safe for use by several goroutines at once.
 type Holder struct {
-	self   Claimer
+	self   Candidate
 	limits Limits
 	voters []string
 	seq    uint64
 	sent   map[uint64]time.Duration // requests that may still be answered
-	duties map[Duty]*claim
+	duties map[Task]*claim
 	seen   uint64 // the highest number of all
-	lapsed *Lapse
+	lapsed *Expired
 	drop   []Claim
 	draw   func(n int64) int64
 }
@@ -182,25 +182,25 @@
 const keepSent = 64
 
 // NewHolder returns a Holder; draw returns a number from 0 up to n, to spread claims that failed.
-func NewHolder(self Claimer, voters []string, limits Limits, draw func(n int64) int64) *Holder {
-	return &Holder{self: self, limits: limits, voters: slices.Clone(voters), sent: map[uint64]time.Duration{}, duties: map[Duty]*claim{}, draw: draw}
+func NewHolder(self Candidate, voters []string, limits Limits, draw func(n int64) int64) *Holder {
+	return &Holder{self: self, limits: limits, voters: slices.Clone(voters), sent: map[uint64]time.Duration{}, duties: map[Task]*claim{}, draw: draw}
 }
 
-// Raise tells it of a number that another member has seen.
-func (h *Holder) Raise(number uint64) { h.seen = max(h.seen, number) }
+// ObserveToken tells it of a number that another member has seen.
+func (h *Holder) ObserveToken(number uint64) { h.seen = max(h.seen, number) }
 
-// Seen is the highest number that it has heard of.
-func (h *Holder) Seen() uint64 { return h.seen }
+// HighestToken is the highest number that it has heard of.
+func (h *Holder) HighestToken() uint64 { return h.seen }
 
-// Want says which duties this member is to hold from now on. What it no longer wants it stops at once, and releases.
-func (h *Holder) Want(now time.Duration, duties map[Duty]bool) {
+// SetWanted says which duties this member is to hold from now on. What it no longer wants it stops at once, and releases.
+func (h *Holder) SetWanted(now time.Duration, duties map[Task]bool) {
 	for d, c := range h.duties {
 		if !duties[d] {
 			if len(c.grants) > 0 {
-				h.drop = append(h.drop, Claim{Duty: d, Number: c.number})
+				h.drop = append(h.drop, Claim{Task: d, Token: c.number})
 			}
 			if c.acting {
-				h.lapsed = &Lapse{d, c.number, now, "given to another"}
+				h.lapsed = &Expired{d, c.number, now, "given to another"}
 			}
 			delete(h.duties, d)
 		}
@@ -221,7 +221,7 @@
 		c := h.duties[d]
 		if c.acting && !h.holds(now, c) {
 			c.acting = false
-			h.lapsed = &Lapse{d, c.number, now, "not renewed by most voters in time"}
+			h.lapsed = &Expired{d, c.number, now, "not renewed by most voters in time"}
 		}
 		if now < c.next {
 			continue
@@ -229,7 +229,7 @@
 		holds := h.holds(now, c)
 		if !holds {
 			if c.number > 0 && len(c.grants) > 0 {
-				q.Releases = append(q.Releases, Claim{Duty: d, Number: c.number}) // what a minority granted keeps others out
+				q.Releases = append(q.Releases, Claim{Task: d, Token: c.number}) // what a minority granted keeps others out
 			}
 			clear(c.grants)
 			clear(c.noes)
@@ -249,22 +249,22 @@
 	return q, true
 }
 
-// Take takes a voter's answer.
-func (h *Holder) Take(now time.Duration, r Reply) {
+// HandleReply takes a voter's answer.
+func (h *Holder) HandleReply(now time.Duration, r Reply) {
 	sent, ok := h.sent[r.Seq]
 	if !ok || r.To != h.self || !slices.Contains(h.voters, r.Voter) {
 		return
 	}
 	for _, g := range r.Grants {
-		h.seen = max(h.seen, g.Number)
-		c := h.duties[g.Duty]
-		if c == nil || g.Asked != c.number { // given up, or of an earlier try: its claim came late
-			if g.Yes {
-				h.drop = append(h.drop, Claim{Duty: g.Duty, Number: g.Asked})
+		h.seen = max(h.seen, g.Token)
+		c := h.duties[g.Task]
+		if c == nil || g.ClaimedToken != c.number { // given up, or of an earlier try: its claim came late
+			if g.Granted {
+				h.drop = append(h.drop, Claim{Task: g.Task, Token: g.ClaimedToken})
 			}
 			continue
 		}
-		if !g.Yes {
+		if !g.Granted {
 			if !h.holds(now, c) {
 				h.refused(now, c, r.Voter, g)
 			}
@@ -288,9 +288,9 @@
 	if len(c.noes) < len(h.voters)-len(h.voters)/2 {
 		return
 	}
-	wait, span := min(g.Left, h.limits.Renew), int64(h.limits.Renew)/2
+	wait, span := min(g.Remaining, h.limits.Renew), int64(h.limits.Renew)/2
 	if len(c.grants) > 0 {
-		h.drop = append(h.drop, Claim{Duty: g.Duty, Number: c.number})
+		h.drop = append(h.drop, Claim{Task: g.Task, Token: c.number})
 		clear(c.grants)
 		wait, span = 0, span<<min(c.tries, mostBackoff)
 		c.tries++
@@ -313,7 +313,7 @@
 
 // Holds tells whether this member may carry out a duty at this very time, and under which number. It is to be asked
 // directly before each act.
-func (h *Holder) Holds(now time.Duration, d Duty) (number uint64, ok bool) {
+func (h *Holder) Holds(now time.Duration, d Task) (number uint64, ok bool) {
 	c := h.duties[d]
 	if c == nil || !h.holds(now, c) {
 		return 0, false
@@ -321,26 +321,26 @@
 	return c.number, true
 }
 
-// All are the leases that it holds, by duty.
-func (h *Holder) All(now time.Duration) []Held {
-	var out []Held
+// Leases are the leases that it holds, by duty.
+func (h *Holder) Leases(now time.Duration) []Lease {
+	var out []Lease
 	for _, d := range slices.Sorted(maps.Keys(h.duties)) {
 		if c := h.duties[d]; h.holds(now, c) {
-			out = append(out, Held{d, c.number, c.since, h.until(c)})
+			out = append(out, Lease{d, c.number, c.since, h.until(c)})
 		}
 	}
 	return out
 }
 
-// Lapsed is the lease that ended last; nil: none has.
-func (h *Holder) Lapsed() *Lapse { return h.lapsed }
+// LastExpired is the lease that ended last; nil: none has.
+func (h *Holder) LastExpired() *Expired { return h.lapsed }
 
 // fenceFor is for how long a number holds after the last result under it. All members but this one may have lost what they knew, and
 // numbers have begun anew; results of the earlier leases that still come so late are worth no more than their age.
 const fenceFor = 10 * time.Second
 
 // Fence passes over results of leases that another has followed.
-type Fence struct{ seen map[Duty]passed }
+type Fence struct{ seen map[Task]passed }
 
 type passed struct {
 	number uint64
@@ -348,9 +348,9 @@
 }
 
 // Accept tells whether a result of a lease of that number is still news, and notes the number.
-func (f *Fence) Accept(now time.Duration, d Duty, number uint64) bool {
+func (f *Fence) Accept(now time.Duration, d Task, number uint64) bool {
 	if f.seen == nil {
-		f.seen = map[Duty]passed{}
+		f.seen = map[Task]passed{}
 	}
 	if p := f.seen[d]; number < p.number && now-p.at < fenceFor {
 		return false
@@ -359,15 +359,15 @@
 	return true
 }
 
-// Most is the highest number seen of any duty.
-func (f *Fence) Most() (n uint64) {
+// HighestToken is the highest number seen of any duty.
+func (f *Fence) HighestToken() (n uint64) {
 	for _, p := range f.seen {
 		n = max(n, p.number)
 	}
 	return n
 }
 
-// Keep forgets all duties but those that are known.
-func (f *Fence) Keep(known func(Duty) bool) {
-	maps.DeleteFunc(f.seen, func(d Duty, _ passed) bool { return !known(d) })
+// Retain forgets all duties but those that are known.
+func (f *Fence) Retain(known func(Task) bool) {
+	maps.DeleteFunc(f.seen, func(d Task, _ passed) bool { return !known(d) })
 }
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -9,9 +9,9 @@
 // Duties are spread within 1.25 times the mean from 10 a member on, and a member more or less moves its own part and
 // at most 4 in 100 of the others.
 func TestAssignIsEvenAndStable(t *testing.T) {
-	var duties []Duty
+	var duties []Task
 	for i := range 600 {
-		duties = append(duties, Of(fmt.Sprint("probe/s-", i)))
+		duties = append(duties, TaskOf(fmt.Sprint("probe/s-", i)))
 	}
 	var members []string
 	before := Assign(duties, nil)
@@ -45,9 +45,9 @@
 
 // Any two members with the same sets agree, in whatever order they hold them.
 func TestAssignAgrees(t *testing.T) {
-	a := Assign([]Duty{3, 1, 2}, []string{"b", "a", "c"})
-	b := Assign([]Duty{2, 3, 1}, []string{"c", "b", "a"})
-	for _, d := range []Duty{1, 2, 3} {
+	a := Assign([]Task{3, 1, 2}, []string{"b", "a", "c"})
+	b := Assign([]Task{2, 3, 1}, []string{"c", "b", "a"})
+	for _, d := range []Task{1, 2, 3} {
 		if a.Owner[d] != b.Owner[d] || a.Standby[d] != b.Standby[d] || a.Owner[d] == "" {
 			t.Errorf("duty %d: %s and %s", d, a.Owner[d], b.Owner[d])
 		}
@@ -67,7 +67,7 @@
 	}
 	for _, x := range v.all {
 		if !v.out[x.name] {
-			h.Take(now, x.Ask(now, q))
+			h.HandleReply(now, x.HandleRequest(now, q))
 		}
 	}
 }
@@ -83,18 +83,18 @@
 }
 
 func holder(name string, life uint64) *Holder {
-	return NewHolder(Claimer{name, life}, []string{"a", "b", "c"}, limits, func(int64) int64 { return 0 })
+	return NewHolder(Candidate{name, life}, []string{"a", "b", "c"}, limits, func(int64) int64 { return 0 })
 }
 
 // A lease goes on under its number for as long as it is renewed, whatever numbers others' leases have reached.
 func TestLeaseIsRenewed(t *testing.T) {
 	v, one := newVoters(), holder("one", 1)
-	one.Want(0, map[Duty]bool{7: true})
+	one.SetWanted(0, map[Task]bool{7: true})
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
 		v.round(at, one)
-		one.Raise(uint64(at))
+		one.ObserveToken(uint64(at))
 		for _, x := range v.all {
-			x.Raise(uint64(at))
+			x.ObserveToken(uint64(at))
 		}
 		if n, ok := one.Holds(at, 7); !ok || n != 1 {
 			t.Fatalf("at %v: lease %d, held %t", at, n, ok)
@@ -106,9 +106,9 @@
 // that the lease does not fall with one of the voters that granted it first.
 func TestLeaseSpreadsToAllVoters(t *testing.T) {
 	v, one := newVoters(), holder("one", 1)
-	other := Request{Seq: 1, From: Claimer{"two", 1}, Claims: []Claim{{Duty: 7, Number: 50}}}
-	v.all[2].Ask(0, other)
-	one.Want(0, map[Duty]bool{7: true})
+	other := Request{Seq: 1, From: Candidate{"two", 1}, Claims: []Claim{{Task: 7, Token: 50}}}
+	v.all[2].HandleRequest(0, other)
+	one.SetWanted(0, map[Task]bool{7: true})
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
 		v.out["a"] = at > 3*time.Second // long after the other's grant has ended
 		v.round(at, one)
@@ -116,7 +116,7 @@
 			t.Fatalf("at %v: lease %d, held %t", at, n, ok)
 		}
 	}
-	if r := v.all[2].Ask(20*time.Second, Request{From: Claimer{"two", 1}, Claims: []Claim{{Duty: 7, Number: 50}}}); r.Grants[0].Yes {
+	if r := v.all[2].HandleRequest(20*time.Second, Request{From: Candidate{"two", 1}, Claims: []Claim{{Task: 7, Token: 50}}}); r.Grants[0].Granted {
 		t.Error("a number was granted anew that had been granted before")
 	}
 }
@@ -126,14 +126,14 @@
 func TestLeasePasses(t *testing.T) {
 	const ms = time.Millisecond
 	v, one, two := newVoters(), holder("one", 1), holder("two", 1)
-	want := map[Duty]bool{7: true}
-	one.Want(0, want)
+	want := map[Task]bool{7: true}
+	one.SetWanted(0, want)
 	v.round(0, one)
 	first, ok := one.Holds(899*ms, 7)
 	if _, late := one.Holds(900*ms, 7); !ok || late {
 		t.Fatal("a grant lasts for Term less Margin from when it was claimed")
 	}
-	two.Want(0, want)
+	two.SetWanted(0, want)
 	for at := 100 * ms; at < time.Second; at += 20 * ms {
 		v.round(at, two)
 		if _, ok := two.Holds(at, 7); ok {
@@ -147,17 +147,17 @@
 	if !ok || second <= first {
 		t.Errorf("after its end: %t, lease %d after %d", ok, second, first)
 	}
-	two.Want(1500*ms, nil) // goes, and says so
+	two.SetWanted(1500*ms, nil) // goes, and says so
 	v.round(1500*ms, two)
 	again := holder("one", 2)
-	again.Want(1510*ms, want)
-	again.Raise(second)
+	again.SetWanted(1510*ms, want)
+	again.ObserveToken(second)
 	v.round(1510*ms, again)
 	if n, ok := again.Holds(1510*ms, 7); !ok || n <= second {
 		t.Error("a duty that was released is not granted at once")
 	}
-	if two.Lapsed() == nil || two.Lapsed().Why != "given to another" {
-		t.Errorf("lapsed as %+v", two.Lapsed())
+	if two.LastExpired() == nil || two.LastExpired().Reason != "given to another" {
+		t.Errorf("lapsed as %+v", two.LastExpired())
 	}
 
 	v.out["b"], v.out["c"] = true, true // a minority is left
@@ -168,11 +168,11 @@
 		t.Error("held by a minority's grants")
 	}
 	fresh := NewVoter("b", limits, 4*time.Second)
-	if !fresh.Mute(5*time.Second) || fresh.Mute(5100*ms) || len(fresh.Ask(5*time.Second, Request{Claims: []Claim{{Duty: 7, Number: 99}}}).Grants) > 0 {
+	if !fresh.Recovering(5*time.Second) || fresh.Recovering(5100*ms) || len(fresh.HandleRequest(5*time.Second, Request{Claims: []Claim{{Task: 7, Token: 99}}}).Grants) > 0 {
 		t.Error("a voter without memory votes before what it may have granted has ended")
 	}
-	fresh.Raise(1000)
-	if r := fresh.Ask(6*time.Second, Request{Claims: []Claim{{Duty: 7, Number: 99}}}); r.Grants[0].Yes || r.Grants[0].Number != 1000 {
+	fresh.ObserveToken(1000)
+	if r := fresh.HandleRequest(6*time.Second, Request{Claims: []Claim{{Task: 7, Token: 99}}}); r.Grants[0].Granted || r.Grants[0].Token != 1000 {
 		t.Errorf("a voter that was told of lease 1000 granted %+v", r)
 	}
 }
@@ -182,14 +182,14 @@
 func TestAnswerToAnEarlierLife(t *testing.T) {
 	l := Limits{Term: time.Second, Margin: 100 * time.Millisecond, Renew: 200 * time.Millisecond}
 	v := NewVoter("n1", l, -2*time.Second)
-	first := NewHolder(Claimer{"n0", 1}, []string{"n1"}, l, func(int64) int64 { return 0 })
-	second := NewHolder(Claimer{"n0", 2}, []string{"n1"}, l, func(int64) int64 { return 0 })
-	first.Want(0, map[Duty]bool{7: true})
+	first := NewHolder(Candidate{"n0", 1}, []string{"n1"}, l, func(int64) int64 { return 0 })
+	second := NewHolder(Candidate{"n0", 2}, []string{"n1"}, l, func(int64) int64 { return 0 })
+	first.SetWanted(0, map[Task]bool{7: true})
 	q, _ := first.Step(0)
-	late := v.Ask(0, q)
-	second.Want(900*time.Millisecond, map[Duty]bool{7: true})
+	late := v.HandleRequest(0, q)
+	second.SetWanted(900*time.Millisecond, map[Task]bool{7: true})
 	second.Step(900 * time.Millisecond)
-	second.Take(900*time.Millisecond, late)
+	second.HandleReply(900*time.Millisecond, late)
 	if n, ok := second.Holds(900*time.Millisecond, 7); ok {
 		t.Errorf("the second life holds lease %d, which was granted to the first", n)
 	}
@@ -202,7 +202,7 @@
 	if !f.Accept(0, 1, 7) || f.Accept(time.Second, 1, 6) || !f.Accept(2*time.Second, 1, 7) || f.Accept(11*time.Second, 1, 6) {
 		t.Error("a result of an ended lease was taken")
 	}
-	if !f.Accept(12*time.Second, 1, 2) || f.Accept(12*time.Second, 1, 1) || f.Most() != 2 {
+	if !f.Accept(12*time.Second, 1, 2) || f.Accept(12*time.Second, 1, 1) || f.HighestToken() != 2 {
 		t.Error("nothing came under the higher number for long, and the lower ones are passed over")
 	}
 }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -37,8 +37,8 @@
 	offset time.Duration
 	holder *Holder
 	voter  *Voter
-	wants  map[Duty]bool
-	begun  map[Duty]uint64 // leases as of when they began, for the mutant that checks no later
+	wants  map[Task]bool
+	begun  map[Task]uint64 // leases as of when they began, for the mutant that checks no later
 }
 
 type simMessage struct {
@@ -46,7 +46,7 @@
 	from, to int
 	request  *Request
 	reply    *Reply
-	duty     Duty // a result
+	duty     Task // a result
 	number   uint64
 }
 
@@ -60,8 +60,8 @@
 	cut     map[[2]int]bool
 	queue   []simMessage
 	fence   Fence
-	last    map[Duty]uint64        // the highest number of a result that was taken
-	heldAt  map[Duty]time.Duration // when somebody last held it, or nobody could
+	last    map[Task]uint64        // the highest number of a result that was taken
+	heldAt  map[Task]time.Duration // when somebody last held it, or nobody could
 	gap     time.Duration          // longest time in which nobody held a duty though most voters could be reached
 	results int
 	delay   time.Duration
@@ -81,27 +81,27 @@
 	if s.m.noMargin {
 		l.Margin = 0
 	}
-	n.holder = NewHolder(Claimer{n.name, n.life}, s.voters, l, s.rng.Int64N)
-	n.begun = map[Duty]uint64{}
+	n.holder = NewHolder(Candidate{n.name, n.life}, s.voters, l, s.rng.Int64N)
+	n.begun = map[Task]uint64{}
 	if i < len(s.voters) && (n.voter == nil || !memory) {
 		n.voter = NewVoter(n.name, l, s.clock(n))
 		if s.m.forgetful || s.now == 0 { // at the very begin nothing can have been granted
 			n.voter.mute = 0
 		}
-		n.voter.Raise(s.fence.Most())
+		n.voter.ObserveToken(s.fence.HighestToken())
 	}
-	n.holder.Raise(s.fence.Most())
-	n.holder.Want(s.clock(n), n.wants)
+	n.holder.ObserveToken(s.fence.HighestToken())
+	n.holder.SetWanted(s.clock(n), n.wants)
 }
 
 func newSim(seed uint64, m mutant) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 9)), m: m, cut: map[[2]int]bool{}, last: map[Duty]uint64{}, heldAt: map[Duty]time.Duration{},
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 9)), m: m, cut: map[[2]int]bool{}, last: map[Task]uint64{}, heldAt: map[Task]time.Duration{},
 		voters: []string{"n0", "n1", "n2"}, delay: 3 * time.Millisecond, calm: []int{150, 150, 600}[seed%3]}
 	if seed%2 == 1 {
 		s.voters = append(s.voters, "n3", "n4")
 	}
 	for i := range 7 {
-		n := &simNode{name: fmt.Sprint("n", i), rate: 0.99 + 0.02*s.rng.Float64(), offset: time.Duration(s.rng.Int64N(int64(time.Hour))), wants: map[Duty]bool{}}
+		n := &simNode{name: fmt.Sprint("n", i), rate: 0.99 + 0.02*s.rng.Float64(), offset: time.Duration(s.rng.Int64N(int64(time.Hour))), wants: map[Task]bool{}}
 		if s.rng.IntN(2) == 0 { // the ends of what is allowed are the hardest
 			n.rate = 0.99 + 0.02*float64(s.rng.IntN(2))
 		}
@@ -110,7 +110,7 @@
 			if i < len(s.voters) {
 				n.rate = 1.01
 			}
-			n.wants = map[Duty]bool{1: true, 2: true, 3: true}
+			n.wants = map[Task]bool{1: true, 2: true, 3: true}
 		}
 		s.nodes = append(s.nodes, n)
 	}
@@ -156,7 +156,7 @@
 		n.paused = s.now + time.Duration(s.rng.Int64N(int64(3*time.Second)))
 	case 3: // cut off, both ways or one; often one that holds something
 		for j, o := range s.nodes {
-			if len(o.holder.All(s.clock(o))) > 0 && s.rng.IntN(2) == 0 {
+			if len(o.holder.Leases(s.clock(o))) > 0 && s.rng.IntN(2) == 0 {
 				i = j
 			}
 		}
@@ -179,20 +179,20 @@
 			s.start(i, s.rng.IntN(2) == 0)
 		}
 	case 6: // views differ: any node may want any duty
-		d := Duty(1 + s.rng.IntN(3))
+		d := Task(1 + s.rng.IntN(3))
 		if n.wants[d] {
 			delete(n.wants, d)
 		} else {
 			n.wants[d] = true
 		}
 		if s.running(n) {
-			n.holder.Want(s.clock(n), n.wants)
+			n.holder.SetWanted(s.clock(n), n.wants)
 		}
 	}
 }
 
 // may tells whether a node would act on a duty now.
-func (s *sim) may(n *simNode, d Duty) (uint64, bool) {
+func (s *sim) may(n *simNode, d Task) (uint64, bool) {
 	number, ok := n.holder.Holds(s.clock(n), d)
 	if s.m.onlyStart && n.wants[d] {
 		if ok {
@@ -230,10 +230,10 @@
 			continue
 		}
 		if m.request != nil {
-			r := to.voter.Ask(s.clock(to), *m.request)
+			r := to.voter.HandleRequest(s.clock(to), *m.request)
 			s.send(simMessage{from: m.to, to: m.from, reply: &r})
 		} else {
-			to.holder.Take(s.clock(to), *m.reply)
+			to.holder.HandleReply(s.clock(to), *m.reply)
 		}
 	}
 	for i, n := range s.nodes {
@@ -241,19 +241,19 @@
 			continue
 		}
 		if s.rng.IntN(25) == 0 { // members hear results of all duties
-			n.holder.Raise(s.fence.Most())
+			n.holder.ObserveToken(s.fence.HighestToken())
 			if n.voter != nil {
-				n.voter.Raise(s.fence.Most())
+				n.voter.ObserveToken(s.fence.HighestToken())
 			}
 		}
-		n.holder.Want(s.clock(n), n.wants)
+		n.holder.SetWanted(s.clock(n), n.wants)
 		if q, ok := n.holder.Step(s.clock(n)); ok {
 			for v := range s.voters {
 				s.send(simMessage{from: i, to: v, request: &q})
 			}
 		}
 	}
-	for d := Duty(1); d <= 3; d++ {
+	for d := Task(1); d <= 3; d++ {
 		actors, wanted := 0, false
 		for i, n := range s.nodes {
 			if !s.running(n) {
@@ -286,7 +286,7 @@
 // sound tells whether nothing is cut, and all voters are there and vote.
 func (s *sim) sound() bool {
 	for i := range s.voters {
-		if n := s.nodes[i]; !s.running(n) || n.voter.Mute(s.clock(n)) {
+		if n := s.nodes[i]; !s.running(n) || n.voter.Recovering(s.clock(n)) {
 			return false
 		}
 	}
--- a/internal/fleet/lists/golden_test.go
+++ b/internal/fleet/lists/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status.json", Status{List: 1, Held: 2, Told: 3, Refused: 4})
+	golden.JSON(t, "status.json", Status{List: 1, Suppressed: 2, PeerLists: 3, Rejected: 4})
 }
--- a/internal/fleet/lists/lists.go
+++ b/internal/fleet/lists/lists.go
@@ -12,8 +12,8 @@
 	"rampspread/internal/fleet/removals"
 )
 
-// Guard takes a dispatcher's list and what others tell of theirs. It is safe for use by several goroutines.
-type Guard struct {
+// Filter takes a dispatcher's list and what others tell of theirs. It is safe for use by several goroutines.
+type Filter struct {
 	publish func(full bool, entries []core.Endpoint)
 	version func() uint64
 	now     func() time.Time
@@ -28,28 +28,28 @@
 
 // Status is what operators are shown of it.
 type Status struct {
-	List    uint64 `json:"list"`
-	Held    int    `json:"held_back"` // replicas that others' newer lists have ended
-	Told    int64  `json:"told"`      // newer lists that came
-	Refused int    `json:"refused"`   // times that they would have ended too much
+	List       uint64 `json:"list"`
+	Suppressed int    `json:"held_back"` // replicas that others' newer lists have ended
+	PeerLists  int64  `json:"told"`      // newer lists that came
+	Rejected   int    `json:"refused"`   // times that they would have ended too much
 }
 
 // New returns a guard before publish, which must not block. Version is that of the list handed to Roster.
-func New(publish func(bool, []core.Endpoint), version func() uint64, now func() time.Time) *Guard {
-	return &Guard{publish: publish, version: version, now: now, start: now(), table: removals.New(removals.Usual), held: map[string]core.Endpoint{}}
+func New(publish func(bool, []core.Endpoint), version func() uint64, now func() time.Time) *Filter {
+	return &Filter{publish: publish, version: version, now: now, start: now(), table: removals.New(removals.DefaultLimits), held: map[string]core.Endpoint{}}
 }
 
-// Roster takes discovery's list, or changes to it, and hands on what is to be acted on.
-func (g *Guard) Roster(full bool, entries []core.Endpoint) {
+// UpdateOwn takes discovery's list, or changes to it, and hands on what is to be acted on.
+func (g *Filter) UpdateOwn(full bool, entries []core.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	core.ApplyUpdate(g.held, full, entries)
-	list := make([]removals.Entry, len(entries))
+	list := make([]removals.Endpoint, len(entries))
 	named := make(map[string]bool, len(entries))
 	for i, e := range entries {
-		list[i], named[e.Name] = removals.Entry{Name: e.Name, State: e.State}, true
+		list[i], named[e.Name] = removals.Endpoint{Name: e.Name, State: e.State}, true
 	}
-	changed := g.table.Listed(g.now().Sub(g.start), g.version(), full, list)
+	changed := g.table.UpdateOwn(g.now().Sub(g.start), g.version(), full, list)
 	out := make([]core.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		if e = g.as(e); !full || e.State != decide.Gone {
@@ -67,36 +67,36 @@
 }
 
 // as is an entry as it is to be taken.
-func (g *Guard) as(e core.Endpoint) core.Endpoint {
+func (g *Filter) as(e core.Endpoint) core.Endpoint {
 	if _, ok := g.held[e.Name]; ok {
 		e.State = g.table.State(e.Name)
 	}
 	return e
 }
 
-// Told takes what another member tells of its list.
-func (g *Guard) Told(from string, d removals.Digest) {
+// UpdatePeer takes what another member tells of its list.
+func (g *Filter) UpdatePeer(from string, d removals.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.Version > g.table.Version() {
 		g.told++
 	}
-	refused := g.table.Refused()
-	g.hand("list_behind", g.table.Told(g.now().Sub(g.start), from, d))
-	if g.table.Refused() > refused {
+	refused := g.table.Rejected()
+	g.hand("list_behind", g.table.UpdatePeer(g.now().Sub(g.start), from, d))
+	if g.table.Rejected() > refused {
 		slog.Warn("list_behind_refused", "from", from, "own", g.table.Version(), "told", d.Version)
 	}
 }
 
 // Tick lets go of what nobody has told for long.
-func (g *Guard) Tick() {
+func (g *Filter) Tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.hand("list_believed", g.table.Tick(g.now().Sub(g.start)))
 }
 
 // hand hands on replicas that are to be taken otherwise.
-func (g *Guard) hand(why string, changed []string) {
+func (g *Filter) hand(why string, changed []string) {
 	if len(changed) == 0 {
 		return
 	}
@@ -104,27 +104,27 @@
 	for _, name := range changed {
 		out = append(out, g.as(g.held[name]))
 	}
-	slog.Info(why, "own", g.table.Version(), "replicas", len(out), "first", changed[0], "held_back", g.table.Held())
+	slog.Info(why, "own", g.table.Version(), "replicas", len(out), "first", changed[0], "held_back", g.table.Suppressed())
 	g.publish(false, out)
 }
 
 // Digest is what to tell others of the list that this member was told by discovery.
-func (g *Guard) Digest() removals.Digest {
+func (g *Filter) Digest() removals.Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Digest()
 }
 
 // Version is that of the list.
-func (g *Guard) Version() uint64 {
+func (g *Filter) Version() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Version()
 }
 
 // Status is for operators.
-func (g *Guard) Status() Status {
+func (g *Filter) Status() Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Status{List: g.table.Version(), Held: g.table.Held(), Told: g.told, Refused: g.table.Refused()}
+	return Status{List: g.table.Version(), Suppressed: g.table.Suppressed(), PeerLists: g.told, Rejected: g.table.Rejected()}
 }
--- a/internal/fleet/lists/lists_test.go
+++ b/internal/fleet/lists/lists_test.go
@@ -52,27 +52,27 @@
 		}
 		return out
 	}
-	g.Roster(true, list("a", "b", "c", "d"))
+	g.UpdateOwn(true, list("a", "b", "c", "d"))
 	want("its list", "a", "b", "c", "d")
-	g.Told("n1", removals.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
+	g.UpdatePeer("n1", removals.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
 	want("another's", "a", "c")
 	if acts["b"].State != decide.Draining {
 		t.Errorf("%+v", acts)
 	}
-	g.Roster(true, list("a", "b", "c", "d"))
+	g.UpdateOwn(true, list("a", "b", "c", "d"))
 	want("the same list again", "a", "c")
 	version = 5
-	g.Roster(false, list("e"))
+	g.UpdateOwn(false, list("e"))
 	want("a change", "a", "c", "e")
 	version = 7
-	g.Roster(false, list("b"))
+	g.UpdateOwn(false, list("b"))
 	want("a newer one than the other's", "a", "b", "c", "d", "e")
-	g.Told("n1", removals.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
+	g.UpdatePeer("n1", removals.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
 	want("another's again", "b", "c", "d", "e")
-	now = now.Add(removals.Usual.Keep + time.Second)
+	now = now.Add(removals.DefaultLimits.PeerReportTTL + time.Second)
 	g.Tick()
 	want("after long silence", "a", "b", "c", "d", "e")
-	if s := g.Status(); s.Told != 2 || s.Held != 0 || s.List != 7 || g.Version() != 7 || len(g.Digest().Ready) != 5 {
+	if s := g.Status(); s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || g.Version() != 7 || len(g.Digest().Ready) != 5 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -42,7 +42,7 @@
 var errFormat = errors.New("fleet: message of an unknown format")
 
 // encode is what a member says; sent is a beat's time, 0 for meta data.
-func encode(i view.Info, sent int64) []byte {
+func encode(i view.MemberInfo, sent int64) []byte {
 	number := func(b []byte, field protowire.Number, v uint64) []byte {
 		if v == 0 {
 			return b
@@ -59,7 +59,7 @@
 	b = number(b, fieldStarted, uint64(i.Started.UnixMilli()))
 	b = text(b, fieldVersion, i.Version)
 	b = protowire.AppendFixed64(protowire.AppendTag(b, fieldSettings, protowire.Fixed64Type), i.Settings)
-	b = number(b, fieldList, i.List)
+	b = number(b, fieldList, i.ListVersion)
 	flags := uint64(0)
 	if i.Serving {
 		flags |= flagServing
@@ -68,12 +68,12 @@
 		flags |= flagLeaving
 	}
 	b = number(b, fieldFlags, flags)
-	b = number(b, fieldLease, i.Lease)
+	b = number(b, fieldLease, i.HighestToken)
 	return number(b, fieldSent, uint64(sent))
 }
 
 // decode reads what a member says. Fields that are not known, or of another type than theirs, are passed over.
-func decode(b []byte) (i view.Info, sent int64, err error) {
+func decode(b []byte) (i view.MemberInfo, sent int64, err error) {
 	if len(b) > maxMessage {
 		return i, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMessage)
 	}
@@ -104,11 +104,11 @@
 		case field == fieldSettings && kind == protowire.Fixed64Type:
 			i.Settings = v
 		case field == fieldList && kind == protowire.VarintType:
-			i.List = v
+			i.ListVersion = v
 		case field == fieldFlags && kind == protowire.VarintType:
 			i.Serving, i.Leaving = v&flagServing != 0, v&flagLeaving != 0
 		case field == fieldLease && kind == protowire.VarintType:
-			i.Lease = v
+			i.HighestToken = v
 		case field == fieldSent && kind == protowire.VarintType:
 			sent = int64(min(v, 1<<52))
 		}
@@ -191,7 +191,7 @@
 			if c.Renew {
 				renew = 1
 			}
-			n = append(n, uint64(c.Duty), c.Number<<1|renew)
+			n = append(n, uint64(c.Task), c.Token<<1|renew)
 		}
 		return n
 	}
@@ -213,10 +213,10 @@
 	var n []uint64
 	for _, g := range r.Grants {
 		yes := uint64(0)
-		if g.Yes {
+		if g.Granted {
 			yes = 1
 		}
-		n = append(n, uint64(g.Duty), g.Asked, g.Number, yes, uint64(g.Left.Microseconds()))
+		n = append(n, uint64(g.Task), g.ClaimedToken, g.Token, yes, uint64(g.Remaining.Microseconds()))
 	}
 	return packed(heading(kindReply, r.Seq, r.Voter, r.To.Incarnation), fieldGrants, n)
 }
@@ -225,12 +225,12 @@
 func encodeClaim(c share.Claim, voters []string) []byte {
 	b := heading(kindClaim, c.Seq, c.From.Name, c.From.Incarnation)
 	b = protowire.AppendVarint(protowire.AppendTag(b, fieldDemand, protowire.VarintType), uint64(c.Demand*1000))
-	if c.Leaves {
+	if c.Leaving {
 		b = protowire.AppendVarint(protowire.AppendTag(b, fieldLeaves, protowire.VarintType), 1)
 	}
 	var acts []uint64
 	for i, voter := range voters {
-		if seq, ok := c.Acts[voter]; ok {
+		if seq, ok := c.InForce[voter]; ok {
 			acts = append(acts, uint64(i), seq)
 		}
 	}
@@ -238,9 +238,9 @@
 }
 
 // encodeLoan makes the packet of a loan; it goes to the life that claimed. The part is rounded down.
-func encodeLoan(l share.Loan) []byte {
+func encodeLoan(l share.Grant) []byte {
 	b := heading(kindLoan, l.Seq, l.Voter, l.To.Incarnation)
-	return protowire.AppendVarint(protowire.AppendTag(b, fieldPart, protowire.VarintType), uint64(l.Part/partUnit))
+	return protowire.AppendVarint(protowire.AppendTag(b, fieldPart, protowire.VarintType), uint64(l.Fraction/partUnit))
 }
 
 // encodeBeliefs makes a message of what a member knows.
@@ -300,10 +300,10 @@
 
 // claim is the claim that a packet holds; voters are all that the file names.
 func (m *message) claim(voters []string) share.Claim {
-	c := share.Claim{From: share.Life{Name: m.from, Incarnation: m.life}, Seq: m.seq, Demand: m.demand, Leaves: m.leaves, Acts: map[string]uint64{}}
+	c := share.Claim{From: share.BorrowerID{Name: m.from, Incarnation: m.life}, Seq: m.seq, Demand: m.demand, Leaving: m.leaves, InForce: map[string]uint64{}}
 	for a := range slices.Chunk(m.acts, 2) {
 		if a[0] < uint64(len(voters)) {
-			c.Acts[voters[a[0]]] = a[1]
+			c.InForce[voters[a[0]]] = a[1]
 		}
 	}
 	return c
@@ -351,7 +351,7 @@
 				return m, errFormat
 			}
 			for c := range slices.Chunk(numbers, 2) {
-				if claim := (lease.Claim{Duty: lease.Duty(c[0]), Number: c[1] >> 1, Renew: c[1]&1 == 1}); field == fieldClaims {
+				if claim := (lease.Claim{Task: lease.Task(c[0]), Token: c[1] >> 1, Renew: c[1]&1 == 1}); field == fieldClaims {
 					m.claims = append(m.claims, claim)
 				} else {
 					m.releases = append(m.releases, claim)
@@ -363,8 +363,8 @@
 				return m, errFormat
 			}
 			for g := range slices.Chunk(numbers, 5) {
-				m.grants = append(m.grants, lease.Grant{Duty: lease.Duty(g[0]), Asked: g[1], Number: g[2], Yes: g[3] == 1,
-					Left: time.Duration(min(g[4], uint64(maxAge.Microseconds()))) * time.Microsecond})
+				m.grants = append(m.grants, lease.Grant{Task: lease.Task(g[0]), ClaimedToken: g[1], Token: g[2], Granted: g[3] == 1,
+					Remaining: time.Duration(min(g[4], uint64(maxAge.Microseconds()))) * time.Microsecond})
 			}
 		case fieldBeliefs:
 			if len(text) > beliefsMost {
@@ -400,7 +400,7 @@
 			if len(text) > maxPayload || v[2] > uint64(maxAge.Microseconds()) {
 				return m, errFormat
 			}
-			m.results = append(m.results, result{lease.Duty(v[0]), v[1], now - time.Duration(v[2])*time.Microsecond, slices.Clone(text)})
+			m.results = append(m.results, result{lease.Task(v[0]), v[1], now - time.Duration(v[2])*time.Microsecond, slices.Clone(text)})
 		}
 	}
 	return m, nil
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -33,8 +33,8 @@
 	fanout    = 8
 	// A pause of the process that others would notice.
 	gap = 800 * time.Millisecond
-	// FreshFor is how old a view may be for a decision to rest on it.
-	FreshFor = gap
+	// MaxViewAge is how old a view may be for a decision to rest on it.
+	MaxViewAge = gap
 	// Those that are missing are called upon one at a time: after a long partition nobody else would.
 	rejoinEvery = 2 * time.Second
 	firstCalls  = 3 // of the others, at the start
@@ -60,22 +60,22 @@
 	// Facts is asked often, from the node's own goroutine; it must not block.
 	Facts func() Facts
 	Seed  uint64
-	// Work is what the fleet does in turn; nil: nothing.
-	Work Work
-	// Floor is a number of a lease that no earlier life of this member has seen a higher one than, and Seen is told the highest that it
+	// Tasks is what the fleet does in turn; nil: nothing.
+	Tasks TaskRunner
+	// TokenFloor is a number of a lease that no earlier life of this member has seen a higher one than, and Seen is told the highest that it
 	// knows of, often; it must not block. nil: nothing of it outlives the process.
-	Floor uint64
-	Seen  func(number uint64)
-	// Claims takes what other members say of filings; nil: nothing of it is known here. It must not block.
-	Claims func(message []byte)
-	// Knows tells others that start what this process has learnt, and learns from them at its own start; nil: it does not.
-	Knows Knows
-	// Shared acts by its part of the file's budgets; nil: nothing is shared.
-	Shared Shared
-	// Stands acts by how this process stands, if the file has stragglers judged; nil: nobody is judged here.
-	Stands Stands
-	// Ends takes others' newer lists, if the file lets it; nil: each goes by its own alone.
-	Ends Ends
+	TokenFloor   uint64
+	ObserveToken func(number uint64)
+	// HandleIdempotency takes what other members say of filings; nil: nothing of it is known here. It must not block.
+	HandleIdempotency func(message []byte)
+	// LearnedState tells others that start what this process has learnt, and learns from them at its own start; nil: it does not.
+	LearnedState LearnedState
+	// Quota acts by its part of the file's budgets; nil: nothing is shared.
+	Quota QuotaUser
+	// VersionSkew acts by how this process stands, if the file has stragglers judged; nil: nobody is judged here.
+	VersionSkew VersionSkewActions
+	// EndpointFilter takes others' newer lists, if the file lets it; nil: each goes by its own alone.
+	EndpointFilter EndpointFilter
 }
 
 // Node is this process in the fleet. Its goroutines stop by Close.
@@ -105,11 +105,11 @@
 
 	mu    sync.Mutex
 	table *view.Table
-	info  view.Info // what it tells of itself now
+	info  view.MemberInfo // what it tells of itself now
 }
 
-// ErrTwice says that another process of the same name is in the fleet.
-var ErrTwice = errors.New("fleet: the name is in use")
+// ErrDuplicateName says that another process of the same name is in the fleet.
+var ErrDuplicateName = errors.New("fleet: the name is in use")
 
 // Start listens for the others and returns; they are called upon for as long as the node runs. While another process has the
 // address, as when this one is to replace it, the node waits for it without harm to what the process serves. Failed is called once, with
@@ -121,25 +121,25 @@
 	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: self.Machine.Wall(), done: make(chan struct{}), failed: failed,
 		rng: rand.New(rand.NewPCG(self.Seed, 0xf1ee7))}
 	f := self.Facts()
-	n.info = view.Info{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.wall.UnixMilli()), Started: n.wall, Version: self.Version,
-		Settings: f.Settings, List: f.List, Serving: f.Serving}
+	n.info = view.MemberInfo{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.wall.UnixMilli()), Started: n.wall, Version: self.Version,
+		Settings: f.Settings, ListVersion: f.List, Serving: f.Serving}
 	cycle := func(size int) time.Duration { return beatEvery * time.Duration(max(1, (size-1+fanout-1)/fanout)) }
-	n.table = view.New(n.info, cfg.names(), view.Limits{Sign: cycle, SuspectAfter: 3, Gap: gap}, n.now())
+	n.table = view.New(n.info, cfg.names(), view.Limits{HeartbeatInterval: cycle, SuspectAfter: 3, MaxTickGap: gap}, n.now())
 	n.publish()
-	if self.Work != nil && len(cfg.Voters) > 0 {
-		n.duties = newDuties(n, self.Work)
+	if self.Tasks != nil && len(cfg.Voters) > 0 {
+		n.duties = newDuties(n, self.Tasks)
 	}
-	if self.Shared != nil && cfg.Budgets != nil {
-		n.shares = newShares(n, self.Shared)
+	if self.Quota != nil && cfg.Budgets != nil {
+		n.shares = newShares(n, self.Quota)
 	}
-	if self.Knows != nil && cfg.Beliefs {
-		n.beliefs = newBeliefs(n, self.Knows)
+	if self.LearnedState != nil && cfg.Bootstrap {
+		n.beliefs = newBeliefs(n, self.LearnedState)
 	}
-	if self.Ends != nil && cfg.Ends {
-		n.ends = &ends{node: n, lists: self.Ends, calls: map[string]bool{}}
+	if self.EndpointFilter != nil && cfg.EndpointFilter {
+		n.ends = &ends{node: n, lists: self.EndpointFilter, calls: map[string]bool{}}
 	}
-	if self.Stands != nil && cfg.Stragglers != nil {
-		n.stragglers = newStragglers(n, self.Stands)
+	if self.VersionSkew != nil && cfg.VersionSkew != nil {
+		n.stragglers = newStragglers(n, self.VersionSkew)
 	}
 	if inUse(cfg.Listen) {
 		slog.Warn("fleet_waits", "listen", cfg.Listen)
@@ -223,8 +223,8 @@
 // View is who is there, as last published. Whoever acts on it asks Fresh first.
 func (n *Node) View() view.View { return *n.view.Load() }
 
-// Bad is how many messages made no sense, or were not from this fleet.
-func (n *Node) Bad() int64 { return n.bad.Load() }
+// Malformed is how many messages made no sense, or were not from this fleet.
+func (n *Node) Malformed() int64 { return n.bad.Load() }
 
 // others are the addresses of the others on the list.
 func (n *Node) others() []string {
@@ -333,14 +333,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := n.info
-	next.Settings, next.List, next.Serving = f.Settings, f.List, f.Serving && !next.Leaving
+	next.Settings, next.ListVersion, next.Serving = f.Settings, f.List, f.Serving && !next.Leaving
 	if next == n.info {
 		return false
 	}
 	// A new list alone goes with the next beat: discovery changes often, and all members would gossip of it at once.
 	told := next.Settings != n.info.Settings || next.Serving != n.info.Serving
 	n.info = next
-	n.table.Self(next, n.now())
+	n.table.UpdateSelf(next, n.now())
 	return told
 }
 
@@ -353,7 +353,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	told := n.info
-	told.Lease = number // in beats only: it changes often
+	told.HighestToken = number // in beats only: it changes often
 	return append([]byte{kindBeat}, encode(told, time.Now().UnixMilli())...)
 }
 
@@ -365,9 +365,9 @@
 	}
 }
 
-// SendClaims sends a message of package claims to a member. A large one goes by a call, the others by a datagram; either may
+// SendIdempotency sends a message of package claims to a member. A large one goes by a call, the others by a datagram; either may
 // get lost.
-func (n *Node) SendClaims(name string, message []byte, large bool) {
+func (n *Node) SendIdempotency(name string, message []byte, large bool) {
 	if !n.up.Load() {
 		return
 	}
@@ -405,7 +405,7 @@
 func (n *Node) there() []string {
 	var out []string
 	for _, m := range n.View().Members {
-		if m.Name != n.self.Name && (m.Counts() || m.State == view.Joining) {
+		if m.Name != n.self.Name && (m.Active() || m.State == view.Joining) {
 			out = append(out, m.Name)
 		}
 	}
@@ -445,7 +445,7 @@
 	there := n.there()
 	n.mu.Lock()
 	n.info.Leaving, n.info.Serving = true, false
-	n.table.Self(n.info, n.now())
+	n.table.UpdateSelf(n.info, n.now())
 	n.publish()
 	n.mu.Unlock()
 	// By gossip the news that it is gone may overtake the news that it goes, so it says goodbye to each as well.
@@ -495,8 +495,8 @@
 		return
 	}
 	if b[0] == kindClaims {
-		if n.self.Claims != nil {
-			n.self.Claims(b[1:])
+		if n.self.HandleIdempotency != nil {
+			n.self.HandleIdempotency(b[1:])
 		}
 		return
 	}
@@ -510,10 +510,10 @@
 	case (kind == kindRequest || kind == kindClaim || kind == kindAskBeliefs || kind == kindBeliefs || kind == kindList) && stranger:
 		n.bad.Add(1)
 	case kind == kindRequest && n.duties != nil:
-		n.duties.answer(lease.Request{Seq: m.seq, From: lease.Claimer{Name: m.from, Incarnation: m.life}, Claims: m.claims, Releases: m.releases})
+		n.duties.answer(lease.Request{Seq: m.seq, From: lease.Candidate{Name: m.from, Incarnation: m.life}, Claims: m.claims, Releases: m.releases})
 	case kind == kindReply && n.duties != nil:
 		n.duties.mu.Lock()
-		n.duties.holder.Take(n.now(), lease.Reply{Seq: m.seq, To: lease.Claimer{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Grants: m.grants})
+		n.duties.holder.HandleReply(n.now(), lease.Reply{Seq: m.seq, To: lease.Candidate{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Grants: m.grants})
 		n.duties.mu.Unlock()
 	case kind == kindResults && n.duties != nil:
 		n.duties.take(m.results, false)
@@ -524,9 +524,9 @@
 	case kind == kindBeliefs && n.beliefs != nil:
 		go n.beliefs.take(m.from, m.beliefs)
 	case kind == kindList && n.ends != nil:
-		n.ends.lists.Told(m.from, removals.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
+		n.ends.lists.UpdatePeer(m.from, removals.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
 	case kind == kindLoan && n.shares != nil:
-		n.shares.take(share.Loan{To: share.Life{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Seq: m.seq, Part: m.part})
+		n.shares.take(share.Grant{To: share.BorrowerID{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Seq: m.seq, Fraction: m.part})
 	}
 }
 
@@ -540,9 +540,9 @@
 		n.skews.Store(i.Name, time.Until(time.UnixMilli(sent)))
 	}
 	if n.duties != nil {
-		n.duties.raise(i.Lease)
+		n.duties.raise(i.HighestToken)
 	}
-	n.hear(func(t *view.Table, now time.Duration) { t.Sign(i, now) })
+	n.hear(func(t *view.Table, now time.Duration) { t.Heartbeat(i, now) })
 }
 
 // GetBroadcasts implements memberlist.Delegate; beats go straight to their receivers.
@@ -587,7 +587,7 @@
 		n.mu.Lock()
 		if k.Incarnation > n.info.Incarnation {
 			n.info.Incarnation = k.Incarnation + 1
-			n.table.Self(n.info, n.now())
+			n.table.UpdateSelf(n.info, n.now())
 			n.publish()
 		}
 		n.mu.Unlock()
@@ -595,7 +595,7 @@
 }
 
 // member reads what a node tells of itself.
-func (n *Node) member(node *memberlist.Node) (view.Info, bool) {
+func (n *Node) member(node *memberlist.Node) (view.MemberInfo, bool) {
 	i, _, err := decode(node.Meta)
 	if err != nil || i.Name != node.Name {
 		n.bad.Add(1)
@@ -607,7 +607,7 @@
 // NotifyJoin implements memberlist.EventDelegate.
 func (n *Node) NotifyJoin(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *view.Table, now time.Duration) { t.Joined(i, now) })
+		n.hear(func(t *view.Table, now time.Duration) { t.MarkJoined(i, now) })
 	}
 }
 
@@ -617,14 +617,14 @@
 // NotifyLeave implements memberlist.EventDelegate.
 func (n *Node) NotifyLeave(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *view.Table, now time.Duration) { t.Lost(i.Name, i.Incarnation, now) })
+		n.hear(func(t *view.Table, now time.Duration) { t.MarkLost(i.Name, i.Incarnation, now) })
 	}
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: the other is passed over.
 func (n *Node) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("fleet_conflict", "name", existing.Name, "address", existing.Address(), "other", other.Address())
-	n.hear(func(t *view.Table, now time.Duration) { t.Claimed(other.Name, other.Address(), now) })
+	n.hear(func(t *view.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
 }
 
 // NotifyMerge implements memberlist.MergeDelegate: two processes of one name do not meet in one fleet.
@@ -632,7 +632,7 @@
 	own := n.cfg.address(n.self.Name)
 	for _, p := range peers {
 		if p.Name == n.self.Name && p.State == memberlist.StateAlive && p.Address() != own {
-			err := fmt.Errorf("%w: %q is at %s", ErrTwice, p.Name, p.Address())
+			err := fmt.Errorf("%w: %q is at %s", ErrDuplicateName, p.Name, p.Address())
 			n.twice.Do(func() { n.failed(err) })
 			return err
 		}
@@ -666,35 +666,35 @@
 
 // Status is what operators are shown.
 type Status struct {
-	Fleet     string         `json:"fleet"`
-	Self      string         `json:"self"`
-	View      uint64         `json:"view"`
-	Fresh     bool           `json:"fresh"`
-	Members   []MemberStatus `json:"members"`
-	Conflicts []string       `json:"conflicts,omitempty"`
-	Bad       int64          `json:"bad"`
-	Stale     int64          `json:"stale"`
-	Strangers int64          `json:"strangers"`
+	Fleet        string         `json:"fleet"`
+	Self         string         `json:"self"`
+	ViewVersion  uint64         `json:"view"`
+	Fresh        bool           `json:"fresh"`
+	Members      []MemberStatus `json:"members"`
+	Conflicts    []string       `json:"conflicts,omitempty"`
+	Malformed    int64          `json:"bad"`
+	Stale        int64          `json:"stale"`
+	Unconfigured int64          `json:"strangers"`
 }
 
 // MemberStatus is a member as operators are shown it. Times are in seconds before now.
 type MemberStatus struct {
-	Name        string  `json:"name"`
-	State       string  `json:"state"`
-	For         float64 `json:"for_s"`
-	Heard       float64 `json:"heard_s"`
-	Zone        string  `json:"zone"`
-	Incarnation uint64  `json:"incarnation"`
-	Lives       int     `json:"lives"`
-	Started     string  `json:"started,omitempty"`
-	Version     string  `json:"version"`
-	Settings    string  `json:"settings"`
-	List        uint64  `json:"list"`
-	SkewMS      int64   `json:"skew_ms"` // of its clock against ours, and the way of its beat
-}
-
-// Duties is who does what, for operators; ok is false where nothing is done in turn.
-func (n *Node) Duties() (s DutiesStatus, ok bool) {
+	Name           string  `json:"name"`
+	State          string  `json:"state"`
+	StateForS      float64 `json:"for_s"`
+	LastHeartbeatS float64 `json:"heard_s"`
+	Zone           string  `json:"zone"`
+	Incarnation    uint64  `json:"incarnation"`
+	Incarnations   int     `json:"lives"`
+	Started        string  `json:"started,omitempty"`
+	Version        string  `json:"version"`
+	Settings       string  `json:"settings"`
+	ListVersion    uint64  `json:"list"`
+	SkewMS         int64   `json:"skew_ms"` // of its clock against ours, and the way of its beat
+}
+
+// TasksStatus is who does what, for operators; ok is false where nothing is done in turn.
+func (n *Node) TasksStatus() (s TasksStatus, ok bool) {
 	if n.duties == nil {
 		return s, false
 	}
@@ -706,12 +706,12 @@
 	now := n.now()
 	v := n.View()
 	n.mu.Lock()
-	out := Status{Fleet: n.cfg.Fleet, Self: n.self.Name, View: v.Number, Fresh: v.Fresh(now, FreshFor), Bad: n.bad.Load(),
-		Stale: n.table.Stale(), Strangers: n.table.Strangers()}
+	out := Status{Fleet: n.cfg.Fleet, Self: n.self.Name, ViewVersion: v.Version, Fresh: v.Fresh(now, MaxViewAge), Malformed: n.bad.Load(),
+		Stale: n.table.Stale(), Unconfigured: n.table.Unconfigured()}
 	n.mu.Unlock()
 	for _, m := range v.Members {
-		s := MemberStatus{Name: m.Name, State: m.State.String(), For: (now - m.Since).Seconds(), Heard: (now - m.Heard).Seconds(),
-			Zone: m.Zone, Incarnation: m.Incarnation, Lives: m.Lives, Version: m.Version, Settings: fmt.Sprintf("%016x", m.Settings), List: m.List}
+		s := MemberStatus{Name: m.Name, State: m.State.String(), StateForS: (now - m.Since).Seconds(), LastHeartbeatS: (now - m.LastHeartbeat).Seconds(),
+			Zone: m.Zone, Incarnation: m.Incarnation, Incarnations: m.Incarnations, Version: m.Version, Settings: fmt.Sprintf("%016x", m.Settings), ListVersion: m.ListVersion}
 		if m.Incarnation > 0 {
 			s.Started = m.Started.UTC().Format(time.RFC3339)
 		}
--- a/internal/fleet/removals/removals.go
+++ b/internal/fleet/removals/removals.go
@@ -17,16 +17,16 @@
 
 // Limits bound what is taken.
 type Limits struct {
-	// Keep is for how long a teller's word holds after it came last. One that is there tells it anew for as long as this member is
+	// PeerReportTTL is for how long a teller's word holds after it came last. One that is there tells it anew for as long as this member is
 	// behind, so it ends only with its teller, or with discovery's count, if that begins anew.
-	Keep time.Duration
-	// Part is the largest part of the own list that others' word may end. Beyond it none of it holds: the others go by another
+	PeerReportTTL time.Duration
+	// MaxSuppressedFraction is the largest part of the own list that others' word may end. Beyond it none of it holds: the others go by another
 	// list, or one of them lies, and most replicas are not given up for that.
-	Part float64
+	MaxSuppressedFraction float64
 }
 
-// Usual are the limits that members go by.
-var Usual = Limits{Keep: 60 * time.Second, Part: 0.5}
+// DefaultLimits are the limits that members go by.
+var DefaultLimits = Limits{PeerReportTTL: 60 * time.Second, MaxSuppressedFraction: 0.5}
 
 // MaxReplicas bounds a Digest.
 const MaxReplicas = 4096
@@ -51,8 +51,8 @@
 	return decide.Gone
 }
 
-// Entry is a replica on a list.
-type Entry struct {
+// Endpoint is a replica on a list.
+type Endpoint struct {
 	Name  string
 	State decide.EndpointState
 }
@@ -80,11 +80,11 @@
 // Version is that of the own list.
 func (t *Table) Version() uint64 { return t.version }
 
-// Refused is how many times others' word began to end too much, and was passed over.
-func (t *Table) Refused() int { return t.refused }
+// Rejected is how many times others' word began to end too much, and was passed over.
+func (t *Table) Rejected() int { return t.refused }
 
-// Held is how many replicas others' word holds back now.
-func (t *Table) Held() (n int) {
+// Suppressed is how many replicas others' word holds back now.
+func (t *Table) Suppressed() (n int) {
 	for name, state := range t.held {
 		if t.State(name) != state {
 			n++
@@ -115,10 +115,10 @@
 	return state
 }
 
-// Listed notes a list from discovery, whole or changes to it, and returns the names that are to be taken otherwise from now on.
+// UpdateOwn notes a list from discovery, whole or changes to it, and returns the names that are to be taken otherwise from now on.
 // Whether an older version than the last is an old list or a new count cannot be told: it is taken, and what the list before it
 // had ended stays ended for a while, as if another had told it.
-func (t *Table) Listed(now time.Duration, version uint64, full bool, entries []Entry) (changed []string) {
+func (t *Table) UpdateOwn(now time.Duration, version uint64, full bool, entries []Endpoint) (changed []string) {
 	return t.change(func() {
 		if version < t.version {
 			t.told[""] = heard{t.Digest(), now}
@@ -135,8 +135,8 @@
 	})
 }
 
-// Told notes the list that another member acts on, and returns the names that are to be taken otherwise from now on.
-func (t *Table) Told(now time.Duration, teller string, d Digest) (changed []string) {
+// UpdatePeer notes the list that another member acts on, and returns the names that are to be taken otherwise from now on.
+func (t *Table) UpdatePeer(now time.Duration, teller string, d Digest) (changed []string) {
 	if d.Version <= t.version || len(d.Ready)+len(d.Draining) > MaxReplicas {
 		return nil
 	}
@@ -150,7 +150,7 @@
 func (t *Table) Tick(now time.Duration) (changed []string) {
 	return t.change(func() {
 		for name, d := range t.told {
-			if now-d.at > t.limits.Keep || d.Version <= t.version {
+			if now-d.at > t.limits.PeerReportTTL || d.Version <= t.version {
 				delete(t.told, name)
 			}
 		}
@@ -185,7 +185,7 @@
 			ends++
 		}
 	}
-	over := float64(ends) > t.limits.Part*float64(len(t.held))
+	over := float64(ends) > t.limits.MaxSuppressedFraction*float64(len(t.held))
 	if over && !t.over {
 		t.refused++
 	}
--- a/internal/fleet/removals/removals_test.go
+++ b/internal/fleet/removals/removals_test.go
@@ -12,49 +12,49 @@
 	"rampspread/internal/testkit/play"
 )
 
-func listOf(names string, draining string) (out []Entry) {
+func listOf(names string, draining string) (out []Endpoint) {
 	for _, n := range names {
-		out = append(out, Entry{string(n), decide.Ready})
+		out = append(out, Endpoint{string(n), decide.Ready})
 	}
 	for _, n := range draining {
-		out = append(out, Entry{string(n), decide.Draining})
+		out = append(out, Endpoint{string(n), decide.Draining})
 	}
 	return out
 }
 
 // A list that is older than others' revives nothing that theirs has ended; the own list has the last word once it is as new.
 func TestOlderList(t *testing.T) {
-	ahead, behind := New(Usual), New(Usual)
-	ahead.Listed(0, 5, true, listOf("abcd", ""))
-	ahead.Listed(0, 6, false, []Entry{{"a", decide.Gone}})
-	ahead.Listed(0, 7, false, []Entry{{"b", decide.Draining}, {"e", decide.Ready}})
-	behind.Told(0, "n1", ahead.Digest()) // before its first list
-	behind.Listed(0, 5, true, listOf("abcd", ""))
-	if behind.State("a") != decide.Gone || behind.State("b") != decide.Draining || behind.State("c") != decide.Ready || behind.Held() != 2 {
+	ahead, behind := New(DefaultLimits), New(DefaultLimits)
+	ahead.UpdateOwn(0, 5, true, listOf("abcd", ""))
+	ahead.UpdateOwn(0, 6, false, []Endpoint{{"a", decide.Gone}})
+	ahead.UpdateOwn(0, 7, false, []Endpoint{{"b", decide.Draining}, {"e", decide.Ready}})
+	behind.UpdatePeer(0, "n1", ahead.Digest()) // before its first list
+	behind.UpdateOwn(0, 5, true, listOf("abcd", ""))
+	if behind.State("a") != decide.Gone || behind.State("b") != decide.Draining || behind.State("c") != decide.Ready || behind.Suppressed() != 2 {
 		t.Errorf("%v, %v", behind.State("a"), behind.State("b"))
 	}
 	if behind.State("e") != decide.Gone {
 		t.Error("it took a replica from another's word")
 	}
-	if changed := behind.Listed(0, 6, false, []Entry{{"a", decide.Gone}}); len(changed) != 0 || behind.State("b") != decide.Draining {
+	if changed := behind.UpdateOwn(0, 6, false, []Endpoint{{"a", decide.Gone}}); len(changed) != 0 || behind.State("b") != decide.Draining {
 		t.Errorf("%v", changed)
 	}
-	if changed := behind.Listed(0, 8, false, []Entry{{"c", decide.Draining}}); !slices.Equal(changed, []string{"b", "c"}) || behind.State("b") != decide.Ready {
+	if changed := behind.UpdateOwn(0, 8, false, []Endpoint{{"c", decide.Draining}}); !slices.Equal(changed, []string{"b", "c"}) || behind.State("b") != decide.Ready {
 		t.Errorf("%v: at 8 its list has the last word", changed)
 	}
 	// One's own older list, after a newer one, is no different; it is believed again after a while.
-	ahead.Listed(0, 5, true, listOf("abcd", ""))
+	ahead.UpdateOwn(0, 5, true, listOf("abcd", ""))
 	if ahead.State("a") != decide.Gone || ahead.State("c") != decide.Ready {
 		t.Error("its own older list revived a replica")
 	}
-	if changed := ahead.Tick(Usual.Keep + 1); !slices.Equal(changed, []string{"a", "b"}) {
+	if changed := ahead.Tick(DefaultLimits.PeerReportTTL + 1); !slices.Equal(changed, []string{"a", "b"}) {
 		t.Errorf("%v", changed)
 	}
 	// Nor does another's newer word undo it.
-	behind = New(Usual)
-	behind.Listed(0, 5, true, listOf("abcd", ""))
-	behind.Told(0, "n1", Digest{Version: 6, Ready: []uint64{Hash("b"), Hash("c"), Hash("d")}})
-	behind.Told(0, "liar", Digest{Version: math.MaxUint64, Ready: []uint64{Hash("a"), Hash("b"), Hash("c"), Hash("d")}})
+	behind = New(DefaultLimits)
+	behind.UpdateOwn(0, 5, true, listOf("abcd", ""))
+	behind.UpdatePeer(0, "n1", Digest{Version: 6, Ready: []uint64{Hash("b"), Hash("c"), Hash("d")}})
+	behind.UpdatePeer(0, "liar", Digest{Version: math.MaxUint64, Ready: []uint64{Hash("a"), Hash("b"), Hash("c"), Hash("d")}})
 	if behind.State("a") != decide.Gone {
 		t.Error("one's word revived what another's list had ended")
 	}
@@ -62,22 +62,22 @@
 
 // What others say never ends most of a list, whoever says it, and holds no longer than its teller is there.
 func TestLiar(t *testing.T) {
-	behind := New(Usual)
-	behind.Listed(0, 5, true, listOf("abcdefghij", ""))
-	if changed := behind.Told(0, "n1", Digest{Version: math.MaxUint64, Ready: []uint64{Hash("a")}}); len(changed) != 0 || behind.Refused() != 1 || behind.Held() != 0 {
+	behind := New(DefaultLimits)
+	behind.UpdateOwn(0, 5, true, listOf("abcdefghij", ""))
+	if changed := behind.UpdatePeer(0, "n1", Digest{Version: math.MaxUint64, Ready: []uint64{Hash("a")}}); len(changed) != 0 || behind.Rejected() != 1 || behind.Suppressed() != 0 {
 		t.Errorf("%v held back by one's word", changed)
 	}
 	var most []uint64
 	for _, n := range "abcdef" {
 		most = append(most, Hash(string(n)))
 	}
-	if behind.Told(0, "n1", Digest{Version: math.MaxUint64, Draining: nil, Ready: most}); behind.Held() != 4 {
-		t.Errorf("%d held back", behind.Held())
+	if behind.UpdatePeer(0, "n1", Digest{Version: math.MaxUint64, Draining: nil, Ready: most}); behind.Suppressed() != 4 {
+		t.Errorf("%d held back", behind.Suppressed())
 	}
-	if changed := behind.Tick(Usual.Keep + 1); len(changed) != 4 || behind.Held() != 0 {
+	if changed := behind.Tick(DefaultLimits.PeerReportTTL + 1); len(changed) != 4 || behind.Suppressed() != 0 {
 		t.Errorf("%v", changed)
 	}
-	if behind.Told(0, "n1", Digest{Version: 9, Ready: make([]uint64, MaxReplicas+1)}); behind.Held() != 0 {
+	if behind.UpdatePeer(0, "n1", Digest{Version: 9, Ready: make([]uint64, MaxReplicas+1)}); behind.Suppressed() != 0 {
 		t.Error("a list without bound was taken")
 	}
 }
@@ -108,22 +108,22 @@
 	heard := make([]map[int]word, members)
 	now := time.Duration(0)
 	list := func(i int, version uint64) {
-		var entries []Entry
+		var entries []Endpoint
 		t := tables[i]
 		full := t.Version() == 0 || version < t.Version() || rng.IntN(4) == 0
 		for name, s := range truth[version] {
 			if full || truth[t.Version()][name] != s {
-				entries = append(entries, Entry{name, s})
+				entries = append(entries, Endpoint{name, s})
 			}
 		}
 		if !full {
 			for name := range truth[t.Version()] {
 				if _, still := truth[version][name]; !still {
-					entries = append(entries, Entry{name, decide.Gone})
+					entries = append(entries, Endpoint{name, decide.Gone})
 				}
 			}
 		}
-		t.Listed(now, version, full, entries)
+		t.UpdateOwn(now, version, full, entries)
 	}
 	start := func(i int, version uint64) {
 		tables[i], heard[i] = New(m.limits), map[int]word{}
@@ -176,15 +176,15 @@
 				teller = "one"
 				d.Version = max(d.Version, tables[to].told[teller].Version)
 			}
-			tables[to].Told(now, teller, d)
+			tables[to].UpdatePeer(now, teller, d)
 			heard[to][i] = word{tables[i].Version(), now}
 		}
 		for i, t := range tables {
 			t.Tick(now)
 			ends, silent := map[string]bool{}, true
 			for _, w := range heard[i] {
-				silent = silent && now-w.at > Usual.Keep
-				if w.version > t.Version() && now-w.at < Usual.Keep {
+				silent = silent && now-w.at > DefaultLimits.PeerReportTTL
+				if w.version > t.Version() && now-w.at < DefaultLimits.PeerReportTTL {
 					for name := range truth[t.Version()] {
 						if truth[w.version][name] != decide.Ready {
 							ends[name] = true
@@ -211,18 +211,18 @@
 func TestPlay(t *testing.T) {
 	const seeds = 40
 	for seed := range uint64(seeds) {
-		if err := simulate(seed, 2000, mutant{limits: Usual}); err != nil {
+		if err := simulate(seed, 2000, mutant{limits: DefaultLimits}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	forever := Usual
-	forever.Keep = 1 << 60
+	forever := DefaultLimits
+	forever.PeerReportTTL = 1 << 60
 	for name, m := range map[string]mutant{
-		"a list without its version": {limits: Usual, tell: func(d Digest) Digest { d.Version = 1 << 50; return d }},
-		"drains are not told":        {limits: Usual, tell: func(d Digest) Digest { d.Ready = append(d.Ready, d.Draining...); d.Draining = nil; return d }},
+		"a list without its version": {limits: DefaultLimits, tell: func(d Digest) Digest { d.Version = 1 << 50; return d }},
+		"drains are not told":        {limits: DefaultLimits, tell: func(d Digest) Digest { d.Ready = append(d.Ready, d.Draining...); d.Draining = nil; return d }},
 		"a word that never ends":     {limits: forever},
-		"no word of others holds":    {limits: Limits{Keep: Usual.Keep}},
-		"one's word undoes others'":  {limits: Usual, late: true},
+		"no word of others holds":    {limits: Limits{PeerReportTTL: DefaultLimits.PeerReportTTL}},
+		"one's word undoes others'":  {limits: DefaultLimits, late: true},
 	} {
 		play.Caught(t, name, 0, seeds, func(seed uint64) string {
 			if err := simulate(seed, 2000, m); err != nil {
--- a/internal/fleet/share/bucket.go
+++ b/internal/fleet/share/bucket.go
@@ -41,8 +41,8 @@
 // rateFade is how long what came counts, on the mean.
 const rateFade = 2 * time.Second
 
-// See takes the count at a time and returns the rate.
-func (r *Rate) See(now time.Duration, count int64) float64 {
+// Observe takes the count at a time and returns the rate.
+func (r *Rate) Observe(now time.Duration, count int64) float64 {
 	if !r.begun {
 		r.begun, r.count, r.at = true, count, now
 		return 0
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Least is what a member has whatever it sees.
-func (l Limits) Least() float64 { return l.Floor / float64(l.Members) }
+// MinFraction is what a member has whatever it sees.
+func (l Limits) MinFraction() float64 { return l.Floor / float64(l.Members) }
 
 // slice is what one voter lends in all.
 func (l Limits) slice() float64 {
@@ -61,29 +61,29 @@
 	return (1 - l.Floor) / float64(l.Voters)
 }
 
-// Life is one life of a member: a later life of the same name is another borrower.
-type Life struct {
+// BorrowerID is one life of a member: a later life of the same name is another borrower.
+type BorrowerID struct {
 	Name        string
 	Incarnation uint64
 }
 
 // Claim asks each voter for a loan, in the place of earlier ones.
 type Claim struct {
-	From   Life
+	From   BorrowerID
 	Seq    uint64  // grows with each claim of a life
 	Demand float64 // what it has to do, in requests a second
-	// Acts is the claim whose loan it acts by, for each voter that lent it one; it will act by no earlier one.
-	Acts map[string]uint64
-	// Leaves says that it acts by no loan any more, and wants none.
-	Leaves bool
+	// InForce is the claim whose loan it acts by, for each voter that lent it one; it will act by no earlier one.
+	InForce map[string]uint64
+	// Leaving says that it acts by no loan any more, and wants none.
+	Leaving bool
 }
 
-// Loan answers a claim.
-type Loan struct {
-	To    Life // an answer to an earlier life of the same name is none to this one
-	Voter string
-	Seq   uint64  // of the claim
-	Part  float64 // of the whole
+// Grant answers a claim.
+type Grant struct {
+	To       BorrowerID // an answer to an earlier life of the same name is none to this one
+	Voter    string
+	Seq      uint64  // of the claim
+	Fraction float64 // of the whole
 }
 
 const (
@@ -99,7 +99,7 @@
 	name   string
 	limits Limits
 	mute   time.Duration // it lends nothing before
-	lives  map[Life]*borrower
+	lives  map[BorrowerID]*borrower
 	swept  time.Duration
 	// Sums over lives. What has ended since the last sweep is still in out, so it errs to the safe side.
 	out, demand float64
@@ -123,11 +123,11 @@
 
 // NewVoter returns a voter that remembers nothing, and so waits until what an earlier life of it may have lent has ended.
 func NewVoter(name string, limits Limits, now time.Duration) *Voter {
-	return &Voter{name: name, limits: limits, mute: now + limits.Term + limits.Margin, lives: map[Life]*borrower{}}
+	return &Voter{name: name, limits: limits, mute: now + limits.Term + limits.Margin, lives: map[BorrowerID]*borrower{}}
 }
 
-// Mute tells whether it still waits.
-func (v *Voter) Mute(now time.Duration) bool { return now < v.mute }
+// Recovering tells whether it still waits.
+func (v *Voter) Recovering(now time.Duration) bool { return now < v.mute }
 
 // sweep drops what has ended and forgets who asks no more, and sums up anew.
 func (v *Voter) sweep(now time.Duration) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Lent is what it has out, at the most that its borrowers may act by, and to how many.
-func (v *Voter) Lent(now time.Duration) (sum float64, borrowers int) {
+// Outstanding is what it has out, at the most that its borrowers may act by, and to how many.
+func (v *Voter) Outstanding(now time.Duration) (sum float64, borrowers int) {
 	v.sweep(now)
 	return v.out, v.asking
 }
@@ -163,10 +163,10 @@
 	}
 }
 
-// Ask answers a claim; false: with nothing. A claim that a later one has overtaken changes nothing.
-func (v *Voter) Ask(now time.Duration, c Claim) (Loan, bool) {
+// HandleClaim answers a claim; false: with nothing. A claim that a later one has overtaken changes nothing.
+func (v *Voter) HandleClaim(now time.Duration, c Claim) (Grant, bool) {
 	if !(c.Demand >= 0 && c.Demand <= mostDemand) {
-		return Loan{}, false
+		return Grant{}, false
 	}
 	if now-v.swept >= v.limits.Renew/2 {
 		v.sweep(now)
@@ -177,23 +177,23 @@
 		v.lives[c.From] = b
 	}
 	if c.Seq <= b.seq {
-		return Loan{}, false
+		return Grant{}, false
 	}
 	v.out -= b.out
 	if b.asks {
 		v.demand -= b.demand
 		v.asking--
 	}
-	b.seq, b.heard, b.demand, b.asks = c.Seq, now, c.Demand, !c.Leaves
-	if c.Leaves { // it acts by none
+	b.seq, b.heard, b.demand, b.asks = c.Seq, now, c.Demand, !c.Leaving
+	if c.Leaving { // it acts by none
 		b.loans, b.out = nil, 0
-		return Loan{}, false
+		return Grant{}, false
 	}
-	b.drop(now, c.Acts[v.name])
+	b.drop(now, c.InForce[v.name])
 	v.demand += b.demand
 	v.asking++
-	if v.Mute(now) { // who asks meanwhile counts from the first loan on, or the first to ask would get all
-		return Loan{}, false
+	if v.Recovering(now) { // who asks meanwhile counts from the first loan on, or the first to ask would get all
+		return Grant{}, false
 	}
 	part := max(min(v.due(b), v.limits.slice()-v.out), 0)
 	if part > 0 {
@@ -201,7 +201,7 @@
 		b.out = max(b.out, part)
 	}
 	v.out += b.out
-	return Loan{c.From, v.name, c.Seq, part}, true
+	return Grant{c.From, v.name, c.Seq, part}, true
 }
 
 // due is what a borrower's demand earns it of the slice.
@@ -213,20 +213,20 @@
 	return v.limits.slice() * (b.demand/v.demand + evenPart/n) / (1 + evenPart)
 }
 
-func byLife(a, b Life) int {
+func byLife(a, b BorrowerID) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// Offer is a part to act by until a time, in the place of the one before. Whoever acts by it tells Applied, once it does.
-type Offer struct {
-	Part  float64       // of the whole, the floor in it
-	Until time.Duration // from then on the part is the floor's, unless another offer has come
-	acts  map[string]uint64
+// Share is a part to act by until a time, in the place of the one before. Whoever acts by it tells Applied, once it does.
+type Share struct {
+	Fraction float64       // of the whole, the floor in it
+	Until    time.Duration // from then on the part is the floor's, unless another offer has come
+	acts     map[string]uint64
 }
 
 // Borrower claims for one life of a member. It is not safe for use by several goroutines at once.
 type Borrower struct {
-	self    Life
+	self    BorrowerID
 	voters  []string
 	limits  Limits
 	seq     uint64
@@ -234,7 +234,7 @@
 	sent    map[uint64]time.Duration
 	loans   map[string]held   // the latest of each voter
 	acts    map[string]uint64 // by the offer that is in force
-	inForce Offer
+	inForce Share
 	waits   bool // an offer was handed out and is not applied yet
 	leaving bool
 	told    bool // that it leaves
@@ -250,9 +250,9 @@
 const keepSent = 32
 
 // NewBorrower returns one that has the floor's part.
-func NewBorrower(self Life, voters []string, limits Limits) *Borrower {
+func NewBorrower(self BorrowerID, voters []string, limits Limits) *Borrower {
 	return &Borrower{self: self, voters: slices.Clone(voters), limits: limits, sent: map[uint64]time.Duration{}, loans: map[string]held{}, acts: map[string]uint64{},
-		inForce: Offer{Part: limits.Least()}}
+		inForce: Share{Fraction: limits.MinFraction()}}
 }
 
 // Step returns the claim that is to go to every voter now; false: none.
@@ -262,69 +262,71 @@
 	}
 	b.next = now + b.limits.Renew
 	b.seq++
-	c := Claim{From: b.self, Seq: b.seq, Demand: min(max(demand, 0), mostDemand), Acts: maps.Clone(b.acts)}
-	if b.leaving && !b.waits && b.inForce.Part == b.limits.Least() {
-		c.Leaves, b.told = true, true
+	c := Claim{From: b.self, Seq: b.seq, Demand: min(max(demand, 0), mostDemand), InForce: maps.Clone(b.acts)}
+	if b.leaving && !b.waits && b.inForce.Fraction == b.limits.MinFraction() {
+		c.Leaving, b.told = true, true
 	}
 	b.sent[b.seq] = now
 	delete(b.sent, b.seq-keepSent)
 	return c, true
 }
 
-// Take takes a voter's answer.
-func (b *Borrower) Take(l Loan) {
+// HandleGrant takes a voter's answer.
+func (b *Borrower) HandleGrant(l Grant) {
 	sent, ok := b.sent[l.Seq]
 	// An answer that a later one has overtaken is of no use: its voter may be told that the later one is acted by.
-	if !ok || l.To != b.self || !slices.Contains(b.voters, l.Voter) || !(l.Part >= 0 && l.Part <= b.limits.slice()) || b.loans[l.Voter].seq >= l.Seq {
+	if !ok || l.To != b.self || !slices.Contains(b.voters, l.Voter) || !(l.Fraction >= 0 && l.Fraction <= b.limits.slice()) || b.loans[l.Voter].seq >= l.Seq {
 		return
 	}
-	b.loans[l.Voter] = held{l.Seq, l.Part, sent + b.limits.Term - b.limits.Margin}
+	b.loans[l.Voter] = held{l.Seq, l.Fraction, sent + b.limits.Term - b.limits.Margin}
 }
 
-// Leave gives up all that is lent: the next offer is the floor's part, and once that is applied the voters are told.
-func (b *Borrower) Leave() { b.leaving, b.next = true, 0 }
+// ReturnAll gives up all that is lent: the next offer is the floor's part, and once that is applied the voters are told.
+func (b *Borrower) ReturnAll() { b.leaving, b.next = true, 0 }
 
-// Offer returns a part to act by, if it differs from the one in force or lasts longer; false: nothing new, or the last one
+// NextShare returns a part to act by, if it differs from the one in force or lasts longer; false: nothing new, or the last one
 // is not applied yet. What comes of an offer is told by Applied or Dropped.
-func (b *Borrower) Offer(now time.Duration) (Offer, bool) {
+func (b *Borrower) NextShare(now time.Duration) (Share, bool) {
 	if b.waits {
-		return Offer{}, false
+		return Share{}, false
 	}
-	o := Offer{Part: b.limits.Least(), acts: map[string]uint64{}}
+	o := Share{Fraction: b.limits.MinFraction(), acts: map[string]uint64{}}
 	for _, voter := range slices.Sorted(maps.Keys(b.loans)) {
 		l := b.loans[voter]
 		o.acts[voter] = l.seq
 		if b.leaving || l.until-now <= b.limits.Lead || l.part <= 0 {
 			continue
 		}
-		o.Part += l.part
+		o.Fraction += l.part
 		if o.Until == 0 || l.until < o.Until {
 			o.Until = l.until
 		}
 	}
-	if maps.Equal(o.acts, b.acts) && o.Part == b.inForce.Part && o.Until == b.inForce.Until {
-		return Offer{}, false
+	if maps.Equal(o.acts, b.acts) && o.Fraction == b.inForce.Fraction && o.Until == b.inForce.Until {
+		return Share{}, false
 	}
 	b.waits = true
 	return o, true
 }
 
-// Applied says that an offer is acted by from now on.
-func (b *Borrower) Applied(o Offer) { b.waits, b.inForce, b.acts = false, o, o.acts }
+// Confirm says that an offer is acted by from now on.
+func (b *Borrower) Confirm(o Share) { b.waits, b.inForce, b.acts = false, o, o.acts }
 
-// Dropped says that an offer never will be.
-func (b *Borrower) Dropped() { b.waits = false }
+// Discard says that an offer never will be.
+func (b *Borrower) Discard() { b.waits = false }
 
 // Until is when what is acted by ends, unless it is renewed.
 func (b *Borrower) Until() time.Duration { return b.inForce.Until }
 
-// Part is what is acted by at a time.
-func (b *Borrower) Part(now time.Duration) float64 { return b.inForce.At(now, b.limits.Least()) }
+// Fraction is what is acted by at a time.
+func (b *Borrower) Fraction(now time.Duration) float64 {
+	return b.inForce.At(now, b.limits.MinFraction())
+}
 
 // At is the offer's part at a time, or the least part that a member has whatever it sees, once the offer has ended.
-func (o Offer) At(now time.Duration, least float64) float64 {
+func (o Share) At(now time.Duration, least float64) float64 {
 	if now < o.Until {
-		return o.Part
+		return o.Fraction
 	}
-	return min(o.Part, least)
+	return min(o.Fraction, least)
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -36,7 +36,7 @@
 }
 
 type simNode struct {
-	life   Life
+	life   BorrowerID
 	up     bool
 	paused time.Duration // until, in true time
 	rate   float64       // of its clock
@@ -44,8 +44,8 @@
 	demand float64
 	b      *Borrower
 	voter  *Voter
-	acts   Offer  // what its module acts by
-	coming *Offer // on its way to the module,
+	acts   Share  // what its module acts by
+	coming *Share // on its way to the module,
 	at     time.Duration
 }
 
@@ -53,7 +53,7 @@
 	due      time.Duration
 	from, to int
 	claim    *Claim
-	loan     *Loan
+	loan     *Grant
 }
 
 // sim plays members, voters, the network and the faults between them in simulated time.
@@ -81,7 +81,7 @@
 		l.Margin = time.Nanosecond
 	}
 	n.b = NewBorrower(n.life, s.names, l)
-	n.acts, n.coming = Offer{Part: l.Least()}, nil
+	n.acts, n.coming = Share{Fraction: l.MinFraction()}, nil
 	if i >= len(s.names) || n.voter != nil && memory {
 		return
 	}
@@ -102,7 +102,7 @@
 		if i < voters {
 			s.names = append(s.names, fmt.Sprint("n", i))
 		}
-		s.nodes = append(s.nodes, &simNode{life: Life{Name: fmt.Sprint("n", i)}, rate: 0.99 + 0.02*float64(s.rng.IntN(2)),
+		s.nodes = append(s.nodes, &simNode{life: BorrowerID{Name: fmt.Sprint("n", i)}, rate: 0.99 + 0.02*float64(s.rng.IntN(2)),
 			offset: time.Duration(s.rng.Int64N(int64(time.Hour))), demand: 40 * s.rng.Float64()})
 	}
 	for i := range s.nodes {
@@ -161,9 +161,9 @@
 		switch {
 		case !n.up:
 		case s.m.noEnd:
-			sum += n.acts.Part
+			sum += n.acts.Fraction
 		default:
-			sum += n.acts.At(s.clock(n), s.limits.Least())
+			sum += n.acts.At(s.clock(n), s.limits.MinFraction())
 		}
 	}
 	return sum
@@ -187,7 +187,7 @@
 	for _, m := range due {
 		to := s.nodes[m.to]
 		if m.loan != nil {
-			to.b.Take(*m.loan)
+			to.b.HandleGrant(*m.loan)
 			continue
 		}
 		if s.m.minority {
@@ -198,7 +198,7 @@
 				}
 			}
 		}
-		l, ok := to.voter.Ask(s.clock(to), *m.claim)
+		l, ok := to.voter.HandleClaim(s.clock(to), *m.claim)
 		if b := to.voter.lives[m.claim.From]; s.m.growFirst && b != nil && len(b.loans) > 1 {
 			b.loans = b.loans[len(b.loans)-1:]
 			to.voter.out += b.loans[0].part - b.out
@@ -216,18 +216,18 @@
 		if n.coming != nil && s.now >= n.at {
 			n.acts = *n.coming
 			if !s.m.soon {
-				n.b.Applied(*n.coming)
+				n.b.Confirm(*n.coming)
 			}
 			n.coming = nil
 		}
 		if n.coming == nil {
-			if o, ok := n.b.Offer(now); ok {
+			if o, ok := n.b.NextShare(now); ok {
 				n.coming, n.at = &o, s.now+time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
 				if s.calm > 0 && s.rng.IntN(50) == 0 { // its core is busy
 					n.at += time.Duration(s.rng.Int64N(int64(2 * time.Second)))
 				}
 				if s.m.soon {
-					n.b.Applied(o)
+					n.b.Confirm(o)
 				}
 			}
 		}
@@ -305,7 +305,7 @@
 			t.Errorf("%d of 30 members act by %.3f, of %.3f that they may", up, sum, want)
 		}
 		for i, n := range s.nodes {
-			if part := n.acts.At(s.clock(n), s.limits.Least()); i < up && math.Abs(part-want/float64(up)) > 0.15*want/float64(up) {
+			if part := n.acts.At(s.clock(n), s.limits.MinFraction()); i < up && math.Abs(part-want/float64(up)) > 0.15*want/float64(up) {
 				t.Errorf("member %d of %d acts by %.4f, the mean is %.4f", i, up, part, want/float64(up))
 			}
 		}
@@ -336,7 +336,7 @@
 	s.play(t, 4*time.Second)
 	side := [2]float64{}
 	for i, n := range s.nodes {
-		side[i%2] += n.acts.At(s.clock(n), s.limits.Least())
+		side[i%2] += n.acts.At(s.clock(n), s.limits.MinFraction())
 	}
 	// Voters n0 and n2 are on one side, n1 on the other.
 	if want := [2]float64{0.125 + 0.5, 0.125 + 0.25}; math.Abs(side[0]-want[0]) > 0.02 || math.Abs(side[1]-want[1]) > 0.02 {
@@ -367,8 +367,8 @@
 		s.cut[[2]int{3, i}], s.cut[[2]int{i, 3}] = true, true
 	}
 	s.play(t, limits.Term)
-	if part := s.nodes[3].acts.At(s.clock(s.nodes[3]), s.limits.Least()); part != s.limits.Least() {
-		t.Errorf("cut off it acts by %.3f, not by %.3f", part, s.limits.Least())
+	if part := s.nodes[3].acts.At(s.clock(s.nodes[3]), s.limits.MinFraction()); part != s.limits.MinFraction() {
+		t.Errorf("cut off it acts by %.3f, not by %.3f", part, s.limits.MinFraction())
 	}
 	s.play(t, 2*time.Second)
 	if sum := s.sum(); sum < 0.98 {
@@ -383,9 +383,9 @@
 	v := NewVoter("n0", l, 0)
 	for seq, now := uint64(1), time.Duration(0); now < l.Term+l.Margin+l.Renew; seq, now = seq+1, now+l.Renew {
 		for i := range 4 {
-			c := Claim{From: Life{fmt.Sprint("n", i), 1}, Seq: seq, Demand: 30}
-			if loan, ok := v.Ask(now, c); ok != (now >= l.Term+l.Margin) || ok && math.Abs(loan.Part-l.slice()/4) > slack {
-				t.Fatalf("at %v member %d is lent %.3f of a slice of %.3f", now, i, loan.Part, l.slice())
+			c := Claim{From: BorrowerID{fmt.Sprint("n", i), 1}, Seq: seq, Demand: 30}
+			if loan, ok := v.HandleClaim(now, c); ok != (now >= l.Term+l.Margin) || ok && math.Abs(loan.Fraction-l.slice()/4) > slack {
+				t.Fatalf("at %v member %d is lent %.3f of a slice of %.3f", now, i, loan.Fraction, l.slice())
 			}
 		}
 	}
@@ -394,9 +394,9 @@
 // One that goes in order gives back what it was lent, at once.
 func TestLeaves(t *testing.T) {
 	s := quiet(t, 4, 4)
-	s.nodes[3].b.Leave()
+	s.nodes[3].b.ReturnAll()
 	s.play(t, 700*time.Millisecond) // less than a term
-	if part := s.nodes[3].acts.Part; part != s.limits.Least() {
+	if part := s.nodes[3].acts.Fraction; part != s.limits.MinFraction() {
 		t.Errorf("it still acts by %.3f", part)
 	}
 	if sum := s.sum(); sum < 0.98 {
@@ -414,12 +414,12 @@
 		for range 60 {
 			now += time.Duration(rapid.Int64Range(0, int64(l.Term)).Draw(t, "past"))
 			seq := rapid.Uint64Range(1, 40).Draw(t, "seq")
-			c := Claim{From: Life{rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), 1}, Seq: seq,
-				Demand: rapid.Float64().Draw(t, "demand"), Acts: map[string]uint64{"n0": rapid.Uint64Range(0, seq-1).Draw(t, "acts")},
-				Leaves: rapid.IntRange(0, 9).Draw(t, "leaves") == 0}
-			loan, _ := v.Ask(now, c)
-			if out, _ := v.Lent(now); out > l.slice()+slack || loan.Part > l.slice()+slack || !(loan.Part >= 0) {
-				t.Fatalf("%.4f is out, and %.4f was lent, of a slice of %.4f", out, loan.Part, l.slice())
+			c := Claim{From: BorrowerID{rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), 1}, Seq: seq,
+				Demand: rapid.Float64().Draw(t, "demand"), InForce: map[string]uint64{"n0": rapid.Uint64Range(0, seq-1).Draw(t, "acts")},
+				Leaving: rapid.IntRange(0, 9).Draw(t, "leaves") == 0}
+			loan, _ := v.HandleClaim(now, c)
+			if out, _ := v.Outstanding(now); out > l.slice()+slack || loan.Fraction > l.slice()+slack || !(loan.Fraction >= 0) {
+				t.Fatalf("%.4f is out, and %.4f was lent, of a slice of %.4f", out, loan.Fraction, l.slice())
 			}
 		}
 	})
@@ -467,17 +467,17 @@
 func TestBorrowerTakesSense(t *testing.T) {
 	l := limits
 	l.Members, l.Voters = 3, 3
-	b := NewBorrower(Life{"n0", 1}, []string{"n0", "n1", "n2"}, l)
+	b := NewBorrower(BorrowerID{"n0", 1}, []string{"n0", "n1", "n2"}, l)
 	b.Step(0, 10)
 	b.Step(l.Renew, 10)
-	for _, bad := range []Loan{{b.self, "x", 1, 0.1}, {b.self, "n1", 9, 0.1}, {b.self, "n1", 1, 0.9}, {b.self, "n1", 1, -0.1}, {b.self, "n1", 1, math.NaN()},
-		{Life{"n0", 0}, "n1", 1, 0.1}} {
-		if b.Take(bad); len(b.loans) > 0 {
+	for _, bad := range []Grant{{b.self, "x", 1, 0.1}, {b.self, "n1", 9, 0.1}, {b.self, "n1", 1, 0.9}, {b.self, "n1", 1, -0.1}, {b.self, "n1", 1, math.NaN()},
+		{BorrowerID{"n0", 0}, "n1", 1, 0.1}} {
+		if b.HandleGrant(bad); len(b.loans) > 0 {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
-	b.Take(Loan{b.self, "n1", 2, 0.1})
-	b.Take(Loan{b.self, "n1", 1, 0.2})
+	b.HandleGrant(Grant{b.self, "n1", 2, 0.1})
+	b.HandleGrant(Grant{b.self, "n1", 1, 0.2})
 	if got := b.loans["n1"].part; got != 0.1 {
 		t.Errorf("%v of the overtaken loan counts", got)
 	}
@@ -492,7 +492,7 @@
 			now := time.Hour
 			for i := range b.N {
 				seq := uint64(i/n + 1)
-				v.Ask(now, Claim{From: Life{fmt.Sprint("n", i%n), 1}, Seq: seq, Demand: 10, Acts: map[string]uint64{"n0": seq - 1}})
+				v.HandleClaim(now, Claim{From: BorrowerID{fmt.Sprint("n", i%n), 1}, Seq: seq, Demand: 10, InForce: map[string]uint64{"n0": seq - 1}})
 				now += l.Renew / time.Duration(n)
 			}
 		})
--- a/internal/fleet/shares.go
+++ b/internal/fleet/shares.go
@@ -14,35 +14,35 @@
 	// Floor is the part of each budget that is the configured members' for good, evenly; the voters lend the rest to those
 	// that are there, by their traffic. With 1 nothing is lent.
 	Floor float64 `json:"floor"`
-	// Probes is how often a second dispatchers may ask one replica for its load for themselves, all together.
-	Probes float64 `json:"probes_per_replica_s"`
-	// Repeats is how many steps of a request may be taken again after a failure, for each request, and Spare how many in
+	// PollsPerReplica is how often a second dispatchers may ask one replica for its load for themselves, all together.
+	PollsPerReplica float64 `json:"probes_per_replica_s"`
+	// RetriesPerRequest is how many steps of a request may be taken again after a failure, for each request, and Spare how many in
 	// a second besides, all together.
-	Repeats float64 `json:"repeats_per_request"`
-	Spare   float64 `json:"repeats_s"`
+	RetriesPerRequest float64 `json:"repeats_per_request"`
+	RetriesPerSecond  float64 `json:"repeats_s"`
 }
 
-// Shared is this process as one that acts by a part of the whole.
-type Shared interface {
+// QuotaUser is this process as one that acts by a part of the whole.
+type QuotaUser interface {
 	// Accepted is how many requests it has taken so far.
 	Accepted() int64
 	// SetQuotaShare acts by a part until left has passed, and then calls applied, once; false: it will not. It must not block.
 	SetQuotaShare(part float64, left time.Duration, applied func()) bool
 }
 
-// ShareStatus is what operators are shown of this member's part.
-type ShareStatus struct {
-	Self    string  `json:"self"`
-	Part    float64 `json:"part"` // of the whole, acted by now
-	Least   float64 `json:"least"`
-	Left    float64 `json:"left_s"`
-	Demand  float64 `json:"demand_s"`         // requests a second of late
-	Lends   bool    `json:"lends"`            // it is a voter,
-	Mute    bool    `json:"mute,omitempty"`   // that lends nothing yet
-	Lent    float64 `json:"lent,omitempty"`   // by it, of the whole
-	Asking  int     `json:"asking,omitempty"` // members that it lends to
-	Offers  int64   `json:"offers"`           // parts that came to be acted by
-	Dropped int64   `json:"dropped"`          // that the core had no room for
+// QuotaStatus is what operators are shown of this member's part.
+type QuotaStatus struct {
+	Self        string  `json:"self"`
+	Fraction    float64 `json:"part"` // of the whole, acted by now
+	MinFraction float64 `json:"least"`
+	RemainingS  float64 `json:"left_s"`
+	Demand      float64 `json:"demand_s"`         // requests a second of late
+	IsVoter     bool    `json:"lends"`            // it is a voter,
+	Recovering  bool    `json:"mute,omitempty"`   // that lends nothing yet
+	Outstanding float64 `json:"lent,omitempty"`   // by it, of the whole
+	Borrowers   int     `json:"asking,omitempty"` // members that it lends to
+	Shares      int64   `json:"offers"`           // parts that came to be acted by
+	Dropped     int64   `json:"dropped"`          // that the core had no room for
 }
 
 // limits are the times and parts by which a file's budgets are shared.
@@ -51,18 +51,18 @@
 		Members: len(c.Members), Voters: len(c.Voters)}
 }
 
-// LeastPart is what this process may do of each budget whatever it sees; 0: there are no budgets.
-func (c *Config) LeastPart() float64 {
+// MinFraction is what this process may do of each budget whatever it sees; 0: there are no budgets.
+func (c *Config) MinFraction() float64 {
 	if c.Budgets == nil {
 		return 0
 	}
-	return c.limits().Least()
+	return c.limits().MinFraction()
 }
 
 // shares claims this process's part of the budgets from the voters, and lends if it is one.
 type shares struct {
 	node    *Node
-	to      Shared
+	to      QuotaUser
 	limits  share.Limits
 	offers  atomic.Int64
 	dropped atomic.Int64
@@ -74,9 +74,9 @@
 	demand   float64
 }
 
-func newShares(n *Node, to Shared) *shares {
+func newShares(n *Node, to QuotaUser) *shares {
 	s := &shares{node: n, to: to, limits: n.cfg.limits()}
-	s.borrower = share.NewBorrower(share.Life{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, n.cfg.Voters, s.limits)
+	s.borrower = share.NewBorrower(share.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, n.cfg.Voters, s.limits)
 	if slices.Contains(n.cfg.Voters, n.self.Name) {
 		s.voter = share.NewVoter(n.self.Name, s.limits, n.now())
 	}
@@ -87,8 +87,8 @@
 func (s *shares) step(now time.Duration) {
 	taken := s.to.Accepted()
 	s.mu.Lock()
-	s.demand = s.traffic.See(now, taken)
-	o, offered := s.borrower.Offer(now)
+	s.demand = s.traffic.Observe(now, taken)
+	o, offered := s.borrower.NextShare(now)
 	c, claims := s.borrower.Step(now, s.demand)
 	s.mu.Unlock()
 	if offered {
@@ -108,31 +108,31 @@
 }
 
 // apply hands an offer on. Only once it is acted by may the voters count it.
-func (s *shares) apply(o share.Offer) {
+func (s *shares) apply(o share.Share) {
 	settle := func(f func(b *share.Borrower)) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		f(s.borrower)
 	}
 	if n := s.node.stragglers; n != nil && n.restricted.Load() {
-		o.Part = 0 // less than what was lent is safe at any time
+		o.Fraction = 0 // less than what was lent is safe at any time
 	}
-	if s.to.SetQuotaShare(o.Part, o.Until-s.node.now(), func() { settle(func(b *share.Borrower) { b.Applied(o) }) }) {
+	if s.to.SetQuotaShare(o.Fraction, o.Until-s.node.now(), func() { settle(func(b *share.Borrower) { b.Confirm(o) }) }) {
 		s.offers.Add(1)
 		return
 	}
 	s.dropped.Add(1)
-	settle((*share.Borrower).Dropped)
+	settle((*share.Borrower).Discard)
 }
 
 // lend answers a claim as a voter; false: with nothing.
-func (s *shares) lend(c share.Claim) (share.Loan, bool) {
+func (s *shares) lend(c share.Claim) (share.Grant, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.voter == nil {
-		return share.Loan{}, false
+		return share.Grant{}, false
 	}
-	return s.voter.Ask(s.node.now(), c)
+	return s.voter.HandleClaim(s.node.now(), c)
 }
 
 // answer answers another member's claim.
@@ -142,17 +142,17 @@
 	}
 }
 
-func (s *shares) take(l share.Loan) {
+func (s *shares) take(l share.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.borrower.Take(l)
+	s.borrower.HandleGrant(l)
 }
 
 // end gives back what was lent: this process goes. It waits for a moment for the core to act by no more than the least part,
 // and tells the voters; what is not told ends by itself.
 func (s *shares) end() {
 	s.mu.Lock()
-	s.borrower.Leave()
+	s.borrower.ReturnAll()
 	s.mu.Unlock()
 	for range 4 {
 		s.step(s.node.now())
@@ -164,32 +164,32 @@
 func (s *shares) part() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.borrower.Part(s.node.now())
+	return s.borrower.Fraction(s.node.now())
 }
 
-func (s *shares) status() ShareStatus {
+func (s *shares) status() QuotaStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.node.now()
-	out := ShareStatus{Self: s.node.self.Name, Part: s.borrower.Part(now), Least: s.limits.Least(), Demand: s.demand, Lends: s.voter != nil,
-		Left: max(s.borrower.Until()-now, 0).Seconds(), Offers: s.offers.Load(), Dropped: s.dropped.Load()}
+	out := QuotaStatus{Self: s.node.self.Name, Fraction: s.borrower.Fraction(now), MinFraction: s.limits.MinFraction(), Demand: s.demand, IsVoter: s.voter != nil,
+		RemainingS: max(s.borrower.Until()-now, 0).Seconds(), Shares: s.offers.Load(), Dropped: s.dropped.Load()}
 	if s.voter != nil {
-		out.Mute = s.voter.Mute(now)
-		out.Lent, out.Asking = s.voter.Lent(now)
+		out.Recovering = s.voter.Recovering(now)
+		out.Outstanding, out.Borrowers = s.voter.Outstanding(now)
 	}
 	return out
 }
 
-// Part is the part of the fleet's budgets that this process acts by now; false: there are none.
-func (n *Node) Part() (part float64, ok bool) {
+// QuotaFraction is the part of the fleet's budgets that this process acts by now; false: there are none.
+func (n *Node) QuotaFraction() (part float64, ok bool) {
 	if n.shares == nil {
 		return 0, false
 	}
 	return n.shares.part(), true
 }
 
-// Shares is this process's part, for operators; false: nothing is shared.
-func (n *Node) Shares() (s ShareStatus, ok bool) {
+// QuotaStatus is this process's part, for operators; false: nothing is shared.
+func (n *Node) QuotaStatus() (s QuotaStatus, ok bool) {
 	if n.shares == nil {
 		return s, false
 	}
--- a/internal/fleet/shares_test.go
+++ b/internal/fleet/shares_test.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.least = cfg.LeastPart()
-	n, err := Start(cfg, Self{Name: hostName(host), Version: "1", Seed: uint64(host), Shared: w,
+	w.least = cfg.MinFraction()
+	n, err := Start(cfg, Self{Name: hostName(host), Version: "1", Seed: uint64(host), Quota: w,
 		Facts: func() Facts { return Facts{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	})
 	all[1].full.Store(true)
 	testkit.Eventually(t, "one that cannot take its part to have the least", func() bool { load(1); return sum() < 1 && all[1].acts() == 0.05 })
-	if s, ok := nodes[1].Shares(); !ok || s.Dropped == 0 || !s.Lends {
+	if s, ok := nodes[1].QuotaStatus(); !ok || s.Dropped == 0 || !s.IsVoter {
 		t.Errorf("%+v", s)
 	}
 	all[1].full.Store(false)
@@ -105,11 +105,11 @@
 		load(1)
 		return sum() > 0.98 && all[3].acts() == 0.05 && all[0].acts() > 0.2
 	})
-	before := nodes[0].Bad()
-	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.Life{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
-	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.Life{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
-	if nodes[0].Bad() != before+2 {
-		t.Errorf("%d bad messages counted, want 2", nodes[0].Bad()-before)
+	before := nodes[0].Malformed()
+	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
+	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
+	if nodes[0].Malformed() != before+2 {
+		t.Errorf("%d bad messages counted, want 2", nodes[0].Malformed()-before)
 	}
 	nodes[0].Leave()
 	if got := all[0].acts(); got != 0.05 {
@@ -130,10 +130,10 @@
 		}
 	}
 	c, err := Parse([]byte(with(`"budgets":{"floor":1}`)), "n1")
-	if err != nil || c.LeastPart() != 1.0/3 {
+	if err != nil || c.MinFraction() != 1.0/3 {
 		t.Errorf("%v, %v", c, err)
 	}
-	if c, _ := Parse([]byte(with(`"voters":["n0"]`)), "n1"); c.LeastPart() != 0 {
+	if c, _ := Parse([]byte(with(`"voters":["n0"]`)), "n1"); c.MinFraction() != 0 {
 		t.Error("a part without budgets")
 	}
 }
@@ -141,18 +141,18 @@
 // Claims and loans survive the wire.
 func TestShareMessages(t *testing.T) {
 	voters := []string{"n0", "n1", "n2"}
-	c := share.Claim{From: share.Life{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345, Acts: map[string]uint64{"n0": 5, "n2": 6}, Leaves: true}
+	c := share.Claim{From: share.BorrowerID{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345, InForce: map[string]uint64{"n0": 5, "n2": 6}, Leaving: true}
 	p := encodeClaim(c, voters)
 	m, err := decodeMessage(p[1:], 0)
 	got := m.claim(voters)
-	if err != nil || p[0] != kindClaim || got.From != c.From || got.Seq != 7 || math.Abs(got.Demand-c.Demand) > 0.001 || !got.Leaves ||
-		len(got.Acts) != 2 || got.Acts["n0"] != 5 || got.Acts["n2"] != 6 {
+	if err != nil || p[0] != kindClaim || got.From != c.From || got.Seq != 7 || math.Abs(got.Demand-c.Demand) > 0.001 || !got.Leaving ||
+		len(got.InForce) != 2 || got.InForce["n0"] != 5 || got.InForce["n2"] != 6 {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if short := m.claim(voters[:1]); len(short.Acts) != 1 {
+	if short := m.claim(voters[:1]); len(short.InForce) != 1 {
 		t.Errorf("with fewer voters: %+v", short)
 	}
-	p = encodeLoan(share.Loan{To: c.From, Voter: "n1", Seq: 7, Part: 1.0 / 3})
+	p = encodeLoan(share.Grant{To: c.From, Voter: "n1", Seq: 7, Fraction: 1.0 / 3})
 	m, err = decodeMessage(p[1:], 0)
 	if err != nil || p[0] != kindLoan || m.from != "n1" || m.life != 1<<60 || m.part > 1.0/3 || m.part < 1.0/3-1e-9 {
 		t.Errorf("%+v, %v", m, err)
--- a/internal/fleet/straggler/golden_test.go
+++ b/internal/fleet/straggler/golden_test.go
@@ -7,7 +7,7 @@
 
 // Operators are shown these names, and read what is wrong with their file.
 func TestGoldenNames(t *testing.T) {
-	for step, want := range map[Step]string{Level: "level", Behind: "behind", Restricted: "restricted", Out: "shut out"} {
+	for step, want := range map[State]string{Current: "level", Lagging: "behind", Restricted: "restricted", Fenced: "shut out"} {
 		if got := step.String(); got != want {
 			t.Errorf("step %d is %q, want %q", step, got, want)
 		}
@@ -15,7 +15,7 @@
 }
 
 func TestGoldenLimitsError(t *testing.T) {
-	l := Limits{Settle: 2 * time.Second, Restrict: time.Second, Out: 90 * time.Second, Back: 1500 * time.Millisecond, Part: 0.125}
+	l := Limits{Settle: 2 * time.Second, RestrictAfter: time.Second, FenceAfter: 90 * time.Second, RecoverAfter: 1500 * time.Millisecond, MaxFencedFraction: 0.125}
 	want := "straggler: limits {Settle:2s Restrict:1s Out:1m30s Back:1.5s Part:0.125}: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5"
 	if err := l.Validate(); err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
