--- a/internal/fleet/straggler/straggler.go
+++ b/internal/fleet/straggler/straggler.go
@@ -14,81 +14,81 @@
 	"time"
 )
 
-// Step is what becomes of a member.
-type Step int
+// State is what becomes of a member.
+type State int
 
 // The steps, each after the one before.
 const (
-	Level      Step = iota
-	Behind          // it is to catch up
-	Restricted      // and does nothing for the others, and nothing that more than its own part bears
-	Out             // and takes no clients
+	Current    State = iota
+	Lagging          // it is to catch up
+	Restricted       // and does nothing for the others, and nothing that more than its own part bears
+	Fenced           // and takes no clients
 )
 
 var names = [...]string{"level", "behind", "restricted", "shut out"}
 
 // String is the step's name as operators see it.
-func (s Step) String() string { return names[s] }
+func (s State) String() string { return names[s] }
 
 // Limits say when.
 type Limits struct {
 	// Settle is for how long most members must have had a version until it counts: a change takes that long to reach all.
 	Settle time.Duration
-	// Restrict and Out are how long a member has been behind until then.
-	Restrict, Out time.Duration
-	// Back is for how long one that was restricted or shut out must have been level again.
-	Back time.Duration
-	// Part is the largest part of the fleet that is shut out at once; of a smaller fleet than 1/Part, nobody.
-	Part float64
+	// RestrictAfter and FenceAfter are how long a member has been behind until then.
+	RestrictAfter, FenceAfter time.Duration
+	// RecoverAfter is for how long one that was restricted or shut out must have been level again.
+	RecoverAfter time.Duration
+	// MaxFencedFraction is the largest part of the fleet that is shut out at once; of a smaller fleet than 1/MaxFencedFraction, nobody.
+	MaxFencedFraction float64
 }
 
-// Usual are the limits that members go by where the file says nothing else.
-var Usual = Limits{Settle: 1500 * time.Millisecond, Restrict: 3 * time.Second, Out: 10 * time.Second, Back: 2 * time.Second, Part: 0.25}
+// DefaultLimits are the limits that members go by where the file says nothing else.
+var DefaultLimits = Limits{Settle: 1500 * time.Millisecond, RestrictAfter: 3 * time.Second, FenceAfter: 10 * time.Second, RecoverAfter: 2 * time.Second, MaxFencedFraction: 0.25}
 
 // Validate tells whether limits can work.
 func (l Limits) Validate() error {
-	if l.Settle <= 0 || l.Restrict < l.Settle || l.Out < l.Restrict || l.Back <= 0 || !(l.Part > 0 && l.Part < 0.5) {
+	if l.Settle <= 0 || l.RestrictAfter < l.Settle || l.FenceAfter < l.RestrictAfter || l.RecoverAfter <= 0 || !(l.MaxFencedFraction > 0 && l.MaxFencedFraction < 0.5) {
 		// The names are what operators read, whatever the fields are called.
 		return fmt.Errorf("straggler: limits {Settle:%v Restrict:%v Out:%v Back:%v Part:%v}: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5",
-			l.Settle, l.Restrict, l.Out, l.Back, l.Part)
+			l.Settle, l.RestrictAfter, l.FenceAfter, l.RecoverAfter, l.MaxFencedFraction)
 	}
 	return nil
 }
 
-// Told is what a member tells of itself.
-type Told struct {
-	Name     string
-	List     uint64
-	Settings uint64
+// Report is what a member tells of itself.
+type Report struct {
+	Name           string
+	ListVersion    uint64
+	SettingsDigest uint64
 }
 
-// Status is how a member looks from here.
-type Status struct {
-	Told
-	Step   Step
-	Why    string        // list or settings; none if level
-	Since  time.Duration // of the step
-	Behind time.Duration // since when it has been behind; meaningless if level
+// MemberStatus is how a member looks from here.
+type MemberStatus struct {
+	Report
+	State        State
+	Reason       string        // list or settings; none if level
+	Since        time.Duration // of the step
+	LaggingSince time.Duration // since when it has been behind; meaningless if level
 }
 
-// Verdict is a look at the whole fleet.
-type Verdict struct {
+// Assessment is a look at the whole fleet.
+type Assessment struct {
 	List     uint64 // that most have had for Settle
 	Settings uint64 // that most have; 0: none is most members'
 	// Fault says why nobody new is shut out though some are behind for long; empty: it is not so.
 	Fault   string
-	Members map[string]Status
+	Members map[string]MemberStatus
 }
 
-// Judge looks at the fleet again and again. By itself it holds to what it last saw, so a member that falls silent is no
+// Detector looks at the fleet again and again. By itself it holds to what it last saw, so a member that falls silent is no
 // straggler: membership looks after those. It is not safe for use by several goroutines at once.
-type Judge struct {
+type Detector struct {
 	limits  Limits
 	members map[string]*member
 	lists   []had // versions that most have reached, oldest first
-	hands   map[string]Step
+	hands   map[string]State
 	frozen  bool
-	last    Verdict
+	last    Assessment
 }
 
 type had struct {
@@ -97,61 +97,61 @@
 }
 
 type member struct {
-	Status
+	MemberStatus
 	level time.Duration // since when, if it is
 }
 
 // New returns a Judge that knows nobody.
-func New(limits Limits) *Judge {
-	return &Judge{limits: limits, members: map[string]*member{}, hands: map[string]Step{}, last: Verdict{Members: map[string]Status{}}}
+func New(limits Limits) *Detector {
+	return &Detector{limits: limits, members: map[string]*member{}, hands: map[string]State{}, last: Assessment{Members: map[string]MemberStatus{}}}
 }
 
 // Freeze stops (or lets go on) every change of a step.
-func (j *Judge) Freeze(frozen bool) { j.frozen = frozen }
+func (j *Detector) Freeze(frozen bool) { j.frozen = frozen }
 
-// Hand sets a member's step by the operator's hand, Level or Out, until Free.
-func (j *Judge) Hand(name string, s Step) { j.hands[name] = s }
+// Override sets a member's step by the operator's hand, Level or Out, until Free.
+func (j *Detector) Override(name string, s State) { j.hands[name] = s }
 
-// Free gives a member back to the judgement.
-func (j *Judge) Free(name string) { delete(j.hands, name) }
+// ClearOverride gives a member back to the judgement.
+func (j *Detector) ClearOverride(name string) { delete(j.hands, name) }
 
-// Look judges the members that count now. They have to be seen freshly: the caller judges nothing while it sees nobody, or only
+// Assess judges the members that count now. They have to be seen freshly: the caller judges nothing while it sees nobody, or only
 // a part of the fleet; see Majority.
-func (j *Judge) Look(now time.Duration, told []Told) Verdict {
+func (j *Detector) Assess(now time.Duration, told []Report) Assessment {
 	if j.frozen || len(told) == 0 {
 		return j.last
 	}
-	v := Verdict{List: j.level(now, told), Settings: most(told), Members: map[string]Status{}}
+	v := Assessment{List: j.level(now, told), Settings: most(told), Members: map[string]MemberStatus{}}
 	seen := map[string]bool{}
 	for _, t := range told {
 		seen[t.Name] = true
 		m := j.members[t.Name]
 		if m == nil {
-			m = &member{Status: Status{Since: now}, level: now}
+			m = &member{MemberStatus: MemberStatus{Since: now}, level: now}
 			j.members[t.Name] = m
 		}
-		m.Told = t
+		m.Report = t
 		why := ""
 		switch {
-		case t.List < v.List:
+		case t.ListVersion < v.List:
 			why = "list"
-		case v.Settings != 0 && t.Settings != v.Settings:
+		case v.Settings != 0 && t.SettingsDigest != v.Settings:
 			why = "settings"
 		}
 		switch {
 		case why == "":
-			if m.Why != "" {
+			if m.Reason != "" {
 				m.level = now
 			}
-		case m.Why == "":
-			m.Behind = now
+		case m.Reason == "":
+			m.LaggingSince = now
 		}
-		m.Why = why
+		m.Reason = why
 	}
 	maps.DeleteFunc(j.members, func(name string, _ *member) bool { return !seen[name] })
 	j.steps(now, &v)
 	for name, m := range j.members {
-		v.Members[name] = m.Status
+		v.Members[name] = m.MemberStatus
 	}
 	j.last = v
 	return v
@@ -159,10 +159,10 @@
 
 // level is the newest list that most members have had for Settle. It goes back only with most members: after that nobody is behind
 // what discovery no longer tells.
-func (j *Judge) level(now time.Duration, told []Told) uint64 {
+func (j *Detector) level(now time.Duration, told []Report) uint64 {
 	lists := make([]uint64, len(told))
 	for i, t := range told {
-		lists[i] = t.List
+		lists[i] = t.ListVersion
 	}
 	slices.SortFunc(lists, func(a, b uint64) int { return cmp.Compare(b, a) })
 	reached := lists[len(lists)/2] // by more than half
@@ -183,30 +183,30 @@
 }
 
 // most is the settings that more than half of the members have; 0: none.
-func most(told []Told) uint64 {
+func most(told []Report) uint64 {
 	count := map[uint64]int{}
 	for _, t := range told {
-		if count[t.Settings]++; 2*count[t.Settings] > len(told) {
-			return t.Settings
+		if count[t.SettingsDigest]++; 2*count[t.SettingsDigest] > len(told) {
+			return t.SettingsDigest
 		}
 	}
 	return 0
 }
 
 // steps moves members on and back.
-func (j *Judge) steps(now time.Duration, v *Verdict) {
+func (j *Detector) steps(now time.Duration, v *Assessment) {
 	out, behind, long := 0, 0, []*member(nil)
 	for _, m := range j.members {
-		if m.Why != "" {
+		if m.Reason != "" {
 			behind++
 		}
-		if m.Step == Out {
+		if m.State == Fenced {
 			out++
 		}
 	}
-	set := func(m *member, s Step) {
-		if m.Step != s {
-			m.Step, m.Since = s, now
+	set := func(m *member, s State) {
+		if m.State != s {
+			m.State, m.Since = s, now
 		}
 	}
 	for name, m := range j.members {
@@ -214,19 +214,19 @@
 			set(m, s)
 			continue
 		}
-		late := now - m.Behind
+		late := now - m.LaggingSince
 		switch {
-		case m.Why == "" && m.Step <= Behind, m.Why == "" && now-m.level >= j.limits.Back:
-			set(m, Level)
-		case m.Why == "": // level, but not for long
-		case m.Step == Out:
-		case late >= j.limits.Out:
+		case m.Reason == "" && m.State <= Lagging, m.Reason == "" && now-m.level >= j.limits.RecoverAfter:
+			set(m, Current)
+		case m.Reason == "": // level, but not for long
+		case m.State == Fenced:
+		case late >= j.limits.FenceAfter:
 			set(m, Restricted)
 			long = append(long, m)
-		case late >= j.limits.Restrict:
-			set(m, max(m.Step, Restricted))
+		case late >= j.limits.RestrictAfter:
+			set(m, max(m.State, Restricted))
 		case late >= j.limits.Settle:
-			set(m, max(m.Step, Behind))
+			set(m, max(m.State, Lagging))
 		}
 	}
 	if v.Settings == 0 && len(j.members) > 1 {
@@ -235,14 +235,16 @@
 	if len(long) == 0 {
 		return
 	}
-	room := int(j.limits.Part*float64(len(j.members))) - out
+	room := int(j.limits.MaxFencedFraction*float64(len(j.members))) - out
 	if 2*behind >= len(j.members) {
 		room, v.Fault = 0, fmt.Sprintf("%d of %d are behind: the source is at fault", behind, len(j.members))
 	} else if room < len(long) {
-		v.Fault = fmt.Sprintf("%d more would be shut out, and no more than %.0f%% may be", len(long)-max(room, 0), 100*j.limits.Part)
+		v.Fault = fmt.Sprintf("%d more would be shut out, and no more than %.0f%% may be", len(long)-max(room, 0), 100*j.limits.MaxFencedFraction)
 	}
-	slices.SortFunc(long, func(a, b *member) int { return cmp.Or(cmp.Compare(a.Behind, b.Behind), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(long, func(a, b *member) int {
+		return cmp.Or(cmp.Compare(a.LaggingSince, b.LaggingSince), cmp.Compare(a.Name, b.Name))
+	})
 	for _, m := range long[:min(len(long), max(room, 0))] {
-		set(m, Out)
+		set(m, Fenced)
 	}
 }
--- a/internal/fleet/straggler/straggler_test.go
+++ b/internal/fleet/straggler/straggler_test.go
@@ -14,44 +14,44 @@
 
 // fleet is members that tell, by place.
 type fleet struct {
-	j    *Judge
+	j    *Detector
 	now  time.Duration
-	told []Told
+	told []Report
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{j: New(Usual)}
+	f := &fleet{j: New(DefaultLimits)}
 	for i := range n {
-		f.told = append(f.told, Told{Name: fmt.Sprint("n", i), List: 5, Settings: 7})
+		f.told = append(f.told, Report{Name: fmt.Sprint("n", i), ListVersion: 5, SettingsDigest: 7})
 	}
 	return f
 }
 
 // run goes on for so long, and returns the last verdict.
-func (f *fleet) run(d time.Duration) (v Verdict) {
+func (f *fleet) run(d time.Duration) (v Assessment) {
 	for end := f.now + d; f.now < end; {
 		f.now += 100 * time.Millisecond
-		v = f.j.Look(f.now, f.told)
+		v = f.j.Assess(f.now, f.told)
 	}
 	return v
 }
 
 func (f *fleet) lists(version uint64, at ...int) {
 	for _, i := range at {
-		f.told[i].List = version
+		f.told[i].ListVersion = version
 	}
 }
 
-func (v Verdict) steps() (s string) {
+func (v Assessment) steps() (s string) {
 	for i := range len(v.Members) {
-		s += string("lbro"[v.Members[fmt.Sprint("n", i)].Step])
+		s += string("lbro"[v.Members[fmt.Sprint("n", i)].State])
 	}
 	return s
 }
 
 func TestSteps(t *testing.T) {
 	f := newFleet(5)
-	want := func(when string, v Verdict, steps, fault string) {
+	want := func(when string, v Assessment, steps, fault string) {
 		t.Helper()
 		if v.steps() != steps || (fault == "") != (v.Fault == "") || !strings.Contains(v.Fault, fault) {
 			t.Errorf("%s: %s, %q", when, v.steps(), v.Fault)
@@ -81,10 +81,10 @@
 	want("the source goes back", f.run(20*second), "lllll", "")
 
 	f = newFleet(5)
-	f.told[2].Settings = 8
+	f.told[2].SettingsDigest = 8
 	want("settings", f.run(20*second), "lloll", "")
-	f.told[1].Settings = 8
-	f.told[4].Settings = 9
+	f.told[1].SettingsDigest = 8
+	f.told[4].SettingsDigest = 9
 	want("no settings are most members'", f.run(20*second), "lllll", "no settings")
 
 	f = newFleet(3)
@@ -99,10 +99,10 @@
 	f.j.Freeze(true)
 	want("frozen", f.run(20*second), "", "")
 	f.j.Freeze(false)
-	f.j.Hand("n1", Level)
-	f.j.Hand("n2", Out)
+	f.j.Override("n1", Current)
+	f.j.Override("n2", Fenced)
 	want("by hand", f.run(20*second), "lloll", "")
-	f.j.Free("n2")
+	f.j.ClearOverride("n2")
 	want("given back", f.run(5*second), "lllll", "")
 	f.told = f.told[:1]
 	want("one that is gone is forgotten", f.run(second), "l", "")
@@ -111,7 +111,7 @@
 // mutant spoils a judge.
 type mutant struct {
 	limits Limits
-	told   func([]Told) []Told
+	told   func([]Report) []Report
 }
 
 // simulate lets lists spread over members, some of which do not get them, one lies and some restart, and returns what was wrong.
@@ -119,15 +119,15 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	n := 3 + rng.IntN(12)
 	j := New(m.limits)
-	told := make([]Told, n)
+	told := make([]Report, n)
 	stuck, level := make([]bool, n), make([]time.Duration, n) // level: since when it has had all that it could
 	for i := range told {
-		told[i] = Told{fmt.Sprint("n", i), 1, 1}
+		told[i] = Report{fmt.Sprint("n", i), 1, 1}
 	}
 	version, now := uint64(1), time.Duration(0)
 	changed := now
 	liar := rng.IntN(n)
-	was := map[string]Status{}
+	was := map[string]MemberStatus{}
 	for step := range steps {
 		now += 100 * time.Millisecond
 		switch rng.IntN(60) {
@@ -139,35 +139,35 @@
 		}
 		for i := range told { // within a second
 			if !stuck[i] && i != liar && rng.IntN(4) == 0 {
-				told[i].List = version
+				told[i].ListVersion = version
 			}
-			if i != liar && told[i].List == version && level[i] == 0 {
+			if i != liar && told[i].ListVersion == version && level[i] == 0 {
 				level[i] = now
-			} else if told[i].List < version && now-changed > second {
+			} else if told[i].ListVersion < version && now-changed > second {
 				level[i] = 0
 			}
 		}
-		told[liar].List = version + 100
+		told[liar].ListVersion = version + 100
 		seen := told
 		if m.told != nil {
 			seen = m.told(told)
 		}
-		v := j.Look(now, seen)
+		v := j.Assess(now, seen)
 		out := 0
 		for i, t := range told {
 			s := v.Members[t.Name]
-			if s.Step == Out {
+			if s.State == Fenced {
 				out++
 			}
 			switch {
-			case s.Step > Level && !stuck[i] && i != liar && level[i] > 0 && now-level[i] > Usual.Back+2*second:
-				return fmt.Errorf("step %d: %s is %v and has been level since %v", step, t.Name, s.Step, level[i])
-			case s.Step == Out && was[t.Name].Step != Out && now-s.Behind < Usual.Out:
-				return fmt.Errorf("step %d: %s is shut out after %v", step, t.Name, now-s.Behind)
+			case s.State > Current && !stuck[i] && i != liar && level[i] > 0 && now-level[i] > DefaultLimits.RecoverAfter+2*second:
+				return fmt.Errorf("step %d: %s is %v and has been level since %v", step, t.Name, s.State, level[i])
+			case s.State == Fenced && was[t.Name].State != Fenced && now-s.LaggingSince < DefaultLimits.FenceAfter:
+				return fmt.Errorf("step %d: %s is shut out after %v", step, t.Name, now-s.LaggingSince)
 			}
 			was[t.Name] = s
 		}
-		if float64(out) > Usual.Part*float64(n) {
+		if float64(out) > DefaultLimits.MaxFencedFraction*float64(n) {
 			return fmt.Errorf("step %d: %d of %d are shut out", step, out, n)
 		}
 	}
@@ -177,27 +177,27 @@
 func TestPlay(t *testing.T) {
 	const seeds = 60
 	for seed := range uint64(seeds) {
-		if err := simulate(seed, 3000, mutant{limits: Usual}); err != nil {
+		if err := simulate(seed, 3000, mutant{limits: DefaultLimits}); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	all, hasty, sticky := Usual, Usual, Usual
-	all.Part = 1
-	hasty.Out, hasty.Restrict = 2*second, 2*second
-	sticky.Back = 30 * second
+	all, hasty, sticky := DefaultLimits, DefaultLimits, DefaultLimits
+	all.MaxFencedFraction = 1
+	hasty.FenceAfter, hasty.RestrictAfter = 2*second, 2*second
+	sticky.RecoverAfter = 30 * second
 	for name, m := range map[string]mutant{
 		"no limit on the part": {limits: all},
 		"shut out too early":   {limits: hasty},
 		"back too late":        {limits: sticky},
-		"by the newest voice": {limits: Usual, told: func(told []Told) (out []Told) {
-			newest := Told{}
+		"by the newest voice": {limits: DefaultLimits, told: func(told []Report) (out []Report) {
+			newest := Report{}
 			for _, t := range told {
-				if t.List > newest.List {
+				if t.ListVersion > newest.ListVersion {
 					newest = t
 				}
 			}
 			for i := range len(told) + 1 { // as if most had told it
-				out = append(out, Told{fmt.Sprint("x", i), newest.List, 1})
+				out = append(out, Report{fmt.Sprint("x", i), newest.ListVersion, 1})
 			}
 			return append(out, told...)
 		}},
--- a/internal/fleet/subset/golden_test.go
+++ b/internal/fleet/subset/golden_test.go
@@ -22,9 +22,9 @@
 	}{
 		{"even", list(12, 3), fleet(9, 3)},
 		{"uneven weights", uneven, fleet(7, 2)},
-		{"cells without writers", append(list(12, 4), Replica{Name: "lone", Zone: 1, Cell: 99, Reads: true, Weight: 1}), fleet(8, 4)},
+		{"cells without writers", append(list(12, 4), Replica{Name: "lone", Zone: 1, Cell: 99, CanPrefill: true, Weight: 1}), fleet(8, 4)},
 	} {
-		shares := Share(c.replicas, c.fleet, Limits{Readers: 8})
+		shares := Assign(c.replicas, c.fleet, Limits{MinPrefillReplicas: 8})
 		if shares == nil {
 			t.Fatalf("%s: nothing is shared", c.name)
 		}
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -19,12 +19,12 @@
 
 // Replica is one that the list says is there.
 type Replica struct {
-	Name   string
-	Zone   int
-	Cell   int
-	Reads  bool
-	Writes bool
-	Weight float64
+	Name       string
+	Zone       int
+	Cell       int
+	CanPrefill bool
+	CanDecode  bool
+	Weight     float64
 }
 
 // Dispatcher is a member that replicas are shared among.
@@ -35,20 +35,20 @@
 
 // Limits say how small a subset may be.
 type Limits struct {
-	// Readers is how many readers a subset has at the least; as many writers as belong to them come with them.
-	Readers int
+	// MinPrefillReplicas is how many readers a subset has at the least; as many writers as belong to them come with them.
+	MinPrefillReplicas int
 }
 
-// MinReaders is the least that Limits may ask for: fewer leave too little choice. maxReaders is past any list.
+// LeastPrefillReplicas is the least that Limits may ask for: fewer leave too little choice. maxReaders is past any list.
 const (
-	MinReaders = 4
-	maxReaders = 1 << 16
+	LeastPrefillReplicas = 4
+	maxReaders           = 1 << 16
 )
 
 // Validate reports what cannot work.
 func (l Limits) Validate() error {
-	if l.Readers < MinReaders || l.Readers > maxReaders {
-		return fmt.Errorf("subset: %d readers are not from %d to %d", l.Readers, MinReaders, maxReaders)
+	if l.MinPrefillReplicas < LeastPrefillReplicas || l.MinPrefillReplicas > maxReaders {
+		return fmt.Errorf("subset: %d readers are not from %d to %d", l.MinPrefillReplicas, LeastPrefillReplicas, maxReaders)
 	}
 	return nil
 }
@@ -64,8 +64,8 @@
 	nearlyAll = 0.75
 )
 
-// ErrNone says that the dispatcher is not one of those among whom replicas are shared.
-var ErrNone = errors.New("subset: the dispatcher is none of the fleet's")
+// ErrNotMember says that the dispatcher is not one of those among whom replicas are shared.
+var ErrNotMember = errors.New("subset: the dispatcher is none of the fleet's")
 
 // unit is what is given to a dispatcher as a whole.
 type unit struct {
@@ -106,8 +106,8 @@
 	return out
 }
 
-func reads(r Replica) bool  { return r.Reads }
-func writes(r Replica) bool { return r.Writes && !r.Reads }
+func reads(r Replica) bool  { return r.CanPrefill }
+func writes(r Replica) bool { return r.CanDecode && !r.CanPrefill }
 
 func count(g []Replica, of func(Replica) bool) (n int) {
 	for _, r := range g {
@@ -115,7 +115,7 @@
 			n++
 		}
 	}
-	if n == 0 && !slices.ContainsFunc(g, func(r Replica) bool { return !r.Writes }) {
+	if n == 0 && !slices.ContainsFunc(g, func(r Replica) bool { return !r.CanDecode }) {
 		return len(g) // all do both
 	}
 	return n
@@ -135,7 +135,7 @@
 		names[i], even[i] = fmt.Sprintf("%s/%d", name, i), 1
 		out[i] = unit{name: names[i], zone: zone}
 	}
-	for _, of := range []func(Replica) bool{reads, func(r Replica) bool { return !r.Reads }} {
+	for _, of := range []func(Replica) bool{reads, func(r Replica) bool { return !r.CanPrefill }} {
 		var some []Replica
 		var who []string
 		for _, r := range g {
@@ -152,7 +152,7 @@
 				u := &out[p]
 				u.members = append(u.members, some[i].Name)
 				u.weight += some[i].Weight
-				if some[i].Reads {
+				if some[i].CanPrefill {
 					u.readers++
 				}
 			}
@@ -161,18 +161,18 @@
 	return out
 }
 
-// Shares is who keeps to what; Of is the replicas of one dispatcher.
-type Shares struct {
+// Assignment is who keeps to what; Of is the replicas of one dispatcher.
+type Assignment struct {
 	units       []unit
 	dispatchers []Dispatcher
 	given       [][]int // by dispatcher
 	wanted      int     // units of each
 }
 
-// Share shares the replicas among the dispatchers. A nil result says that each keeps to all: there are too few replicas, or
+// Assign shares the replicas among the dispatchers. A nil result says that each keeps to all: there are too few replicas, or
 // too few dispatchers, for less.
-func Share(replicas []Replica, dispatchers []Dispatcher, l Limits) *Shares {
-	s := &Shares{units: units(replicas), dispatchers: slices.SortedFunc(slices.Values(dispatchers), func(a, b Dispatcher) int { return cmp.Compare(a.Name, b.Name) })}
+func Assign(replicas []Replica, dispatchers []Dispatcher, l Limits) *Assignment {
+	s := &Assignment{units: units(replicas), dispatchers: slices.SortedFunc(slices.Values(dispatchers), func(a, b Dispatcher) int { return cmp.Compare(a.Name, b.Name) })}
 	if len(s.units) < 2 || len(dispatchers) == 0 {
 		return nil
 	}
@@ -184,7 +184,7 @@
 	// By the middle unit: with the mean one replica more or less could change every dispatcher's number.
 	middle := readers[len(readers)/2]
 	n := float64(len(s.units))
-	s.wanted = int(math.Ceil(max(float64(l.Readers)/float64(middle), spare*n/float64(len(dispatchers)))))
+	s.wanted = int(math.Ceil(max(float64(l.MinPrefillReplicas)/float64(middle), spare*n/float64(len(dispatchers)))))
 	if float64(s.wanted) > nearlyAll*n {
 		return nil
 	}
@@ -194,7 +194,7 @@
 }
 
 // share matches dispatchers and units: in each zone its own, and over all zones those of others.
-func (s *Shares) share() {
+func (s *Assignment) share() {
 	byZone := map[int][]int{}
 	for d, m := range s.dispatchers {
 		byZone[m.Zone] = append(byZone[m.Zone], d)
@@ -237,7 +237,7 @@
 }
 
 // deal gives each of some dispatchers so many of some units.
-func (s *Shares) deal(who, what []int, each int, allowed func(d, u int) bool) {
+func (s *Assignment) deal(who, what []int, each int, allowed func(d, u int) bool) {
 	names, weights := make([]string, len(what)), make([]float64, len(what))
 	for i, u := range what {
 		names[i], weights[i] = s.units[u].name, s.units[u].weight
@@ -264,10 +264,10 @@
 
 // Of is the names of the replicas that a dispatcher keeps to, whose part of all traffic is given. One with more than its even
 // part has more units, by its scores; that others do not know, so it is not evened out.
-func (s *Shares) Of(name string, part float64) ([]string, error) {
+func (s *Assignment) Of(name string, part float64) ([]string, error) {
 	d, ok := slices.BinarySearchFunc(s.dispatchers, name, func(m Dispatcher, name string) int { return cmp.Compare(m.Name, name) })
 	if !ok {
-		return nil, ErrNone
+		return nil, ErrNotMember
 	}
 	held := slices.Clone(s.given[d])
 	if need := int(math.Ceil(spare * min(part, 1) * float64(len(s.units)))); need > len(held) {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -19,8 +19,8 @@
 func list(cells, zones int) (out []Replica) {
 	for c := range cells {
 		for i := range 5 {
-			out = append(out, Replica{Name: fmt.Sprintf("r%d-%d", c, i), Zone: c % zones, Cell: c, Reads: true, Weight: 1},
-				Replica{Name: fmt.Sprintf("w%d-%d", c, i), Zone: c % zones, Cell: c, Writes: true, Weight: 1})
+			out = append(out, Replica{Name: fmt.Sprintf("r%d-%d", c, i), Zone: c % zones, Cell: c, CanPrefill: true, Weight: 1},
+				Replica{Name: fmt.Sprintf("w%d-%d", c, i), Zone: c % zones, Cell: c, CanDecode: true, Weight: 1})
 		}
 	}
 	return out
@@ -34,7 +34,7 @@
 }
 
 // edges are all pairs of a dispatcher and a replica that it keeps to.
-func edges(t testing.TB, s *Shares) map[[2]string]bool {
+func edges(t testing.TB, s *Assignment) map[[2]string]bool {
 	out := map[[2]string]bool{}
 	for _, d := range s.dispatchers {
 		held, err := s.Of(d.Name, 0)
@@ -127,14 +127,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct{ n, cells, readers int }{{30, 20, 20}, {300, 20, 12}, {100, 100, 20}, {7, 100, 20}} {
 		replicas, members := list(c.cells, 1), fleet(c.n, 1)
-		s := Share(replicas, members, Limits{Readers: c.readers})
+		s := Assign(replicas, members, Limits{MinPrefillReplicas: c.readers})
 		if s == nil {
 			t.Fatalf("%+v: none", c)
 		}
 		e := edges(t, s)
 		rng.Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
 		rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		if n := changed(e, edges(t, Share(replicas, members, Limits{Readers: c.readers}))); n != 0 {
+		if n := changed(e, edges(t, Assign(replicas, members, Limits{MinPrefillReplicas: c.readers}))); n != 0 {
 			t.Errorf("%+v: %d pairs hang on the order", c, n)
 		}
 		low, high := math.MaxInt, 0
@@ -170,7 +170,7 @@
 // Most of a subset is of the dispatcher's zone, some is not, and each zone's replicas are evened out.
 func TestZones(t *testing.T) {
 	replicas, members := list(60, 3), fleet(90, 3)
-	s := Share(replicas, members, Limits{Readers: 40})
+	s := Assign(replicas, members, Limits{MinPrefillReplicas: 40})
 	zoneOf := map[string]int{}
 	for _, r := range replicas {
 		zoneOf[r.Name] = r.Zone
@@ -201,7 +201,7 @@
 			replicas[i].Name = "new-" + replicas[i].Name
 		}
 	}
-	after, moved := edges(t, Share(replicas, members, Limits{Readers: 40})), 0
+	after, moved := edges(t, Assign(replicas, members, Limits{MinPrefillReplicas: 40})), 0
 	for e := range before {
 		if zoneOf[e[1]] != 1 && !after[e] {
 			moved++
@@ -220,7 +220,7 @@
 		replicas[i].Weight = []float64{0.1, 1, 1, 10}[replicas[i].Cell%4]
 		weight[replicas[i].Name] = replicas[i].Weight
 	}
-	n := counts(edges(t, Share(replicas, fleet(200, 1), Limits{Readers: 20})))
+	n := counts(edges(t, Assign(replicas, fleet(200, 1), Limits{MinPrefillReplicas: 20})))
 	mean := map[float64]float64{}
 	for r, w := range weight {
 		mean[w] += float64(n[r]) / (float64(len(replicas)) / map[float64]float64{0.1: 4, 1: 2, 10: 4}[w])
@@ -236,7 +236,7 @@
 // One with eight times the mean traffic has enough for it; one that is not of the fleet has none.
 func TestHot(t *testing.T) {
 	replicas := list(100, 1)
-	s := Share(replicas, fleet(100, 1), Limits{Readers: 20})
+	s := Assign(replicas, fleet(100, 1), Limits{MinPrefillReplicas: 20})
 	usual, _ := s.Of("n7", 0.01)
 	hot, _ := s.Of("n7", 0.08)
 	if float64(len(hot)) < spare*0.08*float64(len(replicas)) || len(usual) >= len(hot) {
@@ -247,27 +247,27 @@
 			t.Fatalf("the larger subset lacks %s", r)
 		}
 	}
-	if _, err := s.Of("stranger", 0.01); err != ErrNone {
+	if _, err := s.Of("stranger", 0.01); err != ErrNotMember {
 		t.Errorf("a stranger: %v", err)
 	}
 }
 
 // Few replicas, few dispatchers, or a list without readers or writers: each keeps to all.
 func TestTooFew(t *testing.T) {
-	for name, s := range map[string]*Shares{
-		"few replicas":    Share(list(3, 1), fleet(100, 1), Limits{Readers: 12}),
-		"few dispatchers": Share(list(50, 1), fleet(1, 1), Limits{Readers: 12}),
-		"no dispatcher":   Share(list(50, 1), nil, Limits{Readers: 12}),
-		"no replica":      Share(nil, fleet(9, 1), Limits{Readers: 12}),
-		"no writer":       Share(slices.DeleteFunc(list(50, 1), func(r Replica) bool { return r.Writes }), fleet(9, 1), Limits{Readers: 12}),
+	for name, s := range map[string]*Assignment{
+		"few replicas":    Assign(list(3, 1), fleet(100, 1), Limits{MinPrefillReplicas: 12}),
+		"few dispatchers": Assign(list(50, 1), fleet(1, 1), Limits{MinPrefillReplicas: 12}),
+		"no dispatcher":   Assign(list(50, 1), nil, Limits{MinPrefillReplicas: 12}),
+		"no replica":      Assign(nil, fleet(9, 1), Limits{MinPrefillReplicas: 12}),
+		"no writer":       Assign(slices.DeleteFunc(list(50, 1), func(r Replica) bool { return r.CanDecode }), fleet(9, 1), Limits{MinPrefillReplicas: 12}),
 	} {
 		if s != nil {
 			t.Errorf("%s: a subset", name)
 		}
 	}
 	// One cell that lacks writers: its zone's are shared.
-	lame := slices.DeleteFunc(list(60, 3), func(r Replica) bool { return r.Cell == 4 && r.Writes })
-	if s := Share(lame, fleet(60, 3), Limits{Readers: 20}); s == nil {
+	lame := slices.DeleteFunc(list(60, 3), func(r Replica) bool { return r.Cell == 4 && r.CanDecode })
+	if s := Assign(lame, fleet(60, 3), Limits{MinPrefillReplicas: 20}); s == nil {
 		t.Error("no subset where one cell lacks writers")
 	}
 	// A large cell is shared in parts.
@@ -275,7 +275,7 @@
 	for i := range one {
 		one[i].Cell = 0
 	}
-	if s := Share(one, fleet(60, 1), Limits{Readers: 20}); s == nil || len(s.units) != 32 {
+	if s := Assign(one, fleet(60, 1), Limits{MinPrefillReplicas: 20}); s == nil || len(s.units) != 32 {
 		t.Errorf("%+v of one large cell", s)
 	}
 }
@@ -283,18 +283,18 @@
 // A replica, a unit or a dispatcher more or less moves few others. A list that is a version behind gives nearly the same.
 func TestMovement(t *testing.T) {
 	replicas, members := list(100, 1), fleet(300, 1)
-	before := edges(t, Share(replicas, members, Limits{Readers: 30}))
+	before := edges(t, Assign(replicas, members, Limits{MinPrefillReplicas: 30}))
 	per := float64(len(before)) / float64(len(replicas))
-	one := changed(before, edges(t, Share(replicas[1:], members, Limits{Readers: 30})))
+	one := changed(before, edges(t, Assign(replicas[1:], members, Limits{MinPrefillReplicas: 30})))
 	// It takes its own pairs with it, and its cell, which weighs a tenth less, is given to fewer.
 	if least := per + 2*per/10*10; float64(one) > 4*least {
 		t.Errorf("one replica less changes %d pairs, %.0f are its own", one, per)
 	}
-	cell := changed(before, edges(t, Share(replicas[10:], members, Limits{Readers: 30})))
+	cell := changed(before, edges(t, Assign(replicas[10:], members, Limits{MinPrefillReplicas: 30})))
 	if least := 2 * 10 * per; float64(cell) > 4*least {
 		t.Errorf("a cell less changes %d pairs, %.0f at the least", cell, least)
 	}
-	dispatcher := changed(before, edges(t, Share(replicas, members[1:], Limits{Readers: 30})))
+	dispatcher := changed(before, edges(t, Assign(replicas, members[1:], Limits{MinPrefillReplicas: 30})))
 	if least := float64(len(before)) / 300; float64(dispatcher) > 12*least {
 		t.Errorf("a dispatcher less changes %d pairs, %.0f at the least", dispatcher, least)
 	}
@@ -382,7 +382,7 @@
 // What a session that comes back to any dispatcher finds kept, against one that keeps to its own: the part of pairs of
 // dispatchers whose subsets have a reader in common, by readers.
 func TestKeptTexts(t *testing.T) {
-	s := Share(list(100, 1), fleet(100, 1), Limits{Readers: 100})
+	s := Assign(list(100, 1), fleet(100, 1), Limits{MinPrefillReplicas: 100})
 	common, all := 0.0, 0.0
 	for a := range 20 {
 		for b := range 20 {
@@ -405,12 +405,12 @@
 }
 
 func TestLimits(t *testing.T) {
-	for _, bad := range []int{-1, 0, MinReaders - 1, maxReaders + 1} {
-		if (Limits{Readers: bad}).Validate() == nil {
+	for _, bad := range []int{-1, 0, LeastPrefillReplicas - 1, maxReaders + 1} {
+		if (Limits{MinPrefillReplicas: bad}).Validate() == nil {
 			t.Errorf("%d passes", bad)
 		}
 	}
-	if err := (Limits{Readers: 12}).Validate(); err != nil {
+	if err := (Limits{MinPrefillReplicas: 12}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -421,7 +421,7 @@
 			replicas, members := list(c[1], 1), fleet(c[0], 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				if s := Share(replicas, members, Limits{Readers: 12}); s != nil {
+				if s := Assign(replicas, members, Limits{MinPrefillReplicas: 12}); s != nil {
 					s.Of("n0", 0)
 				}
 			}
--- a/internal/fleet/subsetter/subsetter.go
+++ b/internal/fleet/subsetter/subsetter.go
@@ -25,21 +25,21 @@
 	shift = 0.25
 )
 
-// Fleet is who is there, as this process sees it.
-type Fleet struct {
-	View view.View
-	Now  time.Duration // by the view's clock
-	Part float64       // of all traffic that is this process's; 0: an even one
-	Ok   bool          // the view may be acted on
+// FleetView is who is there, as this process sees it.
+type FleetView struct {
+	View            view.View
+	Now             time.Duration // by the view's clock
+	TrafficFraction float64       // of all traffic that is this process's; 0: an even one
+	Usable          bool          // the view may be acted on
 }
 
-// Keeper keeps one dispatcher to its subset.
-type Keeper struct {
+// Controller keeps one dispatcher to its subset.
+type Controller struct {
 	limits subset.Limits
 	self   string
 	zone   func(name string) int
 	roles  []decide.Role // by kind
-	fleet  func() Fleet
+	fleet  func() FleetView
 	to     func(names []string) bool // must not block; false: it had no room
 
 	mu       sync.Mutex
@@ -52,22 +52,22 @@
 
 // Status is what operators are shown.
 type Status struct {
-	Self    string   `json:"self"`
-	Kept    []string `json:"kept"`    // none: all
-	Of      int      `json:"of"`      // replicas on the list
-	Members int      `json:"members"` // that they are shared among
-	Times   int      `json:"times"`   // that a subset was handed to the core
-	TookMS  float64  `json:"took_ms"` // to work the last one out
+	Self      string   `json:"self"`
+	Subset    []string `json:"kept"`    // none: all
+	Endpoints int      `json:"of"`      // replicas on the list
+	Members   int      `json:"members"` // that they are shared among
+	Updates   int      `json:"times"`   // that a subset was handed to the core
+	TookMS    float64  `json:"took_ms"` // to work the last one out
 }
 
 // New returns a Keeper that Run must drive. zone numbers the settings' zones, and roles are theirs; to takes the names, none for all.
-func New(limits subset.Limits, self string, zone func(name string) int, roles []decide.Role, fleet func() Fleet, to func([]string) bool) *Keeper {
-	return &Keeper{limits: limits, self: self, zone: zone, roles: roles, fleet: fleet, to: to, replicas: map[string]subset.Replica{},
+func New(limits subset.Limits, self string, zone func(name string) int, roles []decide.Role, fleet func() FleetView, to func([]string) bool) *Controller {
+	return &Controller{limits: limits, self: self, zone: zone, roles: roles, fleet: fleet, to: to, replicas: map[string]subset.Replica{},
 		status: Status{Self: self}}
 }
 
-// Roster takes discovery's list, or changes to it, as the core does.
-func (k *Keeper) Roster(full bool, entries []core.Endpoint) {
+// UpdateEndpoints takes discovery's list, or changes to it, as the core does.
+func (k *Controller) UpdateEndpoints(full bool, entries []core.Endpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if full {
@@ -82,13 +82,13 @@
 		if !(weight > 0) {
 			weight = 1 // as the module takes it
 		}
-		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, Reads: role != decide.Decode, Writes: role != decide.Prefill, Weight: weight}
+		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, CanPrefill: role != decide.Decode, CanDecode: role != decide.Prefill, Weight: weight}
 	}
 	k.changed = true
 }
 
 // Run looks again and again until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -102,10 +102,10 @@
 }
 
 // among are the members that replicas are shared among: those that count, and those that are gone for a moment only.
-func (k *Keeper) among(f Fleet) (out []subset.Dispatcher) {
+func (k *Controller) among(f FleetView) (out []subset.Dispatcher) {
 	for _, m := range f.View.Members {
 		gone := m.State == view.Unreachable || m.State == view.Left
-		if m.Counts() || gone && f.Now-m.Since < hold {
+		if m.Active() || gone && f.Now-m.Since < hold {
 			out = append(out, subset.Dispatcher{Name: m.Name, Zone: k.zone(m.Zone)})
 		}
 	}
@@ -114,14 +114,14 @@
 
 // look hands the core a new subset where the list, the members or this one's part have changed. On a view that may not be acted
 // on it leaves all as it is.
-func (k *Keeper) look() {
+func (k *Controller) look() {
 	f := k.fleet()
-	if !f.Ok {
+	if !f.Usable {
 		return
 	}
 	members := k.among(f)
 	k.mu.Lock()
-	same := !k.changed && slices.Equal(members, k.members) && f.Part >= k.part*(1-shift) && f.Part <= k.part*(1+shift)
+	same := !k.changed && slices.Equal(members, k.members) && f.TrafficFraction >= k.part*(1-shift) && f.TrafficFraction <= k.part*(1+shift)
 	if same {
 		k.mu.Unlock()
 		return
@@ -134,9 +134,9 @@
 	k.mu.Unlock()
 	from := time.Now()
 	var kept []string
-	if s := subset.Share(replicas, members, k.limits); s != nil {
+	if s := subset.Assign(replicas, members, k.limits); s != nil {
 		var err error
-		if kept, err = s.Of(k.self, f.Part); err != nil {
+		if kept, err = s.Of(k.self, f.TrafficFraction); err != nil {
 			slog.Debug("subset", "err", err) // this process does not serve yet, or goes
 		}
 	}
@@ -148,12 +148,12 @@
 		k.changed = true
 		return
 	}
-	k.members, k.part = members, f.Part
-	k.status = Status{Self: k.self, Kept: kept, Of: len(replicas), Members: len(members), Times: k.status.Times + 1, TookMS: float64(took) / float64(time.Millisecond)}
+	k.members, k.part = members, f.TrafficFraction
+	k.status = Status{Self: k.self, Subset: kept, Endpoints: len(replicas), Members: len(members), Updates: k.status.Updates + 1, TookMS: float64(took) / float64(time.Millisecond)}
 }
 
 // Status is what the core was last kept to.
-func (k *Keeper) Status() Status {
+func (k *Controller) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.status
--- a/internal/fleet/subsetter/subsetter_test.go
+++ b/internal/fleet/subsetter/subsetter_test.go
@@ -14,14 +14,14 @@
 
 // stand is a fleet and a core that a test sets.
 type stand struct {
-	fleet Fleet
+	fleet FleetView
 	got   [][]string
 	full  bool
 }
 
-func (s *stand) keeper() *Keeper {
-	return New(subset.Limits{Readers: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []decide.Role{decide.Prefill, decide.Decode},
-		func() Fleet { return s.fleet }, func(names []string) bool {
+func (s *stand) keeper() *Controller {
+	return New(subset.Limits{MinPrefillReplicas: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []decide.Role{decide.Prefill, decide.Decode},
+		func() FleetView { return s.fleet }, func(names []string) bool {
 			if !s.full {
 				s.got = append(s.got, names)
 			}
@@ -31,7 +31,7 @@
 
 func members(n int) (out []view.Member) {
 	for i := range n {
-		out = append(out, view.Member{Info: view.Info{Name: fmt.Sprint("n", i), Zone: []string{"wien", "linz"}[i%2]}, State: view.Alive})
+		out = append(out, view.Member{MemberInfo: view.MemberInfo{Name: fmt.Sprint("n", i), Zone: []string{"wien", "linz"}[i%2]}, State: view.Alive})
 	}
 	return out
 }
@@ -48,9 +48,9 @@
 // A new subset comes with a change of the list, of the members or of the own part, and only with one; nothing is done on a view
 // that may not be acted on, and what the core had no room for comes again.
 func TestKeeper(t *testing.T) {
-	s := &stand{fleet: Fleet{View: view.View{Members: members(40)}, Now: time.Hour, Part: 0.025}}
+	s := &stand{fleet: FleetView{View: view.View{Members: members(40)}, Now: time.Hour, TrafficFraction: 0.025}}
 	k := s.keeper()
-	k.Roster(true, listings(40))
+	k.UpdateEndpoints(true, listings(40))
 	expect := func(what string, times int) []string {
 		t.Helper()
 		k.look()
@@ -63,19 +63,19 @@
 		return s.got[times-1]
 	}
 	expect("an old view", 0)
-	s.fleet.Ok = true
+	s.fleet.Usable = true
 	first := expect("the first look", 1)
-	if len(first) < 20 || len(first) > 60 || k.Status().Of != 400 || k.Status().Members != 40 {
+	if len(first) < 20 || len(first) > 60 || k.Status().Endpoints != 400 || k.Status().Members != 40 {
 		t.Errorf("kept to %d: %+v", len(first), k.Status())
 	}
 	expect("no change", 1)
-	s.fleet.Part = 0.027
+	s.fleet.TrafficFraction = 0.027
 	expect("a part that is nearly the same", 1)
-	s.fleet.Part = 0.2
+	s.fleet.TrafficFraction = 0.2
 	if hot := expect("a part that has grown", 2); len(hot) < 2*len(first) {
 		t.Errorf("at 8 times the traffic it keeps to %d of %d", len(hot), len(first))
 	}
-	s.fleet.Part = 0.025
+	s.fleet.TrafficFraction = 0.025
 	expect("a part that is as before", 3)
 	// One that is gone keeps its place for a while.
 	s.fleet.View.Members = members(40)
@@ -86,13 +86,13 @@
 		t.Errorf("%+v", k.Status())
 	}
 	s.full = true
-	k.Roster(false, []core.Endpoint{{Name: first[0], State: decide.Gone}, {Name: "odd", Kind: 9, State: decide.Ready}})
+	k.UpdateEndpoints(false, []core.Endpoint{{Name: first[0], State: decide.Gone}, {Name: "odd", Kind: 9, State: decide.Ready}})
 	expect("a core without room", 4)
 	s.full = false
-	if without := expect("the core with room again", 5); slices.Contains(without, first[0]) || k.Status().Of != 399 {
+	if without := expect("the core with room again", 5); slices.Contains(without, first[0]) || k.Status().Endpoints != 399 {
 		t.Errorf("still kept to %s: %+v", first[0], k.Status())
 	}
-	k.Roster(true, listings(2))
+	k.UpdateEndpoints(true, listings(2))
 	if few := expect("few replicas", 6); few != nil {
 		t.Errorf("kept to %v of 20", few)
 	}
--- a/internal/fleet/tasks/golden_test.go
+++ b/internal/fleet/tasks/golden_test.go
@@ -16,7 +16,7 @@
 // goldenProber notes the header by which a replica is asked, and gives one report.
 type goldenProber struct{ duty string }
 
-func (p *goldenProber) ProbeFor(duty string, _ core.Target, _ time.Duration, told func(*decide.LoadReport)) {
+func (p *goldenProber) PollLoadFor(duty string, _ core.Target, _ time.Duration, told func(*decide.LoadReport)) {
 	p.duty = duty
 	told(&decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75})
 }
@@ -33,20 +33,20 @@
 	prober := &goldenProber{}
 	var heard []core.PeerLoad
 	tasks := New(prober, goldenList{}, func(h []core.PeerLoad) bool { heard = h; return true }, time.Now)
-	tasks.Roster(true, []core.Endpoint{{Name: "s-1", State: decide.Ready}})
-	if got := tasks.Duties(); !slices.Equal(got, []string{"list", "probe/s-1"}) {
+	tasks.UpdateEndpoints(true, []core.Endpoint{{Name: "s-1", State: decide.Ready}})
+	if got := tasks.Names(); !slices.Equal(got, []string{"list", "probe/s-1"}) {
 		t.Fatalf("duties %v", got)
 	}
 	found := make(chan []byte, 1)
-	tasks.Do("probe/s-1", 77, func(b []byte) { found <- b })
+	tasks.Run("probe/s-1", 77, func(b []byte) { found <- b })
 	load := golden.Bytes(t, "load.hex", <-found)
 	if prober.duty != "probe/s-1 77" {
 		t.Errorf("the header is %q", prober.duty)
 	}
-	tasks.Do("list", 78, func(b []byte) { found <- b })
+	tasks.Run("list", 78, func(b []byte) { found <- b })
 	golden.Bytes(t, "list.hex", <-found)
 	none := golden.Bytes(t, "load-none.hex", encodeLoad(nil))
-	tasks.Told([]fleet.Found{{Duty: "probe/s-1", Data: load, Age: time.Second}, {Duty: "probe/s-2", Data: none, Age: 2 * time.Second}})
+	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/s-1", Data: load, Age: time.Second}, {Task: "probe/s-2", Data: none, Age: 2 * time.Second}})
 	want := []core.PeerLoad{{Name: "s-1", Load: &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
 	if !reflect.DeepEqual(heard, want) || tasks.Bad() != 0 {
 		t.Errorf("heard %+v, %d bad", heard, tasks.Bad())
--- a/internal/fleet/tasks/tasks.go
+++ b/internal/fleet/tasks/tasks.go
@@ -29,13 +29,13 @@
 	behindFor = 1500 * time.Millisecond
 )
 
-// Prober asks replicas for their load.
-type Prober interface {
-	ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport))
+// LoadPoller asks replicas for their load.
+type LoadPoller interface {
+	PollLoadFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport))
 }
 
-// Lists is this dispatcher's own way to discovery's list.
-type Lists interface {
+// EndpointLists is this dispatcher's own way to discovery's list.
+type EndpointLists interface {
 	Version() uint64
 	Peek(ctx context.Context) (version uint64, err error)
 	Refresh()
@@ -43,8 +43,8 @@
 
 // Tasks implements fleet.Work.
 type Tasks struct {
-	prober  Prober
-	lists   Lists
+	prober  LoadPoller
+	lists   EndpointLists
 	heard   func([]core.PeerLoad) bool
 	now     func() time.Time
 	dropped atomic.Int64 // news that the core had no room for
@@ -57,21 +57,21 @@
 }
 
 // New returns the tasks; heard takes news for the core and must not block. Without a prober replicas are not asked.
-func New(prober Prober, lists Lists, heard func([]core.PeerLoad) bool, now func() time.Time) *Tasks {
+func New(prober LoadPoller, lists EndpointLists, heard func([]core.PeerLoad) bool, now func() time.Time) *Tasks {
 	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]core.Target{}}
 }
 
 // Bad returns how many results could not be decoded.
 func (t *Tasks) Bad() int64 { return t.bad.Load() }
 
-// Renewed returns how many times the endpoint list was requested again.
-func (t *Tasks) Renewed() int64 { return t.renewed.Load() }
+// Refreshed returns how many times the endpoint list was requested again.
+func (t *Tasks) Refreshed() int64 { return t.renewed.Load() }
 
 // Dropped returns how many load reports the core's queue had no capacity for.
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
-// Roster takes discovery's list, or changes to it, as the core does.
-func (t *Tasks) Roster(full bool, entries []core.Endpoint) {
+// UpdateEndpoints takes discovery's list, or changes to it, as the core does.
+func (t *Tasks) UpdateEndpoints(full bool, entries []core.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Duties implements fleet.Work.
-func (t *Tasks) Duties() []string {
+// Names implements fleet.Work.
+func (t *Tasks) Names() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []string{list}
@@ -99,16 +99,16 @@
 	return out
 }
 
-// Every implements fleet.Work.
-func (t *Tasks) Every(duty string) time.Duration {
+// Interval implements fleet.Work.
+func (t *Tasks) Interval(duty string) time.Duration {
 	if duty == list {
 		return listEvery
 	}
 	return probeEvery
 }
 
-// Do implements fleet.Work.
-func (t *Tasks) Do(duty string, number uint64, done func([]byte)) {
+// Run implements fleet.Work.
+func (t *Tasks) Run(duty string, number uint64, done func([]byte)) {
 	if duty == list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), listWait)
@@ -131,7 +131,7 @@
 		done(nil)
 		return
 	}
-	t.prober.ProbeFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *decide.LoadReport) { done(encodeLoad(l)) })
+	t.prober.PollLoadFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *decide.LoadReport) { done(encodeLoad(l)) })
 }
 
 // encodeLoad packs a report into 17 bytes; nil: the replica told none.
@@ -163,11 +163,11 @@
 	return &decide.LoadReport{Memory: v[0], QueuedKiloTokens: v[1], QueuedRequests: v[2], SlotUtilization: v[3]}, nil
 }
 
-// Told implements fleet.Work.
-func (t *Tasks) Told(found []fleet.Found) {
+// HandleResults implements fleet.Work.
+func (t *Tasks) HandleResults(found []fleet.TaskResult) {
 	var news []core.PeerLoad
 	for _, f := range found {
-		if f.Duty == list {
+		if f.Task == list {
 			version, n := binary.Uvarint(f.Data)
 			if n <= 0 {
 				t.bad.Add(1)
@@ -181,7 +181,7 @@
 			t.bad.Add(1)
 			continue
 		}
-		news = append(news, core.PeerLoad{Name: strings.TrimPrefix(f.Duty, probe), Load: l, Age: f.Age})
+		news = append(news, core.PeerLoad{Name: strings.TrimPrefix(f.Task, probe), Load: l, Age: f.Age})
 	}
 	if len(news) > 0 && !t.heard(news) {
 		t.dropped.Add(int64(len(news)))
--- a/internal/fleet/tasks/tasks_test.go
+++ b/internal/fleet/tasks/tasks_test.go
@@ -26,7 +26,7 @@
 
 type prober struct{ asked []string }
 
-func (p *prober) ProbeFor(duty string, to core.Target, _ time.Duration, told func(*decide.LoadReport)) {
+func (p *prober) PollLoadFor(duty string, to core.Target, _ time.Duration, told func(*decide.LoadReport)) {
 	p.asked = append(p.asked, duty+" "+to.Addr)
 	if to.Name == "dead" {
 		told(nil)
@@ -41,34 +41,34 @@
 	var news []core.PeerLoad
 	room := true
 	tasks := New(p, l, func(n []core.PeerLoad) bool { news = append(news, n...); return room }, time.Now)
-	tasks.Roster(true, []core.Endpoint{{Name: "dead", Addr: "a:1", State: decide.Ready}, {Name: "r", Addr: "a:2", State: decide.Ready},
+	tasks.UpdateEndpoints(true, []core.Endpoint{{Name: "dead", Addr: "a:1", State: decide.Ready}, {Name: "r", Addr: "a:2", State: decide.Ready},
 		{Name: "going", Addr: "a:3", State: decide.Draining}})
-	duties := tasks.Duties()
+	duties := tasks.Names()
 	slices.Sort(duties)
 	if !slices.Equal(duties, []string{"list", "probe/dead", "probe/r"}) {
 		t.Fatalf("duties %v", duties)
 	}
 	for _, d := range duties[1:] {
-		tasks.Do(d, 7, func(found []byte) { tasks.Told([]fleet.Found{{Duty: d, Data: found, Age: time.Second}}) })
+		tasks.Run(d, 7, func(found []byte) { tasks.HandleResults([]fleet.TaskResult{{Task: d, Data: found, Age: time.Second}}) })
 	}
 	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (decide.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}) ||
 		news[1].Age != time.Second || p.asked[1] != "probe/r 7 a:2" {
 		t.Errorf("%+v, asked %v", news, p.asked)
 	}
 	room = false
-	tasks.Told([]fleet.Found{{Duty: "probe/r", Data: []byte{0}}})
-	tasks.Roster(false, []core.Endpoint{{Name: "r", State: decide.Gone}})
+	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte{0}}})
+	tasks.UpdateEndpoints(false, []core.Endpoint{{Name: "r", State: decide.Gone}})
 	done := false
-	tasks.Do("probe/r", 8, func(found []byte) { done = found == nil })
-	if !done || tasks.Dropped() != 1 || len(tasks.Duties()) != 2 {
-		t.Errorf("a duty that is no more: done %t, %d dropped, %v", done, tasks.Dropped(), tasks.Duties())
+	tasks.Run("probe/r", 8, func(found []byte) { done = found == nil })
+	if !done || tasks.Dropped() != 1 || len(tasks.Names()) != 2 {
+		t.Errorf("a duty that is no more: done %t, %d dropped, %v", done, tasks.Dropped(), tasks.Names())
 	}
 	for _, text := range testkit.Broken(4, string(encodeLoad(&decide.LoadReport{QueuedRequests: 1}))) {
 		if load, err := decodeLoad([]byte(text)); err == nil && load != nil && !(load.QueuedRequests <= 1e9) {
 			t.Errorf("%q was taken as %+v", text, load)
 		}
 	}
-	tasks.Told([]fleet.Found{{Duty: "probe/r", Data: []byte("garbage")}, {Duty: "list"}})
+	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte("garbage")}, {Task: "list"}})
 	if tasks.Bad() != 2 {
 		t.Errorf("%d counted as bad", tasks.Bad())
 	}
@@ -79,20 +79,20 @@
 	l, now := &lists{own: 5, all: 9}, time.Unix(0, 0)
 	tasks := New(nil, l, nil, func() time.Time { return now })
 	found := make(chan []byte, 1)
-	tasks.Do("list", 1, func(b []byte) { found <- b })
-	told := []fleet.Found{{Duty: "list", Data: <-found}}
+	tasks.Run("list", 1, func(b []byte) { found <- b })
+	told := []fleet.TaskResult{{Task: "list", Data: <-found}}
 	for _, step := range []struct {
 		after time.Duration
 		own   uint64
 		want  uint64
 	}{{0, 5, 0}, {time.Second, 5, 0}, {time.Second, 9, 0}, {time.Second, 5, 0}, {time.Second, 5, 0}, {time.Second, 5, 1}, {time.Second, 5, 1}} {
 		now, l.own = now.Add(step.after), step.own
-		if tasks.Told(told); l.refreshed != step.want {
+		if tasks.HandleResults(told); l.refreshed != step.want {
 			t.Fatalf("at %v: asked anew %d times, want %d", now.Unix(), l.refreshed, step.want)
 		}
 	}
 	l.all = 0
-	tasks.Do("list", 1, func(b []byte) { found <- b })
+	tasks.Run("list", 1, func(b []byte) { found <- b })
 	if b := <-found; b != nil {
 		t.Errorf("discovery is down, and %v was found", b)
 	}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -27,42 +27,42 @@
 // String is the state's name as operators see it.
 func (s State) String() string { return stateNames[s] }
 
-// Info is what a member tells of itself.
-type Info struct {
+// MemberInfo is what a member tells of itself.
+type MemberInfo struct {
 	Name string
 	Zone string
 	// Incarnation orders the lives of one name: a later life has a higher one, whatever the clocks say.
-	Incarnation uint64
-	Started     time.Time // by its own wall clock
-	Version     string    // of the program
-	Settings    uint64    // fingerprint of the settings in force
-	List        uint64    // version of discovery's list that it acts on
-	Lease       uint64    // the highest number of a lease that it knows of, by its last beat
-	Serving     bool
-	Leaving     bool
+	Incarnation  uint64
+	Started      time.Time // by its own wall clock
+	Version      string    // of the program
+	Settings     uint64    // fingerprint of the settings in force
+	ListVersion  uint64    // version of discovery's list that it acts on
+	HighestToken uint64    // the highest number of a lease that it knows of, by its last beat
+	Serving      bool
+	Leaving      bool
 }
 
 // Member is one name of the fleet as it looks from here.
 type Member struct {
-	Info
-	State State
-	Since time.Duration // of the state
-	Heard time.Duration // the last sign of life; how sure a state is
-	Lives int           // incarnations seen of this name
+	MemberInfo
+	State         State
+	Since         time.Duration // of the state
+	LastHeartbeat time.Duration // the last sign of life; how sure a state is
+	Incarnations  int           // incarnations seen of this name
 }
 
-// Counts tells whether a member is one that work may be shared with.
-func (m Member) Counts() bool { return m.State == Alive || m.State == Suspect }
+// Active tells whether a member is one that work may be shared with.
+func (m Member) Active() bool { return m.State == Alive || m.State == Suspect }
 
 // View is who is there, at a time. It is never changed once it was handed out.
 type View struct {
-	Number  uint64        // grows with every change; never goes back within a life
+	Version uint64        // grows with every change; never goes back within a life
 	AsOf    time.Duration // the last time at which it was known to hold
 	Self    string
 	Members []Member // by name
-	// Woke says that the process was stopped for long, or has just started, and has not yet heard from the others again.
-	Woke      bool
-	Conflicts []Conflict
+	// Recovering says that the process was stopped for long, or has just started, and has not yet heard from the others again.
+	Recovering bool
+	Conflicts  []Conflict
 }
 
 // Conflict is a name that was claimed by two processes at once.
@@ -73,13 +73,13 @@
 
 // Fresh tells whether a decision may rest on the view at a time: it was known to hold a moment ago, and what
 // was missed while the process was stopped has been heard. It is to be asked directly before each act.
-func (v View) Fresh(now, within time.Duration) bool { return !v.Woke && now-v.AsOf <= within }
+func (v View) Fresh(now, within time.Duration) bool { return !v.Recovering && now-v.AsOf <= within }
 
-// Counting are the members that count, by name.
-func (v View) Counting() []Member {
+// ActiveMembers are the members that count, by name.
+func (v View) ActiveMembers() []Member {
 	var out []Member
 	for _, m := range v.Members {
-		if m.Counts() {
+		if m.Active() {
 			out = append(out, m)
 		}
 	}
@@ -88,12 +88,12 @@
 
 // Limits are the times by which a Table judges.
 type Limits struct {
-	// Sign is how often a member is heard from, on the mean, where all is well and the fleet is of the size
+	// HeartbeatInterval is how often a member is heard from, on the mean, where all is well and the fleet is of the size
 	// that is given. After SuspectAfter such times without a sign it is suspect.
-	Sign         func(size int) time.Duration
-	SuspectAfter float64
-	// Gap is the longest pause between ticks that a process that is only busy has.
-	Gap time.Duration
+	HeartbeatInterval func(size int) time.Duration
+	SuspectAfter      float64
+	// MaxTickGap is the longest pause between ticks that a process that is only busy has.
+	MaxTickGap time.Duration
 }
 
 // Table keeps what was heard. It is not safe for use by several goroutines at once.
@@ -116,16 +116,16 @@
 const mostConflicts = 16
 
 // New returns a Table for the configured names, of which self is one. It begins as one that has just woken.
-func New(self Info, names []string, limits Limits, now time.Duration) *Table {
+func New(self MemberInfo, names []string, limits Limits, now time.Duration) *Table {
 	t := &Table{limits: limits, self: self.Name, members: map[string]*Member{}, asOf: now, woke: true, wokeAt: now, waitFor: map[string]bool{}, number: 1}
 	for _, n := range names {
-		t.members[n] = &Member{Info: Info{Name: n}, Since: now}
+		t.members[n] = &Member{MemberInfo: MemberInfo{Name: n}, Since: now}
 	}
-	t.members[self.Name] = &Member{Info: self, State: stateOf(self), Since: now, Heard: now, Lives: 1}
+	t.members[self.Name] = &Member{MemberInfo: self, State: stateOf(self), Since: now, LastHeartbeat: now, Incarnations: 1}
 	return t
 }
 
-func stateOf(i Info) State {
+func stateOf(i MemberInfo) State {
 	switch {
 	case i.Leaving:
 		return Left
@@ -138,8 +138,8 @@
 // Stale is how many words of earlier lives, or of members given up, were passed over.
 func (t *Table) Stale() int64 { return t.stale }
 
-// Strangers is how many words of names that are not configured were passed over.
-func (t *Table) Strangers() int64 { return t.strangers }
+// Unconfigured is how many words of names that are not configured were passed over.
+func (t *Table) Unconfigured() int64 { return t.strangers }
 
 // set changes a member's state.
 func (t *Table) set(m *Member, s State, now time.Duration) {
@@ -151,7 +151,7 @@
 }
 
 // accept takes what a member tells of itself unless it is of an earlier life.
-func (t *Table) accept(i Info, now time.Duration) *Member {
+func (t *Table) accept(i MemberInfo, now time.Duration) *Member {
 	m := t.members[i.Name]
 	switch {
 	case m == nil:
@@ -161,7 +161,7 @@
 		t.stale++
 		return nil
 	case i.Incarnation > m.Incarnation:
-		m.Lives++
+		m.Incarnations++
 		m.Since = now
 		t.number++
 		t.changed = true
@@ -169,20 +169,20 @@
 	return m
 }
 
-// Self changes what this process tells of itself; a lower incarnation is passed over.
-func (t *Table) Self(i Info, now time.Duration) {
+// UpdateSelf changes what this process tells of itself; a lower incarnation is passed over.
+func (t *Table) UpdateSelf(i MemberInfo, now time.Duration) {
 	if m := t.members[t.self]; i.Name == t.self && i.Incarnation >= m.Incarnation {
 		if i.Incarnation > m.Incarnation {
 			t.number++
 			t.changed = true
 		}
-		m.Info, m.Heard = i, now
+		m.MemberInfo, m.LastHeartbeat = i, now
 		t.set(m, stateOf(i), now)
 	}
 }
 
-// Joined takes the news that a member is there, by those who agree on who is: it brings back one that was given up.
-func (t *Table) Joined(i Info, now time.Duration) {
+// MarkJoined takes the news that a member is there, by those who agree on who is: it brings back one that was given up.
+func (t *Table) MarkJoined(i MemberInfo, now time.Duration) {
 	if i.Name == t.self {
 		return // nobody knows better than this process whether it is there
 	}
@@ -190,13 +190,13 @@
 	if m == nil {
 		return
 	}
-	m.Info, m.Heard = i, now
+	m.MemberInfo, m.LastHeartbeat = i, now
 	delete(t.waitFor, i.Name)
 	t.set(m, stateOf(i), now)
 }
 
-// Sign takes a sign of life that came straight from a member. A late one does not bring back one that was given up.
-func (t *Table) Sign(i Info, now time.Duration) {
+// Heartbeat takes a sign of life that came straight from a member. A late one does not bring back one that was given up.
+func (t *Table) Heartbeat(i MemberInfo, now time.Duration) {
 	m := t.members[i.Name]
 	if i.Name == t.self {
 		return
@@ -210,11 +210,11 @@
 		t.stale++
 		return
 	}
-	t.Joined(i, now)
+	t.MarkJoined(i, now)
 }
 
-// Lost takes the news that a life of a member was given up.
-func (t *Table) Lost(name string, incarnation uint64, now time.Duration) {
+// MarkLost takes the news that a life of a member was given up.
+func (t *Table) MarkLost(name string, incarnation uint64, now time.Duration) {
 	m := t.members[name]
 	if m == nil || name == t.self {
 		return
@@ -231,8 +231,8 @@
 	t.set(m, Unreachable, now)
 }
 
-// Claimed takes the news that a second process claimed a name that is in use.
-func (t *Table) Claimed(name, address string, now time.Duration) {
+// RecordConflict takes the news that a second process claimed a name that is in use.
+func (t *Table) RecordConflict(name, address string, now time.Duration) {
 	for i, c := range t.conflicts {
 		if c.Name == name && c.Address == address {
 			t.conflicts[i].At = now
@@ -248,28 +248,28 @@
 // Tick is called often, and says that the process runs. It finds out that it had been stopped, and who has given
 // no sign.
 func (t *Table) Tick(now time.Duration) {
-	if now-t.asOf > t.limits.Gap {
+	if now-t.asOf > t.limits.MaxTickGap {
 		t.woke, t.wokeAt = true, now
 		t.waitFor = map[string]bool{}
 		t.changed = true
 		t.number++
 		for name, m := range t.members {
-			if name != t.self && m.Counts() {
+			if name != t.self && m.Active() {
 				t.waitFor[name] = true
-				m.Heard = now // while it was stopped it could hear nobody
+				m.LastHeartbeat = now // while it was stopped it could hear nobody
 			}
 		}
 	}
 	t.asOf = max(t.asOf, now)
-	t.members[t.self].Heard = now
+	t.members[t.self].LastHeartbeat = now
 	limit := t.patience()
 	for name, m := range t.members {
 		if name == t.self {
 			continue
 		}
-		if m.State == Alive && now-m.Heard > limit {
+		if m.State == Alive && now-m.LastHeartbeat > limit {
 			t.set(m, Suspect, now)
-		} else if m.State == Suspect && now-m.Heard <= limit {
+		} else if m.State == Suspect && now-m.LastHeartbeat <= limit {
 			t.set(m, Alive, now)
 		}
 	}
@@ -284,7 +284,7 @@
 func (t *Table) heardAgain() bool {
 	others, missing := 0, len(t.waitFor)
 	for name, m := range t.members {
-		if name != t.self && m.Counts() {
+		if name != t.self && m.Active() {
 			others++
 		}
 	}
@@ -295,11 +295,11 @@
 func (t *Table) patience() time.Duration {
 	size := 0
 	for _, m := range t.members {
-		if m.Counts() || m.State == Joining {
+		if m.Active() || m.State == Joining {
 			size++
 		}
 	}
-	return time.Duration(t.limits.SuspectAfter * float64(t.limits.Sign(size)))
+	return time.Duration(t.limits.SuspectAfter * float64(t.limits.HeartbeatInterval(size)))
 }
 
 // Changed tells whether anything but times has changed since it was last asked.
@@ -319,7 +319,7 @@
 
 // View is who is there now.
 func (t *Table) View() View {
-	v := View{Number: t.number, AsOf: t.asOf, Self: t.self, Woke: t.woke, Conflicts: slices.Clone(t.conflicts)}
+	v := View{Version: t.number, AsOf: t.asOf, Self: t.self, Recovering: t.woke, Conflicts: slices.Clone(t.conflicts)}
 	for _, m := range t.members {
 		v.Members = append(v.Members, *m)
 	}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -10,10 +10,10 @@
 
 const s = time.Second
 
-var limits = Limits{Sign: func(int) time.Duration { return s }, SuspectAfter: 3, Gap: s}
+var limits = Limits{HeartbeatInterval: func(int) time.Duration { return s }, SuspectAfter: 3, MaxTickGap: s}
 
-func info(name string, incarnation uint64) Info {
-	return Info{Name: name, Incarnation: incarnation, Serving: true}
+func info(name string, incarnation uint64) MemberInfo {
+	return MemberInfo{Name: name, Incarnation: incarnation, Serving: true}
 }
 
 func table() *Table { return New(info("a", 1), []string{"a", "b", "c"}, limits, 0) }
@@ -42,39 +42,59 @@
 		lives int
 	}{
 		{"never heard", func(*Table) {}, Unknown, 0},
-		{"joining", func(v *Table) { v.Joined(Info{Name: "b", Incarnation: 5}, 10*s) }, Joining, 1},
-		{"alive", func(v *Table) { v.Joined(info("b", 5), 8*s) }, Alive, 1},
-		{"no sign for long", func(v *Table) { v.Joined(info("b", 5), 6*s) }, Suspect, 1},
-		{"a sign again", func(v *Table) { v.Joined(info("b", 5), 1*s); v.Sign(info("b", 5), 9*s) }, Alive, 1},
-		{"lost", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Lost("b", 5, 9*s) }, Unreachable, 1},
-		{"lost, and a late sign", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Lost("b", 5, 9*s); v.Sign(info("b", 5), 9*s) }, Unreachable, 1},
-		{"lost, and refuted", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Lost("b", 5, 9*s); v.Joined(info("b", 5), 9*s) }, Alive, 1},
+		{"joining", func(v *Table) { v.MarkJoined(MemberInfo{Name: "b", Incarnation: 5}, 10*s) }, Joining, 1},
+		{"alive", func(v *Table) { v.MarkJoined(info("b", 5), 8*s) }, Alive, 1},
+		{"no sign for long", func(v *Table) { v.MarkJoined(info("b", 5), 6*s) }, Suspect, 1},
+		{"a sign again", func(v *Table) { v.MarkJoined(info("b", 5), 1*s); v.Heartbeat(info("b", 5), 9*s) }, Alive, 1},
+		{"lost", func(v *Table) { v.MarkJoined(info("b", 5), 9*s); v.MarkLost("b", 5, 9*s) }, Unreachable, 1},
+		{"lost, and a late sign", func(v *Table) {
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkLost("b", 5, 9*s)
+			v.Heartbeat(info("b", 5), 9*s)
+		}, Unreachable, 1},
+		{"lost, and refuted", func(v *Table) {
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkLost("b", 5, 9*s)
+			v.MarkJoined(info("b", 5), 9*s)
+		}, Alive, 1},
 		{"left", func(v *Table) {
 			i := info("b", 5)
-			v.Joined(i, 9*s)
+			v.MarkJoined(i, 9*s)
 			i.Leaving = true
-			v.Joined(i, 9*s)
-			v.Lost("b", 5, 9*s)
+			v.MarkJoined(i, 9*s)
+			v.MarkLost("b", 5, 9*s)
 		}, Left, 1},
 		{"left, and its goodbye comes late", func(v *Table) {
-			v.Joined(info("b", 5), 9*s)
-			v.Lost("b", 5, 9*s)
-			v.Sign(Info{Name: "b", Incarnation: 5, Leaving: true}, 9*s)
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkLost("b", 5, 9*s)
+			v.Heartbeat(MemberInfo{Name: "b", Incarnation: 5, Leaving: true}, 9*s)
 		}, Left, 1},
-		{"back", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Lost("b", 5, 9*s); v.Joined(info("b", 6), 9*s) }, Alive, 2},
-		{"back by a sign", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Lost("b", 5, 9*s); v.Sign(info("b", 6), 9*s) }, Alive, 2},
-		{"an old life's late loss", func(v *Table) { v.Joined(info("b", 5), 9*s); v.Joined(info("b", 6), 9*s); v.Lost("b", 5, 9*s) }, Alive, 2},
+		{"back", func(v *Table) {
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkLost("b", 5, 9*s)
+			v.MarkJoined(info("b", 6), 9*s)
+		}, Alive, 2},
+		{"back by a sign", func(v *Table) {
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkLost("b", 5, 9*s)
+			v.Heartbeat(info("b", 6), 9*s)
+		}, Alive, 2},
+		{"an old life's late loss", func(v *Table) {
+			v.MarkJoined(info("b", 5), 9*s)
+			v.MarkJoined(info("b", 6), 9*s)
+			v.MarkLost("b", 5, 9*s)
+		}, Alive, 2},
 		{"an old life's late word", func(v *Table) {
-			v.Joined(info("b", 6), 9*s)
-			v.Lost("b", 6, 9*s)
-			v.Joined(info("b", 5), 9*s)
+			v.MarkJoined(info("b", 6), 9*s)
+			v.MarkLost("b", 6, 9*s)
+			v.MarkJoined(info("b", 5), 9*s)
 		}, Unreachable, 1},
 		{"back with a clock 30 s behind: its incarnation is higher all the same", func(v *Table) {
 			i := info("b", 6)
 			i.Started = time.Unix(100, 0)
-			v.Joined(i, 9*s)
+			v.MarkJoined(i, 9*s)
 			i.Incarnation, i.Started = 7, time.Unix(70, 0)
-			v.Joined(i, 9*s)
+			v.MarkJoined(i, 9*s)
 		}, Alive, 2},
 	} {
 		v := table()
@@ -82,8 +102,8 @@
 		c.hear(v)
 		run(v, 6*s, 10*s)
 		for _, m := range v.View().Members {
-			if m.Name == "b" && (m.State != c.want || m.Lives != c.lives) {
-				t.Errorf("%s: %s after %d lives, want %s after %d", c.name, m.State, m.Lives, c.want, c.lives)
+			if m.Name == "b" && (m.State != c.want || m.Incarnations != c.lives) {
+				t.Errorf("%s: %s after %d lives, want %s after %d", c.name, m.State, m.Incarnations, c.want, c.lives)
 			}
 		}
 	}
@@ -92,7 +112,7 @@
 // A process that was stopped knows so before it acts: its view is not fresh until most of the others were heard again.
 func TestWoken(t *testing.T) {
 	v := table()
-	hear := func(at time.Duration) { v.Sign(info("b", 5), at); v.Sign(info("c", 5), at) }
+	hear := func(at time.Duration) { v.Heartbeat(info("b", 5), at); v.Heartbeat(info("c", 5), at) }
 	if v.View().Fresh(0, s) {
 		t.Error("fresh before anything was heard")
 	}
@@ -102,14 +122,14 @@
 	if !v.View().Fresh(5*s, s) || v.View().Fresh(7*s, s) {
 		t.Error("a view is fresh for as long as it is asked for, and no longer")
 	}
-	old := v.View().Number
-	if v.Tick(20 * s); v.View().Fresh(20*s, s) || v.View().Number <= old {
+	old := v.View().Version
+	if v.Tick(20 * s); v.View().Fresh(20*s, s) || v.View().Version <= old {
 		t.Error("fresh right after a pause")
 	}
 	if state(v, "b") != Alive {
 		t.Error("a process that was stopped blames the others for its own silence")
 	}
-	v.Sign(info("b", 5), 20*s+s/2)
+	v.Heartbeat(info("b", 5), 20*s+s/2)
 	if v.Tick(20*s + s/2); !v.View().Fresh(20*s+s/2, s) {
 		t.Error("not fresh once half of the others were heard")
 	}
@@ -126,16 +146,16 @@
 
 func TestStrangersAndConflicts(t *testing.T) {
 	v := table()
-	v.Joined(info("x", 9), s)
-	v.Sign(info("x", 9), s)
-	v.Lost("x", 9, s)
-	v.Joined(Info{Name: "a", Incarnation: 99, Leaving: true}, s) // nobody tells it that it has left
-	v.Lost("a", 99, s)
-	if len(v.View().Members) != 3 || v.Strangers() != 2 || state(v, "a") != Alive {
-		t.Errorf("%+v, %d strangers", v.View(), v.Strangers())
+	v.MarkJoined(info("x", 9), s)
+	v.Heartbeat(info("x", 9), s)
+	v.MarkLost("x", 9, s)
+	v.MarkJoined(MemberInfo{Name: "a", Incarnation: 99, Leaving: true}, s) // nobody tells it that it has left
+	v.MarkLost("a", 99, s)
+	if len(v.View().Members) != 3 || v.Unconfigured() != 2 || state(v, "a") != Alive {
+		t.Errorf("%+v, %d strangers", v.View(), v.Unconfigured())
 	}
 	for i := range 40 {
-		v.Claimed("b", fmt.Sprint("127.0.0.1:", i%20), s)
+		v.RecordConflict("b", fmt.Sprint("127.0.0.1:", i%20), s)
 	}
 	if n := len(v.View().Conflicts); n != mostConflicts {
 		t.Errorf("%d conflicts kept", n)
@@ -151,17 +171,17 @@
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(r, "ms")) * time.Millisecond
 			name := rapid.SampledFrom([]string{"a", "b", "c", "x"}).Draw(r, "name")
-			i := Info{Name: name, Incarnation: rapid.Uint64Range(1, 4).Draw(r, "incarnation"),
+			i := MemberInfo{Name: name, Incarnation: rapid.Uint64Range(1, 4).Draw(r, "incarnation"),
 				Serving: rapid.Bool().Draw(r, "serving"), Leaving: rapid.Bool().Draw(r, "leaving")}
 			switch rapid.IntRange(0, 4).Draw(r, "event") {
 			case 0:
-				v.Joined(i, now)
+				v.MarkJoined(i, now)
 			case 1:
-				v.Sign(i, now)
+				v.Heartbeat(i, now)
 			case 2:
-				v.Lost(name, i.Incarnation, now)
+				v.MarkLost(name, i.Incarnation, now)
 			case 3:
-				v.Self(i, now)
+				v.UpdateSelf(i, now)
 			case 4:
 				v.Tick(now)
 			}
@@ -174,8 +194,8 @@
 				}
 				changed = changed || m.State != was.State || m.Incarnation != was.Incarnation
 			}
-			if next.Number < last.Number || changed && next.Number == last.Number {
-				r.Fatalf("number %d after %d, changed %t", next.Number, last.Number, changed)
+			if next.Version < last.Version || changed && next.Version == last.Version {
+				r.Fatalf("number %d after %d, changed %t", next.Version, last.Version, changed)
 			}
 			last = next
 		}
--- a/internal/fleet/warmup/warmup_test.go
+++ b/internal/fleet/warmup/warmup_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(uint64(n), uint64(know)))
 	type node struct {
-		a     *Asker
+		a     *Requester
 		sees  []Member
 		d     Donor
 		knows bool
@@ -21,7 +21,7 @@
 	}
 	nodes := make([]*node, n)
 	for i := range nodes {
-		nodes[i] = &node{a: NewAsker(Usual, 0, rng.Int64N), knows: i < know}
+		nodes[i] = &node{a: NewRequester(DefaultLimits, 0, rng.Int64N), knows: i < know}
 	}
 	for i, m := range nodes {
 		for j := range nodes {
@@ -44,7 +44,7 @@
 				later = append(later, q)
 				continue
 			}
-			nodes[q.to].a.Took(now, fmt.Sprint(q.from), q.taught)
+			nodes[q.to].a.RecordResponse(now, fmt.Sprint(q.from), q.taught)
 			if q.taught && !nodes[q.to].knows {
 				nodes[q.to].knows = true
 				learnt++
@@ -56,7 +56,7 @@
 			if i < know {
 				continue
 			}
-			to, ok := m.a.Step(now, m.sees)
+			to, ok := m.a.NextDonor(now, m.sees)
 			if !ok {
 				continue
 			}
@@ -75,7 +75,7 @@
 			if slow && j < know {
 				late += 3 * time.Second
 			}
-			queue = append(queue, answer{now + late, j, i, donor.knows && donor.d.May(now, Usual)})
+			queue = append(queue, answer{now + late, j, i, donor.knows && donor.d.TakeTransfer(now, DefaultLimits)})
 		}
 	}
 	if learnt < n*95/100 {
@@ -89,60 +89,60 @@
 	for _, c := range []struct{ n, know int }{{9, 1}, {30, 3}, {150, 15}} {
 		last, most := start(t, c.n, c.know, false)
 		t.Logf("%d of %d know: the last learns after %v, a donor is asked %d times in a second at the most", c.know, c.n, last, most)
-		if last > Usual.Within || most > 8*c.n/c.know {
+		if last > DefaultLimits.Window || most > 8*c.n/c.know {
 			t.Errorf("%d of %d: the last learns after %v, a donor is asked %d times in a second", c.know, c.n, last, most)
 		}
 	}
 	// The only ones that know are slow: nobody waits for them longer than for so many tries.
-	if last, _ := start(t, 9, 1, true); last > Usual.Within+3*time.Second {
+	if last, _ := start(t, 9, 1, true); last > DefaultLimits.Window+3*time.Second {
 		t.Errorf("with a slow donor the last learns after %v", last)
 	}
 }
 
 // Older and nearer ones are asked first, each once, up to the limits; with enough learnt nobody is asked.
 func TestAsker(t *testing.T) {
-	a := NewAsker(Usual, 0, func(n int64) int64 { return 0 })
-	members := []Member{{Name: "new"}, {Name: "old", Older: true}, {Name: "near", Older: true, Near: true}}
+	a := NewRequester(DefaultLimits, 0, func(n int64) int64 { return 0 })
+	members := []Member{{Name: "new"}, {Name: "old", Older: true}, {Name: "near", Older: true, SameZone: true}}
 	now := 2 * time.Millisecond
-	if _, ok := a.Step(time.Millisecond, nil); ok {
+	if _, ok := a.NextDonor(time.Millisecond, nil); ok {
 		t.Error("asked nobody")
 	}
-	a.Step(time.Millisecond, members)
+	a.NextDonor(time.Millisecond, members)
 	for _, want := range []string{"near", "old", "new"} {
-		to, ok := a.Step(now, members)
+		to, ok := a.NextDonor(now, members)
 		if !ok || to != want {
 			t.Errorf("asked %q, want %q", to, want)
 		}
-		if _, ok := a.Step(now+Usual.Wait-1, members); ok {
+		if _, ok := a.NextDonor(now+DefaultLimits.ResponseTimeout-1, members); ok {
 			t.Error("asked another before the answer was due")
 		}
-		now += Usual.Wait
+		now += DefaultLimits.ResponseTimeout
 	}
-	if to, ok := a.Step(now, members); !ok || to != "near" {
-		t.Errorf("asked %q, want the first again after %v", to, Usual.Again)
+	if to, ok := a.NextDonor(now, members); !ok || to != "near" {
+		t.Errorf("asked %q, want the first again after %v", to, DefaultLimits.RetryInterval)
 	}
-	b := NewAsker(Usual, 0, func(n int64) int64 { return 0 })
-	b.Step(time.Millisecond, members)
-	b.Step(now, members)
-	b.Took(now, "stranger", true)
-	b.Took(now, "near", true)
+	b := NewRequester(DefaultLimits, 0, func(n int64) int64 { return 0 })
+	b.NextDonor(time.Millisecond, members)
+	b.NextDonor(now, members)
+	b.RecordResponse(now, "stranger", true)
+	b.RecordResponse(now, "near", true)
 	if b.Done(now) || b.taken != 1 {
 		t.Errorf("%d taken", b.taken)
 	}
-	if to, ok := b.Step(now+1, members); !ok || to != "old" {
+	if to, ok := b.NextDonor(now+1, members); !ok || to != "old" {
 		t.Errorf("after an answer asked %q", to)
 	}
-	b.Took(now, "old", true)
-	if !b.Done(now) || !NewAsker(Usual, 0, nil).Done(Usual.Within+1) {
+	b.RecordResponse(now, "old", true)
+	if !b.Done(now) || !NewRequester(DefaultLimits, 0, nil).Done(DefaultLimits.Window+1) {
 		t.Error("goes on asking")
 	}
 	var d Donor
 	for i, want := range []bool{true, true, true, true, false} {
-		if got := d.May(now, Usual); got != want {
+		if got := d.TakeTransfer(now, DefaultLimits); got != want {
 			t.Errorf("gift %d of a donor: %t, want %t", i, got, want)
 		}
 	}
-	if !d.May(now+time.Second, Usual) {
+	if !d.TakeTransfer(now+time.Second, DefaultLimits) {
 		t.Error("a donor gives nothing a second later")
 	}
 }
--- a/internal/program/commands.go
+++ b/internal/program/commands.go
@@ -65,7 +65,7 @@
 			return c, err
 		}
 	}
-	if c.state = f.state; c.fleet != nil && c.fleet.Filings != nil && c.fleet.Votes(c.config.Name) && c.state == "" {
+	if c.state = f.state; c.fleet != nil && c.fleet.Idempotency != nil && c.fleet.IsVoter(c.config.Name) && c.state == "" {
 		return c, fmt.Errorf("%s: filings: %s is one that keeps them and has no -state", f.fleet, c.config.Name)
 	}
 	return c, nil
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -35,7 +35,7 @@
 
 // share sets up what the fleet does in turn, before the first list comes.
 func (p *program) share(cfg *wire.Config) *tasks.Tasks {
-	var prober tasks.Prober
+	var prober tasks.LoadPoller
 	if cfg.Settings.Limits.Probing {
 		prober = p.pool
 	}
@@ -63,7 +63,7 @@
 	if p.fleet == nil {
 		return false, "no fleet: the program was started without -fleet"
 	}
-	s, ok := p.fleet.Duties()
+	s, ok := p.fleet.TasksStatus()
 	if !ok {
 		return false, "nothing is done in turn: the fleet's file names no voters"
 	}
@@ -73,7 +73,7 @@
 // budgets are the module's limits on what the whole fleet does; none without a fleet's file that has them.
 func budgets(file *fleet.Config) (b decide.Budgets) {
 	if file != nil && file.Budgets != nil {
-		b = decide.Budgets{Fraction: file.LeastPart(), PollsPerReplica: file.Budgets.Probes, RetriesPerRequest: file.Budgets.Repeats, RetriesPerSecond: file.Budgets.Spare}
+		b = decide.Budgets{Fraction: file.MinFraction(), PollsPerReplica: file.Budgets.PollsPerReplica, RetriesPerRequest: file.Budgets.RetriesPerRequest, RetriesPerSecond: file.Budgets.RetriesPerSecond}
 	}
 	return b
 }
@@ -85,16 +85,16 @@
 		if file == nil || file.Budgets == nil {
 			return float64(cfg.Settings.Balancers)
 		}
-		part := file.LeastPart()
+		part := file.MinFraction()
 		if n := p.member.Load(); n != nil {
-			part, _ = n.Part()
+			part, _ = n.QuotaFraction()
 		}
 		return 1 / max(part, 1e-9)
 	}
 }
 
 // keepTo sets up what keeps the core to its subset of the replicas; nil where the fleet's file asks for none.
-func (p *program) keepTo(file *fleet.Config, cfg *wire.Config, router decide.Config) *subsetter.Keeper {
+func (p *program) keepTo(file *fleet.Config, cfg *wire.Config, router decide.Config) *subsetter.Controller {
 	if file == nil || file.SubsetReaders == 0 {
 		return nil
 	}
@@ -102,14 +102,14 @@
 	for _, k := range router.Kinds {
 		roles = append(roles, k.Role)
 	}
-	return subsetter.New(file.Subset(), cfg.Name, cfg.Settings.Zone, roles, func() (f subsetter.Fleet) {
+	return subsetter.New(file.Subset(), cfg.Name, cfg.Settings.Zone, roles, func() (f subsetter.FleetView) {
 		n := p.member.Load()
 		if n == nil {
 			return f
 		}
 		f.View, f.Now = n.View(), n.Now()
-		f.Part, _ = n.Part()
-		f.Ok = f.View.Fresh(f.Now, fleet.FreshFor)
+		f.TrafficFraction, _ = n.QuotaFraction()
+		f.Usable = f.View.Fresh(f.Now, fleet.MaxViewAge)
 		return f
 	}, p.core.SetSubset)
 }
@@ -127,7 +127,7 @@
 	if p.fleet == nil {
 		return false, "no fleet: the program was started without -fleet"
 	}
-	s, ok := p.fleet.Shares()
+	s, ok := p.fleet.QuotaStatus()
 	if !ok {
 		return false, "nothing is shared: the fleet's file has no budgets"
 	}
@@ -153,7 +153,7 @@
 	if p.fleet == nil {
 		return false, "no fleet: the program was started without -fleet"
 	}
-	return shown(p.fleet.Versions())
+	return shown(p.fleet.VersionSkewStatus())
 }
 
 // handCall is an operators' call that says by hand how this member stands.
@@ -162,7 +162,7 @@
 		if p.fleet == nil {
 			return false, "no fleet: the program was started without -fleet"
 		}
-		if err := p.fleet.Hand(call); err != nil {
+		if err := p.fleet.OverrideVersionSkew(call); err != nil {
 			return false, err.Error()
 		}
 		return true, call
@@ -185,18 +185,18 @@
 	zone := cfg.Settings.ZoneName(cfg.Settings.Az)
 	var take func([]byte)
 	if p.claims != nil {
-		take = p.claims.Take
+		take = p.claims.HandleMessage
 	}
-	var ends fleet.Ends
+	var ends fleet.EndpointFilter
 	if p.lists != nil {
 		ends = p.lists
 	}
-	self := fleet.Self{Machine: p.machine, Name: cfg.Name, Zone: zone, Version: version, Seed: seed, Work: p.tasks, Shared: p.core, Claims: take, Ends: ends, Stands: stands{p},
-		Knows: peers{p, file.Fleet}, Facts: func() fleet.Facts {
+	self := fleet.Self{Machine: p.machine, Name: cfg.Name, Zone: zone, Version: version, Seed: seed, Tasks: p.tasks, Quota: p.core, HandleIdempotency: take, EndpointFilter: ends, VersionSkew: stands{p},
+		LearnedState: peers{p, file.Fleet}, Facts: func() fleet.Facts {
 			return fleet.Facts{Settings: p.settings.Load(), List: p.watch.Version(), Serving: p.ready.Load() && !p.state.Stopping.Load()}
 		}}
 	if p.numbers != nil {
-		self.Floor, self.Seen = p.numbers.Floor(), p.numbers.Seen
+		self.TokenFloor, self.ObserveToken = p.numbers.Floor(), p.numbers.Seen
 	}
 	node, err := fleet.Start(file, self, func(err error) { failed <- err })
 	if err != nil {
@@ -226,33 +226,33 @@
 		states[m.State]++
 	}
 	duties := ""
-	if d, ok := p.fleet.Duties(); ok {
+	if d, ok := p.fleet.TasksStatus(); ok {
 		held := 0
-		for _, one := range d.Duties {
+		for _, one := range d.Tasks {
 			if one.Held {
 				held++
 			}
 		}
-		duties = fmt.Sprintf(" duties=%d duties_held=%d duty_acts=%d duty_late=%d duty_bytes=%d lists_renewed=%d", len(d.Duties), held,
-			d.Acts, d.Late, d.Bytes, p.tasks.Renewed())
+		duties = fmt.Sprintf(" duties=%d duties_held=%d duty_acts=%d duty_late=%d duty_bytes=%d lists_renewed=%d", len(d.Tasks), held,
+			d.Executions, d.LateResults, d.Bytes, p.tasks.Refreshed())
 	}
-	if s, ok := p.fleet.Shares(); ok {
-		duties += fmt.Sprintf(" share_part=%.6f share_demand=%.2f share_lent=%.6f share_offers=%d share_dropped=%d", s.Part, s.Demand, s.Lent, s.Offers, s.Dropped)
+	if s, ok := p.fleet.QuotaStatus(); ok {
+		duties += fmt.Sprintf(" share_part=%.6f share_demand=%.2f share_lent=%.6f share_offers=%d share_dropped=%d", s.Fraction, s.Demand, s.Outstanding, s.Shares, s.Dropped)
 	}
 	if p.keeper != nil {
 		s := p.keeper.Status()
-		duties += fmt.Sprintf(" subset=%d subset_times=%d", len(s.Kept), s.Times)
+		duties += fmt.Sprintf(" subset=%d subset_times=%d", len(s.Subset), s.Updates)
 	}
-	if b, ok := p.fleet.Beliefs(); ok {
-		duties += fmt.Sprintf(" beliefs_taken=%d beliefs_given=%d beliefs_busy=%d beliefs_bad=%d", b.Taken, b.Given, b.Busy, b.Bad)
+	if b, ok := p.fleet.BootstrapStatus(); ok {
+		duties += fmt.Sprintf(" beliefs_taken=%d beliefs_given=%d beliefs_busy=%d beliefs_bad=%d", b.Received, b.Sent, b.Declined, b.Malformed)
 	}
 	if p.lists != nil {
 		s := p.lists.Status()
-		duties += fmt.Sprintf(" lists_told=%d lists_held_back=%d lists_refused=%d", s.Told, s.Held, s.Refused)
+		duties += fmt.Sprintf(" lists_told=%d lists_held_back=%d lists_refused=%d", s.PeerLists, s.Suppressed, s.Rejected)
 	}
 	return duties + fmt.Sprintf(" fleet_view=%d fleet_alive=%d fleet_suspect=%d fleet_unreachable=%d fleet_left=%d fleet_conflicts=%d "+
-		"fleet_bad=%d fleet_stale=%d", s.View, states["alive"], states["suspect"], states["unreachable"], states["left"],
-		len(s.Conflicts), s.Bad, s.Stale)
+		"fleet_bad=%d fleet_stale=%d", s.ViewVersion, states["alive"], states["suspect"], states["unreachable"], states["left"],
+		len(s.Conflicts), s.Malformed, s.Stale)
 }
 
 // fleetCommand holds what is asked of a fleet by way of one of its members.
@@ -308,23 +308,23 @@
 	return c
 }
 
-func printVersions(out io.Writer, s fleet.VersionsStatus) error {
+func printVersions(out io.Writer, s fleet.VersionSkewStatus) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tHEARD\tPROGRAM\tSETTINGS\tLIST\tLEASE\tSTEP\tFOR\tBEHIND\tWHY")
 	for _, m := range s.Members {
 		behind, why := "-", "-"
-		if m.Why != "" {
-			behind, why = fmt.Sprintf("%.1fs", m.Behind), m.Why
+		if m.Reason != "" {
+			behind, why = fmt.Sprintf("%.1fs", m.LaggingS), m.Reason
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.1fs\t%s\t%s\t%d\t%d\t%s\t%.1fs\t%s\t%s\n", m.Name, m.State, m.Heard, m.Program, m.Settings, m.List, m.Lease, m.Step, m.For, behind, why)
+		fmt.Fprintf(t, "%s\t%s\t%.1fs\t%s\t%s\t%d\t%d\t%s\t%.1fs\t%s\t%s\n", m.Name, m.State, m.LastHeartbeatS, m.Program, m.Settings, m.ListVersion, m.HighestToken, m.SkewState, m.SkewStateForS, behind, why)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("versions: %w", err)
 	}
 	switch {
-	case !s.Judged:
+	case !s.Enabled:
 		fmt.Fprintln(out, "as", s.Self, "sees it; nobody is judged: the fleet's file has no stragglers")
-	case s.Blind:
+	case s.InsufficientView:
 		fmt.Fprintln(out, "as", s.Self, "sees it, which sees too few members to judge")
 	default:
 		fmt.Fprintf(out, "as %s sees it; most have list %d and settings %s; frozen %t\n", s.Self, s.List, s.Settings, s.Frozen)
@@ -335,40 +335,40 @@
 	return nil
 }
 
-func printDuties(out io.Writer, s fleet.DutiesStatus) error {
+func printDuties(out io.Writer, s fleet.TasksStatus) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "DUTY\tOWNER\tSTANDBY\tHELD HERE\tLEASE\tFOR\tLEFT\tLAST RESULT")
-	for _, d := range s.Duties {
+	for _, d := range s.Tasks {
 		lease, since, left := "-", "-", "-"
 		if d.Held {
-			lease, since, left = fmt.Sprint(d.Number), fmt.Sprintf("%.1fs", d.For), fmt.Sprintf("%.2fs", d.Left)
+			lease, since, left = fmt.Sprint(d.Token), fmt.Sprintf("%.1fs", d.HeldForS), fmt.Sprintf("%.2fs", d.RemainingS)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%s\t%s\t%.1fs\n", d.Duty, d.Owner, d.Standby, d.Held, lease, since, left, d.Heard)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%s\t%s\t%.1fs\n", d.Task, d.Owner, d.Standby, d.Held, lease, since, left, d.LastResultS)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("duties: %w", err)
 	}
-	fmt.Fprintf(out, "as %s sees it; voters %s; %d acts, %d results of ended leases, %d bytes sent\n", s.Self, strings.Join(s.Voters, " "), s.Acts, s.Late, s.Bytes)
-	if s.Mute {
+	fmt.Fprintf(out, "as %s sees it; voters %s; %d acts, %d results of ended leases, %d bytes sent\n", s.Self, strings.Join(s.Voters, " "), s.Executions, s.LateResults, s.Bytes)
+	if s.Recovering {
 		fmt.Fprintln(out, "this voter does not vote yet: an earlier life of it may have granted what still runs")
 	}
-	if s.Lapsed != "" {
-		fmt.Fprintln(out, "ended last here:", s.Lapsed)
+	if s.LastExpired != "" {
+		fmt.Fprintln(out, "ended last here:", s.LastExpired)
 	}
 	return nil
 }
 
-func printShares(out io.Writer, s fleet.ShareStatus) error {
+func printShares(out io.Writer, s fleet.QuotaStatus) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tPART\tAT LEAST\tLEFT\tREQUESTS/S\tLENDS\tLENT\tTO\tDROPPED")
 	lends, lent, to := "no", "-", "-"
-	if s.Lends {
-		lends, lent, to = "yes", fmt.Sprintf("%.4f", s.Lent), fmt.Sprint(s.Asking)
-		if s.Mute {
+	if s.IsVoter {
+		lends, lent, to = "yes", fmt.Sprintf("%.4f", s.Outstanding), fmt.Sprint(s.Borrowers)
+		if s.Recovering {
 			lends = "not yet"
 		}
 	}
-	fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%.2fs\t%.1f\t%s\t%s\t%s\t%d\n", s.Self, s.Part, s.Least, s.Left, s.Demand, lends, lent, to, s.Dropped)
+	fmt.Fprintf(t, "%s\t%.4f\t%.4f\t%.2fs\t%.1f\t%s\t%s\t%s\t%d\n", s.Self, s.Fraction, s.MinFraction, s.RemainingS, s.Demand, lends, lent, to, s.Dropped)
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("shares: %w", err)
 	}
@@ -377,15 +377,15 @@
 
 func printSubset(out io.Writer, s subsetter.Status) error {
 	kept := "all"
-	if len(s.Kept) > 0 {
-		kept = fmt.Sprintf("%d: %s", len(s.Kept), strings.Join(s.Kept, " "))
+	if len(s.Subset) > 0 {
+		kept = fmt.Sprintf("%d: %s", len(s.Subset), strings.Join(s.Subset, " "))
 	}
-	fmt.Fprintf(out, "%s keeps to %s\nof %d replicas, shared among %d members; handed out %d times, the last took %.1f ms\n", s.Self, kept, s.Of, s.Members, s.Times, s.TookMS)
+	fmt.Fprintf(out, "%s keeps to %s\nof %d replicas, shared among %d members; handed out %d times, the last took %.1f ms\n", s.Self, kept, s.Endpoints, s.Members, s.Updates, s.TookMS)
 	return nil
 }
 
 func printLists(out io.Writer, s lists.Status) error {
-	fmt.Fprintf(out, "list %d; %d replicas held back by newer lists of others, %d such lists came, %d times they would have ended too much\n", s.List, s.Held, s.Told, s.Refused)
+	fmt.Fprintf(out, "list %d; %d replicas held back by newer lists of others, %d such lists came, %d times they would have ended too much\n", s.List, s.Suppressed, s.PeerLists, s.Rejected)
 	return nil
 }
 
@@ -393,13 +393,13 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTATE\tFOR\tHEARD\tZONE\tLIVES\tINCARNATION\tVERSION\tSETTINGS\tLIST\tSKEW")
 	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%s\t%.1fs\t%.1fs\t%s\t%d\t%d\t%s\t%s\t%d\t%dms\n", m.Name, m.State, m.For, m.Heard, m.Zone, m.Lives, m.Incarnation,
-			m.Version, m.Settings, m.List, m.SkewMS)
+		fmt.Fprintf(t, "%s\t%s\t%.1fs\t%.1fs\t%s\t%d\t%d\t%s\t%s\t%d\t%dms\n", m.Name, m.State, m.StateForS, m.LastHeartbeatS, m.Zone, m.Incarnations, m.Incarnation,
+			m.Version, m.Settings, m.ListVersion, m.SkewMS)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	fmt.Fprintf(out, "fleet %s as %s sees it: view %d, fresh %t, %d messages made no sense, %d were late\n", s.Fleet, s.Self, s.View, s.Fresh, s.Bad, s.Stale)
+	fmt.Fprintf(out, "fleet %s as %s sees it: view %d, fresh %t, %d messages made no sense, %d were late\n", s.Fleet, s.Self, s.ViewVersion, s.Fresh, s.Malformed, s.Stale)
 	for _, c := range s.Conflicts {
 		fmt.Fprintln(out, "name claimed twice:", c)
 	}
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -241,10 +241,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, at := range []claim.State{claim.Out, claim.MayHaveRun, claim.Answered} {
+	for i, at := range []claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered} {
 		n := byte(i + 1)
-		record := claim.Record{Try: claim.Try{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
-			Digest: claim.Digest{n}, State: at, At: time.Duration(n) * time.Minute, Until: time.Duration(n) * time.Hour}
+		record := claim.Record{Attempt: claim.Attempt{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
+			Digest: claim.Digest{n}, State: at, WrittenAt: time.Duration(n) * time.Minute, AttemptDeadline: time.Duration(n) * time.Hour}
 		if at == claim.Answered {
 			record.Answer = []byte("{...}")
 		}
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -60,9 +60,9 @@
 	member   atomic.Pointer[fleet.Node] // the same, for goroutines that began before it
 	tasks    *tasks.Tasks               // of the fleet; nil: alone
 	beside   *inflight.Table            // nil: no other process of this name is looked for
-	claims   *claims.Service            // nil: the chat front's own table is all
-	keeper   *subsetter.Keeper          // nil: it keeps to all replicas
-	lists    *lists.Guard               // nil: its own list is all
+	claims   *claims.Coordinator        // nil: the chat front's own table is all
+	keeper   *subsetter.Controller      // nil: it keeps to all replicas
+	lists    *lists.Filter              // nil: its own list is all
 	numbers  *terms.Numbers             // of the fleet's leases; nil: none outlives the process
 	shutOut  atomic.Bool                // drained for being behind
 	settings atomic.Uint64              // fingerprint of the settings in force,
@@ -110,10 +110,10 @@
 	publish := p.core.UpdateEndpoints
 	if files.fleet != nil {
 		p.tasks = p.share(cfg)
-		publish = also(publish, p.tasks.Roster)
+		publish = also(publish, p.tasks.UpdateEndpoints)
 	}
 	if p.keeper = p.keepTo(files.fleet, cfg, router); p.keeper != nil {
-		publish = also(publish, p.keeper.Roster)
+		publish = also(publish, p.keeper.UpdateEndpoints)
 	}
 	if o.xdsAddr != "" {
 		proxies := xds.New(&cfg.Settings)
@@ -129,9 +129,9 @@
 		defer proxies.Stop()
 		publish = also(publish, proxies.Publish)
 	}
-	if files.fleet != nil && files.fleet.Ends {
+	if files.fleet != nil && files.fleet.EndpointFilter {
 		p.lists = lists.New(publish, listOf{p}.Version, time.Now)
-		publish = p.lists.Roster
+		publish = p.lists.UpdateOwn
 	}
 	kept := p.keepList(files)
 	if kept != nil {
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -27,23 +27,23 @@
 
 // ledger sets up who may run a filing: the fleet's keepers where its file says so, this process alone where it has a state; nil
 // where the chat front's own table is all.
-func (p *program) ledger(files checked, now time.Time) (*claims.Service, error) {
+func (p *program) ledger(files checked, now time.Time) (*claims.Coordinator, error) {
 	cfg := claims.Config{Name: files.config.Name, Incarnation: uint64(now.UnixNano()), Send: func(to string, message []byte, large bool) {
 		if n := p.member.Load(); n != nil {
-			n.SendClaims(to, message, large)
+			n.SendIdempotency(to, message, large)
 		}
 	}}
-	cfg.Limits.Answer = chat.MaxLedgerAnswer
+	cfg.Limits.MaxAnswerBytes = chat.MaxLedgerAnswer
 	switch {
-	case files.fleet != nil && files.fleet.Filings != nil:
-		f := files.fleet.Filings
-		cfg.Keepers, cfg.Secret, cfg.Limits.Keep, cfg.Limits.Entries = files.fleet.Voters, files.fleet.Secret(), f.Keep(), f.Entries
-		if !files.fleet.Votes(cfg.Name) {
+	case files.fleet != nil && files.fleet.Idempotency != nil:
+		f := files.fleet.Idempotency
+		cfg.Replicas, cfg.Secret, cfg.Limits.Retention, cfg.Limits.Entries = files.fleet.Voters, files.fleet.Secret(), f.Keep(), f.Entries
+		if !files.fleet.IsVoter(cfg.Name) {
 			return claims.New(cfg), nil
 		}
 	case files.state != "" && files.chat != nil:
-		cfg.Keepers, cfg.Secret = []string{cfg.Name}, []byte(cfg.Name)
-		cfg.Limits.Keep, cfg.Limits.Entries = files.chat.Keep(), files.chat.Filings.Entries
+		cfg.Replicas, cfg.Secret = []string{cfg.Name}, []byte(cfg.Name)
+		cfg.Limits.Retention, cfg.Limits.Entries = files.chat.Keep(), files.chat.Filings.Entries
 	default:
 		return nil, nil
 	}
@@ -84,16 +84,16 @@
 	fmt.Fprintln(t, "MEMBER\tKEEPS\tKEYS\tGRANTED\tIN\tREFUSED\tNO MAJORITY\tDROPPED\tERRORS\tBAD")
 	keeps := "no"
 	switch {
-	case s.Keeps && s.MuteS > 0:
-		keeps = fmt.Sprintf("in %.0fs", s.MuteS)
-	case s.Keeps:
+	case s.IsReplica && s.RecoveringS > 0:
+		keeps = fmt.Sprintf("in %.0fs", s.RecoveringS)
+	case s.IsReplica:
 		keeps = "yes"
 	}
-	fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1fms\t%d\t%d\t%d\t%d\t%d\n", s.Self, keeps, s.Keys, s.Granted, s.GrantMS, s.Refused, s.None, s.Dropped, s.Errors, s.Bad)
+	fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1fms\t%d\t%d\t%d\t%d\t%d\n", s.Self, keeps, s.Keys, s.Granted, s.GrantMS, s.Rejected, s.NoMajority, s.Dropped, s.Errors, s.Bad)
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("filings: %w", err)
 	}
-	fmt.Fprintln(out, "kept by", s.Keepers)
+	fmt.Fprintln(out, "kept by", s.Replicas)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 		t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "KEY\tSTATE\tBY\tAT\tANSWER")
 		n, bad, err := look(dir, who, func(k claim.Key, r claim.Record) {
-			fmt.Fprintf(t, "%x\t%s\t%s\t%s\t%d bytes\n", k[:], r.State, r.Try.Name, r.At.Round(time.Second), len(r.Answer))
+			fmt.Fprintf(t, "%x\t%s\t%s\t%s\t%d bytes\n", k[:], r.State, r.Attempt.Name, r.WrittenAt.Round(time.Second), len(r.Answer))
 		})
 		if err != nil {
 			return err
--- a/internal/program/state_golden_test.go
+++ b/internal/program/state_golden_test.go
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	for key, record := range map[claim.Key]claim.Record{
-		{1, 15: 2}: {Try: claim.Try{Name: "n2", Incarnation: 3, Seq: 4}, State: claim.Answered, At: 90061*time.Second + 1, Answer: []byte("answer")},
-		{5, 15: 6}: {Try: claim.Try{Name: "member-three", Incarnation: 7, Seq: 8}, State: claim.Out, At: 1501 * time.Millisecond},
-		{9, 15: 0}: {Try: claim.Try{Name: "n4", Incarnation: 10, Seq: 11}, State: claim.MayHaveRun, At: time.Minute},
+		{1, 15: 2}: {Attempt: claim.Attempt{Name: "n2", Incarnation: 3, Seq: 4}, State: claim.Answered, WrittenAt: 90061*time.Second + 1, Answer: []byte("answer")},
+		{5, 15: 6}: {Attempt: claim.Attempt{Name: "member-three", Incarnation: 7, Seq: 8}, State: claim.InFlight, WrittenAt: 1501 * time.Millisecond},
+		{9, 15: 0}: {Attempt: claim.Attempt{Name: "n4", Incarnation: 10, Seq: 11}, State: claim.MayHaveRun, WrittenAt: time.Minute},
 	} {
 		if err := s.Put(key, record); err != nil {
 			t.Fatal(err)
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -27,7 +27,7 @@
 func (a *addresses) public(d int) string { return a.at(4, d+1, 7946) } // where others find it: its relay
 
 // budgets are what a rig's dispatchers may do together.
-var budgets = fleet.Budgets{Floor: 0.25, Probes: 6, Repeats: 0.2, Spare: 4}
+var budgets = fleet.Budgets{Floor: 0.25, PollsPerReplica: 6, RetriesPerRequest: 0.2, RetriesPerSecond: 4}
 
 // fleetFile writes the fleet's file of a dispatcher.
 func (r *Run) fleetFile(d int) (string, error) {
@@ -38,12 +38,12 @@
 	if !r.options.NoDuties { // the first ones vote
 		f.Voters = r.names[:min(3, (len(r.names)-1)|1)]
 	}
-	f.SubsetReaders, f.Beliefs, f.Ends = r.options.Subsets, r.options.Beliefs, r.options.Ends
+	f.SubsetReaders, f.Bootstrap, f.EndpointFilter = r.options.Subsets, r.options.Beliefs, r.options.Ends
 	if r.options.Stragglers {
-		f.Stragglers = &fleet.Stragglers{RestrictS: 2, OutS: 4, Part: 0.25}
+		f.VersionSkew = &fleet.VersionSkewConfig{RestrictS: 2, FenceS: 4, MaxFencedFraction: 0.25}
 	}
 	if r.options.Filings {
-		f.Filings = &fleet.Filings{KeepS: filingKeep, Entries: 10_000}
+		f.Idempotency = &fleet.IdempotencyConfig{KeepS: filingKeep, Entries: 10_000}
 	}
 	if r.options.Budgets {
 		f.Budgets = &budgets
--- a/internal/rig/fleet_test.go
+++ b/internal/rig/fleet_test.go
@@ -75,7 +75,7 @@
 	for d := range 5 {
 		r.sees(t, d, "alive", 0, 1, 2, 3, 4)
 	}
-	if m := r.member(t, 1, 0); m.Lives != 2 || m.Incarnation <= first.Incarnation {
+	if m := r.member(t, 1, 0); m.Incarnations != 2 || m.Incarnation <= first.Incarnation {
 		t.Errorf("back as %+v after %+v", m, first)
 	}
 	r.procs[3].term()
@@ -90,8 +90,8 @@
 		r.sees(t, d, "alive", 0, 1, 2, 4)
 		// Lives too short to be heard of are not counted, but the last one is the one that all hold.
 		testkit.Eventually(t, "the last life", func() bool { return r.member(t, d, 2).Incarnation == r.member(t, 2, 2).Incarnation })
-		if m := r.member(t, d, 2); m.Lives < 2 || m.Lives > 6 {
-			t.Errorf("%d lives", m.Lives)
+		if m := r.member(t, d, 2); m.Incarnations < 2 || m.Incarnations > 6 {
+			t.Errorf("%d lives", m.Incarnations)
 		}
 		if s, err := r.Members(d); err != nil || len(s.Conflicts) > 0 {
 			t.Errorf("conflicts %v, %v", s.Conflicts, err)
@@ -142,8 +142,8 @@
 		r.sees(t, d, "alive", r.all()...)
 	}
 	before, _ := r.Members(0)
-	if before.View < 10 {
-		t.Errorf("view %d after all that", before.View)
+	if before.ViewVersion < 10 {
+		t.Errorf("view %d after all that", before.ViewVersion)
 	}
 }
 
@@ -173,7 +173,7 @@
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
 	testkit.Eventually(t, "a fresh view", func() bool { s, err := r.Members(1); return err == nil && s.Fresh })
-	if m := r.member(t, 0, 1); m.Lives != 1 {
+	if m := r.member(t, 0, 1); m.Incarnations != 1 {
 		t.Errorf("a stopped process came back as %+v", m)
 	}
 }
@@ -189,7 +189,7 @@
 	for d := range 3 {
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
-	testkit.Eventually(t, "the second life", func() bool { return r.member(t, 0, 1).Lives == 2 && r.member(t, 2, 1).Lives == 2 })
+	testkit.Eventually(t, "the second life", func() bool { return r.member(t, 0, 1).Incarnations == 2 && r.member(t, 2, 1).Incarnations == 2 })
 	var before []fleet.MemberStatus
 	for _, at := range []int{0, 2} {
 		before = append(before, r.member(t, at, 1))
@@ -201,7 +201,7 @@
 	}
 	time.Sleep(2 * time.Second) // longer than a member is suspected for before it is given up
 	for i, at := range []int{0, 2} {
-		if m := r.member(t, at, 1); m.State != "alive" || m.Lives != 2 || m.Incarnation != before[i].Incarnation {
+		if m := r.member(t, at, 1); m.State != "alive" || m.Incarnations != 2 || m.Incarnation != before[i].Incarnation {
 			t.Errorf("at %d: %+v, before the replay %+v", at, m, before[i])
 		}
 		if s, err := r.Members(at); err != nil || s.Stale == 0 {
@@ -231,7 +231,7 @@
 	// It goes on for as many views of the others as it takes to give one up several times over.
 	end := time.Now().Add(4 * time.Second)
 	for time.Now().Before(end) {
-		if m := r.member(t, 0, 1); m.State != "alive" || m.Lives != was.Lives {
+		if m := r.member(t, 0, 1); m.State != "alive" || m.Incarnations != was.Incarnations {
 			t.Fatalf("with a full table it shows as %+v", m)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -239,6 +239,6 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the count of garbage", func() bool { s, err := r.Members(1); return err == nil && s.Bad > 10 })
+	testkit.Eventually(t, "the count of garbage", func() bool { s, err := r.Members(1); return err == nil && s.Malformed > 10 })
 	r.sees(t, 1, "alive", 0, 1, 2)
 }
--- a/internal/rig/shares_test.go
+++ b/internal/rig/shares_test.go
@@ -52,11 +52,11 @@
 			// So much comes at once besides: 10 s of questions, and one of each life of a dispatcher; 5 s of the spare repeats, and
 			// one of each.
 			lives := float64(c.dispatchers + downs(r))
-			if most := budgets.Probes*3 + lives/sumSpan.Seconds(); r.OwnMost > most {
+			if most := budgets.PollsPerReplica*3 + lives/sumSpan.Seconds(); r.OwnMost > most {
 				t.Errorf("a replica was asked %.2f times a second, at most %.2f", r.OwnMost, most)
 			}
 			tries := float64(r.Tries)
-			if most := budgets.Repeats*tries + lives + budgets.Spare*(5+s.Seconds); r.Repeats*tries > most {
+			if most := budgets.RetriesPerRequest*tries + lives + budgets.RetriesPerSecond*(5+s.Seconds); r.Repeats*tries > most {
 				t.Errorf("%.0f repeats of %.0f tries, at most %.0f", r.Repeats*tries, tries, most)
 			}
 		})
@@ -82,7 +82,7 @@
 	testkit.Eventually(t, "the whole to be used", all(0.95, 0, 1, 2, 3))
 	ctx := context.Background()
 	r.procs[3].pause(ctx, 2*time.Second)
-	if s, err := r.Shares(3); err != nil || s.Part > s.Least*1.0001 && s.Left <= 0 {
+	if s, err := r.Shares(3); err != nil || s.Fraction > s.MinFraction*1.0001 && s.RemainingS <= 0 {
 		t.Errorf("it woke with %+v, %v", s, err)
 	}
 	testkit.Eventually(t, "the whole to be used again", all(0.95, 0, 1, 2, 3))
@@ -119,10 +119,10 @@
 			count := map[string]int{}
 			for d := range r.procs {
 				s, err := r.Subset(d)
-				if err != nil && members == len(r.procs) || err == nil && (len(s.Kept) == 0 || s.Members != members) {
+				if err != nil && members == len(r.procs) || err == nil && (len(s.Subset) == 0 || s.Members != members) {
 					return false
 				}
-				for _, name := range s.Kept {
+				for _, name := range s.Subset {
 					count[name]++
 				}
 			}
@@ -137,13 +137,13 @@
 	before := map[int][]string{}
 	for d := range r.procs {
 		s, _ := r.Subset(d)
-		before[d] = s.Kept
+		before[d] = s.Subset
 	}
 	r.procs[11].kill()
 	r.procs[11].restart(context.Background(), true)
 	testkit.Eventually(t, "the same subsets after a restart", func() bool {
 		for d := range r.procs {
-			if s, err := r.Subset(d); err != nil || !slices.Equal(s.Kept, before[d]) {
+			if s, err := r.Subset(d); err != nil || !slices.Equal(s.Subset, before[d]) {
 				return false
 			}
 		}
@@ -157,7 +157,7 @@
 	}
 	testkit.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
 		for d := range r.procs {
-			if s, err := r.Subset(d); err != nil || slices.Contains(s.Kept, gone) {
+			if s, err := r.Subset(d); err != nil || slices.Contains(s.Subset, gone) {
 				return false
 			}
 		}
--- a/internal/rig/sums.go
+++ b/internal/rig/sums.go
@@ -221,8 +221,8 @@
 }
 
 // Shares is a dispatcher's part as it shows it to its operators.
-func (r *Run) Shares(d int) (fleet.ShareStatus, error) {
-	return shown[fleet.ShareStatus](r, d, "shares")
+func (r *Run) Shares(d int) (fleet.QuotaStatus, error) {
+	return shown[fleet.QuotaStatus](r, d, "shares")
 }
 
 // Subset is what a dispatcher keeps to.
@@ -235,7 +235,7 @@
 	for d := range r.procs {
 		wg.Go(func() {
 			if s, err := r.Shares(d); err == nil {
-				parts[d] = s.Part
+				parts[d] = s.Fraction
 			}
 		})
 	}
--- a/internal/servers/golden_test.go
+++ b/internal/servers/golden_test.go
@@ -82,7 +82,7 @@
 	to, requests = recorder(t, loads)
 	for _, duty := range []string{"", "duty-1 7"} {
 		told := make(chan *decide.LoadReport, 1)
-		pool.ProbeFor(duty, to, 5*time.Second, func(l *decide.LoadReport) { told <- l })
+		pool.PollLoadFor(duty, to, 5*time.Second, func(l *decide.LoadReport) { told <- l })
 		record("a probe, duty "+fmt.Sprintf("%q", duty), to, <-requests)
 		if l := <-told; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
 			t.Errorf("load %+v", l)
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -482,14 +482,14 @@
 
 // PollLoad implements core.Servers.
 func (p *Pool) PollLoad(to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
-	p.ProbeFor("", to, limit, told)
+	p.PollLoadFor("", to, limit, told)
 }
 
 // dutyHeader tells a replica for which lease of the fleet's duties it is asked.
 const dutyHeader = "X-Duty"
 
-// ProbeFor is Probe on behalf of the fleet; duty says under which lease.
-func (p *Pool) ProbeFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
+// PollLoadFor is Probe on behalf of the fleet; duty says under which lease.
+func (p *Pool) PollLoadFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
 	go func() {
 		l, err := p.probe(duty, to, limit)
 		if err != nil {
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -642,7 +642,7 @@
 	defer pool.Close()
 	for _, duty := range []string{"", "probe/r 7"} {
 		told := make(chan *decide.LoadReport, 1)
-		pool.ProbeFor(duty, core.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *decide.LoadReport) { told <- l })
+		pool.PollLoadFor(duty, core.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *decide.LoadReport) { told <- l })
 		if got, l := <-duties, <-told; got != duty || l == nil || l.QueuedRequests != 1 {
 			t.Errorf("asked for %q, told %+v; want %q", got, l, duty)
 		}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -25,10 +25,10 @@
 var (
 	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
 	goldenRecords  = map[claim.Key]claim.Record{
-		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Try: claim.Try{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
-			Digest: claim.Digest{19, 31: 20}, State: claim.Answered, At: 21 * time.Second, Until: 22 * time.Second, Answer: []byte("golden answer")},
-		{23, 15: 24}: {Try: claim.Try{Name: "n3", Incarnation: 25, Seq: 26}, Digest: claim.Digest{27, 31: 28}, State: claim.Out, At: 29, Until: 30},
-		{31, 15: 32}: {Try: claim.Try{Name: "n4", Incarnation: 33, Seq: 34}, Digest: claim.Digest{35, 31: 36}, State: claim.MayHaveRun, At: 37, Until: 38},
+		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Attempt: claim.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Digest: claim.Digest{19, 31: 20}, State: claim.Answered, WrittenAt: 21 * time.Second, AttemptDeadline: 22 * time.Second, Answer: []byte("golden answer")},
+		{23, 15: 24}: {Attempt: claim.Attempt{Name: "n3", Incarnation: 25, Seq: 26}, Digest: claim.Digest{27, 31: 28}, State: claim.InFlight, WrittenAt: 29, AttemptDeadline: 30},
+		{31, 15: 32}: {Attempt: claim.Attempt{Name: "n4", Incarnation: 33, Seq: 34}, Digest: claim.Digest{35, 31: 36}, State: claim.MayHaveRun, WrittenAt: 37, AttemptDeadline: 38},
 	}
 )
 
@@ -136,7 +136,7 @@
 		if record.State != claim.Answered {
 			continue
 		}
-		for _, v := range []reflect.Value{reflect.ValueOf(record), reflect.ValueOf(record.Try)} {
+		for _, v := range []reflect.Value{reflect.ValueOf(record), reflect.ValueOf(record.Attempt)} {
 			for i := range v.NumField() {
 				if v.Field(i).IsZero() {
 					t.Errorf("%s.%s is zero", v.Type(), v.Type().Field(i).Name)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -338,13 +338,13 @@
 	num := func(field protowire.Number, v uint64) {
 		b = fields.Varint(b, field, v)
 	}
-	text(fieldTry, []byte(r.Try.Name))
-	num(fieldIncarnation, r.Try.Incarnation)
-	num(fieldSeq, r.Try.Seq)
+	text(fieldTry, []byte(r.Attempt.Name))
+	num(fieldIncarnation, r.Attempt.Incarnation)
+	num(fieldSeq, r.Attempt.Seq)
 	text(fieldDigest, r.Digest[:])
 	num(fieldState, uint64(r.State))
-	num(fieldAt, uint64(r.At))
-	num(fieldUntil, uint64(r.Until))
+	num(fieldAt, uint64(r.WrittenAt))
+	num(fieldUntil, uint64(r.AttemptDeadline))
 	if r.Answer != nil {
 		text(fieldAnswer, r.Answer)
 	}
@@ -366,25 +366,25 @@
 		field, kind, v, text := f.Number, f.Kind, f.Value, f.Bytes
 		switch {
 		case field == fieldTry && kind == protowire.BytesType:
-			r.Try.Name = string(text)
+			r.Attempt.Name = string(text)
 		case field == fieldDigest && kind == protowire.BytesType && len(text) == len(r.Digest):
 			copy(r.Digest[:], text)
 		case field == fieldAnswer && kind == protowire.BytesType:
 			r.Answer = append([]byte{}, text...)
 		case kind != protowire.VarintType:
 		case field == fieldIncarnation:
-			r.Try.Incarnation = v
+			r.Attempt.Incarnation = v
 		case field == fieldSeq:
-			r.Try.Seq = v
+			r.Attempt.Seq = v
 		case field == fieldState:
 			r.State = claim.State(v)
 		case field == fieldAt:
-			r.At = time.Duration(v)
+			r.WrittenAt = time.Duration(v)
 		case field == fieldUntil:
-			r.Until = time.Duration(v)
+			r.AttemptDeadline = time.Duration(v)
 		}
 	}
-	if r.State < claim.Out || r.State > claim.Answered || r.Try.Name == "" {
+	if r.State < claim.InFlight || r.State > claim.Answered || r.Attempt.Name == "" {
 		return r, fmt.Errorf("%w: a record makes no sense", ErrBad)
 	}
 	return r, nil
@@ -418,7 +418,7 @@
 		old := e.tx.Bucket(bucketClaims).Get(key[:])
 		if fresh = old == nil; !fresh {
 			if was, err := decode(old); err == nil {
-				if err := e.delete(bucketAges, age(was.At, key)); err != nil {
+				if err := e.delete(bucketAges, age(was.WrittenAt, key)); err != nil {
 					return err
 				}
 			}
@@ -426,7 +426,7 @@
 		if err := e.put(bucketClaims, key[:], encode(r)); err != nil {
 			return err
 		}
-		return e.put(bucketAges, age(r.At, key), nil)
+		return e.put(bucketAges, age(r.WrittenAt, key), nil)
 	})
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -465,7 +465,7 @@
 		return 0, nil
 	}
 	if r, err := decode(b); err == nil {
-		if err := e.delete(bucketAges, age(r.At, claim.Key(key))); err != nil {
+		if err := e.delete(bucketAges, age(r.WrittenAt, claim.Key(key))); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -35,11 +35,11 @@
 		t.Fatal(err)
 	}
 	s := opened(t, dir)
-	r := claim.Record{Try: claim.Try{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: claim.Digest{1, 2, 3}, State: claim.Answered,
-		At: time.Second, Until: time.Hour, Answer: []byte("answer")}
+	r := claim.Record{Attempt: claim.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: claim.Digest{1, 2, 3}, State: claim.Answered,
+		WrittenAt: time.Second, AttemptDeadline: time.Hour, Answer: []byte("answer")}
 	for i := range byte(10) {
-		if r.At = time.Duration(i) * time.Second; i == 3 {
-			r.State, r.Answer = claim.Out, nil
+		if r.WrittenAt = time.Duration(i) * time.Second; i == 3 {
+			r.State, r.Answer = claim.InFlight, nil
 		}
 		if err := s.Put(claim.Key{i}, r); err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	again := opened(t, next)
-	if got, ok, err := again.Get(claim.Key{9}); err != nil || !ok || got.Try != r.Try || got.Digest != r.Digest || got.Until != r.Until || got.At != r.At || got.State != r.State {
+	if got, ok, err := again.Get(claim.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
 		t.Errorf("%+v, %t, %v", got, ok, err)
 	}
 	if got, _, _ := again.Get(claim.Key{2}); string(got.Answer) != "answer" {
@@ -140,7 +140,7 @@
 }
 
 func kept(i byte) claim.Record {
-	return claim.Record{Try: claim.Try{Name: "n2", Seq: uint64(i)}, State: claim.Answered, At: time.Duration(i),
+	return claim.Record{Attempt: claim.Attempt{Name: "n2", Seq: uint64(i)}, State: claim.Answered, WrittenAt: time.Duration(i),
 		Answer: bytes.Repeat([]byte("answer "), 40)}
 }
 
@@ -165,7 +165,7 @@
 		switch {
 		case err != nil:
 			t.Errorf("key %d: %v", i, err)
-		case ok && (r.Try.Seq != uint64(i) || !bytes.Equal(r.Answer, kept(i).Answer)):
+		case ok && (r.Attempt.Seq != uint64(i) || !bytes.Equal(r.Answer, kept(i).Answer)):
 			t.Errorf("key %d is %+v", i, r)
 		case ok:
 			has++
@@ -268,13 +268,13 @@
 // Records survive their coding, and garbage is an error or a record that makes sense.
 func TestCoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := claim.Record{Try: claim.Try{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "life"), Seq: rapid.Uint64().Draw(t, "seq")},
-			State: rapid.SampledFrom([]claim.State{claim.Out, claim.MayHaveRun, claim.Answered}).Draw(t, "state"),
-			At:    time.Duration(rapid.Int64Min(0).Draw(t, "at")), Until: time.Duration(rapid.Int64Min(0).Draw(t, "until")),
+		r := claim.Record{Attempt: claim.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "life"), Seq: rapid.Uint64().Draw(t, "seq")},
+			State:     rapid.SampledFrom([]claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered}).Draw(t, "state"),
+			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "at")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "until")),
 			Answer: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer")}
 		b := encode(r)
 		got, err := decode(b)
-		if err != nil || got.Try != r.Try || got.State != r.State || got.At != r.At || got.Until != r.Until || !bytes.Equal(got.Answer, r.Answer) {
+		if err != nil || got.Attempt != r.Attempt || got.State != r.State || got.WrittenAt != r.WrittenAt || got.AttemptDeadline != r.AttemptDeadline || !bytes.Equal(got.Answer, r.Answer) {
 			t.Fatalf("%+v became %+v, %v", r, got, err)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
@@ -285,9 +285,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encode(claim.Record{Try: claim.Try{Name: "n"}, State: claim.Out}))
+	f.Add(encode(claim.Record{Attempt: claim.Attempt{Name: "n"}, State: claim.InFlight}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decode(b); err == nil && (r.State < claim.Out || r.State > claim.Answered) {
+		if r, err := decode(b); err == nil && (r.State < claim.InFlight || r.State > claim.Answered) {
 			t.Errorf("%x was taken as %+v", b, r)
 		}
 	})
@@ -317,7 +317,7 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		if err := s.Put(claim.Key(append(encodeNumber(i), encodeNumber(i)...)), claim.Record{Try: claim.Try{Name: "n2"}, State: claim.Out, At: time.Duration(i)}); err != nil {
+		if err := s.Put(claim.Key(append(encodeNumber(i), encodeNumber(i)...)), claim.Record{Attempt: claim.Attempt{Name: "n2"}, State: claim.InFlight, WrittenAt: time.Duration(i)}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -333,7 +333,7 @@
 	if err := s.update(func(e *entries) error {
 		for i := range uint64(20_000) {
 			key, r := claim.Key(append(encodeNumber(i), encodeNumber(i)...)), kept(byte(i))
-			if err := errors.Join(e.put(bucketClaims, key[:], encode(r)), e.put(bucketAges, age(r.At, key), nil)); err != nil {
+			if err := errors.Join(e.put(bucketClaims, key[:], encode(r)), e.put(bucketAges, age(r.WrittenAt, key), nil)); err != nil {
 				return err
 			}
 		}
