--- a/internal/chat/ledger.go
+++ b/internal/chat/ledger.go
@@ -32,11 +32,11 @@
 // granted asks the other processes of this name, and the ledger, about a key that is new to this process's table. Where it is not
 // fresh, the table learns what they know, or forgets the key.
 func (f *Front) granted(j *job, key string) (verdict, *completion, claim.Attempt) {
-	switch f.beside.Take(inflight.Filing, key) {
-	case inflight.Open:
+	switch f.beside.Acquire(inflight.IdempotencyKey, key) {
+	case inflight.HeldByOther:
 		f.filings.release(key)
 		return inProgress, nil, claim.Attempt{}
-	case inflight.MayRan:
+	case inflight.MayHaveRun:
 		f.filings.settle(key, nil)
 		return mayHaveRun, nil, claim.Attempt{}
 	case inflight.Unknown:
@@ -52,7 +52,7 @@
 	case out == claim.Granted:
 		return fresh, nil, try
 	}
-	f.beside.Drop(inflight.Filing, key)
+	f.beside.Release(inflight.IdempotencyKey, key)
 	switch {
 	case out == claim.Rejected && why == claim.VoteAnswered:
 		known := new(completion)
@@ -79,14 +79,14 @@
 func (f *Front) note(key string, try claim.Attempt, answer *completion, ran bool) {
 	if !ran {
 		f.filings.release(key)
-		f.beside.Drop(inflight.Filing, key)
+		f.beside.Release(inflight.IdempotencyKey, key)
 		if f.ledger != nil {
 			f.ledger.Withdraw(key, try)
 		}
 		return
 	}
 	f.filings.settle(key, answer)
-	f.beside.Ran(key)
+	f.beside.MarkMayHaveRun(key)
 	if f.ledger == nil {
 		return
 	}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -89,10 +89,10 @@
 		return
 	}
 	defer f.open.Delete(req.Call.ID)
-	v := f.beside.Take(inflight.Request, req.Call.ID)
+	v := f.beside.Acquire(inflight.Request, req.Call.ID)
 	switch {
-	case v == inflight.Free:
-		defer f.beside.Drop(inflight.Request, req.Call.ID)
+	case v == inflight.Acquired:
+		defer f.beside.Release(inflight.Request, req.Call.ID)
 	case v != inflight.Unknown:
 		f.bad.Add(1)
 		http.Error(w, "X-Trace-Id belongs to an open request", http.StatusConflict)
--- a/internal/fleet/claims/claims.go
+++ b/internal/fleet/claims/claims.go
@@ -113,7 +113,7 @@
 		case f := <-s.jobs:
 			f()
 		case <-note.C:
-			if err := s.store.Note(); err != nil {
+			if err := s.store.RecordLifetime(); err != nil {
 				s.failed(err)
 			}
 		case <-ctx.Done():
@@ -131,7 +131,7 @@
 		}
 		return false
 	}
-	remembers, left := store.Remembers(s.cfg.Limits.Retention)
+	remembers, left := store.Complete(s.cfg.Limits.Retention)
 	if !remembers {
 		slog.Warn("state_lost", "member", s.cfg.Name, "keeps_its_peace_for", left)
 	}
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	// The keeper waits for Keep from what it is told is now; what was lived since the loss counts.
 	s.store, s.mute = store, !remembers
-	s.keeper = claim.NewReplica(s.cfg.Limits, store, remembers, store.Lived()+left-s.cfg.Limits.Retention)
+	s.keeper = claim.NewReplica(s.cfg.Limits, store, remembers, store.Lifetime()+left-s.cfg.Limits.Retention)
 	return true
 }
 
@@ -289,7 +289,7 @@
 }
 
 func (s *Coordinator) kept(m message) {
-	now := s.store.Lived()
+	now := s.store.Lifetime()
 	switch m.kind {
 	case kindAsk:
 		v, answer, err := s.keeper.Claim(now, m.key, m.digest, m.try, m.ends)
@@ -332,7 +332,7 @@
 	defer s.mu.Unlock()
 	if s.store != nil {
 		out.IsReplica, out.Keys = true, s.store.Keys()
-		if _, left := s.store.Remembers(s.cfg.Limits.Retention); s.mute {
+		if _, left := s.store.Complete(s.cfg.Limits.Retention); s.mute {
 			out.RecoveringS = left.Seconds()
 		}
 	}
--- a/internal/program/drain.go
+++ b/internal/program/drain.go
@@ -74,7 +74,7 @@
 	for _, s := range p.servers {
 		s.Close()
 	}
-	if p.beside.Beside() {
+	if p.beside.HasPeers() {
 		time.Sleep(lastWords) // what was let go last is still on its way, and the process that goes on cannot let go of it
 	}
 	p.awaitReleases(lastWords)
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -196,7 +196,7 @@
 			return fleet.Facts{Settings: p.settings.Load(), List: p.watch.Version(), Serving: p.ready.Load() && !p.state.Stopping.Load()}
 		}}
 	if p.numbers != nil {
-		self.TokenFloor, self.ObserveToken = p.numbers.Floor(), p.numbers.Seen
+		self.TokenFloor, self.ObserveToken = p.numbers.Floor(), p.numbers.Observe
 	}
 	node, err := fleet.Start(file, self, func(err error) { failed <- err })
 	if err != nil {
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -31,7 +31,7 @@
 // giveUp ends what is unanswered before the platform kills this process, if another has taken its place: the two count as one, so
 // what this one left held at replicas would stay so. With none beside it replicas free that by themselves.
 func (p *program) giveUp() {
-	if p.beside.Beside() {
+	if p.beside.HasPeers() {
 		slog.Info("given_up")
 		p.core.AbandonPending()
 	}
@@ -39,18 +39,18 @@
 
 // handOver begins with what another process of this name has learnt, and then leaves what this one learns to those that ask, until
 // the context ends.
-func (p *program) handOver(ctx context.Context, at handover.Place) {
-	at.Ask(ctx, p.core.Restore)
-	at.Answer(ctx, func() (decide.Snapshot, bool) { return p.core.Snapshot(ctx, handover.Texts) })
+func (p *program) handOver(ctx context.Context, at handover.Exchange) {
+	at.Request(ctx, p.core.Restore)
+	at.Serve(ctx, func() (decide.Snapshot, bool) { return p.core.Snapshot(ctx, handover.MaxPrefixes) })
 }
 
 // leave leaves what this process has learnt: it goes.
-func (p *program) leave(ctx context.Context, at handover.Place) {
-	b, ok := p.core.Snapshot(ctx, handover.Texts)
+func (p *program) leave(ctx context.Context, at handover.Exchange) {
+	b, ok := p.core.Snapshot(ctx, handover.MaxPrefixes)
 	if !ok {
 		return
 	}
-	if err := at.Leave(b); err != nil {
+	if err := at.Write(b); err != nil {
 		slog.Warn("handover_leave", "err", err)
 	}
 }
@@ -62,8 +62,8 @@
 }
 
 // as is whose beliefs are packed: the fleet's, under the settings in force.
-func (k peers) as() handover.Place {
-	return handover.Place{Machine: k.p.machine, Name: k.fleet, Settings: k.p.settings.Load()}
+func (k peers) as() handover.Exchange {
+	return handover.Exchange{Machine: k.p.machine, Name: k.fleet, Settings: k.p.settings.Load()}
 }
 
 // Tell implements fleet.Knows.
--- a/internal/program/newest.go
+++ b/internal/program/newest.go
@@ -15,11 +15,11 @@
 )
 
 // keepList saves the list that this process acts on, for its next life; nil without a folder for state.
-func (p *program) keepList(files checked) *atomicfile.Keeper {
+func (p *program) keepList(files checked) *atomicfile.Saver {
 	if files.state == "" {
 		return nil
 	}
-	return atomicfile.NewKeeper("list", func() error {
+	return atomicfile.NewSaver("list", func() error {
 		held, err := p.watch.Held()
 		if err != nil {
 			return err
@@ -28,7 +28,7 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		return lastlist.Save(p.machine, files.state, lastlist.List{Owner: p.listOwner(files), At: system.Now(p.machine), Version: held.Generation, Entries: entries})
+		return lastlist.Save(p.machine, files.state, lastlist.Cached{Owner: p.listOwner(files), SavedAt: system.Now(p.machine), Version: held.Generation, Entries: entries})
 	})
 }
 
@@ -49,7 +49,7 @@
 	if files.state == "" {
 		return l, nil
 	}
-	kept, err := lastlist.Find(files.state, p.listOwner(files), system.Now(p.machine))
+	kept, err := lastlist.Load(files.state, p.listOwner(files), system.Now(p.machine))
 	stored := discovery.List{Generation: kept.Version, Reset: true}
 	if err == nil {
 		err = json.Unmarshal(kept.Entries, &stored.Instances)
@@ -66,6 +66,6 @@
 }
 
 // andKeep tells a keeper of each list that is handed on.
-func andKeep(k *atomicfile.Keeper) func(bool, []core.Endpoint) {
-	return func(bool, []core.Endpoint) { k.Changed() }
+func andKeep(k *atomicfile.Saver) func(bool, []core.Endpoint) {
+	return func(bool, []core.Endpoint) { k.MarkDirty() }
 }
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -63,7 +63,7 @@
 	claims   *claims.Coordinator        // nil: the chat front's own table is all
 	keeper   *subsetter.Controller      // nil: it keeps to all replicas
 	lists    *lists.Filter              // nil: its own list is all
-	numbers  *terms.Numbers             // of the fleet's leases; nil: none outlives the process
+	numbers  *terms.TokenFloor          // of the fleet's leases; nil: none outlives the process
 	shutOut  atomic.Bool                // drained for being behind
 	settings atomic.Uint64              // fingerprint of the settings in force,
 	grace    atomic.Int64               // and for how long after SIGTERM they let a process live, in ns
@@ -172,7 +172,7 @@
 	if p.claims != nil {
 		tasks.Go(func() { p.claims.Run(running) })
 	}
-	at := handover.Place{Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: p.settings.Load()}
+	at := handover.Exchange{Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: p.settings.Load()}
 	if o.handover != "" {
 		tasks.Go(func() { p.handOver(running, at) })
 	}
@@ -200,7 +200,7 @@
 		}
 	}
 
-	p.beside.Wait(ctx)
+	p.beside.WaitForPeers(ctx)
 
 	// Clients hold at most 1 in 3 of the sockets for requests, and each of those can need one to a replica.
 	// Connections without an open request get 1 in 8 more, idle ones to replicas as many, and the rest is
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -50,7 +50,7 @@
 	// It is opened here for what only a start may say; one that another process has is waited for.
 	open := func() (*state.Store, error) { return state.Open(files.state, files.identity()) }
 	first, err := open()
-	if errors.Is(err, state.ErrBad) {
+	if errors.Is(err, state.ErrCorrupt) {
 		to, aside := state.SetAside(files.state, now)
 		if aside != nil {
 			return nil, errors.Join(err, aside)
@@ -146,7 +146,7 @@
 
 // look reads a state that no process has, and calls f with each filing that can be read.
 func look(dir string, who state.Identity, f func(claim.Key, claim.Record)) (n, bad int, err error) {
-	s, err := state.Look(dir, who)
+	s, err := state.OpenReadOnly(dir, who)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/internal/program/state_golden_test.go
+++ b/internal/program/state_golden_test.go
@@ -35,7 +35,7 @@
 	expect(dir+": the state of golden-name, with no filing\n", "init", dir, "--name", "golden-name", "--of", "golden-fleet")
 	expect(dir+": good: 0 filings\n", "check", dir)
 	expect("KEY  STATE  BY  AT  ANSWER\n0 filings, 0 of them cannot be read\n", "show", dir)
-	s, err := state.Look(dir, state.Identity{Fleet: "golden-fleet", Name: "golden-name"})
+	s, err := state.OpenReadOnly(dir, state.Identity{Fleet: "golden-fleet", Name: "golden-name"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -18,8 +18,8 @@
 	"rampspread/internal/system"
 )
 
-// ErrSpoilt says that a file is cut, flipped or of another kind.
-var ErrSpoilt = errors.New("no whole file of this kind")
+// ErrCorrupt says that a file is cut, flipped or of another kind.
+var ErrCorrupt = errors.New("no whole file of this kind")
 
 // Seal puts a body behind what says what it is, and a checksum behind both.
 func Seal(magic string, body []byte) []byte {
@@ -30,11 +30,11 @@
 // Open returns the body of what Seal made; any other text is ErrSpoilt.
 func Open(magic string, text []byte) ([]byte, error) {
 	if len(text) < len(magic)+8 || !bytes.HasPrefix(text, []byte(magic)) {
-		return nil, ErrSpoilt
+		return nil, ErrCorrupt
 	}
 	body, sum := text[:len(text)-8], binary.BigEndian.Uint64(text[len(text)-8:])
 	if xxhash.Sum64(body) != sum {
-		return nil, fmt.Errorf("%w: its checksum is off", ErrSpoilt)
+		return nil, fmt.Errorf("%w: its checksum is off", ErrCorrupt)
 	}
 	return body[len(magic):], nil
 }
@@ -144,7 +144,7 @@
 		return nil, fmt.Errorf("read: %w", err)
 	}
 	if int64(len(text)) > most {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrSpoilt, most)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrCorrupt, most)
 	}
 	return text, nil
 }
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -16,7 +16,7 @@
 func TestKeeper(t *testing.T) {
 	var calls atomic.Int64
 	let := make(chan bool)
-	k := NewKeeper("it", func() error {
+	k := NewSaver("it", func() error {
 		if calls.Add(1) <= 2 {
 			<-let
 			return errors.New("no room")
@@ -27,7 +27,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
 	for range 1000 {
-		k.Changed() // while the disk hangs
+		k.MarkDirty() // while the disk hangs
 	}
 	close(let)
 	testkit.Eventually(t, "the save after two that failed", func() bool { return calls.Load() >= 3 })
@@ -50,7 +50,7 @@
 			t.Errorf("read %q, %v", got, err)
 		}
 	}
-	if _, err := Read(path, 3); !errors.Is(err, ErrSpoilt) {
+	if _, err := Read(path, 3); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a file that is too long: %v", err)
 	}
 	// Where the new one cannot be written the old one stays, and nothing is left beside it.
--- a/internal/state/atomicfile/golden_test.go
+++ b/internal/state/atomicfile/golden_test.go
@@ -25,7 +25,7 @@
 	if body, err := Open(goldenMagic, want); err != nil || string(body) != goldenBody {
 		t.Errorf("opened %q, %v", body, err)
 	}
-	if _, err := Open("rampspread other 1\n", want); !errors.Is(err, ErrSpoilt) {
+	if _, err := Open("rampspread other 1\n", want); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("opened as another kind: %v", err)
 	}
 }
--- a/internal/state/atomicfile/keep.go
+++ b/internal/state/atomicfile/keep.go
@@ -10,20 +10,20 @@
 // save waits for the disk.
 const saveEvery = 200 * time.Millisecond
 
-// Keeper saves something when it has changed. It is the only one that waits for the disk.
-type Keeper struct {
+// Saver saves something when it has changed. It is the only one that waits for the disk.
+type Saver struct {
 	what    string
 	save    func() error
 	changed chan struct{}
 }
 
-// NewKeeper returns a Keeper that Run must drive; save stores it as it is now, and what names it in the log.
-func NewKeeper(what string, save func() error) *Keeper {
-	return &Keeper{what: what, save: save, changed: make(chan struct{}, 1)}
+// NewSaver returns a Keeper that Run must drive; save stores it as it is now, and what names it in the log.
+func NewSaver(what string, save func() error) *Saver {
+	return &Saver{what: what, save: save, changed: make(chan struct{}, 1)}
 }
 
-// Changed says that it has; it never waits.
-func (k *Keeper) Changed() {
+// MarkDirty says that it has; it never waits.
+func (k *Saver) MarkDirty() {
 	select {
 	case k.changed <- struct{}{}:
 	default: // it is known already
@@ -31,7 +31,7 @@
 }
 
 // Run saves until the context ends. A disk that fails is told of once, until it takes what is to be kept again.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Saver) Run(ctx context.Context) {
 	failing := false
 	for {
 		select {
@@ -47,7 +47,7 @@
 			}
 		}
 		if failing {
-			k.Changed() // the disk may come back, and this may not change again
+			k.MarkDirty() // the disk may come back, and this may not change again
 		}
 		select {
 		case <-time.After(saveEvery):
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -105,7 +105,7 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenFileName), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Look(dir, goldenIdentity)
+	s, err := OpenReadOnly(dir, goldenIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/handover/golden_test.go
+++ b/internal/state/handover/golden_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func goldenPlace() Place { return Place{Name: goldenName, Settings: goldenSettings} }
+func goldenPlace() Exchange { return Exchange{Name: goldenName, Settings: goldenSettings} }
 
 // The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers types by what the
 // process encoded before, and writes the types' names, which no reader looks at.
@@ -173,7 +173,7 @@
 	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	for _, other := range []Place{{Name: "other", Settings: goldenSettings}, {Name: goldenName, Settings: goldenSettings + 1}} {
+	for _, other := range []Exchange{{Name: "other", Settings: goldenSettings}, {Name: goldenName, Settings: goldenSettings + 1}} {
 		if _, err := other.Decode(text); err == nil {
 			t.Errorf("%+v took what is not its own", other)
 		}
@@ -244,7 +244,7 @@
 
 // Processes of different versions meet at files of these names.
 func TestGoldenFileNames(t *testing.T) {
-	place := Place{Dir: "folder", Name: "a/b\x01c"}
+	place := Exchange{Dir: "folder", Name: "a/b\x01c"}
 	for kind, want := range map[string]string{".beliefs": "rampspread-a_b_c.beliefs", ".ask": "rampspread-a_b_c.ask"} {
 		if got := place.file(kind); got != filepath.Join("folder", want) {
 			t.Errorf("%s: %s", kind, got)
--- a/internal/state/handover/handover.go
+++ b/internal/state/handover/handover.go
@@ -23,10 +23,10 @@
 
 const (
 	magic = "rampspread beliefs 1\n"
-	// Most bounds a file in bytes.
-	Most = 4 << 20
-	// Texts bounds the number of prefix entries in a file.
-	Texts = 10_000
+	// MaxBytes bounds a file in bytes.
+	MaxBytes = 4 << 20
+	// MaxPrefixes bounds the number of prefix entries in a file.
+	MaxPrefixes = 10_000
 
 	lookEvery = 500 * time.Millisecond // whether somebody asks
 	// Unasked, what is known is left so often: a process that is killed has no time to.
@@ -35,11 +35,11 @@
 	askFor     = 2 * time.Second       // for so long
 )
 
-// ErrVoid says that what was handed over is of no use: another member's, of other settings, spoilt, or of a later program.
-var ErrVoid = errors.New("handover: void")
+// ErrUnusable says that what was handed over is of no use: another member's, of other settings, spoilt, or of a later program.
+var ErrUnusable = errors.New("handover: void")
 
-// Place is where a process finds what another of its name left, and leaves its own.
-type Place struct {
+// Exchange is where a process finds what another of its name left, and leaves its own.
+type Exchange struct {
 	Dir  string
 	Name string
 	// Settings is the fingerprint of the settings: what was learnt under others is void.
@@ -48,7 +48,7 @@
 	Machine system.System
 }
 
-func (p Place) file(kind string) string {
+func (p Exchange) file(kind string) string {
 	name := strings.Map(func(r rune) rune { // a name is no path
 		if r == os.PathSeparator || r < ' ' {
 			return '_'
@@ -59,7 +59,7 @@
 }
 
 // Encode packs beliefs, with a checksum behind them.
-func (p Place) Encode(b decide.Snapshot) ([]byte, error) {
+func (p Exchange) Encode(b decide.Snapshot) ([]byte, error) {
 	var out bytes.Buffer
 	e := gob.NewEncoder(&out)
 	if err := errors.Join(e.Encode(header{Name: p.Name, Settings: p.Settings}), e.Encode(newSnapshotRecord(b))); err != nil {
@@ -69,37 +69,37 @@
 }
 
 // Decode reads what Encode packed; ErrVoid: it is of no use here.
-func (p Place) Decode(text []byte) (b decide.Snapshot, err error) {
-	if len(text) > Most {
-		return b, fmt.Errorf("%w: over %d bytes", ErrVoid, Most)
+func (p Exchange) Decode(text []byte) (b decide.Snapshot, err error) {
+	if len(text) > MaxBytes {
+		return b, fmt.Errorf("%w: over %d bytes", ErrUnusable, MaxBytes)
 	}
 	body, err := atomicfile.Open(magic, text)
 	if err != nil {
-		return b, fmt.Errorf("%w: %w", ErrVoid, err)
+		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
 	d := gob.NewDecoder(bytes.NewReader(body))
 	var h header
 	if err := d.Decode(&h); err != nil {
-		return b, fmt.Errorf("%w: %w", ErrVoid, err)
+		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
 	if h.Name != p.Name || h.Settings != p.Settings {
-		return b, fmt.Errorf("%w: it is %q's, or of other settings", ErrVoid, h.Name)
+		return b, fmt.Errorf("%w: it is %q's, or of other settings", ErrUnusable, h.Name)
 	}
 	var snapshot snapshotRecord
 	if err := d.Decode(&snapshot); err != nil {
-		return b, fmt.Errorf("%w: %w", ErrVoid, err)
+		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
 	return snapshot.beliefs(), nil
 }
 
-// Leave replaces what is left for others, whole.
-func (p Place) Leave(b decide.Snapshot) error {
+// Write replaces what is left for others, whole.
+func (p Exchange) Write(b decide.Snapshot) error {
 	text, err := p.Encode(b)
 	if err != nil {
 		return err
 	}
-	if len(text) > Most {
-		return fmt.Errorf("handover: %d bytes, at most %d", len(text), Most)
+	if len(text) > MaxBytes {
+		return fmt.Errorf("handover: %d bytes, at most %d", len(text), MaxBytes)
 	}
 	if err := atomicfile.Replace(p.Machine, p.file(".beliefs"), text, false); err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -107,24 +107,24 @@
 	return nil
 }
 
-// Find reads what was left; fs.ErrNotExist: nothing was.
-func (p Place) Find() (decide.Snapshot, error) {
-	text, err := atomicfile.Read(p.file(".beliefs"), Most)
+// Read reads what was left; fs.ErrNotExist: nothing was.
+func (p Exchange) Read() (decide.Snapshot, error) {
+	text, err := atomicfile.Read(p.file(".beliefs"), MaxBytes)
 	switch {
-	case errors.Is(err, atomicfile.ErrSpoilt):
-		return decide.Snapshot{}, fmt.Errorf("%w: %w", ErrVoid, err)
+	case errors.Is(err, atomicfile.ErrCorrupt):
+		return decide.Snapshot{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	case err != nil:
 		return decide.Snapshot{}, fmt.Errorf("handover: %w", err)
 	}
 	return p.Decode(text)
 }
 
-// Ask takes what was left, and asks a process of the same name that may be serving for what it knows now. Learn is called with
+// Request takes what was left, and asks a process of the same name that may be serving for what it knows now. Learn is called with
 // each that is found, once or twice.
-func (p Place) Ask(ctx context.Context, learn func(decide.Snapshot)) {
+func (p Exchange) Request(ctx context.Context, learn func(decide.Snapshot)) {
 	var last time.Duration
 	find := func() bool {
-		b, err := p.Find()
+		b, err := p.Read()
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
@@ -162,9 +162,9 @@
 	}
 }
 
-// Answer leaves what tell returns whenever somebody asks, and now and then unasked, until the context ends. A process answers once
+// Serve leaves what tell returns whenever somebody asks, and now and then unasked, until the context ends. A process answers once
 // it has asked itself.
-func (p Place) Answer(ctx context.Context, tell func() (decide.Snapshot, bool)) {
+func (p Exchange) Serve(ctx context.Context, tell func() (decide.Snapshot, bool)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	left := time.Now()
@@ -179,7 +179,7 @@
 		}
 		left = time.Now()
 		if b, ok := tell(); ok {
-			if err := p.Leave(b); err != nil {
+			if err := p.Write(b); err != nil {
 				slog.Warn("handover_leave", "err", err)
 			}
 			os.Remove(p.file(".ask"))
--- a/internal/state/handover/handover_test.go
+++ b/internal/state/handover/handover_test.go
@@ -21,19 +21,19 @@
 
 // What one leaves the next finds, whole; what is spoilt, cut, another member's or of other settings is void, and never a panic.
 func TestLeaveAndFind(t *testing.T) {
-	p := Place{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
-	if _, err := p.Find(); !errors.Is(err, os.ErrNotExist) {
+	p := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
+	if _, err := p.Read(); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nothing was left: %v", err)
 	}
-	if err := p.Leave(beliefs(time.Hour)); err != nil {
+	if err := p.Write(beliefs(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	b, err := p.Find()
+	b, err := p.Read()
 	if err != nil || b.TakenAt != time.Hour || b.Prefixes[0].Tokens != 9 || b.Endpoints[0].Health[0].Value != 0.5 || b.CommonQueueDelay.Sum != 3 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	for _, other := range []Place{{p.Dir, "n/0", 6, p.Machine}, {p.Dir, "n_0", 5, p.Machine}} { // the second has the same file
-		if _, err := other.Find(); !errors.Is(err, ErrVoid) {
+	for _, other := range []Exchange{{p.Dir, "n/0", 6, p.Machine}, {p.Dir, "n_0", 5, p.Machine}} { // the second has the same file
+		if _, err := other.Read(); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
@@ -42,12 +42,12 @@
 		t.Fatal(err)
 	}
 	for cut := range good {
-		if _, err := p.Decode(good[:cut]); !errors.Is(err, ErrVoid) {
+		if _, err := p.Decode(good[:cut]); !errors.Is(err, ErrUnusable) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		spoilt := append([]byte(nil), good...)
 		spoilt[cut] ^= 0x10
-		if _, err := p.Decode(spoilt); !errors.Is(err, ErrVoid) || strings.Contains(err.Error(), "\n") {
+		if _, err := p.Decode(spoilt); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Fatalf("byte %d changed: %v", cut, err)
 		}
 	}
@@ -59,23 +59,23 @@
 
 // One that starts asks, and one that serves answers with what it knows then; with nobody there it goes on after a while.
 func TestAskAndAnswer(t *testing.T) {
-	p := Place{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
+	p := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	if err := p.Leave(beliefs(time.Second)); err != nil { // of an earlier life
+	if err := p.Write(beliefs(time.Second)); err != nil { // of an earlier life
 		t.Fatal(err)
 	}
-	wg.Go(func() { p.Answer(ctx, func() (decide.Snapshot, bool) { return beliefs(time.Minute), true }) })
+	wg.Go(func() { p.Serve(ctx, func() (decide.Snapshot, bool) { return beliefs(time.Minute), true }) })
 	var got []time.Duration
-	p.Ask(ctx, func(b decide.Snapshot) { got = append(got, b.TakenAt) })
+	p.Request(ctx, func(b decide.Snapshot) { got = append(got, b.TakenAt) })
 	if len(got) != 2 || got[0] != time.Second || got[1] != time.Minute {
 		t.Errorf("found %v", got)
 	}
-	alone := Place{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
+	alone := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
 	from := time.Now()
-	alone.Ask(ctx, func(decide.Snapshot) { t.Error("something was found") })
+	alone.Request(ctx, func(decide.Snapshot) { t.Error("something was found") })
 	if took := time.Since(from); took > askFor+time.Second {
 		t.Errorf("alone it asked for %v", took)
 	}
@@ -83,11 +83,11 @@
 		t.Error("the question is still there")
 	}
 	testkit.Eventually(t, "no question of the first", func() bool { _, err := os.Stat(p.file(".ask")); return err != nil })
-	(Place{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Ask(ctx, func(decide.Snapshot) { t.Error("something was found") })
+	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(decide.Snapshot) { t.Error("something was found") })
 }
 
 func FuzzDecode(f *testing.F) {
-	p := Place{Name: "n0"}
+	p := Exchange{Name: "n0"}
 	text, err := p.Encode(beliefs(1))
 	if err != nil {
 		f.Fatal(err)
@@ -100,13 +100,13 @@
 
 func BenchmarkEncode(b *testing.B) {
 	in := beliefs(1)
-	for i := range Texts {
+	for i := range MaxPrefixes {
 		in.Prefixes = append(in.Prefixes, decide.PrefixCacheEntry{Key: decide.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
 	}
-	text, _ := Place{}.Encode(in)
+	text, _ := Exchange{}.Encode(in)
 	b.ReportMetric(float64(len(text)), "bytes")
 	for b.Loop() {
-		if _, err := (Place{}).Encode(in); err != nil {
+		if _, err := (Exchange{}).Encode(in); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -41,10 +41,10 @@
 			first.end()
 			step(t, dir, by)
 			second := start(t, dir)
-			if got := second.do("take key- ran"); got != verdict(MayRan) && time.Since(began) < keep {
+			if got := second.do("take key- ran"); got != verdict(MayHaveRun) && time.Since(began) < keep {
 				t.Errorf("after the step: %s", got)
 			}
-			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Free) })
+			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Acquired) })
 		})
 	}
 }
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -109,12 +109,12 @@
 	if info, err := os.Stat(filepath.Join(table.own, "shown")); err != nil || info.Size() != 0 {
 		t.Errorf("the mark of a process that shows what it has: %v", err)
 	}
-	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", Filing: "key-dd56de4137951d9c92681b03416ec15f"} {
+	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f"} {
 		if got := fileOf(kind, "golden"); got != want {
 			t.Errorf("%s, not %s", got, want)
 		}
 	}
-	if table.Take(Request, "golden") != Free {
+	if table.Acquire(Request, "golden") != Acquired {
 		t.Error("nobody has the name")
 	}
 	if _, err := os.Stat(filepath.Join(table.own, "id-dd56de4137951d9c92681b03416ec15f")); err != nil {
--- a/internal/state/inflight/inflight.go
+++ b/internal/state/inflight/inflight.go
@@ -44,19 +44,19 @@
 
 // The kinds. A request is nobody's once its process has ended; a filing may have run, and stays.
 const (
-	Request Kind = "id-"
-	Filing  Kind = "key-"
+	Request        Kind = "id-"
+	IdempotencyKey Kind = "key-"
 )
 
-// Verdict is what the other processes say of a name.
-type Verdict uint8
+// Claim is what the other processes say of a name.
+type Claim uint8
 
 // The verdicts.
 const (
-	Free    Verdict = iota // this process has it now; Drop or Ran must follow
-	Open                   // another has it in hand
-	MayRan                 // another has carried it out, or ended while it had it
-	Unknown                // the folder does not answer
+	Acquired    Claim = iota // this process has it now; Drop or Ran must follow
+	HeldByOther              // another has it in hand
+	MayHaveRun               // another has carried it out, or ended while it had it
+	Unknown                  // the folder does not answer
 )
 
 // Table is what one process has in hand. A nil Table is one that is always alone. It is safe for use by several goroutines.
@@ -119,8 +119,8 @@
 	return t, nil
 }
 
-// Wait returns when each process that was there shows what it has in hand, or has ended; it says how many do not in time.
-func (t *Table) Wait(ctx context.Context) (silent int) {
+// WaitForPeers returns when each process that was there shows what it has in hand, or has ended; it says how many do not in time.
+func (t *Table) WaitForPeers(ctx context.Context) (silent int) {
 	if t == nil {
 		return 0
 	}
@@ -238,7 +238,7 @@
 	t.beside = true
 	names, filings := t.late, false
 	for name := range t.held {
-		if names = append(names, name); strings.HasPrefix(name, string(Filing)) {
+		if names = append(names, name); strings.HasPrefix(name, string(IdempotencyKey)) {
 			filings = true
 		} else {
 			delete(t.held, name)
@@ -306,7 +306,7 @@
 		return false
 	}
 	for _, e := range entries {
-		if !strings.HasPrefix(e.Name(), string(Filing)) {
+		if !strings.HasPrefix(e.Name(), string(IdempotencyKey)) {
 			continue
 		}
 		if f, err := t.read(filepath.Join(dir, e.Name())); err == nil && f.age < t.keep {
@@ -325,8 +325,8 @@
 	}
 }
 
-// Beside tells whether another process of this name is there.
-func (t *Table) Beside() bool {
+// HasPeers tells whether another process of this name is there.
+func (t *Table) HasPeers() bool {
 	if t == nil {
 		return false
 	}
@@ -348,24 +348,24 @@
 	return string(kind) + hex.EncodeToString(sum[:16])
 }
 
-// Take asks for a name on behalf of this process, which does not have it already.
-func (t *Table) Take(kind Kind, name string) Verdict {
+// Acquire asks for a name on behalf of this process, which does not have it already.
+func (t *Table) Acquire(kind Kind, name string) Claim {
 	if t == nil {
-		return Free
+		return Acquired
 	}
 	file := fileOf(kind, name)
 	t.mu.Lock()
 	t.held[file] = time.Now()
 	delete(t.ran, file) // an earlier one of this name is forgotten
-	alone := !t.beside && !(kind == Filing && t.left)
+	alone := !t.beside && !(kind == IdempotencyKey && t.left)
 	t.mu.Unlock()
 	if alone {
-		return Free
+		return Acquired
 	}
 	v := Unknown
 	select {
 	case t.asks <- struct{}{}:
-		said := make(chan Verdict, 1)
+		said := make(chan Claim, 1)
 		go func() { // it ends when the folder answers
 			defer func() { <-t.asks }()
 			said <- t.ask(kind, file)
@@ -380,14 +380,14 @@
 	default:
 		t.fail(errHangs)
 	}
-	if v != Free {
+	if v != Acquired {
 		t.forget(file)
 	}
 	return v
 }
 
 // ask writes a name down, and then looks whether others have it.
-func (t *Table) ask(kind Kind, file string) Verdict {
+func (t *Table) ask(kind Kind, file string) Claim {
 	if t.level(file) != nil {
 		return Unknown
 	}
@@ -403,18 +403,18 @@
 		case err != nil:
 			t.fail(err)
 			return Unknown
-		case kind == Filing && f.age >= t.keep:
-		case kind == Filing && (!o.lives || f.ran):
-			return MayRan
+		case kind == IdempotencyKey && f.age >= t.keep:
+		case kind == IdempotencyKey && (!o.lives || f.ran):
+			return MayHaveRun
 		case o.lives:
-			return Open
+			return HeldByOther
 		}
 	}
-	return Free
+	return Acquired
 }
 
-// Drop ends what this process has in hand, as something that never ran or that is of no more account.
-func (t *Table) Drop(kind Kind, name string) {
+// Release ends what this process has in hand, as something that never ran or that is of no more account.
+func (t *Table) Release(kind Kind, name string) {
 	if t != nil {
 		t.forget(fileOf(kind, name))
 	}
@@ -430,12 +430,12 @@
 	}
 }
 
-// Ran ends a filing that may have run: it stays for as long as filings are remembered.
-func (t *Table) Ran(name string) {
+// MarkMayHaveRun ends a filing that may have run: it stays for as long as filings are remembered.
+func (t *Table) MarkMayHaveRun(name string) {
 	if t == nil {
 		return
 	}
-	file := fileOf(Filing, name)
+	file := fileOf(IdempotencyKey, name)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.held[file]; !ok {
--- a/internal/state/inflight/inflight_test.go
+++ b/internal/state/inflight/inflight_test.go
@@ -38,18 +38,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { t.Run(ctx) })
-	fmt.Println("silent", t.Wait(ctx))
+	fmt.Println("silent", t.WaitForPeers(ctx))
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
 		w := strings.Fields(in.Text())
-		v := Free
+		v := Acquired
 		switch w[0] {
 		case "take":
-			v = t.Take(Kind(w[1]), w[2])
+			v = t.Acquire(Kind(w[1]), w[2])
 		case "drop":
-			t.Drop(Kind(w[1]), w[2])
+			t.Release(Kind(w[1]), w[2])
 		case "ran":
-			t.Ran(w[1])
+			t.MarkMayHaveRun(w[1])
 		}
 		fmt.Println(v)
 	}
@@ -114,7 +114,7 @@
 	p.cmd.Wait()
 }
 
-func verdict(v Verdict) string { return fmt.Sprint(v) }
+func verdict(v Claim) string { return fmt.Sprint(v) }
 
 // What one process has in hand when another comes is known to that one before it takes anything, and the other way about; what is
 // ended is free again.
@@ -122,7 +122,7 @@
 	dir := t.TempDir()
 	first := start(t, dir)
 	for _, name := range []string{"a", "b"} {
-		if got := first.do("take id- %s", name); got != verdict(Free) {
+		if got := first.do("take id- %s", name); got != verdict(Acquired) {
 			t.Fatalf("alone: %s", got)
 		}
 	}
@@ -130,19 +130,19 @@
 		t.Errorf("alone it wrote %d files", len(files))
 	}
 	second := start(t, dir)
-	if got := second.do("take id- a"); got != verdict(Open) {
+	if got := second.do("take id- a"); got != verdict(HeldByOther) {
 		t.Errorf("what the first has: %s", got)
 	}
-	if got := second.do("take id- c"); got != verdict(Free) {
+	if got := second.do("take id- c"); got != verdict(Acquired) {
 		t.Errorf("what nobody has: %s", got)
 	}
-	if got := first.do("take id- c"); got != verdict(Open) {
+	if got := first.do("take id- c"); got != verdict(HeldByOther) {
 		t.Errorf("what the second has: %s", got)
 	}
 	first.do("drop id- a")
-	eventually(t, "what was ended", func() bool { return second.do("take id- a") == verdict(Free) })
+	eventually(t, "what was ended", func() bool { return second.do("take id- a") == verdict(Acquired) })
 	second.kill() // what it had is nobody's
-	eventually(t, "what the one that was killed had", func() bool { return first.do("take id- c") == verdict(Free) })
+	eventually(t, "what the one that was killed had", func() bool { return first.do("take id- c") == verdict(Acquired) })
 	eventually(t, "no file to be left", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*"))
 		return len(files) == 0
@@ -168,20 +168,20 @@
 				second = start(t, dir)
 			} else {
 				second = start(t, dir)
-				if got := second.do("take key- ran"); got != verdict(MayRan) {
+				if got := second.do("take key- ran"); got != verdict(MayHaveRun) {
 					t.Errorf("beside it: %s", got)
 				}
-				if got := second.do("take key- open"); got != verdict(Open) {
+				if got := second.do("take key- open"); got != verdict(HeldByOther) {
 					t.Errorf("in hand beside it: %s", got)
 				}
 				first.kill()
 			}
-			for name, want := range map[string]Verdict{"ran": MayRan, "open": MayRan, "never": Free} {
+			for name, want := range map[string]Claim{"ran": MayHaveRun, "open": MayHaveRun, "never": Acquired} {
 				if got := second.do("take key- %s", name); got != verdict(want) && time.Since(began) < keep {
 					t.Errorf("%s: %s, want %d", name, got, want)
 				}
 			}
-			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Free) })
+			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Acquired) })
 		})
 	}
 }
@@ -197,7 +197,7 @@
 		first := -1 // all at once: each may have seen another, so that nobody gets it
 		if round%2 == 1 {
 			first = rng.IntN(len(procs))
-			if got[first] = procs[first].do("take id- %s", name); got[first] != verdict(Free) {
+			if got[first] = procs[first].do("take id- %s", name); got[first] != verdict(Acquired) {
 				t.Fatalf("the first to ask for %s got %s", name, got[first])
 			}
 		}
@@ -211,7 +211,7 @@
 		wait.Wait()
 		holders := 0
 		for _, g := range got {
-			if g == verdict(Free) {
+			if g == verdict(Acquired) {
 				holders++
 			}
 		}
@@ -224,7 +224,7 @@
 			procs[i] = start(t, dir)
 			// What the others took last, the one that has just come knows.
 			for j, g := range got {
-				if j != i && g == verdict(Free) && procs[i].do("take id- %s", name) != verdict(Open) {
+				if j != i && g == verdict(Acquired) && procs[i].do("take id- %s", name) != verdict(HeldByOther) {
 					t.Fatalf("%s was given to one that has just come", name)
 				}
 			}
@@ -241,19 +241,19 @@
 		t.Fatal(err)
 	}
 	table.patience = 10 * time.Second
-	if table.Wait(t.Context()) != 0 {
+	if table.WaitForPeers(t.Context()) != 0 {
 		t.Error("the other did not show what it has")
 	}
 	for range asksMost { // as if so many hung
 		table.asks <- struct{}{}
 	}
-	if v := table.Take(Request, "x"); v != Unknown || table.Failed() == 0 {
+	if v := table.Acquire(Request, "x"); v != Unknown || table.Failed() == 0 {
 		t.Errorf("verdict %d, failed %d", v, table.Failed())
 	}
 	for range asksMost {
 		<-table.asks
 	}
-	if v := table.Take(Request, "x"); v != Free {
+	if v := table.Acquire(Request, "x"); v != Acquired {
 		t.Errorf("the folder is back: %d", v)
 	}
 	// A folder that cannot be looked at is one of a process that lives: it is not cleared away under it.
@@ -267,7 +267,7 @@
 	}
 	os.RemoveAll(blind)
 	os.RemoveAll(table.own)
-	if v := table.Take(Request, "y"); v != Unknown {
+	if v := table.Acquire(Request, "y"); v != Unknown {
 		t.Errorf("without a folder: %d", v)
 	}
 	other.end()
--- a/internal/state/lastlist/golden_test.go
+++ b/internal/state/lastlist/golden_test.go
@@ -13,9 +13,9 @@
 
 const goldenFileName = "newest.list"
 
-var goldenList = List{
+var goldenList = Cached{
 	Owner:   Owner{Fleet: "golden-fleet", Name: "golden-name", Discovery: "192.0.2.1:8500"},
-	At:      system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
+	SavedAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
 	Version: 1<<63 + 3,
 	Entries: []byte(`[{"instanceId":"s1","cell":4}]`),
 }
@@ -38,9 +38,9 @@
 	if err := os.WriteFile(filepath.Join(left, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now := goldenList.At
+	now := goldenList.SavedAt
 	now.Boot++
-	if got, err := Find(left, goldenList.Owner, now); err != nil || !reflect.DeepEqual(got, goldenList) {
+	if got, err := Load(left, goldenList.Owner, now); err != nil || !reflect.DeepEqual(got, goldenList) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
--- a/internal/state/lastlist/lastlist.go
+++ b/internal/state/lastlist/lastlist.go
@@ -22,8 +22,8 @@
 	MaxAge = time.Hour
 )
 
-// ErrVoid says that a stored list is of no use here: spoilt, too old, from the future, another process's, or of another discovery.
-var ErrVoid = errors.New("lastlist: void")
+// ErrUnusable says that a stored list is of no use here: spoilt, too old, from the future, another process's, or of another discovery.
+var ErrUnusable = errors.New("lastlist: void")
 
 // Owner says whose list it is, and from where: versions of two discoveries cannot be compared.
 type Owner struct {
@@ -32,16 +32,16 @@
 	Discovery string `json:"Discovery"`
 }
 
-// List is what is stored. The tags are the names in the file, which other versions of the program read: they never change.
-type List struct {
+// Cached is what is stored. The tags are the names in the file, which other versions of the program read: they never change.
+type Cached struct {
 	Owner   Owner           `json:"Owner"`
-	At      system.Stamp    `json:"At"`
+	SavedAt system.Stamp    `json:"At"`
 	Version uint64          `json:"Version"`
 	Entries json.RawMessage `json:"Entries"` // in discovery's form
 }
 
 // Save replaces the list in a folder; it is on the disk when Save returns.
-func Save(machine system.System, dir string, l List) error {
+func Save(machine system.System, dir string, l Cached) error {
 	body, err := json.Marshal(l)
 	if err != nil {
 		return fmt.Errorf("lastlist: %w", err)
@@ -58,28 +58,28 @@
 	return nil
 }
 
-// Find reads the list in a folder; fs.ErrNotExist: there is none. ErrVoid: it is of no use to this owner now.
-func Find(dir string, who Owner, now system.Stamp) (List, error) {
+// Load reads the list in a folder; fs.ErrNotExist: there is none. ErrVoid: it is of no use to this owner now.
+func Load(dir string, who Owner, now system.Stamp) (Cached, error) {
 	text, err := atomicfile.Read(filepath.Join(dir, fileName), most)
-	if err != nil && !errors.Is(err, atomicfile.ErrSpoilt) {
-		return List{}, fmt.Errorf("lastlist: %w", err)
+	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
+		return Cached{}, fmt.Errorf("lastlist: %w", err)
 	}
 	if err == nil {
 		text, err = atomicfile.Open(magic, text)
 	}
-	var l List
+	var l Cached
 	if err == nil {
 		err = json.Unmarshal(text, &l)
 	}
 	switch {
 	case err != nil:
-		return List{}, fmt.Errorf("%w: %w", ErrVoid, err)
+		return Cached{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	case l.Owner != who:
-		return List{}, fmt.Errorf("%w: it is that of %q of %q at %s", ErrVoid, l.Owner.Name, l.Owner.Fleet, l.Owner.Discovery)
-	case l.At.Age(now) < 0:
-		return List{}, fmt.Errorf("%w: it is from the future", ErrVoid)
-	case l.At.Age(now) > MaxAge:
-		return List{}, fmt.Errorf("%w: it is %v old", ErrVoid, l.At.Age(now).Round(time.Second))
+		return Cached{}, fmt.Errorf("%w: it is that of %q of %q at %s", ErrUnusable, l.Owner.Name, l.Owner.Fleet, l.Owner.Discovery)
+	case l.SavedAt.Age(now) < 0:
+		return Cached{}, fmt.Errorf("%w: it is from the future", ErrUnusable)
+	case l.SavedAt.Age(now) > MaxAge:
+		return Cached{}, fmt.Errorf("%w: it is %v old", ErrUnusable, l.SavedAt.Age(now).Round(time.Second))
 	}
 	return l, nil
 }
--- a/internal/state/lastlist/lastlist_test.go
+++ b/internal/state/lastlist/lastlist_test.go
@@ -15,13 +15,13 @@
 
 var owner = Owner{Fleet: "f", Name: "n0", Discovery: "127.0.0.1:8500"}
 
-func stored(at system.Stamp) List {
-	return List{Owner: owner, At: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
+func stored(at system.Stamp) Cached {
+	return Cached{Owner: owner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
 }
 
 func TestSaveAndFind(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	if _, err := Find(dir, owner, system.Now(system.Real())); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := Load(dir, owner, system.Now(system.Real())); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("in no folder: %v", err)
 	}
 	for version := range uint64(3) { // each replaces the one before
@@ -30,7 +30,7 @@
 		if err := Save(system.Real(), dir, l); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Find(dir, owner, system.Now(system.Real())); err != nil || got.Version != version || string(got.Entries) != string(l.Entries) {
+		if got, err := Load(dir, owner, system.Now(system.Real())); err != nil || got.Version != version || string(got.Entries) != string(l.Entries) {
 			t.Errorf("found %+v, %v", got, err)
 		}
 	}
@@ -38,7 +38,7 @@
 		t.Errorf("%d files are left", len(files))
 	}
 	for _, other := range []Owner{{"g", "n0", owner.Discovery}, {"f", "n1", owner.Discovery}, {"f", "n0", "127.0.0.1:8501"}} {
-		if _, err := Find(dir, other, system.Now(system.Real())); !errors.Is(err, ErrVoid) || strings.Contains(err.Error(), "\n") {
+		if _, err := Load(dir, other, system.Now(system.Real())); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("of %+v: %v", other, err)
 		}
 	}
@@ -59,7 +59,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := Find(dir, owner, system.Now(system.Real())); !errors.Is(err, ErrVoid) {
+		if l, err := Load(dir, owner, system.Now(system.Real())); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%s: %+v, %v", what, l, err)
 		}
 	}
@@ -94,7 +94,7 @@
 		if err := Save(system.Real(), dir, stored(saved)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Find(dir, owner, c.now); errors.Is(err, ErrVoid) != c.void || !c.void && err != nil {
+		if _, err := Load(dir, owner, c.now); errors.Is(err, ErrUnusable) != c.void || !c.void && err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -118,7 +118,7 @@
 		if err := os.WriteFile(at, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := Find(filepath.Dir(at), owner, system.Now(system.Real())); err == nil && l.Owner != owner {
+		if l, err := Load(filepath.Dir(at), owner, system.Now(system.Real())); err == nil && l.Owner != owner {
 			t.Errorf("took %+v", l)
 		}
 	})
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -39,10 +39,10 @@
 var (
 	// ErrLocked says that another process has the folder.
 	ErrLocked = errors.New("state: another process has the folder")
-	// ErrOther says that the state is another member's, another fleet's, or of a later program.
-	ErrOther = errors.New("state: it is not this member's")
-	// ErrBad says that the file cannot be read.
-	ErrBad = errors.New("state: the file cannot be read")
+	// ErrNotOwner says that the state is another member's, another fleet's, or of a later program.
+	ErrNotOwner = errors.New("state: it is not this member's")
+	// ErrCorrupt says that the file cannot be read.
+	ErrCorrupt = errors.New("state: the file cannot be read")
 
 	bucketMeta   = []byte("meta")
 	bucketClaims = []byte("claims")
@@ -86,8 +86,8 @@
 	return open(dir, who, errors.Is(err, fs.ErrNotExist))
 }
 
-// Look opens a state that is there, to read it; who may be empty.
-func Look(dir string, who Identity) (*Store, error) {
+// OpenReadOnly opens a state that is there, to read it; who may be empty.
+func OpenReadOnly(dir string, who Identity) (*Store, error) {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return nil, fmt.Errorf("state: %s has none: %w", dir, err)
 	}
@@ -112,12 +112,12 @@
 	switch {
 	case errors.Is(err, ErrLocked), errors.Is(err, bbolterrors.ErrTimeout):
 		return nil, ErrLocked
-	case errors.Is(err, ErrBad):
+	case errors.Is(err, ErrCorrupt):
 		return nil, err
 	case errors.Is(err, fs.ErrPermission):
 		return nil, fmt.Errorf("state: %w", err)
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	s = &Store{db: db, opened: time.Now()}
 	made := false
@@ -139,7 +139,7 @@
 		return false, nil
 	}
 	if meta == nil || claims == nil || ages == nil || meta.Get(keyFormat) == nil {
-		return false, fmt.Errorf("%w: a part of it is not there", ErrBad)
+		return false, fmt.Errorf("%w: a part of it is not there", ErrCorrupt)
 	}
 	f := meta.Get(keyFormat)
 	sum := meta.Get(keySum)
@@ -150,12 +150,12 @@
 	// Whose it is comes first: a later program's format may have another sum.
 	switch {
 	case len(f) != 8 || number(f) > format:
-		return false, fmt.Errorf("%w: its format is a later program's", ErrOther)
+		return false, fmt.Errorf("%w: its format is a later program's", ErrNotOwner)
 	case number(f) == format && (len(sum) != 8 || number(sum) != all):
-		return false, fmt.Errorf("%w: its checksum is off", ErrBad)
+		return false, fmt.Errorf("%w: its checksum is off", ErrCorrupt)
 	case who == Identity{}: // whosoever it is
 	case string(meta.Get(keyFleet)) != who.Fleet || string(meta.Get(keyName)) != who.Name:
-		return false, fmt.Errorf("%w: it is %q of %q, not %q of %q", ErrOther, meta.Get(keyName), meta.Get(keyFleet), who.Name, who.Fleet)
+		return false, fmt.Errorf("%w: it is %q of %q, not %q of %q", ErrNotOwner, meta.Get(keyName), meta.Get(keyFleet), who.Name, who.Fleet)
 	}
 	s.n = claims.Stats().KeyN
 	s.lived = time.Duration(number(meta.Get(keyLived)))
@@ -264,7 +264,7 @@
 	return func() {
 		debug.SetPanicOnFault(before)
 		if p := recover(); p != nil {
-			*err = fmt.Errorf("%w: %v", ErrBad, p)
+			*err = fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 	}
 }
@@ -278,24 +278,24 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// Lived is how long the member has lived, over all lives as far as was noted, by the clock that only advances.
-func (s *Store) Lived() time.Duration {
+// Lifetime is how long the member has lived, over all lives as far as was noted, by the clock that only advances.
+func (s *Store) Lifetime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lived + time.Since(s.opened)
 }
 
-// Note writes down how long the member has lived. What is not noted is not counted: keys then live longer.
-func (s *Store) Note() (err error) {
+// RecordLifetime writes down how long the member has lived. What is not noted is not counted: keys then live longer.
+func (s *Store) RecordLifetime() (err error) {
 	defer guard(&err)()
-	lived := s.Lived()
+	lived := s.Lifetime()
 	return s.update(func(e *entries) error { return e.put(bucketMeta, keyLived, encodeNumber(uint64(lived))) })
 }
 
-// Remembers tells whether the state holds all that the member ever wrote. One that was lost remembers all again once it has
+// Complete tells whether the state holds all that the member ever wrote. One that was lost remembers all again once it has
 // lived for keep: what was written before has expired.
-func (s *Store) Remembers(keep time.Duration) (remembers bool, left time.Duration) {
-	lived := s.Lived()
+func (s *Store) Complete(keep time.Duration) (remembers bool, left time.Duration) {
+	lived := s.Lifetime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lost || lived >= keep {
@@ -313,7 +313,7 @@
 
 // Close closes the file.
 func (s *Store) Close() error {
-	err := s.Note()
+	err := s.RecordLifetime()
 	return errors.Join(err, s.db.Close())
 }
 
@@ -355,12 +355,12 @@
 // decode reads a record; one whose checksum is off, or that makes no sense, is an error.
 func decode(b []byte) (r claim.Record, err error) {
 	if len(b) < 8 || xxhash.Sum64(b[8:]) != binary.BigEndian.Uint64(b) {
-		return r, fmt.Errorf("%w: a record's checksum is off", ErrBad)
+		return r, fmt.Errorf("%w: a record's checksum is off", ErrCorrupt)
 	}
 	for b = b[8:]; len(b) > 0; {
 		f, rest, err := fields.Next(b)
 		if err != nil {
-			return r, fmt.Errorf("%w: %w", ErrBad, err)
+			return r, fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		b = rest
 		field, kind, v, text := f.Number, f.Kind, f.Value, f.Bytes
@@ -385,7 +385,7 @@
 		}
 	}
 	if r.State < claim.InFlight || r.State > claim.Answered || r.Attempt.Name == "" {
-		return r, fmt.Errorf("%w: a record makes no sense", ErrBad)
+		return r, fmt.Errorf("%w: a record makes no sense", ErrCorrupt)
 	}
 	return r, nil
 }
@@ -515,7 +515,7 @@
 	return s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketClaims).ForEach(func(k, v []byte) error {
 			if len(k) != len(claim.Key{}) {
-				f(claim.Key{}, claim.Record{}, fmt.Errorf("%w: a key of %d bytes", ErrBad, len(k)))
+				f(claim.Key{}, claim.Record{}, fmt.Errorf("%w: a key of %d bytes", ErrCorrupt, len(k)))
 				return nil
 			}
 			r, err := decode(v)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -63,7 +63,7 @@
 	if _, ok, err := again.Get(claim.Key{99}); ok || err != nil {
 		t.Errorf("%t, %v", ok, err)
 	}
-	if ok, _ := again.Remembers(time.Hour); !ok || again.Keys() != 10 {
+	if ok, _ := again.Complete(time.Hour); !ok || again.Keys() != 10 {
 		t.Errorf("remembers %t, %d keys", ok, again.Keys())
 	}
 	if left, err := again.Expire(4*time.Second, 3); err != nil || left != 7 {
@@ -79,7 +79,7 @@
 func TestLostState(t *testing.T) {
 	dir := t.TempDir()
 	s := opened(t, dir)
-	if ok, left := s.Remembers(time.Hour); ok || left < 59*time.Minute {
+	if ok, left := s.Complete(time.Hour); ok || left < 59*time.Minute {
 		t.Errorf("remembers %t, %v left", ok, left)
 	}
 	s.lived = time.Hour
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	s = opened(t, dir)
-	if ok, _ := s.Remembers(time.Hour); !ok || s.Lived() < time.Hour {
-		t.Errorf("after an hour of life it remembers %t, lived %v", ok, s.Lived())
+	if ok, _ := s.Complete(time.Hour); !ok || s.Lifetime() < time.Hour {
+		t.Errorf("after an hour of life it remembers %t, lived %v", ok, s.Lifetime())
 	}
 	if err := Init(dir, who); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a state was made over one that is there: %v", err)
@@ -104,7 +104,7 @@
 	}
 	s.Close()
 	for _, other := range []Identity{{"g", "n1"}, {"f", "n2"}} {
-		if _, err := Open(dir, other); !errors.Is(err, ErrOther) {
+		if _, err := Open(dir, other); !errors.Is(err, ErrNotOwner) {
 			t.Errorf("%v: %v", other, err)
 		}
 	}
@@ -185,7 +185,7 @@
 	look := func(what string, file []byte) {
 		t.Helper()
 		switch has, err := openedFrom(t, dir, file, n); {
-		case errors.Is(err, ErrBad):
+		case errors.Is(err, ErrCorrupt):
 			refused++
 		case err != nil || has != n:
 			t.Errorf("%s: it has %d keys, %v", what, has, err)
@@ -219,7 +219,7 @@
 	if to, err := SetAside(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(to, "bad-7") {
 		t.Errorf("%s, %v", to, err)
 	}
-	if ok, _ := opened(t, dir).Remembers(time.Hour); ok {
+	if ok, _ := opened(t, dir).Complete(time.Hour); ok {
 		t.Error("after its file was set aside it remembers all")
 	}
 }
@@ -301,7 +301,7 @@
 		if n := uint32(len(file)); n > 4 { // mostly whole files with one number off
 			binary.LittleEndian.PutUint32(file[at%(n-3):], value)
 		}
-		if err := verify(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrBad) {
+		if err := verify(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Error(err)
 		}
 	})
--- a/internal/state/terms/golden_test.go
+++ b/internal/state/terms/golden_test.go
@@ -21,7 +21,7 @@
 	owner := Owner{Fleet: "golden-fleet", Name: "golden-name"}
 	written := t.TempDir()
 	numbers := Open(system.Real(), written, owner)
-	numbers.Seen(goldenSeen)
+	numbers.Observe(goldenSeen)
 	if err := numbers.save(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/terms/terms.go
+++ b/internal/state/terms/terms.go
@@ -38,13 +38,13 @@
 	Bound uint64 `json:"Bound"`
 }
 
-// Numbers keeps the bound of one process. It is safe for use by several goroutines.
-type Numbers struct {
+// TokenFloor keeps the bound of one process. It is safe for use by several goroutines.
+type TokenFloor struct {
 	machine system.System
 	path    string
 	who     Owner
 	floor   uint64
-	keeper  *atomicfile.Keeper
+	keeper  *atomicfile.Saver
 
 	mu    sync.Mutex
 	bound uint64
@@ -52,9 +52,9 @@
 
 // Open reads the bound in a folder, which may not be there yet. One that is spoilt or another's is refused with a line, and the
 // start is as from nothing.
-func Open(machine system.System, dir string, who Owner) *Numbers {
-	n := &Numbers{machine: machine, path: filepath.Join(dir, fileName), who: who}
-	n.keeper = atomicfile.NewKeeper("lease numbers", n.save)
+func Open(machine system.System, dir string, who Owner) *TokenFloor {
+	n := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), who: who}
+	n.keeper = atomicfile.NewSaver("lease numbers", n.save)
 	s, err := n.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -63,11 +63,11 @@
 	default:
 		n.floor = s.Bound
 	}
-	n.Seen(n.floor)
+	n.Observe(n.floor)
 	return n
 }
 
-func (n *Numbers) read() (s stored, err error) {
+func (n *TokenFloor) read() (s stored, err error) {
 	text, err := atomicfile.Read(n.path, most)
 	if err != nil {
 		return s, err
@@ -86,22 +86,22 @@
 }
 
 // Floor is a number that no earlier life has seen a higher one than.
-func (n *Numbers) Floor() uint64 { return n.floor }
+func (n *TokenFloor) Floor() uint64 { return n.floor }
 
-// Seen raises the bound where a number comes near it. It never waits for the disk.
-func (n *Numbers) Seen(number uint64) {
+// Observe raises the bound where a number comes near it. It never waits for the disk.
+func (n *TokenFloor) Observe(number uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if number+block/2 > n.bound {
 		n.bound = number + block
-		n.keeper.Changed()
+		n.keeper.MarkDirty()
 	}
 }
 
 // Run writes the bound until the context ends.
-func (n *Numbers) Run(ctx context.Context) { n.keeper.Run(ctx) }
+func (n *TokenFloor) Run(ctx context.Context) { n.keeper.Run(ctx) }
 
-func (n *Numbers) save() error {
+func (n *TokenFloor) save() error {
 	n.mu.Lock()
 	s := stored{n.who, n.bound}
 	n.mu.Unlock()
--- a/internal/state/terms/terms_test.go
+++ b/internal/state/terms/terms_test.go
@@ -19,7 +19,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.Run(ctx) }()
-	n.Seen(number)
+	n.Observe(number)
 	testkit.Eventually(t, "the bound on the disk", func() bool { s, err := n.read(); return err == nil && s.Bound > max(number, n.Floor()) })
 	stop()
 	<-done
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -80,14 +80,14 @@
 	case err != nil:
 		return err
 	case page != page2 || first.txid+1 != second.txid && second.txid+1 != first.txid:
-		return fmt.Errorf("%w: its two beginnings are not of one file", ErrBad)
+		return fmt.Errorf("%w: its two beginnings are not of one file", ErrCorrupt)
 	}
 	if first.txid > second.txid {
 		second = first
 	}
 	t := &tree{file: file, page: page, pages: second.pages, seen: map[uint64]bool{}}
 	if second.pages < 4 || second.pages > uint64(size)/page {
-		return fmt.Errorf("%w: %d pages do not fit in %d bytes", ErrBad, second.pages, size)
+		return fmt.Errorf("%w: %d pages do not fit in %d bytes", ErrCorrupt, second.pages, size)
 	}
 	if err := t.walk(second.root, nil, nil, 0); err != nil {
 		return err
@@ -104,7 +104,7 @@
 func meta(file io.ReaderAt, at int64) (m beginning, page uint64, err error) {
 	b := make([]byte, pageHeader+metaSize)
 	if _, err := file.ReadAt(b, at); err != nil {
-		return m, 0, fmt.Errorf("%w: it is cut: %w", ErrBad, err)
+		return m, 0, fmt.Errorf("%w: it is cut: %w", ErrCorrupt, err)
 	}
 	flags := binary.LittleEndian.Uint16(b[8:])
 	b = b[pageHeader:]
@@ -113,9 +113,9 @@
 	page = uint64(binary.LittleEndian.Uint32(b[8:]))
 	switch {
 	case flags != flagMeta || binary.LittleEndian.Uint32(b) != boltMagic || binary.LittleEndian.Uint32(b[4:]) != boltVersion:
-		return m, 0, fmt.Errorf("%w: it is no database", ErrBad)
+		return m, 0, fmt.Errorf("%w: it is no database", ErrCorrupt)
 	case sum.Sum64() != binary.LittleEndian.Uint64(b[metaSize-8:]) || page < leastPage || page > mostPage:
-		return m, 0, fmt.Errorf("%w: the checksum of a beginning is off", ErrBad)
+		return m, 0, fmt.Errorf("%w: the checksum of a beginning is off", ErrCorrupt)
 	}
 	n := func(at int) uint64 { return binary.LittleEndian.Uint64(b[at:]) }
 	return beginning{root: n(16), free: n(32), pages: n(40), txid: n(48)}, page, nil
@@ -123,7 +123,7 @@
 
 // read returns a page with those that it goes on in, and marks them as used; a page that is used twice is an error.
 func (t *tree) read(id uint64) ([]byte, error) {
-	bad := func(why string) error { return fmt.Errorf("%w: page %d %s", ErrBad, id, why) }
+	bad := func(why string) error { return fmt.Errorf("%w: page %d %s", ErrCorrupt, id, why) }
 	if id < 2 || id >= t.pages {
 		return nil, bad("is not in it")
 	}
@@ -151,7 +151,7 @@
 // walk follows a page whose keys must lie from least up to, and without, below (either may be nil).
 func (t *tree) walk(id uint64, least, below []byte, depth int) error {
 	if depth > mostDepth {
-		return fmt.Errorf("%w: it is too deep", ErrBad)
+		return fmt.Errorf("%w: it is too deep", ErrCorrupt)
 	}
 	b, err := t.read(id)
 	if err != nil {
@@ -162,7 +162,7 @@
 
 // elements follows what stands in a page, or in one that lies within a value.
 func (t *tree) elements(b, least, below []byte, depth int, where string) error {
-	bad := func(why string) error { return fmt.Errorf("%w: %s %s", ErrBad, where, why) }
+	bad := func(why string) error { return fmt.Errorf("%w: %s %s", ErrCorrupt, where, why) }
 	if len(b) < pageHeader {
 		return bad("is cut")
 	}
@@ -230,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	bad := func(why string) error { return fmt.Errorf("%w: the list of free pages %s", ErrBad, why) }
+	bad := func(why string) error { return fmt.Errorf("%w: the list of free pages %s", ErrCorrupt, why) }
 	count, ids := uint64(binary.LittleEndian.Uint16(b[10:])), b[pageHeader:]
 	if binary.LittleEndian.Uint16(b[8:]) != flagFree {
 		return bad("is none")
