--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -5,26 +5,26 @@
 	"io"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 // host keeps the routers of one process; they share nothing but the numbered directories.
 type host struct {
 	routers map[uint16]*instance
-	banks   map[uint16][]decide.Endpoint
+	banks   map[uint16][]routing.Endpoint
 	frame   []byte
-	actions []decide.Action
+	actions []routing.Action
 }
 
 // instance is one router with what its translation needs.
 type instance struct {
-	router   *decide.Router
+	router   *routing.Router
 	settings *wire.Settings
 }
 
 func newHost() *host {
-	return &host{routers: map[uint16]*instance{}, banks: map[uint16][]decide.Endpoint{}}
+	return &host{routers: map[uint16]*instance{}, banks: map[uint16][]routing.Endpoint{}}
 }
 
 // next reads one batch and returns the encoded reply.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return fmt.Errorf("router %d: %w", e.Router, err)
 	}
-	r, err := decide.New(cfg, e.Seed)
+	r, err := routing.New(cfg, e.Seed)
 	if err != nil {
 		return fmt.Errorf("router %d: %w", e.Router, err)
 	}
@@ -117,41 +117,41 @@
 }
 
 // event translates; it returns nil for what the module has no use for.
-func (h *host) event(in *instance, ev any) (decide.Event, error) {
+func (h *host) event(in *instance, ev any) (routing.Event, error) {
 	switch e := ev.(type) {
 	case wire.Fleet:
 		return h.roster(e)
 	case wire.Order:
-		return decide.RequestArrived{
-			Request: decide.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
-			Session: decide.Key(e.Talk), SharedPrefix: decide.Key(e.SharedPrefix),
+		return routing.RequestArrived{
+			Request: routing.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
+			Session: routing.Key(e.Talk), SharedPrefix: routing.Key(e.SharedPrefix),
 			PromptTokens: tokens(e.InputLen), SharedPrefixTokens: tokens(e.NPrefix), MaxOutputTokens: tokens(e.MaxOut),
 			TimeLeft: wire.FromMS(e.ExpiresInMs),
 		}, nil
 	case wire.ClientGone:
-		return decide.ClientGone{Request: decide.RequestID(e.OpID)}, nil
+		return routing.ClientGone{Request: routing.RequestID(e.OpID)}, nil
 	case wire.Accepted:
-		return decide.FirstToken{
-			Request: decide.RequestID(e.OpID), Attempt: int(e.Hop),
-			Endpoint: decide.EndpointID(e.Worker), Elapsed: wire.FromMS(e.DelaySeenMs),
+		return routing.FirstToken{
+			Request: routing.RequestID(e.OpID), Attempt: int(e.Hop),
+			Endpoint: routing.EndpointID(e.Worker), Elapsed: wire.FromMS(e.DelaySeenMs),
 		}, nil
 	case wire.Response:
 		o, err := outcome(e.RC, e.Detail)
 		if err != nil {
 			return nil, err
 		}
-		return decide.AttemptEnded{
-			Request: decide.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: decide.EndpointID(e.Worker),
+		return routing.AttemptEnded{
+			Request: routing.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: routing.EndpointID(e.Worker),
 			Outcome: o, Elapsed: wire.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
 			Load: in.settings.Load(e.Load),
 		}, nil
 	case wire.Reminder:
-		return decide.TimerFired{ID: decide.TimerID(e.Ref)}, nil
+		return routing.TimerFired{ID: routing.TimerID(e.Ref)}, nil
 	}
 	return nil, nil
 }
 
-func (h *host) roster(e wire.Fleet) (decide.Event, error) {
+func (h *host) roster(e wire.Fleet) (routing.Event, error) {
 	if e.Form == 3 {
 		return nil, nil
 	}
@@ -162,15 +162,15 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown list number %d", e.Bank)
 	}
-	return decide.EndpointUpdate{Full: e.Form != 0, Endpoints: list}, nil
+	return routing.EndpointUpdate{Full: e.Form != 0, Endpoints: list}, nil
 }
 
-func servers(entries []wire.Entry) []decide.Endpoint {
-	states := map[uint8]decide.EndpointState{1: decide.Ready, 2: decide.Draining}
-	out := make([]decide.Endpoint, len(entries))
+func servers(entries []wire.Entry) []routing.Endpoint {
+	states := map[uint8]routing.EndpointState{1: routing.Ready, 2: routing.Draining}
+	out := make([]routing.Endpoint, len(entries))
 	for i, e := range entries {
-		out[i] = decide.Endpoint{
-			ID: decide.EndpointID(e.Worker), Zone: int(e.Zone), Cell: int(e.Bay), Kind: int(e.Shape),
+		out[i] = routing.Endpoint{
+			ID: routing.EndpointID(e.Worker), Zone: int(e.Zone), Cell: int(e.Bay), Kind: int(e.Shape),
 			State: states[e.Condition], Weight: float64(e.PowerHint), Started: wire.FromMS(e.LastStartMs),
 		}
 	}
@@ -178,47 +178,47 @@
 }
 
 // outcome translates an attempt's code; a note of 1 on 'full' means that there was no state.
-func outcome(rc uint8, note uint32) (decide.Outcome, error) {
+func outcome(rc uint8, note uint32) (routing.Outcome, error) {
 	switch rc {
 	case 0:
-		return decide.Served, nil
+		return routing.Served, nil
 	case 1:
-		return decide.Errored, nil
+		return routing.Errored, nil
 	case 2:
 		if note == 1 {
-			return decide.StateMissing, nil
+			return routing.StateMissing, nil
 		}
-		return decide.QueueFull, nil
+		return routing.QueueFull, nil
 	case 3:
-		return decide.TimedOut, nil
+		return routing.TimedOut, nil
 	case 4:
-		return decide.ConnectFailed, nil
+		return routing.ConnectFailed, nil
 	case 5:
-		return decide.ConnectionReset, nil
+		return routing.ConnectionReset, nil
 	case 6:
-		return decide.Cancelled, nil
+		return routing.Cancelled, nil
 	case 7:
-		return decide.NotSent, nil
+		return routing.NotSent, nil
 	case 202:
-		return decide.PrefillDone, nil
+		return routing.PrefillDone, nil
 	}
 	return 0, fmt.Errorf("unknown outcome %d", rc)
 }
 
 // action translates an action of one router.
-func action(id uint16, a decide.Action) any {
+func action(id uint16, a routing.Action) any {
 	switch a := a.(type) {
-	case decide.Send:
+	case routing.Send:
 		return wire.Send{Router: id, OpID: uint64(a.Request), Worker: uint32(a.Endpoint), PatienceMs: wire.ToMS(a.Timeout)}
-	case decide.Release:
+	case routing.Release:
 		return wire.DropState{Router: id, OpID: uint64(a.Request)}
-	case decide.Reject:
+	case routing.Reject:
 		return wire.Refuse{Router: id, OpID: uint64(a.Request), StayAwayMs: wire.ToMS(a.RetryAfter)}
-	case decide.Fail:
+	case routing.Fail:
 		return wire.Surrender{Router: id, OpID: uint64(a.Request)}
-	case decide.Cancel:
+	case routing.Cancel:
 		return wire.Retract{Router: id, OpID: uint64(a.Request), Hop: uint16(a.Attempt)}
-	case decide.SetTimer:
+	case routing.SetTimer:
 		return wire.Schedule{Router: id, SpanMs: wire.ToMS(a.After), Ref: uint64(a.Timer)}
 	}
 	return wire.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", a)}
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const conf = `{"az": 0, "balancers": 2,
@@ -159,26 +159,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decide.Config{
-		Classes: []decide.Class{{TTFTObjective: time.Second, TTFTObjectivePer1K: 60 * time.Millisecond, Weight: 1}},
-		Kinds:   []decide.Kind{{Role: decide.Prefill}, {Role: decide.Decode}},
+	want := routing.Config{
+		Classes: []routing.Class{{TTFTObjective: time.Second, TTFTObjectivePer1K: 60 * time.Millisecond, Weight: 1}},
+		Kinds:   []routing.Kind{{Role: routing.Prefill}, {Role: routing.Decode}},
 		Routers: 2, MaxAttempts: 5, MaxRetryAfter: time.Second, ReservationTTL: 500 * time.Millisecond,
 		SlowStartInitial: 0.3, SlowStartDuration: 9 * time.Second, OverloadMultiple: 2.5, CanCancel: true,
 	}
 	if !reflect.DeepEqual(cfg, want) {
 		t.Errorf("got %+v, want %+v", cfg, want)
 	}
-	load := func(fields []string, values []float32) *decide.LoadReport {
+	load := func(fields []string, values []float32) *routing.LoadReport {
 		var s wire.Settings
 		s.Telemetry.Fields = fields
 		return s.Load(values)
 	}
 	l := load([]string{"inflight", "novel", "x0"}, []float32{3, 9, 0.5})
-	if *l != (decide.LoadReport{Memory: 0.5, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}) {
+	if *l != (routing.LoadReport{Memory: 0.5, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}) {
 		t.Errorf("load %+v", *l)
 	}
 	// A short report, one longer than its names, and none at all.
-	if l := load([]string{"x1", "x0"}, []float32{2}); *l != (decide.LoadReport{Memory: -1, QueuedKiloTokens: 2, QueuedRequests: -1, SlotUtilization: -1}) {
+	if l := load([]string{"x1", "x0"}, []float32{2}); *l != (routing.LoadReport{Memory: -1, QueuedKiloTokens: 2, QueuedRequests: -1, SlotUtilization: -1}) {
 		t.Errorf("short load %+v", *l)
 	}
 	if l := load([]string{"x0"}, []float32{0.1, 0.2, 0.3}); math.Abs(l.Memory-0.1) > 1e-6 || l.QueuedKiloTokens != -1 {
--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -20,12 +20,12 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/clients"
-	"rampspread/internal/core"
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state/inflight"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const (
@@ -42,9 +42,9 @@
 
 // Front answers chat clients.
 type Front struct {
-	core     *core.Dispatcher
+	core     *dispatch.Dispatcher
 	settings *wire.Settings
-	classes  []decide.Class
+	classes  []routing.Class
 	config   *Config
 	filings  *filings
 	ledger   Ledger          // nil: this process's table alone
@@ -54,7 +54,7 @@
 }
 
 // New returns a Front on the core; now is the clock by which idempotency keys expire.
-func New(c *core.Dispatcher, settings *wire.Settings, config *Config, now func() time.Time) (*Front, error) {
+func New(c *dispatch.Dispatcher, settings *wire.Settings, config *Config, now func() time.Time) (*Front, error) {
 	router, err := settings.Router()
 	if err != nil {
 		return nil, fmt.Errorf("chat: %w", err)
@@ -132,7 +132,7 @@
 // job is one request on its way to its answer.
 type job struct {
 	ask     *ask
-	req     core.Request
+	req     dispatch.Request
 	id      string
 	created int64
 	filing  bool
@@ -158,7 +158,7 @@
 		return
 	}
 	v, known := f.filings.claim(key, j.req.Call.Body)
-	var try claim.Attempt
+	var try idempotency.Attempt
 	if v == fresh {
 		v, known, try = f.granted(j, key)
 	}
@@ -192,7 +192,7 @@
 
 // file runs a filing's first try. If the client leaves, what was sent to a writer goes on to its end, so that a repeat can be answered;
 // no further attempt begins.
-func (f *Front) file(client context.Context, w http.ResponseWriter, j *job, key string, try claim.Attempt) {
+func (f *Front) file(client context.Context, w http.ResponseWriter, j *job, key string, try idempotency.Attempt) {
 	var answer *completion
 	ran := true // also if what follows panics
 	defer func() { f.note(key, try, answer, ran) }()
@@ -216,8 +216,8 @@
 	id := make([]byte, 8)
 	rand.Read(id) // never fails
 	j := &job{ask: a, id: "chatcmpl-" + hex.EncodeToString(id), created: at.Unix(),
-		filing: f.classes[class].Idempotency != decide.Idempotent}
-	j.req = core.Request{Class: class, Call: core.Call{ID: hex.EncodeToString(id), Method: http.MethodPost,
+		filing: f.classes[class].Idempotency != routing.Idempotent}
+	j.req = dispatch.Request{Class: class, Call: dispatch.Call{ID: hex.EncodeToString(id), Method: http.MethodPost,
 		Target: path, ContentType: "application/json", Body: out}}
 	j.req.ClientGone = clients.Gone(r)
 	a.fill(&j.req, f.config.MaxTokens, clients.Key)
@@ -240,14 +240,14 @@
 func (f *Front) run(client context.Context, w http.ResponseWriter, j *job) (*completion, bool) {
 	a := f.core.Dispatch(client, j.req)
 	switch a.Kind {
-	case core.Served:
+	case dispatch.Served:
 		return f.serve(w, j, a.Stream), true
-	case core.Rejected:
+	case dispatch.Rejected:
 		comeBack(w, a.RetryAfter.Seconds())
 		writeError(w, &apiError{status: http.StatusTooManyRequests, Type: "requests", Code: "rate_limit_exceeded",
 			Message: "the service is busy; nothing was run"})
 		return nil, false
-	case core.ClientGone:
+	case dispatch.ClientGone:
 		if j.filing { // it has not run, and its key is free again
 			writeError(w, &apiError{status: http.StatusServiceUnavailable, Type: "server_error", Code: "client_gone", Message: "nothing was run"})
 			return nil, false
@@ -298,7 +298,7 @@
 
 // serve passes a stream on, or gathers it for a plain answer. The whole answer is returned, nil if it
 // broke. A filing is read to its end even if its client has gone.
-func (f *Front) serve(w http.ResponseWriter, j *job, s core.Stream) *completion {
+func (f *Front) serve(w http.ResponseWriter, j *job, s dispatch.Stream) *completion {
 	defer s.Close()
 	out := &sink{w: w, rc: http.NewResponseController(w), job: j}
 	if j.ask.Stream {
--- a/internal/chat/ledger.go
+++ b/internal/chat/ledger.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state/inflight"
 )
 
@@ -13,11 +13,11 @@
 // only Claim waits, for less than a second.
 type Ledger interface {
 	// Claim asks whether the first try of a key may run; ends is how long it lasts at the most.
-	Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt)
+	Claim(key string, body []byte, ends time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
 	// Settle notes how a try ended; nil: it may have run, and its answer is not known.
-	Settle(key string, try claim.Attempt, answer []byte)
+	Settle(key string, try idempotency.Attempt, answer []byte)
 	// Withdraw notes that a try never ran.
-	Withdraw(key string, try claim.Attempt)
+	Withdraw(key string, try idempotency.Attempt)
 }
 
 // streamMost is how long beyond its deadline an answer's stream goes on at the most, for the ledger to take a try as ended.
@@ -31,30 +31,30 @@
 
 // granted asks the other processes of this name, and the ledger, about a key that is new to this process's table. Where it is not
 // fresh, the table learns what they know, or forgets the key.
-func (f *Front) granted(j *job, key string) (verdict, *completion, claim.Attempt) {
+func (f *Front) granted(j *job, key string) (verdict, *completion, idempotency.Attempt) {
 	switch f.beside.Acquire(inflight.IdempotencyKey, key) {
 	case inflight.HeldByOther:
 		f.filings.release(key)
-		return inProgress, nil, claim.Attempt{}
+		return inProgress, nil, idempotency.Attempt{}
 	case inflight.MayHaveRun:
 		f.filings.settle(key, nil)
-		return mayHaveRun, nil, claim.Attempt{}
+		return mayHaveRun, nil, idempotency.Attempt{}
 	case inflight.Unknown:
 		f.filings.release(key)
-		return unreachable, nil, claim.Attempt{}
+		return unreachable, nil, idempotency.Attempt{}
 	}
 	if f.ledger == nil {
-		return fresh, nil, claim.Attempt{}
+		return fresh, nil, idempotency.Attempt{}
 	}
 	out, why, answer, try := f.ledger.Claim(key, j.req.Call.Body, time.Until(j.req.Deadline)+streamMost)
 	v := unreachable
 	switch {
-	case out == claim.Granted:
+	case out == idempotency.Granted:
 		return fresh, nil, try
 	}
 	f.beside.Release(inflight.IdempotencyKey, key)
 	switch {
-	case out == claim.Rejected && why == claim.VoteAnswered:
+	case out == idempotency.Rejected && why == idempotency.VoteAnswered:
 		known := new(completion)
 		if err := json.Unmarshal(answer, known); err == nil && len(known.Choices) > 0 {
 			f.filings.settle(key, known)
@@ -63,12 +63,12 @@
 		slog.Warn("ledger_answer", "id", j.req.Call.ID)
 		f.filings.settle(key, nil)
 		return mayHaveRun, nil, try
-	case out == claim.Rejected && why == claim.VoteMayHaveRun:
+	case out == idempotency.Rejected && why == idempotency.VoteMayHaveRun:
 		f.filings.settle(key, nil)
 		return mayHaveRun, nil, try
-	case out == claim.Rejected && why == claim.VoteInFlight:
+	case out == idempotency.Rejected && why == idempotency.VoteInFlight:
 		v = inProgress
-	case out == claim.Rejected && why == claim.VoteKeyReused:
+	case out == idempotency.Rejected && why == idempotency.VoteKeyReused:
 		v = otherBody
 	}
 	f.filings.release(key)
@@ -76,7 +76,7 @@
 }
 
 // note tells the table and the ledger how a first try ended.
-func (f *Front) note(key string, try claim.Attempt, answer *completion, ran bool) {
+func (f *Front) note(key string, try idempotency.Attempt, answer *completion, ran bool) {
 	if !ran {
 		f.filings.release(key)
 		f.beside.Release(inflight.IdempotencyKey, key)
--- a/internal/chat/message.go
+++ b/internal/chat/message.go
@@ -7,8 +7,8 @@
 	"strings"
 	"unicode/utf8"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
+	"rampspread/routing"
 )
 
 // ask is what is used of a client's request. All else passes on to the servers as it came.
@@ -108,7 +108,7 @@
 
 // fill sets what the core decides by. A conversation is known by its cache key, else by how it begins:
 // each turn's prompt begins with the turn's before. Its opening is shared if it is an instruction.
-func (a *ask) fill(req *core.Request, maxTokens int, key func(string) decide.Key) {
+func (a *ask) fill(req *dispatch.Request, maxTokens int, key func(string) routing.Key) {
 	total := 0
 	for _, m := range a.Messages {
 		total += utf8.RuneCountInString(string(m.Content))
--- a/internal/chat/stored_test.go
+++ b/internal/chat/stored_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/wire"
 )
 
 // memory is a Ledger that keeps what it is given.
 type memory struct{ answer []byte }
 
-func (m *memory) Claim(string, []byte, time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt) {
-	return claim.Rejected, claim.VoteAnswered, m.answer, claim.Attempt{}
+func (m *memory) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
+	return idempotency.Rejected, idempotency.VoteAnswered, m.answer, idempotency.Attempt{}
 }
-func (m *memory) Settle(_ string, _ claim.Attempt, answer []byte) { m.answer = answer }
-func (m *memory) Withdraw(string, claim.Attempt)                  {}
+func (m *memory) Settle(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
+func (m *memory) Withdraw(string, idempotency.Attempt)                  {}
 
 // A filing's answer is kept in the fleet and on disk, and read by programs of other versions.
 func TestGoldenStoredAnswer(t *testing.T) {
@@ -36,7 +36,7 @@
 
 	ledger := &memory{}
 	f := &Front{filings: newFilings(8, time.Hour, time.Now), ledger: ledger}
-	f.note("key", claim.Attempt{}, want, true)
+	f.note("key", idempotency.Attempt{}, want, true)
 	if string(ledger.answer) != stored {
 		t.Errorf("stored %s, want %s", ledger.answer, stored)
 	}
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -16,11 +16,11 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
-	"rampspread/internal/permit"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/precondition"
 	"rampspread/internal/state/inflight"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Front answers the platform's clients.
 type Front struct {
-	core     *core.Dispatcher
+	core     *dispatch.Dispatcher
 	settings *wire.Settings
 	bad      atomic.Int64
 	open     sync.Map                // ids of open requests
@@ -49,7 +49,7 @@
 }
 
 // New returns a Front on the core, for clients that may name these classes.
-func New(c *core.Dispatcher, settings *wire.Settings, now wire.Classes) *Front {
+func New(c *dispatch.Dispatcher, settings *wire.Settings, now wire.Classes) *Front {
 	f := &Front{core: c, settings: settings}
 	f.SetClasses(now)
 	return f
@@ -62,7 +62,7 @@
 func (f *Front) SetClasses(now wire.Classes) {
 	c := &classes{names: now.Names}
 	for _, class := range now.Config.Classes {
-		c.safe = append(c.safe, class.Idempotency == decide.Idempotent)
+		c.safe = append(c.safe, class.Idempotency == routing.Idempotent)
 	}
 	f.classes.Store(c)
 }
@@ -104,9 +104,9 @@
 	}
 	a := f.core.Dispatch(r.Context(), req)
 	switch a.Kind {
-	case core.Served:
+	case dispatch.Served:
 		Copy(w, a.Stream, writeWait)
-	case core.Rejected:
+	case dispatch.Rejected:
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		http.Error(w, "refused: come back later", http.StatusTooManyRequests)
 	default:
@@ -116,7 +116,7 @@
 
 // Copy passes a stream on, event by event. A stream that breaks ends the connection without a last
 // chunk, so that nobody takes it for whole.
-func Copy(w http.ResponseWriter, s core.Stream, wait time.Duration) {
+func Copy(w http.ResponseWriter, s dispatch.Stream, wait time.Duration) {
 	defer s.Close()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
@@ -144,9 +144,9 @@
 }
 
 // read checks a request; the status goes with the error.
-func (f *Front) read(w http.ResponseWriter, r *http.Request, at time.Time) (core.Request, int, error) {
-	fail := func(status int, format string, args ...any) (core.Request, int, error) {
-		return core.Request{}, status, fmt.Errorf(format, args...)
+func (f *Front) read(w http.ResponseWriter, r *http.Request, at time.Time) (dispatch.Request, int, error) {
+	fail := func(status int, format string, args ...any) (dispatch.Request, int, error) {
+		return dispatch.Request{}, status, fmt.Errorf(format, args...)
 	}
 	if r.Method != http.MethodPost || r.URL.Path != "/v1/chat/completions" {
 		return fail(http.StatusNotFound, "no such resource")
@@ -156,7 +156,7 @@
 	if !validID(id) {
 		return fail(http.StatusBadRequest, "X-Trace-Id missing or malformed")
 	}
-	req := core.Request{Class: -1, Session: Key(h.Get("X-Object"))}
+	req := dispatch.Request{Class: -1, Session: Key(h.Get("X-Object"))}
 	if class, ok := f.classes.Load().names[h.Get("X-Qos")]; ok {
 		req.Class = class
 	}
@@ -181,7 +181,7 @@
 		return fail(status, "body: %v", err)
 	}
 	req.ClientGone = Gone(r)
-	req.Call = core.Call{ID: id, Method: r.Method, Target: r.URL.RequestURI(), ContentType: h.Get("Content-Type"), Body: body}
+	req.Call = dispatch.Call{ID: id, Method: r.Method, Target: r.URL.RequestURI(), ContentType: h.Get("Content-Type"), Body: body}
 	return req, 0, nil
 }
 
@@ -200,7 +200,7 @@
 		return nil, http.StatusServiceUnavailable, err
 	case errors.Is(err, os.ErrDeadlineExceeded) && sentAway(r):
 		w.Header().Set("Retry-After", "0")
-		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", permit.Draining)
+		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", precondition.Draining)
 	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge, err
 	case err != nil:
@@ -208,7 +208,7 @@
 	case len(body) == 0:
 		return nil, http.StatusBadRequest, errors.New("empty")
 	}
-	if why := take(r); why != permit.Allowed {
+	if why := take(r); why != precondition.Allowed {
 		w.Header().Set("Retry-After", "0")
 		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", why)
 	}
@@ -229,13 +229,13 @@
 }
 
 // Key is a text's number, the same at every dispatcher; none for no text.
-func Key(text string) decide.Key {
+func Key(text string) routing.Key {
 	if text == "" {
 		return 0
 	}
 	h := fnv.New64a()
 	io.WriteString(h, text)
-	return decide.Key(max(h.Sum64(), 1))
+	return routing.Key(max(h.Sum64(), 1))
 }
 
 // Expiry reads a time such as 4800m (milliseconds) or 4800000u (microseconds).
@@ -259,7 +259,7 @@
 }
 
 // props reads the list of a prompt's properties. Unknown ones are skipped.
-func props(req *core.Request, text string) error {
+func props(req *dispatch.Request, text string) error {
 	for item := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(item), "=")
 		if !ok || value == "" {
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
 )
 
 const (
@@ -231,22 +231,22 @@
 }
 
 // closeIf ends a connection, if that may be done now, and says why not else. What comes later is not read, and the client sends it anew.
-func (h *clientConn) closeIf(facts permit.CloseConnection) permit.Reason {
+func (h *clientConn) closeIf(facts precondition.CloseConnection) precondition.Reason {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	bytes, left := h.peek()
 	facts.AwaitingBytes = h.waits
 	facts.PartialRequest = facts.PartialRequest || h.fresh
 	facts.UnreadBytes = bytes && !left
-	if why := facts.Check(); why != permit.Allowed {
+	if why := facts.Check(); why != precondition.Allowed {
 		return why
 	}
-	if h.fresh && facts.Cause == permit.ForDrain {
+	if h.fresh && facts.Cause == precondition.ForDrain {
 		h.refuse()
 	}
 	h.shut = true
 	h.Conn.SetReadDeadline(time.Unix(1, 0)) // net/http's Read ends, and its goroutine closes the connection
-	return permit.Allowed
+	return precondition.Allowed
 }
 
 // refuse answers half a request, as far as that needs no wait; h.mu is held. Its last byte may have been sent in this moment.
@@ -289,7 +289,7 @@
 	half, ok := h.Conn.(interface{ CloseWrite() error })
 	_, over := h.peek()
 	if owes && !over {
-		h.guard.audit.Record(permit.OperationClose, permit.RequestUnanswered, h.RemoteAddr().String())
+		h.guard.audit.Record(precondition.OperationClose, precondition.RequestUnanswered, h.RemoteAddr().String())
 	}
 	if !lingers || over || !ok || !h.guard.linger() {
 		return h.Conn.Close()
--- a/internal/clients/conn_test.go
+++ b/internal/clients/conn_test.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 )
@@ -46,11 +46,11 @@
 
 // closeResting closes a connection as a guard does, at the process's end or before, and tells whether it did.
 func closeResting(h *clientConn, ends bool) bool {
-	cause := permit.ForDrain
+	cause := precondition.ForDrain
 	if ends {
-		cause = permit.AtShutdown
+		cause = precondition.AtShutdown
 	}
-	return h.closeIf(permit.CloseConnection{Cause: cause}) == permit.Allowed
+	return h.closeIf(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
 }
 
 // A resting connection is closed only while nothing has come on it: bytes that were read and are no whole request yet keep it, and so do
--- a/internal/clients/guard.go
+++ b/internal/clients/guard.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/accept"
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
 	"rampspread/internal/system"
 )
 
@@ -59,7 +59,7 @@
 	next    http.Handler
 	bodies  *semaphore.Weighted
 	state   *State
-	audit   *permit.ViolationCounter
+	audit   *precondition.ViolationCounter
 	bad     atomic.Int64
 	shed    atomic.Int64
 	closed  atomic.Int64     // for room
@@ -86,27 +86,27 @@
 	closed         bool        // it gave way
 	since          time.Time   // when it came to have none, or began to send its next
 	came           time.Time
-	request        string        // the id of the last one that was taken,
-	taken          time.Time     // and when
-	kept           permit.Reason // why the last attempt to close it did not
+	request        string              // the id of the last one that was taken,
+	taken          time.Time           // and when
+	kept           precondition.Reason // why the last attempt to close it did not
 }
 
 type connKey struct{}
 
 // take settles whether a request that has come whole may be taken; from then on its connection does not give way. net/http hands over
 // what a client sent ahead also when it has gone.
-func take(r *http.Request) permit.Reason {
+func take(r *http.Request) precondition.Reason {
 	k, ok := r.Context().Value(connKey{}).(*conn)
 	if !ok {
-		return permit.Allowed // no guard before this front
+		return precondition.Allowed // no guard before this front
 	}
 	gone := k.client != nil && !k.client.requestComplete()
 	k.guard.mu.Lock()
 	defer k.guard.mu.Unlock()
-	why := permit.Accept{ClientGone: gone, Evicted: k.closed, ShuttingDown: k.guard.state.Late.Load(),
+	why := precondition.Accept{ClientGone: gone, Evicted: k.closed, ShuttingDown: k.guard.state.Late.Load(),
 		Draining: !k.guard.state.Drain.takes(time.Now())}.Check()
-	refused := why == permit.ShuttingDown || why == permit.Draining
-	k.asked, k.open = true, why == permit.Allowed || refused
+	refused := why == precondition.ShuttingDown || why == precondition.Draining
+	k.asked, k.open = true, why == precondition.Allowed || refused
 	if k.open {
 		k.request, k.taken = r.Header.Get("X-Trace-Id"), time.Now()
 	}
@@ -148,7 +148,7 @@
 }
 
 // NewGuard guards next. The fronts of a program share bodies, in bytes, and state.
-func NewGuard(next http.Handler, bodies *semaphore.Weighted, state *State, audit *permit.ViolationCounter) *Guard {
+func NewGuard(next http.Handler, bodies *semaphore.Weighted, state *State, audit *precondition.ViolationCounter) *Guard {
 	return &Guard{next: next, bodies: bodies, state: state, audit: audit, conns: map[net.Conn]*conn{}}
 }
 
@@ -311,8 +311,8 @@
 		if victim == nil {
 			return false
 		}
-		facts := permit.CloseConnection{Cause: permit.ForCapacity, PartialRequest: half, Idle: now.Sub(lastByte(victim, g.conns[victim].since)), PartialRequestTimeout: silentFor}
-		if why := closeIf(victim, facts); why != permit.Allowed {
+		facts := precondition.CloseConnection{Cause: precondition.ForCapacity, PartialRequest: half, Idle: now.Sub(lastByte(victim, g.conns[victim].since)), PartialRequestTimeout: silentFor}
+		if why := closeIf(victim, facts); why != precondition.Allowed {
 			g.kept.Add(1)
 			busy[victim] = true
 			continue
@@ -327,13 +327,13 @@
 }
 
 // closeIf closes a connection if that may be done now, and says why not else.
-func closeIf(c net.Conn, facts permit.CloseConnection) permit.Reason {
+func closeIf(c net.Conn, facts precondition.CloseConnection) precondition.Reason {
 	if h, ok := c.(*clientConn); ok {
 		return h.closeIf(facts)
 	}
 	facts.AwaitingBytes = true // nothing is known of its bytes
 	why := facts.Check()
-	if why == permit.Allowed {
+	if why == precondition.Allowed {
 		c.Close()
 	}
 	return why
@@ -356,9 +356,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	cause := permit.ForDrain
+	cause := precondition.ForDrain
 	if g.state.Closing.Load() {
-		cause = permit.AtShutdown
+		cause = precondition.AtShutdown
 	}
 	n := 0
 	for c, k := range g.conns {
@@ -366,15 +366,15 @@
 		if k.closed || !k.idle && now.Sub(k.since) < quiet {
 			continue
 		}
-		if inHandler && !k.open && cause == permit.ForDrain && k.client != nil {
+		if inHandler && !k.open && cause == precondition.ForDrain && k.client != nil {
 			k.client.cutBody()
 			continue
 		}
-		half := !k.idle && !inHandler && cause == permit.ForDrain
-		facts := permit.CloseConnection{Cause: cause, RequestOpen: k.open || inHandler, PartialRequest: half, Idle: now.Sub(lastByte(c, k.since)), PartialRequestTimeout: quiet}
+		half := !k.idle && !inHandler && cause == precondition.ForDrain
+		facts := precondition.CloseConnection{Cause: cause, RequestOpen: k.open || inHandler, PartialRequest: half, Idle: now.Sub(lastByte(c, k.since)), PartialRequestTimeout: quiet}
 		k.kept = closeIf(c, facts)
-		if k.kept != permit.Allowed {
-			if k.kept != permit.RequestUnanswered {
+		if k.kept != precondition.Allowed {
+			if k.kept != precondition.RequestUnanswered {
 				g.kept.Add(1)
 			}
 			continue
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,9 +19,9 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const (
@@ -57,12 +57,12 @@
 // Watcher follows discovery.
 type Watcher struct {
 	settings *wire.Settings
-	apply    func(full bool, entries []core.Endpoint)
+	apply    func(full bool, entries []dispatch.Endpoint)
 	client   *http.Client
 	backoff  *backoff // only Run uses it
 	quiet    time.Duration
 	held     sync.Mutex
-	known    map[string]core.Endpoint // by name, as it was handed on
+	known    map[string]dispatch.Endpoint // by name, as it was handed on
 	version  atomic.Uint64
 	stale    atomic.Bool // no list is held, or a change may be missing from it
 	bad      atomic.Int64
@@ -75,8 +75,8 @@
 }
 
 // New returns a Watcher that hands every list to apply. The seed draws the pauses between its attempts.
-func New(addr string, settings *wire.Settings, seed uint64, apply func(bool, []core.Endpoint)) *Watcher {
-	w := &Watcher{addr: addr, moved: make(chan struct{}), confirmed: make(chan struct{}), known: map[string]core.Endpoint{}, settings: settings, apply: apply, quiet: quiet,
+func New(addr string, settings *wire.Settings, seed uint64, apply func(bool, []dispatch.Endpoint)) *Watcher {
+	w := &Watcher{addr: addr, moved: make(chan struct{}), confirmed: make(chan struct{}), known: map[string]dispatch.Endpoint{}, settings: settings, apply: apply, quiet: quiet,
 		backoff: newBackoff(seed, func() float64 { return float64(settings.Balancers) }),
 		client: &http.Client{
 			Transport: &http.Transport{
@@ -141,7 +141,7 @@
 // Apply hands on a list, entry by entry, and tells whether all of it could be read: what makes no sense is
 // counted and skipped. The watch goes on after it.
 func (w *Watcher) Apply(l List, full bool) (whole bool) {
-	out, bad := make([]core.Endpoint, 0, len(l.Instances)), 0
+	out, bad := make([]dispatch.Endpoint, 0, len(l.Instances)), 0
 	w.held.Lock()
 	for _, raw := range l.Instances {
 		e, err := w.entry(raw)
@@ -152,8 +152,8 @@
 			if e.Name == "" {
 				continue
 			}
-			if e.State != decide.Ready {
-				e.State = decide.Gone // it is leaving: that binds, whatever else is wrong with the entry
+			if e.State != routing.Ready {
+				e.State = routing.Gone // it is leaving: that binds, whatever else is wrong with the entry
 			} else if known, ok := w.known[e.Name]; ok {
 				e = known // it stays as it was, also in a whole list
 			} else {
@@ -162,7 +162,7 @@
 		}
 		out = append(out, e)
 	}
-	core.ApplyUpdate(w.known, full, out)
+	dispatch.ApplyUpdate(w.known, full, out)
 	w.version.Store(l.Generation) // before it is handed on: who takes it may ask which it is
 	w.held.Unlock()
 	w.apply(full, out)
@@ -173,15 +173,15 @@
 
 // entry reads one entry. With an error the listing names the server and what it is told to be, as far as that
 // could be read.
-func (w *Watcher) entry(raw json.RawMessage) (core.Endpoint, error) {
+func (w *Watcher) entry(raw json.RawMessage) (dispatch.Endpoint, error) {
 	var in Instance
 	badType := json.Unmarshal(raw, &in) // the other fields are read all the same
-	states := map[string]decide.EndpointState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+	states := map[string]routing.EndpointState{"ready": routing.Ready, "draining": routing.Draining, "gone": routing.Gone}
 	state, ok := states[in.Lifecycle]
 	if !ok || in.ID == "" {
-		return core.Endpoint{}, errors.Join(fmt.Errorf("entry %q: unknown lifecycle %q", in.ID, in.Lifecycle), badType)
+		return dispatch.Endpoint{}, errors.Join(fmt.Errorf("entry %q: unknown lifecycle %q", in.ID, in.Lifecycle), badType)
 	}
-	e := core.Endpoint{Name: in.ID, Addr: in.HostPort, State: state, Cell: in.Cell, Weight: in.Weight,
+	e := dispatch.Endpoint{Name: in.ID, Addr: in.HostPort, State: state, Cell: in.Cell, Weight: in.Weight,
 		Zone: w.settings.Zone(in.Zone), Kind: slices.Index(w.settings.Kinds, in.MachineType)}
 	if in.StartedAtMS > 0 && in.StartedAtMS < 1e14 {
 		e.Started = time.UnixMicro(int64(in.StartedAtMS * 1000))
@@ -189,7 +189,7 @@
 	if badType != nil {
 		return e, fmt.Errorf("entry %q: %w", in.ID, badType)
 	}
-	if state == decide.Gone {
+	if state == routing.Gone {
 		return e, nil // it needs to say no more than that
 	}
 	if _, _, err := net.SplitHostPort(in.HostPort); err != nil {
@@ -321,7 +321,7 @@
 	w.held.Lock()
 	defer w.held.Unlock()
 	l := List{Generation: w.version.Load(), Reset: true, Instances: []json.RawMessage{}}
-	words := map[decide.EndpointState]string{decide.Ready: "ready", decide.Draining: "draining"}
+	words := map[routing.EndpointState]string{routing.Ready: "ready", routing.Draining: "draining"}
 	for _, name := range slices.Sorted(maps.Keys(w.known)) {
 		e := w.known[name]
 		in := Instance{ID: e.Name, HostPort: e.Addr, Zone: w.settings.ZoneName(e.Zone), MachineType: w.settings.Kinds[e.Kind], Cell: e.Cell,
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,10 +12,10 @@
 	"sync"
 	"testing"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
 	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 func entry(id, state string) string {
@@ -29,7 +29,7 @@
 
 type update struct {
 	full    bool
-	entries []core.Endpoint
+	entries []dispatch.Endpoint
 }
 
 // agent is a stand-in for discovery: each watch gets the next of its scripts and then ends.
@@ -65,7 +65,7 @@
 	s := httptest.NewServer(a)
 	defer s.Close()
 	updates := make(chan update, 64)
-	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []core.Endpoint) {
+	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -75,11 +75,11 @@
 	for i, want := range []struct {
 		full  bool
 		names string
-		state decide.EndpointState
+		state routing.EndpointState
 	}{
-		{true, "s1 s2", decide.Ready}, {false, "s1", decide.Draining}, {false, "s1", decide.Gone},
-		{true, "s1 s2", decide.Ready}, // the second watch could not be read
-		{true, "s4", decide.Ready},
+		{true, "s1 s2", routing.Ready}, {false, "s1", routing.Draining}, {false, "s1", routing.Gone},
+		{true, "s1 s2", routing.Ready}, // the second watch could not be read
+		{true, "s4", routing.Ready},
 	} {
 		u := <-updates
 		var names []string
@@ -108,7 +108,7 @@
 	updates := make(chan update, 64)
 	settings := testkit.Settings(t)
 	settings.Discovery = "ask"
-	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []core.Endpoint) {
+	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
 	})
 	w.Known(discovery.List{Generation: 41, Instances: []json.RawMessage{json.RawMessage(entry("s1", "ready"))}})
@@ -116,10 +116,10 @@
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	defer func() { stop(); <-done }()
-	if u := <-updates; !u.full || u.entries[0].State != decide.Ready {
+	if u := <-updates; !u.full || u.entries[0].State != routing.Ready {
 		t.Errorf("first update %+v", u)
 	}
-	if u := <-updates; u.full || u.entries[0].State != decide.Gone {
+	if u := <-updates; u.full || u.entries[0].State != routing.Gone {
 		t.Errorf("second update %+v", u)
 	}
 	a.mu.Lock()
@@ -130,8 +130,8 @@
 }
 
 func TestBadEntriesAreSkipped(t *testing.T) {
-	var got []core.Endpoint
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
+	var got []dispatch.Endpoint
+	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	var l discovery.List
 	good := entry("s1", "ready")
 	text := list(1, true, `7`, `{"instanceId":4}`, entry("s2", "asleep"), strings.Replace(good, "wien", "linz", 1),
@@ -153,10 +153,10 @@
 		strings.Replace(good, `"cell":3`, `"cell":"x"`, 1), strings.Replace(good, `"weight":1.0`, `"weight":[]`, 1),
 		strings.Replace(entry("s1", "gone"), `"cell":3`, `"cell":"x"`, 1),
 	} {
-		var got []core.Endpoint
-		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
+		var got []dispatch.Endpoint
+		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 		whole := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
-		if len(got) != 1 || got[0].Name != "s1" || got[0].State != decide.Gone || whole || w.Bad() != 1 {
+		if len(got) != 1 || got[0].Name != "s1" || got[0].State != routing.Gone || whole || w.Bad() != 1 {
 			t.Errorf("%s: taken as %+v, whole %t, %d bad", text, got, whole, w.Bad())
 		}
 	}
@@ -164,8 +164,8 @@
 
 // A whole list in which a server's entry makes no sense leaves that server as it was known; one that it does not name is gone.
 func TestKnownStaysBesideABadEntry(t *testing.T) {
-	var got []core.Endpoint
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got = e })
+	var got []dispatch.Endpoint
+	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	raw := func(texts ...string) (out []json.RawMessage) {
 		for _, text := range texts {
 			out = append(out, json.RawMessage(text))
@@ -176,7 +176,7 @@
 	w.Apply(discovery.List{Instances: raw(entry("s3", "draining"))}, false)
 	bad := func(id string) string { return strings.Replace(entry(id, "ready"), "wien", "linz", 1) }
 	w.Apply(discovery.List{Instances: raw(bad("s1"), bad("s3"), bad("s4"))}, true)
-	if len(got) != 2 || got[0].Name != "s1" || got[0].State != decide.Ready || got[0].Zone != 0 || got[1].Name != "s3" || got[1].State != decide.Draining {
+	if len(got) != 2 || got[0].Name != "s1" || got[0].State != routing.Ready || got[0].Zone != 0 || got[1].Name != "s3" || got[1].State != routing.Draining {
 		t.Errorf("taken: %+v", got)
 	}
 }
@@ -192,7 +192,7 @@
 			return
 		}
 		n := 0
-		w := discovery.New("", settings, 1, func(_ bool, e []core.Endpoint) { n = len(e) })
+		w := discovery.New("", settings, 1, func(_ bool, e []dispatch.Endpoint) { n = len(e) })
 		w.Apply(l, false)
 		// What is leaving is taken even from a bad entry.
 		if bad := int(w.Bad()); n > len(l.Instances) || bad > len(l.Instances) || n+bad < len(l.Instances) {
@@ -214,7 +214,7 @@
 		settings.Discovery = c.discovery
 		a := &agent{whole: list(41, true, entry("s1", "ready"))}
 		s := httptest.NewServer(a)
-		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []core.Endpoint) {})
+		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []dispatch.Endpoint) {})
 		var l discovery.List
 		if err := json.Unmarshal([]byte(c.known), &l); err != nil {
 			t.Fatal(err)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
 	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const goldenList = `{"generation":2,"reset":true,"instances":[` +
@@ -36,14 +36,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []core.Endpoint
-	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []core.Endpoint) { got = entries })
+	var got []dispatch.Endpoint
+	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []dispatch.Endpoint) { got = entries })
 	if !w.Apply(l, true) || w.Version() != 2 {
 		t.Errorf("not read whole, version %d", w.Version())
 	}
-	want := []core.Endpoint{
-		{Name: "id-1", Addr: "127.0.0.1:1", State: decide.Ready, Zone: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMicro(1700000000001500)},
-		{Name: "id-2", Addr: "127.0.0.1:2", State: decide.Draining, Zone: 0, Kind: 0, Cell: 5, Weight: 6.5, Started: time.UnixMicro(1700000000002000)},
+	want := []dispatch.Endpoint{
+		{Name: "id-1", Addr: "127.0.0.1:1", State: routing.Ready, Zone: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMicro(1700000000001500)},
+		{Name: "id-2", Addr: "127.0.0.1:2", State: routing.Draining, Zone: 0, Kind: 0, Cell: 5, Weight: 6.5, Started: time.UnixMicro(1700000000002000)},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("handed on %+v, want %+v", got, want)
--- a/internal/discovery/large_test.go
+++ b/internal/discovery/large_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/core"
 	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
 )
 
@@ -44,7 +44,7 @@
 			}))
 			defer func() { s.CloseClientConnections(); s.Close() }()
 			got := make(chan int, 64)
-			w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(_ bool, e []core.Endpoint) { got <- len(e) })
+			w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got <- len(e) })
 			if mode == "watch" {
 				w.Apply(discovery.List{Generation: 1, Instances: []json.RawMessage{[]byte(entry("s1", "ready"))}}, true)
 				<-got
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,9 +15,9 @@
 	"testing/iotest"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 const leaving = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"s1","hostPort":"127.0.0.1:9000","zone":"wien",` +
@@ -25,13 +25,13 @@
 
 // follow starts a watcher of a fleet so large that discovery, where it had to be asked, would be left alone for a
 // minute. It returns what tells the state of s1.
-func follow(t *testing.T, addr, discovery string) (*Watcher, func() decide.EndpointState) {
+func follow(t *testing.T, addr, discovery string) (*Watcher, func() routing.EndpointState) {
 	t.Helper()
 	settings := testkit.Settings(t)
 	settings.Discovery, settings.Balancers = discovery, 1024
 	var state atomic.Int64
-	state.Store(int64(decide.Gone))
-	w := New(addr, settings, 9, func(_ bool, entries []core.Endpoint) {
+	state.Store(int64(routing.Gone))
+	w := New(addr, settings, 9, func(_ bool, entries []dispatch.Endpoint) {
 		for _, e := range entries {
 			state.Store(int64(e.State))
 		}
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done })
-	return w, func() decide.EndpointState { return decide.EndpointState(state.Load()) }
+	return w, func() routing.EndpointState { return routing.EndpointState(state.Load()) }
 }
 
 // soon is well under any pause that the fleet of follow would draw if its discovery had to be asked, and well over
@@ -92,7 +92,7 @@
 			}))
 			defer s.Close()
 			_, state := follow(t, s.Listener.Addr().String(), "push")
-			soon(t, "the drain", func() bool { return state() == decide.Draining })
+			soon(t, "the drain", func() bool { return state() == routing.Draining })
 		})
 	}
 }
@@ -117,7 +117,7 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	soon(t, "the drain", func() bool { return state() == decide.Draining })
+	soon(t, "the drain", func() bool { return state() == routing.Draining })
 }
 
 // Where discovery has to be asked, a fleet that lost it does not come back in step.
@@ -171,8 +171,8 @@
 			for i := range told {
 				settings := testkit.Settings(t)
 				settings.Discovery, settings.Balancers = "ask", 1024
-				w := New(s.Listener.Addr().String(), settings, uint64(i), func(_ bool, entries []core.Endpoint) {
-					if entries[0].State == decide.Draining {
+				w := New(s.Listener.Addr().String(), settings, uint64(i), func(_ bool, entries []dispatch.Endpoint) {
+					if entries[0].State == routing.Draining {
 						told[i].CompareAndSwap(0, time.Now().UnixNano())
 					}
 				})
--- a/internal/core/contract.go
+++ b/internal/dispatch/api.go
@@ -1,12 +1,12 @@
 // The contract between the core, the fronts that ask it and the servers that it sends to.
 
-package core
+package dispatch
 
 import (
 	"io"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Call is what goes on to the servers for one request, unchanged.
@@ -23,8 +23,8 @@
 	Call               Call
 	Class              int
 	Tenant             int
-	Session            decide.Key
-	SharedPrefix       decide.Key
+	Session            routing.Key
+	SharedPrefix       routing.Key
 	PromptTokens       int
 	SharedPrefixTokens int
 	MaxOutputTokens    int
@@ -67,7 +67,7 @@
 
 // Target is a server as the core was told of it.
 type Target struct {
-	ID   decide.EndpointID
+	ID   routing.EndpointID
 	Name string
 	Addr string
 }
@@ -83,10 +83,10 @@
 
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
-	Outcome       decide.Outcome
+	Outcome       routing.Outcome
 	CachedTokens  int
 	StreamStarted bool // the answer had begun, and then it broke
-	Load          *decide.LoadReport
+	Load          *routing.LoadReport
 }
 
 // AttemptObserver takes an attempt's news; its methods may be called from any goroutine.
@@ -113,7 +113,7 @@
 type Upstream interface {
 	Send(order AttemptSpec, ev AttemptObserver) Attempt
 	// PollLoad asks a server for its load and calls back once, from any goroutine; nil: it told none in time.
-	PollLoad(to Target, limit time.Duration, told func(*decide.LoadReport))
+	PollLoad(to Target, limit time.Duration, told func(*routing.LoadReport))
 	// Release lets go of what is held for the call's request, through the first of the targets that answers.
 	Release(call Call, through []Target)
 }
@@ -125,7 +125,7 @@
 	Zone    int
 	Kind    int
 	Cell    int
-	State   decide.EndpointState
+	State   routing.EndpointState
 	Weight  float64
 	Started time.Time // zero: long ago
 }
@@ -136,7 +136,7 @@
 		clear(list)
 	}
 	for _, e := range entries {
-		if list[e.Name] = e; e.State == decide.Gone {
+		if list[e.Name] = e; e.State == routing.Gone {
 			delete(list, e.Name)
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,10 +1,10 @@
-package core
+package dispatch
 
 import (
 	"log/slog"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // attempt is one call of a request that was sent, or was to be sent, to a server.
@@ -20,7 +20,7 @@
 	ended  bool
 
 	aborted bool
-	as      decide.Outcome // what it then ended as, if it may have run
+	as      routing.Outcome // what it then ended as, if it may have run
 }
 
 // FirstToken implements Events.
@@ -47,7 +47,7 @@
 	a.to.heard = c.now()
 	c.counters.Served++
 	c.reply(q, Answer{Kind: Served, Stream: s})
-	c.handle(decide.FirstToken{Request: q.id, Attempt: a.number, Endpoint: a.to.ID, Elapsed: c.now() - a.sent})
+	c.handle(routing.FirstToken{Request: q.id, Attempt: a.number, Endpoint: a.to.ID, Elapsed: c.now() - a.sent})
 	return true
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	a.ended = true
-	if a.aborted && o.Outcome == decide.ConnectionReset {
+	if a.aborted && o.Outcome == routing.ConnectionReset {
 		o.Outcome = a.as
 	}
 	if a.timer != nil {
@@ -75,14 +75,14 @@
 	}
 	q := a.req
 	q.ran.note(a, o)
-	server := decide.EndpointID(0)
+	server := routing.EndpointID(0)
 	if a.to != nil {
 		server = a.to.ID
 	}
 	switch o.Outcome {
-	case decide.Served, decide.Errored, decide.QueueFull, decide.StateMissing, decide.PrefillDone:
+	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
 		a.to.heard = c.now()
-	case decide.TimedOut, decide.Cancelled, decide.ConnectionReset:
+	case routing.TimedOut, routing.Cancelled, routing.ConnectionReset:
 		q.loose = true
 		if a.to.reads && a.to.heard < a.sent {
 			c.follow(a)
@@ -90,15 +90,15 @@
 	}
 	c.counters.outcome(o.Outcome)
 	switch o.Outcome {
-	case decide.Served, decide.PrefillDone, decide.QueueFull:
+	case routing.Served, routing.PrefillDone, routing.QueueFull:
 	default:
 		slog.Info("attempt_lost", "id", q.Call.ID, "attempt", a.number, "server", a.name(),
 			"outcome", outcomeName(o.Outcome), "after", c.now()-a.sent, "first", a.first)
 	}
-	if a.first && o.Outcome != decide.Served {
+	if a.first && o.Outcome != routing.Served {
 		c.counters.BrokenStreams++
 	}
-	c.handle(decide.AttemptEnded{
+	c.handle(routing.AttemptEnded{
 		Request: q.id, Attempt: a.number, Endpoint: server, Outcome: o.Outcome, Elapsed: c.now() - a.sent,
 		CachedTokens: o.CachedTokens, StreamStarted: o.StreamStarted, Final: q.answer == nil, Load: o.Load,
 	})
--- a/internal/core/clock_test.go
+++ b/internal/dispatch/clock_test.go
@@ -1,13 +1,13 @@
-package core_test
+package dispatch_test
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 // A wall clock that is stepped makes no cold server warm and no warm one cold, whether the server was told before the step or after it.
@@ -33,10 +33,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			machine := testkit.NewMachine()
 			began := time.Now()
-			_, router := startOn(t, machine, func(*decide.Config) {})
+			_, router := startOn(t, machine, func(*routing.Config) {})
 			started := machine.Wall().Add(-c.ago)
-			list := func() []core.Endpoint {
-				return []core.Endpoint{{Name: "r9", Kind: 0, State: decide.Ready, Weight: 1, Started: started}}
+			list := func() []dispatch.Endpoint {
+				return []dispatch.Endpoint{{Name: "r9", Kind: 0, State: routing.Ready, Weight: 1, Started: started}}
 			}
 			age := func() time.Duration {
 				router.UpdateEndpoints(true, list())
--- a/internal/core/counters.go
+++ b/internal/dispatch/counters.go
@@ -1,10 +1,10 @@
-package core
+package dispatch
 
 import (
 	"context"
 	"maps"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Counters tells what the core took in, sent and answered.
@@ -16,14 +16,14 @@
 	Open, Endpoints                                                     int
 }
 
-func outcomeName(o decide.Outcome) string {
-	names := [...]string{decide.Served: "served", decide.Errored: "errored", decide.QueueFull: "full",
-		decide.StateMissing: "no_state", decide.TimedOut: "timed_out", decide.ConnectFailed: "connect_failed",
-		decide.ConnectionReset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "moot", decide.PrefillDone: "read"}
+func outcomeName(o routing.Outcome) string {
+	names := [...]string{routing.Served: "served", routing.Errored: "errored", routing.QueueFull: "full",
+		routing.StateMissing: "no_state", routing.TimedOut: "timed_out", routing.ConnectFailed: "connect_failed",
+		routing.ConnectionReset: "reset", routing.Cancelled: "cancelled", routing.NotSent: "moot", routing.PrefillDone: "read"}
 	return names[o]
 }
 
-func (n *Counters) outcome(o decide.Outcome) {
+func (n *Counters) outcome(o routing.Outcome) {
 	if n.Outcomes == nil {
 		n.Outcomes = map[string]int{}
 	}
--- a/internal/core/core.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,8 +1,8 @@
-// Package core runs one Router for real traffic. One goroutine owns the Router,
+// Package dispatch runs one Router for real traffic. One goroutine owns the Router,
 // the table of open requests and the list of servers; fronts, servers and
 // discovery reach it through its queue only. It knows no wire: fronts call Do,
 // and servers are reached through the interface Servers.
-package core
+package dispatch
 
 import (
 	"cmp"
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
 	"rampspread/internal/system"
+	"rampspread/routing"
 )
 
 const (
@@ -34,31 +34,31 @@
 
 // Dispatcher is the one owner of a Router.
 type Dispatcher struct {
-	router    *decide.Router
-	config    decide.Config // in force
+	router    *routing.Router
+	config    routing.Config // in force
 	servers   Upstream
 	machine   system.System
-	audit     *permit.ViolationCounter
+	audit     *precondition.ViolationCounter
 	releasing atomic.Int64 // releases that are to be made once more
 	start     time.Time
 	base      time.Duration
 	queue     chan func()
 	done      chan struct{}
-	lastID    decide.RequestID
-	requests  map[decide.RequestID]*request
-	list      map[decide.EndpointID]*listed
+	lastID    routing.RequestID
+	requests  map[routing.RequestID]*request
+	list      map[routing.EndpointID]*listed
 	names     map[string]*listed // the same by name
-	actions   []decide.Action
-	pending   []decide.Event // events that follow from carrying out actions
-	stale     []*request     // to be looked at by forget once nothing is pending
-	ending    bool           // nothing is taken any more
+	actions   []routing.Action
+	pending   []routing.Event // events that follow from carrying out actions
+	stale     []*request      // to be looked at by forget once nothing is pending
+	ending    bool            // nothing is taken any more
 	counters  Counters
 	taken     atomic.Int64 // the same as the counters'
 }
 
 type listed struct {
 	Target
-	state      decide.EndpointState
+	state      routing.EndpointState
 	zone, cell int
 	reads      bool // it reads prompts only: an attempt there has no effect
 	heard      time.Duration
@@ -67,7 +67,7 @@
 
 type request struct {
 	Request
-	id       decide.RequestID
+	id       routing.RequestID
 	client   context.Context
 	answer   chan Answer // nil once answered
 	left     bool        // the client has left, and what was sent goes on to its end
@@ -81,8 +81,8 @@
 }
 
 // New returns a Core that Run must drive.
-func New(cfg decide.Config, seed uint64, servers Upstream, machine system.System, audit *permit.ViolationCounter) (*Dispatcher, error) {
-	router, err := decide.New(cfg, seed)
+func New(cfg routing.Config, seed uint64, servers Upstream, machine system.System, audit *precondition.ViolationCounter) (*Dispatcher, error) {
+	router, err := routing.New(cfg, seed)
 	if err != nil {
 		return nil, fmt.Errorf("router: %w", err)
 	}
@@ -90,7 +90,7 @@
 		router: router, config: cfg, servers: servers, machine: machine, audit: audit,
 		start: time.Now(), base: time.Duration(machine.Wall().UnixNano()),
 		queue: make(chan func(), queueSize), done: make(chan struct{}),
-		requests: map[decide.RequestID]*request{}, list: map[decide.EndpointID]*listed{},
+		requests: map[routing.RequestID]*request{}, list: map[routing.EndpointID]*listed{},
 		names: map[string]*listed{},
 	}, nil
 }
@@ -166,14 +166,14 @@
 func (c *Dispatcher) updateEndpoints(full bool, entries []Endpoint) {
 	if full {
 		for _, l := range c.list {
-			l.state = decide.Gone
+			l.state = routing.Gone
 		}
 	}
-	ev := decide.EndpointUpdate{Full: full}
+	ev := routing.EndpointUpdate{Full: full}
 	for _, e := range entries {
 		l := c.lookup(e.Name)
 		l.Addr, l.state = e.Addr, e.State
-		s := decide.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State, Weight: e.Weight}
+		s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State, Weight: e.Weight}
 		s.Started = c.startOf(l, e.Started)
 		l.zone, l.cell, l.reads = e.Zone, e.Cell, c.reads(e.Kind)
 		ev.Endpoints = append(ev.Endpoints, s)
@@ -188,7 +188,7 @@
 func (c *Dispatcher) withdraw() {
 	for _, q := range c.requests {
 		for _, a := range q.attempts {
-			if !a.ended && !a.first && a.to.state != decide.Ready {
+			if !a.ended && !a.first && a.to.state != routing.Ready {
 				a.call.Withdraw()
 			}
 		}
@@ -198,7 +198,7 @@
 // PeerLoad is what another dispatcher found out about a server, Age ago; a nil Load: it told none in time.
 type PeerLoad struct {
 	Name string
-	Load *decide.LoadReport
+	Load *routing.LoadReport
 	Age  time.Duration
 }
 
@@ -210,7 +210,7 @@
 		for _, n := range news {
 			if l := c.names[n.Name]; l != nil {
 				c.counters.PeerLoadReports++
-				c.handle(decide.PeerLoadReport{Endpoint: l.ID, Load: n.Load, Age: n.Age + time.Since(came)})
+				c.handle(routing.PeerLoadReport{Endpoint: l.ID, Load: n.Load, Age: n.Age + time.Since(came)})
 			}
 		}
 	})
@@ -224,7 +224,7 @@
 func (c *Dispatcher) SetQuotaShare(part float64, left time.Duration, applied func()) bool {
 	came := time.Now()
 	return c.offer(func() {
-		c.handle(decide.QuotaShare{Fraction: part, Duration: left - time.Since(came)})
+		c.handle(routing.QuotaShare{Fraction: part, Duration: left - time.Since(came)})
 		applied()
 	})
 }
@@ -233,21 +233,21 @@
 // returned while the queue is full.
 func (c *Dispatcher) SetSubset(names []string) bool {
 	return c.offer(func() {
-		var ids []decide.EndpointID
+		var ids []routing.EndpointID
 		for _, name := range names {
 			if l := c.names[name]; l != nil {
 				ids = append(ids, l.ID)
 			}
 		}
-		c.handle(decide.SubsetAssigned{Endpoints: ids})
+		c.handle(routing.SubsetAssigned{Endpoints: ids})
 	})
 }
 
 // Snapshot is what the module has learnt, with so many texts at the most; false: the context or the core ended first.
-func (c *Dispatcher) Snapshot(ctx context.Context, texts int) (decide.Snapshot, bool) {
-	got := make(chan decide.Snapshot, 1)
+func (c *Dispatcher) Snapshot(ctx context.Context, texts int) (routing.Snapshot, bool) {
+	got := make(chan routing.Snapshot, 1)
 	if !c.post(func() { got <- c.router.Snapshot(c.now(), texts) }) {
-		return decide.Snapshot{}, false
+		return routing.Snapshot{}, false
 	}
 	select {
 	case b := <-got:
@@ -255,19 +255,19 @@
 	case <-ctx.Done():
 	case <-c.done:
 	}
-	return decide.Snapshot{}, false
+	return routing.Snapshot{}, false
 }
 
 // Restore gives the module what another process has learnt.
-func (c *Dispatcher) Restore(b decide.Snapshot) {
-	c.post(func() { c.handle(decide.SnapshotReceived{Snapshot: b}) })
+func (c *Dispatcher) Restore(b routing.Snapshot) {
+	c.post(func() { c.handle(routing.SnapshotReceived{Snapshot: b}) })
 }
 
 // RestoreFromPeer is Learn for what a process of another machine has just told: its clock's now is taken for this one's.
-func (c *Dispatcher) RestoreFromPeer(b decide.Snapshot) {
+func (c *Dispatcher) RestoreFromPeer(b routing.Snapshot) {
 	c.post(func() {
 		b.Shift(c.now() - b.TakenAt)
-		c.handle(decide.SnapshotReceived{Snapshot: b})
+		c.handle(routing.SnapshotReceived{Snapshot: b})
 	})
 }
 
@@ -278,7 +278,7 @@
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	id := decide.EndpointID(h.Sum32())
+	id := routing.EndpointID(h.Sum32())
 	for c.list[id] != nil {
 		id++
 	}
@@ -291,7 +291,7 @@
 // long as the program runs; attempts that are still out hold what they need.
 func (c *Dispatcher) prune() {
 	for id, l := range c.list {
-		if l.state == decide.Gone {
+		if l.state == routing.Gone {
 			delete(c.list, id)
 			delete(c.names, l.Name)
 		}
@@ -315,7 +315,7 @@
 		c.left(q)
 		return
 	}
-	c.handle(decide.RequestArrived{
+	c.handle(routing.RequestArrived{
 		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.SharedPrefix,
 		PromptTokens: q.PromptTokens, SharedPrefixTokens: q.SharedPrefixTokens, MaxOutputTokens: q.MaxOutputTokens, TimeLeft: q.deadline - now,
 	})
@@ -324,7 +324,7 @@
 // overdue ends what is still out at the deadline, and answers if the module then does not.
 func (c *Dispatcher) overdue(q *request) {
 	for _, a := range q.attempts {
-		c.abort(a, decide.TimedOut)
+		c.abort(a, routing.TimedOut)
 	}
 	if q.answer == nil {
 		return
@@ -345,7 +345,7 @@
 // An attempt that still waits for its connection must not begin in any case: nobody waits for its answer.
 func (c *Dispatcher) end(q *request, a Answer) {
 	c.reply(q, a)
-	c.handle(decide.ClientGone{Request: q.id})
+	c.handle(routing.ClientGone{Request: q.id})
 	c.withdrawAll(q)
 	c.forget(q)
 }
@@ -361,7 +361,7 @@
 
 // abort gives an attempt up. It counts as out until its connection is closed: what is sent elsewhere
 // before that would be a second copy.
-func (c *Dispatcher) abort(a *attempt, as decide.Outcome) {
+func (c *Dispatcher) abort(a *attempt, as routing.Outcome) {
 	if a.ended || a.first || a.aborted {
 		return
 	}
@@ -418,8 +418,8 @@
 
 // reply gives the one final answer; the channel has room for it.
 func (c *Dispatcher) reply(q *request, a Answer) {
-	if why := (permit.FinalAnswer{Answered: q.answer == nil}).Check(); why != permit.Allowed {
-		c.audit.Record(permit.OperationAnswer, why, q.Call.ID)
+	if why := (precondition.FinalAnswer{Answered: q.answer == nil}).Check(); why != precondition.Allowed {
+		c.audit.Record(precondition.OperationAnswer, why, q.Call.ID)
 		return
 	}
 	if a.Kind != Served {
@@ -447,7 +447,7 @@
 }
 
 // handle gives the module an event and carries out what it answers, with all that follows at once.
-func (c *Dispatcher) handle(ev decide.Event) {
+func (c *Dispatcher) handle(ev routing.Event) {
 	c.pending = append(c.pending, ev)
 	if len(c.pending) > 1 {
 		return // the loop below is running further up
@@ -466,42 +466,42 @@
 	c.stale = c.stale[:0]
 }
 
-func (c *Dispatcher) carryOut(action decide.Action) {
+func (c *Dispatcher) carryOut(action routing.Action) {
 	switch a := action.(type) {
-	case decide.Send:
+	case routing.Send:
 		c.send(a)
-	case decide.PollLoad:
+	case routing.PollLoad:
 		c.probe(a.Endpoint)
-	case decide.Release:
+	case routing.Release:
 		c.release(a.Request, a.Reason)
-	case decide.Reject:
+	case routing.Reject:
 		if q := c.requests[a.Request]; q != nil && q.answer != nil {
 			c.counters.Rejected++
 			q.why = string(a.Reason)
 			c.reply(q, Answer{Kind: Rejected, RetryAfter: cmp.Or(a.RetryAfter, comeBack)})
 			c.forget(q)
 		}
-	case decide.Fail:
+	case routing.Fail:
 		if q := c.requests[a.Request]; q != nil && q.answer != nil {
 			c.counters.Failed++
 			q.why = string(a.Reason)
 			c.reply(q, Answer{Kind: Failed})
 			c.forget(q)
 		}
-	case decide.Cancel:
+	case routing.Cancel:
 		if q := c.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
-			c.abort(q.attempts[a.Attempt], decide.Cancelled)
+			c.abort(q.attempts[a.Attempt], routing.Cancelled)
 		}
-	case decide.SetTimer:
-		time.AfterFunc(a.After, func() { c.post(func() { c.handle(decide.TimerFired{ID: a.Timer}) }) })
+	case routing.SetTimer:
+		time.AfterFunc(a.After, func() { c.post(func() { c.handle(routing.TimerFired{ID: a.Timer}) }) })
 	default:
 		slog.Warn("unknown_action", "type", fmt.Sprintf("%T", a))
 	}
 }
 
-func (c *Dispatcher) probe(id decide.EndpointID) {
-	told := func(l *decide.LoadReport) {
-		c.post(func() { c.handle(decide.LoadPolled{Endpoint: id, Load: l}) })
+func (c *Dispatcher) probe(id routing.EndpointID) {
+	told := func(l *routing.LoadReport) {
+		c.post(func() { c.handle(routing.LoadPolled{Endpoint: id, Load: l}) })
 	}
 	to := c.list[id]
 	if to == nil {
--- a/internal/core/core_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -1,4 +1,4 @@
-package core_test
+package dispatch_test
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 // hand is a set of servers that does only what the test tells it.
@@ -25,7 +25,7 @@
 
 type sent struct {
 	to string
-	ev core.AttemptObserver
+	ev dispatch.AttemptObserver
 }
 
 type handAttempt struct {
@@ -37,28 +37,30 @@
 
 func (a handAttempt) Withdraw() { a.h.withdrew <- a.to }
 
-func (h *hand) Send(order core.AttemptSpec, ev core.AttemptObserver) core.Attempt {
+func (h *hand) Send(order dispatch.AttemptSpec, ev dispatch.AttemptObserver) dispatch.Attempt {
 	h.sends <- sent{order.Target.Name, ev}
 	return handAttempt{h, order.Target.Name}
 }
 
-func (h *hand) Release(call core.Call, _ []core.Target) { h.releases <- call.ID }
+func (h *hand) Release(call dispatch.Call, _ []dispatch.Target) { h.releases <- call.ID }
 
-func (h *hand) PollLoad(_ core.Target, _ time.Duration, told func(*decide.LoadReport)) { go told(nil) }
+func (h *hand) PollLoad(_ dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
+	go told(nil)
+}
 
 type noStream struct{ io.ReadCloser }
 
-func start(t *testing.T) (*hand, *core.Dispatcher) {
+func start(t *testing.T) (*hand, *dispatch.Dispatcher) {
 	t.Helper()
-	return startWith(t, func(*decide.Config) {})
+	return startWith(t, func(*routing.Config) {})
 }
 
-func startWith(t *testing.T, change func(*decide.Config)) (*hand, *core.Dispatcher) {
+func startWith(t *testing.T, change func(*routing.Config)) (*hand, *dispatch.Dispatcher) {
 	t.Helper()
 	return startOn(t, system.Real(), change)
 }
 
-func startOn(t *testing.T, machine system.System, change func(*decide.Config)) (*hand, *core.Dispatcher) {
+func startOn(t *testing.T, machine system.System, change func(*routing.Config)) (*hand, *dispatch.Dispatcher) {
 	t.Helper()
 	h := &hand{sends: make(chan sent, 64), aborts: make(chan string, 64), releases: make(chan string, 64),
 		withdrew: make(chan string, 64)}
@@ -67,7 +69,7 @@
 		t.Fatal(err)
 	}
 	change(&cfg)
-	c, err := core.New(cfg, 1, h, machine, nil)
+	c, err := dispatch.New(cfg, 1, h, machine, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,16 +77,16 @@
 	var done sync.WaitGroup
 	done.Go(func() { c.Run(ctx) })
 	t.Cleanup(func() { stop(); done.Wait() })
-	c.UpdateEndpoints(true, []core.Endpoint{
-		{Name: "r1", Kind: 0, State: decide.Ready, Weight: 1}, {Name: "r2", Kind: 0, State: decide.Ready, Weight: 1},
-		{Name: "w1", Kind: 1, State: decide.Ready, Weight: 1}, {Name: "w2", Kind: 1, State: decide.Ready, Weight: 1},
+	c.UpdateEndpoints(true, []dispatch.Endpoint{
+		{Name: "r1", Kind: 0, State: routing.Ready, Weight: 1}, {Name: "r2", Kind: 0, State: routing.Ready, Weight: 1},
+		{Name: "w1", Kind: 1, State: routing.Ready, Weight: 1}, {Name: "w2", Kind: 1, State: routing.Ready, Weight: 1},
 	})
 	return h, c
 }
 
-func ask(ctx context.Context, c *core.Dispatcher, class int, wait time.Duration) chan core.Answer {
-	got := make(chan core.Answer, 2)
-	req := core.Request{Call: core.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(wait)}
+func ask(ctx context.Context, c *dispatch.Dispatcher, class int, wait time.Duration) chan dispatch.Answer {
+	got := make(chan dispatch.Answer, 2)
+	req := dispatch.Request{Call: dispatch.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(wait)}
 	go func() { got <- c.Dispatch(ctx, req) }()
 	return got
 }
@@ -92,16 +94,16 @@
 func TestServed(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+	(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	w := <-h.sends
 	if w.to != "w1" && w.to != "w2" || !w.ev.FirstToken(noStream{}) {
 		t.Fatalf("written at %s, or the stream was not taken", w.to)
 	}
-	if a := <-got; a.Kind != core.Served || a.Stream == nil {
+	if a := <-got; a.Kind != dispatch.Served || a.Stream == nil {
 		t.Fatalf("answer %+v", a)
 	}
 	// What breaks after the first event has its answer: nothing more is sent, not even a release.
-	w.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+	w.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 	if n := c.Counters(context.Background()); n.Open != 0 || n.BrokenStreams != 1 || n.Served != 1 || len(h.sends)+len(h.releases) > 0 {
 		t.Errorf("counters %+v, %d sends, %d releases", n, len(h.sends), len(h.releases))
 	}
@@ -109,12 +111,12 @@
 
 // A filing that may have run is not sent again, and its answer promises nothing.
 func TestFilingMayHaveRun(t *testing.T) {
-	for _, o := range []decide.Outcome{decide.ConnectionReset, decide.Errored, decide.TimedOut} {
+	for _, o := range []routing.Outcome{routing.ConnectionReset, routing.Errored, routing.TimedOut} {
 		h, c := start(t)
 		got := ask(context.Background(), c, 1, time.Minute)
-		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
-		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: o})
-		if a := <-got; a.Kind != core.Failed || len(h.sends) > 0 {
+		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
+		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: o})
+		if a := <-got; a.Kind != dispatch.Failed || len(h.sends) > 0 {
 			t.Errorf("outcome %d: answer %+v, %d more sends", o, a, len(h.sends))
 		}
 		<-h.releases
@@ -125,9 +127,9 @@
 func TestFilingNeverRan(t *testing.T) {
 	h, c := start(t)
 	got := ask(context.Background(), c, 1, time.Minute)
-	(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+	(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	first := <-h.sends
-	first.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
+	first.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectFailed})
 	second := <-h.sends
 	if second.to == first.to || !second.ev.FirstToken(noStream{}) {
 		t.Errorf("second writer %s after %s", second.to, first.to)
@@ -144,15 +146,15 @@
 		s := <-h.sends
 		<-h.aborts
 		if told {
-			s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+			s.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 		}
-		if a := <-got; a.Kind == core.Served {
+		if a := <-got; a.Kind == dispatch.Served {
 			t.Fatalf("told %t: answer %+v", told, a)
 		}
 		if s.ev.FirstToken(noStream{}) {
 			t.Errorf("told %t: a stream was taken after the answer", told)
 		}
-		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+		s.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 		n := c.Counters(context.Background())
 		if n.Open != 0 || n.DeadlineForced+n.Rejected+n.Failed != 1 || len(h.sends) > 0 {
 			t.Errorf("told %t: counters %+v, %d more sends", told, n, len(h.sends))
@@ -177,7 +179,7 @@
 	if len(h.sends) > 0 {
 		t.Fatal("a copy was sent while the first was out")
 	}
-	s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+	s.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 	if next := <-h.sends; next.to == s.to {
 		t.Errorf("the read went to %s again", next.to)
 	}
@@ -190,11 +192,11 @@
 	got := ask(ctx, c, 0, time.Minute)
 	s := <-h.sends
 	leave()
-	if a := <-got; a.Kind != core.ClientGone {
+	if a := <-got; a.Kind != dispatch.ClientGone {
 		t.Fatalf("answer %+v", a)
 	}
 	<-h.aborts
-	s.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone}) // the read won the race against the close
+	s.ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone}) // the read won the race against the close
 	<-h.releases
 	if n := c.Counters(context.Background()); n.Open != 0 || n.ClientGone != 1 || len(h.sends) > 0 {
 		t.Errorf("counters %+v, %d more sends", n, len(h.sends))
@@ -204,29 +206,29 @@
 // Where attempts may not be cancelled, one that still waits for its connection does not begin once its client has left: at a reader, at
 // a writer, and when it is the second at either.
 func TestClientLeftBeforeAnAttemptBegan(t *testing.T) {
-	outcomes := func(all ...decide.Outcome) []decide.Outcome { return all }
-	for name, before := range map[string][]decide.Outcome{
+	outcomes := func(all ...routing.Outcome) []routing.Outcome { return all }
+	for name, before := range map[string][]routing.Outcome{
 		"reading":       nil,
-		"reading again": outcomes(decide.ConnectFailed),
-		"writing":       outcomes(decide.PrefillDone),
-		"writing again": outcomes(decide.PrefillDone, decide.ConnectFailed),
+		"reading again": outcomes(routing.ConnectFailed),
+		"writing":       outcomes(routing.PrefillDone),
+		"writing again": outcomes(routing.PrefillDone, routing.ConnectFailed),
 	} {
-		h, c := startWith(t, func(cfg *decide.Config) { cfg.CanCancel = false })
+		h, c := startWith(t, func(cfg *routing.Config) { cfg.CanCancel = false })
 		ctx, leave := context.WithCancel(context.Background())
 		got := ask(ctx, c, 0, time.Minute)
 		s := <-h.sends
 		for _, o := range before {
-			s.ev.Ended(core.AttemptResult{Outcome: o})
+			s.ev.Ended(dispatch.AttemptResult{Outcome: o})
 			s = <-h.sends
 		}
 		leave()
-		if a := <-got; a.Kind != core.ClientGone {
+		if a := <-got; a.Kind != dispatch.ClientGone {
 			t.Fatalf("%s: answer %+v", name, a)
 		}
 		if to := <-h.withdrew; to != s.to || len(h.withdrew) > 0 || len(h.aborts) > 0 {
 			t.Errorf("%s: withdrawn from %s, sent to %s; %d more, %d aborted", name, to, s.to, len(h.withdrew), len(h.aborts))
 		}
-		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
+		s.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectFailed})
 		<-h.releases
 		if n := c.Counters(context.Background()); n.Open != 0 || len(h.sends) > 0 {
 			t.Errorf("%s: %d open, %d more sends", name, n.Open, len(h.sends))
@@ -239,18 +241,18 @@
 	h, c := start(t)
 	waits := ask(context.Background(), c, 1, 30*time.Second)
 	read := <-h.sends
-	read.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+	read.ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	write := <-h.sends
 	c.AbandonPending()
-	if a := <-waits; a.Kind != core.Failed {
+	if a := <-waits; a.Kind != dispatch.Failed {
 		t.Errorf("a filing that may run was answered %+v", a)
 	}
 	if to := <-h.aborts; to != write.to {
 		t.Errorf("%s was aborted, not %s", to, write.to)
 	}
-	write.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+	write.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 	<-h.releases
-	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != core.Rejected || a.RetryAfter <= 0 {
+	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != dispatch.Rejected || a.RetryAfter <= 0 {
 		t.Errorf("what came later was answered %+v", a)
 	}
 	if n := c.Counters(context.Background()); n.Open != 0 || len(h.sends) > 0 {
@@ -264,18 +266,18 @@
 	for range 50 {
 		ctx, leave := context.WithCancel(context.Background())
 		got := ask(ctx, c, 0, time.Minute)
-		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 		w := <-h.sends
 		taken := make(chan bool)
 		go func() { taken <- w.ev.FirstToken(noStream{}) }()
 		leave()
 		a := <-got
-		if won := <-taken; won != (a.Kind == core.Served) {
+		if won := <-taken; won != (a.Kind == dispatch.Served) {
 			t.Fatalf("stream taken %t, answer %+v", won, a)
 		} else if won {
-			w.ev.Ended(core.AttemptResult{Outcome: decide.Served})
+			w.ev.Ended(dispatch.AttemptResult{Outcome: routing.Served})
 		} else {
-			w.ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+			w.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 		}
 	}
 	if n := c.Counters(context.Background()); n.Open != 0 || n.Served+n.ClientGone != 50 {
@@ -287,8 +289,8 @@
 func TestNothingGrows(t *testing.T) {
 	h, c := start(t)
 	for n := range 100 {
-		c.UpdateEndpoints(false, []core.Endpoint{{Name: fmt.Sprint("s", n), Kind: 1, State: decide.Ready, Weight: 1},
-			{Name: fmt.Sprint("s", n-1), State: decide.Gone}})
+		c.UpdateEndpoints(false, []dispatch.Endpoint{{Name: fmt.Sprint("s", n), Kind: 1, State: routing.Ready, Weight: 1},
+			{Name: fmt.Sprint("s", n-1), State: routing.Gone}})
 	}
 	if n := c.Counters(context.Background()); n.Endpoints != 5 {
 		t.Errorf("%d servers listed, want 5", n.Endpoints)
@@ -297,14 +299,14 @@
 	func() {
 		body := make([]byte, 1<<20)
 		runtime.AddCleanup(&body[0], func(int) { gone <- true }, 0)
-		got := make(chan core.Answer)
-		req := core.Request{Call: core.Call{ID: "x", Body: body}, PromptTokens: 100, Deadline: time.Now().Add(time.Hour)}
+		got := make(chan dispatch.Answer)
+		req := dispatch.Request{Call: dispatch.Call{ID: "x", Body: body}, PromptTokens: 100, Deadline: time.Now().Add(time.Hour)}
 		go func() { got <- c.Dispatch(context.Background(), req) }()
-		(<-h.sends).ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 		w := <-h.sends
 		w.ev.FirstToken(noStream{})
 		<-got
-		w.ev.Ended(core.AttemptResult{Outcome: decide.Served})
+		w.ev.Ended(dispatch.AttemptResult{Outcome: routing.Served})
 	}()
 	testkit.Eventually(t, "the request's body to be let go", func() bool {
 		runtime.GC()
@@ -315,7 +317,7 @@
 // News from other dispatchers reaches the module by name, strangers are passed over, and nobody waits for room.
 func TestHeardNeverWaits(t *testing.T) {
 	_, c := start(t)
-	if !c.ApplyPeerLoads([]core.PeerLoad{{Name: "r1", Load: &decide.LoadReport{QueuedRequests: 1}}, {Name: "stranger"}}) {
+	if !c.ApplyPeerLoads([]dispatch.PeerLoad{{Name: "r1", Load: &routing.LoadReport{QueuedRequests: 1}}, {Name: "stranger"}}) {
 		t.Fatal("no room in an empty queue")
 	}
 	if n := c.Counters(context.Background()); n.PeerLoadReports != 1 {
@@ -325,11 +327,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stopped, err := core.New(cfg, 1, &hand{}, system.Real(), nil) // nobody takes from its queue
+	stopped, err := dispatch.New(cfg, 1, &hand{}, system.Real(), nil) // nobody takes from its queue
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; stopped.ApplyPeerLoads([]core.PeerLoad{{Name: "r1"}}); n++ {
+	for n := 0; stopped.ApplyPeerLoads([]dispatch.PeerLoad{{Name: "r1"}}); n++ {
 		if n > 1<<20 {
 			t.Fatal("a queue without bounds")
 		}
@@ -339,34 +341,34 @@
 // An attempt that waits for its connection while its server begins to drain, or is left out of the whole list, is
 // withdrawn, and the request goes elsewhere; others are left alone.
 func TestWithdrawnFromLeavingServers(t *testing.T) {
-	for name, tell := range map[string]func(c *core.Dispatcher, leaving string){
-		"draining": func(c *core.Dispatcher, leaving string) {
-			c.UpdateEndpoints(false, []core.Endpoint{{Name: leaving, Kind: 0, State: decide.Draining, Weight: 1}})
+	for name, tell := range map[string]func(c *dispatch.Dispatcher, leaving string){
+		"draining": func(c *dispatch.Dispatcher, leaving string) {
+			c.UpdateEndpoints(false, []dispatch.Endpoint{{Name: leaving, Kind: 0, State: routing.Draining, Weight: 1}})
 		},
-		"gone": func(c *core.Dispatcher, leaving string) {
-			c.UpdateEndpoints(false, []core.Endpoint{{Name: leaving, State: decide.Gone}})
+		"gone": func(c *dispatch.Dispatcher, leaving string) {
+			c.UpdateEndpoints(false, []dispatch.Endpoint{{Name: leaving, State: routing.Gone}})
 		},
-		"left out": func(c *core.Dispatcher, leaving string) {
+		"left out": func(c *dispatch.Dispatcher, leaving string) {
 			other := map[string]string{"r1": "r2", "r2": "r1"}[leaving]
-			c.UpdateEndpoints(true, []core.Endpoint{{Name: other, Kind: 0, State: decide.Ready, Weight: 1}, {Name: "w1", Kind: 1, State: decide.Ready, Weight: 1}})
+			c.UpdateEndpoints(true, []dispatch.Endpoint{{Name: other, Kind: 0, State: routing.Ready, Weight: 1}, {Name: "w1", Kind: 1, State: routing.Ready, Weight: 1}})
 		},
 	} {
 		h, c := start(t)
 		got := ask(context.Background(), c, 1, time.Minute)
 		s := <-h.sends
-		c.UpdateEndpoints(false, []core.Endpoint{{Name: "w2", Kind: 1, State: decide.Draining, Weight: 1}}) // has nothing to do with it
+		c.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "w2", Kind: 1, State: routing.Draining, Weight: 1}}) // has nothing to do with it
 		tell(c, s.to)
 		if to := <-h.withdrew; to != s.to || len(h.withdrew) > 0 {
 			t.Errorf("%s: withdrawn from %s, and %d more; sent to %s", name, to, len(h.withdrew), s.to)
 		}
-		s.ev.Ended(core.AttemptResult{Outcome: decide.ConnectFailed})
+		s.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectFailed})
 		next := <-h.sends
 		if next.to == s.to {
 			t.Errorf("%s: sent to %s again", name, next.to)
 		}
-		next.ev.Ended(core.AttemptResult{Outcome: decide.PrefillDone})
+		next.ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 		(<-h.sends).ev.FirstToken(noStream{})
-		if a := <-got; a.Kind != core.Served {
+		if a := <-got; a.Kind != dispatch.Served {
 			t.Errorf("%s: answer %+v", name, a)
 		}
 	}
--- a/internal/core/retune.go
+++ b/internal/dispatch/reconfigure.go
@@ -1,16 +1,16 @@
-package core
+package dispatch
 
 import (
 	"context"
 	"errors"
 	"fmt"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Reconfigure gives the module a new configuration while requests are open, and returns once it has it or
 // has refused it.
-func (c *Dispatcher) Reconfigure(ctx context.Context, cfg decide.Config) error {
+func (c *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
 	done := make(chan error, 1)
 	if !c.post(func() { done <- c.retune(cfg) }) {
 		return errStopped
@@ -28,7 +28,7 @@
 	}
 }
 
-func (c *Dispatcher) retune(cfg decide.Config) error {
+func (c *Dispatcher) retune(cfg routing.Config) error {
 	if err := c.router.Reconfigure(c.now(), cfg); err != nil {
 		return err
 	}
--- a/internal/core/release.go
+++ b/internal/dispatch/release.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"cmp"
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // releaseThrough is how many servers a release may go through: with the pool's pauses the last of them is still asked in time.
 const releaseThrough = 24
 
 // release lets go of what is held, through servers that have answered of late first.
-func (c *Dispatcher) release(id decide.RequestID, why decide.ReleaseReason) {
+func (c *Dispatcher) release(id routing.RequestID, why routing.ReleaseReason) {
 	q := c.requests[id]
 	if q == nil || q.streamed {
 		return // with the first event all else goes by itself, and nothing more is sent
@@ -52,7 +52,7 @@
 	wait := func() { time.AfterFunc(followEvery, func() { c.post(again) }) }
 	again = func() {
 		if a.req.answer == nil {
-			c.releaseNow(a.req, decide.LateOutcome)
+			c.releaseNow(a.req, routing.LateOutcome)
 		}
 		if a.to.heard <= ended && c.now()-ended < followFor {
 			wait()
@@ -64,9 +64,9 @@
 // PendingReleases is how many releases are to be made once more, from any goroutine.
 func (c *Dispatcher) PendingReleases() int64 { return c.releasing.Load() }
 
-func (c *Dispatcher) releaseNow(q *request, why decide.ReleaseReason) {
+func (c *Dispatcher) releaseNow(q *request, why routing.ReleaseReason) {
 	c.counters.Releases++
-	if why == decide.ReservationExpired {
+	if why == routing.ReservationExpired {
 		c.counters.ExpiredReservations++
 		slog.Info("released", "id", q.Call.ID, "why", why, "attempts", len(q.attempts), "server", q.lastServer())
 	}
@@ -110,7 +110,7 @@
 	}
 	var out []*listed
 	for _, l := range c.list {
-		if l.state == decide.Gone || len(out) == most && order(out[most-1], l) <= 0 {
+		if l.state == routing.Gone || len(out) == most && order(out[most-1], l) <= 0 {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(out, l, order)
--- a/internal/core/retold_test.go
+++ b/internal/dispatch/repeated_list_test.go
@@ -1,4 +1,4 @@
-package core_test
+package dispatch_test
 
 import (
 	"context"
@@ -6,19 +6,19 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
+	"rampspread/routing"
 )
 
 // A list that is told again, as after a move of discovery, is the same list: what was learnt of a server stays, and so does how far
 // its part of a cold server's budget is used up.
 func TestListToldAgainChangesNothing(t *testing.T) {
 	_, c := start(t)
-	list := []core.Endpoint{
-		{Name: "r1", Kind: 0, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Second)},
-		{Name: "w1", Kind: 1, State: decide.Ready, Weight: 1, Started: time.Now().Add(-time.Hour)},
+	list := []dispatch.Endpoint{
+		{Name: "r1", Kind: 0, State: routing.Ready, Weight: 1, Started: time.Now().Add(-time.Second)},
+		{Name: "w1", Kind: 1, State: routing.Ready, Weight: 1, Started: time.Now().Add(-time.Hour)},
 	}
-	var first []decide.EndpointStats
+	var first []routing.EndpointStats
 	for n := range 5 {
 		c.UpdateEndpoints(true, list)
 		b, ok := c.Snapshot(context.Background(), 0)
--- a/internal/core/held_test.go
+++ b/internal/dispatch/reservation_test.go
@@ -1,4 +1,4 @@
-package core_test
+package dispatch_test
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 // heldAtMost is how long a state may be held while no attempt has reached a running replica: 300 ms by the settings and as much again,
@@ -34,10 +34,10 @@
 			t.Parallel()
 			read := make(chan time.Time, 8)
 			f := testkit.NewFleet(t, testkit.ReadAt(read), testkit.Silent)
-			f.Core.UpdateEndpoints(false, []core.Endpoint{{Name: "w", Addr: silentReplica(t), Kind: 1, State: decide.Ready, Weight: 1}})
+			f.Core.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "w", Addr: silentReplica(t), Kind: 1, State: routing.Ready, Weight: 1}})
 			client, leave := context.WithCancel(context.Background())
 			defer leave()
-			go f.Core.Dispatch(client, core.Request{Call: core.Call{ID: "held", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
+			go f.Core.Dispatch(client, dispatch.Request{Call: dispatch.Call{ID: "held", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
 				Class: class, PromptTokens: 100, Deadline: time.Now().Add(5 * time.Second)})
 			from := <-read
 			testkit.Eventually(t, "the release", func() bool { return f.Reader.Releases("held") > 0 || time.Since(from) > 2*heldAtMost })
@@ -53,8 +53,8 @@
 func TestLostReadIsFollowed(t *testing.T) {
 	t.Parallel()
 	f := testkit.NewFleet(t, testkit.Read, testkit.Silent)
-	f.Core.UpdateEndpoints(false, []core.Endpoint{{Name: "r", Addr: silentReplica(t), Kind: 0, State: decide.Ready, Weight: 1}})
-	f.Core.Dispatch(context.Background(), core.Request{Call: core.Call{ID: "lost", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
+	f.Core.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "r", Addr: silentReplica(t), Kind: 0, State: routing.Ready, Weight: 1}})
+	f.Core.Dispatch(context.Background(), dispatch.Request{Call: dispatch.Call{ID: "lost", Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")},
 		PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond)})
 	answered := time.Now()
 	const late = time.Second // after the answer
--- a/internal/core/send.go
+++ b/internal/dispatch/send.go
@@ -1,11 +1,11 @@
-package core
+package dispatch
 
 import (
 	"log/slog"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
+	"rampspread/routing"
 )
 
 // effect is what the attempts of a request may have done.
@@ -50,7 +50,7 @@
 
 // reads tells whether servers of a kind read prompts only.
 func (c *Dispatcher) reads(kind int) bool {
-	return kind >= 0 && kind < len(c.config.Kinds) && c.config.Kinds[kind].Role == decide.Prefill
+	return kind >= 0 && kind < len(c.config.Kinds) && c.config.Kinds[kind].Role == routing.Prefill
 }
 
 // window is for how long yet a server drops repeats of what may have run; false: it does not drop them.
@@ -60,9 +60,9 @@
 		return 0, false
 	}
 	switch class.DedupScope {
-	case decide.ScopeZone:
+	case routing.ScopeZone:
 		alike = to.zone == on.zone
-	case decide.ScopeCell:
+	case routing.ScopeCell:
 		alike = to.cell == on.cell
 	default:
 		alike = true
@@ -71,12 +71,12 @@
 }
 
 // sendFacts are what there is to know of an attempt that the module wants.
-func (c *Dispatcher) sendFacts(q *request, to *listed, limit, now time.Duration) permit.Attempt {
+func (c *Dispatcher) sendFacts(q *request, to *listed, limit, now time.Duration) precondition.Attempt {
 	window, alike := c.window(q, to, now)
-	return permit.Attempt{
+	return precondition.Attempt{
 		Answered:        q.answer == nil,
 		ClientGone:      q.gone(),
-		EndpointLeaving: to == nil || to.state != decide.Ready,
+		EndpointLeaving: to == nil || to.state != routing.Ready,
 		TimeLeft:        limit,
 		AttemptInFlight: q.out(),
 		Executes:        to != nil && !to.reads,
@@ -88,7 +88,7 @@
 }
 
 // send makes an attempt, if it may be made. One that may not has ended before it began, which has cost no server anything.
-func (c *Dispatcher) send(s decide.Send) {
+func (c *Dispatcher) send(s routing.Send) {
 	q, to := c.requests[s.Request], c.list[s.Endpoint]
 	if q == nil {
 		return
@@ -101,7 +101,7 @@
 	facts := c.sendFacts(q, to, limit, now)
 	a := &attempt{core: c, req: q, number: len(q.attempts), to: to, sent: now}
 	q.attempts = append(q.attempts, a)
-	if why := facts.Check(); why != permit.Allowed {
+	if why := facts.Check(); why != precondition.Allowed {
 		c.notSent(a, why)
 		return
 	}
@@ -110,20 +110,20 @@
 	}
 	c.counters.Attempts++
 	a.call = c.servers.Send(AttemptSpec{Call: q.Call, Target: to.Target, Timeout: limit, ClientGone: q.ClientGone,
-		Retry: facts.Executes && q.ran.mayHave && facts.Idempotency == decide.IdempotentByKey, DedupWindow: facts.DedupWindow}, a)
-	a.timer = time.AfterFunc(limit, func() { c.post(func() { c.abort(a, decide.TimedOut) }) })
+		Retry: facts.Executes && q.ran.mayHave && facts.Idempotency == routing.IdempotentByKey, DedupWindow: facts.DedupWindow}, a)
+	a.timer = time.AfterFunc(limit, func() { c.post(func() { c.abort(a, routing.TimedOut) }) })
 }
 
 // notSent ends an attempt that may not be made.
-func (c *Dispatcher) notSent(a *attempt, why permit.Reason) {
+func (c *Dispatcher) notSent(a *attempt, why precondition.Reason) {
 	q := a.req
 	slog.Info("not_sent", "id", q.Call.ID, "attempt", a.number, "server", a.name(), "why", why.String())
 	switch why {
-	case permit.AttemptInFlight, permit.MayHaveRun, permit.DedupWindowExpired: // the module should not have wanted it
-		c.audit.Record(permit.OperationSend, why, q.Call.ID)
+	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired: // the module should not have wanted it
+		c.audit.Record(precondition.OperationSend, why, q.Call.ID)
 	}
-	c.finish(a, AttemptResult{Outcome: decide.NotSent})
-	if why == permit.ClientDisconnected {
+	c.finish(a, AttemptResult{Outcome: routing.NotSent})
+	if why == precondition.ClientDisconnected {
 		c.left(q)
 	}
 }
--- a/internal/core/start.go
+++ b/internal/dispatch/start.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import "time"
 
--- a/internal/fleet/beliefs.go
+++ b/internal/fleet/bootstrap.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/internal/fleet/warmup"
+	"rampspread/internal/fleet/bootstrap"
 )
 
 // LearnedState is what a process has learnt, for others that start, and takes what they tell it.
@@ -34,8 +34,8 @@
 	knows LearnedState
 
 	mu    sync.Mutex
-	asker *warmup.Requester
-	donor warmup.Donor
+	asker *bootstrap.Requester
+	donor bootstrap.Donor
 
 	taken, given, busy, bad atomic.Int64
 }
@@ -50,7 +50,7 @@
 
 func newBeliefs(n *Node, k LearnedState) *beliefs {
 	rng := rand.New(rand.NewPCG(n.self.Seed, 0xbe11ef))
-	return &beliefs{node: n, knows: k, asker: warmup.NewRequester(warmup.DefaultLimits, n.now(), rng.Int64N)}
+	return &beliefs{node: n, knows: k, asker: bootstrap.NewRequester(bootstrap.DefaultLimits, n.now(), rng.Int64N)}
 }
 
 // step asks somebody, if it is time.
@@ -61,10 +61,10 @@
 		return
 	}
 	self := b.node.self
-	var members []warmup.Member
+	var members []bootstrap.Member
 	for _, m := range b.node.View().ActiveMembers() {
 		if m.Name != self.Name {
-			members = append(members, warmup.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), SameZone: m.Zone == self.Zone})
+			members = append(members, bootstrap.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), SameZone: m.Zone == self.Zone})
 		}
 	}
 	to, ok := b.asker.NextDonor(now, members)
@@ -78,7 +78,7 @@
 func (b *beliefs) answer(from string) {
 	now := b.node.now()
 	b.mu.Lock()
-	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.TakeTransfer(now, warmup.DefaultLimits)
+	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.TakeTransfer(now, bootstrap.DefaultLimits)
 	b.mu.Unlock()
 	if gives {
 		ctx, cancel := context.WithTimeout(context.Background(), tellWait)
--- a/internal/fleet/warmup/warmup.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -1,13 +1,13 @@
-// Package warmup decides whom a process that has just started asks for what they have learnt, when, and how many a process that knows
+// Package bootstrap decides whom a process that has just started asks for what they have learnt, when, and how many a process that knows
 // gives to. It does no I/O and has no clock. With most of a fleet new, the few that know are asked at drawn times and give to a bounded
 // number; who has learnt something gives in its turn.
-package warmup
+package bootstrap
 
 import (
 	"slices"
 	"time"
 
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/tokenbucket"
 )
 
 // Limits bound what a start costs the others.
@@ -124,7 +124,7 @@
 }
 
 // Donor bounds what one gives. Its zero value has given nothing.
-type Donor struct{ gifts share.Bucket }
+type Donor struct{ gifts tokenbucket.Bucket }
 
 // TakeTransfer spends a gift; false: it has given enough for now.
 func (d *Donor) TakeTransfer(now time.Duration, limits Limits) bool {
--- a/internal/fleet/warmup/golden_test.go
+++ b/internal/fleet/bootstrap/golden_test.go
@@ -1,4 +1,4 @@
-package warmup
+package bootstrap
 
 import (
 	"fmt"
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/membership"
 	"rampspread/internal/testkit"
 )
 
@@ -13,18 +13,18 @@
 func TestComesBackAfterTheClockWasSetBack(t *testing.T) {
 	text := file("f", key, 20, 21, 22)
 	one, two := start(t, text, 20, nil), start(t, text, 21, nil)
-	comes(t, one, "n21", view.Alive)
-	comes(t, two, "n20", view.Alive)
+	comes(t, one, "n21", membership.Alive)
+	comes(t, two, "n20", membership.Alive)
 	former := two.info.Incarnation
 	two.stop()
 	<-two.done
 	two.list.Shutdown() // dies without a word
-	comes(t, one, "n21", view.Unreachable)
+	comes(t, one, "n21", membership.Unreachable)
 	machine := testkit.NewMachine()
 	machine.Step(-time.Hour)
 	again := startOn(t, machine, text, 21, nil)
-	comes(t, one, "n21", view.Alive)
-	comes(t, again, "n20", view.Alive)
+	comes(t, one, "n21", membership.Alive)
+	comes(t, again, "n20", membership.Alive)
 	testkit.Eventually(t, "a higher number than the former life's", func() bool {
 		again.mu.Lock()
 		defer again.mu.Unlock()
--- a/internal/fleet/ends.go
+++ b/internal/fleet/endpointfilter.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/removals"
+	"rampspread/internal/fleet/tombstone"
 )
 
 // EndpointFilter holds this process back from what others' newer lists have ended, and tells them of its own.
 type EndpointFilter interface {
 	Version() uint64
-	Digest() removals.Digest
-	UpdatePeer(from string, d removals.Digest)
+	Digest() tombstone.Digest
+	UpdatePeer(from string, d tombstone.Digest)
 	Tick()
 }
 
--- a/internal/fleet/lists/lists.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -1,28 +1,28 @@
-// Package lists stands between discovery's list and those that act on it, in a fleet: what other members' newer lists have ended
+// Package endpointfilter stands between discovery's list and those that act on it, in a fleet: what other members' newer lists have ended
 // is ended here too. Package ended decides it; this one hands it on.
-package lists
+package endpointfilter
 
 import (
 	"log/slog"
 	"sync"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
-	"rampspread/internal/fleet/removals"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/tombstone"
+	"rampspread/routing"
 )
 
 // Filter takes a dispatcher's list and what others tell of theirs. It is safe for use by several goroutines.
 type Filter struct {
-	publish func(full bool, entries []core.Endpoint)
+	publish func(full bool, entries []dispatch.Endpoint)
 	version func() uint64
 	now     func() time.Time
 
 	// mu is held while a list is handed on, so that an older one never comes behind what was told since.
 	mu    sync.Mutex
 	start time.Time
-	table *removals.Table
-	held  map[string]core.Endpoint
+	table *tombstone.Table
+	held  map[string]dispatch.Endpoint
 	told  int64
 }
 
@@ -35,24 +35,24 @@
 }
 
 // New returns a guard before publish, which must not block. Version is that of the list handed to Roster.
-func New(publish func(bool, []core.Endpoint), version func() uint64, now func() time.Time) *Filter {
-	return &Filter{publish: publish, version: version, now: now, start: now(), table: removals.New(removals.DefaultLimits), held: map[string]core.Endpoint{}}
+func New(publish func(bool, []dispatch.Endpoint), version func() uint64, now func() time.Time) *Filter {
+	return &Filter{publish: publish, version: version, now: now, start: now(), table: tombstone.New(tombstone.DefaultLimits), held: map[string]dispatch.Endpoint{}}
 }
 
 // UpdateOwn takes discovery's list, or changes to it, and hands on what is to be acted on.
-func (g *Filter) UpdateOwn(full bool, entries []core.Endpoint) {
+func (g *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	core.ApplyUpdate(g.held, full, entries)
-	list := make([]removals.Endpoint, len(entries))
+	dispatch.ApplyUpdate(g.held, full, entries)
+	list := make([]tombstone.Endpoint, len(entries))
 	named := make(map[string]bool, len(entries))
 	for i, e := range entries {
-		list[i], named[e.Name] = removals.Endpoint{Name: e.Name, State: e.State}, true
+		list[i], named[e.Name] = tombstone.Endpoint{Name: e.Name, State: e.State}, true
 	}
 	changed := g.table.UpdateOwn(g.now().Sub(g.start), g.version(), full, list)
-	out := make([]core.Endpoint, 0, len(entries))
+	out := make([]dispatch.Endpoint, 0, len(entries))
 	for _, e := range entries {
-		if e = g.as(e); !full || e.State != decide.Gone {
+		if e = g.as(e); !full || e.State != routing.Gone {
 			out = append(out, e)
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // as is an entry as it is to be taken.
-func (g *Filter) as(e core.Endpoint) core.Endpoint {
+func (g *Filter) as(e dispatch.Endpoint) dispatch.Endpoint {
 	if _, ok := g.held[e.Name]; ok {
 		e.State = g.table.State(e.Name)
 	}
@@ -75,7 +75,7 @@
 }
 
 // UpdatePeer takes what another member tells of its list.
-func (g *Filter) UpdatePeer(from string, d removals.Digest) {
+func (g *Filter) UpdatePeer(from string, d tombstone.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.Version > g.table.Version() {
@@ -100,7 +100,7 @@
 	if len(changed) == 0 {
 		return
 	}
-	out := make([]core.Endpoint, 0, len(changed))
+	out := make([]dispatch.Endpoint, 0, len(changed))
 	for _, name := range changed {
 		out = append(out, g.as(g.held[name]))
 	}
@@ -109,7 +109,7 @@
 }
 
 // Digest is what to tell others of the list that this member was told by discovery.
-func (g *Filter) Digest() removals.Digest {
+func (g *Filter) Digest() tombstone.Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Digest()
--- a/internal/fleet/lists/lists_test.go
+++ b/internal/fleet/endpointfilter/filter_test.go
@@ -1,33 +1,33 @@
-package lists
+package endpointfilter
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
-	"rampspread/internal/fleet/removals"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/tombstone"
+	"rampspread/routing"
 )
 
 // What is handed on is the own list without what others' newer ones have ended, at each step; an address only ever comes from
 // the own one.
 func TestGuard(t *testing.T) {
 	version, now := uint64(4), time.Unix(1000, 0)
-	acts := map[string]core.Endpoint{}
-	g := New(func(full bool, entries []core.Endpoint) {
+	acts := map[string]dispatch.Endpoint{}
+	g := New(func(full bool, entries []dispatch.Endpoint) {
 		if full {
 			clear(acts)
 		}
 		for _, e := range entries {
-			if acts[e.Name] = e; e.State == decide.Gone {
+			if acts[e.Name] = e; e.State == routing.Gone {
 				delete(acts, e.Name)
 			}
 		}
 	}, func() uint64 { return version }, func() time.Time { return now })
 	ready := func() (out []string) {
 		for name, e := range acts {
-			if e.State == decide.Ready && e.Addr == "at-"+name {
+			if e.State == routing.Ready && e.Addr == "at-"+name {
 				out = append(out, name)
 			}
 		}
@@ -40,23 +40,23 @@
 			t.Errorf("%s: %v", when, got)
 		}
 	}
-	list := func(names ...string) (out []core.Endpoint) {
+	list := func(names ...string) (out []dispatch.Endpoint) {
 		for _, n := range names {
-			out = append(out, core.Endpoint{Name: n, Addr: "at-" + n, State: decide.Ready})
+			out = append(out, dispatch.Endpoint{Name: n, Addr: "at-" + n, State: routing.Ready})
 		}
 		return out
 	}
 	hashes := func(names ...string) (out []uint64) {
 		for _, n := range names {
-			out = append(out, removals.Hash(n))
+			out = append(out, tombstone.Hash(n))
 		}
 		return out
 	}
 	g.UpdateOwn(true, list("a", "b", "c", "d"))
 	want("its list", "a", "b", "c", "d")
-	g.UpdatePeer("n1", removals.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
+	g.UpdatePeer("n1", tombstone.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
 	want("another's", "a", "c")
-	if acts["b"].State != decide.Draining {
+	if acts["b"].State != routing.Draining {
 		t.Errorf("%+v", acts)
 	}
 	g.UpdateOwn(true, list("a", "b", "c", "d"))
@@ -67,9 +67,9 @@
 	version = 7
 	g.UpdateOwn(false, list("b"))
 	want("a newer one than the other's", "a", "b", "c", "d", "e")
-	g.UpdatePeer("n1", removals.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
+	g.UpdatePeer("n1", tombstone.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
 	want("another's again", "b", "c", "d", "e")
-	now = now.Add(removals.DefaultLimits.PeerReportTTL + time.Second)
+	now = now.Add(tombstone.DefaultLimits.PeerReportTTL + time.Second)
 	g.Tick()
 	want("after long silence", "a", "b", "c", "d", "e")
 	if s := g.Status(); s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || g.Version() != 7 || len(g.Digest().Ready) != 5 {
--- a/internal/fleet/lists/golden_test.go
+++ b/internal/fleet/endpointfilter/golden_test.go
@@ -1,4 +1,4 @@
-package lists
+package endpointfilter
 
 import (
 	"testing"
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/membership"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 )
@@ -54,18 +54,20 @@
 	return n
 }
 
-func beat(i view.MemberInfo, sent int64) []byte { return append([]byte{kindBeat}, encode(i, sent)...) }
+func beat(i membership.MemberInfo, sent int64) []byte {
+	return append([]byte{kindBeat}, encode(i, sent)...)
+}
 
-func state(n *Node, name string) view.State {
+func state(n *Node, name string) membership.State {
 	for _, m := range n.View().Members {
 		if m.Name == name {
 			return m.State
 		}
 	}
-	return view.Unknown
+	return membership.Unknown
 }
 
-func comes(t *testing.T, n *Node, name string, want view.State) {
+func comes(t *testing.T, n *Node, name string, want membership.State) {
 	t.Helper()
 	testkit.Eventually(t, fmt.Sprintf("%s as %s at %s", name, want, n.self.Name), func() bool { return state(n, name) == want })
 }
@@ -95,25 +97,25 @@
 	three := start(t, text, 13, nil)
 	for _, n := range []*Node{one, two, three} {
 		for _, name := range []string{"n11", "n12", "n13"} {
-			comes(t, n, name, view.Alive)
+			comes(t, n, name, membership.Alive)
 		}
 		testkit.Eventually(t, "a fresh view", func() bool { return n.View().Fresh(n.Now(), MaxViewAge) })
 	}
-	if s := one.Status(); s.Members[2].ListVersion != 41 || s.Members[2].Zone != "wien" || state(one, "n10") != view.Unknown {
+	if s := one.Status(); s.Members[2].ListVersion != 41 || s.Members[2].Zone != "wien" || state(one, "n10") != membership.Unknown {
 		t.Errorf("%+v", s)
 	}
 	three.Leave()
-	comes(t, one, "n13", view.Left)
-	comes(t, two, "n13", view.Left)
+	comes(t, one, "n13", membership.Left)
+	comes(t, two, "n13", membership.Left)
 	old := two.info
 	two.stop()
 	<-two.done
 	two.list.Shutdown() // dies without a word
-	comes(t, one, "n12", view.Unreachable)
+	comes(t, one, "n12", membership.Unreachable)
 	again := start(t, text, 12, nil)
-	comes(t, one, "n12", view.Alive)
-	comes(t, again, "n11", view.Alive)
-	one.NotifyMsg(beat(view.MemberInfo{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
+	comes(t, one, "n12", membership.Alive)
+	comes(t, again, "n11", membership.Alive)
+	one.NotifyMsg(beat(membership.MemberInfo{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
 	if m := one.Status().Members[2]; m.State != "alive" || m.Incarnations != 2 || m.Incarnation <= old.Incarnation || one.Status().Stale == 0 {
 		t.Errorf("after the old life's word: %+v", one.Status())
 	}
@@ -123,15 +125,15 @@
 func TestClockThatWentBack(t *testing.T) {
 	text := file("f", key, 20, 21)
 	one, two := start(t, text, 20, nil), start(t, text, 21, nil)
-	comes(t, one, "n21", view.Alive)
+	comes(t, one, "n21", membership.Alive)
 	ahead := two.info.Incarnation + 30_000
 	one.mu.Lock()
-	one.table.MarkJoined(view.MemberInfo{Name: "n21", Incarnation: ahead, Serving: true}, one.now())
+	one.table.MarkJoined(membership.MemberInfo{Name: "n21", Incarnation: ahead, Serving: true}, one.now())
 	one.publish()
 	one.mu.Unlock()
 	two.list.Join([]string{addr(20)}) // an exchange of all that both know
 	testkit.Eventually(t, "a higher incarnation", func() bool {
-		return one.Status().Members[1].Incarnation > ahead && state(one, "n21") == view.Alive
+		return one.Status().Members[1].Incarnation > ahead && state(one, "n21") == membership.Alive
 	})
 }
 
@@ -158,7 +160,7 @@
 func TestReplacement(t *testing.T) {
 	text := file("f", key, 70, 71)
 	one, first := start(t, text, 70, nil), start(t, text, 71, nil)
-	comes(t, one, "n71", view.Alive)
+	comes(t, one, "n71", membership.Alive)
 	second := start(t, text, 71, nil)
 	if second.up.Load() || second.View().Fresh(second.Now(), MaxViewAge) {
 		t.Error("up beside the first, or fresh without having heard anybody")
@@ -169,7 +171,7 @@
 		m := one.Status().Members[1]
 		return m.State == "alive" && m.Incarnations == 2
 	})
-	comes(t, second, "n70", view.Alive)
+	comes(t, second, "n70", membership.Alive)
 	if c := one.View().Conflicts; len(c) > 0 {
 		t.Errorf("conflicts %v", c)
 	}
@@ -180,13 +182,13 @@
 	text := file("f", key, 40, 41)
 	one := start(t, text, 40, nil)
 	first := start(t, text, 41, nil)
-	comes(t, one, "n41", view.Alive)
+	comes(t, one, "n41", membership.Alive)
 	refused := make(chan error, 1)
 	start(t, file("f", key, 40, 141), 141, func(err error) { refused <- err })
 	if err := <-refused; !errors.Is(err, ErrDuplicateName) || !strings.Contains(err.Error(), addr(41)) {
 		t.Errorf("refused with %v", err)
 	}
-	if state(one, "n41") != view.Alive || state(first, "n40") != view.Alive {
+	if state(one, "n41") != membership.Alive || state(first, "n40") != membership.Alive {
 		t.Error("the first process lost its place")
 	}
 }
@@ -195,8 +197,8 @@
 func TestGarbageAndReplay(t *testing.T) {
 	text := file("f", key, 50, 51)
 	one, two := start(t, text, 50, nil), start(t, text, 51, nil)
-	comes(t, one, "n51", view.Alive)
-	comes(t, two, "n50", view.Alive)
+	comes(t, one, "n51", membership.Alive)
+	comes(t, two, "n50", membership.Alive)
 	u, err := net.Dial("udp", addr(50))
 	if err != nil {
 		t.Fatal(err)
@@ -212,16 +214,16 @@
 	testkit.Eventually(t, "the count", func() bool { return one.Malformed() > 10 })
 	before := one.View().Version
 	for range 50 { // the same beat, again and again, from a life that has ended
-		one.NotifyMsg(beat(view.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
+		one.NotifyMsg(beat(membership.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
 	}
-	if v := one.View(); v.Version != before || state(one, "n51") != view.Alive {
+	if v := one.View(); v.Version != before || state(one, "n51") != membership.Alive {
 		t.Errorf("view %d after %d", v.Version, before)
 	}
 }
 
 // What members say survives the wire, later programs' fields are passed over, and garbage never panics or is taken.
 func FuzzDecode(f *testing.F) {
-	in := view.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1", Settings: 7, ListVersion: 41, Serving: true}
+	in := membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1", Settings: 7, ListVersion: 41, Serving: true}
 	text := encode(in, 5)
 	if got, sent, err := decode(append(text, 0xa2, 0x06, 1, 'x')); err != nil || sent != 5 || got != in {
 		f.Errorf("%+v, %d, %v", got, sent, err)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
+	"rampspread/internal/fleet/bootstrap"
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/removals"
-	"rampspread/internal/fleet/share"
-	"rampspread/internal/fleet/view"
-	"rampspread/internal/fleet/warmup"
+	"rampspread/internal/fleet/membership"
+	"rampspread/internal/fleet/quota"
+	"rampspread/internal/fleet/tombstone"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit/golden"
 )
@@ -22,7 +22,7 @@
 // The tests of this file freeze what members send to each other and what operators are answered. Members of different versions
 // run side by side during a rolling update, so the bytes must not change.
 
-var goldenInfo = view.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
+var goldenInfo = membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
 	Settings: 0x1122334455667788, ListVersion: 41, HighestToken: 77, Serving: true, Leaving: true}
 
 const goldenSent = 1700000001234
@@ -42,7 +42,7 @@
 	cases := []struct {
 		file string
 		got  []byte
-		want view.MemberInfo
+		want membership.MemberInfo
 		sent int64
 	}{
 		{"member-meta.hex", n.NodeMeta(512), goldenInfo, 0},
@@ -54,7 +54,7 @@
 		cases = append(cases, struct {
 			file string
 			got  []byte
-			want view.MemberInfo
+			want membership.MemberInfo
 			sent int64
 		}{fmt.Sprintf("member-serving-%t.hex", serving), encode(one, goldenSent), one, goldenSent})
 	}
@@ -91,9 +91,9 @@
 		{Task: 12, ClaimedToken: 34, Token: 35, Remaining: 1200 * time.Millisecond}}}
 	now := 10 * time.Second
 	results := []result{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
-	claim := share.Claim{From: share.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
-	loan := share.Grant{To: share.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
-	digest := removals.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
+	claim := quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
+	loan := quota.Grant{To: quota.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
+	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
 	requests := encodeRequest(request)
 	if len(requests) != 1 {
 		t.Fatalf("%d packets", len(requests))
@@ -118,7 +118,7 @@
 		{"beliefs-answer.hex", 9, encodeBeliefs("n1", []byte("told")), message{from: "n1", beliefs: []byte("told")}},
 		{"beliefs-answer-empty.hex", 9, encodeBeliefs("n1", nil), message{from: "n1"}},
 		{"list.hex", 10, encodeList("n1", digest), message{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
-		{"list-empty.hex", 10, encodeList("n1", removals.Digest{Version: 8}), message{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
+		{"list-empty.hex", 10, encodeList("n1", tombstone.Digest{Version: 8}), message{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
 	} {
 		b := golden.Bytes(t, c.file, c.got)
 		if b[0] != c.kind {
@@ -151,13 +151,13 @@
 // toldLists notes what it was told last.
 type toldLists struct {
 	from   string
-	digest removals.Digest
+	digest tombstone.Digest
 }
 
-func (l *toldLists) Version() uint64         { return 0 }
-func (l *toldLists) Digest() removals.Digest { return removals.Digest{} }
-func (l *toldLists) Tick()                   {}
-func (l *toldLists) UpdatePeer(from string, d removals.Digest) {
+func (l *toldLists) Version() uint64          { return 0 }
+func (l *toldLists) Digest() tombstone.Digest { return tombstone.Digest{} }
+func (l *toldLists) Tick()                    {}
+func (l *toldLists) UpdatePeer(from string, d tombstone.Digest) {
 	l.from, l.digest = from, d
 }
 
@@ -169,8 +169,8 @@
 		t.Fatal(err)
 	}
 	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
-	n.info = view.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
-	n.table = view.New(n.info, cfg.names(), view.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
+	n.info = membership.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
+	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
 	n.publish()
 	n.up.Store(true)
 	return n
@@ -200,7 +200,7 @@
 	if string(claims) != "\x08\x09" {
 		t.Errorf("claims were given % x", claims)
 	}
-	digest := removals.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
+	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
 	n.NotifyMsg(golden.Bytes(t, "list.hex", encodeList("n1", digest)))
 	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
 		t.Errorf("list %+v", lists)
@@ -213,13 +213,13 @@
 // Members exchange the incarnations that they know in memberlist's push and pull.
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
-	n.view.Store(&view.View{Members: []view.Member{{MemberInfo: view.MemberInfo{Name: "n0", Incarnation: 6}}, {MemberInfo: view.MemberInfo{Name: "n1", Incarnation: 7}}, {MemberInfo: view.MemberInfo{Name: "n2"}}}})
+	n.view.Store(&membership.View{Members: []membership.Member{{MemberInfo: membership.MemberInfo{Name: "n0", Incarnation: 6}}, {MemberInfo: membership.MemberInfo{Name: "n1", Incarnation: 7}}, {MemberInfo: membership.MemberInfo{Name: "n2"}}}})
 	b := golden.Text(t, "push-pull.json", n.LocalState(true))
 	n.MergeRemoteState(b, true)
 	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over what was told of it
 		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Malformed())
 	}
-	n.view.Store(&view.View{})
+	n.view.Store(&membership.View{})
 	golden.Text(t, "push-pull-empty.json", n.LocalState(false))
 }
 
@@ -240,7 +240,7 @@
 	n := offlineNode(t, Self{Name: "n0"})
 	info := goldenInfo
 	info.Settings = 0xab // is shown with its leading zeros
-	n.hear(func(table *view.Table, now time.Duration) {
+	n.hear(func(table *membership.Table, now time.Duration) {
 		table.Heartbeat(info, now)
 		table.RecordConflict("n1", "10.0.0.9:7946", now)
 	})
@@ -308,7 +308,7 @@
 	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
 	var text []byte
 	b := newBeliefs(n, nil)
-	members := []warmup.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
+	members := []bootstrap.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
 	for now, asked := time.Duration(0), 0; asked < 4 && now < time.Minute; now += time.Microsecond {
 		if to, ok := b.asker.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
--- a/internal/fleet/claim/claim.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -1,4 +1,4 @@
-// Package claim decides who may run what must run once in the whole fleet: a key is claimed at a majority of fixed keepers before
+// Package idempotency decides who may run what must run once in the whole fleet: a key is claimed at a majority of fixed keepers before
 // its first byte is sent, and every later claim finds the first. It does no I/O of its own and has no clock: keepers write to
 // a Store that they are given.
 //
@@ -14,7 +14,7 @@
 //
 // What it does not promise: with a majority of keepers gone, or without memory, nothing can be claimed. A claimer that died
 // leaves its key as one that may have run, whether it did or not.
-package claim
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/fleet/claim/claim_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"bytes"
--- a/internal/fleet/claims/claims.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -1,6 +1,6 @@
-// Package claims asks the fleet's keepers who may run a filing, and is a keeper where this process has the state for it. What
+// Package idempotencyquorum asks the fleet's keepers who may run a filing, and is a keeper where this process has the state for it. What
 // is decided is decided in package claim; this one sends, waits and writes.
-package claims
+package idempotencyquorum
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state"
 )
 
@@ -35,7 +35,7 @@
 	Incarnation uint64
 	Replicas    []string // by name; this process among them, or not
 	Secret      []byte   // keys travel and are kept as hashes under it
-	Limits      claim.Limits
+	Limits      idempotency.Limits
 	// Open opens this process's state, if it is a keeper. With state.ErrLocked it is asked again: a process that this one is to
 	// replace has it.
 	Open func() (*state.Store, error)
@@ -50,21 +50,21 @@
 	dropped atomic.Int64
 	bad     atomic.Int64
 	errs    atomic.Int64
-	counts  [claim.NoQuorum + 1]atomic.Int64 // of rounds, by outcome
-	waited  atomic.Int64                     // ns, for what was granted
+	counts  [idempotency.NoQuorum + 1]atomic.Int64 // of rounds, by outcome
+	waited  atomic.Int64                           // ns, for what was granted
 
 	mu     sync.Mutex
 	seq    uint64
 	rounds map[uint64]*round
 	store  *state.Store
-	keeper *claim.Replica
+	keeper *idempotency.Replica
 	mute   bool // the keeper, at its start
 }
 
 // round is a claim that waits for words.
 type round struct {
 	mu   sync.Mutex
-	r    *claim.Round
+	r    *idempotency.Round
 	news chan struct{} // of one place: something was said
 }
 
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	// The keeper waits for Keep from what it is told is now; what was lived since the loss counts.
 	s.store, s.mute = store, !remembers
-	s.keeper = claim.NewReplica(s.cfg.Limits, store, remembers, store.Lifetime()+left-s.cfg.Limits.Retention)
+	s.keeper = idempotency.NewReplica(s.cfg.Limits, store, remembers, store.Lifetime()+left-s.cfg.Limits.Retention)
 	return true
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-func (s *Coordinator) hash(key string) (k claim.Key) {
+func (s *Coordinator) hash(key string) (k idempotency.Key) {
 	h := hmac.New(sha256.New, s.cfg.Secret)
 	h.Write([]byte(key)) // it cannot fail
 	copy(k[:], h.Sum(nil))
@@ -159,11 +159,11 @@
 
 // Claim asks the keepers whether a key's first try may run, and waits for a majority's word, for askFor at the most. What was not
 // granted is taken back. ends is how long the try lasts at the most.
-func (s *Coordinator) Claim(key string, body []byte, ends time.Duration) (claim.Outcome, claim.Vote, []byte, claim.Attempt) {
-	r := &round{r: claim.NewRound(len(s.cfg.Replicas)), news: make(chan struct{}, 1)}
+func (s *Coordinator) Claim(key string, body []byte, ends time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
+	r := &round{r: idempotency.NewRound(len(s.cfg.Replicas)), news: make(chan struct{}, 1)}
 	s.mu.Lock()
 	s.seq++
-	try := claim.Attempt{Name: s.cfg.Name, Incarnation: s.cfg.Incarnation, Seq: s.seq}
+	try := idempotency.Attempt{Name: s.cfg.Name, Incarnation: s.cfg.Incarnation, Seq: s.seq}
 	s.rounds[try.Seq] = r
 	s.mu.Unlock()
 	m := message{kind: kindAsk, try: try, key: s.hash(key), digest: sha256.Sum256(body), ends: ends}
@@ -173,7 +173,7 @@
 	delete(s.rounds, try.Seq)
 	s.mu.Unlock()
 	s.counts[out].Add(1)
-	if out == claim.Granted {
+	if out == idempotency.Granted {
 		s.waited.Add(int64(time.Since(from)))
 	} else {
 		s.tell(message{kind: kindWithdraw, try: try, key: m.key})
@@ -182,7 +182,7 @@
 }
 
 // wait sends a claim, again and again, until its round is settled or over.
-func (s *Coordinator) wait(r *round, m message) (claim.Outcome, claim.Vote, []byte) {
+func (s *Coordinator) wait(r *round, m message) (idempotency.Outcome, idempotency.Vote, []byte) {
 	over := time.NewTimer(askFor)
 	defer over.Stop()
 	again := time.NewTicker(askAgain)
@@ -200,7 +200,7 @@
 		r.mu.Lock()
 		out, why, answer := r.r.Outcome(ended)
 		r.mu.Unlock()
-		if out != claim.Pending {
+		if out != idempotency.Pending {
 			return out, why, answer
 		}
 	}
@@ -217,12 +217,12 @@
 }
 
 // Settle tells the keepers how a try ended: with its answer, or nil for one that may have run.
-func (s *Coordinator) Settle(key string, try claim.Attempt, answer []byte) {
+func (s *Coordinator) Settle(key string, try idempotency.Attempt, answer []byte) {
 	s.tell(message{kind: kindSettle, try: try, key: s.hash(key), answer: answer, answered: answer != nil})
 }
 
 // Withdraw takes a claim back whose try never ran.
-func (s *Coordinator) Withdraw(key string, try claim.Attempt) {
+func (s *Coordinator) Withdraw(key string, try idempotency.Attempt) {
 	s.tell(message{kind: kindWithdraw, try: try, key: s.hash(key)})
 }
 
@@ -323,8 +323,8 @@
 
 // Status is what operators are shown.
 func (s *Coordinator) Status() Status {
-	out := Status{Self: s.cfg.Name, Replicas: s.cfg.Replicas, Granted: s.counts[claim.Granted].Load(), Rejected: s.counts[claim.Rejected].Load(),
-		NoMajority: s.counts[claim.NoQuorum].Load(), Dropped: s.dropped.Load(), Errors: s.errs.Load(), Bad: s.bad.Load()}
+	out := Status{Self: s.cfg.Name, Replicas: s.cfg.Replicas, Granted: s.counts[idempotency.Granted].Load(), Rejected: s.counts[idempotency.Rejected].Load(),
+		NoMajority: s.counts[idempotency.NoQuorum].Load(), Dropped: s.dropped.Load(), Errors: s.errs.Load(), Bad: s.bad.Load()}
 	if out.Granted > 0 {
 		out.GrantMS = float64(s.waited.Load()) / float64(out.Granted) / float64(time.Millisecond)
 	}
--- a/internal/fleet/claims/claims_test.go
+++ b/internal/fleet/idempotencyquorum/coordinator_test.go
@@ -1,4 +1,4 @@
-package claims
+package idempotencyquorum
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state"
 	"rampspread/internal/testkit"
 )
@@ -59,7 +59,7 @@
 func (n *net) start(t *testing.T, name, dir string, life uint64, keepers ...string) *Coordinator {
 	t.Helper()
 	cfg := Config{Name: name, Incarnation: life, Replicas: keepers, Secret: []byte("secret"),
-		Limits: claim.Limits{Retention: time.Hour, Entries: 100, MaxAnswerBytes: 1 << 16}, Send: func(to string, b []byte, _ bool) { n.send(name, to, b) }}
+		Limits: idempotency.Limits{Retention: time.Hour, Entries: 100, MaxAnswerBytes: 1 << 16}, Send: func(to string, b []byte, _ bool) { n.send(name, to, b) }}
 	if dir != "" {
 		cfg.Open = func() (*state.Store, error) { return state.Open(dir, state.Identity{Fleet: "f", Name: name}) }
 	}
@@ -110,7 +110,7 @@
 		for _, s := range all {
 			wg.Go(func() {
 				out, _, _, try := s.Claim(key, []byte("body"), time.Minute)
-				if out == claim.Granted {
+				if out == idempotency.Granted {
 					mu.Lock()
 					tries++
 					mu.Unlock()
@@ -126,7 +126,7 @@
 		if tries == 1 {
 			testkit.Eventually(t, "its answer at another member", func() bool {
 				out, why, answer, _ := all[4].Claim(key, []byte("body"), time.Minute)
-				return out == claim.Rejected && why == claim.VoteAnswered && bytes.Equal(answer, big)
+				return out == idempotency.Rejected && why == idempotency.VoteAnswered && bytes.Equal(answer, big)
 			})
 		}
 	}
@@ -141,10 +141,10 @@
 		n.start(t, name, dirs[name], 2, keepers...)
 	}
 	out, why, answer, _ := all[3].Claim("k", []byte("body"), time.Minute)
-	if out == claim.Granted || out == claim.Rejected && why == claim.VoteAnswered && !bytes.Equal(answer, big) {
+	if out == idempotency.Granted || out == idempotency.Rejected && why == idempotency.VoteAnswered && !bytes.Equal(answer, big) {
 		t.Errorf("after the restarts: %v, %v", out, why)
 	}
-	if out, why, _, _ := all[3].Claim("k", []byte("another"), time.Minute); out != claim.Rejected || why != claim.VoteKeyReused {
+	if out, why, _, _ := all[3].Claim("k", []byte("another"), time.Minute); out != idempotency.Rejected || why != idempotency.VoteKeyReused {
 		t.Errorf("another body: %v, %v", out, why)
 	}
 }
@@ -156,20 +156,20 @@
 		n.start(t, name, made(t, name), 1, keepers...)
 	}
 	s := n.start(t, "n3", "", 1, keepers...)
-	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != claim.Granted {
+	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != idempotency.Granted {
 		t.Fatalf("with all keepers: %v", out)
 	}
 	n.mu.Lock()
 	n.cut["n0"], n.cut["n1"] = true, true
 	n.mu.Unlock()
 	from := time.Now()
-	if out, _, _, _ := s.Claim("b", nil, time.Minute); out != claim.NoQuorum || time.Since(from) > askFor+300*time.Millisecond {
+	if out, _, _, _ := s.Claim("b", nil, time.Minute); out != idempotency.NoQuorum || time.Since(from) > askFor+300*time.Millisecond {
 		t.Errorf("with one of three: %v after %v", out, time.Since(from))
 	}
 	n.mu.Lock()
 	clear(n.cut)
 	n.mu.Unlock()
-	testkit.Eventually(t, "what was taken back to be free", func() bool { out, _, _, _ := s.Claim("b", nil, time.Minute); return out == claim.Granted })
+	testkit.Eventually(t, "what was taken back to be free", func() bool { out, _, _, _ := s.Claim("b", nil, time.Minute); return out == idempotency.Granted })
 	// Two keepers come back with empty folders: one that remembers is no majority.
 	for _, name := range keepers[:2] {
 		n.stops[name]()
@@ -178,7 +178,7 @@
 			t.Errorf("a keeper without its state: %+v", st)
 		}
 	}
-	if out, _, _, _ := s.Claim("a", nil, time.Minute); out == claim.Granted {
+	if out, _, _, _ := s.Claim("a", nil, time.Minute); out == idempotency.Granted {
 		t.Error("a key that ran was granted again by keepers without memory")
 	}
 }
@@ -189,7 +189,7 @@
 	dir := made(t, "n0")
 	one := n.start(t, "n0", dir, 1, "n0")
 	out, _, _, try := one.Claim("a", []byte("body"), time.Minute)
-	if out != claim.Granted {
+	if out != idempotency.Granted {
 		t.Fatalf("%v", out)
 	}
 	if _, err := state.Open(dir, state.Identity{Fleet: "f", Name: "n0"}); !errors.Is(err, state.ErrLocked) {
@@ -197,13 +197,13 @@
 	}
 	n.stops["n0"]() // before it said how that ended
 	two := n.start(t, "n0", dir, 2, "n0")
-	if out, why, _, _ := two.Claim("a", []byte("body"), time.Minute); out != claim.Rejected || why != claim.VoteInFlight {
+	if out, why, _, _ := two.Claim("a", []byte("body"), time.Minute); out != idempotency.Rejected || why != idempotency.VoteInFlight {
 		t.Errorf("in the next life: %v, %v", out, why)
 	}
 	two.Settle("a", try, []byte("late"))
 	testkit.Eventually(t, "its answer", func() bool {
 		_, why, _, _ := two.Claim("a", []byte("body"), time.Minute)
-		return why == claim.VoteAnswered
+		return why == idempotency.VoteAnswered
 	})
 }
 
@@ -212,15 +212,15 @@
 	n := newNet(t)
 	s := n.start(t, "n0", made(t, "n0"), 1, "n0")
 	s.store.Close()
-	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != claim.NoQuorum || s.Status().Errors == 0 {
+	if out, _, _, _ := s.Claim("a", nil, time.Minute); out != idempotency.NoQuorum || s.Status().Errors == 0 {
 		t.Errorf("%v, %+v", out, s.Status())
 	}
 }
 
 // Messages survive the wire; garbage is an error, is counted, and changes nothing.
 func FuzzDecode(f *testing.F) {
-	m := message{kind: kindAsk, try: claim.Attempt{Name: "n1", Incarnation: 5, Seq: 7}, key: claim.Key{1}, digest: claim.Digest{2}, ends: time.Second}
-	w := message{kind: kindWord, try: m.try, key: m.key, keeper: "n2", verdict: claim.VoteAnswered, answer: []byte("a"), answered: true}
+	m := message{kind: kindAsk, try: idempotency.Attempt{Name: "n1", Incarnation: 5, Seq: 7}, key: idempotency.Key{1}, digest: idempotency.Digest{2}, ends: time.Second}
+	w := message{kind: kindWord, try: m.try, key: m.key, keeper: "n2", verdict: idempotency.VoteAnswered, answer: []byte("a"), answered: true}
 	e := message{kind: kindSettle, try: m.try, key: m.key, answer: []byte{}, answered: true}
 	var texts []string
 	for _, in := range []message{m, w, e} {
--- a/internal/fleet/claims/golden_test.go
+++ b/internal/fleet/idempotencyquorum/golden_test.go
@@ -1,4 +1,4 @@
-package claims
+package idempotencyquorum
 
 import (
 	"reflect"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/testkit/golden"
 )
 
 // The tests of this file freeze what members send to each other of claims, which members of other versions read.
 
 var (
-	goldenTry    = claim.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
-	goldenKey    = claim.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
-	goldenDigest = claim.Digest{31: 32, 0: 21, 1: 22, 2: 23}
+	goldenTry    = idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
+	goldenKey    = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
+	goldenDigest = idempotency.Digest{31: 32, 0: 21, 1: 22, 2: 23}
 )
 
 func TestGoldenMessages(t *testing.T) {
@@ -25,8 +25,8 @@
 		m    message
 	}{
 		{"ask.hex", message{kind: kindAsk, try: goldenTry, key: goldenKey, digest: goldenDigest, ends: 1500 * time.Millisecond}},
-		{"word-yes.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.VoteGranted}},
-		{"word-held-known.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: claim.VoteAnswered, answer: []byte("answer"), answered: true}},
+		{"word-yes.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: idempotency.VoteGranted}},
+		{"word-held-known.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: idempotency.VoteAnswered, answer: []byte("answer"), answered: true}},
 		{"settle.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte("answer"), answered: true}},
 		{"settle-empty.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte{}, answered: true}},
 		{"settle-unknown.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey}},
@@ -44,16 +44,16 @@
 	if want := []int{1, 2, 3, 4}; !slices.Equal(kinds, want) {
 		t.Errorf("kinds are %v, want %v", kinds, want)
 	}
-	verdicts := []claim.Vote{claim.VoteGranted, claim.VoteInFlight, claim.VoteMayHaveRun, claim.VoteAnswered, claim.VoteKeyReused, claim.VoteStoreFull}
-	if want := []claim.Vote{1, 2, 3, 4, 5, 6}; !slices.Equal(verdicts, want) {
+	verdicts := []idempotency.Vote{idempotency.VoteGranted, idempotency.VoteInFlight, idempotency.VoteMayHaveRun, idempotency.VoteAnswered, idempotency.VoteKeyReused, idempotency.VoteStoreFull}
+	if want := []idempotency.Vote{1, 2, 3, 4, 5, 6}; !slices.Equal(verdicts, want) {
 		t.Errorf("verdicts are %v, want %v", verdicts, want)
 	}
-	states := []claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered}
-	if want := []claim.State{1, 2, 3}; !slices.Equal(states, want) {
+	states := []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}
+	if want := []idempotency.State{1, 2, 3}; !slices.Equal(states, want) {
 		t.Errorf("states are %v, want %v", states, want)
 	}
 	for i, want := range []string{"unknown", "out", "may have run", "answered", "unknown"} {
-		if got := claim.State(i).String(); got != want {
+		if got := idempotency.State(i).String(); got != want {
 			t.Errorf("state %d is %q, want %q", i, got, want)
 		}
 	}
@@ -64,7 +64,7 @@
 	var mu sync.Mutex
 	var sent []byte
 	var service *Coordinator
-	word := message{kind: kindWord, try: claim.Attempt{Name: "n1", Incarnation: 1001, Seq: 1}, keeper: "k0", verdict: claim.VoteGranted}
+	word := message{kind: kindWord, try: idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 1}, keeper: "k0", verdict: idempotency.VoteGranted}
 	service = New(Config{Name: "n1", Incarnation: 1001, Replicas: []string{"k0"}, Secret: []byte("secret"), Send: func(to string, b []byte, large bool) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -76,7 +76,7 @@
 			go service.HandleMessage(golden.Bytes(t, "claim-word.hex", word.encode()))
 		}
 	}})
-	if out, _, _, _ := service.Claim("key", []byte("body"), 1500*time.Millisecond); out != claim.Granted {
+	if out, _, _, _ := service.Claim("key", []byte("body"), 1500*time.Millisecond); out != idempotency.Granted {
 		t.Errorf("outcome %v", out)
 	}
 	mu.Lock()
--- a/internal/fleet/claims/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -1,4 +1,4 @@
-package claims
+package idempotencyquorum
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"rampspread/internal/fields"
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 )
 
 // The kinds of message.
@@ -44,12 +44,12 @@
 // message is what members say to each other of a claim.
 type message struct {
 	kind     uint64
-	try      claim.Attempt
-	key      claim.Key
-	digest   claim.Digest
+	try      idempotency.Attempt
+	key      idempotency.Key
+	digest   idempotency.Digest
 	ends     time.Duration
 	keeper   string
-	verdict  claim.Vote
+	verdict  idempotency.Vote
 	answer   []byte
 	answered bool // there is an answer, though it may be empty
 }
@@ -120,8 +120,8 @@
 			m.try.Seq = v
 		case field == fieldEnds:
 			m.ends = time.Duration(min(v, maxEndsInUS)) * time.Microsecond
-		case field == fieldVerdict && v <= uint64(claim.VoteStoreFull):
-			m.verdict = claim.Vote(v)
+		case field == fieldVerdict && v <= uint64(idempotency.VoteStoreFull):
+			m.verdict = idempotency.Vote(v)
 		}
 	}
 	switch {
--- a/internal/fleet/tasks/golden_test.go
+++ b/internal/fleet/leasedtasks/golden_test.go
@@ -1,4 +1,4 @@
-package tasks
+package leasedtasks
 
 import (
 	"context"
@@ -7,18 +7,18 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
 	"rampspread/internal/testkit/golden"
+	"rampspread/routing"
 )
 
 // goldenProber notes the header by which a replica is asked, and gives one report.
 type goldenProber struct{ duty string }
 
-func (p *goldenProber) PollLoadFor(duty string, _ core.Target, _ time.Duration, told func(*decide.LoadReport)) {
+func (p *goldenProber) PollLoadFor(duty string, _ dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
 	p.duty = duty
-	told(&decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75})
+	told(&routing.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75})
 }
 
 type goldenList struct{}
@@ -31,9 +31,9 @@
 // found goes to all members.
 func TestGoldenResults(t *testing.T) {
 	prober := &goldenProber{}
-	var heard []core.PeerLoad
-	tasks := New(prober, goldenList{}, func(h []core.PeerLoad) bool { heard = h; return true }, time.Now)
-	tasks.UpdateEndpoints(true, []core.Endpoint{{Name: "s-1", State: decide.Ready}})
+	var heard []dispatch.PeerLoad
+	tasks := New(prober, goldenList{}, func(h []dispatch.PeerLoad) bool { heard = h; return true }, time.Now)
+	tasks.UpdateEndpoints(true, []dispatch.Endpoint{{Name: "s-1", State: routing.Ready}})
 	if got := tasks.Names(); !slices.Equal(got, []string{"list", "probe/s-1"}) {
 		t.Fatalf("duties %v", got)
 	}
@@ -47,7 +47,7 @@
 	golden.Bytes(t, "list.hex", <-found)
 	none := golden.Bytes(t, "load-none.hex", encodeLoad(nil))
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/s-1", Data: load, Age: time.Second}, {Task: "probe/s-2", Data: none, Age: 2 * time.Second}})
-	want := []core.PeerLoad{{Name: "s-1", Load: &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
+	want := []dispatch.PeerLoad{{Name: "s-1", Load: &routing.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}, Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
 	if !reflect.DeepEqual(heard, want) || tasks.Bad() != 0 {
 		t.Errorf("heard %+v, %d bad", heard, tasks.Bad())
 	}
--- a/internal/fleet/tasks/tasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -1,6 +1,6 @@
-// Package tasks is what a fleet does in turn: one member asks a replica for its load on behalf of all, and one looks at
+// Package leasedtasks is what a fleet does in turn: one member asks a replica for its load on behalf of all, and one looks at
 // discovery's list. What they find goes to the core as evidence, and brings a dispatcher that was left behind up to date.
-package tasks
+package leasedtasks
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
+	"rampspread/routing"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // LoadPoller asks replicas for their load.
 type LoadPoller interface {
-	PollLoadFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport))
+	PollLoadFor(duty string, to dispatch.Target, limit time.Duration, told func(*routing.LoadReport))
 }
 
 // EndpointLists is this dispatcher's own way to discovery's list.
@@ -45,20 +45,20 @@
 type Tasks struct {
 	prober  LoadPoller
 	lists   EndpointLists
-	heard   func([]core.PeerLoad) bool
+	heard   func([]dispatch.PeerLoad) bool
 	now     func() time.Time
 	dropped atomic.Int64 // news that the core had no room for
 	bad     atomic.Int64
 	renewed atomic.Int64 // lists that were asked for anew
 
 	mu      sync.Mutex
-	targets map[string]core.Target
+	targets map[string]dispatch.Target
 	behind  time.Time // since when this dispatcher's list is older; zero: it is not
 }
 
 // New returns the tasks; heard takes news for the core and must not block. Without a prober replicas are not asked.
-func New(prober LoadPoller, lists EndpointLists, heard func([]core.PeerLoad) bool, now func() time.Time) *Tasks {
-	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]core.Target{}}
+func New(prober LoadPoller, lists EndpointLists, heard func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
+	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]dispatch.Target{}}
 }
 
 // Bad returns how many results could not be decoded.
@@ -71,15 +71,15 @@
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
 // UpdateEndpoints takes discovery's list, or changes to it, as the core does.
-func (t *Tasks) UpdateEndpoints(full bool, entries []core.Endpoint) {
+func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
 		clear(t.targets)
 	}
 	for _, e := range entries {
-		if e.State == decide.Ready {
-			t.targets[e.Name] = core.Target{Name: e.Name, Addr: e.Addr}
+		if e.State == routing.Ready {
+			t.targets[e.Name] = dispatch.Target{Name: e.Name, Addr: e.Addr}
 		} else {
 			delete(t.targets, e.Name)
 		}
@@ -131,11 +131,11 @@
 		done(nil)
 		return
 	}
-	t.prober.PollLoadFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *decide.LoadReport) { done(encodeLoad(l)) })
+	t.prober.PollLoadFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *routing.LoadReport) { done(encodeLoad(l)) })
 }
 
 // encodeLoad packs a report into 17 bytes; nil: the replica told none.
-func encodeLoad(l *decide.LoadReport) []byte {
+func encodeLoad(l *routing.LoadReport) []byte {
 	if l == nil {
 		return []byte{0}
 	}
@@ -146,7 +146,7 @@
 	return b
 }
 
-func decodeLoad(b []byte) (*decide.LoadReport, error) {
+func decodeLoad(b []byte) (*routing.LoadReport, error) {
 	if len(b) == 1 && b[0] == 0 {
 		return nil, nil
 	}
@@ -160,12 +160,12 @@
 			return nil, fmt.Errorf("work: a load of %v", v[i])
 		}
 	}
-	return &decide.LoadReport{Memory: v[0], QueuedKiloTokens: v[1], QueuedRequests: v[2], SlotUtilization: v[3]}, nil
+	return &routing.LoadReport{Memory: v[0], QueuedKiloTokens: v[1], QueuedRequests: v[2], SlotUtilization: v[3]}, nil
 }
 
 // HandleResults implements fleet.Work.
 func (t *Tasks) HandleResults(found []fleet.TaskResult) {
-	var news []core.PeerLoad
+	var news []dispatch.PeerLoad
 	for _, f := range found {
 		if f.Task == list {
 			version, n := binary.Uvarint(f.Data)
@@ -181,7 +181,7 @@
 			t.bad.Add(1)
 			continue
 		}
-		news = append(news, core.PeerLoad{Name: strings.TrimPrefix(f.Task, probe), Load: l, Age: f.Age})
+		news = append(news, dispatch.PeerLoad{Name: strings.TrimPrefix(f.Task, probe), Load: l, Age: f.Age})
 	}
 	if len(news) > 0 && !t.heard(news) {
 		t.dropped.Add(int64(len(news)))
--- a/internal/fleet/tasks/tasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -1,4 +1,4 @@
-package tasks
+package leasedtasks
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 type lists struct{ own, all, refreshed uint64 }
@@ -26,23 +26,23 @@
 
 type prober struct{ asked []string }
 
-func (p *prober) PollLoadFor(duty string, to core.Target, _ time.Duration, told func(*decide.LoadReport)) {
+func (p *prober) PollLoadFor(duty string, to dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
 	p.asked = append(p.asked, duty+" "+to.Addr)
 	if to.Name == "dead" {
 		told(nil)
 		return
 	}
-	told(&decide.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1})
+	told(&routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1})
 }
 
 // What one finds out reaches another's core as it was; who has told nothing is told as silent.
 func TestLoadsAreHandedOn(t *testing.T) {
 	p, l := &prober{}, &lists{own: 1, all: 1}
-	var news []core.PeerLoad
+	var news []dispatch.PeerLoad
 	room := true
-	tasks := New(p, l, func(n []core.PeerLoad) bool { news = append(news, n...); return room }, time.Now)
-	tasks.UpdateEndpoints(true, []core.Endpoint{{Name: "dead", Addr: "a:1", State: decide.Ready}, {Name: "r", Addr: "a:2", State: decide.Ready},
-		{Name: "going", Addr: "a:3", State: decide.Draining}})
+	tasks := New(p, l, func(n []dispatch.PeerLoad) bool { news = append(news, n...); return room }, time.Now)
+	tasks.UpdateEndpoints(true, []dispatch.Endpoint{{Name: "dead", Addr: "a:1", State: routing.Ready}, {Name: "r", Addr: "a:2", State: routing.Ready},
+		{Name: "going", Addr: "a:3", State: routing.Draining}})
 	duties := tasks.Names()
 	slices.Sort(duties)
 	if !slices.Equal(duties, []string{"list", "probe/dead", "probe/r"}) {
@@ -51,19 +51,19 @@
 	for _, d := range duties[1:] {
 		tasks.Run(d, 7, func(found []byte) { tasks.HandleResults([]fleet.TaskResult{{Task: d, Data: found, Age: time.Second}}) })
 	}
-	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (decide.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}) ||
+	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}) ||
 		news[1].Age != time.Second || p.asked[1] != "probe/r 7 a:2" {
 		t.Errorf("%+v, asked %v", news, p.asked)
 	}
 	room = false
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte{0}}})
-	tasks.UpdateEndpoints(false, []core.Endpoint{{Name: "r", State: decide.Gone}})
+	tasks.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "r", State: routing.Gone}})
 	done := false
 	tasks.Run("probe/r", 8, func(found []byte) { done = found == nil })
 	if !done || tasks.Dropped() != 1 || len(tasks.Names()) != 2 {
 		t.Errorf("a duty that is no more: done %t, %d dropped, %v", done, tasks.Dropped(), tasks.Names())
 	}
-	for _, text := range testkit.Broken(4, string(encodeLoad(&decide.LoadReport{QueuedRequests: 1}))) {
+	for _, text := range testkit.Broken(4, string(encodeLoad(&routing.LoadReport{QueuedRequests: 1}))) {
 		if load, err := decodeLoad([]byte(text)); err == nil && load != nil && !(load.QueuedRequests <= 1e9) {
 			t.Errorf("%q was taken as %+v", text, load)
 		}
--- a/internal/fleet/view/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import "testing"
 
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/membership/membership.go
@@ -1,7 +1,7 @@
-// Package view decides who is in the fleet: what a process has heard of the others goes in, each with its time, and a
+// Package membership decides who is in the fleet: what a process has heard of the others goes in, each with its time, and a
 // numbered view comes out. It does no I/O and has no clock, so that a simulation drives the same code as the
 // processes. Times are of a clock that only advances and goes on while a process is stopped.
-package view
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -11,9 +11,9 @@
 
 	"rampspread/internal/fields"
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/removals"
-	"rampspread/internal/fleet/share"
-	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/membership"
+	"rampspread/internal/fleet/quota"
+	"rampspread/internal/fleet/tombstone"
 )
 
 // What members say of themselves is protobuf, so that a later program may add fields: those that are not known are
@@ -42,7 +42,7 @@
 var errFormat = errors.New("fleet: message of an unknown format")
 
 // encode is what a member says; sent is a beat's time, 0 for meta data.
-func encode(i view.MemberInfo, sent int64) []byte {
+func encode(i membership.MemberInfo, sent int64) []byte {
 	number := func(b []byte, field protowire.Number, v uint64) []byte {
 		if v == 0 {
 			return b
@@ -73,7 +73,7 @@
 }
 
 // decode reads what a member says. Fields that are not known, or of another type than theirs, are passed over.
-func decode(b []byte) (i view.MemberInfo, sent int64, err error) {
+func decode(b []byte) (i membership.MemberInfo, sent int64, err error) {
 	if len(b) > maxMessage {
 		return i, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMessage)
 	}
@@ -222,7 +222,7 @@
 }
 
 // encodeClaim makes the packet of a claim; voters are all that the file names, in its order.
-func encodeClaim(c share.Claim, voters []string) []byte {
+func encodeClaim(c quota.Claim, voters []string) []byte {
 	b := heading(kindClaim, c.Seq, c.From.Name, c.From.Incarnation)
 	b = protowire.AppendVarint(protowire.AppendTag(b, fieldDemand, protowire.VarintType), uint64(c.Demand*1000))
 	if c.Leaving {
@@ -238,7 +238,7 @@
 }
 
 // encodeLoan makes the packet of a loan; it goes to the life that claimed. The part is rounded down.
-func encodeLoan(l share.Grant) []byte {
+func encodeLoan(l quota.Grant) []byte {
 	b := heading(kindLoan, l.Seq, l.Voter, l.To.Incarnation)
 	return protowire.AppendVarint(protowire.AppendTag(b, fieldPart, protowire.VarintType), uint64(l.Fraction/partUnit))
 }
@@ -253,7 +253,7 @@
 }
 
 // encodeList makes a message of a member's list.
-func encodeList(from string, d removals.Digest) []byte {
+func encodeList(from string, d tombstone.Digest) []byte {
 	b := heading(kindList, d.Version, from, 0)
 	for _, part := range []struct {
 		field  protowire.Number
@@ -299,8 +299,8 @@
 }
 
 // claim is the claim that a packet holds; voters are all that the file names.
-func (m *message) claim(voters []string) share.Claim {
-	c := share.Claim{From: share.BorrowerID{Name: m.from, Incarnation: m.life}, Seq: m.seq, Demand: m.demand, Leaving: m.leaves, InForce: map[string]uint64{}}
+func (m *message) claim(voters []string) quota.Claim {
+	c := quota.Claim{From: quota.BorrowerID{Name: m.from, Incarnation: m.life}, Seq: m.seq, Demand: m.demand, Leaving: m.leaves, InForce: map[string]uint64{}}
 	for a := range slices.Chunk(m.acts, 2) {
 		if a[0] < uint64(len(voters)) {
 			c.InForce[voters[a[0]]] = a[1]
@@ -372,7 +372,7 @@
 			}
 			m.beliefs = slices.Clone(text)
 		case fieldReady, fieldDraining:
-			if len(text)%8 != 0 || len(text) > 8*removals.MaxReplicas {
+			if len(text)%8 != 0 || len(text) > 8*tombstone.MaxReplicas {
 				return m, errFormat
 			}
 			hashes := make([]uint64, 0, len(text)/8)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -19,9 +19,9 @@
 	"github.com/hashicorp/memberlist"
 
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/removals"
-	"rampspread/internal/fleet/share"
-	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/membership"
+	"rampspread/internal/fleet/quota"
+	"rampspread/internal/fleet/tombstone"
 	"rampspread/internal/system"
 )
 
@@ -87,7 +87,7 @@
 	list  *memberlist.Memberlist
 	rng   *rand.Rand // only run uses it
 	bad   atomic.Int64
-	view  atomic.Pointer[view.View]
+	view  atomic.Pointer[membership.View]
 	left  atomic.Bool
 	up    atomic.Bool // list is there
 	skews sync.Map    // name -> time.Duration, by the last beat
@@ -104,8 +104,8 @@
 	twice      sync.Once
 
 	mu    sync.Mutex
-	table *view.Table
-	info  view.MemberInfo // what it tells of itself now
+	table *membership.Table
+	info  membership.MemberInfo // what it tells of itself now
 }
 
 // ErrDuplicateName says that another process of the same name is in the fleet.
@@ -121,10 +121,10 @@
 	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: self.Machine.Wall(), done: make(chan struct{}), failed: failed,
 		rng: rand.New(rand.NewPCG(self.Seed, 0xf1ee7))}
 	f := self.Facts()
-	n.info = view.MemberInfo{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.wall.UnixMilli()), Started: n.wall, Version: self.Version,
+	n.info = membership.MemberInfo{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.wall.UnixMilli()), Started: n.wall, Version: self.Version,
 		Settings: f.Settings, ListVersion: f.List, Serving: f.Serving}
 	cycle := func(size int) time.Duration { return beatEvery * time.Duration(max(1, (size-1+fanout-1)/fanout)) }
-	n.table = view.New(n.info, cfg.names(), view.Limits{HeartbeatInterval: cycle, SuspectAfter: 3, MaxTickGap: gap}, n.now())
+	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: cycle, SuspectAfter: 3, MaxTickGap: gap}, n.now())
 	n.publish()
 	if self.Tasks != nil && len(cfg.Voters) > 0 {
 		n.duties = newDuties(n, self.Tasks)
@@ -221,7 +221,7 @@
 func (n *Node) Now() time.Duration { return n.now() }
 
 // View is who is there, as last published. Whoever acts on it asks Fresh first.
-func (n *Node) View() view.View { return *n.view.Load() }
+func (n *Node) View() membership.View { return *n.view.Load() }
 
 // Malformed is how many messages made no sense, or were not from this fleet.
 func (n *Node) Malformed() int64 { return n.bad.Load() }
@@ -244,7 +244,7 @@
 }
 
 // hear gives the table an event.
-func (n *Node) hear(f func(t *view.Table, now time.Duration)) {
+func (n *Node) hear(f func(t *membership.Table, now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(n.table, n.now())
@@ -405,7 +405,7 @@
 func (n *Node) there() []string {
 	var out []string
 	for _, m := range n.View().Members {
-		if m.Name != n.self.Name && (m.Active() || m.State == view.Joining) {
+		if m.Name != n.self.Name && (m.Active() || m.State == membership.Joining) {
 			out = append(out, m.Name)
 		}
 	}
@@ -420,7 +420,7 @@
 	v := n.View()
 	var missing []string
 	for _, m := range v.Members {
-		if m.Name != n.self.Name && (m.State == view.Unknown || m.State == view.Unreachable || m.State == view.Left) {
+		if m.Name != n.self.Name && (m.State == membership.Unknown || m.State == membership.Unreachable || m.State == membership.Left) {
 			missing = append(missing, n.cfg.address(m.Name))
 		}
 	}
@@ -524,9 +524,9 @@
 	case kind == kindBeliefs && n.beliefs != nil:
 		go n.beliefs.take(m.from, m.beliefs)
 	case kind == kindList && n.ends != nil:
-		n.ends.lists.UpdatePeer(m.from, removals.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
+		n.ends.lists.UpdatePeer(m.from, tombstone.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
 	case kind == kindLoan && n.shares != nil:
-		n.shares.take(share.Grant{To: share.BorrowerID{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Seq: m.seq, Fraction: m.part})
+		n.shares.take(quota.Grant{To: quota.BorrowerID{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Seq: m.seq, Fraction: m.part})
 	}
 }
 
@@ -542,7 +542,7 @@
 	if n.duties != nil {
 		n.duties.raise(i.HighestToken)
 	}
-	n.hear(func(t *view.Table, now time.Duration) { t.Heartbeat(i, now) })
+	n.hear(func(t *membership.Table, now time.Duration) { t.Heartbeat(i, now) })
 }
 
 // GetBroadcasts implements memberlist.Delegate; beats go straight to their receivers.
@@ -595,7 +595,7 @@
 }
 
 // member reads what a node tells of itself.
-func (n *Node) member(node *memberlist.Node) (view.MemberInfo, bool) {
+func (n *Node) member(node *memberlist.Node) (membership.MemberInfo, bool) {
 	i, _, err := decode(node.Meta)
 	if err != nil || i.Name != node.Name {
 		n.bad.Add(1)
@@ -607,7 +607,7 @@
 // NotifyJoin implements memberlist.EventDelegate.
 func (n *Node) NotifyJoin(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *view.Table, now time.Duration) { t.MarkJoined(i, now) })
+		n.hear(func(t *membership.Table, now time.Duration) { t.MarkJoined(i, now) })
 	}
 }
 
@@ -617,14 +617,14 @@
 // NotifyLeave implements memberlist.EventDelegate.
 func (n *Node) NotifyLeave(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *view.Table, now time.Duration) { t.MarkLost(i.Name, i.Incarnation, now) })
+		n.hear(func(t *membership.Table, now time.Duration) { t.MarkLost(i.Name, i.Incarnation, now) })
 	}
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: the other is passed over.
 func (n *Node) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("fleet_conflict", "name", existing.Name, "address", existing.Address(), "other", other.Address())
-	n.hear(func(t *view.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
+	n.hear(func(t *membership.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
 }
 
 // NotifyMerge implements memberlist.MergeDelegate: two processes of one name do not meet in one fleet.
--- a/internal/fleet/shares.go
+++ b/internal/fleet/quota.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/fleet/quota"
 )
 
 // Budgets are what the whole fleet may do together, in the operator's file. A limit of 0 is none.
@@ -46,8 +46,8 @@
 }
 
 // limits are the times and parts by which a file's budgets are shared.
-func (c *Config) limits() share.Limits {
-	return share.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6, Lead: c.term / 12, Floor: c.Budgets.Floor,
+func (c *Config) limits() quota.Limits {
+	return quota.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6, Lead: c.term / 12, Floor: c.Budgets.Floor,
 		Members: len(c.Members), Voters: len(c.Voters)}
 }
 
@@ -63,22 +63,22 @@
 type shares struct {
 	node    *Node
 	to      QuotaUser
-	limits  share.Limits
+	limits  quota.Limits
 	offers  atomic.Int64
 	dropped atomic.Int64
 
 	mu       sync.Mutex
-	borrower *share.Borrower
-	voter    *share.Voter // nil: not one
-	traffic  share.Rate
+	borrower *quota.Borrower
+	voter    *quota.Voter // nil: not one
+	traffic  quota.Rate
 	demand   float64
 }
 
 func newShares(n *Node, to QuotaUser) *shares {
 	s := &shares{node: n, to: to, limits: n.cfg.limits()}
-	s.borrower = share.NewBorrower(share.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, n.cfg.Voters, s.limits)
+	s.borrower = quota.NewBorrower(quota.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, n.cfg.Voters, s.limits)
 	if slices.Contains(n.cfg.Voters, n.self.Name) {
-		s.voter = share.NewVoter(n.self.Name, s.limits, n.now())
+		s.voter = quota.NewVoter(n.self.Name, s.limits, n.now())
 	}
 	return s
 }
@@ -108,8 +108,8 @@
 }
 
 // apply hands an offer on. Only once it is acted by may the voters count it.
-func (s *shares) apply(o share.Share) {
-	settle := func(f func(b *share.Borrower)) {
+func (s *shares) apply(o quota.Share) {
+	settle := func(f func(b *quota.Borrower)) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		f(s.borrower)
@@ -117,32 +117,32 @@
 	if n := s.node.stragglers; n != nil && n.restricted.Load() {
 		o.Fraction = 0 // less than what was lent is safe at any time
 	}
-	if s.to.SetQuotaShare(o.Fraction, o.Until-s.node.now(), func() { settle(func(b *share.Borrower) { b.Confirm(o) }) }) {
+	if s.to.SetQuotaShare(o.Fraction, o.Until-s.node.now(), func() { settle(func(b *quota.Borrower) { b.Confirm(o) }) }) {
 		s.offers.Add(1)
 		return
 	}
 	s.dropped.Add(1)
-	settle((*share.Borrower).Discard)
+	settle((*quota.Borrower).Discard)
 }
 
 // lend answers a claim as a voter; false: with nothing.
-func (s *shares) lend(c share.Claim) (share.Grant, bool) {
+func (s *shares) lend(c quota.Claim) (quota.Grant, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.voter == nil {
-		return share.Grant{}, false
+		return quota.Grant{}, false
 	}
 	return s.voter.HandleClaim(s.node.now(), c)
 }
 
 // answer answers another member's claim.
-func (s *shares) answer(c share.Claim) {
+func (s *shares) answer(c quota.Claim) {
 	if l, ok := s.lend(c); ok {
 		s.node.send(c.From.Name, encodeLoan(l))
 	}
 }
 
-func (s *shares) take(l share.Grant) {
+func (s *shares) take(l quota.Grant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.borrower.HandleGrant(l)
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/quota/quota.go
@@ -1,4 +1,4 @@
-// Package share decides which part of what the whole fleet may do (calls, probes, repeats, a tenant's quota) is a member's
+// Package quota decides which part of what the whole fleet may do (calls, probes, repeats, a tenant's quota) is a member's
 // at this time. It does no I/O and has no clock, so that a simulation drives the same code as the processes.
 //
 // The invariant: at any instant the parts that all processes act by add up to no more than 1. The whole is cut in two. Floor
@@ -15,7 +15,7 @@
 //
 // What is lent and what is kept for good cannot be the same: a member that is cut off looks like one that is dead, so
 // what it may use while it sees nobody can be lent to nobody. Floor is how that is settled.
-package share
+package quota
 
 import (
 	"cmp"
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"flag"
@@ -425,28 +425,6 @@
 	})
 }
 
-// A bucket lets through no more than its rate and what it held at first, however the rate changes.
-func TestBucket(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		b, now, may, done := Bucket{}, time.Hour, 0.0, 0.0
-		most := rapid.Float64Range(1, 5).Draw(t, "most")
-		for i := range 50 {
-			past := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "past"))
-			rate := rapid.Float64Range(0, 20).Draw(t, "rate")
-			if now += past; i > 0 {
-				may += rate * past.Seconds()
-			}
-			if b.Fill(now, rate, most) >= 1 {
-				b.Spend()
-				done++
-			}
-		}
-		if done > may+most+slack {
-			t.Fatalf("%v acts, of %.2f and %.2f at first", done, may, most)
-		}
-	})
-}
-
 func TestLimits(t *testing.T) {
 	good := limits
 	good.Members, good.Voters = 3, 3
--- a/internal/fleet/shares_test.go
+++ b/internal/fleet/quota_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/fleet/quota"
 	"rampspread/internal/testkit"
 )
 
@@ -106,8 +106,8 @@
 		return sum() > 0.98 && all[3].acts() == 0.05 && all[0].acts() > 0.2
 	})
 	before := nodes[0].Malformed()
-	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
-	nodes[0].NotifyMsg(encodeClaim(share.Claim{From: share.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
+	nodes[0].NotifyMsg(encodeClaim(quota.Claim{From: quota.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
+	nodes[0].NotifyMsg(encodeClaim(quota.Claim{From: quota.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
 	if nodes[0].Malformed() != before+2 {
 		t.Errorf("%d bad messages counted, want 2", nodes[0].Malformed()-before)
 	}
@@ -141,7 +141,7 @@
 // Claims and loans survive the wire.
 func TestShareMessages(t *testing.T) {
 	voters := []string{"n0", "n1", "n2"}
-	c := share.Claim{From: share.BorrowerID{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345, InForce: map[string]uint64{"n0": 5, "n2": 6}, Leaving: true}
+	c := quota.Claim{From: quota.BorrowerID{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345, InForce: map[string]uint64{"n0": 5, "n2": 6}, Leaving: true}
 	p := encodeClaim(c, voters)
 	m, err := decodeMessage(p[1:], 0)
 	got := m.claim(voters)
@@ -152,7 +152,7 @@
 	if short := m.claim(voters[:1]); len(short.InForce) != 1 {
 		t.Errorf("with fewer voters: %+v", short)
 	}
-	p = encodeLoan(share.Grant{To: c.From, Voter: "n1", Seq: 7, Fraction: 1.0 / 3})
+	p = encodeLoan(quota.Grant{To: c.From, Voter: "n1", Seq: 7, Fraction: 1.0 / 3})
 	m, err = decodeMessage(p[1:], 0)
 	if err != nil || p[0] != kindLoan || m.from != "n1" || m.life != 1<<60 || m.part > 1.0/3 || m.part < 1.0/3-1e-9 {
 		t.Errorf("%+v, %v", m, err)
--- a/internal/fleet/subsetter/subsetter.go
+++ b/internal/fleet/subsetter/controller.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/membership"
 	"rampspread/internal/fleet/subset"
-	"rampspread/internal/fleet/view"
+	"rampspread/routing"
 )
 
 const (
@@ -27,7 +27,7 @@
 
 // FleetView is who is there, as this process sees it.
 type FleetView struct {
-	View            view.View
+	View            membership.View
 	Now             time.Duration // by the view's clock
 	TrafficFraction float64       // of all traffic that is this process's; 0: an even one
 	Usable          bool          // the view may be acted on
@@ -38,7 +38,7 @@
 	limits subset.Limits
 	self   string
 	zone   func(name string) int
-	roles  []decide.Role // by kind
+	roles  []routing.Role // by kind
 	fleet  func() FleetView
 	to     func(names []string) bool // must not block; false: it had no room
 
@@ -61,20 +61,20 @@
 }
 
 // New returns a Keeper that Run must drive. zone numbers the settings' zones, and roles are theirs; to takes the names, none for all.
-func New(limits subset.Limits, self string, zone func(name string) int, roles []decide.Role, fleet func() FleetView, to func([]string) bool) *Controller {
+func New(limits subset.Limits, self string, zone func(name string) int, roles []routing.Role, fleet func() FleetView, to func([]string) bool) *Controller {
 	return &Controller{limits: limits, self: self, zone: zone, roles: roles, fleet: fleet, to: to, replicas: map[string]subset.Replica{},
 		status: Status{Self: self}}
 }
 
 // UpdateEndpoints takes discovery's list, or changes to it, as the core does.
-func (k *Controller) UpdateEndpoints(full bool, entries []core.Endpoint) {
+func (k *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if full {
 		clear(k.replicas)
 	}
 	for _, e := range entries {
-		if e.State != decide.Ready || e.Kind < 0 || e.Kind >= len(k.roles) {
+		if e.State != routing.Ready || e.Kind < 0 || e.Kind >= len(k.roles) {
 			delete(k.replicas, e.Name)
 			continue
 		}
@@ -82,7 +82,7 @@
 		if !(weight > 0) {
 			weight = 1 // as the module takes it
 		}
-		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, CanPrefill: role != decide.Decode, CanDecode: role != decide.Prefill, Weight: weight}
+		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, CanPrefill: role != routing.Decode, CanDecode: role != routing.Prefill, Weight: weight}
 	}
 	k.changed = true
 }
@@ -104,7 +104,7 @@
 // among are the members that replicas are shared among: those that count, and those that are gone for a moment only.
 func (k *Controller) among(f FleetView) (out []subset.Dispatcher) {
 	for _, m := range f.View.Members {
-		gone := m.State == view.Unreachable || m.State == view.Left
+		gone := m.State == membership.Unreachable || m.State == membership.Left
 		if m.Active() || gone && f.Now-m.Since < hold {
 			out = append(out, subset.Dispatcher{Name: m.Name, Zone: k.zone(m.Zone)})
 		}
--- a/internal/fleet/subsetter/subsetter_test.go
+++ b/internal/fleet/subsetter/controller_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/membership"
 	"rampspread/internal/fleet/subset"
-	"rampspread/internal/fleet/view"
+	"rampspread/routing"
 )
 
 // stand is a fleet and a core that a test sets.
@@ -20,7 +20,7 @@
 }
 
 func (s *stand) keeper() *Controller {
-	return New(subset.Limits{MinPrefillReplicas: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []decide.Role{decide.Prefill, decide.Decode},
+	return New(subset.Limits{MinPrefillReplicas: 10}, "n3", func(zone string) int { return slices.Index([]string{"wien", "linz"}, zone) }, []routing.Role{routing.Prefill, routing.Decode},
 		func() FleetView { return s.fleet }, func(names []string) bool {
 			if !s.full {
 				s.got = append(s.got, names)
@@ -29,17 +29,17 @@
 		})
 }
 
-func members(n int) (out []view.Member) {
+func members(n int) (out []membership.Member) {
 	for i := range n {
-		out = append(out, view.Member{MemberInfo: view.MemberInfo{Name: fmt.Sprint("n", i), Zone: []string{"wien", "linz"}[i%2]}, State: view.Alive})
+		out = append(out, membership.Member{MemberInfo: membership.MemberInfo{Name: fmt.Sprint("n", i), Zone: []string{"wien", "linz"}[i%2]}, State: membership.Alive})
 	}
 	return out
 }
 
-func listings(cells int) (out []core.Endpoint) {
+func listings(cells int) (out []dispatch.Endpoint) {
 	for c := range cells {
 		for i := range 10 {
-			out = append(out, core.Endpoint{Name: fmt.Sprintf("%d-%d", c, i), Zone: c % 2, Cell: c, Kind: i % 2, State: decide.Ready, Weight: 1})
+			out = append(out, dispatch.Endpoint{Name: fmt.Sprintf("%d-%d", c, i), Zone: c % 2, Cell: c, Kind: i % 2, State: routing.Ready, Weight: 1})
 		}
 	}
 	return out
@@ -48,7 +48,7 @@
 // A new subset comes with a change of the list, of the members or of the own part, and only with one; nothing is done on a view
 // that may not be acted on, and what the core had no room for comes again.
 func TestKeeper(t *testing.T) {
-	s := &stand{fleet: FleetView{View: view.View{Members: members(40)}, Now: time.Hour, TrafficFraction: 0.025}}
+	s := &stand{fleet: FleetView{View: membership.View{Members: members(40)}, Now: time.Hour, TrafficFraction: 0.025}}
 	k := s.keeper()
 	k.UpdateEndpoints(true, listings(40))
 	expect := func(what string, times int) []string {
@@ -79,14 +79,14 @@
 	expect("a part that is as before", 3)
 	// One that is gone keeps its place for a while.
 	s.fleet.View.Members = members(40)
-	s.fleet.View.Members[7].State, s.fleet.View.Members[7].Since = view.Unreachable, time.Hour-time.Second
+	s.fleet.View.Members[7].State, s.fleet.View.Members[7].Since = membership.Unreachable, time.Hour-time.Second
 	expect("a member that is gone for a moment", 3)
 	s.fleet.Now += hold
 	if after := expect("a member that is gone for long", 4); k.Status().Members != 39 || slices.Equal(after, nil) {
 		t.Errorf("%+v", k.Status())
 	}
 	s.full = true
-	k.UpdateEndpoints(false, []core.Endpoint{{Name: first[0], State: decide.Gone}, {Name: "odd", Kind: 9, State: decide.Ready}})
+	k.UpdateEndpoints(false, []dispatch.Endpoint{{Name: first[0], State: routing.Gone}, {Name: "odd", Kind: 9, State: routing.Ready}})
 	expect("a core without room", 4)
 	s.full = false
 	if without := expect("the core with room again", 5); slices.Contains(without, first[0]) || k.Status().Endpoints != 399 {
--- a/internal/fleet/duties.go
+++ b/internal/fleet/tasks.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/view"
+	"rampspread/internal/fleet/membership"
 )
 
 const (
@@ -190,7 +190,7 @@
 }
 
 // assign works out whose each duty is, when the duties or those who count have changed; the caller holds the lock.
-func (d *duties) assign(now time.Duration, v view.View) {
+func (d *duties) assign(now time.Duration, v membership.View) {
 	names := d.work.Names()
 	slices.Sort(names)
 	var members []string
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/tasks_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/fleet/removals"
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/fleet/quota"
+	"rampspread/internal/fleet/tombstone"
 	"rampspread/internal/testkit"
 )
 
@@ -219,12 +219,12 @@
 	if len(got) != len(all) || got[199].duty != 199 || got[0].at != 8*time.Second || string(got[5].data) != "0123456789abcdef" {
 		f.Errorf("%d results came, the first as %+v", len(got), got[0])
 	}
-	claim := encodeClaim(share.Claim{From: share.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4, InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
-	list := encodeList("n3", removals.Digest{Version: 1 << 60, Ready: []uint64{1, 1 << 63}, Draining: []uint64{7}})
+	claim := encodeClaim(quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4, InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
+	list := encodeList("n3", tombstone.Digest{Version: 1 << 60, Ready: []uint64{1, 1 << 63}, Draining: []uint64{7}})
 	if m, err := decodeMessage(list[1:], 0); err != nil || m.from != "n3" || m.seq != 1<<60 || !slices.Equal(m.ready, []uint64{1, 1 << 63}) || !slices.Equal(m.draining, []uint64{7}) {
 		f.Errorf("%+v, %v", m, err)
 	}
-	if _, err := decodeMessage(encodeList("n3", removals.Digest{Version: 1, Ready: make([]uint64, removals.MaxReplicas+1)})[1:], 0); err == nil {
+	if _, err := decodeMessage(encodeList("n3", tombstone.Digest{Version: 1, Ready: make([]uint64, tombstone.MaxReplicas+1)})[1:], 0); err == nil {
 		f.Error("a list without bound was read")
 	}
 	for _, s := range testkit.Broken(8, string(packets[0][1:]), string(reply[1:]), seeds[0], string(claim[1:]), string(list[1:])) {
--- a/internal/fleet/removals/golden_test.go
+++ b/internal/fleet/tombstone/golden_test.go
@@ -1,4 +1,4 @@
-package removals
+package tombstone
 
 import "testing"
 
--- a/internal/fleet/removals/removals.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -1,10 +1,10 @@
-// Package removals keeps what a fleet's members tell each other of the list that they act on, so that a member whose own is older sends
+// Package tombstone keeps what a fleet's members tell each other of the list that they act on, so that a member whose own is older sends
 // nothing to a replica that theirs has ended. It does no I/O and has no clock.
 //
 // What a replica is, and where, a member takes from discovery alone; from others it takes only which of its replicas are gone or drain
 // by a newer version. So others can hold a member back from a replica, and never make it send anywhere. A whole list's names are told,
 // as hashes, and not what ended since some version: one that has just started knows the list and nothing of what was before.
-package removals
+package tombstone
 
 import (
 	"slices"
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Limits bound what is taken.
@@ -41,27 +41,27 @@
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // state is a replica's by the digest.
-func (d *Digest) state(name uint64) decide.EndpointState {
+func (d *Digest) state(name uint64) routing.EndpointState {
 	if _, ok := slices.BinarySearch(d.Ready, name); ok {
-		return decide.Ready
+		return routing.Ready
 	}
 	if _, ok := slices.BinarySearch(d.Draining, name); ok {
-		return decide.Draining
+		return routing.Draining
 	}
-	return decide.Gone
+	return routing.Gone
 }
 
 // Endpoint is a replica on a list.
 type Endpoint struct {
 	Name  string
-	State decide.EndpointState
+	State routing.EndpointState
 }
 
 // Table is what one member knows of its own list and others'. It is not safe for use by several goroutines at once.
 type Table struct {
 	limits  Limits
 	version uint64 // of the own list; 0: none yet
-	held    map[string]decide.EndpointState
+	held    map[string]routing.EndpointState
 	told    map[string]heard // by teller, the last
 	over    bool             // the others' word would end too much
 	refused int
@@ -74,7 +74,7 @@
 
 // New returns a table that knows no list yet.
 func New(limits Limits) *Table {
-	return &Table{limits: limits, held: map[string]decide.EndpointState{}, told: map[string]heard{}}
+	return &Table{limits: limits, held: map[string]routing.EndpointState{}, told: map[string]heard{}}
 }
 
 // Version is that of the own list.
@@ -94,7 +94,7 @@
 }
 
 // State is what a replica is to be taken as.
-func (t *Table) State(name string) decide.EndpointState {
+func (t *Table) State(name string) routing.EndpointState {
 	if t.over {
 		return t.held[name]
 	}
@@ -103,11 +103,11 @@
 
 // worst is a replica's state by the own list and all newer ones that were told. One teller's newer word does not undo another's, so
 // none can bring back what others have ended; each tells its newest again and again.
-func (t *Table) worst(name string) decide.EndpointState {
+func (t *Table) worst(name string) routing.EndpointState {
 	state, hash := t.held[name], Hash(name)
 	for _, d := range t.told {
-		if d.Version > t.version && state != decide.Gone {
-			if s := d.state(hash); s != decide.Ready {
+		if d.Version > t.version && state != routing.Gone {
+			if s := d.state(hash); s != routing.Ready {
 				state = s
 			}
 		}
@@ -124,10 +124,10 @@
 			t.told[""] = heard{t.Digest(), now}
 		}
 		if full {
-			t.held = make(map[string]decide.EndpointState, len(entries))
+			t.held = make(map[string]routing.EndpointState, len(entries))
 		}
 		for _, e := range entries {
-			if t.held[e.Name] = e.State; e.State == decide.Gone {
+			if t.held[e.Name] = e.State; e.State == routing.Gone {
 				delete(t.held, e.Name)
 			}
 		}
@@ -161,7 +161,7 @@
 func (t *Table) Digest() Digest {
 	d := Digest{Version: t.version}
 	for name, state := range t.held {
-		if state == decide.Ready {
+		if state == routing.Ready {
 			d.Ready = append(d.Ready, Hash(name))
 		} else {
 			d.Draining = append(d.Draining, Hash(name))
@@ -174,14 +174,14 @@
 
 // change does something and returns whom it changed, in order.
 func (t *Table) change(do func()) (changed []string) {
-	before := make(map[string]decide.EndpointState, len(t.held))
+	before := make(map[string]routing.EndpointState, len(t.held))
 	for name := range t.held {
 		before[name] = t.State(name)
 	}
 	do()
 	ends := 0
 	for name, state := range t.held {
-		if state == decide.Ready && t.worst(name) != decide.Ready {
+		if state == routing.Ready && t.worst(name) != routing.Ready {
 			ends++
 		}
 	}
--- a/internal/fleet/removals/removals_test.go
+++ b/internal/fleet/tombstone/tombstone_test.go
@@ -1,4 +1,4 @@
-package removals
+package tombstone
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/testkit/play"
+	"rampspread/routing"
 )
 
 func listOf(names string, draining string) (out []Endpoint) {
 	for _, n := range names {
-		out = append(out, Endpoint{string(n), decide.Ready})
+		out = append(out, Endpoint{string(n), routing.Ready})
 	}
 	for _, n := range draining {
-		out = append(out, Endpoint{string(n), decide.Draining})
+		out = append(out, Endpoint{string(n), routing.Draining})
 	}
 	return out
 }
@@ -26,25 +26,25 @@
 func TestOlderList(t *testing.T) {
 	ahead, behind := New(DefaultLimits), New(DefaultLimits)
 	ahead.UpdateOwn(0, 5, true, listOf("abcd", ""))
-	ahead.UpdateOwn(0, 6, false, []Endpoint{{"a", decide.Gone}})
-	ahead.UpdateOwn(0, 7, false, []Endpoint{{"b", decide.Draining}, {"e", decide.Ready}})
+	ahead.UpdateOwn(0, 6, false, []Endpoint{{"a", routing.Gone}})
+	ahead.UpdateOwn(0, 7, false, []Endpoint{{"b", routing.Draining}, {"e", routing.Ready}})
 	behind.UpdatePeer(0, "n1", ahead.Digest()) // before its first list
 	behind.UpdateOwn(0, 5, true, listOf("abcd", ""))
-	if behind.State("a") != decide.Gone || behind.State("b") != decide.Draining || behind.State("c") != decide.Ready || behind.Suppressed() != 2 {
+	if behind.State("a") != routing.Gone || behind.State("b") != routing.Draining || behind.State("c") != routing.Ready || behind.Suppressed() != 2 {
 		t.Errorf("%v, %v", behind.State("a"), behind.State("b"))
 	}
-	if behind.State("e") != decide.Gone {
+	if behind.State("e") != routing.Gone {
 		t.Error("it took a replica from another's word")
 	}
-	if changed := behind.UpdateOwn(0, 6, false, []Endpoint{{"a", decide.Gone}}); len(changed) != 0 || behind.State("b") != decide.Draining {
+	if changed := behind.UpdateOwn(0, 6, false, []Endpoint{{"a", routing.Gone}}); len(changed) != 0 || behind.State("b") != routing.Draining {
 		t.Errorf("%v", changed)
 	}
-	if changed := behind.UpdateOwn(0, 8, false, []Endpoint{{"c", decide.Draining}}); !slices.Equal(changed, []string{"b", "c"}) || behind.State("b") != decide.Ready {
+	if changed := behind.UpdateOwn(0, 8, false, []Endpoint{{"c", routing.Draining}}); !slices.Equal(changed, []string{"b", "c"}) || behind.State("b") != routing.Ready {
 		t.Errorf("%v: at 8 its list has the last word", changed)
 	}
 	// One's own older list, after a newer one, is no different; it is believed again after a while.
 	ahead.UpdateOwn(0, 5, true, listOf("abcd", ""))
-	if ahead.State("a") != decide.Gone || ahead.State("c") != decide.Ready {
+	if ahead.State("a") != routing.Gone || ahead.State("c") != routing.Ready {
 		t.Error("its own older list revived a replica")
 	}
 	if changed := ahead.Tick(DefaultLimits.PeerReportTTL + 1); !slices.Equal(changed, []string{"a", "b"}) {
@@ -55,7 +55,7 @@
 	behind.UpdateOwn(0, 5, true, listOf("abcd", ""))
 	behind.UpdatePeer(0, "n1", Digest{Version: 6, Ready: []uint64{Hash("b"), Hash("c"), Hash("d")}})
 	behind.UpdatePeer(0, "liar", Digest{Version: math.MaxUint64, Ready: []uint64{Hash("a"), Hash("b"), Hash("c"), Hash("d")}})
-	if behind.State("a") != decide.Gone {
+	if behind.State("a") != routing.Gone {
 		t.Error("one's word revived what another's list had ended")
 	}
 }
@@ -95,9 +95,9 @@
 func simulate(seed uint64, steps int, m mutant) error {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const members, replicas = 5, 12
-	truth := []map[string]decide.EndpointState{nil, {}} // by version
+	truth := []map[string]routing.EndpointState{nil, {}} // by version
 	for i := range replicas {
-		truth[1][fmt.Sprint(i)] = decide.Ready
+		truth[1][fmt.Sprint(i)] = routing.Ready
 	}
 	newest := func() uint64 { return uint64(len(truth) - 1) }
 	tables := make([]*Table, members)
@@ -119,7 +119,7 @@
 		if !full {
 			for name := range truth[t.Version()] {
 				if _, still := truth[version][name]; !still {
-					entries = append(entries, Endpoint{name, decide.Gone})
+					entries = append(entries, Endpoint{name, routing.Gone})
 				}
 			}
 		}
@@ -136,21 +136,21 @@
 		now += time.Duration(rng.Int64N(int64(time.Second)))
 		switch i := rng.IntN(members); rng.IntN(8) {
 		case 0, 1: // few are out at once, so that others' word is never past its part
-			next := map[string]decide.EndpointState{}
+			next := map[string]routing.EndpointState{}
 			for name, s := range truth[newest()] {
 				next[name] = s
 			}
 			name, ready := fmt.Sprint(rng.IntN(replicas)), 0
 			for _, s := range next {
-				if s == decide.Ready {
+				if s == routing.Ready {
 					ready++
 				}
 			}
-			if next[name] != decide.Ready {
-				next[name] = decide.Ready
+			if next[name] != routing.Ready {
+				next[name] = routing.Ready
 			} else if ready <= replicas-3 {
 				continue
-			} else if next[name] = decide.Draining; rng.IntN(2) == 0 {
+			} else if next[name] = routing.Draining; rng.IntN(2) == 0 {
 				delete(next, name)
 			}
 			truth = append(truth, next)
@@ -186,7 +186,7 @@
 				silent = silent && now-w.at > DefaultLimits.PeerReportTTL
 				if w.version > t.Version() && now-w.at < DefaultLimits.PeerReportTTL {
 					for name := range truth[t.Version()] {
-						if truth[w.version][name] != decide.Ready {
+						if truth[w.version][name] != routing.Ready {
 							ends[name] = true
 						}
 					}
@@ -195,7 +195,7 @@
 			for name, s := range truth[t.Version()] {
 				got := t.State(name)
 				switch {
-				case got == decide.Ready && ends[name] && len(ends) <= replicas/3:
+				case got == routing.Ready && ends[name] && len(ends) <= replicas/3:
 					return fmt.Errorf("step %d: member %d, list %d: %s is ready", step, i, t.Version(), name)
 				case got != s && t.Version() == newest():
 					return fmt.Errorf("step %d: member %d has the newest list, and holds %s back", step, i, name)
--- a/internal/fleet/stragglers.go
+++ b/internal/fleet/versionskew.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/internal/fleet/straggler"
+	"rampspread/internal/fleet/versionskew"
 )
 
 // VersionSkewConfig says when a member that acts on something older than most is restricted and shut out.
@@ -18,8 +18,8 @@
 }
 
 // Limits are the file's, the rest the usual ones.
-func (s VersionSkewConfig) Limits() straggler.Limits {
-	l := straggler.DefaultLimits
+func (s VersionSkewConfig) Limits() versionskew.Limits {
+	l := versionskew.DefaultLimits
 	l.RestrictAfter, l.FenceAfter, l.MaxFencedFraction = time.Duration(s.RestrictS*float64(time.Second)), time.Duration(s.FenceS*float64(time.Second)), s.MaxFencedFraction
 	return l
 }
@@ -67,25 +67,25 @@
 	restricted atomic.Bool // this process
 
 	mu      sync.Mutex
-	judge   *straggler.Detector
-	verdict straggler.Assessment
+	judge   *versionskew.Detector
+	verdict versionskew.Assessment
 	blind   bool
 	frozen  bool
-	acted   straggler.State // this process's, that was acted on
+	acted   versionskew.State // this process's, that was acted on
 }
 
 func newStragglers(n *Node, acts VersionSkewActions) *stragglers {
-	return &stragglers{node: n, acts: acts, judge: straggler.New(n.cfg.VersionSkew.Limits())}
+	return &stragglers{node: n, acts: acts, judge: versionskew.New(n.cfg.VersionSkew.Limits())}
 }
 
 // step judges, if it sees enough. One that sees only a minority judges nobody, and is not judged by itself: its leases and its part
 // of the budgets end by its own clock.
 func (s *stragglers) step(now time.Duration) {
 	v := s.node.View()
-	var told []straggler.Report
+	var told []versionskew.Report
 	self := false
 	for _, m := range v.ActiveMembers() {
-		told = append(told, straggler.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings})
+		told = append(told, versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings})
 		self = self || m.Name == s.node.self.Name
 	}
 	s.mu.Lock()
@@ -99,15 +99,15 @@
 	was := s.acted
 	s.acted = own.State
 	s.mu.Unlock()
-	s.restricted.Store(own.State >= straggler.Restricted)
+	s.restricted.Store(own.State >= versionskew.Restricted)
 	if own.State == was {
 		return
 	}
 	slog.Info("straggler", "step", own.State, "was", was, "why", own.Reason, "list", own.ListVersion, "most", s.verdict.List, "fault", fault)
-	if own.State > straggler.Current && own.Reason == "list" {
+	if own.State > versionskew.Current && own.Reason == "list" {
 		s.acts.Refresh()
 	}
-	if out := own.State == straggler.Fenced; out != (was == straggler.Fenced) {
+	if out := own.State == versionskew.Fenced; out != (was == versionskew.Fenced) {
 		s.acts.Out(out)
 	}
 }
@@ -116,7 +116,7 @@
 func (s *stragglers) excluded(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.verdict.Members[name].State >= straggler.Restricted
+	return s.verdict.Members[name].State >= versionskew.Restricted
 }
 
 // OverrideVersionSkew sets how this process stands by the operator's hand: shut out, let in, or given back to the judgement; and stops every
@@ -130,9 +130,9 @@
 	defer s.mu.Unlock()
 	switch call {
 	case "shut-out":
-		s.judge.Override(n.self.Name, straggler.Fenced)
+		s.judge.Override(n.self.Name, versionskew.Fenced)
 	case "let-in":
-		s.judge.Override(n.self.Name, straggler.Current)
+		s.judge.Override(n.self.Name, versionskew.Current)
 	case "judge":
 		s.judge.ClearOverride(n.self.Name)
 		s.frozen = false
@@ -147,7 +147,7 @@
 func (n *Node) VersionSkewStatus() VersionSkewStatus {
 	now, v := n.now(), n.View()
 	out := VersionSkewStatus{Self: n.self.Name}
-	var verdict straggler.Assessment
+	var verdict versionskew.Assessment
 	if s := n.stragglers; s != nil {
 		s.mu.Lock()
 		verdict, out.InsufficientView, out.Frozen, out.Enabled = s.verdict, s.blind, s.frozen, true
--- a/internal/fleet/straggler/straggler.go
+++ b/internal/fleet/versionskew/versionskew.go
@@ -1,10 +1,10 @@
-// Package straggler decides which members of a fleet act on something older than most of it, and what becomes of them: brought up,
+// Package versionskew decides which members of a fleet act on something older than most of it, and what becomes of them: brought up,
 // then restricted, then shut out. It does no I/O and has no clock.
 //
 // Behind is judged against what most members have had for a while, never against the newest single voice: one that lies, or sits
 // alone with a newer list behind a cut, makes nobody a straggler. A part of the fleet at most is shut out; if most are behind what was
 // once level, or no version is most members', nobody is, and that is said: the source is at fault.
-package straggler
+package versionskew
 
 import (
 	"cmp"
--- a/internal/fleet/straggler/straggler_test.go
+++ b/internal/fleet/versionskew/versionskew_test.go
@@ -1,4 +1,4 @@
-package straggler
+package versionskew
 
 import (
 	"fmt"
--- a/internal/permit/permit.go
+++ b/internal/precondition/precondition.go
@@ -1,13 +1,13 @@
-// Package permit is the one place that says whether something may be done now: a request taken, an attempt made, its first byte
+// Package precondition is the one place that says whether something may be done now: a request taken, an attempt made, its first byte
 // written, a client's connection closed, an answer given. It is pure: whoever is about to act gathers the facts at that moment, asks,
 // and goes by the Reason. What must never be asked at all, since something before should have prevented it, is a violation, and is
 // counted by an Audit.
-package permit
+package precondition
 
 import (
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Reason says why something may not be done; Allowed: it may.
@@ -79,14 +79,14 @@
 	AttemptInFlight bool          // another attempt of it has not ended
 	Executes        bool          // an attempt at this server carries the request out, as reads do not
 	MayHaveRun      bool          // an earlier attempt may have carried it out
-	Idempotency     decide.Idempotency
+	Idempotency     routing.Idempotency
 	InDedupScope    bool          // with Keyed: the server drops repeats of what may have run
 	DedupWindow     time.Duration // with Keyed: for so long yet
 }
 
 // Check tells whether the attempt may be made.
 func (s Attempt) Check() Reason {
-	repeat := s.Executes && s.MayHaveRun && s.Idempotency != decide.Idempotent
+	repeat := s.Executes && s.MayHaveRun && s.Idempotency != routing.Idempotent
 	switch {
 	case s.Answered:
 		return AlreadyAnswered
@@ -98,7 +98,7 @@
 		return DeadlineExceeded
 	case s.AttemptInFlight:
 		return AttemptInFlight
-	case repeat && (s.Idempotency == decide.NonIdempotent || !s.InDedupScope):
+	case repeat && (s.Idempotency == routing.NonIdempotent || !s.InDedupScope):
 		return MayHaveRun
 	case repeat && s.DedupWindow <= MaxStall:
 		return DedupWindowExpired
--- a/internal/permit/permit_test.go
+++ b/internal/precondition/precondition_test.go
@@ -1,10 +1,10 @@
-package permit
+package precondition
 
 import (
 	"testing"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 const second = time.Second
@@ -27,14 +27,14 @@
 		{with(func(s *Attempt) { s.TimeLeft = 0 }), DeadlineExceeded},
 		{with(func(s *Attempt) { s.AttemptInFlight = true }), AttemptInFlight},
 		{with(func(s *Attempt) { s.MayHaveRun = true }), Allowed},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency = true, decide.NonIdempotent }), MayHaveRun},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.Executes = true, decide.NonIdempotent, false }), Allowed}, // a read has no effect
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.DedupWindow = true, decide.IdempotentByKey, second }), MayHaveRun},
+		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency = true, routing.NonIdempotent }), MayHaveRun},
+		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.Executes = true, routing.NonIdempotent, false }), Allowed}, // a read has no effect
+		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.DedupWindow = true, routing.IdempotentByKey, second }), MayHaveRun},
 		{with(func(s *Attempt) {
-			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall
+			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, routing.IdempotentByKey, true, MaxStall
 		}), DedupWindowExpired},
 		{with(func(s *Attempt) {
-			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, decide.IdempotentByKey, true, MaxStall+1
+			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, routing.IdempotentByKey, true, MaxStall+1
 		}), Allowed},
 		{FirstByte{TimeLeft: 1}, Allowed}, {FirstByte{Withdrawn: true, TimeLeft: 1}, Withdrawn}, {FirstByte{ClientGone: true, TimeLeft: 1}, ClientDisconnected},
 		{FirstByte{}, DeadlineExceeded}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: MaxStall}, DedupWindowExpired}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: second}, Allowed},
--- a/internal/permit/audit.go
+++ b/internal/precondition/violations.go
@@ -1,4 +1,4 @@
-package permit
+package precondition
 
 import (
 	"fmt"
--- a/internal/program/fleet.go
+++ b/internal/program/fleet.go
@@ -12,14 +12,14 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/spf13/cobra"
 
-	"rampspread/decide"
 	"rampspread/internal/cli"
 	"rampspread/internal/fleet"
-	"rampspread/internal/fleet/lists"
+	"rampspread/internal/fleet/endpointfilter"
+	"rampspread/internal/fleet/leasedtasks"
 	"rampspread/internal/fleet/subsetter"
-	"rampspread/internal/fleet/tasks"
 	"rampspread/internal/ops"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 // fingerprint is the same for the same settings at every process.
@@ -34,12 +34,12 @@
 }
 
 // share sets up what the fleet does in turn, before the first list comes.
-func (p *program) share(cfg *wire.Config) *tasks.Tasks {
-	var prober tasks.LoadPoller
+func (p *program) share(cfg *wire.Config) *leasedtasks.Tasks {
+	var prober leasedtasks.LoadPoller
 	if cfg.Settings.Limits.Probing {
 		prober = p.pool
 	}
-	return tasks.New(prober, listOf{p}, p.core.ApplyPeerLoads, time.Now)
+	return leasedtasks.New(prober, listOf{p}, p.core.ApplyPeerLoads, time.Now)
 }
 
 // listOf is the program's watcher, which comes to be after its tasks.
@@ -71,9 +71,9 @@
 }
 
 // budgets are the module's limits on what the whole fleet does; none without a fleet's file that has them.
-func budgets(file *fleet.Config) (b decide.Budgets) {
+func budgets(file *fleet.Config) (b routing.Budgets) {
 	if file != nil && file.Budgets != nil {
-		b = decide.Budgets{Fraction: file.MinFraction(), PollsPerReplica: file.Budgets.PollsPerReplica, RetriesPerRequest: file.Budgets.RetriesPerRequest, RetriesPerSecond: file.Budgets.RetriesPerSecond}
+		b = routing.Budgets{Fraction: file.MinFraction(), PollsPerReplica: file.Budgets.PollsPerReplica, RetriesPerRequest: file.Budgets.RetriesPerRequest, RetriesPerSecond: file.Budgets.RetriesPerSecond}
 	}
 	return b
 }
@@ -94,11 +94,11 @@
 }
 
 // keepTo sets up what keeps the core to its subset of the replicas; nil where the fleet's file asks for none.
-func (p *program) keepTo(file *fleet.Config, cfg *wire.Config, router decide.Config) *subsetter.Controller {
+func (p *program) keepTo(file *fleet.Config, cfg *wire.Config, router routing.Config) *subsetter.Controller {
 	if file == nil || file.SubsetReaders == 0 {
 		return nil
 	}
-	var roles []decide.Role
+	var roles []routing.Role
 	for _, k := range router.Kinds {
 		roles = append(roles, k.Role)
 	}
@@ -384,7 +384,7 @@
 	return nil
 }
 
-func printLists(out io.Writer, s lists.Status) error {
+func printLists(out io.Writer, s endpointfilter.Status) error {
 	fmt.Fprintf(out, "list %d; %d replicas held back by newer lists of others, %d such lists came, %d times they would have ended too much\n", s.List, s.Suppressed, s.PeerLists, s.Rejected)
 	return nil
 }
--- a/internal/program/golden_test.go
+++ b/internal/program/golden_test.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/ops"
 	"rampspread/internal/state"
 	"rampspread/internal/system"
@@ -241,14 +241,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, at := range []claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered} {
+	for i, at := range []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered} {
 		n := byte(i + 1)
-		record := claim.Record{Attempt: claim.Attempt{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
-			Digest: claim.Digest{n}, State: at, WrittenAt: time.Duration(n) * time.Minute, AttemptDeadline: time.Duration(n) * time.Hour}
-		if at == claim.Answered {
+		record := idempotency.Record{Attempt: idempotency.Attempt{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
+			Digest: idempotency.Digest{n}, State: at, WrittenAt: time.Duration(n) * time.Minute, AttemptDeadline: time.Duration(n) * time.Hour}
+		if at == idempotency.Answered {
 			record.Answer = []byte("{...}")
 		}
-		if err := s.Put(claim.Key{n}, record); err != nil {
+		if err := s.Put(idempotency.Key{n}, record); err != nil {
 			t.Fatal(err)
 		}
 	}
