--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -5,11 +5,11 @@
 	"log/slog"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/chat"
-	"rampspread/internal/state/handover"
 	"rampspread/internal/state/inflight"
+	"rampspread/internal/state/statetransfer"
 	"rampspread/internal/system"
+	"rampspread/routing"
 )
 
 // shareOpen shares what is in hand with other processes of this name on this machine, where they have a folder in common.
@@ -39,14 +39,14 @@
 
 // handOver begins with what another process of this name has learnt, and then leaves what this one learns to those that ask, until
 // the context ends.
-func (p *program) handOver(ctx context.Context, at handover.Exchange) {
+func (p *program) handOver(ctx context.Context, at statetransfer.Exchange) {
 	at.Request(ctx, p.core.Restore)
-	at.Serve(ctx, func() (decide.Snapshot, bool) { return p.core.Snapshot(ctx, handover.MaxPrefixes) })
+	at.Serve(ctx, func() (routing.Snapshot, bool) { return p.core.Snapshot(ctx, statetransfer.MaxPrefixes) })
 }
 
 // leave leaves what this process has learnt: it goes.
-func (p *program) leave(ctx context.Context, at handover.Exchange) {
-	b, ok := p.core.Snapshot(ctx, handover.MaxPrefixes)
+func (p *program) leave(ctx context.Context, at statetransfer.Exchange) {
+	b, ok := p.core.Snapshot(ctx, statetransfer.MaxPrefixes)
 	if !ok {
 		return
 	}
@@ -62,8 +62,8 @@
 }
 
 // as is whose beliefs are packed: the fleet's, under the settings in force.
-func (k peers) as() handover.Exchange {
-	return handover.Exchange{Machine: k.p.machine, Name: k.fleet, Settings: k.p.settings.Load()}
+func (k peers) as() statetransfer.Exchange {
+	return statetransfer.Exchange{Machine: k.p.machine, Name: k.fleet, Settings: k.p.settings.Load()}
 }
 
 // Tell implements fleet.Knows.
--- a/internal/program/newest.go
+++ b/internal/program/newest.go
@@ -7,10 +7,10 @@
 	"io/fs"
 	"log/slog"
 
-	"rampspread/internal/core"
 	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/state/atomicfile"
-	"rampspread/internal/state/lastlist"
+	"rampspread/internal/state/endpointcache"
 	"rampspread/internal/system"
 )
 
@@ -28,14 +28,14 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		return lastlist.Save(p.machine, files.state, lastlist.Cached{Owner: p.listOwner(files), SavedAt: system.Now(p.machine), Version: held.Generation, Entries: entries})
+		return endpointcache.Save(p.machine, files.state, endpointcache.Cached{Owner: p.listOwner(files), SavedAt: system.Now(p.machine), Version: held.Generation, Entries: entries})
 	})
 }
 
 // listOwner says whose list a process stores, and of which discovery: it may have moved.
-func (p *program) listOwner(files checked) lastlist.Owner {
+func (p *program) listOwner(files checked) endpointcache.Owner {
 	who := files.identity()
-	return lastlist.Owner{Fleet: who.Fleet, Name: who.Name, Discovery: p.watch.Address()}
+	return endpointcache.Owner{Fleet: who.Fleet, Name: who.Name, Discovery: p.watch.Address()}
 }
 
 // firstList is the list to begin with: that of the configuration, or a newer one that an earlier life has stored. One that is
@@ -49,7 +49,7 @@
 	if files.state == "" {
 		return l, nil
 	}
-	kept, err := lastlist.Load(files.state, p.listOwner(files), system.Now(p.machine))
+	kept, err := endpointcache.Load(files.state, p.listOwner(files), system.Now(p.machine))
 	stored := discovery.List{Generation: kept.Version, Reset: true}
 	if err == nil {
 		err = json.Unmarshal(kept.Entries, &stored.Instances)
@@ -66,6 +66,6 @@
 }
 
 // andKeep tells a keeper of each list that is handed on.
-func andKeep(k *atomicfile.Saver) func(bool, []core.Endpoint) {
-	return func(bool, []core.Endpoint) { k.MarkDirty() }
+func andKeep(k *atomicfile.Saver) func(bool, []dispatch.Endpoint) {
+	return func(bool, []dispatch.Endpoint) { k.MarkDirty() }
 }
--- a/internal/program/serve.go
+++ b/internal/program/serve.go
@@ -20,19 +20,19 @@
 	"rampspread/internal/accept"
 	"rampspread/internal/chat"
 	"rampspread/internal/clients"
-	"rampspread/internal/core"
 	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
-	"rampspread/internal/fleet/claims"
-	"rampspread/internal/fleet/lists"
+	"rampspread/internal/fleet/endpointfilter"
+	"rampspread/internal/fleet/idempotencyquorum"
+	"rampspread/internal/fleet/leasedtasks"
 	"rampspread/internal/fleet/subsetter"
-	"rampspread/internal/fleet/tasks"
 	"rampspread/internal/ops"
-	"rampspread/internal/permit"
+	"rampspread/internal/precondition"
 	"rampspread/internal/servers"
-	"rampspread/internal/state/handover"
+	"rampspread/internal/state/fencing"
 	"rampspread/internal/state/inflight"
-	"rampspread/internal/state/terms"
+	"rampspread/internal/state/statetransfer"
 	"rampspread/internal/system"
 	"rampspread/internal/wire"
 	"rampspread/internal/xds"
@@ -44,8 +44,8 @@
 // program is one running dispatcher.
 type program struct {
 	machine  system.System
-	audit    permit.ViolationCounter
-	core     *core.Dispatcher
+	audit    precondition.ViolationCounter
+	core     *dispatch.Dispatcher
 	pool     *servers.Pool
 	watch    *discovery.Watcher
 	front    *clients.Front
@@ -56,18 +56,18 @@
 	guards   []*clients.Guard
 	servers  []*http.Server
 	listens  []net.Listener
-	fleet    *fleet.Node                // nil: alone
-	member   atomic.Pointer[fleet.Node] // the same, for goroutines that began before it
-	tasks    *tasks.Tasks               // of the fleet; nil: alone
-	beside   *inflight.Table            // nil: no other process of this name is looked for
-	claims   *claims.Coordinator        // nil: the chat front's own table is all
-	keeper   *subsetter.Controller      // nil: it keeps to all replicas
-	lists    *lists.Filter              // nil: its own list is all
-	numbers  *terms.TokenFloor          // of the fleet's leases; nil: none outlives the process
-	shutOut  atomic.Bool                // drained for being behind
-	settings atomic.Uint64              // fingerprint of the settings in force,
-	grace    atomic.Int64               // and for how long after SIGTERM they let a process live, in ns
-	classes  wire.Classes               // the module's classes; only reload changes them, in one goroutine
+	fleet    *fleet.Node                    // nil: alone
+	member   atomic.Pointer[fleet.Node]     // the same, for goroutines that began before it
+	tasks    *leasedtasks.Tasks             // of the fleet; nil: alone
+	beside   *inflight.Table                // nil: no other process of this name is looked for
+	claims   *idempotencyquorum.Coordinator // nil: the chat front's own table is all
+	keeper   *subsetter.Controller          // nil: it keeps to all replicas
+	lists    *endpointfilter.Filter         // nil: its own list is all
+	numbers  *fencing.TokenFloor            // of the fleet's leases; nil: none outlives the process
+	shutOut  atomic.Bool                    // drained for being behind
+	settings atomic.Uint64                  // fingerprint of the settings in force,
+	grace    atomic.Int64                   // and for how long after SIGTERM they let a process live, in ns
+	classes  wire.Classes                   // the module's classes; only reload changes them, in one goroutine
 }
 
 // options are what the command line says of a dispatcher besides its files' content.
@@ -102,7 +102,7 @@
 	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.Probing, budgets(files.fleet)
 	p := &program{machine: machine, classes: classes, bodies: semaphore.NewWeighted(memory / 8)}
 	p.pool = servers.New(&cfg.Settings, max(sockets/8, 4), max(sockets/8, 4), machine)
-	if p.core, err = core.New(router, seed, p.pool, machine, &p.audit); err != nil {
+	if p.core, err = dispatch.New(router, seed, p.pool, machine, &p.audit); err != nil {
 		return err
 	}
 	failed := make(chan error, 4)
@@ -130,7 +130,7 @@
 		publish = also(publish, proxies.Publish)
 	}
 	if files.fleet != nil && files.fleet.EndpointFilter {
-		p.lists = lists.New(publish, listOf{p}.Version, time.Now)
+		p.lists = endpointfilter.New(publish, listOf{p}.Version, time.Now)
 		publish = p.lists.UpdateOwn
 	}
 	kept := p.keepList(files)
@@ -162,7 +162,7 @@
 		tasks.Go(func() { kept.Run(running) })
 	}
 	if files.state != "" && files.fleet != nil {
-		p.numbers = terms.Open(machine, files.state, terms.Owner(files.identity()))
+		p.numbers = fencing.Open(machine, files.state, fencing.Owner(files.identity()))
 		tasks.Go(func() { p.numbers.Run(running) })
 	}
 	tasks.Go(func() { p.watch.Run(running) })
@@ -172,7 +172,7 @@
 	if p.claims != nil {
 		tasks.Go(func() { p.claims.Run(running) })
 	}
-	at := handover.Exchange{Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: p.settings.Load()}
+	at := statetransfer.Exchange{Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: p.settings.Load()}
 	if o.handover != "" {
 		tasks.Go(func() { p.handOver(running, at) })
 	}
@@ -265,8 +265,8 @@
 }
 
 // also hands a list to both.
-func also(first, second func(bool, []core.Endpoint)) func(bool, []core.Endpoint) {
-	return func(full bool, entries []core.Endpoint) {
+func also(first, second func(bool, []dispatch.Endpoint)) func(bool, []dispatch.Endpoint) {
+	return func(full bool, entries []dispatch.Endpoint) {
 		first(full, entries)
 		second(full, entries)
 	}
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 
 	"rampspread/internal/chat"
-	"rampspread/internal/fleet/claim"
-	"rampspread/internal/fleet/claims"
+	"rampspread/internal/fleet/idempotency"
+	"rampspread/internal/fleet/idempotencyquorum"
 	"rampspread/internal/state"
 )
 
@@ -27,8 +27,8 @@
 
 // ledger sets up who may run a filing: the fleet's keepers where its file says so, this process alone where it has a state; nil
 // where the chat front's own table is all.
-func (p *program) ledger(files checked, now time.Time) (*claims.Coordinator, error) {
-	cfg := claims.Config{Name: files.config.Name, Incarnation: uint64(now.UnixNano()), Send: func(to string, message []byte, large bool) {
+func (p *program) ledger(files checked, now time.Time) (*idempotencyquorum.Coordinator, error) {
+	cfg := idempotencyquorum.Config{Name: files.config.Name, Incarnation: uint64(now.UnixNano()), Send: func(to string, message []byte, large bool) {
 		if n := p.member.Load(); n != nil {
 			n.SendIdempotency(to, message, large)
 		}
@@ -39,7 +39,7 @@
 		f := files.fleet.Idempotency
 		cfg.Replicas, cfg.Secret, cfg.Limits.Retention, cfg.Limits.Entries = files.fleet.Voters, files.fleet.Secret(), f.Keep(), f.Entries
 		if !files.fleet.IsVoter(cfg.Name) {
-			return claims.New(cfg), nil
+			return idempotencyquorum.New(cfg), nil
 		}
 	case files.state != "" && files.chat != nil:
 		cfg.Replicas, cfg.Secret = []string{cfg.Name}, []byte(cfg.Name)
@@ -68,7 +68,7 @@
 		}
 		return open()
 	}
-	return claims.New(cfg), nil
+	return idempotencyquorum.New(cfg), nil
 }
 
 // filingsCall is the operators' call that shows who may run filings, as one line of JSON.
@@ -79,7 +79,7 @@
 	return shown(p.claims.Status())
 }
 
-func printFilings(out io.Writer, s claims.Status) error {
+func printFilings(out io.Writer, s idempotencyquorum.Status) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tKEEPS\tKEYS\tGRANTED\tIN\tREFUSED\tNO MAJORITY\tDROPPED\tERRORS\tBAD")
 	keeps := "no"
@@ -117,7 +117,7 @@
 		fmt.Fprintf(out, "%s: the state of %s, with no filing\n", dir, who.Name)
 		return nil
 	}), of("check", "Read a whole state", func(dir string) error {
-		n, bad, err := look(dir, who, func(claim.Key, claim.Record) {})
+		n, bad, err := look(dir, who, func(idempotency.Key, idempotency.Record) {})
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	}), of("show", "Show the filings of a state", func(dir string) error {
 		t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "KEY\tSTATE\tBY\tAT\tANSWER")
-		n, bad, err := look(dir, who, func(k claim.Key, r claim.Record) {
+		n, bad, err := look(dir, who, func(k idempotency.Key, r idempotency.Record) {
 			fmt.Fprintf(t, "%x\t%s\t%s\t%s\t%d bytes\n", k[:], r.State, r.Attempt.Name, r.WrittenAt.Round(time.Second), len(r.Answer))
 		})
 		if err != nil {
@@ -145,13 +145,13 @@
 }
 
 // look reads a state that no process has, and calls f with each filing that can be read.
-func look(dir string, who state.Identity, f func(claim.Key, claim.Record)) (n, bad int, err error) {
+func look(dir string, who state.Identity, f func(idempotency.Key, idempotency.Record)) (n, bad int, err error) {
 	s, err := state.OpenReadOnly(dir, who)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer s.Close()
-	err = s.Each(func(k claim.Key, r claim.Record, err error) {
+	err = s.Each(func(k idempotency.Key, r idempotency.Record, err error) {
 		if n++; err != nil {
 			bad++
 			return
--- a/internal/program/state_golden_test.go
+++ b/internal/program/state_golden_test.go
@@ -8,7 +8,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state"
 	"rampspread/internal/wire"
 )
@@ -39,10 +39,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for key, record := range map[claim.Key]claim.Record{
-		{1, 15: 2}: {Attempt: claim.Attempt{Name: "n2", Incarnation: 3, Seq: 4}, State: claim.Answered, WrittenAt: 90061*time.Second + 1, Answer: []byte("answer")},
-		{5, 15: 6}: {Attempt: claim.Attempt{Name: "member-three", Incarnation: 7, Seq: 8}, State: claim.InFlight, WrittenAt: 1501 * time.Millisecond},
-		{9, 15: 0}: {Attempt: claim.Attempt{Name: "n4", Incarnation: 10, Seq: 11}, State: claim.MayHaveRun, WrittenAt: time.Minute},
+	for key, record := range map[idempotency.Key]idempotency.Record{
+		{1, 15: 2}: {Attempt: idempotency.Attempt{Name: "n2", Incarnation: 3, Seq: 4}, State: idempotency.Answered, WrittenAt: 90061*time.Second + 1, Answer: []byte("answer")},
+		{5, 15: 6}: {Attempt: idempotency.Attempt{Name: "member-three", Incarnation: 7, Seq: 8}, State: idempotency.InFlight, WrittenAt: 1501 * time.Millisecond},
+		{9, 15: 0}: {Attempt: idempotency.Attempt{Name: "n4", Incarnation: 10, Seq: 11}, State: idempotency.MayHaveRun, WrittenAt: time.Minute},
 	} {
 		if err := s.Put(key, record); err != nil {
 			t.Fatal(err)
@@ -88,7 +88,7 @@
 		if err := meta.Put([]byte("format"), []byte{0, 0, 0, 0, 0, 0, 0, 1}); err != nil {
 			return err
 		}
-		key := claim.Key{5, 15: 6}
+		key := idempotency.Key{5, 15: 6}
 		record := bytes.Clone(claims.Get(key[:]))
 		record[len(record)-1] ^= 1
 		return claims.Put(key[:], record)
--- a/internal/rig/filings.go
+++ b/internal/rig/filings.go
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"rampspread/internal/fleet/claims"
+	"rampspread/internal/fleet/idempotencyquorum"
 	"rampspread/internal/rig/fault"
 	"rampspread/internal/rig/history"
 )
@@ -149,7 +149,7 @@
 }
 
 // report counts what ran, by what the writers saw.
-func (f *filer) report(events []history.Event, status []claims.Status) *Filings {
+func (f *filer) report(events []history.Event, status []idempotencyquorum.Status) *Filings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ran := map[string]int{}
@@ -187,4 +187,6 @@
 }
 
 // Filings is a dispatcher's part in who may run filings.
-func (r *Run) Filings(d int) (claims.Status, error) { return shown[claims.Status](r, d, "filings") }
+func (r *Run) Filings(d int) (idempotencyquorum.Status, error) {
+	return shown[idempotencyquorum.Status](r, d, "filings")
+}
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/fleet/claims"
+	"rampspread/internal/fleet/idempotencyquorum"
 	"rampspread/internal/rig/fault"
 	"rampspread/internal/rig/history"
 	"rampspread/internal/system"
@@ -318,7 +318,7 @@
 	stopWatching()
 	watchers.Wait()
 	c.close()
-	var filings []claims.Status
+	var filings []idempotencyquorum.Status
 	for d := range r.procs {
 		if s, err := r.Filings(d); err == nil {
 			filings = append(filings, s)
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -96,22 +96,22 @@
 // mutants are faults that are built into the program, each on every layer that would keep it from showing.
 var programMutants = map[string][]replacement{
 	"an attempt after the client's close": {
-		{"internal/permit/permit.go", "case s.ClientGone:", "case false:"},
-		{"internal/permit/permit.go", "case b.ClientGone:", "case false:"},
-		{"internal/core/core.go", "	case <-client.Done():\n		c.post(func() { c.left(q) })\n", ""},
-		{"internal/core/core.go", "if q.gone() {", "if false {"},
+		{"internal/precondition/precondition.go", "case s.ClientGone:", "case false:"},
+		{"internal/precondition/precondition.go", "case b.ClientGone:", "case false:"},
+		{"internal/dispatch/dispatcher.go", "	case <-client.Done():\n		c.post(func() { c.left(q) })\n", ""},
+		{"internal/dispatch/dispatcher.go", "if q.gone() {", "if false {"},
 	},
 	"a resend of what may have run": {
-		{"internal/permit/permit.go", "repeat := s.Runs && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
-		{"decide/outcome.go", "		r.giveUp(q, MayHaveRun, 0)\n		return", "		r.release(q, ReadAgain)\n		q.phase = arrived\n		r.advance(q)\n		return"},
-		{"decide/write.go", "if c.Effect == Safe {", "if true {"},
+		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
+		{"routing/outcome.go", "		r.rejectOrFail(q, MayHaveRun, 0)\n		return", "		r.release(q, BeforePrefillRetry)\n		q.state = awaitingPrefill\n		r.advance(q)\n		return"},
+		{"routing/decode.go", "if c.Idempotency == Idempotent {", "if true {"},
 	},
 	"a send after a drain was told": {
-		{"internal/core/core.go", "s := decide.Server{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State,",
-			"l.state = decide.Ready\n		s := decide.Server{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: decide.Ready,"},
+		{"internal/dispatch/dispatcher.go", "s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State,",
+			"l.state = routing.Ready\n		s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: routing.Ready,"},
 	},
 	"a write that counts as out once it was sent": {
-		{"decide/held.go", "	if !q.hold.may {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
+		{"routing/reservation.go", "	if !q.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
 	},
 	"a drain that goes on taking requests": {
 		{"internal/clients/drain.go", "return d.lasted(now) < drainTakes", "return true"},
@@ -121,7 +121,7 @@
 	},
 	"a close over a read request": {
 		{"internal/clients/guard.go", "		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}",
-			"		if cause == permit.AtShutdown && !k.idle {\n			g.drop(c)\n			c.Close()\n			continue\n		}\n		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}"},
+			"		if cause == precondition.AtShutdown && !k.idle {\n			g.drop(c)\n			c.Close()\n			continue\n		}\n		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}"},
 	},
 }
 
@@ -166,6 +166,13 @@
 	return path
 }
 
+// Each mutant changes source text that is there, so that code which is moved or renamed takes its mutants along.
+func TestMutantsChangeTheProgram(t *testing.T) {
+	for name, changes := range programMutants {
+		t.Run(name, func(t *testing.T) { overlay(t, changes) })
+	}
+}
+
 // The oracle catches each mutant of the program by what the stand-ins saw. It runs where RAMPSPREAD_MUTANTS is set: it builds and plays for
 // minutes.
 func TestSoakCatchesMutants(t *testing.T) {
--- a/internal/servers/golden_test.go
+++ b/internal/servers/golden_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/servers"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -24,7 +24,7 @@
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
 // recorder is a replica that answers each request alike, and hands on its bytes as they came.
-func recorder(t *testing.T, answer string) (to core.Target, requests <-chan string) {
+func recorder(t *testing.T, answer string) (to dispatch.Target, requests <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", testkit.Net()+"1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 			conn.Close()
 		}
 	}()
-	return core.Target{Name: "replica-1", Addr: l.Addr().String()}, out
+	return dispatch.Target{Name: "replica-1", Addr: l.Addr().String()}, out
 }
 
 // The bytes of each kind of request that replicas are sent.
@@ -59,7 +59,7 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	var all strings.Builder
-	record := func(name string, to core.Target, request string) {
+	record := func(name string, to dispatch.Target, request string) {
 		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
 		fmt.Fprintf(&all, "# %s\n%s\n\n", name, strings.ReplaceAll(request, "\r\n", "\n"))
 	}
@@ -68,21 +68,21 @@
 	ev := newEvents()
 	withType := call
 	withType.ContentType = "application/json"
-	pool.Send(core.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, ev)
+	pool.Send(dispatch.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, ev)
 	record("a call", to, <-requests)
-	if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.CachedTokens != 3 {
+	if o := <-ev.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 3 {
 		t.Errorf("%+v", o)
 	}
 
 	to, requests = recorder(t, taken)
-	pool.Release(core.Call{ID: "id-2"}, []core.Target{to})
+	pool.Release(dispatch.Call{ID: "id-2"}, []dispatch.Target{to})
 	record("a release", to, <-requests)
 	testkit.Eventually(t, "the release", func() bool { return pool.Releasing() == 0 })
 
 	to, requests = recorder(t, loads)
 	for _, duty := range []string{"", "duty-1 7"} {
-		told := make(chan *decide.LoadReport, 1)
-		pool.PollLoadFor(duty, to, 5*time.Second, func(l *decide.LoadReport) { told <- l })
+		told := make(chan *routing.LoadReport, 1)
+		pool.PollLoadFor(duty, to, 5*time.Second, func(l *routing.LoadReport) { told <- l })
 		record("a probe, duty "+fmt.Sprintf("%q", duty), to, <-requests)
 		if l := <-told; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
 			t.Errorf("load %+v", l)
@@ -93,14 +93,14 @@
 
 // What a replica's answer says: its status, its proof that nothing ran, and its load report.
 func TestGoldenOutcomes(t *testing.T) {
-	report := &decide.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
-	for head, want := range map[string]core.AttemptResult{
-		"202 Accepted": {Outcome: decide.PrefillDone, CachedTokens: 3, Load: report},
-		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: decide.QueueFull, Load: report},
-		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: decide.QueueFull, Load: report},
-		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: decide.StateMissing, Load: report},
-		"500 Internal Server Error":                  {Outcome: decide.Errored, Load: report},
-		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: decide.Errored, Load: report},
+	report := &routing.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
+	for head, want := range map[string]dispatch.AttemptResult{
+		"202 Accepted": {Outcome: routing.PrefillDone, CachedTokens: 3, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: routing.QueueFull, Load: report},
+		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: routing.QueueFull, Load: report},
+		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: routing.StateMissing, Load: report},
+		"500 Internal Server Error":                  {Outcome: routing.Errored, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: routing.Errored, Load: report},
 	} {
 		to, _ := recorder(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
 			"Content-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}")
--- a/internal/servers/local_test.go
+++ b/internal/servers/local_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/servers"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 // A moment in which this process has no descriptor left is no fault of the replica's, and costs the attempt a moment.
@@ -26,12 +26,12 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
 	time.Sleep(30 * time.Millisecond)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	if o := <-ev.ended; o.Outcome != decide.PrefillDone {
+	if o := <-ev.ended; o.Outcome != routing.PrefillDone {
 		t.Errorf("ended with %d, want a read", o.Outcome)
 	}
 }
--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -20,11 +20,11 @@
 	"sync/atomic"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
-	"rampspread/internal/permit"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/precondition"
 	"rampspread/internal/system"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const (
@@ -136,17 +136,17 @@
 // attempt implements core.Attempt.
 type attempt struct {
 	pool   *Pool
-	order  core.AttemptSpec
+	order  dispatch.AttemptSpec
 	until  time.Time // for all of it
 	window time.Time // with order.Repeat: until then servers drop repeats
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu        sync.Mutex
-	body      *body         // of the exchange that is out
-	writing   bool          // its first byte may have been written
-	withdrawn bool          // nothing of it may be written that has not begun
-	refused   permit.Reason // why its first byte was not written
+	body      *body               // of the exchange that is out
+	writing   bool                // its first byte may have been written
+	withdrawn bool                // nothing of it may be written that has not begun
+	refused   precondition.Reason // why its first byte was not written
 }
 
 // Abort implements core.Attempt.
@@ -182,29 +182,29 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refused = permit.FirstByte{
+	a.refused = precondition.FirstByte{
 		Withdrawn:   a.withdrawn,
 		ClientGone:  a.order.ClientGone != nil && a.order.ClientGone(),
 		TimeLeft:    a.until.Sub(now),
 		Retry:       a.order.Retry,
 		DedupWindow: a.window.Sub(now),
 	}.Check()
-	a.writing = a.refused == permit.Allowed
+	a.writing = a.refused == precondition.Allowed
 	return a.writing
 }
 
 // why is why the attempt did not begin; permit.Allowed: it did, or nothing kept it from that.
-func (a *attempt) why() permit.Reason {
+func (a *attempt) why() precondition.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.refused == permit.Allowed && a.withdrawn && !a.writing {
-		return permit.Withdrawn
+	if a.refused == precondition.Allowed && a.withdrawn && !a.writing {
+		return precondition.Withdrawn
 	}
 	return a.refused
 }
 
 // Send implements core.Servers.
-func (p *Pool) Send(order core.AttemptSpec, ev core.AttemptObserver) core.Attempt {
+func (p *Pool) Send(order dispatch.AttemptSpec, ev dispatch.AttemptObserver) dispatch.Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := time.Now()
 	a := &attempt{pool: p, order: order, until: now.Add(order.Timeout), window: now.Add(order.DedupWindow), ctx: ctx, cancel: cancel,
@@ -213,7 +213,7 @@
 	return a
 }
 
-func (a *attempt) run(ev core.AttemptObserver) {
+func (a *attempt) run(ev dispatch.AttemptObserver) {
 	a.pool.awaitRelease(a.ctx, a.order.Call.ID)
 	x := newExchange(a)
 	resp, err := x.roundTrip()
@@ -244,15 +244,15 @@
 
 // failed tells of an attempt without an answer's head. One that this side kept from beginning, or this machine from connecting, has no
 // bearing on the replica.
-func (a *attempt) failed(x *exchange, err error, ev core.AttemptObserver) {
+func (a *attempt) failed(x *exchange, err error, ev dispatch.AttemptObserver) {
 	a.giveUp(x.wrote.Load())
 	outcome, why := x.lost(), a.why()
-	if outcome == decide.ConnectFailed && !x.wrote.Load() && (why != permit.Allowed || errors.Is(err, errLocal)) {
-		outcome = decide.NotSent
+	if outcome == routing.ConnectFailed && !x.wrote.Load() && (why != precondition.Allowed || errors.Is(err, errLocal)) {
+		outcome = routing.NotSent
 	}
 	slog.Info("call_failed", "id", a.order.Call.ID, "server", a.order.Target.Name, "outcome", outcome, "why", why.String(),
 		"idle", time.Duration(x.idle.Load()), "err", err)
-	ev.Ended(core.AttemptResult{Outcome: outcome, StreamStarted: x.begun.Load()})
+	ev.Ended(dispatch.AttemptResult{Outcome: outcome, StreamStarted: x.begun.Load()})
 }
 
 // renew begins the attempt anew on another connection; nil: it was given up meanwhile.
@@ -382,19 +382,19 @@
 
 // spent tells whether the call was to go over a used connection that turned out to be closed, before the last
 // byte was written.
-func (x *exchange) spent() bool { return x.idle.Load() >= 0 && x.lost() == decide.ConnectFailed }
+func (x *exchange) spent() bool { return x.idle.Load() >= 0 && x.lost() == routing.ConnectFailed }
 
 // lost tells apart what never ran from what may have, by whether the last byte was written.
-func (x *exchange) lost() decide.Outcome {
+func (x *exchange) lost() routing.Outcome {
 	x.body.mu.Lock()
 	defer x.body.mu.Unlock()
 	switch {
 	case !x.wrote.Load(), x.stale.Load(), x.written.Load() && x.unsent.Load():
-		return decide.ConnectFailed
+		return routing.ConnectFailed
 	case x.written.Load(), x.body.given:
-		return decide.ConnectionReset
+		return routing.ConnectionReset
 	}
-	return decide.ConnectFailed // no connection came up, or the write was cut off
+	return routing.ConnectFailed // no connection came up, or the write was cut off
 }
 
 func newRequest(ctx context.Context, method, addr, target string) (*http.Request, error) {
@@ -418,12 +418,12 @@
 }
 
 // outcome reads an answer that is no stream.
-func (p *Pool) outcome(resp *http.Response, data []byte, err error) core.AttemptResult {
-	o := core.AttemptResult{Outcome: decide.Errored, Load: p.load(resp.Header.Get("Endpoint-Load-Metrics"))}
+func (p *Pool) outcome(resp *http.Response, data []byte, err error) dispatch.AttemptResult {
+	o := dispatch.AttemptResult{Outcome: routing.Errored, Load: p.load(resp.Header.Get("Endpoint-Load-Metrics"))}
 	neverRan := resp.Header.Get("X-Never-Ran") == "1"
 	switch resp.StatusCode {
 	case http.StatusAccepted:
-		o.Outcome = decide.PrefillDone
+		o.Outcome = routing.PrefillDone
 		var read struct {
 			CachedTokens int `json:"cached_tokens"`
 		}
@@ -436,11 +436,11 @@
 		o.CachedTokens = max(read.CachedTokens, 0)
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if neverRan {
-			o.Outcome = decide.QueueFull
+			o.Outcome = routing.QueueFull
 		}
 	case http.StatusGone:
 		if neverRan {
-			o.Outcome = decide.StateMissing
+			o.Outcome = routing.StateMissing
 		}
 	case http.StatusInternalServerError:
 	default:
@@ -451,7 +451,7 @@
 }
 
 // load reads a load report such as "TEXT inflight=7, util=0.61"; nil without one.
-func (p *Pool) load(text string) *decide.LoadReport {
+func (p *Pool) load(text string) *routing.LoadReport {
 	rest, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
 	if !ok {
 		if text != "" {
@@ -481,7 +481,7 @@
 }
 
 // PollLoad implements core.Servers.
-func (p *Pool) PollLoad(to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
+func (p *Pool) PollLoad(to dispatch.Target, limit time.Duration, told func(*routing.LoadReport)) {
 	p.PollLoadFor("", to, limit, told)
 }
 
@@ -489,7 +489,7 @@
 const dutyHeader = "X-Duty"
 
 // PollLoadFor is Probe on behalf of the fleet; duty says under which lease.
-func (p *Pool) PollLoadFor(duty string, to core.Target, limit time.Duration, told func(*decide.LoadReport)) {
+func (p *Pool) PollLoadFor(duty string, to dispatch.Target, limit time.Duration, told func(*routing.LoadReport)) {
 	go func() {
 		l, err := p.probe(duty, to, limit)
 		if err != nil {
@@ -499,7 +499,7 @@
 	}()
 }
 
-func (p *Pool) probe(duty string, to core.Target, limit time.Duration) (*decide.LoadReport, error) {
+func (p *Pool) probe(duty string, to dispatch.Target, limit time.Duration) (*routing.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	resp, data, err := p.short(ctx, http.MethodGet, to, loadPath, duty)
@@ -513,7 +513,7 @@
 }
 
 // short makes a call without a body and reads its short answer.
-func (p *Pool) short(ctx context.Context, method string, to core.Target, path, duty string) (*http.Response, []byte, error) {
+func (p *Pool) short(ctx context.Context, method string, to dispatch.Target, path, duty string) (*http.Response, []byte, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { usable(info, nil) }})
 	req, err := newRequest(ctx, method, to.Addr, path)
 	if err != nil {
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -16,26 +16,26 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/decide"
 	"rampspread/internal/clients"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/servers"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
 // events records an attempt's news.
 type events struct {
-	ended  chan core.AttemptResult
-	first  chan core.Stream
+	ended  chan dispatch.AttemptResult
+	first  chan dispatch.Stream
 	reject bool
 }
 
 func newEvents() *events {
-	return &events{ended: make(chan core.AttemptResult, 4), first: make(chan core.Stream, 4)}
+	return &events{ended: make(chan dispatch.AttemptResult, 4), first: make(chan dispatch.Stream, 4)}
 }
 
-func (e *events) FirstToken(s core.Stream) bool {
+func (e *events) FirstToken(s dispatch.Stream) bool {
 	if e.reject {
 		return false
 	}
@@ -43,33 +43,33 @@
 	return true
 }
 
-func (e *events) Ended(o core.AttemptResult) { e.ended <- o }
+func (e *events) Ended(o dispatch.AttemptResult) { e.ended <- o }
 
-var call = core.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
+var call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
 
-func send(t *testing.T, addr string) (core.Attempt, *events) {
+func send(t *testing.T, addr string) (dispatch.Attempt, *events) {
 	t.Helper()
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	t.Cleanup(pool.Close)
-	return pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: 5 * time.Second}, ev), ev
+	return pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: 5 * time.Second}, ev), ev
 }
 
 func TestOutcomes(t *testing.T) {
 	drop := func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) }
 	for name, c := range map[string]struct {
 		script testkit.Script
-		want   decide.Outcome
+		want   routing.Outcome
 	}{
-		"read":              {testkit.Read, decide.PrefillDone},
-		"error":             {testkit.Status(500, false), decide.Errored},
-		"full":              {testkit.Status(503, true), decide.QueueFull},
-		"over":              {testkit.Status(504, true), decide.QueueFull},
-		"503 without proof": {testkit.Status(503, false), decide.Errored},
-		"no state":          {testkit.Status(410, true), decide.StateMissing},
-		"410 without proof": {testkit.Status(410, false), decide.Errored},
-		"unknown":           {testkit.Status(400, false), decide.Errored},
-		"dropped":           {drop, decide.ConnectionReset},
-		"no event":          {testkit.Cut(0, "a"), decide.ConnectionReset},
+		"read":              {testkit.Read, routing.PrefillDone},
+		"error":             {testkit.Status(500, false), routing.Errored},
+		"full":              {testkit.Status(503, true), routing.QueueFull},
+		"over":              {testkit.Status(504, true), routing.QueueFull},
+		"503 without proof": {testkit.Status(503, false), routing.Errored},
+		"no state":          {testkit.Status(410, true), routing.StateMissing},
+		"410 without proof": {testkit.Status(410, false), routing.Errored},
+		"unknown":           {testkit.Status(400, false), routing.Errored},
+		"dropped":           {drop, routing.ConnectionReset},
+		"no event":          {testkit.Cut(0, "a"), routing.ConnectionReset},
 	} {
 		r := testkit.NewReplica(t, c.script)
 		from := time.Now()
@@ -94,7 +94,7 @@
 
 func TestConnectFailed(t *testing.T) {
 	_, ev := send(t, testkit.NoOne(t))
-	if o := <-ev.ended; o.Outcome != decide.ConnectFailed {
+	if o := <-ev.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 }
@@ -130,8 +130,8 @@
 	}()
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
-	for _, want := range []decide.Outcome{decide.PrefillDone, decide.ConnectionReset} {
-		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
+	for _, want := range []routing.Outcome{routing.PrefillDone, routing.ConnectionReset} {
+		pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 		if o := <-ev.ended; o.Outcome != want {
 			t.Fatalf("outcome %d, want %d", o.Outcome, want)
 		}
@@ -152,7 +152,7 @@
 	a, ev := send(t, r.Addr)
 	testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
 	a.Abort()
-	if o := <-ev.ended; o.Outcome != decide.ConnectionReset {
+	if o := <-ev.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 	<-closed
@@ -161,12 +161,12 @@
 // taker gives an attempt up once its stream comes, and notes when, and when its end is told.
 type taker struct{ rejected, ended chan time.Time }
 
-func (e taker) FirstToken(core.Stream) bool {
+func (e taker) FirstToken(dispatch.Stream) bool {
 	e.rejected <- time.Now()
 	return false
 }
 
-func (e taker) Ended(core.AttemptResult) { e.ended <- time.Now() }
+func (e taker) Ended(dispatch.AttemptResult) { e.ended <- time.Now() }
 
 // The end of an attempt that is given up is told once its close has had time to reach the replica, since another goes out right
 // then: bench days with three plays on a core counted such a one as sent again while the first was out.
@@ -176,8 +176,8 @@
 			r := testkit.NewReplica(t, script)
 			pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), taker{make(chan time.Time, 1), make(chan time.Time, 1)}
 			defer pool.Close()
-			a := pool.Send(core.AttemptSpec{Call: core.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
-				Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
+			a := pool.Send(dispatch.AttemptSpec{Call: dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
+				Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, ev)
 			var up time.Time
 			if name == "no answer" {
 				testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
@@ -205,14 +205,14 @@
 	defer pool.Close()
 	big := call
 	big.Body = make([]byte, 64<<20)
-	a := pool.Send(core.AttemptSpec{Call: big, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
+	a := pool.Send(dispatch.AttemptSpec{Call: big, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	a.Abort()
-	if o := <-ev.ended; o.Outcome != decide.ConnectFailed {
+	if o := <-ev.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 }
@@ -239,10 +239,10 @@
 			conn.Close()
 		})
 		pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
-		to := core.Target{Name: "s", Addr: r.Addr}
-		for n, want := range []decide.Outcome{decide.QueueFull, decide.PrefillDone} {
+		to := dispatch.Target{Name: "s", Addr: r.Addr}
+		for n, want := range []routing.Outcome{routing.QueueFull, routing.PrefillDone} {
 			ev := newEvents()
-			pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, ev)
+			pool.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, ev)
 			if o := <-ev.ended; o.Outcome != want {
 				t.Errorf("%v late: call %d ended with %d, want %d", late, n, o.Outcome, want)
 			}
@@ -277,8 +277,8 @@
 	pool, ev := servers.New(settings, 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	from := time.Now()
-	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: 2 * time.Minute}, ev)
-	if o := <-ev.ended; o.Outcome != decide.ConnectFailed {
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: 2 * time.Minute}, ev)
+	if o := <-ev.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 	if took := time.Since(from); took > 10*time.Second { // half of what the connection may take is 30 s
@@ -298,17 +298,17 @@
 	pool := servers.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
 	defer pool.Close()
 	first, second := newEvents(), newEvents()
-	to := core.Target{Name: "s", Addr: r.Addr}
-	out := pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
+	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	out := pool.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
-	waits := pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
+	waits := pool.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
 	waits.Withdraw()
-	if o := <-second.ended; o.Outcome != decide.NotSent { // it says nothing of the replica, unlike a failed connect
+	if o := <-second.ended; o.Outcome != routing.NotSent { // it says nothing of the replica, unlike a failed connect
 		t.Errorf("an attempt without a connection ended with %d", o.Outcome)
 	}
 	out.Withdraw()
 	close(answer)
-	if o := <-first.ended; o.Outcome != decide.PrefillDone {
+	if o := <-first.ended; o.Outcome != routing.PrefillDone {
 		t.Errorf("an attempt that was written ended with %d", o.Outcome)
 	}
 	if total, _ := r.Calls(); total != 1 {
@@ -328,12 +328,12 @@
 	pool := servers.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
 	defer pool.Close()
 	first, second := newEvents(), newEvents()
-	to := core.Target{Name: "s", Addr: r.Addr}
-	pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
+	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
 	const limit, wait = 5 * time.Second, 400 * time.Millisecond
 	from := time.Now()
-	pool.Send(core.AttemptSpec{Call: call, Target: to, Timeout: limit}, second)
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: limit}, second)
 	time.Sleep(wait) // that the time passes is what is tested
 	answer <- true
 	<-first.ended
@@ -356,7 +356,7 @@
 		t.Errorf("read %q, %v", got, err)
 	}
 	s.Close()
-	if o := <-ev.ended; o.Outcome != decide.Served || o.CachedTokens != 4 || len(ev.ended) > 0 {
+	if o := <-ev.ended; o.Outcome != routing.Served || o.CachedTokens != 4 || len(ev.ended) > 0 {
 		t.Errorf("ended %+v and %d more", o, len(ev.ended))
 	}
 }
@@ -368,12 +368,12 @@
 	for n := 1; n < len(whole); n += 7 {
 		r := testkit.NewReplica(t, testkit.Cut(n, "alpha", "beta"))
 		_, ev := send(t, r.Addr)
-		checkEnd(t, ev, whole[:n], decide.ConnectionReset)
+		checkEnd(t, ev, whole[:n], routing.ConnectionReset)
 	}
 }
 
 // checkEnd takes an attempt to its end: the whole events of text, and nothing else, came on.
-func checkEnd(t *testing.T, ev *events, text string, want decide.Outcome) {
+func checkEnd(t *testing.T, ev *events, text string, want routing.Outcome) {
 	t.Helper()
 	if want := testkit.Whole(text); want != "" {
 		s := <-ev.first
@@ -383,7 +383,7 @@
 			t.Errorf("%q: read %q, %v", text, got, err)
 		}
 	}
-	if o := <-ev.ended; o.Outcome != want || o.StreamStarted != (o.Outcome == decide.ConnectionReset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
+	if o := <-ev.ended; o.Outcome != want || o.StreamStarted != (o.Outcome == routing.ConnectionReset && testkit.Whole(text) == "") || len(ev.ended)+len(ev.first) > 0 {
 		t.Errorf("%q: ended %+v, and %d more", text, o, len(ev.ended)+len(ev.first))
 	}
 }
@@ -442,9 +442,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, ev := send(t, testkit.NewReplica(t, testkit.Raw(c.spoilt)).Addr)
-			want := decide.ConnectionReset
+			want := routing.ConnectionReset
 			if strings.HasPrefix(name, "a short") {
-				want = decide.Errored
+				want = routing.Errored
 			}
 			checkEnd(t, ev, c.passed, want)
 		})
@@ -462,7 +462,7 @@
 	s := <-ev.first
 	got, err := io.ReadAll(s)
 	s.Close()
-	if o := <-ev.ended; err != nil || string(got) != text || o.Outcome != decide.Served || o.CachedTokens != 4 || o.Load != nil {
+	if o := <-ev.ended; err != nil || string(got) != text || o.Outcome != routing.Served || o.CachedTokens != 4 || o.Load != nil {
 		t.Errorf("read %q, %v, ended %+v", got, err, o)
 	}
 }
@@ -474,8 +474,8 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	for n := range 200 {
-		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: addr}, Timeout: time.Second}, ev)
-		if o := <-ev.ended; o.Outcome != decide.PrefillDone || o.CachedTokens != 1 {
+		pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: time.Second}, ev)
+		if o := <-ev.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 1 {
 			t.Fatalf("call %d: %+v", n, o)
 		}
 	}
@@ -495,7 +495,7 @@
 	s := <-ev.first
 	got, err := io.ReadAll(s)
 	s.Close()
-	if o := <-ev.ended; err == nil || string(got) != "data: {}\n\n" || o.Outcome != decide.ConnectionReset {
+	if o := <-ev.ended; err == nil || string(got) != "data: {}\n\n" || o.Outcome != routing.ConnectionReset {
 		t.Errorf("read %q, %v, outcome %d", got, err, o.Outcome)
 	}
 }
@@ -510,15 +510,15 @@
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
 	ev.reject = true
-	pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: r.Addr}, Timeout: time.Second}, ev)
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: time.Second}, ev)
 	<-gone
-	if o := <-ev.ended; o.Outcome != decide.ConnectionReset {
+	if o := <-ev.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 }
 
 // silentTargets are so many replicas that take calls and say nothing.
-func silentTargets(t *testing.T, many int) (through []core.Target) {
+func silentTargets(t *testing.T, many int) (through []dispatch.Target) {
 	t.Helper()
 	for i := range many {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -526,7 +526,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		through = append(through, core.Target{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
+		through = append(through, dispatch.Target{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
 	}
 	return through
 }
@@ -539,7 +539,7 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	begin := time.Now()
-	pool.Release(call, append(through, core.Target{Name: "live", Addr: live.Addr}))
+	pool.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 	if took := time.Since(begin); took > 300*time.Millisecond {
 		t.Errorf("it took %v", took)
@@ -553,7 +553,7 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	begin := time.Now()
-	pool.Release(call, append(through, core.Target{Name: "live", Addr: live.Addr}))
+	pool.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(begin) > time.Second })
 	if took := time.Since(begin); took > 600*time.Millisecond {
 		t.Errorf("it took %v", took)
@@ -571,7 +571,7 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	begin := time.Now()
-	pool.Release(call, []core.Target{{Name: "dead", Addr: testkit.NoOne(t)}, {Name: "refusing", Addr: refusing.Listener.Addr().String()}})
+	pool.Release(call, []dispatch.Target{{Name: "dead", Addr: testkit.NoOne(t)}, {Name: "refusing", Addr: refusing.Listener.Addr().String()}})
 	pool.Release(call, nil)
 	testkit.Eventually(t, "its end", func() bool { return pool.Releasing() == 0 })
 	if n, took := calls.Load(), time.Since(begin); n < 3 || n > 20 || took < time.Second {
@@ -585,7 +585,7 @@
 	live := testkit.NewReplica(t, testkit.Read)
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
-	pool.Release(call, []core.Target{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
+	pool.Release(call, []dispatch.Target{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 }
 
@@ -595,7 +595,7 @@
 	dead := testkit.NoOne(t)
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
-	for name, want := range map[string]*decide.LoadReport{
+	for name, want := range map[string]*routing.LoadReport{
 		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5},
 		"TEXT util=much":                  nil,
 		"":                                nil,
@@ -614,15 +614,15 @@
 			}
 			io.WriteString(w, name)
 		}))
-		to, limit := core.Target{Name: "s", Addr: replica.Listener.Addr().String()}, 5*time.Second
+		to, limit := dispatch.Target{Name: "s", Addr: replica.Listener.Addr().String()}, 5*time.Second
 		switch name {
 		case "dead":
 			to.Addr = dead
 		case "silent":
 			limit = 50 * time.Millisecond
 		}
-		told := make(chan *decide.LoadReport, 1)
-		pool.PollLoad(to, limit, func(l *decide.LoadReport) { told <- l })
+		told := make(chan *routing.LoadReport, 1)
+		pool.PollLoad(to, limit, func(l *routing.LoadReport) { told <- l })
 		if got := <-told; !reflect.DeepEqual(got, want) {
 			t.Errorf("%q told %+v, want %+v", name, got, want)
 		}
@@ -641,8 +641,8 @@
 	pool := servers.New(testkit.Settings(t), 8, 8, system.Real())
 	defer pool.Close()
 	for _, duty := range []string{"", "probe/r 7"} {
-		told := make(chan *decide.LoadReport, 1)
-		pool.PollLoadFor(duty, core.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *decide.LoadReport) { told <- l })
+		told := make(chan *routing.LoadReport, 1)
+		pool.PollLoadFor(duty, dispatch.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *routing.LoadReport) { told <- l })
 		if got, l := <-duties, <-told; got != duty || l == nil || l.QueuedRequests != 1 {
 			t.Errorf("asked for %q, told %+v; want %q", got, l, duty)
 		}
@@ -678,12 +678,12 @@
 		}()
 		pool, ev := servers.New(settings, 8, 8, system.Real()), newEvents()
 		defer pool.Close()
-		pool.Send(core.AttemptSpec{Call: call, Target: core.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
+		pool.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, ev)
 		select {
 		case s := <-ev.first:
 			_, err := io.ReadAll(s)
 			s.Close()
-			if o := <-ev.ended; (o.Outcome == decide.Served) != (err == nil) || errors.Is(err, io.EOF) {
+			if o := <-ev.ended; (o.Outcome == routing.Served) != (err == nil) || errors.Is(err, io.EOF) {
 				t.Errorf("outcome %d after %v", o.Outcome, err)
 			}
 		case <-ev.ended:
@@ -702,12 +702,12 @@
 		testkit.Read(w, r, 0)
 	}))
 	defer replica.Close()
-	target := core.Target{Name: "r", Addr: replica.Listener.Addr().String()}
+	target := dispatch.Target{Name: "r", Addr: replica.Listener.Addr().String()}
 	pool, ev := servers.New(testkit.Settings(t), 8, 8, system.Real()), newEvents()
 	defer pool.Close()
-	pool.Release(call, []core.Target{target})
-	pool.Send(core.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, ev)
-	if o := <-ev.ended; o.Outcome != decide.PrefillDone {
+	pool.Release(call, []dispatch.Target{target})
+	pool.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, ev)
+	if o := <-ev.ended; o.Outcome != routing.PrefillDone {
 		t.Errorf("outcome %d", o.Outcome)
 	}
 	if first := <-came; first != http.MethodDelete {
--- a/internal/servers/stream.go
+++ b/internal/servers/stream.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
+	"rampspread/routing"
 )
 
 const (
@@ -35,7 +35,7 @@
 	attempt *attempt
 	body    io.ReadCloser
 	lines   *bufio.Reader
-	ev      core.AttemptObserver
+	ev      dispatch.AttemptObserver
 	events  []byte // whole events not yet handed on
 	whole   bool   // the last event has come
 	err     error
@@ -45,7 +45,7 @@
 }
 
 // stream waits for the first event and offers the stream to the client.
-func (a *attempt) stream(resp *http.Response, ev core.AttemptObserver) {
+func (a *attempt) stream(resp *http.Response, ev dispatch.AttemptObserver) {
 	s := &stream{attempt: a, body: resp.Body, lines: bufio.NewReader(resp.Body), ev: ev}
 	// The head came with the first token, so its event is due.
 	s.watch = time.AfterFunc(firstEvent, a.cancel)
@@ -55,13 +55,13 @@
 		resp.Body.Close()
 		a.giveUp(true)
 		slog.Warn("no_first_event", "id", a.order.Call.ID, "err", s.err)
-		ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset, StreamStarted: true}) // it may have run
+		ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset, StreamStarted: true}) // it may have run
 		return
 	}
 	if !ev.FirstToken(s) {
 		resp.Body.Close()
 		a.giveUp(true)
-		ev.Ended(core.AttemptResult{Outcome: decide.ConnectionReset})
+		ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 	}
 }
 
@@ -165,9 +165,9 @@
 		return
 	}
 	s.ended = true
-	o := core.AttemptResult{Outcome: decide.ConnectionReset}
+	o := dispatch.AttemptResult{Outcome: routing.ConnectionReset}
 	if s.err == io.EOF && len(s.events) == 0 {
-		o.Outcome = decide.Served
+		o.Outcome = routing.Served
 		o.CachedTokens, o.Load = s.attempt.pool.usage(s.tail)
 	} else if s.err != nil {
 		slog.Warn("stream_broken", "id", s.attempt.order.Call.ID, "err", s.err)
@@ -176,7 +176,7 @@
 }
 
 // usage reads a stream's last lines: the prompt tokens found kept, and the load report in a comment.
-func (p *Pool) usage(tail []byte) (kept int, load *decide.LoadReport) {
+func (p *Pool) usage(tail []byte) (kept int, load *routing.LoadReport) {
 	for line := range strings.Lines(string(tail)) {
 		line = strings.TrimSpace(line)
 		if text, ok := strings.CutPrefix(line, ": Endpoint-Load-Metrics:"); ok {
--- a/internal/state/lastlist/lastlist.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -1,6 +1,6 @@
-// Package lastlist keeps on the disk the newest list of servers that a process has acted on, for its next life: one that starts
+// Package endpointcache keeps on the disk the newest list of servers that a process has acted on, for its next life: one that starts
 // while discovery is silent would else act on the list of its configuration, and send to servers that it knew to be leaving.
-package lastlist
+package endpointcache
 
 import (
 	"encoding/json"
--- a/internal/state/lastlist/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -1,4 +1,4 @@
-package lastlist
+package endpointcache
 
 import (
 	"bytes"
--- a/internal/state/terms/terms.go
+++ b/internal/state/fencing/fencing.go
@@ -1,6 +1,6 @@
-// Package terms keeps on the disk a bound on the numbers of the fleet's leases, so that they grow over the lives of members that
+// Package fencing keeps on the disk a bound on the numbers of the fleet's leases, so that they grow over the lives of members that
 // are all killed at once: results of leases from before would else be taken for newer ones.
-package terms
+package fencing
 
 import (
 	"context"
--- a/internal/state/terms/golden_test.go
+++ b/internal/state/fencing/golden_test.go
@@ -1,4 +1,4 @@
-package terms
+package fencing
 
 import (
 	"bytes"
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -13,7 +13,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state/internal/golden"
 )
 
@@ -24,11 +24,11 @@
 
 var (
 	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
-	goldenRecords  = map[claim.Key]claim.Record{
-		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Attempt: claim.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
-			Digest: claim.Digest{19, 31: 20}, State: claim.Answered, WrittenAt: 21 * time.Second, AttemptDeadline: 22 * time.Second, Answer: []byte("golden answer")},
-		{23, 15: 24}: {Attempt: claim.Attempt{Name: "n3", Incarnation: 25, Seq: 26}, Digest: claim.Digest{27, 31: 28}, State: claim.InFlight, WrittenAt: 29, AttemptDeadline: 30},
-		{31, 15: 32}: {Attempt: claim.Attempt{Name: "n4", Incarnation: 33, Seq: 34}, Digest: claim.Digest{35, 31: 36}, State: claim.MayHaveRun, WrittenAt: 37, AttemptDeadline: 38},
+	goldenRecords  = map[idempotency.Key]idempotency.Record{
+		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Digest: idempotency.Digest{19, 31: 20}, State: idempotency.Answered, WrittenAt: 21 * time.Second, AttemptDeadline: 22 * time.Second, Answer: []byte("golden answer")},
+		{23, 15: 24}: {Attempt: idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26}, Digest: idempotency.Digest{27, 31: 28}, State: idempotency.InFlight, WrittenAt: 29, AttemptDeadline: 30},
+		{31, 15: 32}: {Attempt: idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34}, Digest: idempotency.Digest{35, 31: 36}, State: idempotency.MayHaveRun, WrittenAt: 37, AttemptDeadline: 38},
 	}
 )
 
@@ -116,8 +116,8 @@
 	if !s.lost || s.lived != goldenLived || s.Keys() != len(goldenRecords) {
 		t.Errorf("lost %t, lived %v, %d keys", s.lost, s.lived, s.Keys())
 	}
-	got := map[claim.Key]claim.Record{}
-	if err := s.Each(func(key claim.Key, record claim.Record, err error) {
+	got := map[idempotency.Key]idempotency.Record{}
+	if err := s.Each(func(key idempotency.Key, record idempotency.Record, err error) {
 		if err != nil {
 			t.Error(err)
 		}
@@ -133,7 +133,7 @@
 // A record with every field set, so that one that is new cannot be left out unseen.
 func TestGoldenRecordSetsEveryField(t *testing.T) {
 	for _, record := range goldenRecords {
-		if record.State != claim.Answered {
+		if record.State != idempotency.Answered {
 			continue
 		}
 		for _, v := range []reflect.Value{reflect.ValueOf(record), reflect.ValueOf(record.Attempt)} {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"rampspread/internal/fields"
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 )
 
 const (
@@ -330,7 +330,7 @@
 )
 
 // encode packs a record, with its checksum before it.
-func encode(r claim.Record) []byte {
+func encode(r idempotency.Record) []byte {
 	b := make([]byte, 8, 128+len(r.Answer))
 	text := func(field protowire.Number, v []byte) {
 		b = fields.Bytes(b, field, v)
@@ -353,7 +353,7 @@
 }
 
 // decode reads a record; one whose checksum is off, or that makes no sense, is an error.
-func decode(b []byte) (r claim.Record, err error) {
+func decode(b []byte) (r idempotency.Record, err error) {
 	if len(b) < 8 || xxhash.Sum64(b[8:]) != binary.BigEndian.Uint64(b) {
 		return r, fmt.Errorf("%w: a record's checksum is off", ErrCorrupt)
 	}
@@ -377,26 +377,26 @@
 		case field == fieldSeq:
 			r.Attempt.Seq = v
 		case field == fieldState:
-			r.State = claim.State(v)
+			r.State = idempotency.State(v)
 		case field == fieldAt:
 			r.WrittenAt = time.Duration(v)
 		case field == fieldUntil:
 			r.AttemptDeadline = time.Duration(v)
 		}
 	}
-	if r.State < claim.InFlight || r.State > claim.Answered || r.Attempt.Name == "" {
+	if r.State < idempotency.InFlight || r.State > idempotency.Answered || r.Attempt.Name == "" {
 		return r, fmt.Errorf("%w: a record makes no sense", ErrCorrupt)
 	}
 	return r, nil
 }
 
 // age is a record's place among the ages.
-func age(at time.Duration, key claim.Key) []byte {
+func age(at time.Duration, key idempotency.Key) []byte {
 	return append(encodeNumber(uint64(at)), key[:]...)
 }
 
 // Get implements claim.Store.
-func (s *Store) Get(key claim.Key) (r claim.Record, ok bool, err error) {
+func (s *Store) Get(key idempotency.Key) (r idempotency.Record, ok bool, err error) {
 	defer guard(&err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketClaims).Get(key[:])
@@ -411,7 +411,7 @@
 }
 
 // Put implements claim.Store; what it wrote is on the disk.
-func (s *Store) Put(key claim.Key, r claim.Record) (err error) {
+func (s *Store) Put(key idempotency.Key, r idempotency.Record) (err error) {
 	defer guard(&err)()
 	fresh := false
 	err = s.update(func(e *entries) error {
@@ -444,7 +444,7 @@
 }
 
 // Delete implements claim.Store.
-func (s *Store) Delete(key claim.Key) (err error) {
+func (s *Store) Delete(key idempotency.Key) (err error) {
 	defer guard(&err)()
 	gone := 0
 	err = s.update(func(e *entries) error {
@@ -465,7 +465,7 @@
 		return 0, nil
 	}
 	if r, err := decode(b); err == nil {
-		if err := e.delete(bucketAges, age(r.WrittenAt, claim.Key(key))); err != nil {
+		if err := e.delete(bucketAges, age(r.WrittenAt, idempotency.Key(key))); err != nil {
 			return 0, err
 		}
 	}
@@ -479,7 +479,7 @@
 	limit := encodeNumber(uint64(max(before, 0)))
 	if err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(bucketAges).Cursor()
-		for k, _ := c.First(); k != nil && len(k) == 8+len(claim.Key{}) && string(k[:8]) <= string(limit) && before > 0 && len(due) < most; k, _ = c.Next() {
+		for k, _ := c.First(); k != nil && len(k) == 8+len(idempotency.Key{}) && string(k[:8]) <= string(limit) && before > 0 && len(due) < most; k, _ = c.Next() {
 			due = append(due, append([]byte{}, k...))
 		}
 		return nil
@@ -510,16 +510,16 @@
 }
 
 // Each calls f with every key and record, in no set order; a record that cannot be read comes with its error.
-func (s *Store) Each(f func(claim.Key, claim.Record, error)) (err error) {
+func (s *Store) Each(f func(idempotency.Key, idempotency.Record, error)) (err error) {
 	defer guard(&err)()
 	return s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketClaims).ForEach(func(k, v []byte) error {
-			if len(k) != len(claim.Key{}) {
-				f(claim.Key{}, claim.Record{}, fmt.Errorf("%w: a key of %d bytes", ErrCorrupt, len(k)))
+			if len(k) != len(idempotency.Key{}) {
+				f(idempotency.Key{}, idempotency.Record{}, fmt.Errorf("%w: a key of %d bytes", ErrCorrupt, len(k)))
 				return nil
 			}
 			r, err := decode(v)
-			f(claim.Key(k), r, err)
+			f(idempotency.Key(k), r, err)
 			return nil
 		})
 	})
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"rampspread/internal/fleet/claim"
+	"rampspread/internal/fleet/idempotency"
 )
 
 var who = Identity{Fleet: "f", Name: "n1"}
@@ -35,13 +35,13 @@
 		t.Fatal(err)
 	}
 	s := opened(t, dir)
-	r := claim.Record{Attempt: claim.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: claim.Digest{1, 2, 3}, State: claim.Answered,
+	r := idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: idempotency.Digest{1, 2, 3}, State: idempotency.Answered,
 		WrittenAt: time.Second, AttemptDeadline: time.Hour, Answer: []byte("answer")}
 	for i := range byte(10) {
 		if r.WrittenAt = time.Duration(i) * time.Second; i == 3 {
-			r.State, r.Answer = claim.InFlight, nil
+			r.State, r.Answer = idempotency.InFlight, nil
 		}
-		if err := s.Put(claim.Key{i}, r); err != nil {
+		if err := s.Put(idempotency.Key{i}, r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	again := opened(t, next)
-	if got, ok, err := again.Get(claim.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
+	if got, ok, err := again.Get(idempotency.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
 		t.Errorf("%+v, %t, %v", got, ok, err)
 	}
-	if got, _, _ := again.Get(claim.Key{2}); string(got.Answer) != "answer" {
+	if got, _, _ := again.Get(idempotency.Key{2}); string(got.Answer) != "answer" {
 		t.Errorf("%+v", got)
 	}
-	if _, ok, err := again.Get(claim.Key{99}); ok || err != nil {
+	if _, ok, err := again.Get(idempotency.Key{99}); ok || err != nil {
 		t.Errorf("%t, %v", ok, err)
 	}
 	if ok, _ := again.Complete(time.Hour); !ok || again.Keys() != 10 {
@@ -69,7 +69,7 @@
 	if left, err := again.Expire(4*time.Second, 3); err != nil || left != 7 {
 		t.Errorf("%d left, %v", left, err)
 	}
-	if left, err := again.Expire(4*time.Second, 100); err != nil || left != 5 || again.Delete(claim.Key{9}) != nil || again.Keys() != 4 {
+	if left, err := again.Expire(4*time.Second, 100); err != nil || left != 5 || again.Delete(idempotency.Key{9}) != nil || again.Keys() != 4 {
 		t.Errorf("%d left, %v", left, err)
 	}
 }
@@ -130,7 +130,7 @@
 	}
 	image()
 	for i := range n {
-		if err := s.Put(claim.Key{i}, kept(i)); err != nil {
+		if err := s.Put(idempotency.Key{i}, kept(i)); err != nil {
 			t.Fatal(err)
 		}
 		image()
@@ -139,8 +139,8 @@
 	return images
 }
 
-func kept(i byte) claim.Record {
-	return claim.Record{Attempt: claim.Attempt{Name: "n2", Seq: uint64(i)}, State: claim.Answered, WrittenAt: time.Duration(i),
+func kept(i byte) idempotency.Record {
+	return idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Seq: uint64(i)}, State: idempotency.Answered, WrittenAt: time.Duration(i),
 		Answer: bytes.Repeat([]byte("answer "), 40)}
 }
 
@@ -161,7 +161,7 @@
 	}
 	defer s.db.Close()
 	for i := range n {
-		r, ok, err := s.Get(claim.Key{i})
+		r, ok, err := s.Get(idempotency.Key{i})
 		switch {
 		case err != nil:
 			t.Errorf("key %d: %v", i, err)
@@ -268,8 +268,8 @@
 // Records survive their coding, and garbage is an error or a record that makes sense.
 func TestCoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := claim.Record{Attempt: claim.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "life"), Seq: rapid.Uint64().Draw(t, "seq")},
-			State:     rapid.SampledFrom([]claim.State{claim.InFlight, claim.MayHaveRun, claim.Answered}).Draw(t, "state"),
+		r := idempotency.Record{Attempt: idempotency.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "life"), Seq: rapid.Uint64().Draw(t, "seq")},
+			State:     rapid.SampledFrom([]idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}).Draw(t, "state"),
 			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "at")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "until")),
 			Answer: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer")}
 		b := encode(r)
@@ -285,9 +285,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encode(claim.Record{Attempt: claim.Attempt{Name: "n"}, State: claim.InFlight}))
+	f.Add(encode(idempotency.Record{Attempt: idempotency.Attempt{Name: "n"}, State: idempotency.InFlight}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decode(b); err == nil && (r.State < claim.InFlight || r.State > claim.Answered) {
+		if r, err := decode(b); err == nil && (r.State < idempotency.InFlight || r.State > idempotency.Answered) {
 			t.Errorf("%x was taken as %+v", b, r)
 		}
 	})
@@ -317,7 +317,7 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		if err := s.Put(claim.Key(append(encodeNumber(i), encodeNumber(i)...)), claim.Record{Attempt: claim.Attempt{Name: "n2"}, State: claim.InFlight, WrittenAt: time.Duration(i)}); err != nil {
+		if err := s.Put(idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), idempotency.Record{Attempt: idempotency.Attempt{Name: "n2"}, State: idempotency.InFlight, WrittenAt: time.Duration(i)}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -332,7 +332,7 @@
 	}
 	if err := s.update(func(e *entries) error {
 		for i := range uint64(20_000) {
-			key, r := claim.Key(append(encodeNumber(i), encodeNumber(i)...)), kept(byte(i))
+			key, r := idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), kept(byte(i))
 			if err := errors.Join(e.put(bucketClaims, key[:], encode(r)), e.put(bucketAges, age(r.WrittenAt, key), nil)); err != nil {
 				return err
 			}
--- a/internal/state/handover/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package statetransfer
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/state/atomicfile"
 	"rampspread/internal/state/internal/golden"
+	"rampspread/routing"
 )
 
 // What processes of different versions leave for each other, on the disk and over the network, has the form that commit 1ac8dd0 wrote:
@@ -71,25 +71,25 @@
 	}
 )
 
-func goldenBeliefs() decide.Snapshot {
-	return decide.Snapshot{
+func goldenBeliefs() routing.Snapshot {
+	return routing.Snapshot{
 		TakenAt:          101,
-		Prefill:          decide.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Decode:           decide.LatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
-		CommonQueueDelay: decide.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
-		EstimateError:    decide.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
-		CacheHitRatio:    decide.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
-		Arrivals:         decide.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
-		PerQueuedRequest: decide.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
-		Prefixes: []decide.PrefixCacheEntry{
-			{Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109, Requests: decide.DecayedMean{Sum: 51.5, Count: 52.5, At: 110}},
-			{Key: 111, Endpoint: 112, Tokens: 113, UpdatedAt: 114, Requests: decide.DecayedMean{Sum: 53.5, Count: 54.5, At: 115}},
+		Prefill:          routing.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Decode:           routing.LatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		CommonQueueDelay: routing.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
+		EstimateError:    routing.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
+		CacheHitRatio:    routing.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
+		Arrivals:         routing.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
+		PerQueuedRequest: routing.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
+		Prefixes: []routing.PrefixCacheEntry{
+			{Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109, Requests: routing.DecayedMean{Sum: 51.5, Count: 52.5, At: 110}},
+			{Key: 111, Endpoint: 112, Tokens: 113, UpdatedAt: 114, Requests: routing.DecayedMean{Sum: 53.5, Count: 54.5, At: 115}},
 		},
-		Endpoints: []decide.EndpointStats{
-			{ID: 1<<31 + 2, Started: -116, CacheValidFrom: 117, LastResponse: 118, Health: []decide.EWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
-				QueueDelay: decide.DecayedMean{Sum: 57.5, Count: 58.5, At: 121}, FirstTokenDelay: decide.DecayedMean{Sum: 59.5, Count: 60.5, At: 122}, SlowStartCredit: 61.5},
-			{ID: 123, Started: 1<<62 + 124, CacheValidFrom: 125, LastResponse: 126, Health: []decide.EWMA{{Value: 62.5, At: 127}},
-				QueueDelay: decide.DecayedMean{Sum: 63.5, Count: 64.5, At: 128}, FirstTokenDelay: decide.DecayedMean{Sum: 65.5, Count: 66.5, At: 129}, SlowStartCredit: 67.5},
+		Endpoints: []routing.EndpointStats{
+			{ID: 1<<31 + 2, Started: -116, CacheValidFrom: 117, LastResponse: 118, Health: []routing.EWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+				QueueDelay: routing.DecayedMean{Sum: 57.5, Count: 58.5, At: 121}, FirstTokenDelay: routing.DecayedMean{Sum: 59.5, Count: 60.5, At: 122}, SlowStartCredit: 61.5},
+			{ID: 123, Started: 1<<62 + 124, CacheValidFrom: 125, LastResponse: 126, Health: []routing.EWMA{{Value: 62.5, At: 127}},
+				QueueDelay: routing.DecayedMean{Sum: 63.5, Count: 64.5, At: 128}, FirstTokenDelay: routing.DecayedMean{Sum: 65.5, Count: 66.5, At: 129}, SlowStartCredit: 67.5},
 		},
 	}
 }
--- a/internal/state/handover/records.go
+++ b/internal/state/statetransfer/records.go
@@ -1,9 +1,9 @@
-package handover
+package statetransfer
 
 import (
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // The types below are the serialized form. Programs of other versions read it from the disk and over the network, and gob finds a field by
@@ -66,7 +66,7 @@
 	}
 )
 
-func newSnapshotRecord(b decide.Snapshot) snapshotRecord {
+func newSnapshotRecord(b routing.Snapshot) snapshotRecord {
 	return snapshotRecord{
 		At:       b.TakenAt,
 		Read:     newLatencyModelRecord(b.Prefill),
@@ -81,8 +81,8 @@
 	}
 }
 
-func (r snapshotRecord) beliefs() decide.Snapshot {
-	return decide.Snapshot{
+func (r snapshotRecord) beliefs() routing.Snapshot {
+	return routing.Snapshot{
 		TakenAt:          r.At,
 		Prefill:          r.Read.fit(),
 		Decode:           r.Fetch.fit(),
@@ -96,31 +96,31 @@
 	}
 }
 
-func newLatencyModelRecord(f decide.LatencyModel) latencyModelRecord {
+func newLatencyModelRecord(f routing.LatencyModel) latencyModelRecord {
 	return latencyModelRecord{A: f.A, B: f.B, At: f.At}
 }
 
-func (r latencyModelRecord) fit() decide.LatencyModel {
-	return decide.LatencyModel{A: r.A, B: r.B, At: r.At}
+func (r latencyModelRecord) fit() routing.LatencyModel {
+	return routing.LatencyModel{A: r.A, B: r.B, At: r.At}
 }
 
-func newDecayedMeanRecord(e decide.DecayedMean) decayedMeanRecord {
+func newDecayedMeanRecord(e routing.DecayedMean) decayedMeanRecord {
 	return decayedMeanRecord{Sum: e.Sum, N: e.Count, At: e.At}
 }
 
-func (r decayedMeanRecord) evidence() decide.DecayedMean {
-	return decide.DecayedMean{Sum: r.Sum, Count: r.N, At: r.At}
+func (r decayedMeanRecord) evidence() routing.DecayedMean {
+	return routing.DecayedMean{Sum: r.Sum, Count: r.N, At: r.At}
 }
 
-func newAverageRecord(l decide.EWMA) averageRecord {
+func newAverageRecord(l routing.EWMA) averageRecord {
 	return averageRecord{Value: l.Value, At: l.At}
 }
 
-func (r averageRecord) level() decide.EWMA {
-	return decide.EWMA{Value: r.Value, At: r.At}
+func (r averageRecord) level() routing.EWMA {
+	return routing.EWMA{Value: r.Value, At: r.At}
 }
 
-func newCacheEntryRecord(t decide.PrefixCacheEntry) cacheEntryRecord {
+func newCacheEntryRecord(t routing.PrefixCacheEntry) cacheEntryRecord {
 	return cacheEntryRecord{
 		Key:    uint64(t.Key),
 		Reader: uint32(t.Endpoint),
@@ -130,17 +130,17 @@
 	}
 }
 
-func (r cacheEntryRecord) textBelief() decide.PrefixCacheEntry {
-	return decide.PrefixCacheEntry{
-		Key:       decide.Key(r.Key),
-		Endpoint:  decide.EndpointID(r.Reader),
+func (r cacheEntryRecord) textBelief() routing.PrefixCacheEntry {
+	return routing.PrefixCacheEntry{
+		Key:       routing.Key(r.Key),
+		Endpoint:  routing.EndpointID(r.Reader),
 		Tokens:    r.Tokens,
 		UpdatedAt: r.At,
 		Requests:  r.Asked.evidence(),
 	}
 }
 
-func newEndpointRecord(s decide.EndpointStats) endpointRecord {
+func newEndpointRecord(s routing.EndpointStats) endpointRecord {
 	return endpointRecord{
 		ID:       uint32(s.ID),
 		Started:  s.Started,
@@ -153,9 +153,9 @@
 	}
 }
 
-func (r endpointRecord) serverBelief() decide.EndpointStats {
-	return decide.EndpointStats{
-		ID:              decide.EndpointID(r.ID),
+func (r endpointRecord) serverBelief() routing.EndpointStats {
+	return routing.EndpointStats{
+		ID:              routing.EndpointID(r.ID),
 		Started:         r.Started,
 		CacheValidFrom:  r.VoidTill,
 		LastResponse:    r.Heard,
--- a/internal/state/handover/handover.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -1,7 +1,7 @@
-// Package handover lets a process begin with what another of the same name on the same machine has learnt: one that it is to take the
+// Package statetransfer lets a process begin with what another of the same name on the same machine has learnt: one that it is to take the
 // place of, or its own earlier life. They share a folder, which need not outlive the machine. The one that starts asks by a
 // file; the one that serves answers by a file that is replaced whole.
-package handover
+package statetransfer
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/state/atomicfile"
 	"rampspread/internal/system"
+	"rampspread/routing"
 )
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // Encode packs beliefs, with a checksum behind them.
-func (p Exchange) Encode(b decide.Snapshot) ([]byte, error) {
+func (p Exchange) Encode(b routing.Snapshot) ([]byte, error) {
 	var out bytes.Buffer
 	e := gob.NewEncoder(&out)
 	if err := errors.Join(e.Encode(header{Name: p.Name, Settings: p.Settings}), e.Encode(newSnapshotRecord(b))); err != nil {
@@ -69,7 +69,7 @@
 }
 
 // Decode reads what Encode packed; ErrVoid: it is of no use here.
-func (p Exchange) Decode(text []byte) (b decide.Snapshot, err error) {
+func (p Exchange) Decode(text []byte) (b routing.Snapshot, err error) {
 	if len(text) > MaxBytes {
 		return b, fmt.Errorf("%w: over %d bytes", ErrUnusable, MaxBytes)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Write replaces what is left for others, whole.
-func (p Exchange) Write(b decide.Snapshot) error {
+func (p Exchange) Write(b routing.Snapshot) error {
 	text, err := p.Encode(b)
 	if err != nil {
 		return err
@@ -108,20 +108,20 @@
 }
 
 // Read reads what was left; fs.ErrNotExist: nothing was.
-func (p Exchange) Read() (decide.Snapshot, error) {
+func (p Exchange) Read() (routing.Snapshot, error) {
 	text, err := atomicfile.Read(p.file(".beliefs"), MaxBytes)
 	switch {
 	case errors.Is(err, atomicfile.ErrCorrupt):
-		return decide.Snapshot{}, fmt.Errorf("%w: %w", ErrUnusable, err)
+		return routing.Snapshot{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	case err != nil:
-		return decide.Snapshot{}, fmt.Errorf("handover: %w", err)
+		return routing.Snapshot{}, fmt.Errorf("handover: %w", err)
 	}
 	return p.Decode(text)
 }
 
 // Request takes what was left, and asks a process of the same name that may be serving for what it knows now. Learn is called with
 // each that is found, once or twice.
-func (p Exchange) Request(ctx context.Context, learn func(decide.Snapshot)) {
+func (p Exchange) Request(ctx context.Context, learn func(routing.Snapshot)) {
 	var last time.Duration
 	find := func() bool {
 		b, err := p.Read()
@@ -164,7 +164,7 @@
 
 // Serve leaves what tell returns whenever somebody asks, and now and then unasked, until the context ends. A process answers once
 // it has asked itself.
-func (p Exchange) Serve(ctx context.Context, tell func() (decide.Snapshot, bool)) {
+func (p Exchange) Serve(ctx context.Context, tell func() (routing.Snapshot, bool)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	left := time.Now()
--- a/internal/state/handover/handover_test.go
+++ b/internal/state/statetransfer/statetransfer_test.go
@@ -1,4 +1,4 @@
-package handover
+package statetransfer
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
+	"rampspread/routing"
 )
 
-func beliefs(at time.Duration) decide.Snapshot {
-	return decide.Snapshot{TakenAt: at, CommonQueueDelay: decide.DecayedMean{Sum: 3, Count: 2, At: at}, Prefixes: []decide.PrefixCacheEntry{{Key: 7, Endpoint: 8, Tokens: 9, UpdatedAt: at}},
-		Endpoints: []decide.EndpointStats{{ID: 8, Health: []decide.EWMA{{Value: 0.5, At: at}}}}}
+func beliefs(at time.Duration) routing.Snapshot {
+	return routing.Snapshot{TakenAt: at, CommonQueueDelay: routing.DecayedMean{Sum: 3, Count: 2, At: at}, Prefixes: []routing.PrefixCacheEntry{{Key: 7, Endpoint: 8, Tokens: 9, UpdatedAt: at}},
+		Endpoints: []routing.EndpointStats{{ID: 8, Health: []routing.EWMA{{Value: 0.5, At: at}}}}}
 }
 
 // What one leaves the next finds, whole; what is spoilt, cut, another member's or of other settings is void, and never a panic.
@@ -67,15 +67,15 @@
 	if err := p.Write(beliefs(time.Second)); err != nil { // of an earlier life
 		t.Fatal(err)
 	}
-	wg.Go(func() { p.Serve(ctx, func() (decide.Snapshot, bool) { return beliefs(time.Minute), true }) })
+	wg.Go(func() { p.Serve(ctx, func() (routing.Snapshot, bool) { return beliefs(time.Minute), true }) })
 	var got []time.Duration
-	p.Request(ctx, func(b decide.Snapshot) { got = append(got, b.TakenAt) })
+	p.Request(ctx, func(b routing.Snapshot) { got = append(got, b.TakenAt) })
 	if len(got) != 2 || got[0] != time.Second || got[1] != time.Minute {
 		t.Errorf("found %v", got)
 	}
 	alone := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
 	from := time.Now()
-	alone.Request(ctx, func(decide.Snapshot) { t.Error("something was found") })
+	alone.Request(ctx, func(routing.Snapshot) { t.Error("something was found") })
 	if took := time.Since(from); took > askFor+time.Second {
 		t.Errorf("alone it asked for %v", took)
 	}
@@ -83,7 +83,7 @@
 		t.Error("the question is still there")
 	}
 	testkit.Eventually(t, "no question of the first", func() bool { _, err := os.Stat(p.file(".ask")); return err != nil })
-	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(decide.Snapshot) { t.Error("something was found") })
+	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(routing.Snapshot) { t.Error("something was found") })
 }
 
 func FuzzDecode(f *testing.F) {
@@ -101,7 +101,7 @@
 func BenchmarkEncode(b *testing.B) {
 	in := beliefs(1)
 	for i := range MaxPrefixes {
-		in.Prefixes = append(in.Prefixes, decide.PrefixCacheEntry{Key: decide.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
+		in.Prefixes = append(in.Prefixes, routing.PrefixCacheEntry{Key: routing.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
 	}
 	text, _ := Exchange{}.Encode(in)
 	b.ReportMetric(float64(len(text)), "bytes")
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/servers"
 	"rampspread/internal/system"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 // SettingsText is a deployment of one question class and one filing class, a reader and a writer kind.
@@ -226,7 +226,7 @@
 // Fleet is a core over one reader and one writer.
 type Fleet struct {
 	Settings       *wire.Settings
-	Core           *core.Dispatcher
+	Core           *dispatch.Dispatcher
 	Pool           *servers.Pool
 	Reader, Writer *Replica
 }
@@ -240,16 +240,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Core, err = core.New(cfg, 1, f.Pool, system.Real(), nil); err != nil {
+	if f.Core, err = dispatch.New(cfg, 1, f.Pool, system.Real(), nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); f.Core.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-done; f.Pool.Close() })
-	f.Core.UpdateEndpoints(true, []core.Endpoint{
-		{Name: "r", Addr: f.Reader.Addr, Kind: 0, State: decide.Ready, Weight: 1},
-		{Name: "w", Addr: f.Writer.Addr, Kind: 1, State: decide.Ready, Weight: 1},
+	f.Core.UpdateEndpoints(true, []dispatch.Endpoint{
+		{Name: "r", Addr: f.Reader.Addr, Kind: 0, State: routing.Ready, Weight: 1},
+		{Name: "w", Addr: f.Writer.Addr, Kind: 1, State: routing.Ready, Weight: 1},
 	})
 	return f
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 func golden(t *testing.T, name string) []byte {
@@ -87,21 +87,21 @@
 		t.Fatal(err)
 	}
 	ms, us := time.Millisecond, time.Microsecond
-	want := decide.Config{
+	want := routing.Config{
 		Zone: 1, Routers: 2, MaxAttempts: 95, ReservationTTL: 81 * ms, SlowStartInitial: 0.125, SlowStartDuration: 112 * ms, OverloadMultiple: 113,
 		CanCancel: true, DecodeCanPrefill: true, MaxRetryAfter: 93 * ms, TenantQuotas: []float64{101, 102},
-		Kinds: []decide.Kind{{Role: decide.Prefill}, {Role: decide.Decode}, {Role: decide.Combined}},
-		Classes: []decide.Class{
-			{TTFTObjective: 41 * ms, TTFTObjectivePer1K: 71 * us, Weight: 3.5, Idempotency: decide.Idempotent, DedupScope: decide.ScopeZone, DedupWindow: 61 * ms},
-			{TTFTObjective: 42 * ms, TTFTObjectivePer1K: 72 * us, Weight: 4.5, Idempotency: decide.IdempotentByKey, DedupScope: decide.ScopeCell, DedupWindow: 62 * ms},
-			{TTFTObjective: 43 * ms, TTFTObjectivePer1K: 73 * us, Weight: 5.5, Idempotency: decide.NonIdempotent, DedupScope: decide.ScopeAll, DedupWindow: 63 * ms},
+		Kinds: []routing.Kind{{Role: routing.Prefill}, {Role: routing.Decode}, {Role: routing.Combined}},
+		Classes: []routing.Class{
+			{TTFTObjective: 41 * ms, TTFTObjectivePer1K: 71 * us, Weight: 3.5, Idempotency: routing.Idempotent, DedupScope: routing.ScopeZone, DedupWindow: 61 * ms},
+			{TTFTObjective: 42 * ms, TTFTObjectivePer1K: 72 * us, Weight: 4.5, Idempotency: routing.IdempotentByKey, DedupScope: routing.ScopeCell, DedupWindow: 62 * ms},
+			{TTFTObjective: 43 * ms, TTFTObjectivePer1K: 73 * us, Weight: 5.5, Idempotency: routing.NonIdempotent, DedupScope: routing.ScopeAll, DedupWindow: 63 * ms},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	load := s.Load([]float32{0.25, 3, 0.5, 7})
-	if want := (&decide.LoadReport{Memory: 0.25, QueuedRequests: 3, SlotUtilization: 0.5, QueuedKiloTokens: 7}); !reflect.DeepEqual(load, want) {
+	if want := (&routing.LoadReport{Memory: 0.25, QueuedRequests: 3, SlotUtilization: 0.5, QueuedKiloTokens: 7}); !reflect.DeepEqual(load, want) {
 		t.Errorf("load %+v, want %+v", load, want)
 	}
 }
--- a/internal/wire/retune.go
+++ b/internal/wire/retune.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Check is the test that settings which come by a reload must pass before any of them is taken: a broken or
@@ -43,7 +43,7 @@
 // Classes is what the module knows as classes, and which of them clients may name. The module's list only
 // grows: an open request keeps the number of its class, and that number keeps its rules.
 type Classes struct {
-	Config decide.Config  // for the module, with every class that was in force since the start
+	Config routing.Config // for the module, with every class that was in force since the start
 	Names  map[string]int // the classes that clients may name now, by their numbers in Config
 	names  []string       // the name of each of Config's classes
 	zoned  bool           // the deployment has zones
@@ -77,7 +77,7 @@
 		return t, err
 	}
 	out := Classes{Config: cfg, Names: map[string]int{}, names: append([]string(nil), t.names...), zoned: t.zoned}
-	out.Config.Classes = append([]decide.Class(nil), t.Config.Classes...)
+	out.Config.Classes = append([]routing.Class(nil), t.Config.Classes...)
 	for i, c := range cfg.Classes {
 		name, number := next.Classes[i].Name, -1
 		for j, old := range out.Config.Classes {
--- a/internal/wire/retune_test.go
+++ b/internal/wire/retune_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 const tuned = `{"az":0,"balancers":1,"zones":["wien"],"kinds":["prefill","decode-a"],
@@ -65,7 +65,7 @@
 		t.Errorf("names %v, want %v", got.Names, want)
 	}
 	c := got.Config.Classes
-	if len(c) != 4 || c[1].Idempotency != decide.NonIdempotent || c[3].Idempotency != decide.Idempotent || c[2].Idempotency != decide.IdempotentByKey ||
+	if len(c) != 4 || c[1].Idempotency != routing.NonIdempotent || c[3].Idempotency != routing.Idempotent || c[2].Idempotency != routing.IdempotentByKey ||
 		got.Config.MaxAttempts != 3 {
 		t.Errorf("classes %+v, attempts %d", c, got.Config.MaxAttempts)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"rampspread/decide"
+	"rampspread/routing"
 )
 
 // Settings is the part of an instance's settings text that is used. Unknown keys are skipped. Keys are read in any case.
@@ -109,8 +109,8 @@
 }
 
 // Router translates the settings for a Router; what is absent means what the wire says.
-func (s *Settings) Router() (decide.Config, error) {
-	cfg := decide.Config{
+func (s *Settings) Router() (routing.Config, error) {
+	cfg := routing.Config{
 		Zone: s.Az, Routers: s.Balancers, MaxAttempts: s.Limits.MostTries,
 		ReservationTTL:   FromMS(s.FamilyInfo.ReleaseWithinMs),
 		SlowStartInitial: s.Rules.ColdFrom, SlowStartDuration: FromMS(s.Rules.ColdMs),
@@ -121,29 +121,29 @@
 	if s.Limits.RetryAfter {
 		cfg.MaxRetryAfter = FromMS(s.Limits.MaxRetryAfterMs)
 	}
-	effects := map[string]decide.Idempotency{"retryable": decide.Idempotent, "dedup": decide.IdempotentByKey, "fragile": decide.NonIdempotent}
-	groups := map[string]decide.DedupScope{"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone,
-		"cell": decide.ScopeCell}
+	effects := map[string]routing.Idempotency{"retryable": routing.Idempotent, "dedup": routing.IdempotentByKey, "fragile": routing.NonIdempotent}
+	groups := map[string]routing.DedupScope{"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone,
+		"cell": routing.ScopeCell}
 	for i, c := range s.Classes {
 		effect, ok := effects[c.Effect]
 		group, known := groups[c.Group]
 		if !ok || !known {
 			return cfg, fmt.Errorf("class %d: unknown effect %q or group %q", i, c.Effect, c.Group)
 		}
-		class := decide.Class{TTFTObjective: FromMS(c.PromiseMs), Weight: c.Importance, Idempotency: effect, DedupScope: group,
+		class := routing.Class{TTFTObjective: FromMS(c.PromiseMs), Weight: c.Importance, Idempotency: effect, DedupScope: group,
 			DedupWindow: FromMS(c.WindowMs)}
 		if i < len(s.FamilyInfo.AimUsPer1000PromptTokens) {
 			class.TTFTObjectivePer1K = FromMS(s.FamilyInfo.AimUsPer1000PromptTokens[i] / 1000)
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	roles := map[string]decide.Role{"read": decide.Prefill, "write": decide.Decode, "both": decide.Combined}
+	roles := map[string]routing.Role{"read": routing.Prefill, "write": routing.Decode, "both": routing.Combined}
 	for i, duty := range s.FamilyInfo.DutyByKind {
 		role, ok := roles[duty]
 		if !ok {
 			return cfg, fmt.Errorf("kind %d: unknown duty %q", i, duty)
 		}
-		cfg.Kinds = append(cfg.Kinds, decide.Kind{Role: role})
+		cfg.Kinds = append(cfg.Kinds, routing.Kind{Role: role})
 	}
 	for _, p := range s.Parties {
 		cfg.TenantQuotas = append(cfg.TenantQuotas, p.QuotaPerS)
@@ -152,11 +152,11 @@
 }
 
 // Load translates a report whose values stand in the order of the settings' fields; nil if it has none.
-func (s *Settings) Load(values []float32) *decide.LoadReport {
+func (s *Settings) Load(values []float32) *routing.LoadReport {
 	if len(values) == 0 {
 		return nil
 	}
-	l := &decide.LoadReport{Memory: -1, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}
+	l := &routing.LoadReport{Memory: -1, QueuedKiloTokens: -1, QueuedRequests: -1, SlotUtilization: -1}
 	for i, v := range values {
 		if i >= len(s.Telemetry.Fields) {
 			break
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -27,9 +27,9 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/wire"
+	"rampspread/routing"
 )
 
 const (
@@ -51,13 +51,13 @@
 
 	mu      sync.Mutex
 	version uint64
-	list    map[string]core.Endpoint
+	list    map[string]dispatch.Endpoint
 }
 
 // New returns a Server that knows no list yet.
 func New(settings *wire.Settings) *Server {
 	s := &Server{settings: settings, cache: cache.NewSnapshotCache(true, oneNode{}, nil),
-		grpc: grpc.NewServer(grpc.MaxConcurrentStreams(mostStreams)), list: map[string]core.Endpoint{}}
+		grpc: grpc.NewServer(grpc.MaxConcurrentStreams(mostStreams)), list: map[string]dispatch.Endpoint{}}
 	x := server.NewServer(context.Background(), s.cache, nil)
 	discoverysvc.RegisterAggregatedDiscoveryServiceServer(s.grpc, x)
 	clustersvc.RegisterClusterDiscoveryServiceServer(s.grpc, x)
@@ -77,10 +77,10 @@
 func (s *Server) Stop() { s.grpc.Stop() }
 
 // Publish applies a list, or changes to it, and hands it to all proxies.
-func (s *Server) Publish(full bool, entries []core.Endpoint) {
+func (s *Server) Publish(full bool, entries []dispatch.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	core.ApplyUpdate(s.list, full, entries)
+	dispatch.ApplyUpdate(s.list, full, entries)
 	s.version++
 	snapshot, err := s.snapshot()
 	if err == nil {
@@ -93,7 +93,7 @@
 
 // snapshot makes a cluster for each kind, with one group of endpoints for each zone.
 func (s *Server) snapshot() (*cache.Snapshot, error) {
-	byKind := map[int][]core.Endpoint{}
+	byKind := map[int][]dispatch.Endpoint{}
 	for _, e := range s.list {
 		byKind[e.Kind] = append(byKind[e.Kind], e)
 	}
@@ -105,7 +105,7 @@
 				ResourceApiVersion:    corev3.ApiVersion_V3,
 				ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}})
 		list := byKind[kind]
-		slices.SortFunc(list, func(a, b core.Endpoint) int {
+		slices.SortFunc(list, func(a, b dispatch.Endpoint) int {
 			return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
 		})
 		load := &endpointv3.ClusterLoadAssignment{ClusterName: name}
@@ -132,7 +132,7 @@
 	return snapshot, nil
 }
 
-func lbEndpoint(e core.Endpoint) (*endpointv3.LbEndpoint, error) {
+func lbEndpoint(e dispatch.Endpoint) (*endpointv3.LbEndpoint, error) {
 	host, port, err := net.SplitHostPort(e.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
@@ -142,7 +142,7 @@
 		return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
 	}
 	health := corev3.HealthStatus_HEALTHY
-	if e.State == decide.Draining {
+	if e.State == routing.Draining {
 		health = corev3.HealthStatus_DRAINING
 	}
 	return &endpointv3.LbEndpoint{
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"rampspread/decide"
-	"rampspread/internal/core"
+	"rampspread/internal/dispatch"
 	"rampspread/internal/testkit"
 	"rampspread/internal/xds"
+	"rampspread/routing"
 )
 
 // A proxy's stream gets the clusters and their endpoints, and each change of the list after that.
@@ -31,10 +31,10 @@
 			t.Error(err)
 		}
 	}()
-	entry := func(name string, kind int, state decide.EndpointState) core.Endpoint {
-		return core.Endpoint{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
+	entry := func(name string, kind int, state routing.EndpointState) dispatch.Endpoint {
+		return dispatch.Endpoint{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
 	}
-	s.Publish(true, []core.Endpoint{entry("r", 0, decide.Ready), entry("w1", 1, decide.Ready), entry("w2", 1, decide.Ready)})
+	s.Publish(true, []dispatch.Endpoint{entry("r", 0, routing.Ready), entry("w1", 1, routing.Ready), entry("w2", 1, routing.Ready)})
 
 	conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -91,7 +91,7 @@
 		VersionInfo: got.VersionInfo, ResponseNonce: got.Nonce}); err != nil {
 		t.Fatal(err)
 	}
-	s.Publish(false, []core.Endpoint{entry("w1", 1, decide.Draining), entry("w2", 1, decide.Gone)})
+	s.Publish(false, []dispatch.Endpoint{entry("w1", 1, routing.Draining), entry("w2", 1, routing.Gone)})
 	for got = ask(nil); got.TypeUrl != resource.EndpointType; got = ask(nil) {
 	}
 	if h := health(got); len(h) != 2 || h["w1"] != "DRAINING" || h["r"] != "HEALTHY" {
--- a/decide/api.go
+++ b/routing/api.go
@@ -1,8 +1,8 @@
-// Package decide makes every decision of a router that pairs prompt readers
+// Package routing makes every decision of a router that pairs prompt readers
 // (prefill) with answer writers (decode). A Router is a pure state machine:
 // it is fed events with the time they happened and returns actions. It has no
 // clock, goroutine or I/O of its own, and routers share nothing.
-package decide
+package routing
 
 import (
 	"errors"
--- a/decide/write.go
+++ b/routing/decode.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Writing: which writer gets a request that has been read.
 
--- a/decide/roster.go
+++ b/routing/endpoints.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // The list of servers: which there are, what is known of each, and how they add up by cell.
 
--- a/decide/estimate.go
+++ b/routing/estimate.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Estimates: what a read or a wait at a server will take.
 
--- a/decide/stats.go
+++ b/routing/estimators.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Arithmetic without a decision or tuned value: fading means, a fading least-squares fit, a keyed draw.
 
--- a/decide/health.go
+++ b/routing/health.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Health: which servers may be sent work, by what became of earlier attempts.
 
--- a/decide/outcome.go
+++ b/routing/outcome.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Outcomes of attempts: what is learnt from them, and what follows for the request.
 
--- a/decide/held.go
+++ b/routing/reservation.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Held states. A read leaves a state at its reader, which must be taken or let go in time. The time runs
 // while no attempt is known to have reached a running server: that something was sent does not tell, only an
--- a/decide/decide.go
+++ b/routing/router.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // The ordinary path is predictive TTFT-budget admission control: the best time to first token
 // over all readers is estimated before any read; a non-critical request whose best estimate exceeds
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"time"
 
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/tokenbucket"
 )
 
 const (
@@ -79,7 +79,7 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[EndpointID]*replica{}, cells: map[int]*cell{},
 		requests: map[RequestID]*request{}, prefixCache: map[Key]*prefixEntry{},
-		tenantBuckets:    make([]share.Bucket, len(cfg.TenantQuotas)),
+		tenantBuckets:    make([]tokenbucket.Bucket, len(cfg.TenantQuotas)),
 		commonQueueDelay: decayedMean{timeConstant: commonDelayTimeConstant}, estimateError: decayedMean{timeConstant: modelTimeConstant}, cacheHitRatio: decayedMean{timeConstant: modelTimeConstant},
 		arrivals: decayedMean{timeConstant: popularityTimeConstant}, perQueuedRequest: decayedMean{timeConstant: modelTimeConstant},
 	}
--- a/decide/decide_test.go
+++ b/routing/router_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"math"
@@ -584,7 +584,7 @@
 	if b.r.overQuota(1) {
 		t.Error("a tenant's first request counts as beyond its share")
 	}
-	left := b.r.tenantBuckets[1].Left()
+	left := b.r.tenantBuckets[1].Tokens()
 	for range 20 {
 		b.r.commonQueueDelay.add(b.now, 9000)
 	}
@@ -593,7 +593,7 @@
 			t.Fatal("not refused")
 		}
 	}
-	if got := b.r.tenantBuckets[1].Left(); got < left {
+	if got := b.r.tenantBuckets[1].Tokens(); got < left {
 		t.Errorf("refusals left %.2f of %.2f", got, left)
 	}
 	b.do(time.Minute, TimerFired{})
--- a/decide/cold.go
+++ b/routing/slowstart.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // Slow start: what a server that has just started may be sent.
 
--- a/decide/beliefs_test.go
+++ b/routing/snapshot_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"math"
--- a/decide/state.go
+++ b/routing/state.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 // What a Router remembers. All that is decided from it is in decide.go.
 
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"rampspread/internal/fleet/share"
+	"rampspread/internal/tokenbucket"
 )
 
 // requestState is where a request stands.
@@ -71,7 +71,7 @@
 	slowStartCredit float64 // while cold: the part of a request that is due to it
 	reportedMemory  float64 // reported share of memory, negative: none
 	reportedBacklog float64 // reported thousands of tokens to read or fetch, negative: none
-	pollBudget      share.Bucket
+	pollBudget      tokenbucket.Bucket
 }
 
 // cell sums up a cell's usable servers for one decision.
@@ -120,8 +120,8 @@
 	decodeModel      latencyModel // of writers' first tokens
 	arrivals         decayedMean
 	perQueuedRequest decayedMean // ms a request ahead
-	tenantBuckets    []share.Bucket
-	retryBucket      share.Bucket
+	tenantBuckets    []tokenbucket.Bucket
+	retryBucket      tokenbucket.Bucket
 	quotaShare       QuotaShare     // For is the time until which it holds
 	attemptLimits    []attemptLimit // attempts in force before each retune that an open request may have seen
 }
