--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -19,7 +19,7 @@
 
 const (
 	goldenFileName = "filings.db"
-	goldenLived    = 3*time.Hour + 5
+	goldenLifetime = 3*time.Hour + 5
 )
 
 var (
@@ -50,7 +50,9 @@
 			}
 		}
 	}
-	if err := s.update(func(e *entries) error { return e.put(bucketMeta, keyLived, encodeNumber(uint64(goldenLived))) }); err != nil {
+	if err := s.update(func(e *entryWriter) error {
+		return e.put(bucketMeta, keyLifetime, encodeNumber(uint64(goldenLifetime)))
+	}); err != nil {
 		t.Fatal(err)
 	}
 	entryList = listEntries(t, s.db)
@@ -98,7 +100,7 @@
 func TestGoldenFileIsRead(t *testing.T) {
 	current, entryList := writeGoldenState(t)
 	file := golden.Bytes(t, "filings.db.hex", current)
-	if err := verify(bytes.NewReader(file), int64(len(file))); err != nil {
+	if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -113,8 +115,8 @@
 	if got, want := listEntries(t, s.db), golden.Text(t, "entries.txt", entryList); got != want {
 		t.Errorf("read\n%s\nnot\n%s", got, want)
 	}
-	if !s.lost || s.lived != goldenLived || s.Keys() != len(goldenRecords) {
-		t.Errorf("lost %t, lived %v, %d keys", s.lost, s.lived, s.Keys())
+	if !s.incomplete || s.previousLifetime != goldenLifetime || s.Keys() != len(goldenRecords) {
+		t.Errorf("lost %t, lived %v, %d keys", s.incomplete, s.previousLifetime, s.Keys())
 	}
 	got := map[idempotency.Key]idempotency.Record{}
 	if err := s.Each(func(key idempotency.Key, record idempotency.Record, err error) {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -16,25 +16,25 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-var who = Identity{Fleet: "f", Name: "n1"}
+var testIdentity = Identity{Fleet: "f", Name: "n1"}
 
-func opened(t *testing.T, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	s, err := Open(dir, who)
+	store, err := Open(dir, testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.db.Close() })
-	return s
+	t.Cleanup(func() { store.db.Close() })
+	return store
 }
 
 // What is written is found by the next life, to the last field; a life ended by SIGKILL is no different, since each write is synced.
 func TestRecordsSurvive(t *testing.T) {
 	dir := t.TempDir()
-	if err := Init(dir, who); err != nil {
+	if err := Init(dir, testIdentity); err != nil {
 		t.Fatal(err)
 	}
-	s := opened(t, dir)
+	s := openStore(t, dir)
 	r := idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: idempotency.Digest{1, 2, 3}, State: idempotency.Answered,
 		WrittenAt: time.Second, AttemptDeadline: time.Hour, Answer: []byte("answer")}
 	for i := range byte(10) {
@@ -53,7 +53,7 @@
 	if err := os.WriteFile(filepath.Join(next, fileName), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := opened(t, next)
+	again := openStore(t, next)
 	if got, ok, err := again.Get(idempotency.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
 		t.Errorf("%+v, %t, %v", got, ok, err)
 	}
@@ -78,19 +78,19 @@
 // in that. Init vouches that there was none.
 func TestLostState(t *testing.T) {
 	dir := t.TempDir()
-	s := opened(t, dir)
+	s := openStore(t, dir)
 	if ok, left := s.Complete(time.Hour); ok || left < 59*time.Minute {
 		t.Errorf("remembers %t, %v left", ok, left)
 	}
-	s.lived = time.Hour
+	s.previousLifetime = time.Hour
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s = opened(t, dir)
+	s = openStore(t, dir)
 	if ok, _ := s.Complete(time.Hour); !ok || s.Lifetime() < time.Hour {
 		t.Errorf("after an hour of life it remembers %t, lived %v", ok, s.Lifetime())
 	}
-	if err := Init(dir, who); err == nil || strings.Contains(err.Error(), "\n") {
+	if err := Init(dir, testIdentity); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("a state was made over one that is there: %v", err)
 	}
 }
@@ -98,8 +98,8 @@
 // Another process's folder, another member's state and a later program's are refused.
 func TestRefused(t *testing.T) {
 	dir := t.TempDir()
-	s := opened(t, dir)
-	if _, err := Open(dir, who); !errors.Is(err, ErrLocked) {
+	s := openStore(t, dir)
+	if _, err := Open(dir, testIdentity); !errors.Is(err, ErrLocked) {
 		t.Errorf("a folder that is in use: %v", err)
 	}
 	s.Close()
@@ -108,16 +108,16 @@
 			t.Errorf("%v: %v", other, err)
 		}
 	}
-	if _, err := Open("/dev/null/x", who); err == nil {
+	if _, err := Open("/dev/null/x", testIdentity); err == nil {
 		t.Error("a folder that cannot be")
 	}
 }
 
-// filled returns a state's file with n answered filings, which hold 280 bytes each, and after each write how it was.
-func filled(t testing.TB, n byte) (images [][]byte) {
+// stateImages returns a state's file with n answered filings, which hold 280 bytes each, and after each write how it was.
+func stateImages(t testing.TB, n byte) (images [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := Open(dir, who)
+	s, err := Open(dir, testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 	}
 	image()
 	for i := range n {
-		if err := s.Put(idempotency.Key{i}, kept(i)); err != nil {
+		if err := s.Put(idempotency.Key{i}, answeredRecord(i)); err != nil {
 			t.Fatal(err)
 		}
 		image()
@@ -139,20 +139,20 @@
 	return images
 }
 
-func kept(i byte) idempotency.Record {
+func answeredRecord(i byte) idempotency.Record {
 	return idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Seq: uint64(i)}, State: idempotency.Answered, WrittenAt: time.Duration(i),
 		Answer: bytes.Repeat([]byte("answer "), 40)}
 }
 
-// openedFrom opens a state whose file is as given, and tells which of the first n keys it has, each as it was written.
-func openedFrom(t testing.TB, dir string, file []byte, n byte) (has int, err error) {
+// countKeysOf opens a state whose file is as given, and tells which of the first n keys it has, each as it was written.
+func countKeysOf(t testing.TB, dir string, file []byte, n byte) (has int, err error) {
 	t.Helper()
 	path := filepath.Join(dir, fileName)
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	defer os.Remove(path)
-	s, err := Open(dir, who)
+	s, err := Open(dir, testIdentity)
 	if err != nil {
 		if strings.Contains(err.Error(), "\n") {
 			t.Errorf("not one line: %v", err)
@@ -165,7 +165,7 @@
 		switch {
 		case err != nil:
 			t.Errorf("key %d: %v", i, err)
-		case ok && (r.Attempt.Seq != uint64(i) || !bytes.Equal(r.Answer, kept(i).Answer)):
+		case ok && (r.Attempt.Seq != uint64(i) || !bytes.Equal(r.Answer, answeredRecord(i).Answer)):
 			t.Errorf("key %d is %+v", i, r)
 		case ok:
 			has++
@@ -179,12 +179,12 @@
 // its mapping, and the process died of it.
 func TestSpoiltFile(t *testing.T) {
 	const n = 40
-	images := filled(t, n)
+	images := stateImages(t, n)
 	good, dir := images[n], t.TempDir()
 	refused, unharmed := 0, 0
 	look := func(what string, file []byte) {
 		t.Helper()
-		switch has, err := openedFrom(t, dir, file, n); {
+		switch has, err := countKeysOf(t, dir, file, n); {
 		case errors.Is(err, ErrCorrupt):
 			refused++
 		case err != nil || has != n:
@@ -219,7 +219,7 @@
 	if to, err := SetAside(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(to, "bad-7") {
 		t.Errorf("%s, %v", to, err)
 	}
-	if ok, _ := opened(t, dir).Complete(time.Hour); ok {
+	if ok, _ := openStore(t, dir).Complete(time.Hour); ok {
 		t.Error("after its file was set aside it remembers all")
 	}
 }
@@ -229,7 +229,7 @@
 // beginnings as they were, or all of them with the new one. The pages written are told by comparing the file before and after.
 func TestDeathAtEveryWrite(t *testing.T) {
 	const n, sector = 24, 512
-	images, dir := filled(t, n), t.TempDir()
+	images, dir := stateImages(t, n), t.TempDir()
 	page, deaths := os.Getpagesize(), 0
 	for i := 1; i < len(images); i++ {
 		before, after := images[i-1], images[i]
@@ -246,7 +246,7 @@
 		see := func(what string, file []byte, want int) {
 			t.Helper()
 			deaths++
-			if has, err := openedFrom(t, dir, file, n); err != nil || has != want {
+			if has, err := countKeysOf(t, dir, file, n); err != nil || has != want {
 				t.Errorf("write %d, death %s: %d keys, %v; want %d", i, what, has, err, want)
 			}
 		}
@@ -272,22 +272,22 @@
 			State:     rapid.SampledFrom([]idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}).Draw(t, "state"),
 			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "at")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "until")),
 			Answer: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer")}
-		b := encode(r)
-		got, err := decode(b)
+		b := encodeRecord(r)
+		got, err := decodeRecord(b)
 		if err != nil || got.Attempt != r.Attempt || got.State != r.State || got.WrittenAt != r.WrittenAt || got.AttemptDeadline != r.AttemptDeadline || !bytes.Equal(got.Answer, r.Answer) {
 			t.Fatalf("%+v became %+v, %v", r, got, err)
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if _, err := decode(b); err == nil {
+		if _, err := decodeRecord(b); err == nil {
 			t.Fatal("a flipped bit was not seen")
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encode(idempotency.Record{Attempt: idempotency.Attempt{Name: "n"}, State: idempotency.InFlight}))
+	f.Add(encodeRecord(idempotency.Record{Attempt: idempotency.Attempt{Name: "n"}, State: idempotency.InFlight}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decode(b); err == nil && (r.State < idempotency.InFlight || r.State > idempotency.Answered) {
+		if r, err := decodeRecord(b); err == nil && (r.State < idempotency.InFlight || r.State > idempotency.Answered) {
 			t.Errorf("%x was taken as %+v", b, r)
 		}
 	})
@@ -295,13 +295,13 @@
 
 // No file of a database, whatever is in it, is a panic to look through.
 func FuzzVerify(f *testing.F) {
-	images := filled(f, 9)
+	images := stateImages(f, 9)
 	f.Add(images[9][:8*os.Getpagesize()], uint32(8192), uint32(1))
 	f.Fuzz(func(t *testing.T, file []byte, at, value uint32) {
 		if n := uint32(len(file)); n > 4 { // mostly whole files with one number off
 			binary.LittleEndian.PutUint32(file[at%(n-3):], value)
 		}
-		if err := verify(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrCorrupt) {
+		if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Error(err)
 		}
 	})
@@ -309,7 +309,7 @@
 
 // What a claim costs on this disk, and to open a state of 20,000 filings.
 func BenchmarkPut(b *testing.B) {
-	s, err := Open(b.TempDir(), who)
+	s, err := Open(b.TempDir(), testIdentity)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -326,14 +326,14 @@
 // What it takes to look a state of 20,000 answered filings through, and to read it.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
-	s, err := Open(dir, who)
+	s, err := Open(dir, testIdentity)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := s.update(func(e *entries) error {
+	if err := s.update(func(e *entryWriter) error {
 		for i := range uint64(20_000) {
-			key, r := idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), kept(byte(i))
-			if err := errors.Join(e.put(bucketClaims, key[:], encode(r)), e.put(bucketAges, age(r.WrittenAt, key), nil)); err != nil {
+			key, r := idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), answeredRecord(byte(i))
+			if err := errors.Join(e.put(bucketRecords, key[:], encodeRecord(r)), e.put(bucketWriteTimes, writeTimeKey(r.WrittenAt, key), nil)); err != nil {
 				return err
 			}
 		}
@@ -343,7 +343,7 @@
 	}
 	s.db.Close()
 	for b.Loop() {
-		s, err := Open(dir, who)
+		s, err := Open(dir, testIdentity)
 		if err != nil || s.Keys() != 20_000 {
 			b.Fatal(err)
 		}
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -6,216 +6,196 @@
 	"fmt"
 	"hash/fnv"
 	"io"
-	"os"
-	"syscall"
-	"time"
 )
 
-// Layout of a bbolt file, version 2, as go.etcd.io/bbolt documents it. Numbers are in the machine's order; the program runs on
-// little-endian machines only.
+// Layout of a bbolt file, version 2, as go.etcd.io/bbolt documents it. Numbers are in the machine's byte order; the program runs
+// on little-endian machines only.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
-	pageHeader  = 16 // id 8, flags 2, count 2, overflow 4
-	element     = 16
-	metaSize    = 64 // magic, version, page size, flags, root bucket 16, freelist 8, high water mark 8, transaction 8, checksum 8
-	flagBranch  = 0x01
-	flagLeaf    = 0x02
-	flagMeta    = 0x04
-	flagFree    = 0x10
-	isBucket    = 0x01
-	noFreelist  = ^uint64(0)
-	leastPage   = 1 << 10
-	mostPage    = 1 << 16
-	mostDepth   = 32
+
+	// A page begins with id 8, flags 2, count 2, overflow 4 bytes.
+	pageHeaderSize = 16
+	offsetFlags    = 8
+	offsetCount    = 10
+	offsetOverflow = 12
+
+	// A meta page's header is followed by magic 4, version 4, page size 4, flags 4, root bucket 16, freelist 8, high water mark 8,
+	// transaction 8, checksum 8 bytes.
+	metaSize            = 64
+	offsetVersion       = 4
+	offsetPageSize      = 8
+	offsetRoot          = 16
+	offsetFreelist      = 32
+	offsetHighWaterMark = 40
+	offsetTransaction   = 48
+	offsetChecksum      = 56
+
+	// A branch or leaf page's header is followed by its elements, which say where keys and values begin, relative to themselves.
+	elementSize = 16
+	// bucketHeaderSize is the size of the header before a nested bucket's inline page: root page 8, sequence 8 bytes.
+	bucketHeaderSize = 16
+
+	flagBranch = 0x01
+	flagLeaf   = 0x02
+	flagMeta   = 0x04
+	flagFree   = 0x10
+
+	flagBucketElement = 0x01 // of a leaf element: its value is a nested bucket
+
+	noFreelist           = ^uint64(0) // the file stores no list of free pages
+	freelistCountInBody  = 0xFFFF     // the header's count is too small: the list's first number is the count
+	freePageIDSize       = 8
+	metaPages            = 2             // pages 0 and 1
+	minPages             = metaPages + 2 // a root and a free list
+	minPageSize          = 1 << 10
+	maxPageSize          = 1 << 16
+	maxDepth             = 32
+	freelistErrorSubject = "the list of free pages"
 )
 
-// openChecked opens the database's file for bbolt, alone, and only if every page that bbolt would follow lies whole inside the
-// file. bbolt reads its file through unsafe pointers, so a flipped bit in a length leads it out of the file's mapping: to a
-// fault that no recover stops, or to whatever memory lies there.
-func openChecked(path string, flag int, mode os.FileMode) (*os.File, error) {
-	f, err := os.OpenFile(path, flag, mode)
-	if err != nil {
-		return nil, err
-	}
-	// The lock comes first, for a file that another process is writing need not be whole. bbolt locks the same description again.
-	for end := time.Now().Add(lockWait); ; time.Sleep(lockWait / 10) {
-		if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-			break
-		}
-		if time.Now().After(end) {
-			f.Close()
-			return nil, ErrLocked
-		}
-	}
-	info, err := f.Stat()
-	if err == nil && info.Size() > 0 { // an empty file is one that bbolt is to make
-		err = verify(f, info.Size())
-	}
-	if err != nil {
-		f.Close()
-		return nil, err
-	}
-	return f, nil
+// fileVerifier walks through the B+ tree of a bbolt file and checks that it stays within the file.
+type fileVerifier struct {
+	file      io.ReaderAt
+	pageSize  uint64 // bytes
+	pageCount uint64 // the high water mark: pages from it on are not in use
+	seen      map[uint64]bool
 }
 
-// tree is what verify knows of a file while it walks through it.
-type tree struct {
-	file  io.ReaderAt
-	page  uint64 // bytes of a page
-	pages uint64 // the high water mark: pages from it on are not in use
-	seen  map[uint64]bool
+// metaPage is the part of a meta page that is used here.
+type metaPage struct{ pageSize, root, freelist, pageCount, transaction uint64 }
+
+// keyRange bounds the keys of a page: from first up to, and without, end. A nil bound is none.
+type keyRange struct{ first, end []byte }
+
+// pageElement is one element of a branch or leaf page.
+type pageElement struct {
+	key, value []byte
+	child      uint64 // of a branch page: the page with the keys from key on
+	isBucket   bool   // of a leaf page: value is a nested bucket
 }
 
-// verify tells whether a bbolt file is sound: both its meta pages, one transaction apart, and every page that the newer one
-// leads to. Both must be, since bbolt would go back by a transaction, and forget what was synced, where only the older one is;
-// a death while a meta page is written leaves one or the other, for it lies within one sector.
-func verify(file io.ReaderAt, size int64) error {
-	first, page, err := meta(file, 0)
+// verifyFile checks that a bbolt file is sound: both its meta pages, one transaction apart, and every page that the newer one
+// leads to. Both must be sound, since bbolt would go back by a transaction, and forget what was synced, where only the older one
+// is; a crash while a meta page is written leaves one or the other, for it lies within one sector.
+func verifyFile(file io.ReaderAt, size int64) error {
+	first, err := readMetaPage(file, 0)
 	if err != nil {
 		return err
 	}
-	second, page2, err := meta(file, int64(page))
-	switch {
-	case err != nil:
+	second, err := readMetaPage(file, int64(first.pageSize))
+	if err != nil {
 		return err
-	case page != page2 || first.txid+1 != second.txid && second.txid+1 != first.txid:
+	}
+	consecutive := first.transaction+1 == second.transaction || second.transaction+1 == first.transaction
+	if first.pageSize != second.pageSize || !consecutive {
 		return fmt.Errorf("%w: its two beginnings are not of one file", ErrCorrupt)
 	}
-	if first.txid > second.txid {
-		second = first
+	newest := second
+	if first.transaction > second.transaction {
+		newest = first
 	}
-	t := &tree{file: file, page: page, pages: second.pages, seen: map[uint64]bool{}}
-	if second.pages < 4 || second.pages > uint64(size)/page {
-		return fmt.Errorf("%w: %d pages do not fit in %d bytes", ErrCorrupt, second.pages, size)
+	if newest.pageCount < minPages || newest.pageCount > uint64(size)/newest.pageSize {
+		return fmt.Errorf("%w: %d pages do not fit in %d bytes", ErrCorrupt, newest.pageCount, size)
 	}
-	if err := t.walk(second.root, nil, nil, 0); err != nil {
+	v := &fileVerifier{file: file, pageSize: newest.pageSize, pageCount: newest.pageCount, seen: map[uint64]bool{}}
+	if err := v.verifyPage(newest.root, keyRange{}, 0); err != nil {
 		return err
 	}
-	if second.free == noFreelist {
+	if newest.freelist == noFreelist {
 		return nil
 	}
-	return t.freelist(second.free)
+	return v.verifyFreelist(newest.freelist)
 }
 
-// beginning is what is used of a meta page.
-type beginning struct{ root, free, pages, txid uint64 }
-
-func meta(file io.ReaderAt, at int64) (m beginning, page uint64, err error) {
-	b := make([]byte, pageHeader+metaSize)
-	if _, err := file.ReadAt(b, at); err != nil {
-		return m, 0, fmt.Errorf("%w: it is cut: %w", ErrCorrupt, err)
+// readMetaPage reads the meta page at an offset in bytes, and checks its checksum.
+func readMetaPage(file io.ReaderAt, offset int64) (metaPage, error) {
+	page := make([]byte, pageHeaderSize+metaSize)
+	if _, err := file.ReadAt(page, offset); err != nil {
+		return metaPage{}, fmt.Errorf("%w: it is cut: %w", ErrCorrupt, err)
 	}
-	flags := binary.LittleEndian.Uint16(b[8:])
-	b = b[pageHeader:]
-	sum := fnv.New64a()
-	sum.Write(b[:metaSize-8])
-	page = uint64(binary.LittleEndian.Uint32(b[8:]))
+	flags := binary.LittleEndian.Uint16(page[offsetFlags:])
+	body := page[pageHeaderSize:]
+	magic, version := binary.LittleEndian.Uint32(body), binary.LittleEndian.Uint32(body[offsetVersion:])
+	checksum := fnv.New64a()
+	checksum.Write(body[:offsetChecksum])
+	pageSize := uint64(binary.LittleEndian.Uint32(body[offsetPageSize:]))
 	switch {
-	case flags != flagMeta || binary.LittleEndian.Uint32(b) != boltMagic || binary.LittleEndian.Uint32(b[4:]) != boltVersion:
-		return m, 0, fmt.Errorf("%w: it is no database", ErrCorrupt)
-	case sum.Sum64() != binary.LittleEndian.Uint64(b[metaSize-8:]) || page < leastPage || page > mostPage:
-		return m, 0, fmt.Errorf("%w: the checksum of a beginning is off", ErrCorrupt)
+	case flags != flagMeta || magic != boltMagic || version != boltVersion:
+		return metaPage{}, fmt.Errorf("%w: it is no database", ErrCorrupt)
+	case checksum.Sum64() != binary.LittleEndian.Uint64(body[offsetChecksum:]) || pageSize < minPageSize || pageSize > maxPageSize:
+		return metaPage{}, fmt.Errorf("%w: the checksum of a beginning is off", ErrCorrupt)
 	}
-	n := func(at int) uint64 { return binary.LittleEndian.Uint64(b[at:]) }
-	return beginning{root: n(16), free: n(32), pages: n(40), txid: n(48)}, page, nil
+	return metaPage{
+		pageSize:    pageSize,
+		root:        binary.LittleEndian.Uint64(body[offsetRoot:]),
+		freelist:    binary.LittleEndian.Uint64(body[offsetFreelist:]),
+		pageCount:   binary.LittleEndian.Uint64(body[offsetHighWaterMark:]),
+		transaction: binary.LittleEndian.Uint64(body[offsetTransaction:]),
+	}, nil
 }
 
-// read returns a page with those that it goes on in, and marks them as used; a page that is used twice is an error.
-func (t *tree) read(id uint64) ([]byte, error) {
-	bad := func(why string) error { return fmt.Errorf("%w: page %d %s", ErrCorrupt, id, why) }
-	if id < 2 || id >= t.pages {
-		return nil, bad("is not in it")
+// corruptAt returns ErrCorrupt with the part of the file that is corrupt and what is wrong with it.
+func corruptAt(part, problem string) error { return fmt.Errorf("%w: %s %s", ErrCorrupt, part, problem) }
+
+func pageName(id uint64) string { return fmt.Sprint("page ", id) }
+
+// readPage returns a page with its overflow pages, and marks them as used; a page that is used twice is an error.
+func (v *fileVerifier) readPage(id uint64) ([]byte, error) {
+	if id < metaPages || id >= v.pageCount {
+		return nil, corruptAt(pageName(id), "is not in it")
 	}
-	head := make([]byte, pageHeader)
-	if _, err := t.file.ReadAt(head, int64(id*t.page)); err != nil {
-		return nil, bad(err.Error())
+	offset := int64(id * v.pageSize)
+	header := make([]byte, pageHeaderSize)
+	if _, err := v.file.ReadAt(header, offset); err != nil {
+		return nil, corruptAt(pageName(id), err.Error())
 	}
-	more := uint64(binary.LittleEndian.Uint32(head[12:]))
-	if binary.LittleEndian.Uint64(head) != id || id+more >= t.pages {
-		return nil, bad("has a wrong header")
+	overflow := uint64(binary.LittleEndian.Uint32(header[offsetOverflow:]))
+	if binary.LittleEndian.Uint64(header) != id || id+overflow >= v.pageCount {
+		return nil, corruptAt(pageName(id), "has a wrong header")
 	}
-	for i := id; i <= id+more; i++ {
-		if t.seen[i] {
-			return nil, bad("is used twice")
+	for i := id; i <= id+overflow; i++ {
+		if v.seen[i] {
+			return nil, corruptAt(pageName(id), "is used twice")
 		}
-		t.seen[i] = true
+		v.seen[i] = true
 	}
-	b := make([]byte, (more+1)*t.page)
-	if _, err := t.file.ReadAt(b, int64(id*t.page)); err != nil {
-		return nil, bad(err.Error())
+	page := make([]byte, (overflow+1)*v.pageSize)
+	if _, err := v.file.ReadAt(page, offset); err != nil {
+		return nil, corruptAt(pageName(id), err.Error())
 	}
-	return b, nil
+	return page, nil
 }
 
-// walk follows a page whose keys must lie from least up to, and without, below (either may be nil).
-func (t *tree) walk(id uint64, least, below []byte, depth int) error {
-	if depth > mostDepth {
+// verifyPage verifies a page whose keys must lie within a range, and all pages that it leads to.
+func (v *fileVerifier) verifyPage(id uint64, keys keyRange, depth int) error {
+	if depth > maxDepth {
 		return fmt.Errorf("%w: it is too deep", ErrCorrupt)
 	}
-	b, err := t.read(id)
+	page, err := v.readPage(id)
 	if err != nil {
 		return err
 	}
-	return t.elements(b, least, below, depth, fmt.Sprint("page ", id))
+	return v.verifyElements(page, keys, depth, pageName(id))
 }
 
-// elements follows what stands in a page, or in one that lies within a value.
-func (t *tree) elements(b, least, below []byte, depth int, where string) error {
-	bad := func(why string) error { return fmt.Errorf("%w: %s %s", ErrCorrupt, where, why) }
-	if len(b) < pageHeader {
-		return bad("is cut")
-	}
-	flags, count := binary.LittleEndian.Uint16(b[8:]), int(binary.LittleEndian.Uint16(b[10:]))
-	if flags != flagBranch && flags != flagLeaf || flags == flagBranch && count == 0 || pageHeader+count*element > len(b) {
-		return bad("has a wrong header")
-	}
-	type entry struct {
-		key, value []byte
-		child      uint64
-		bucket     bool
-	}
-	entries := make([]entry, count)
-	for i := range entries {
-		at := pageHeader + i*element
-		e, n := b[at:], func(at int) int { return int(binary.LittleEndian.Uint32(b[at:])) }
-		pos, key, value := n(at), n(at+4), 0
-		if flags == flagLeaf {
-			pos, key, value = n(at+4), n(at+8), n(at+12)
-			kind := n(at)
-			if entries[i].bucket = kind == isBucket; kind != 0 && kind != isBucket {
-				return bad("has an entry of no kind")
-			}
-		} else {
-			entries[i].child = binary.LittleEndian.Uint64(e[8:])
-		}
-		if pos < element*(count-i) || pos+key+value > len(e) {
-			return bad("has an entry outside of it")
-		}
-		entries[i].key, entries[i].value = e[pos:pos+key], e[pos+key:pos+key+value]
-		switch k := entries[i].key; {
-		case i > 0 && bytes.Compare(entries[i-1].key, k) >= 0, least != nil && bytes.Compare(k, least) < 0, below != nil && bytes.Compare(k, below) >= 0:
-			return bad("is out of order")
-		}
+// verifyElements verifies the elements of a page, or of an inline page within a value, and follows them.
+func (v *fileVerifier) verifyElements(page []byte, keys keyRange, depth int, name string) error {
+	elements, err := parsePage(page, keys, name)
+	if err != nil {
+		return err
 	}
-	for i, e := range entries {
-		var err error
+	isBranch := binary.LittleEndian.Uint16(page[offsetFlags:]) == flagBranch
+	for i, e := range elements {
 		switch {
-		case flags == flagBranch:
-			end := below
-			if i+1 < count {
-				end = entries[i+1].key
-			}
-			err = t.walk(e.child, e.key, end, depth+1)
-		case !e.bucket:
-		case len(e.value) < 16:
-			err = bad("has a bucket that is cut")
-		default:
-			if root := binary.LittleEndian.Uint64(e.value); root != 0 {
-				err = t.walk(root, nil, nil, depth+1)
-			} else {
-				err = t.elements(e.value[16:], nil, nil, depth+1, where)
+		case isBranch:
+			childKeys := keyRange{first: e.key, end: keys.end}
+			if i+1 < len(elements) {
+				childKeys.end = elements[i+1].key
 			}
+			err = v.verifyPage(e.child, childKeys, depth+1)
+		case e.isBucket:
+			err = v.verifyBucket(e.value, depth+1, name)
 		}
 		if err != nil {
 			return err
@@ -224,29 +204,107 @@
 	return nil
 }
 
-// freelist checks that the pages that are said to be free are in the file, once each, and not in use.
-func (t *tree) freelist(id uint64) error {
-	b, err := t.read(id)
+// verifyBucket verifies a nested bucket, which has a root page of its own or, if it is small, an inline page in its value. The
+// name is that of the page with the value.
+func (v *fileVerifier) verifyBucket(value []byte, depth int, name string) error {
+	if len(value) < bucketHeaderSize {
+		return corruptAt(name, "has a bucket that is cut")
+	}
+	if root := binary.LittleEndian.Uint64(value); root != 0 {
+		return v.verifyPage(root, keyRange{}, depth)
+	}
+	return v.verifyElements(value[bucketHeaderSize:], keyRange{}, depth, name)
+}
+
+// parsePage reads the elements of a branch or leaf page, and checks that each lies inside the page, and that the keys are in order
+// and within a range.
+func parsePage(page []byte, keys keyRange, name string) ([]pageElement, error) {
+	if len(page) < pageHeaderSize {
+		return nil, corruptAt(name, "is cut")
+	}
+	flags := binary.LittleEndian.Uint16(page[offsetFlags:])
+	count := int(binary.LittleEndian.Uint16(page[offsetCount:]))
+	isBranch, isLeaf := flags == flagBranch, flags == flagLeaf
+	if !isBranch && !isLeaf || isBranch && count == 0 || pageHeaderSize+count*elementSize > len(page) {
+		return nil, corruptAt(name, "has a wrong header")
+	}
+	parse := parseLeafElement
+	if isBranch {
+		parse = parseBranchElement
+	}
+	elements := make([]pageElement, count)
+	for i := range elements {
+		// A key begins after the last element.
+		element, problem := parse(page[pageHeaderSize+i*elementSize:], elementSize*(count-i))
+		if problem != "" {
+			return nil, corruptAt(name, problem)
+		}
+		if i > 0 && bytes.Compare(elements[i-1].key, element.key) >= 0 || !keys.contains(element.key) {
+			return nil, corruptAt(name, "is out of order")
+		}
+		elements[i] = element
+	}
+	return elements, nil
+}
+
+// parseBranchElement reads position 4, key size 4, child page 8 bytes. b goes from the element to the page's end, and the key
+// may not begin before minPosition. A problem that is not empty says what is wrong.
+func parseBranchElement(b []byte, minPosition int) (e pageElement, problem string) {
+	position, keySize := elementNumber(b, 0), elementNumber(b, 1)
+	e.child = binary.LittleEndian.Uint64(b[8:])
+	if position < minPosition || position+keySize > len(b) {
+		return e, "has an entry outside of it"
+	}
+	e.key = b[position : position+keySize]
+	return e, ""
+}
+
+// parseLeafElement reads flags 4, position 4, key size 4, value size 4 bytes; see parseBranchElement.
+func parseLeafElement(b []byte, minPosition int) (e pageElement, problem string) {
+	flags, position, keySize, valueSize := elementNumber(b, 0), elementNumber(b, 1), elementNumber(b, 2), elementNumber(b, 3)
+	if flags != 0 && flags != flagBucketElement {
+		return e, "has an entry of no kind"
+	}
+	if position < minPosition || position+keySize+valueSize > len(b) {
+		return e, "has an entry outside of it"
+	}
+	e.isBucket = flags == flagBucketElement
+	e.key, e.value = b[position:position+keySize], b[position+keySize:position+keySize+valueSize]
+	return e, ""
+}
+
+// elementNumber returns the i-th 32-bit number of an element.
+func elementNumber(b []byte, i int) int { return int(binary.LittleEndian.Uint32(b[4*i:])) }
+
+func (r keyRange) contains(key []byte) bool {
+	if r.first != nil && bytes.Compare(key, r.first) < 0 {
+		return false
+	}
+	return r.end == nil || bytes.Compare(key, r.end) < 0
+}
+
+// verifyFreelist checks that the pages in the list of free pages are in the file, once each, and not in use.
+func (v *fileVerifier) verifyFreelist(id uint64) error {
+	page, err := v.readPage(id)
 	if err != nil {
 		return err
 	}
-	bad := func(why string) error { return fmt.Errorf("%w: the list of free pages %s", ErrCorrupt, why) }
-	count, ids := uint64(binary.LittleEndian.Uint16(b[10:])), b[pageHeader:]
-	if binary.LittleEndian.Uint16(b[8:]) != flagFree {
-		return bad("is none")
+	if binary.LittleEndian.Uint16(page[offsetFlags:]) != flagFree {
+		return corruptAt(freelistErrorSubject, "is none")
 	}
-	if count == 0xFFFF {
-		count, ids = binary.LittleEndian.Uint64(ids), ids[8:]
+	count, ids := uint64(binary.LittleEndian.Uint16(page[offsetCount:])), page[pageHeaderSize:]
+	if count == freelistCountInBody {
+		count, ids = binary.LittleEndian.Uint64(ids), ids[freePageIDSize:]
 	}
-	if count > uint64(len(ids)/8) {
-		return bad("is cut")
+	if count > uint64(len(ids)/freePageIDSize) {
+		return corruptAt(freelistErrorSubject, "is cut")
 	}
 	for i := range count {
-		free := binary.LittleEndian.Uint64(ids[i*8:])
-		if free < 2 || free >= t.pages || t.seen[free] {
-			return bad("names a page in use")
+		free := binary.LittleEndian.Uint64(ids[i*freePageIDSize:])
+		if free < metaPages || free >= v.pageCount || v.seen[free] {
+			return corruptAt(freelistErrorSubject, "names a page in use")
 		}
-		t.seen[free] = true
+		v.seen[free] = true
 	}
 	return nil
 }
