--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -36,7 +36,7 @@
 func writeGoldenState(t *testing.T) (file []byte, entryList string) {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := Open(dir, goldenIdentity) // not made by Init: one that says that it was lost
+	s, err := Open(dir, goldenIdentity) // without Init, so it is marked as incomplete
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +87,8 @@
 	return out.String()
 }
 
-// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is the database's affair, and
-// may have its pages in another order.
+// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is up to the database, and may
+// have its pages in another order.
 func TestGoldenEntriesAreWritten(t *testing.T) {
 	_, entryList := writeGoldenState(t)
 	if want := golden.Text(t, "entries.txt", entryList); entryList != want {
@@ -116,7 +116,7 @@
 		t.Errorf("read\n%s\nnot\n%s", got, want)
 	}
 	if !s.incomplete || s.previousLifetime != goldenLifetime || s.Keys() != len(goldenRecords) {
-		t.Errorf("lost %t, lived %v, %d keys", s.incomplete, s.previousLifetime, s.Keys())
+		t.Errorf("incomplete %t, lifetime %v, %d keys", s.incomplete, s.previousLifetime, s.Keys())
 	}
 	got := map[idempotency.Key]idempotency.Record{}
 	if err := s.Each(func(key idempotency.Key, record idempotency.Record, err error) {
@@ -127,12 +127,12 @@
 	}); err != nil || !reflect.DeepEqual(got, goldenRecords) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if left, err := s.Expire(30, 10); err != nil || left != 2 { // the one that was written at 29 ns goes
-		t.Errorf("%d left, %v", left, err)
+	if remaining, err := s.Expire(30, 10); err != nil || remaining != 2 { // the one that was written at 29 ns is deleted
+		t.Errorf("%d remain, %v", remaining, err)
 	}
 }
 
-// A record with every field set, so that one that is new cannot be left out unseen.
+// One golden record sets every field, so that a new field cannot be missed.
 func TestGoldenRecordSetsEveryField(t *testing.T) {
 	for _, record := range goldenRecords {
 		if record.State != idempotency.Answered {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Operators look for a state that was refused under this name.
-func TestGoldenNameOfStateSetAside(t *testing.T) {
+// Operators look for a refused state under this name.
+func TestGoldenNameOfRefusedState(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenFileName), nil, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/state/state_test.go
+++ b/internal/state/store_test.go
@@ -28,8 +28,8 @@
 	return store
 }
 
-// What is written is found by the next life, to the last field; a life ended by SIGKILL is no different, since each write is synced.
-func TestRecordsSurvive(t *testing.T) {
+// What is written is found by the next process, to the last field, also after SIGKILL, since each write is synced.
+func TestRecordsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	if err := Init(dir, testIdentity); err != nil {
 		t.Fatal(err)
@@ -45,42 +45,42 @@
 			t.Fatal(err)
 		}
 	}
-	file, err := os.ReadFile(filepath.Join(dir, fileName)) // as a process that is killed now leaves it
+	file, err := os.ReadFile(filepath.Join(dir, fileName)) // as a process that is killed now would leave it
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := t.TempDir()
-	if err := os.WriteFile(filepath.Join(next, fileName), file, 0o600); err != nil {
+	nextDir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(nextDir, fileName), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := openStore(t, next)
-	if got, ok, err := again.Get(idempotency.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
+	restarted := openStore(t, nextDir)
+	if got, ok, err := restarted.Get(idempotency.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
 		t.Errorf("%+v, %t, %v", got, ok, err)
 	}
-	if got, _, _ := again.Get(idempotency.Key{2}); string(got.Answer) != "answer" {
+	if got, _, _ := restarted.Get(idempotency.Key{2}); string(got.Answer) != "answer" {
 		t.Errorf("%+v", got)
 	}
-	if _, ok, err := again.Get(idempotency.Key{99}); ok || err != nil {
+	if _, ok, err := restarted.Get(idempotency.Key{99}); ok || err != nil {
 		t.Errorf("%t, %v", ok, err)
 	}
-	if ok, _ := again.Complete(time.Hour); !ok || again.Keys() != 10 {
-		t.Errorf("remembers %t, %d keys", ok, again.Keys())
+	if ok, _ := restarted.Complete(time.Hour); !ok || restarted.Keys() != 10 {
+		t.Errorf("complete %t, %d keys", ok, restarted.Keys())
 	}
-	if left, err := again.Expire(4*time.Second, 3); err != nil || left != 7 {
-		t.Errorf("%d left, %v", left, err)
+	if remaining, err := restarted.Expire(4*time.Second, 3); err != nil || remaining != 7 {
+		t.Errorf("%d remain, %v", remaining, err)
 	}
-	if left, err := again.Expire(4*time.Second, 100); err != nil || left != 5 || again.Delete(idempotency.Key{9}) != nil || again.Keys() != 4 {
-		t.Errorf("%d left, %v", left, err)
+	if remaining, err := restarted.Expire(4*time.Second, 100); err != nil || remaining != 5 || restarted.Delete(idempotency.Key{9}) != nil || restarted.Keys() != 4 {
+		t.Errorf("%d remain, %v", remaining, err)
 	}
 }
 
-// A state that was not there is one that was lost, until the member has lived for as long as keys are kept; a clock has no part
-// in that. Init vouches that there was none.
-func TestLostState(t *testing.T) {
+// A state that Open had to create is incomplete until the member's lifetime reaches the retention of records; the wall clock has no
+// part in that. Init marks a state as complete, and refuses to replace one.
+func TestStateCreatedAfterLossIsIncompleteUntilRetention(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	if ok, left := s.Complete(time.Hour); ok || left < 59*time.Minute {
-		t.Errorf("remembers %t, %v left", ok, left)
+	if ok, remaining := s.Complete(time.Hour); ok || remaining < 59*time.Minute {
+		t.Errorf("complete %t, %v remaining", ok, remaining)
 	}
 	s.previousLifetime = time.Hour
 	if err := s.Close(); err != nil {
@@ -88,19 +88,19 @@
 	}
 	s = openStore(t, dir)
 	if ok, _ := s.Complete(time.Hour); !ok || s.Lifetime() < time.Hour {
-		t.Errorf("after an hour of life it remembers %t, lived %v", ok, s.Lifetime())
+		t.Errorf("after a lifetime of an hour: complete %t, lifetime %v", ok, s.Lifetime())
 	}
 	if err := Init(dir, testIdentity); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a state was made over one that is there: %v", err)
+		t.Errorf("Init over an existing state: %v", err)
 	}
 }
 
-// Another process's folder, another member's state and a later program's are refused.
-func TestRefused(t *testing.T) {
+// A folder that another process holds and another member's state are refused.
+func TestOpenRefusesLockedAndForeignState(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	if _, err := Open(dir, testIdentity); !errors.Is(err, ErrLocked) {
-		t.Errorf("a folder that is in use: %v", err)
+		t.Errorf("a locked folder: %v", err)
 	}
 	s.Close()
 	for _, other := range []Identity{{"g", "n1"}, {"f", "n2"}} {
@@ -109,11 +109,11 @@
 		}
 	}
 	if _, err := Open("/dev/null/x", testIdentity); err == nil {
-		t.Error("a folder that cannot be")
+		t.Error("a folder that cannot exist was opened")
 	}
 }
 
-// stateImages returns a state's file with n answered filings, which hold 280 bytes each, and after each write how it was.
+// stateImages writes n answered records of 280 bytes each, and returns the state's file before the first and after each write.
 func stateImages(t testing.TB, n byte) (images [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -121,19 +121,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	image := func() {
+	saveImage := func() {
+		t.Helper()
 		file, err := os.ReadFile(filepath.Join(dir, fileName))
 		if err != nil {
 			t.Fatal(err)
 		}
 		images = append(images, file)
 	}
-	image()
+	saveImage()
 	for i := range n {
 		if err := s.Put(idempotency.Key{i}, answeredRecord(i)); err != nil {
 			t.Fatal(err)
 		}
-		image()
+		saveImage()
 	}
 	s.db.Close()
 	return images
@@ -144,8 +145,8 @@
 		Answer: bytes.Repeat([]byte("answer "), 40)}
 }
 
-// countKeysOf opens a state whose file is as given, and tells which of the first n keys it has, each as it was written.
-func countKeysOf(t testing.TB, dir string, file []byte, n byte) (has int, err error) {
+// countKeysOf opens a state with the given file, and returns how many of the first n keys it has, each as it was written.
+func countKeysOf(t testing.TB, dir string, file []byte, n byte) (found int, err error) {
 	t.Helper()
 	path := filepath.Join(dir, fileName)
 	if err := os.WriteFile(path, file, 0o600); err != nil {
@@ -168,43 +169,43 @@
 		case ok && (r.Attempt.Seq != uint64(i) || !bytes.Equal(r.Answer, answeredRecord(i).Answer)):
 			t.Errorf("key %d is %+v", i, r)
 		case ok:
-			has++
+			found++
 		}
 	}
-	return has, nil
+	return found, nil
 }
 
 // A file that is cut, or has a flipped bit anywhere, is refused, or the bit is in a page that is not in use: never a panic or a
-// fault, and never a key less than was written. Before the file was looked through, some of these bits led the database out of
-// its mapping, and the process died of it.
-func TestSpoiltFile(t *testing.T) {
+// fault, and never a key less than was written. Before the file was verified, some of these bits led the database out of its
+// mapping, and the process died of it.
+func TestCorruptFileIsRefusedOrUnharmed(t *testing.T) {
 	const n = 40
 	images := stateImages(t, n)
 	good, dir := images[n], t.TempDir()
 	refused, unharmed := 0, 0
-	look := func(what string, file []byte) {
+	check := func(what string, file []byte) {
 		t.Helper()
-		switch has, err := countKeysOf(t, dir, file, n); {
+		switch found, err := countKeysOf(t, dir, file, n); {
 		case errors.Is(err, ErrCorrupt):
 			refused++
-		case err != nil || has != n:
-			t.Errorf("%s: it has %d keys, %v", what, has, err)
+		case err != nil || found != n:
+			t.Errorf("%s: %d keys found, %v", what, found, err)
 		default:
 			unharmed++
 		}
 	}
 	for cut := 1021; cut < len(good); cut += 1021 {
-		look(fmt.Sprint("cut at ", cut), good[:cut])
+		check(fmt.Sprint("cut at ", cut), good[:cut])
 	}
 	flip := func(bit int) {
 		flipped := bytes.Clone(good)
 		flipped[bit/8] ^= 1 << (bit % 8)
-		look(fmt.Sprint("bit ", bit), flipped)
+		check(fmt.Sprint("bit ", bit), flipped)
 	}
 	for bit := 0; bit < len(good)*8; bit += 8*197 + 3 {
 		flip(bit)
 	}
-	for page := 0; page < len(good); page += os.Getpagesize() { // the numbers that the database follows are at a page's beginning
+	for page := 0; page < len(good); page += os.Getpagesize() { // the numbers that the database follows are at the start of a page
 		for bit := page * 8; bit < (page+128)*8; bit += 11 {
 			flip(bit)
 		}
@@ -216,61 +217,61 @@
 	if err := os.WriteFile(file, good[:len(good)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if to, err := SetAside(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(to, "bad-7") {
-		t.Errorf("%s, %v", to, err)
+	if renamed, err := SetAside(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(renamed, "bad-7") {
+		t.Errorf("%s, %v", renamed, err)
 	}
 	if ok, _ := openStore(t, dir).Complete(time.Hour); ok {
-		t.Error("after its file was set aside it remembers all")
+		t.Error("complete after its file was renamed")
 	}
 }
 
-// A death between any two writes of a change leaves the state as before it or as after it. The database writes the pages of a
-// change, syncs them, writes one beginning, and syncs it; so on the disk may be any part of the pages, in sectors, with the
-// beginnings as they were, or all of them with the new one. The pages written are told by comparing the file before and after.
-func TestDeathAtEveryWrite(t *testing.T) {
+// A crash between any two writes of a transaction leaves the state as before it or as after it. The database writes the pages of a
+// transaction, syncs them, writes one meta page, and syncs it; so on the disk may be any part of the pages, in sectors, with the
+// meta pages as they were, or all of them with the new one. The pages written are found by comparing the file before and after.
+func TestCrashAtEveryWriteLeavesStateBeforeOrAfter(t *testing.T) {
 	const n, sector = 24, 512
 	images, dir := stateImages(t, n), t.TempDir()
-	page, deaths := os.Getpagesize(), 0
+	pageSize, crashes := os.Getpagesize(), 0
 	for i := 1; i < len(images); i++ {
 		before, after := images[i-1], images[i]
 		grown := append(bytes.Clone(before), make([]byte, len(after)-len(before))...)
-		var changed []int // sectors of pages that are not beginnings
-		for at := 2 * page; at < len(after); at += sector {
+		var changed []int // offsets of sectors outside the meta pages
+		for at := 2 * pageSize; at < len(after); at += sector {
 			if !bytes.Equal(grown[at:at+sector], after[at:at+sector]) {
 				changed = append(changed, at)
 			}
 		}
-		if len(changed) == 0 || bytes.Equal(before[:2*page], after[:2*page]) {
+		if len(changed) == 0 || bytes.Equal(before[:2*pageSize], after[:2*pageSize]) {
 			t.Fatalf("write %d changed %d sectors", i, len(changed))
 		}
-		see := func(what string, file []byte, want int) {
+		check := func(what string, file []byte, want int) {
 			t.Helper()
-			deaths++
-			if has, err := countKeysOf(t, dir, file, n); err != nil || has != want {
-				t.Errorf("write %d, death %s: %d keys, %v; want %d", i, what, has, err, want)
+			crashes++
+			if found, err := countKeysOf(t, dir, file, n); err != nil || found != want {
+				t.Errorf("write %d, crash %s: %d keys, %v; want %d", i, what, found, err, want)
 			}
 		}
-		see("before the file grew", before, i-1)
-		part := bytes.Clone(grown)
+		check("before the file grew", before, i-1)
+		partial := bytes.Clone(grown)
 		for k, at := range changed {
-			one := bytes.Clone(grown) // the disk may write any of them first
-			copy(one[at:at+sector], after[at:])
-			see(fmt.Sprint("with only sector ", at), one, i-1)
-			if copy(part[at:at+sector], after[at:]); k%4 == 0 || k == len(changed)-1 {
-				see(fmt.Sprint("after sector ", at), part, i-1)
+			single := bytes.Clone(grown) // the disk may write any of them first
+			copy(single[at:at+sector], after[at:])
+			check(fmt.Sprint("with only sector ", at), single, i-1)
+			if copy(partial[at:at+sector], after[at:]); k%4 == 0 || k == len(changed)-1 {
+				check(fmt.Sprint("after sector ", at), partial, i-1)
 			}
 		}
-		see("after all", after, i)
+		check("after all", after, i)
 	}
-	t.Log(deaths, "deaths")
+	t.Log(crashes, "crashes")
 }
 
-// Records survive their coding, and garbage is an error or a record that makes sense.
-func TestCoding(t *testing.T) {
+// A record is decoded to what was encoded, and one with a flipped bit is an error.
+func TestRecordEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := idempotency.Record{Attempt: idempotency.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "life"), Seq: rapid.Uint64().Draw(t, "seq")},
+		r := idempotency.Record{Attempt: idempotency.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Seq: rapid.Uint64().Draw(t, "seq")},
 			State:     rapid.SampledFrom([]idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}).Draw(t, "state"),
-			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "at")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "until")),
+			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "writtenAt")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "attemptDeadline")),
 			Answer: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer")}
 		b := encodeRecord(r)
 		got, err := decodeRecord(b)
@@ -279,7 +280,7 @@
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		if _, err := decodeRecord(b); err == nil {
-			t.Fatal("a flipped bit was not seen")
+			t.Fatal("a flipped bit was not detected")
 		}
 	})
 }
@@ -288,17 +289,17 @@
 	f.Add(encodeRecord(idempotency.Record{Attempt: idempotency.Attempt{Name: "n"}, State: idempotency.InFlight}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := decodeRecord(b); err == nil && (r.State < idempotency.InFlight || r.State > idempotency.Answered) {
-			t.Errorf("%x was taken as %+v", b, r)
+			t.Errorf("%x was decoded as %+v", b, r)
 		}
 	})
 }
 
-// No file of a database, whatever is in it, is a panic to look through.
+// Verifying a file never panics, whatever is in it.
 func FuzzVerify(f *testing.F) {
 	images := stateImages(f, 9)
 	f.Add(images[9][:8*os.Getpagesize()], uint32(8192), uint32(1))
 	f.Fuzz(func(t *testing.T, file []byte, at, value uint32) {
-		if n := uint32(len(file)); n > 4 { // mostly whole files with one number off
+		if n := uint32(len(file)); n > 4 { // mostly sound files with one number replaced
 			binary.LittleEndian.PutUint32(file[at%(n-3):], value)
 		}
 		if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrCorrupt) {
@@ -307,7 +308,7 @@
 	})
 }
 
-// What a claim costs on this disk, and to open a state of 20,000 filings.
+// The time that a synced write takes on this disk.
 func BenchmarkPut(b *testing.B) {
 	s, err := Open(b.TempDir(), testIdentity)
 	if err != nil {
@@ -323,17 +324,17 @@
 	}
 }
 
-// What it takes to look a state of 20,000 answered filings through, and to read it.
+// The time to verify and open a state of 20,000 answered records.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	s, err := Open(dir, testIdentity)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := s.update(func(e *entryWriter) error {
+	if err := s.update(func(w *entryWriter) error {
 		for i := range uint64(20_000) {
 			key, r := idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), answeredRecord(byte(i))
-			if err := errors.Join(e.put(bucketRecords, key[:], encodeRecord(r)), e.put(bucketWriteTimes, writeTimeKey(r.WrittenAt, key), nil)); err != nil {
+			if err := errors.Join(w.put(bucketRecords, key[:], encodeRecord(r)), w.put(bucketWriteTimes, writeTimeKey(r.WrittenAt, key), nil)); err != nil {
 				return err
 			}
 		}
