--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// step makes what is in a folder look as if the wall clock had been stepped by so much since it was written.
-func step(t *testing.T, dir string, by time.Duration) {
+// shiftModTimes makes what is in a folder look as if the wall clock had been stepped by so much since it was written.
+func shiftModTimes(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
@@ -35,16 +35,16 @@
 			t.Parallel()
 			dir := t.TempDir()
 			began := time.Now()
-			first := start(t, dir)
-			first.do("take key- ran")
-			first.do("ran ran")
+			first := startProcess(t, dir)
+			first.request("take key- ran")
+			first.request("ran ran")
 			first.end()
-			step(t, dir, by)
-			second := start(t, dir)
-			if got := second.do("take key- ran"); got != verdict(MayHaveRun) && time.Since(began) < keep {
+			shiftModTimes(t, dir, by)
+			second := startProcess(t, dir)
+			if got := second.request("take key- ran"); got != claimText(MayHaveRun) && time.Since(began) < testRetention {
 				t.Errorf("after the step: %s", got)
 			}
-			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Acquired) })
+			eventually(t, "its time to be over", func() bool { return second.request("take key- ran") == claimText(Acquired) })
 		})
 	}
 }
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -15,20 +15,20 @@
 
 // Processes of different versions that run beside each other read one another's folders. The forms below are those of 1ac8dd0; they are
 // short enough to stand here.
-const goldenShown = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
+const goldenMarker = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
 
 var (
-	goldenShownForm = regexp.MustCompile(`^\{"Taken":\{"Wall":[1-9][0-9]*,"Boot":-?[1-9][0-9]*,"BootID":"[0-9a-f-]+"\},"Ran":(true|false)\}$`)
-	goldenOwnFolder = regexp.MustCompile(`^[0-9]+-[0-9a-z]+$`)
+	goldenMarkerForm = regexp.MustCompile(`^\{"Taken":\{"Wall":[1-9][0-9]*,"Boot":-?[1-9][0-9]*,"BootID":"[0-9a-f-]+"\},"Ran":(true|false)\}$`)
+	goldenOwnDirForm = regexp.MustCompile(`^[0-9]+-[0-9a-z]+$`)
 )
 
 func TestGoldenShownText(t *testing.T) {
-	want := shown{Taken: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"}, Ran: true}
-	var got shown
-	if err := json.Unmarshal([]byte(goldenShown), &got); err != nil || got != want {
+	want := marker{AcquiredAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"}, MayHaveRun: true}
+	var got marker
+	if err := json.Unmarshal([]byte(goldenMarker), &got); err != nil || got != want {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if text, err := json.Marshal(want); err != nil || string(text) != goldenShown {
+	if text, err := json.Marshal(want); err != nil || string(text) != goldenMarker {
 		t.Errorf("wrote %s, %v", text, err)
 	}
 }
@@ -36,18 +36,18 @@
 // What is written of a name, and what is read of it: by the machine's own clock after the same boot, by the wall clock after another, and
 // from the earliest version's word.
 func TestGoldenNameFiles(t *testing.T) {
-	table, err := Start(system.Real(), t.TempDir(), "golden", keep)
+	table, err := Start(system.Real(), t.TempDir(), "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer table.lock.Close()
-	path := filepath.Join(table.own, "name")
+	path := filepath.Join(table.ownDir, "name")
 	for _, ran := range []bool{false, true} {
-		if err := table.show(path, time.Now().Add(-time.Hour), ran); err != nil {
+		if err := table.writeMarker(path, time.Now().Add(-time.Hour), ran); err != nil {
 			t.Fatal(err)
 		}
 		text, err := os.ReadFile(path)
-		if found := goldenShownForm.FindStringSubmatch(string(text)); err != nil || found == nil || found[1] != fmt.Sprint(ran) {
+		if found := goldenMarkerForm.FindStringSubmatch(string(text)); err != nil || found == nil || found[1] != fmt.Sprint(ran) {
 			t.Errorf("wrote %s, %v", text, err)
 		}
 		if info, err := os.Stat(path); err != nil || !about(time.Since(info.ModTime()), time.Hour) {
@@ -58,12 +58,12 @@
 	ago := func(age time.Duration) int64 { return int64(-age) }
 	for _, c := range []struct {
 		name, text string
-		want       file
+		want       markerState
 	}{
-		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot+ago(time.Minute), now.BootID), file{time.Minute, true}},
-		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall+ago(time.Hour)), file{time.Hour, false}},
-		{"earliest, ended", "ran", file{2 * time.Hour, true}},
-		{"earliest, not ended", "", file{2 * time.Hour, false}},
+		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot+ago(time.Minute), now.BootID), markerState{time.Minute, true}},
+		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall+ago(time.Hour)), markerState{time.Hour, false}},
+		{"earliest, ended", "ran", markerState{2 * time.Hour, true}},
+		{"earliest, not ended", "", markerState{2 * time.Hour, false}},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -72,7 +72,7 @@
 		if err := os.Chtimes(path, modified, modified); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := table.read(path); err != nil || got.ran != c.want.ran || !about(got.age, c.want.age) {
+		if got, err := table.readMarker(path); err != nil || got.mayHaveRun != c.want.mayHaveRun || !about(got.age, c.want.age) {
 			t.Errorf("%s: read %+v, %v", c.name, got, err)
 		}
 	}
@@ -83,41 +83,41 @@
 
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
-	table, err := Start(system.Real(), dir, "golden", keep)
+	table, err := Start(system.Real(), dir, "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer table.lock.Close()
-	if got, want := table.base, filepath.Join(dir, "rampspread-dd56de4137951d9c.beside"); got != want {
+	if got, want := table.sharedDir, filepath.Join(dir, "rampspread-dd56de4137951d9c.beside"); got != want {
 		t.Errorf("the folder that is shared: %s, not %s", got, want)
 	}
-	if own := filepath.Base(table.own); filepath.Dir(table.own) != table.base || !goldenOwnFolder.MatchString(own) || !strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
-		t.Errorf("the process's own folder: %s", table.own)
+	if own := filepath.Base(table.ownDir); filepath.Dir(table.ownDir) != table.sharedDir || !goldenOwnDirForm.MatchString(own) || !strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
+		t.Errorf("the process's own folder: %s", table.ownDir)
 	}
-	if info, err := os.Stat(filepath.Join(table.own, "lock")); err != nil || info.Size() != 0 {
+	if info, err := os.Stat(filepath.Join(table.ownDir, "lock")); err != nil || info.Size() != 0 {
 		t.Errorf("the lock: %v", err)
 	}
-	if _, err := os.Stat(filepath.Join(table.own, "shown")); err == nil {
+	if _, err := os.Stat(filepath.Join(table.ownDir, "shown")); err == nil {
 		t.Error("a process that is alone has the mark that it shows what it has")
 	}
-	other, err := Start(system.Real(), dir, "golden", keep)
+	other, err := Start(system.Real(), dir, "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.lock.Close()
-	table.step()
-	if info, err := os.Stat(filepath.Join(table.own, "shown")); err != nil || info.Size() != 0 {
+	table.refresh()
+	if info, err := os.Stat(filepath.Join(table.ownDir, "shown")); err != nil || info.Size() != 0 {
 		t.Errorf("the mark of a process that shows what it has: %v", err)
 	}
 	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f"} {
-		if got := fileOf(kind, "golden"); got != want {
+		if got := fileName(kind, "golden"); got != want {
 			t.Errorf("%s, not %s", got, want)
 		}
 	}
 	if table.Acquire(Request, "golden") != Acquired {
 		t.Error("nobody has the name")
 	}
-	if _, err := os.Stat(filepath.Join(table.own, "id-dd56de4137951d9c92681b03416ec15f")); err != nil {
+	if _, err := os.Stat(filepath.Join(table.ownDir, "id-dd56de4137951d9c92681b03416ec15f")); err != nil {
 		t.Errorf("a name that is taken: %v", err)
 	}
 }
--- a/internal/state/inflight/inflight_test.go
+++ b/internal/state/inflight/inflight_test.go
@@ -17,24 +17,24 @@
 	"rampspread/internal/system"
 )
 
-const keep = 2 * time.Second
+const testRetention = 2 * time.Second
 
 // TestMain is also the other process: "take KIND NAME", "drop KIND NAME" and "ran NAME" on its standard input, a verdict for each
 // on its standard output.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("BESIDE_DIR"); dir != "" {
-		os.Exit(serveOther(dir))
+		os.Exit(runPeerProcess(dir))
 	}
 	os.Exit(m.Run())
 }
 
-func serveOther(dir string) int {
-	t, err := Start(system.Real(), dir, "n0", keep)
+func runPeerProcess(dir string) int {
+	t, err := Start(system.Real(), dir, "n0", testRetention)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	t.patience = 10 * time.Second
+	t.timeout = 10 * time.Second
 	ctx, stop := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { t.Run(ctx) })
@@ -60,13 +60,13 @@
 
 // process is another process that shares the folder.
 type process struct {
-	t   *testing.T
-	cmd *exec.Cmd
-	in  *os.File
-	out *bufio.Scanner
+	t      *testing.T
+	cmd    *exec.Cmd
+	stdin  *os.File
+	stdout *bufio.Scanner
 }
 
-func start(t *testing.T, dir string) *process {
+func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
 	in, write, err := os.Pipe()
 	if err != nil {
@@ -84,65 +84,65 @@
 	in.Close()
 	p := &process{t, cmd, write, bufio.NewScanner(out)}
 	t.Cleanup(func() { p.kill() })
-	if got := p.read(); got != "silent 0" {
+	if got := p.readLine(); got != "silent 0" {
 		t.Fatalf("it began with %q", got)
 	}
 	return p
 }
 
-func (p *process) read() string {
-	if !p.out.Scan() {
+func (p *process) readLine() string {
+	if !p.stdout.Scan() {
 		p.t.Fatal("the other process ended")
 	}
-	return p.out.Text()
+	return p.stdout.Text()
 }
 
-func (p *process) do(format string, args ...any) string {
+func (p *process) request(format string, args ...any) string {
 	p.t.Helper()
-	fmt.Fprintf(p.in, format+"\n", args...)
-	return p.read()
+	fmt.Fprintf(p.stdin, format+"\n", args...)
+	return p.readLine()
 }
 
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	p.in.Close()
+	p.stdin.Close()
 	p.cmd.Wait()
 }
 
 func (p *process) end() {
-	p.in.Close()
+	p.stdin.Close()
 	p.cmd.Wait()
 }
 
-func verdict(v Claim) string { return fmt.Sprint(v) }
+func claimText(v Claim) string { return fmt.Sprint(v) }
 
 // What one process has in hand when another comes is known to that one before it takes anything, and the other way about; what is
 // ended is free again.
 func TestOneHasIt(t *testing.T) {
 	dir := t.TempDir()
-	first := start(t, dir)
+	first := startProcess(t, dir)
 	for _, name := range []string{"a", "b"} {
-		if got := first.do("take id- %s", name); got != verdict(Acquired) {
+		if got := first.request("take id- %s", name); got != claimText(Acquired) {
 			t.Fatalf("alone: %s", got)
 		}
 	}
 	if files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*")); len(files) > 0 {
 		t.Errorf("alone it wrote %d files", len(files))
 	}
-	second := start(t, dir)
-	if got := second.do("take id- a"); got != verdict(HeldByOther) {
+	second := startProcess(t, dir)
+	if got := second.request("take id- a"); got != claimText(HeldByOther) {
 		t.Errorf("what the first has: %s", got)
 	}
-	if got := second.do("take id- c"); got != verdict(Acquired) {
+	if got := second.request("take id- c"); got != claimText(Acquired) {
 		t.Errorf("what nobody has: %s", got)
 	}
-	if got := first.do("take id- c"); got != verdict(HeldByOther) {
+	if got := first.request("take id- c"); got != claimText(HeldByOther) {
 		t.Errorf("what the second has: %s", got)
 	}
-	first.do("drop id- a")
-	eventually(t, "what was ended", func() bool { return second.do("take id- a") == verdict(Acquired) })
+	first.request("drop id- a")
+	eventually(t, "what was ended", func() bool { return second.request("take id- a") == claimText(Acquired) })
 	second.kill() // what it had is nobody's
-	eventually(t, "what the one that was killed had", func() bool { return first.do("take id- c") == verdict(Acquired) })
+	eventually(t, "what the one that was killed had", func() bool { return first.request("take id- c") == claimText(Acquired) })
 	eventually(t, "no file to be left", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*"))
 		return len(files) == 0
@@ -155,33 +155,33 @@
 		t.Run(end, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			first := start(t, dir)
+			first := startProcess(t, dir)
 			for _, name := range []string{"ran", "open", "never"} {
-				first.do("take key- %s", name)
+				first.request("take key- %s", name)
 			}
 			began := time.Now()
-			first.do("ran ran")
-			first.do("drop key- never")
+			first.request("ran ran")
+			first.request("drop key- never")
 			var second *process
 			if end == "ended alone" {
 				first.end()
-				second = start(t, dir)
+				second = startProcess(t, dir)
 			} else {
-				second = start(t, dir)
-				if got := second.do("take key- ran"); got != verdict(MayHaveRun) {
+				second = startProcess(t, dir)
+				if got := second.request("take key- ran"); got != claimText(MayHaveRun) {
 					t.Errorf("beside it: %s", got)
 				}
-				if got := second.do("take key- open"); got != verdict(HeldByOther) {
+				if got := second.request("take key- open"); got != claimText(HeldByOther) {
 					t.Errorf("in hand beside it: %s", got)
 				}
 				first.kill()
 			}
 			for name, want := range map[string]Claim{"ran": MayHaveRun, "open": MayHaveRun, "never": Acquired} {
-				if got := second.do("take key- %s", name); got != verdict(want) && time.Since(began) < keep {
+				if got := second.request("take key- %s", name); got != claimText(want) && time.Since(began) < testRetention {
 					t.Errorf("%s: %s, want %d", name, got, want)
 				}
 			}
-			eventually(t, "its time to be over", func() bool { return second.do("take key- ran") == verdict(Acquired) })
+			eventually(t, "its time to be over", func() bool { return second.request("take key- ran") == claimText(Acquired) })
 		})
 	}
 }
@@ -190,28 +190,28 @@
 // no name is ever held by two that live, and who comes first has it.
 func TestNeverTwo(t *testing.T) {
 	dir, rng := t.TempDir(), rand.New(rand.NewPCG(5, 5))
-	procs := []*process{start(t, dir), start(t, dir), start(t, dir)}
+	procs := []*process{startProcess(t, dir), startProcess(t, dir), startProcess(t, dir)}
 	for round := range 120 {
 		name := fmt.Sprint("n", round)
 		got := make([]string, len(procs))
 		first := -1 // all at once: each may have seen another, so that nobody gets it
 		if round%2 == 1 {
 			first = rng.IntN(len(procs))
-			if got[first] = procs[first].do("take id- %s", name); got[first] != verdict(Acquired) {
+			if got[first] = procs[first].request("take id- %s", name); got[first] != claimText(Acquired) {
 				t.Fatalf("the first to ask for %s got %s", name, got[first])
 			}
 		}
 		var wait sync.WaitGroup
 		for i, p := range procs {
 			if i != first {
-				fmt.Fprintf(p.in, "take id- %s\n", name)
-				wait.Go(func() { p.out.Scan(); got[i] = p.out.Text() })
+				fmt.Fprintf(p.stdin, "take id- %s\n", name)
+				wait.Go(func() { p.stdout.Scan(); got[i] = p.stdout.Text() })
 			}
 		}
 		wait.Wait()
 		holders := 0
 		for _, g := range got {
-			if g == verdict(Acquired) {
+			if g == claimText(Acquired) {
 				holders++
 			}
 		}
@@ -221,10 +221,10 @@
 		if round%20 == 19 {
 			i := rng.IntN(len(procs))
 			procs[i].kill()
-			procs[i] = start(t, dir)
+			procs[i] = startProcess(t, dir)
 			// What the others took last, the one that has just come knows.
 			for j, g := range got {
-				if j != i && g == verdict(Acquired) && procs[i].do("take id- %s", name) != verdict(HeldByOther) {
+				if j != i && g == claimText(Acquired) && procs[i].request("take id- %s", name) != claimText(HeldByOther) {
 					t.Fatalf("%s was given to one that has just come", name)
 				}
 			}
@@ -235,43 +235,43 @@
 // A folder that does not do what it is asked makes what is taken unknown, at once and in bounds, and nothing else.
 func TestFolderFails(t *testing.T) {
 	dir := t.TempDir()
-	other := start(t, dir)
-	table, err := Start(system.Real(), dir, "n0", keep)
+	other := startProcess(t, dir)
+	table, err := Start(system.Real(), dir, "n0", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
-	table.patience = 10 * time.Second
+	table.timeout = 10 * time.Second
 	if table.WaitForPeers(t.Context()) != 0 {
 		t.Error("the other did not show what it has")
 	}
-	for range asksMost { // as if so many hung
-		table.asks <- struct{}{}
+	for range maxPendingLookups { // as if so many hung
+		table.lookups <- struct{}{}
 	}
 	if v := table.Acquire(Request, "x"); v != Unknown || table.Failed() == 0 {
 		t.Errorf("verdict %d, failed %d", v, table.Failed())
 	}
-	for range asksMost {
-		<-table.asks
+	for range maxPendingLookups {
+		<-table.lookups
 	}
 	if v := table.Acquire(Request, "x"); v != Acquired {
 		t.Errorf("the folder is back: %d", v)
 	}
 	// A folder that cannot be looked at is one of a process that lives: it is not cleared away under it.
-	blind := filepath.Join(table.base, "blind")
+	blind := filepath.Join(table.sharedDir, "blind")
 	if err := errors.Join(os.Mkdir(blind, 0o700), os.Symlink(lockFile, filepath.Join(blind, lockFile))); err != nil {
 		t.Fatal(err)
 	}
-	table.step()
+	table.refresh()
 	if _, err := os.Stat(blind); err != nil {
 		t.Errorf("it was cleared away: %v", err)
 	}
 	os.RemoveAll(blind)
-	os.RemoveAll(table.own)
+	os.RemoveAll(table.ownDir)
 	if v := table.Acquire(Request, "y"); v != Unknown {
 		t.Errorf("without a folder: %d", v)
 	}
 	other.end()
-	if _, err := Start(system.Real(), filepath.Join(dir, "none", "\x00"), "n0", keep); err == nil {
+	if _, err := Start(system.Real(), filepath.Join(dir, "none", "\x00"), "n0", testRetention); err == nil {
 		t.Error("a folder that cannot be made was taken")
 	}
 }
--- /dev/null
+++ b/internal/state/inflight/peers.go
@@ -0,0 +1,105 @@
+package inflight
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"golang.org/x/sys/unix"
+)
+
+// peer is the folder of another process.
+type peer struct {
+	dir   string
+	alive bool
+}
+
+// peerCount counts the folders of other processes.
+type peerCount struct {
+	alive int
+	ended int // with idempotency keys that may have run
+}
+
+const (
+	// hiddenPrefix begins the names of folders that are not complete yet, or never will be.
+	hiddenPrefix    = "."
+	temporaryPrefix = hiddenPrefix + "new-"
+)
+
+func (t *Table) countPeers() (n peerCount, err error) {
+	peers, err := t.listPeers()
+	for _, p := range peers {
+		if p.alive {
+			n.alive++
+		} else {
+			n.ended++
+		}
+	}
+	return n, err
+}
+
+// listPeers lists the folders of other processes, and removes those of ended processes that hold nothing any more.
+func (t *Table) listPeers() ([]peer, error) {
+	entries, err := os.ReadDir(t.sharedDir)
+	if err != nil {
+		return nil, fmt.Errorf("list peers: %w", err)
+	}
+	var peers []peer
+	for _, e := range entries {
+		dir := filepath.Join(t.sharedDir, e.Name())
+		if dir == t.ownDir || strings.HasPrefix(e.Name(), hiddenPrefix) {
+			continue
+		}
+		if isAlive(dir) {
+			peers = append(peers, peer{dir: dir, alive: true})
+		} else if t.removeExpired(dir) {
+			peers = append(peers, peer{dir: dir, alive: false})
+		}
+	}
+	return peers, nil
+}
+
+// countNotReady counts the processes that are alive and have not published what they have in flight.
+func countNotReady(peers []peer) (n int) {
+	for _, p := range peers {
+		if _, err := os.Stat(filepath.Join(p.dir, readyFile)); p.alive && err != nil {
+			n++
+		}
+	}
+	return n
+}
+
+// isAlive reports whether a folder's process holds its lock. A lock that cannot be opened, as when this process is out of file
+// descriptors, counts as held: the folder of a running process would otherwise be removed.
+func isAlive(dir string) bool {
+	f, err := os.Open(filepath.Join(dir, lockFile))
+	if err != nil {
+		return !errors.Is(err, fs.ErrNotExist)
+	}
+	defer f.Close()
+	return unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil
+}
+
+// removeExpired removes the folder of an ended process unless it has idempotency keys within their retention. The result is whether
+// the folder remains.
+func (t *Table) removeExpired(dir string) (remains bool) {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return false
+	}
+	for _, e := range entries {
+		if !strings.HasPrefix(e.Name(), string(IdempotencyKey)) {
+			continue
+		}
+		if m, err := t.readMarker(filepath.Join(dir, e.Name())); err == nil && m.age < t.retention {
+			remains = true
+		}
+	}
+	if !remains {
+		os.RemoveAll(dir)
+	}
+	return remains
+}
