--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// shiftModTimes makes what is in a folder look as if the wall clock had been stepped by so much since it was written.
+// shiftModTimes makes the files in a folder look as if the wall clock had been stepped since they were written.
 func shiftModTimes(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
@@ -27,24 +27,23 @@
 	}
 }
 
-// A wall clock that is stepped, forward or back, ends nothing early: a filing that ran is known for as long as filings are remembered.
-// Nor is it known for much longer.
-func TestFilingsStayWhenTheClockSteps(t *testing.T) {
+// A step of the wall clock, forward or back, does not shorten the retention of an idempotency key that ran, nor extend it by much.
+func TestRetentionOfKeysIgnoresWallClockSteps(t *testing.T) {
 	for name, by := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			began := time.Now()
+			acquiredAt := time.Now()
 			first := startProcess(t, dir)
-			first.request("take key- ran")
-			first.request("ran ran")
+			first.request("acquire key- ran")
+			first.request("may-have-run ran")
 			first.end()
 			shiftModTimes(t, dir, by)
 			second := startProcess(t, dir)
-			if got := second.request("take key- ran"); got != claimText(MayHaveRun) && time.Since(began) < testRetention {
+			if got := second.request("acquire key- ran"); got != claimText(MayHaveRun) && time.Since(acquiredAt) < testRetention {
 				t.Errorf("after the step: %s", got)
 			}
-			eventually(t, "its time to be over", func() bool { return second.request("take key- ran") == claimText(Acquired) })
+			eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
 		})
 	}
 }
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/system"
 )
 
-// Processes of different versions that run beside each other read one another's folders. The forms below are those of 1ac8dd0; they are
-// short enough to stand here.
+// Processes of different versions that run at the same time read one another's folders. The forms below are those of 1ac8dd0, which are
+// short enough for the source.
 const goldenMarker = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
 
 var (
@@ -22,7 +22,7 @@
 	goldenOwnDirForm = regexp.MustCompile(`^[0-9]+-[0-9a-z]+$`)
 )
 
-func TestGoldenShownText(t *testing.T) {
+func TestGoldenMarkerContent(t *testing.T) {
 	want := marker{AcquiredAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"}, MayHaveRun: true}
 	var got marker
 	if err := json.Unmarshal([]byte(goldenMarker), &got); err != nil || got != want {
@@ -33,9 +33,9 @@
 	}
 }
 
-// What is written of a name, and what is read of it: by the machine's own clock after the same boot, by the wall clock after another, and
-// from the earliest version's word.
-func TestGoldenNameFiles(t *testing.T) {
+// The form of a marker that is written, and its age when it is read: by the boot clock after the same boot, by the wall clock after
+// another, and by the modification time in the form of the earliest version.
+func TestGoldenMarkerFiles(t *testing.T) {
 	table, err := Start(system.Real(), t.TempDir(), "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
@@ -50,18 +50,17 @@
 		if found := goldenMarkerForm.FindStringSubmatch(string(text)); err != nil || found == nil || found[1] != fmt.Sprint(ran) {
 			t.Errorf("wrote %s, %v", text, err)
 		}
-		if info, err := os.Stat(path); err != nil || !about(time.Since(info.ModTime()), time.Hour) {
-			t.Errorf("the file's own time is off: %v", err)
+		if info, err := os.Stat(path); err != nil || !nearlyEqual(time.Since(info.ModTime()), time.Hour) {
+			t.Errorf("the file's modification time is wrong: %v", err)
 		}
 	}
 	now := system.Now(system.Real())
-	ago := func(age time.Duration) int64 { return int64(-age) }
 	for _, c := range []struct {
 		name, text string
 		want       markerState
 	}{
-		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot+ago(time.Minute), now.BootID), markerState{time.Minute, true}},
-		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall+ago(time.Hour)), markerState{time.Hour, false}},
+		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot-int64(time.Minute), now.BootID), markerState{time.Minute, true}},
+		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall-int64(time.Hour)), markerState{time.Hour, false}},
 		{"earliest, ended", "ran", markerState{2 * time.Hour, true}},
 		{"earliest, not ended", "", markerState{2 * time.Hour, false}},
 	} {
@@ -72,14 +71,14 @@
 		if err := os.Chtimes(path, modified, modified); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := table.readMarker(path); err != nil || got.mayHaveRun != c.want.mayHaveRun || !about(got.age, c.want.age) {
+		if got, err := table.readMarker(path); err != nil || got.mayHaveRun != c.want.mayHaveRun || !nearlyEqual(got.age, c.want.age) {
 			t.Errorf("%s: read %+v, %v", c.name, got, err)
 		}
 	}
 }
 
-// about tells whether two durations are the same but for what a busy machine takes.
-func about(got, want time.Duration) bool { return (got - want).Abs() < 20*time.Second }
+// nearlyEqual allows for the delays of a busy machine.
+func nearlyEqual(got, want time.Duration) bool { return (got - want).Abs() < 20*time.Second }
 
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
@@ -89,7 +88,7 @@
 	}
 	defer table.lock.Close()
 	if got, want := table.sharedDir, filepath.Join(dir, "rampspread-dd56de4137951d9c.beside"); got != want {
-		t.Errorf("the folder that is shared: %s, not %s", got, want)
+		t.Errorf("the shared folder: %s, not %s", got, want)
 	}
 	if own := filepath.Base(table.ownDir); filepath.Dir(table.ownDir) != table.sharedDir || !goldenOwnDirForm.MatchString(own) || !strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
 		t.Errorf("the process's own folder: %s", table.ownDir)
@@ -98,7 +97,7 @@
 		t.Errorf("the lock: %v", err)
 	}
 	if _, err := os.Stat(filepath.Join(table.ownDir, "shown")); err == nil {
-		t.Error("a process that is alone has the mark that it shows what it has")
+		t.Error("a process without peers has the ready file")
 	}
 	other, err := Start(system.Real(), dir, "golden", testRetention)
 	if err != nil {
@@ -107,7 +106,7 @@
 	defer other.lock.Close()
 	table.refresh()
 	if info, err := os.Stat(filepath.Join(table.ownDir, "shown")); err != nil || info.Size() != 0 {
-		t.Errorf("the mark of a process that shows what it has: %v", err)
+		t.Errorf("the ready file of a process with a peer: %v", err)
 	}
 	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f"} {
 		if got := fileName(kind, "golden"); got != want {
@@ -115,9 +114,9 @@
 		}
 	}
 	if table.Acquire(Request, "golden") != Acquired {
-		t.Error("nobody has the name")
+		t.Error("a free name was not acquired")
 	}
 	if _, err := os.Stat(filepath.Join(table.ownDir, "id-dd56de4137951d9c92681b03416ec15f")); err != nil {
-		t.Errorf("a name that is taken: %v", err)
+		t.Errorf("the marker of an acquired name: %v", err)
 	}
 }
