--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -1,10 +1,12 @@
-// Package atomicfile keeps files that are there whole or not at all: each begins with the words that say what it is, and ends with a
-// checksum over all before it.
+// Package atomicfile stores files that are there whole or not at all. A file is replaced by writing a temporary file and renaming
+// it (write, fsync, rename, fsync of the folder). A sealed file begins with a magic string that says what it is, and ends with an
+// xxhash of all before it.
+//
+// The functions may be called by several goroutines and processes at once: those that replace the same file exclude each other by a
+// lock on its temporary file. A Saver writes one file in the background.
 package atomicfile
 
 import (
-	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -12,54 +14,50 @@
 	"path/filepath"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
 	"rampspread/internal/system"
 )
 
-// ErrCorrupt says that a file is cut, flipped or of another kind.
+// ErrCorrupt reports a file that is cut, damaged, too long or of another kind.
 var ErrCorrupt = errors.New("no whole file of this kind")
 
-// Seal puts a body behind what says what it is, and a checksum behind both.
-func Seal(magic string, body []byte) []byte {
-	text := append([]byte(magic), body...)
-	return binary.BigEndian.AppendUint64(text, xxhash.Sum64(text))
-}
+// Durability says when a replaced file survives a crash of the machine.
+type Durability uint8
 
-// Open returns the body of what Seal made; any other text is ErrSpoilt.
-func Open(magic string, text []byte) ([]byte, error) {
-	if len(text) < len(magic)+8 || !bytes.HasPrefix(text, []byte(magic)) {
-		return nil, ErrCorrupt
-	}
-	body, sum := text[:len(text)-8], binary.BigEndian.Uint64(text[len(text)-8:])
-	if xxhash.Sum64(body) != sum {
-		return nil, fmt.Errorf("%w: its checksum is off", ErrCorrupt)
-	}
-	return body[len(magic):], nil
-}
+const (
+	// Unsynced files survive a crash of the process, but a crash of the machine may lose them.
+	Unsynced Durability = iota
+	// Synced files are on disk, under their name, when Replace returns.
+	Synced
+)
 
-// Replace writes a file aside and renames it over the one that was. With sync what it says is on the disk, under its name,
-// when it returns; without, a machine that fails may lose it. After an error the whole is to be written again: what a sync that failed
-// was about is no longer known to be on the disk, whatever a later sync says.
-func Replace(machine system.System, path string, text []byte, sync bool) error {
-	aside, err := openAside(path)
+const (
+	lockAttempts      = 20
+	lockRetryInterval = 5 * time.Millisecond
+	fileMode          = 0o600
+)
+
+// errLocked reports that another process held the temporary file for all of lockAttempts.
+var errLocked = errors.New("another process is writing it")
+
+// Replace writes a temporary file and renames it to path. After an error the whole content has to be written again: what a failed
+// sync was about is no longer known to be on disk, whatever a later sync returns.
+func Replace(machine system.System, path string, content []byte, durability Durability) error {
+	temporary, err := openTemporary(path)
 	if err != nil {
 		return fmt.Errorf("atomicfile: %w", err)
 	}
-	defer aside.Close() // which ends its lock
-	err = write(machine, aside, text, sync)
+	defer temporary.Close() // which releases its lock
+	err = write(machine, temporary, content, durability)
 	if err == nil {
-		err = machine.Before(system.Rename)
-	}
-	if err == nil {
-		err = os.Rename(aside.Name(), path)
+		err = rename(machine, temporary.Name(), path)
 	}
 	if err != nil {
-		os.Remove(aside.Name())
+		os.Remove(temporary.Name())
 		return fmt.Errorf("atomicfile: %w", err)
 	}
-	if !sync {
+	if durability == Unsynced {
 		return nil
 	}
 	if err := syncDir(machine, filepath.Dir(path)); err != nil {
@@ -68,17 +66,41 @@
 	return nil
 }
 
-func write(machine system.System, f *os.File, text []byte, sync bool) error {
+// Read reads a file of at most maxBytes bytes; a longer one is ErrCorrupt.
+func Read(path string, maxBytes int64) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("read: %w", err)
+	}
+	defer f.Close()
+	content, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
+	if err != nil {
+		return nil, fmt.Errorf("read: %w", err)
+	}
+	if int64(len(content)) > maxBytes {
+		return nil, fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxBytes)
+	}
+	return content, nil
+}
+
+func write(machine system.System, f *os.File, content []byte, durability Durability) error {
 	if err := machine.Before(system.Write); err != nil {
 		return err
 	}
-	if _, err := f.Write(text); err != nil || !sync {
+	if _, err := f.Write(content); err != nil || durability == Unsynced {
 		return err
 	}
 	if err := machine.Before(system.Sync); err != nil {
 		return err
 	}
-	return f.Sync() // before the name: a name that outlives its bytes would be a spoilt file
+	return f.Sync() // before the renaming: a name that reaches the disk before its content would be a corrupt file
+}
+
+func rename(machine system.System, from, to string) error {
+	if err := machine.Before(system.Rename); err != nil {
+		return err
+	}
+	return os.Rename(from, to)
 }
 
 func syncDir(machine system.System, dir string) error {
@@ -92,24 +114,16 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-const (
-	asideTries = 20
-	asidePause = 5 * time.Millisecond
-)
-
-// errBusy says that another process is writing the same file.
-var errBusy = errors.New("another process is writing it")
-
-// openAside opens the one file beside path in which its next content is written, empty and locked: what a killed process left there is
-// written over, so it does not pile up.
-func openAside(path string) (*os.File, error) {
+// openTemporary opens the one temporary file of path, empty and locked. Its name is always the same, so that what killed processes
+// left behind is overwritten and does not pile up.
+func openTemporary(path string) (*os.File, error) {
 	name := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".aside")
-	for range asideTries {
-		f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o600)
+	for range lockAttempts {
+		f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, fileMode)
 		if err != nil {
 			return nil, err
 		}
-		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil && stillNamed(f, name) {
+		if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil && hasName(f, name) {
 			if err := f.Truncate(0); err != nil {
 				f.Close()
 				return nil, err
@@ -117,34 +131,17 @@
 			return f, nil
 		}
 		f.Close()
-		time.Sleep(asidePause)
+		time.Sleep(lockRetryInterval)
 	}
-	return nil, errBusy
+	return nil, errLocked
 }
 
-// stillNamed tells whether a file that was opened has its name yet: another process may have renamed it since.
-func stillNamed(f *os.File, name string) bool {
-	mine, err := f.Stat()
+// hasName reports whether an open file still has its name: another process may have renamed it since it was opened.
+func hasName(f *os.File, name string) bool {
+	opened, err := f.Stat()
 	if err != nil {
 		return false
 	}
-	there, err := os.Stat(name)
-	return err == nil && os.SameFile(mine, there)
-}
-
-// Read reads a file of so many bytes at the most.
-func Read(path string, most int64) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, fmt.Errorf("read: %w", err)
-	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
-	if err != nil {
-		return nil, fmt.Errorf("read: %w", err)
-	}
-	if int64(len(text)) > most {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrCorrupt, most)
-	}
-	return text, nil
+	named, err := os.Stat(name)
+	return err == nil && os.SameFile(opened, named)
 }
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -12,53 +12,57 @@
 	"rampspread/internal/testkit"
 )
 
-// A disk that hangs or fails holds up nobody but the keeper, and takes the newest list once it can.
-func TestKeeper(t *testing.T) {
+// A disk that hangs or fails blocks only the Saver, which saves the newest content once the disk recovers.
+func TestSaverRetriesAfterFailures(t *testing.T) {
 	var calls atomic.Int64
-	let := make(chan bool)
-	k := NewSaver("it", func() error {
+	unblock := make(chan bool)
+	saver := NewSaver("test", func() error {
 		if calls.Add(1) <= 2 {
-			<-let
-			return errors.New("no room")
+			<-unblock
+			return errors.New("disk full")
 		}
 		return nil
 	})
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); k.Run(ctx) }()
+	go func() { defer close(done); saver.Run(ctx) }()
 	for range 1000 {
-		k.MarkDirty() // while the disk hangs
+		saver.MarkDirty() // while the disk hangs
 	}
-	close(let)
+	close(unblock)
 	testkit.Eventually(t, "the save after two that failed", func() bool { return calls.Load() >= 3 })
 	stop()
 	<-done
 }
 
-// What a write leaves is the whole of one of the two, whenever it ends: the name changes hands last.
-func TestReplaceIsWhole(t *testing.T) {
+// A file is replaced whole, and where the new one cannot be written the old one remains.
+func TestReplaceIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for i, body := range []string{"one", "another one", ""} {
-		if err := Replace(system.Real(), path, Seal("m", []byte(body)), i > 0); err != nil {
+		durability := Synced
+		if i == 0 {
+			durability = Unsynced
+		}
+		if err := Replace(system.Real(), path, Seal("m", []byte(body)), durability); err != nil {
 			t.Fatal(err)
 		}
-		text, err := Read(path, 100)
+		sealed, err := Read(path, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Open("m", text); err != nil || string(got) != body {
+		if got, err := Open("m", sealed); err != nil || string(got) != body {
 			t.Errorf("read %q, %v", got, err)
 		}
 	}
 	if _, err := Read(path, 3); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a file that is too long: %v", err)
 	}
-	// Where the new one cannot be written the old one stays, and nothing is left beside it.
-	if err := Replace(system.Real(), filepath.Join(path, "no folder"), nil, true); err == nil {
+	// Where the new one cannot be written the old one remains, with no temporary file.
+	if err := Replace(system.Real(), filepath.Join(path, "no folder"), nil, Synced); err == nil {
 		t.Error("written below a file")
 	}
 	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
-		t.Errorf("%d files are left", len(files))
+		t.Errorf("%d files remain", len(files))
 	}
 }
 
--- a/internal/state/atomicfile/golden_test.go
+++ b/internal/state/atomicfile/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A sealed file as 1ac8dd0 wrote it: what says its kind, the body, and the xxhash of both, the highest byte first.
+// A sealed file as 1ac8dd0 wrote it: the magic string, the body, and the xxhash of both, big-endian.
 const (
 	goldenMagic = "rampspread golden 1\n"
 	goldenBody  = "a body\x00\xff"
@@ -26,19 +26,19 @@
 		t.Errorf("opened %q, %v", body, err)
 	}
 	if _, err := Open("rampspread other 1\n", want); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("opened as another kind: %v", err)
+		t.Errorf("opened with another magic string: %v", err)
 	}
 }
 
-// Processes of different versions that write one file keep each other out by a lock on this name.
-func TestGoldenAsideName(t *testing.T) {
+// Processes of different versions that replace one file exclude each other by a lock on this name.
+func TestGoldenTemporaryFileName(t *testing.T) {
 	dir := t.TempDir()
-	aside, err := openAside(filepath.Join(dir, "file"))
+	temporary, err := openTemporary(filepath.Join(dir, "file"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer aside.Close()
-	if got := aside.Name(); got != filepath.Join(dir, ".file.aside") {
-		t.Errorf("written aside as %s", got)
+	defer temporary.Close()
+	if got := temporary.Name(); got != filepath.Join(dir, ".file.aside") {
+		t.Errorf("the temporary file is %s", got)
 	}
 }
--- a/internal/state/atomicfile/sync_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -10,32 +10,32 @@
 	"rampspread/internal/testkit"
 )
 
-// While writes, syncs or renames fail the file stays what it was, and the first that succeeds writes all of the next one: nothing of a
-// write that failed is counted on, and nothing of it is left.
-func TestReplaceWhileCallsFail(t *testing.T) {
+// While writes, syncs or renames fail the file keeps its content, and the first replacement that succeeds writes all of the next
+// content: it relies on nothing of a write that failed, and nothing of that remains.
+func TestReplaceKeepsOldContentWhileSystemCallsFail(t *testing.T) {
 	for _, op := range []system.Op{system.Write, system.Sync, system.Rename} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 			machine, dir := testkit.NewMachine(), t.TempDir()
 			path := filepath.Join(dir, "file")
-			if err := Replace(machine, path, []byte("first"), true); err != nil {
+			if err := Replace(machine, path, []byte("first"), Synced); err != nil {
 				t.Fatal(err)
 			}
 			machine.Fail(op, errno)
-			if err := Replace(machine, path, []byte("second"), true); err == nil {
+			if err := Replace(machine, path, []byte("second"), Synced); err == nil {
 				t.Errorf("%s with %v: written", op, errno)
 			}
 			if got, _ := os.ReadFile(path); string(got) != "first" {
 				t.Errorf("%s with %v left %q", op, errno, got)
 			}
 			machine.Fail(op, nil)
-			if err := Replace(machine, path, []byte("third"), true); err != nil {
+			if err := Replace(machine, path, []byte("third"), Synced); err != nil {
 				t.Fatal(err)
 			}
 			if got, _ := os.ReadFile(path); string(got) != "third" {
 				t.Errorf("after %s with %v: %q", op, errno, got)
 			}
 			if files, _ := os.ReadDir(dir); len(files) != 1 {
-				t.Errorf("%s with %v: %d files are left", op, errno, len(files))
+				t.Errorf("%s with %v: %d files remain", op, errno, len(files))
 			}
 		}
 	}
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -1,5 +1,8 @@
-// Package endpointcache keeps on the disk the newest list of servers that a process has acted on, for its next life: one that starts
-// while discovery is silent would else act on the list of its configuration, and send to servers that it knew to be leaving.
+// Package endpointcache stores the newest endpoint list that a process has acted on, for the process that follows it. One that starts
+// while service discovery is silent would otherwise act on the list of its configuration, and send to endpoints that were known to
+// be draining.
+//
+// The package owns one file in the state folder and has no state in memory. Its functions may be called by several goroutines.
 package endpointcache
 
 import (
@@ -14,72 +17,84 @@
 	"rampspread/internal/system"
 )
 
-const (
-	fileName = "newest.list"
-	magic    = "rampspread newest list 1\n"
-	most     = 4 << 20 // bytes; a list is at most 3 MiB as discovery tells it
-	// MaxAge is how old a list may be: it stands in for a discovery that is silent at the start, not for one that is gone.
-	MaxAge = time.Hour
-)
-
-// ErrUnusable says that a stored list is of no use here: spoilt, too old, from the future, another process's, or of another discovery.
-var ErrUnusable = errors.New("lastlist: void")
+// Cached is a stored list. The tags are the names in the file, which other versions of the program read: they never change.
+type Cached struct {
+	Owner   Owner           `json:"Owner"`
+	SavedAt system.Stamp    `json:"At"`
+	Version uint64          `json:"Version"`
+	Entries json.RawMessage `json:"Entries"` // in the form of service discovery
+}
 
-// Owner says whose list it is, and from where: versions of two discoveries cannot be compared.
+// Owner names the process that a list belongs to, and its source: versions of two discovery services cannot be compared.
 type Owner struct {
 	Fleet     string `json:"Fleet"`
 	Name      string `json:"Name"`
 	Discovery string `json:"Discovery"`
 }
 
-// Cached is what is stored. The tags are the names in the file, which other versions of the program read: they never change.
-type Cached struct {
-	Owner   Owner           `json:"Owner"`
-	SavedAt system.Stamp    `json:"At"`
-	Version uint64          `json:"Version"`
-	Entries json.RawMessage `json:"Entries"` // in discovery's form
-}
+const (
+	// MaxAge bounds the age of a usable list: it replaces a discovery service that is silent at the start, not one that is gone.
+	MaxAge = time.Hour
+
+	fileName = "newest.list"
+	magic    = "rampspread newest list 1\n"
+	maxBytes = 4 << 20 // a list is at most 3 MiB in the form of service discovery
+
+	folderMode = 0o700
+)
+
+// ErrUnusable reports a stored list that must not be used: corrupt, too old, from the future, or of another owner.
+var ErrUnusable = errors.New("endpointcache: unusable list")
 
-// Save replaces the list in a folder; it is on the disk when Save returns.
-func Save(machine system.System, dir string, l Cached) error {
-	body, err := json.Marshal(l)
+// Save replaces the list in a folder, which it creates if needed. The list is on disk when Save returns.
+func Save(machine system.System, dir string, list Cached) error {
+	body, err := json.Marshal(list)
 	if err != nil {
-		return fmt.Errorf("lastlist: %w", err)
+		return fmt.Errorf("endpointcache: %w", err)
 	}
-	if len(body) > most-len(magic)-8 {
-		return fmt.Errorf("lastlist: %d bytes, at most %d", len(body), most)
+	if len(body) > maxBytes-len(magic)-atomicfile.SealBytes {
+		return fmt.Errorf("endpointcache: %d bytes, at most %d", len(body), maxBytes)
 	}
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("lastlist: %w", err)
+	if err := os.MkdirAll(dir, folderMode); err != nil {
+		return fmt.Errorf("endpointcache: %w", err)
 	}
-	if err := atomicfile.Replace(machine, filepath.Join(dir, fileName), atomicfile.Seal(magic, body), true); err != nil {
-		return fmt.Errorf("lastlist: %w", err)
+	path := filepath.Join(dir, fileName)
+	if err := atomicfile.Replace(machine, path, atomicfile.Seal(magic, body), atomicfile.Synced); err != nil {
+		return fmt.Errorf("endpointcache: %w", err)
 	}
 	return nil
 }
 
-// Load reads the list in a folder; fs.ErrNotExist: there is none. ErrVoid: it is of no use to this owner now.
-func Load(dir string, who Owner, now system.Stamp) (Cached, error) {
-	text, err := atomicfile.Read(filepath.Join(dir, fileName), most)
+// Load reads the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must not use it now.
+func Load(dir string, owner Owner, now system.Stamp) (Cached, error) {
+	sealed, err := atomicfile.Read(filepath.Join(dir, fileName), maxBytes)
 	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
-		return Cached{}, fmt.Errorf("lastlist: %w", err)
+		return Cached{}, fmt.Errorf("endpointcache: %w", err)
 	}
+	var list Cached
 	if err == nil {
-		text, err = atomicfile.Open(magic, text)
+		list, err = decode(sealed)
 	}
-	var l Cached
-	if err == nil {
-		err = json.Unmarshal(text, &l)
-	}
-	switch {
-	case err != nil:
+	if err != nil {
 		return Cached{}, fmt.Errorf("%w: %w", ErrUnusable, err)
-	case l.Owner != who:
-		return Cached{}, fmt.Errorf("%w: it is that of %q of %q at %s", ErrUnusable, l.Owner.Name, l.Owner.Fleet, l.Owner.Discovery)
-	case l.SavedAt.Age(now) < 0:
+	}
+	switch age := list.SavedAt.Age(now); {
+	case list.Owner != owner:
+		return Cached{}, fmt.Errorf("%w: it is that of %q of %q at %s",
+			ErrUnusable, list.Owner.Name, list.Owner.Fleet, list.Owner.Discovery)
+	case age < 0:
 		return Cached{}, fmt.Errorf("%w: it is from the future", ErrUnusable)
-	case l.SavedAt.Age(now) > MaxAge:
-		return Cached{}, fmt.Errorf("%w: it is %v old", ErrUnusable, l.SavedAt.Age(now).Round(time.Second))
+	case age > MaxAge:
+		return Cached{}, fmt.Errorf("%w: it is %v old", ErrUnusable, age.Round(time.Second))
+	}
+	return list, nil
+}
+
+func decode(sealed []byte) (list Cached, err error) {
+	body, err := atomicfile.Open(magic, sealed)
+	if err != nil {
+		return list, err
 	}
-	return l, nil
+	err = json.Unmarshal(body, &list)
+	return list, err
 }
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -13,41 +13,42 @@
 	"rampspread/internal/testkit"
 )
 
-var owner = Owner{Fleet: "f", Name: "n0", Discovery: "127.0.0.1:8500"}
+var testOwner = Owner{Fleet: "f", Name: "n0", Discovery: "127.0.0.1:8500"}
 
-func stored(at system.Stamp) Cached {
-	return Cached{Owner: owner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
+func testList(at system.Stamp) Cached {
+	return Cached{Owner: testOwner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
 }
 
-func TestSaveAndFind(t *testing.T) {
+// A list that is saved replaces the one before, and is loaded by its owner only.
+func TestSavedListIsLoadedByItsOwnerOnly(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	if _, err := Load(dir, owner, system.Now(system.Real())); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := Load(dir, testOwner, system.Now(system.Real())); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("in no folder: %v", err)
 	}
 	for version := range uint64(3) { // each replaces the one before
-		l := stored(system.Now(system.Real()))
-		l.Version = version
-		if err := Save(system.Real(), dir, l); err != nil {
+		list := testList(system.Now(system.Real()))
+		list.Version = version
+		if err := Save(system.Real(), dir, list); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Load(dir, owner, system.Now(system.Real())); err != nil || got.Version != version || string(got.Entries) != string(l.Entries) {
-			t.Errorf("found %+v, %v", got, err)
+		if got, err := Load(dir, testOwner, system.Now(system.Real())); err != nil || got.Version != version || string(got.Entries) != string(list.Entries) {
+			t.Errorf("loaded %+v, %v", got, err)
 		}
 	}
 	if files, _ := os.ReadDir(dir); len(files) != 1 {
-		t.Errorf("%d files are left", len(files))
+		t.Errorf("%d files remain", len(files))
 	}
-	for _, other := range []Owner{{"g", "n0", owner.Discovery}, {"f", "n1", owner.Discovery}, {"f", "n0", "127.0.0.1:8501"}} {
+	for _, other := range []Owner{{"g", "n0", testOwner.Discovery}, {"f", "n1", testOwner.Discovery}, {"f", "n0", "127.0.0.1:8501"}} {
 		if _, err := Load(dir, other, system.Now(system.Real())); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("of %+v: %v", other, err)
 		}
 	}
 }
 
-// A file that is cut anywhere, or has any bit flipped, is refused whole.
-func TestSpoiltListIsVoid(t *testing.T) {
+// A file that is cut anywhere, or has any bit flipped, is refused.
+func TestCorruptListIsUnusable(t *testing.T) {
 	dir := t.TempDir()
-	if err := Save(system.Real(), dir, stored(system.Now(system.Real()))); err != nil {
+	if err := Save(system.Real(), dir, testList(system.Now(system.Real()))); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, fileName)
@@ -55,54 +56,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(what string, text []byte) {
-		if err := os.WriteFile(path, text, 0o600); err != nil {
+	load := func(condition string, content []byte) {
+		t.Helper()
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := Load(dir, owner, system.Now(system.Real())); !errors.Is(err, ErrUnusable) {
-			t.Errorf("%s: %+v, %v", what, l, err)
+		if list, err := Load(dir, testOwner, system.Now(system.Real())); !errors.Is(err, ErrUnusable) {
+			t.Errorf("%s: %+v, %v", condition, list, err)
 		}
 	}
 	for i := range good {
-		try("cut", good[:i])
+		load("cut", good[:i])
 		flipped := append([]byte{}, good...)
 		flipped[i] ^= 1 << (i % 8)
-		try("flipped", flipped)
+		load("flipped", flipped)
 	}
-	try("longer than any", make([]byte, most+1))
-	try("another format", []byte(strings.Replace(string(good), "list 1", "list 2", 1)))
+	load("too long", make([]byte, maxBytes+1))
+	load("another format", []byte(strings.Replace(string(good), "list 1", "list 2", 1)))
 }
 
-// The age goes by the machine's own clock within one of its starts, and by the wall clock after another one.
-func TestAge(t *testing.T) {
+// The age counts by the machine's boot clock within one boot, and by the wall clock after a reboot.
+func TestListIsUsableByAge(t *testing.T) {
 	hour := int64(time.Hour)
 	saved := system.Stamp{Wall: 100 * hour, Boot: 5 * hour, BootID: "a"}
-	for what, c := range map[string]struct {
-		now  system.Stamp
-		void bool
+	for name, c := range map[string]struct {
+		now      system.Stamp
+		unusable bool
 	}{
-		"at once":                         {saved, false},
-		"the wall clock set back an hour": {system.Stamp{Wall: 99 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
-		"and set forward":                 {system.Stamp{Wall: 900 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
-		"an hour and more later":          {system.Stamp{Wall: 100 * hour, Boot: 6*hour + 1, BootID: "a"}, true},
-		"after a boot, soon":              {system.Stamp{Wall: 100*hour + 1, Boot: 1, BootID: "b"}, false},
-		"after a boot, late":              {system.Stamp{Wall: 101*hour + 1, Boot: 1, BootID: "b"}, true},
-		"after a boot, the wall set back": {system.Stamp{Wall: 99 * hour, Boot: 1, BootID: "b"}, true},
-		"no own clock":                    {system.Stamp{Wall: 100*hour + 1, Boot: 0, BootID: ""}, false},
+		"at once":                                 {saved, false},
+		"the wall clock set back an hour":         {system.Stamp{Wall: 99 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
+		"the wall clock set forward":              {system.Stamp{Wall: 900 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
+		"an hour and more later":                  {system.Stamp{Wall: 100 * hour, Boot: 6*hour + 1, BootID: "a"}, true},
+		"after a reboot, soon":                    {system.Stamp{Wall: 100*hour + 1, Boot: 1, BootID: "b"}, false},
+		"after a reboot, late":                    {system.Stamp{Wall: 101*hour + 1, Boot: 1, BootID: "b"}, true},
+		"after a reboot, the wall clock set back": {system.Stamp{Wall: 99 * hour, Boot: 1, BootID: "b"}, true},
+		"no boot clock":                           {system.Stamp{Wall: 100*hour + 1, Boot: 0, BootID: ""}, false},
 	} {
 		dir := t.TempDir()
-		if err := Save(system.Real(), dir, stored(saved)); err != nil {
+		if err := Save(system.Real(), dir, testList(saved)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(dir, owner, c.now); errors.Is(err, ErrUnusable) != c.void || !c.void && err != nil {
-			t.Errorf("%s: %v", what, err)
+		if _, err := Load(dir, testOwner, c.now); errors.Is(err, ErrUnusable) != c.unusable || !c.unusable && err != nil {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func FuzzFind(f *testing.F) {
+func FuzzLoad(f *testing.F) {
 	dir := f.TempDir()
-	if err := Save(system.Real(), dir, stored(system.Now(system.Real()))); err != nil {
+	if err := Save(system.Real(), dir, testList(system.Now(system.Real()))); err != nil {
 		f.Fatal(err)
 	}
 	path := filepath.Join(dir, fileName)
@@ -113,13 +115,13 @@
 	for _, text := range testkit.Broken(11, string(good)) {
 		f.Add([]byte(text))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		at := filepath.Join(t.TempDir(), fileName)
-		if err := os.WriteFile(at, text, 0o600); err != nil {
+	f.Fuzz(func(t *testing.T, content []byte) {
+		path := filepath.Join(t.TempDir(), fileName)
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := Load(filepath.Dir(at), owner, system.Now(system.Real())); err == nil && l.Owner != owner {
-			t.Errorf("took %+v", l)
+		if list, err := Load(filepath.Dir(path), testOwner, system.Now(system.Real())); err == nil && list.Owner != testOwner {
+			t.Errorf("loaded %+v", list)
 		}
 	})
 }
--- a/internal/state/endpointcache/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -34,13 +34,13 @@
 	if !bytes.Equal(current, want) {
 		t.Errorf("wrote %q, not %q", current, want)
 	}
-	left := t.TempDir()
-	if err := os.WriteFile(filepath.Join(left, goldenFileName), want, 0o600); err != nil {
+	existing := t.TempDir()
+	if err := os.WriteFile(filepath.Join(existing, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now := goldenList.SavedAt
 	now.Boot++
-	if got, err := Load(left, goldenList.Owner, now); err != nil || !reflect.DeepEqual(got, goldenList) {
+	if got, err := Load(existing, goldenList.Owner, now); err != nil || !reflect.DeepEqual(got, goldenList) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -1,5 +1,8 @@
-// Package fencing keeps on the disk a bound on the numbers of the fleet's leases, so that they grow over the lives of members that
-// are all killed at once: results of leases from before would else be taken for newer ones.
+// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing when all members are
+// killed at once: results of earlier leases would otherwise be taken for newer ones. It is the high-water mark of a block
+// allocator (hi/lo): the stored bound is ahead of all tokens observed, so that it is seldom written.
+//
+// The package owns one file in the state folder. TokenFloor is safe for use by several goroutines.
 package fencing
 
 import (
@@ -17,100 +20,105 @@
 	"rampspread/internal/system"
 )
 
-const (
-	fileName = "lease.numbers"
-	magic    = "rampspread lease numbers 1\n"
-	most     = 4 << 10 // bytes
-	// block is how far the bound stands above what has been seen: numbers grow with each takeover, a few a second at the most, so the
-	// disk is written seldom and has hours to take a bound.
-	block = 1 << 16
-)
+// TokenFloor stores the bound of one process.
+type TokenFloor struct {
+	machine system.System
+	path    string
+	owner   Owner
+	initial uint64 // the bound that Open read
+	saver   *atomicfile.Saver
 
-// Owner says whose bound it is.
+	mu    sync.Mutex
+	bound uint64 // no token above it is observed before a greater one is stored
+}
+
+// Owner names the process whose bound is stored.
 type Owner struct {
 	Fleet string `json:"Fleet"`
 	Name  string `json:"Name"`
 }
 
-// stored is the file's body. The tags are the names in the file, which other versions of the program read: they never change.
-type stored struct {
+// boundFile is the body of the file. The tags are the names in the file, which other versions of the program read: they never change.
+type boundFile struct {
 	Owner Owner  `json:"Owner"`
 	Bound uint64 `json:"Bound"`
 }
 
-// TokenFloor keeps the bound of one process. It is safe for use by several goroutines.
-type TokenFloor struct {
-	machine system.System
-	path    string
-	who     Owner
-	floor   uint64
-	keeper  *atomicfile.Saver
+const (
+	fileName = "lease.numbers"
+	magic    = "rampspread lease numbers 1\n"
+	maxBytes = 4 << 10
 
-	mu    sync.Mutex
-	bound uint64
-}
+	// reservation is how far the bound is ahead of the tokens observed: tokens grow with each takeover, a few a second at most, so the
+	// disk is written seldom and has hours to store a bound. A higher value makes tokens jump further at a restart.
+	reservation = 1 << 16
+	// minReservation is the distance from the bound at which a greater one is stored.
+	minReservation = reservation / 2
+
+	folderMode = 0o700
+)
 
-// Open reads the bound in a folder, which may not be there yet. One that is spoilt or another's is refused with a line, and the
-// start is as from nothing.
-func Open(machine system.System, dir string, who Owner) *TokenFloor {
-	n := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), who: who}
-	n.keeper = atomicfile.NewSaver("lease numbers", n.save)
-	s, err := n.read()
+// Open reads the bound in a folder, which need not exist. A bound that is corrupt or another owner's is refused with a log line, and
+// counts as none.
+func Open(machine system.System, dir string, owner Owner) *TokenFloor {
+	f := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), owner: owner}
+	f.saver = atomicfile.NewSaver("lease numbers", f.save)
+	stored, err := f.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
-		slog.Warn("lease_numbers_refused", "err", err)
+		slog.Warn("fencing_floor_refused", "err", err)
 	default:
-		n.floor = s.Bound
+		f.initial = stored.Bound
 	}
-	n.Observe(n.floor)
-	return n
+	f.Observe(f.initial)
+	return f
 }
 
-func (n *TokenFloor) read() (s stored, err error) {
-	text, err := atomicfile.Read(n.path, most)
-	if err != nil {
-		return s, err
+// Floor returns a token that no earlier process has observed a greater one than; 0 if nothing was stored.
+func (f *TokenFloor) Floor() uint64 { return f.initial }
+
+// Observe raises the bound if a token comes near it. It never waits for the disk.
+func (f *TokenFloor) Observe(token uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if token+minReservation > f.bound {
+		f.bound = token + reservation
+		f.saver.MarkDirty()
 	}
-	body, err := atomicfile.Open(magic, text)
+}
+
+// Run stores the bound when it has changed, until the context ends.
+func (f *TokenFloor) Run(ctx context.Context) { f.saver.Run(ctx) }
+
+func (f *TokenFloor) read() (stored boundFile, err error) {
+	sealed, err := atomicfile.Read(f.path, maxBytes)
 	if err != nil {
-		return s, err
+		return stored, err
 	}
-	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("lease numbers: %w", err)
+	body, err := atomicfile.Open(magic, sealed)
+	if err != nil {
+		return stored, err
 	}
-	if s.Owner != n.who {
-		return s, fmt.Errorf("lease numbers: they are those of %q of %q", s.Owner.Name, s.Owner.Fleet)
+	if err := json.Unmarshal(body, &stored); err != nil {
+		return stored, fmt.Errorf("fencing: %w", err)
 	}
-	return s, nil
-}
-
-// Floor is a number that no earlier life has seen a higher one than.
-func (n *TokenFloor) Floor() uint64 { return n.floor }
-
-// Observe raises the bound where a number comes near it. It never waits for the disk.
-func (n *TokenFloor) Observe(number uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if number+block/2 > n.bound {
-		n.bound = number + block
-		n.keeper.MarkDirty()
+	if stored.Owner != f.owner {
+		return stored, fmt.Errorf("fencing: the bound is that of %q of %q", stored.Owner.Name, stored.Owner.Fleet)
 	}
+	return stored, nil
 }
 
-// Run writes the bound until the context ends.
-func (n *TokenFloor) Run(ctx context.Context) { n.keeper.Run(ctx) }
-
-func (n *TokenFloor) save() error {
-	n.mu.Lock()
-	s := stored{n.who, n.bound}
-	n.mu.Unlock()
-	body, err := json.Marshal(s)
+func (f *TokenFloor) save() error {
+	f.mu.Lock()
+	stored := boundFile{Owner: f.owner, Bound: f.bound}
+	f.mu.Unlock()
+	body, err := json.Marshal(stored)
 	if err != nil {
-		return fmt.Errorf("lease numbers: %w", err)
+		return fmt.Errorf("fencing: %w", err)
 	}
-	if err := os.MkdirAll(filepath.Dir(n.path), 0o700); err != nil {
-		return fmt.Errorf("lease numbers: %w", err)
+	if err := os.MkdirAll(filepath.Dir(f.path), folderMode); err != nil {
+		return fmt.Errorf("fencing: %w", err)
 	}
-	return atomicfile.Replace(n.machine, n.path, atomicfile.Seal(magic, body), true)
+	return atomicfile.Replace(f.machine, f.path, atomicfile.Seal(magic, body), atomicfile.Synced)
 }
--- a/internal/state/fencing/fencing_test.go
+++ b/internal/state/fencing/fencing_test.go
@@ -1,6 +1,7 @@
 package fencing
 
 import (
+	"bytes"
 	"context"
 	"os"
 	"path/filepath"
@@ -10,57 +11,62 @@
 	"rampspread/internal/testkit"
 )
 
-var owner = Owner{"f", "n0"}
+var testOwner = Owner{"f", "n0"}
 
-// lived is a life that saw a number, and whose bound came to the disk.
-func lived(t *testing.T, dir string, number uint64) {
+// observeAndStore runs a process that observes a token, until its bound is on the disk.
+func observeAndStore(t *testing.T, dir string, token uint64) {
 	t.Helper()
-	n := Open(system.Real(), dir, owner)
-	ctx, stop := context.WithCancel(context.Background())
+	floor := Open(system.Real(), dir, testOwner)
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); n.Run(ctx) }()
-	n.Observe(number)
-	testkit.Eventually(t, "the bound on the disk", func() bool { s, err := n.read(); return err == nil && s.Bound > max(number, n.Floor()) })
+	go func() { defer close(done); floor.Run(ctx) }()
+	floor.Observe(token)
+	testkit.Eventually(t, "the bound on the disk", func() bool {
+		stored, err := floor.read()
+		return err == nil && stored.Bound > max(token, floor.Floor())
+	})
 	stop()
 	<-done
 }
 
-// Over any lives the floor is above all that was seen before, whenever a process was killed.
-func TestNumbersGrowOverLives(t *testing.T) {
+// After any number of restarts the floor is above all tokens that were observed before.
+func TestFloorGrowsOverRestarts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	if n := Open(system.Real(), dir, owner); n.Floor() != 0 {
-		t.Errorf("a first life begins at %d", n.Floor())
+	if n := Open(system.Real(), dir, testOwner); n.Floor() != 0 {
+		t.Errorf("the floor of the first process is %d", n.Floor())
 	}
-	seen := uint64(0)
-	for _, number := range []uint64{1, 40_000, 90_000, 3_000_000} {
-		lived(t, dir, number)
-		n := Open(system.Real(), dir, owner)
-		if n.Floor() <= seen || n.Floor() < number {
-			t.Errorf("after %d a life begins at %d", number, n.Floor())
+	previous := uint64(0)
+	for _, token := range []uint64{1, 40_000, 90_000, 3_000_000} {
+		observeAndStore(t, dir, token)
+		n := Open(system.Real(), dir, testOwner)
+		if n.Floor() <= previous || n.Floor() < token {
+			t.Errorf("after %d the floor is %d", token, n.Floor())
 		}
-		seen = n.Floor()
+		previous = n.Floor()
 	}
 	if n := Open(system.Real(), dir, Owner{"f", "n1"}); n.Floor() != 0 {
-		t.Errorf("another member begins at %d", n.Floor())
+		t.Errorf("the floor of another member is %d", n.Floor())
 	}
 }
 
-// A spoilt file is refused whole.
-func TestSpoiltNumbers(t *testing.T) {
+// A file that is cut or has a flipped bit anywhere counts as none.
+func TestCorruptBoundIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	lived(t, dir, 5)
+	observeAndStore(t, dir, 5)
 	path := filepath.Join(dir, fileName)
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range good {
-		for _, text := range [][]byte{good[:i], append(append(append([]byte{}, good[:i]...), good[i]^4), good[i+1:]...)} {
-			if err := os.WriteFile(path, text, 0o600); err != nil {
+		flipped := bytes.Clone(good)
+		flipped[i] ^= 4
+		for _, content := range [][]byte{good[:i], flipped} {
+			if err := os.WriteFile(path, content, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if n := Open(system.Real(), dir, owner); n.Floor() != 0 {
-				t.Fatalf("%d bytes, the last one off: begins at %d", len(text), n.Floor())
+			if n := Open(system.Real(), dir, testOwner); n.Floor() != 0 {
+				t.Fatalf("byte %d of %d corrupt or cut: the floor is %d", i, len(content), n.Floor())
 			}
 		}
 	}
--- a/internal/state/fencing/golden_test.go
+++ b/internal/state/fencing/golden_test.go
@@ -12,17 +12,17 @@
 
 const (
 	goldenFileName = "lease.numbers"
-	goldenSeen     = 1 << 40
-	goldenBound    = goldenSeen + 65536
+	goldenObserved = 1 << 40
+	goldenBound    = goldenObserved + 65536
 )
 
 // The file that 1ac8dd0 wrote is found and read to the same bound, and the same bytes are written.
 func TestGoldenFile(t *testing.T) {
 	owner := Owner{Fleet: "golden-fleet", Name: "golden-name"}
 	written := t.TempDir()
-	numbers := Open(system.Real(), written, owner)
-	numbers.Observe(goldenSeen)
-	if err := numbers.save(); err != nil {
+	floor := Open(system.Real(), written, owner)
+	floor.Observe(goldenObserved)
+	if err := floor.save(); err != nil {
 		t.Fatal(err)
 	}
 	current, err := os.ReadFile(filepath.Join(written, goldenFileName))
@@ -33,15 +33,15 @@
 	if !bytes.Equal(current, want) {
 		t.Errorf("wrote %q, not %q", current, want)
 	}
-	left := t.TempDir()
-	if err := os.WriteFile(filepath.Join(left, goldenFileName), want, 0o600); err != nil {
+	existing := t.TempDir()
+	if err := os.WriteFile(filepath.Join(existing, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := Open(system.Real(), left, owner).Floor(); got != goldenBound {
+	if got := Open(system.Real(), existing, owner).Floor(); got != goldenBound {
 		t.Errorf("read the bound %d, not %d", got, goldenBound)
 	}
 	for _, other := range []Owner{{Fleet: "other", Name: owner.Name}, {Fleet: owner.Fleet, Name: "other"}} {
-		if got := Open(system.Real(), left, other).Floor(); got != 0 {
+		if got := Open(system.Real(), existing, other).Floor(); got != 0 {
 			t.Errorf("%+v took another's bound %d", other, got)
 		}
 	}
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -15,8 +15,8 @@
 	"rampspread/routing"
 )
 
-// What processes of different versions leave for each other, on the disk and over the network, has the form that commit 1ac8dd0 wrote:
-// these words, then two gob values whose field names are those of the types below.
+// Snapshots that processes of different versions exchange, on the disk and over the network, have the form that commit 1ac8dd0 wrote:
+// this magic string, then two gob values whose field names are those of the types below.
 const (
 	goldenMagic    = "rampspread beliefs 1\n"
 	goldenName     = "golden"
@@ -24,54 +24,54 @@
 )
 
 type (
-	oldHead struct {
+	oldHeader struct {
 		Name     string
 		Settings uint64
 	}
-	oldBeliefs struct {
+	oldSnapshot struct {
 		At          time.Duration
-		Read, Fetch oldFit
-		Lag         oldEvidence
-		Scatter     oldEvidence
-		Trust       oldEvidence
-		Arrivals    oldEvidence
-		Each        oldEvidence
-		Texts       []oldTextBelief
-		Servers     []oldServerBelief
-	}
-	oldFit struct {
+		Read, Fetch oldLatencyModel
+		Lag         oldDecayedMean
+		Scatter     oldDecayedMean
+		Trust       oldDecayedMean
+		Arrivals    oldDecayedMean
+		Each        oldDecayedMean
+		Texts       []oldPrefixCacheEntry
+		Servers     []oldEndpointStats
+	}
+	oldLatencyModel struct {
 		A  [3][3]float64
 		B  [3]float64
 		At time.Duration
 	}
-	oldEvidence struct {
+	oldDecayedMean struct {
 		Sum, N float64
 		At     time.Duration
 	}
-	oldLevel struct {
+	oldEWMA struct {
 		Value float64
 		At    time.Duration
 	}
-	oldTextBelief struct {
+	oldPrefixCacheEntry struct {
 		Key    uint64
 		Reader uint32
 		Tokens int
 		At     time.Duration
-		Asked  oldEvidence
+		Asked  oldDecayedMean
 	}
-	oldServerBelief struct {
+	oldEndpointStats struct {
 		ID       uint32
 		Started  time.Duration
 		VoidTill time.Duration
 		Heard    time.Duration
-		Health   []oldLevel
-		Excess   oldEvidence
-		Wait     oldEvidence
+		Health   []oldEWMA
+		Excess   oldDecayedMean
+		Wait     oldDecayedMean
 		Turn     float64
 	}
 )
 
-func goldenBeliefs() routing.Snapshot {
+func goldenSnapshot() routing.Snapshot {
 	return routing.Snapshot{
 		TakenAt:          101,
 		Prefill:          routing.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
@@ -94,98 +94,98 @@
 	}
 }
 
-// goldenOldBeliefs holds the values of goldenBeliefs.
-func goldenOldBeliefs() oldBeliefs {
-	return oldBeliefs{
+// goldenOldSnapshot holds the values of goldenBeliefs.
+func goldenOldSnapshot() oldSnapshot {
+	return oldSnapshot{
 		At:       101,
-		Read:     oldFit{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Fetch:    oldFit{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
-		Lag:      oldEvidence{Sum: 41.5, N: 42.5, At: 104},
-		Scatter:  oldEvidence{Sum: 43.5, N: 44.5, At: 105},
-		Trust:    oldEvidence{Sum: 45.5, N: 46.5, At: 106},
-		Arrivals: oldEvidence{Sum: 47.5, N: 48.5, At: 107},
-		Each:     oldEvidence{Sum: 49.5, N: 50.5, At: 108},
-		Texts: []oldTextBelief{
-			{Key: 1<<63 + 1, Reader: 1<<31 + 1, Tokens: 1<<40 + 1, At: 109, Asked: oldEvidence{Sum: 51.5, N: 52.5, At: 110}},
-			{Key: 111, Reader: 112, Tokens: 113, At: 114, Asked: oldEvidence{Sum: 53.5, N: 54.5, At: 115}},
+		Read:     oldLatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Fetch:    oldLatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Lag:      oldDecayedMean{Sum: 41.5, N: 42.5, At: 104},
+		Scatter:  oldDecayedMean{Sum: 43.5, N: 44.5, At: 105},
+		Trust:    oldDecayedMean{Sum: 45.5, N: 46.5, At: 106},
+		Arrivals: oldDecayedMean{Sum: 47.5, N: 48.5, At: 107},
+		Each:     oldDecayedMean{Sum: 49.5, N: 50.5, At: 108},
+		Texts: []oldPrefixCacheEntry{
+			{Key: 1<<63 + 1, Reader: 1<<31 + 1, Tokens: 1<<40 + 1, At: 109, Asked: oldDecayedMean{Sum: 51.5, N: 52.5, At: 110}},
+			{Key: 111, Reader: 112, Tokens: 113, At: 114, Asked: oldDecayedMean{Sum: 53.5, N: 54.5, At: 115}},
 		},
-		Servers: []oldServerBelief{
-			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118, Health: []oldLevel{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
-				Excess: oldEvidence{Sum: 57.5, N: 58.5, At: 121}, Wait: oldEvidence{Sum: 59.5, N: 60.5, At: 122}, Turn: 61.5},
-			{ID: 123, Started: 1<<62 + 124, VoidTill: 125, Heard: 126, Health: []oldLevel{{Value: 62.5, At: 127}},
-				Excess: oldEvidence{Sum: 63.5, N: 64.5, At: 128}, Wait: oldEvidence{Sum: 65.5, N: 66.5, At: 129}, Turn: 67.5},
+		Servers: []oldEndpointStats{
+			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118, Health: []oldEWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+				Excess: oldDecayedMean{Sum: 57.5, N: 58.5, At: 121}, Wait: oldDecayedMean{Sum: 59.5, N: 60.5, At: 122}, Turn: 61.5},
+			{ID: 123, Started: 1<<62 + 124, VoidTill: 125, Heard: 126, Health: []oldEWMA{{Value: 62.5, At: 127}},
+				Excess: oldDecayedMean{Sum: 63.5, N: 64.5, At: 128}, Wait: oldDecayedMean{Sum: 65.5, N: 66.5, At: 129}, Turn: 67.5},
 		},
 	}
 }
 
-func goldenPlace() Exchange { return Exchange{Name: goldenName, Settings: goldenSettings} }
+func goldenExchange() Exchange { return Exchange{Name: goldenName, Settings: goldenSettings} }
 
 // The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers types by what the
-// process encoded before, and writes the types' names, which no reader looks at.
+// process encoded before, and writes the types' names, which no decoder uses.
 func TestGoldenBytesAreRead(t *testing.T) {
-	current, err := goldenPlace().Encode(goldenBeliefs())
+	current, err := goldenExchange().Encode(goldenSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := goldenPlace().Decode(golden.Bytes(t, "beliefs.hex", current))
-	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+	got, err := goldenExchange().Decode(golden.Bytes(t, "beliefs.hex", current))
+	if err != nil || !reflect.DeepEqual(got, goldenSnapshot()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	got, err = goldenPlace().Decode(current)
-	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+	got, err = goldenExchange().Decode(current)
+	if err != nil || !reflect.DeepEqual(got, goldenSnapshot()) {
 		t.Errorf("encoded and decoded: %+v, %v", got, err)
 	}
 }
 
 // A program of 1ac8dd0 reads all fields of what this one writes.
 func TestGoldenEncodingIsReadByOldProgram(t *testing.T) {
-	text, err := goldenPlace().Encode(goldenBeliefs())
+	encoded, err := goldenExchange().Encode(goldenSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := atomicfile.Open(goldenMagic, text)
+	body, err := atomicfile.Open(goldenMagic, encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoder := gob.NewDecoder(bytes.NewReader(body))
-	var head oldHead
-	if err := decoder.Decode(&head); err != nil || head != (oldHead{Name: goldenName, Settings: goldenSettings}) {
-		t.Errorf("read the head %+v, %v", head, err)
+	var owner oldHeader
+	if err := decoder.Decode(&owner); err != nil || owner != (oldHeader{Name: goldenName, Settings: goldenSettings}) {
+		t.Errorf("read the header %+v, %v", owner, err)
 	}
-	var beliefs oldBeliefs
-	if err := decoder.Decode(&beliefs); err != nil || !reflect.DeepEqual(beliefs, goldenOldBeliefs()) {
-		t.Errorf("read %+v, %v", beliefs, err)
+	var snapshot oldSnapshot
+	if err := decoder.Decode(&snapshot); err != nil || !reflect.DeepEqual(snapshot, goldenOldSnapshot()) {
+		t.Errorf("read %+v, %v", snapshot, err)
 	}
 }
 
-// This program reads all fields of what one of 1ac8dd0 writes, and takes it only under its own name and settings.
+// This program reads all fields of what one of 1ac8dd0 writes, and accepts it only under its own name and settings.
 func TestGoldenOldEncodingIsRead(t *testing.T) {
 	var body bytes.Buffer
 	encoder := gob.NewEncoder(&body)
-	if err := encoder.Encode(oldHead{Name: goldenName, Settings: goldenSettings}); err != nil {
+	if err := encoder.Encode(oldHeader{Name: goldenName, Settings: goldenSettings}); err != nil {
 		t.Fatal(err)
 	}
-	if err := encoder.Encode(goldenOldBeliefs()); err != nil {
+	if err := encoder.Encode(goldenOldSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	text := atomicfile.Seal(goldenMagic, body.Bytes())
-	got, err := goldenPlace().Decode(text)
-	if err != nil || !reflect.DeepEqual(got, goldenBeliefs()) {
+	encoded := atomicfile.Seal(goldenMagic, body.Bytes())
+	got, err := goldenExchange().Decode(encoded)
+	if err != nil || !reflect.DeepEqual(got, goldenSnapshot()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 	for _, other := range []Exchange{{Name: "other", Settings: goldenSettings}, {Name: goldenName, Settings: goldenSettings + 1}} {
-		if _, err := other.Decode(text); err == nil {
-			t.Errorf("%+v took what is not its own", other)
+		if _, err := other.Decode(encoded); err == nil {
+			t.Errorf("%+v accepted a snapshot of another owner", other)
 		}
 	}
 }
 
-// The values above set every field, so that one that is new or renamed cannot be left out unseen.
+// The values above set every field, so that one that is new or renamed cannot be missed.
 func TestGoldenValuesSetEveryField(t *testing.T) {
-	for _, zero := range zeroFields("Beliefs", reflect.ValueOf(goldenBeliefs())) {
+	for _, zero := range zeroFields("Snapshot", reflect.ValueOf(goldenSnapshot())) {
 		t.Errorf("%s is zero", zero)
 	}
-	for _, zero := range zeroFields("oldBeliefs", reflect.ValueOf(goldenOldBeliefs())) {
+	for _, zero := range zeroFields("oldSnapshot", reflect.ValueOf(goldenOldSnapshot())) {
 		t.Errorf("%s is zero", zero)
 	}
 }
@@ -215,8 +215,8 @@
 // The serialized types have the fields of 1ac8dd0 and no others, by name and kind.
 func TestGoldenShapeOfRecords(t *testing.T) {
 	for _, pair := range [][2]reflect.Type{
-		{reflect.TypeFor[header](), reflect.TypeFor[oldHead]()},
-		{reflect.TypeFor[snapshotRecord](), reflect.TypeFor[oldBeliefs]()},
+		{reflect.TypeFor[header](), reflect.TypeFor[oldHeader]()},
+		{reflect.TypeFor[snapshotRecord](), reflect.TypeFor[oldSnapshot]()},
 	} {
 		if got, want := shape(pair[0]), shape(pair[1]); got != want {
 			t.Errorf("%v is\n%s\nnot\n%s", pair[0], got, want)
@@ -244,10 +244,10 @@
 
 // Processes of different versions meet at files of these names.
 func TestGoldenFileNames(t *testing.T) {
-	place := Exchange{Dir: "folder", Name: "a/b\x01c"}
-	for kind, want := range map[string]string{".beliefs": "rampspread-a_b_c.beliefs", ".ask": "rampspread-a_b_c.ask"} {
-		if got := place.file(kind); got != filepath.Join("folder", want) {
-			t.Errorf("%s: %s", kind, got)
+	exchange := Exchange{Dir: "folder", Name: "a/b\x01c"}
+	for extension, want := range map[string]string{".beliefs": "rampspread-a_b_c.beliefs", ".ask": "rampspread-a_b_c.ask"} {
+		if got := exchange.path(extension); got != filepath.Join("folder", want) {
+			t.Errorf("%s: %s", extension, got)
 		}
 	}
 }
--- a/internal/state/statetransfer/records.go
+++ b/internal/state/statetransfer/records.go
@@ -6,16 +6,16 @@
 	"rampspread/routing"
 )
 
-// The types below are the serialized form. Programs of other versions read it from the disk and over the network, and gob finds a field by
-// its name alone: one that is renamed is zero at the reader, with no error. So the names here never change, whatever becomes of the
-// names in package decide.
+// The types below are the serialized form. Programs of other versions read it from the disk and over the network, and gob finds a
+// field by its name alone: one that is renamed is zero at the reader, with no error. So the field names here never change, whatever
+// becomes of the names in package routing.
 type (
-	// header says whose snapshot follows it.
+	// header names the owner of the snapshot that follows it.
 	header struct {
 		Name     string
 		Settings uint64
 	}
-	// snapshotRecord is the serialized form of decide.Beliefs.
+	// snapshotRecord is the serialized form of routing.Snapshot.
 	snapshotRecord struct {
 		At       time.Duration
 		Read     latencyModelRecord
@@ -25,148 +25,148 @@
 		Trust    decayedMeanRecord
 		Arrivals decayedMeanRecord
 		Each     decayedMeanRecord
-		Texts    []cacheEntryRecord
-		Servers  []endpointRecord
+		Texts    []prefixCacheEntryRecord
+		Servers  []endpointStatsRecord
 	}
-	// latencyModelRecord is the serialized form of decide.Fit.
+	// latencyModelRecord is the serialized form of routing.LatencyModel.
 	latencyModelRecord struct {
 		A  [3][3]float64
 		B  [3]float64
 		At time.Duration
 	}
-	// decayedMeanRecord is the serialized form of decide.Evidence.
+	// decayedMeanRecord is the serialized form of routing.DecayedMean.
 	decayedMeanRecord struct {
 		Sum float64
 		N   float64
 		At  time.Duration
 	}
-	// averageRecord is the serialized form of decide.Level.
-	averageRecord struct {
+	// ewmaRecord is the serialized form of routing.EWMA.
+	ewmaRecord struct {
 		Value float64
 		At    time.Duration
 	}
-	// cacheEntryRecord is the serialized form of decide.TextBelief.
-	cacheEntryRecord struct {
+	// prefixCacheEntryRecord is the serialized form of routing.PrefixCacheEntry.
+	prefixCacheEntryRecord struct {
 		Key    uint64
 		Reader uint32
 		Tokens int
 		At     time.Duration
 		Asked  decayedMeanRecord
 	}
-	// endpointRecord is the serialized form of decide.ServerBelief.
-	endpointRecord struct {
+	// endpointStatsRecord is the serialized form of routing.EndpointStats.
+	endpointStatsRecord struct {
 		ID       uint32
 		Started  time.Duration
 		VoidTill time.Duration
 		Heard    time.Duration
-		Health   []averageRecord
+		Health   []ewmaRecord
 		Excess   decayedMeanRecord
 		Wait     decayedMeanRecord
 		Turn     float64
 	}
 )
 
-func newSnapshotRecord(b routing.Snapshot) snapshotRecord {
+func newSnapshotRecord(s routing.Snapshot) snapshotRecord {
 	return snapshotRecord{
-		At:       b.TakenAt,
-		Read:     newLatencyModelRecord(b.Prefill),
-		Fetch:    newLatencyModelRecord(b.Decode),
-		Lag:      newDecayedMeanRecord(b.CommonQueueDelay),
-		Scatter:  newDecayedMeanRecord(b.EstimateError),
-		Trust:    newDecayedMeanRecord(b.CacheHitRatio),
-		Arrivals: newDecayedMeanRecord(b.Arrivals),
-		Each:     newDecayedMeanRecord(b.PerQueuedRequest),
-		Texts:    convertAll(b.Prefixes, newCacheEntryRecord),
-		Servers:  convertAll(b.Endpoints, newEndpointRecord),
+		At:       s.TakenAt,
+		Read:     newLatencyModelRecord(s.Prefill),
+		Fetch:    newLatencyModelRecord(s.Decode),
+		Lag:      newDecayedMeanRecord(s.CommonQueueDelay),
+		Scatter:  newDecayedMeanRecord(s.EstimateError),
+		Trust:    newDecayedMeanRecord(s.CacheHitRatio),
+		Arrivals: newDecayedMeanRecord(s.Arrivals),
+		Each:     newDecayedMeanRecord(s.PerQueuedRequest),
+		Texts:    convertAll(s.Prefixes, newPrefixCacheEntryRecord),
+		Servers:  convertAll(s.Endpoints, newEndpointStatsRecord),
 	}
 }
 
-func (r snapshotRecord) beliefs() routing.Snapshot {
+func (r snapshotRecord) snapshot() routing.Snapshot {
 	return routing.Snapshot{
 		TakenAt:          r.At,
-		Prefill:          r.Read.fit(),
-		Decode:           r.Fetch.fit(),
-		CommonQueueDelay: r.Lag.evidence(),
-		EstimateError:    r.Scatter.evidence(),
-		CacheHitRatio:    r.Trust.evidence(),
-		Arrivals:         r.Arrivals.evidence(),
-		PerQueuedRequest: r.Each.evidence(),
-		Prefixes:         convertAll(r.Texts, cacheEntryRecord.textBelief),
-		Endpoints:        convertAll(r.Servers, endpointRecord.serverBelief),
+		Prefill:          r.Read.latencyModel(),
+		Decode:           r.Fetch.latencyModel(),
+		CommonQueueDelay: r.Lag.decayedMean(),
+		EstimateError:    r.Scatter.decayedMean(),
+		CacheHitRatio:    r.Trust.decayedMean(),
+		Arrivals:         r.Arrivals.decayedMean(),
+		PerQueuedRequest: r.Each.decayedMean(),
+		Prefixes:         convertAll(r.Texts, prefixCacheEntryRecord.prefixCacheEntry),
+		Endpoints:        convertAll(r.Servers, endpointStatsRecord.endpointStats),
 	}
 }
 
-func newLatencyModelRecord(f routing.LatencyModel) latencyModelRecord {
-	return latencyModelRecord{A: f.A, B: f.B, At: f.At}
+func newLatencyModelRecord(m routing.LatencyModel) latencyModelRecord {
+	return latencyModelRecord{A: m.A, B: m.B, At: m.At}
 }
 
-func (r latencyModelRecord) fit() routing.LatencyModel {
+func (r latencyModelRecord) latencyModel() routing.LatencyModel {
 	return routing.LatencyModel{A: r.A, B: r.B, At: r.At}
 }
 
-func newDecayedMeanRecord(e routing.DecayedMean) decayedMeanRecord {
-	return decayedMeanRecord{Sum: e.Sum, N: e.Count, At: e.At}
+func newDecayedMeanRecord(m routing.DecayedMean) decayedMeanRecord {
+	return decayedMeanRecord{Sum: m.Sum, N: m.Count, At: m.At}
 }
 
-func (r decayedMeanRecord) evidence() routing.DecayedMean {
+func (r decayedMeanRecord) decayedMean() routing.DecayedMean {
 	return routing.DecayedMean{Sum: r.Sum, Count: r.N, At: r.At}
 }
 
-func newAverageRecord(l routing.EWMA) averageRecord {
-	return averageRecord{Value: l.Value, At: l.At}
+func newEWMARecord(a routing.EWMA) ewmaRecord {
+	return ewmaRecord{Value: a.Value, At: a.At}
 }
 
-func (r averageRecord) level() routing.EWMA {
+func (r ewmaRecord) ewma() routing.EWMA {
 	return routing.EWMA{Value: r.Value, At: r.At}
 }
 
-func newCacheEntryRecord(t routing.PrefixCacheEntry) cacheEntryRecord {
-	return cacheEntryRecord{
-		Key:    uint64(t.Key),
-		Reader: uint32(t.Endpoint),
-		Tokens: t.Tokens,
-		At:     t.UpdatedAt,
-		Asked:  newDecayedMeanRecord(t.Requests),
+func newPrefixCacheEntryRecord(e routing.PrefixCacheEntry) prefixCacheEntryRecord {
+	return prefixCacheEntryRecord{
+		Key:    uint64(e.Key),
+		Reader: uint32(e.Endpoint),
+		Tokens: e.Tokens,
+		At:     e.UpdatedAt,
+		Asked:  newDecayedMeanRecord(e.Requests),
 	}
 }
 
-func (r cacheEntryRecord) textBelief() routing.PrefixCacheEntry {
+func (r prefixCacheEntryRecord) prefixCacheEntry() routing.PrefixCacheEntry {
 	return routing.PrefixCacheEntry{
 		Key:       routing.Key(r.Key),
 		Endpoint:  routing.EndpointID(r.Reader),
 		Tokens:    r.Tokens,
 		UpdatedAt: r.At,
-		Requests:  r.Asked.evidence(),
+		Requests:  r.Asked.decayedMean(),
 	}
 }
 
-func newEndpointRecord(s routing.EndpointStats) endpointRecord {
-	return endpointRecord{
+func newEndpointStatsRecord(s routing.EndpointStats) endpointStatsRecord {
+	return endpointStatsRecord{
 		ID:       uint32(s.ID),
 		Started:  s.Started,
 		VoidTill: s.CacheValidFrom,
 		Heard:    s.LastResponse,
-		Health:   convertAll(s.Health, newAverageRecord),
+		Health:   convertAll(s.Health, newEWMARecord),
 		Excess:   newDecayedMeanRecord(s.QueueDelay),
 		Wait:     newDecayedMeanRecord(s.FirstTokenDelay),
 		Turn:     s.SlowStartCredit,
 	}
 }
 
-func (r endpointRecord) serverBelief() routing.EndpointStats {
+func (r endpointStatsRecord) endpointStats() routing.EndpointStats {
 	return routing.EndpointStats{
 		ID:              routing.EndpointID(r.ID),
 		Started:         r.Started,
 		CacheValidFrom:  r.VoidTill,
 		LastResponse:    r.Heard,
-		Health:          convertAll(r.Health, averageRecord.level),
-		QueueDelay:      r.Excess.evidence(),
-		FirstTokenDelay: r.Wait.evidence(),
+		Health:          convertAll(r.Health, ewmaRecord.ewma),
+		QueueDelay:      r.Excess.decayedMean(),
+		FirstTokenDelay: r.Wait.decayedMean(),
 		SlowStartCredit: r.Turn,
 	}
 }
 
-// convertAll converts each element; no elements stay nil, as gob leaves them.
+// convertAll converts each element; nil stays nil, as gob leaves a slice without elements.
 func convertAll[From, To any](from []From, convert func(From) To) []To {
 	if from == nil {
 		return nil
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -1,12 +1,13 @@
-// Package statetransfer lets a process begin with what another of the same name on the same machine has learnt: one that it is to take the
-// place of, or its own earlier life. They share a folder, which need not outlive the machine. The one that starts asks by a
-// file; the one that serves answers by a file that is replaced whole.
+// Package statetransfer lets a process start with the state that another of the same name on the same machine has learned: the one
+// that it replaces, or the one that ran before it. They share a folder, which need not survive a reboot. A process that starts
+// requests a snapshot by creating a file; the one that serves answers by replacing the snapshot file atomically, and removes the
+// request. The same encoding is sent between members of a fleet.
+//
+// The package owns the two files of a name. Exchange is a value without state of its own; one process at a time serves.
 package statetransfer
 
 import (
-	"bytes"
 	"context"
-	"encoding/gob"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -21,168 +22,148 @@
 	"rampspread/routing"
 )
 
-const (
-	magic = "rampspread beliefs 1\n"
-	// MaxBytes bounds a file in bytes.
-	MaxBytes = 4 << 20
-	// MaxPrefixes bounds the number of prefix entries in a file.
-	MaxPrefixes = 10_000
-
-	lookEvery = 500 * time.Millisecond // whether somebody asks
-	// Unasked, what is known is left so often: a process that is killed has no time to.
-	leaveEvery = 5 * time.Second
-	askEvery   = 50 * time.Millisecond // whether the answer is there,
-	askFor     = 2 * time.Second       // for so long
-)
-
-// ErrUnusable says that what was handed over is of no use: another member's, of other settings, spoilt, or of a later program.
-var ErrUnusable = errors.New("handover: void")
-
-// Exchange is where a process finds what another of its name left, and leaves its own.
+// Exchange is where processes of one name exchange snapshots.
 type Exchange struct {
 	Dir  string
 	Name string
-	// Settings is the fingerprint of the settings: what was learnt under others is void.
+	// Settings is the fingerprint of the settings: a snapshot that was learned under others is unusable.
 	Settings uint64
-	// Machine is on which it is.
+	// Machine is the machine that the process runs on.
 	Machine system.System
 }
 
-func (p Exchange) file(kind string) string {
-	name := strings.Map(func(r rune) rune { // a name is no path
+const (
+	// MaxBytes bounds a snapshot file in bytes.
+	MaxBytes = 4 << 20
+	// MaxPrefixes bounds the number of prefix entries in a snapshot file.
+	MaxPrefixes = 10_000
+
+	// requestPollInterval is the time between two checks whether another process requests a snapshot.
+	requestPollInterval = 500 * time.Millisecond
+	// periodicWriteInterval is the time between two snapshots without a request: a process that is killed cannot write one.
+	periodicWriteInterval = 5 * time.Second
+	// answerPollInterval is the time between two checks whether a request was answered, for at most answerTimeout.
+	answerPollInterval = 50 * time.Millisecond
+	answerTimeout      = 2 * time.Second
+
+	// The extensions of the two files, which processes of other versions use: they never change.
+	snapshotExtension = ".beliefs"
+	requestExtension  = ".ask"
+
+	fileMode = 0o600
+)
+
+// ErrUnusable reports a snapshot that must not be used: another member's, of other settings, corrupt, or of a later program.
+var ErrUnusable = errors.New("statetransfer: unusable snapshot")
+
+// path returns the path of a file of this name.
+func (e Exchange) path(extension string) string {
+	name := strings.Map(func(r rune) rune { // a name may hold characters that a path may not
 		if r == os.PathSeparator || r < ' ' {
 			return '_'
 		}
 		return r
-	}, p.Name)
-	return filepath.Join(p.Dir, "rampspread-"+name+kind)
-}
-
-// Encode packs beliefs, with a checksum behind them.
-func (p Exchange) Encode(b routing.Snapshot) ([]byte, error) {
-	var out bytes.Buffer
-	e := gob.NewEncoder(&out)
-	if err := errors.Join(e.Encode(header{Name: p.Name, Settings: p.Settings}), e.Encode(newSnapshotRecord(b))); err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	return atomicfile.Seal(magic, out.Bytes()), nil
+	}, e.Name)
+	return filepath.Join(e.Dir, "rampspread-"+name+extension)
 }
 
-// Decode reads what Encode packed; ErrVoid: it is of no use here.
-func (p Exchange) Decode(text []byte) (b routing.Snapshot, err error) {
-	if len(text) > MaxBytes {
-		return b, fmt.Errorf("%w: over %d bytes", ErrUnusable, MaxBytes)
-	}
-	body, err := atomicfile.Open(magic, text)
-	if err != nil {
-		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
-	}
-	d := gob.NewDecoder(bytes.NewReader(body))
-	var h header
-	if err := d.Decode(&h); err != nil {
-		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
-	}
-	if h.Name != p.Name || h.Settings != p.Settings {
-		return b, fmt.Errorf("%w: it is %q's, or of other settings", ErrUnusable, h.Name)
-	}
-	var snapshot snapshotRecord
-	if err := d.Decode(&snapshot); err != nil {
-		return b, fmt.Errorf("%w: %w", ErrUnusable, err)
-	}
-	return snapshot.beliefs(), nil
-}
-
-// Write replaces what is left for others, whole.
-func (p Exchange) Write(b routing.Snapshot) error {
-	text, err := p.Encode(b)
+// Write replaces the snapshot file atomically. It is not synced: the file need not survive a reboot.
+func (e Exchange) Write(snapshot routing.Snapshot) error {
+	encoded, err := e.Encode(snapshot)
 	if err != nil {
 		return err
 	}
-	if len(text) > MaxBytes {
-		return fmt.Errorf("handover: %d bytes, at most %d", len(text), MaxBytes)
+	if len(encoded) > MaxBytes {
+		return fmt.Errorf("statetransfer: %d bytes, at most %d", len(encoded), MaxBytes)
 	}
-	if err := atomicfile.Replace(p.Machine, p.file(".beliefs"), text, false); err != nil {
-		return fmt.Errorf("handover: %w", err)
+	if err := atomicfile.Replace(e.Machine, e.path(snapshotExtension), encoded, atomicfile.Unsynced); err != nil {
+		return fmt.Errorf("statetransfer: %w", err)
 	}
 	return nil
 }
 
-// Read reads what was left; fs.ErrNotExist: nothing was.
-func (p Exchange) Read() (routing.Snapshot, error) {
-	text, err := atomicfile.Read(p.file(".beliefs"), MaxBytes)
+// Read reads the snapshot file. The error is fs.ErrNotExist if there is none, and ErrUnusable if it must not be used.
+func (e Exchange) Read() (routing.Snapshot, error) {
+	encoded, err := atomicfile.Read(e.path(snapshotExtension), MaxBytes)
 	switch {
 	case errors.Is(err, atomicfile.ErrCorrupt):
 		return routing.Snapshot{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	case err != nil:
-		return routing.Snapshot{}, fmt.Errorf("handover: %w", err)
+		return routing.Snapshot{}, fmt.Errorf("statetransfer: %w", err)
 	}
-	return p.Decode(text)
+	return e.Decode(encoded)
 }
 
-// Request takes what was left, and asks a process of the same name that may be serving for what it knows now. Learn is called with
-// each that is found, once or twice.
-func (p Exchange) Request(ctx context.Context, learn func(routing.Snapshot)) {
-	var last time.Duration
-	find := func() bool {
-		b, err := p.Read()
-		switch {
-		case errors.Is(err, fs.ErrNotExist):
-		case err != nil:
-			slog.Warn("handover_refused", "err", err)
-		case b.TakenAt > last:
-			last = b.TakenAt
-			slog.Info("handover", "texts", len(b.Prefixes), "servers", len(b.Endpoints))
-			learn(b)
-			return true
-		}
-		return false
-	}
-	find()
-	if err := os.WriteFile(p.file(".ask"), nil, 0o600); err != nil {
-		slog.Warn("handover_ask", "err", err)
+// Request passes the existing snapshot to restore, and then requests a current one from a process of the same name that may be
+// serving. restore is called at most twice, the second time only with a newer snapshot. Request returns after answerTimeout if
+// no process serves.
+func (e Exchange) Request(ctx context.Context, restore func(routing.Snapshot)) {
+	latest := e.restoreNewer(0, restore)
+	requestPath := e.path(requestExtension)
+	if err := os.WriteFile(requestPath, nil, fileMode); err != nil {
+		slog.Warn("handover_request_failed", "err", err)
 		return
 	}
-	defer os.Remove(p.file(".ask"))
-	over := time.NewTimer(askFor)
-	defer over.Stop()
-	tick := time.NewTicker(askEvery)
+	defer os.Remove(requestPath)
+	timeout := time.NewTimer(answerTimeout)
+	defer timeout.Stop()
+	tick := time.NewTicker(answerPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if _, err := os.Stat(p.file(".ask")); err != nil { // it was answered
-				find()
+			if _, err := os.Stat(requestPath); err != nil { // the request was answered
+				e.restoreNewer(latest, restore)
 				return
 			}
-		case <-over.C:
-			return // nobody serves
+		case <-timeout.C:
+			return
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Serve leaves what tell returns whenever somebody asks, and now and then unasked, until the context ends. A process answers once
-// it has asked itself.
-func (p Exchange) Serve(ctx context.Context, tell func() (routing.Snapshot, bool)) {
-	tick := time.NewTicker(lookEvery)
+// restoreNewer passes the snapshot file to restore if it was taken after a time, and returns the time of the latest snapshot.
+func (e Exchange) restoreNewer(latest time.Duration, restore func(routing.Snapshot)) time.Duration {
+	snapshot, err := e.Read()
+	switch {
+	case errors.Is(err, fs.ErrNotExist):
+	case err != nil:
+		slog.Warn("handover_refused", "err", err)
+	case snapshot.TakenAt > latest:
+		slog.Info("handover", "prefixes", len(snapshot.Prefixes), "endpoints", len(snapshot.Endpoints))
+		restore(snapshot)
+		return snapshot.TakenAt
+	}
+	return latest
+}
+
+// Serve writes the snapshot that take returns whenever another process requests one, and every periodicWriteInterval without a
+// request, until the context ends. It writes nothing while take's second result is false, so that a process answers requests only
+// once its own request has ended.
+func (e Exchange) Serve(ctx context.Context, take func() (routing.Snapshot, bool)) {
+	tick := time.NewTicker(requestPollInterval)
 	defer tick.Stop()
-	left := time.Now()
+	lastWrite := time.Now()
 	for {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		if _, err := os.Stat(p.file(".ask")); err != nil && time.Since(left) < leaveEvery {
+		requestPath := e.path(requestExtension)
+		if _, err := os.Stat(requestPath); err != nil && time.Since(lastWrite) < periodicWriteInterval {
 			continue
 		}
-		left = time.Now()
-		if b, ok := tell(); ok {
-			if err := p.Write(b); err != nil {
-				slog.Warn("handover_leave", "err", err)
-			}
-			os.Remove(p.file(".ask"))
+		lastWrite = time.Now()
+		snapshot, ok := take()
+		if !ok {
+			continue
+		}
+		if err := e.Write(snapshot); err != nil {
+			slog.Warn("handover_write_failed", "err", err)
 		}
+		os.Remove(requestPath)
 	}
 }
--- a/internal/state/statetransfer/statetransfer_test.go
+++ b/internal/state/statetransfer/statetransfer_test.go
@@ -1,6 +1,7 @@
 package statetransfer
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"os"
@@ -14,99 +15,110 @@
 	"rampspread/routing"
 )
 
-func beliefs(at time.Duration) routing.Snapshot {
-	return routing.Snapshot{TakenAt: at, CommonQueueDelay: routing.DecayedMean{Sum: 3, Count: 2, At: at}, Prefixes: []routing.PrefixCacheEntry{{Key: 7, Endpoint: 8, Tokens: 9, UpdatedAt: at}},
-		Endpoints: []routing.EndpointStats{{ID: 8, Health: []routing.EWMA{{Value: 0.5, At: at}}}}}
+func testSnapshot(at time.Duration) routing.Snapshot {
+	return routing.Snapshot{
+		TakenAt:          at,
+		CommonQueueDelay: routing.DecayedMean{Sum: 3, Count: 2, At: at},
+		Prefixes:         []routing.PrefixCacheEntry{{Key: 7, Endpoint: 8, Tokens: 9, UpdatedAt: at}},
+		Endpoints:        []routing.EndpointStats{{ID: 8, Health: []routing.EWMA{{Value: 0.5, At: at}}}},
+	}
 }
 
-// What one leaves the next finds, whole; what is spoilt, cut, another member's or of other settings is void, and never a panic.
-func TestLeaveAndFind(t *testing.T) {
-	p := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
-	if _, err := p.Read(); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nothing was left: %v", err)
+// A snapshot that is written is read whole; one that is corrupt, cut, another member's or of other settings is unusable, and never a
+// panic.
+func TestWrittenSnapshotIsReadAndOthersAreUnusable(t *testing.T) {
+	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
+	if _, err := exchange.Read(); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("before the first write: %v", err)
 	}
-	if err := p.Write(beliefs(time.Hour)); err != nil {
+	if err := exchange.Write(testSnapshot(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	b, err := p.Read()
-	if err != nil || b.TakenAt != time.Hour || b.Prefixes[0].Tokens != 9 || b.Endpoints[0].Health[0].Value != 0.5 || b.CommonQueueDelay.Sum != 3 {
-		t.Fatalf("%+v, %v", b, err)
+	got, err := exchange.Read()
+	if err != nil || got.TakenAt != time.Hour || got.Prefixes[0].Tokens != 9 || got.Endpoints[0].Health[0].Value != 0.5 ||
+		got.CommonQueueDelay.Sum != 3 {
+		t.Fatalf("%+v, %v", got, err)
 	}
-	for _, other := range []Exchange{{p.Dir, "n/0", 6, p.Machine}, {p.Dir, "n_0", 5, p.Machine}} { // the second has the same file
+	for _, other := range []Exchange{{exchange.Dir, "n/0", 6, exchange.Machine}, {exchange.Dir, "n_0", 5, exchange.Machine}} { // the second has the same file
 		if _, err := other.Read(); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
-	good, err := os.ReadFile(p.file(".beliefs"))
+	good, err := os.ReadFile(exchange.path(snapshotExtension))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range good {
-		if _, err := p.Decode(good[:cut]); !errors.Is(err, ErrUnusable) {
+		if _, err := exchange.Decode(good[:cut]); !errors.Is(err, ErrUnusable) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		spoilt := append([]byte(nil), good...)
-		spoilt[cut] ^= 0x10
-		if _, err := p.Decode(spoilt); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
+		corrupt := bytes.Clone(good)
+		corrupt[cut] ^= 0x10
+		if _, err := exchange.Decode(corrupt); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Fatalf("byte %d changed: %v", cut, err)
 		}
 	}
-	left, _ := os.ReadDir(p.Dir)
-	if len(left) != 1 {
-		t.Errorf("%d files are left", len(left))
+	files, _ := os.ReadDir(exchange.Dir)
+	if len(files) != 1 {
+		t.Errorf("%d files remain", len(files))
 	}
 }
 
-// One that starts asks, and one that serves answers with what it knows then; with nobody there it goes on after a while.
-func TestAskAndAnswer(t *testing.T) {
-	p := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
-	ctx, cancel := context.WithCancel(context.Background())
+// A request gets the existing snapshot and then a current one from the process that serves; if none serves it ends after a timeout.
+func TestRequestIsAnsweredOrTimesOut(t *testing.T) {
+	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
+	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	if err := p.Write(beliefs(time.Second)); err != nil { // of an earlier life
+	if err := exchange.Write(testSnapshot(time.Second)); err != nil { // by an earlier process
 		t.Fatal(err)
 	}
-	wg.Go(func() { p.Serve(ctx, func() (routing.Snapshot, bool) { return beliefs(time.Minute), true }) })
-	var got []time.Duration
-	p.Request(ctx, func(b routing.Snapshot) { got = append(got, b.TakenAt) })
-	if len(got) != 2 || got[0] != time.Second || got[1] != time.Minute {
-		t.Errorf("found %v", got)
+	wg.Go(func() {
+		exchange.Serve(ctx, func() (routing.Snapshot, bool) { return testSnapshot(time.Minute), true })
+	})
+	var restored []time.Duration
+	exchange.Request(ctx, func(s routing.Snapshot) { restored = append(restored, s.TakenAt) })
+	if len(restored) != 2 || restored[0] != time.Second || restored[1] != time.Minute {
+		t.Errorf("restored %v", restored)
 	}
 	alone := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
-	from := time.Now()
-	alone.Request(ctx, func(routing.Snapshot) { t.Error("something was found") })
-	if took := time.Since(from); took > askFor+time.Second {
-		t.Errorf("alone it asked for %v", took)
+	start := time.Now()
+	alone.Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
+	if took := time.Since(start); took > answerTimeout+time.Second {
+		t.Errorf("with nobody serving the request took %v", took)
 	}
-	if _, err := os.Stat(alone.file(".ask")); err == nil {
-		t.Error("the question is still there")
+	if _, err := os.Stat(alone.path(requestExtension)); err == nil {
+		t.Error("the request was not removed")
 	}
-	testkit.Eventually(t, "no question of the first", func() bool { _, err := os.Stat(p.file(".ask")); return err != nil })
-	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(routing.Snapshot) { t.Error("something was found") })
+	testkit.Eventually(t, "the first request to be removed", func() bool {
+		_, err := os.Stat(exchange.path(requestExtension))
+		return err != nil
+	})
+	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
 }
 
 func FuzzDecode(f *testing.F) {
-	p := Exchange{Name: "n0"}
-	text, err := p.Encode(beliefs(1))
+	exchange := Exchange{Name: "n0"}
+	encoded, err := exchange.Encode(testSnapshot(1))
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, s := range testkit.Broken(6, string(text)) {
+	for _, s := range testkit.Broken(6, string(encoded)) {
 		f.Add([]byte(s))
 	}
-	f.Fuzz(func(_ *testing.T, b []byte) { p.Decode(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { exchange.Decode(b) })
 }
 
 func BenchmarkEncode(b *testing.B) {
-	in := beliefs(1)
+	snapshot := testSnapshot(1)
 	for i := range MaxPrefixes {
-		in.Prefixes = append(in.Prefixes, routing.PrefixCacheEntry{Key: routing.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
+		snapshot.Prefixes = append(snapshot.Prefixes, routing.PrefixCacheEntry{Key: routing.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
 	}
-	text, _ := Exchange{}.Encode(in)
-	b.ReportMetric(float64(len(text)), "bytes")
+	encoded, _ := Exchange{}.Encode(snapshot)
+	b.ReportMetric(float64(len(encoded)), "bytes")
 	for b.Loop() {
-		if _, err := (Exchange{}).Encode(in); err != nil {
+		if _, err := (Exchange{}).Encode(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
