--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -1,9 +1,9 @@
-// Package atomicfile stores files that are there whole or not at all. A file is replaced by writing a temporary file and renaming
-// it (write, fsync, rename, fsync of the folder). A sealed file begins with a magic string that says what it is, and ends with an
-// xxhash of all before it.
+// Package atomicfile stores files that are there whole or not at all. A file is replaced by writing a temporary file
+// and renaming it (write, fsync, rename, fsync of the folder). A sealed file begins with a magic string that says what
+// it is, and ends with an xxhash of all before it.
 //
-// The functions may be called by several goroutines and processes at once: those that replace the same file exclude each other by a
-// lock on its temporary file. A Saver writes one file in the background.
+// The functions may be called by several goroutines and processes at once: those that replace the same file exclude
+// each other by a lock on its temporary file. A Saver writes one file in the background.
 package atomicfile
 
 import (
@@ -41,8 +41,8 @@
 // errLocked reports that another process held the temporary file for all of lockAttempts.
 var errLocked = errors.New("another process is writing it")
 
-// Replace writes a temporary file and renames it to path. After an error the whole content has to be written again: what a failed
-// sync was about is no longer known to be on disk, whatever a later sync returns.
+// Replace writes a temporary file and renames it to path. After an error the whole content has to be written again:
+// what a failed sync was about is no longer known to be on disk, whatever a later sync returns.
 func Replace(machine system.System, path string, content []byte, durability Durability) error {
 	temporary, err := openTemporary(path)
 	if err != nil {
@@ -114,8 +114,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// openTemporary opens the one temporary file of path, empty and locked. Its name is always the same, so that what killed processes
-// left behind is overwritten and does not pile up.
+// openTemporary opens the one temporary file of path, empty and locked. Its name is always the same, so that what
+// killed processes left behind is overwritten and does not pile up.
 func openTemporary(path string) (*os.File, error) {
 	name := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".aside")
 	for range lockAttempts {
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -67,12 +67,12 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	for _, text := range testkit.Broken(12, string(Seal("magic\n", []byte("body")))) {
-		f.Add([]byte(text))
+	for _, broken := range testkit.Broken(12, string(Seal("magic\n", []byte("body")))) {
+		f.Add([]byte(broken))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if body, err := Open("magic\n", text); err == nil && string(Seal("magic\n", body)) != string(text) {
-			t.Errorf("opened %q", text)
+	f.Fuzz(func(t *testing.T, sealed []byte) {
+		if body, err := Open("magic\n", sealed); err == nil && string(Seal("magic\n", body)) != string(sealed) {
+			t.Errorf("opened %q", sealed)
 		}
 	})
 }
--- a/internal/state/atomicfile/saver.go
+++ b/internal/state/atomicfile/saver.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// saveInterval is the least time between two saves: a rollout of many endpoints changes a list several times a second, and each
-// save waits for the disk.
+// saveInterval is the least time between two saves: a rollout of many endpoints changes a list several times a second,
+// and each save waits for the disk.
 const saveInterval = 200 * time.Millisecond
 
 // Saver saves something in the background after it has changed, so that nobody but the goroutine of Run waits for the disk.
--- a/internal/state/atomicfile/seal.go
+++ b/internal/state/atomicfile/seal.go
@@ -17,8 +17,8 @@
 	return binary.BigEndian.AppendUint64(sealed, xxhash.Sum64(sealed))
 }
 
-// Open returns the body of what Seal returned for the same magic string; anything else is ErrCorrupt. The body is a part of sealed,
-// not a copy.
+// Open returns the body of what Seal returned for the same magic string; anything else is ErrCorrupt. The body is a
+// part of sealed, not a copy.
 func Open(magic string, sealed []byte) ([]byte, error) {
 	if len(sealed) < len(magic)+SealBytes || !bytes.HasPrefix(sealed, []byte(magic)) {
 		return nil, ErrCorrupt
--- a/internal/state/atomicfile/system_failure_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -10,8 +10,8 @@
 	"rampspread/internal/testkit"
 )
 
-// While writes, syncs or renames fail the file keeps its content, and the first replacement that succeeds writes all of the next
-// content: it relies on nothing of a write that failed, and nothing of that remains.
+// While writes, syncs or renames fail the file keeps its content, and the first replacement that succeeds writes all of
+// the next content: it relies on nothing of a write that failed, and nothing of that remains.
 func TestReplaceKeepsOldContentWhileSystemCallsFail(t *testing.T) {
 	for _, op := range []system.Op{system.Write, system.Sync, system.Rename} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
--- a/internal/state/encoding.go
+++ b/internal/state/encoding.go
@@ -48,8 +48,8 @@
 	return b
 }
 
-// decodeRecord reads what encodeRecord wrote. A record whose checksum is wrong, that has no attempt's name or that has an unknown
-// state is ErrCorrupt. Fields that are unknown are skipped.
+// decodeRecord reads what encodeRecord wrote. A record whose checksum is wrong, that has no attempt's name or that has
+// an unknown state is ErrCorrupt. Fields that are unknown are skipped.
 func decodeRecord(b []byte) (record idempotency.Record, err error) {
 	if len(b) < checksumBytes || xxhash.Sum64(b[checksumBytes:]) != binary.BigEndian.Uint64(b) {
 		return record, fmt.Errorf("%w: a record's checksum is off", ErrCorrupt)
@@ -101,7 +101,8 @@
 	}
 }
 
-// writeTimeKey returns a record's key in the index by time written: the time, then the idempotency key. Its order is that of time.
+// writeTimeKey returns a record's key in the index by time written: the time, then the idempotency key. Its order is
+// that of time.
 func writeTimeKey(writtenAt time.Duration, key idempotency.Key) []byte {
 	return append(encodeNumber(uint64(writtenAt)), key[:]...)
 }
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -1,8 +1,9 @@
-// Package endpointcache stores the newest endpoint list that a process has acted on, for the process that follows it. One that starts
-// while service discovery is silent would otherwise act on the list of its configuration, and send to endpoints that were known to
-// be draining.
+// Package endpointcache stores the newest endpoint list that a process has acted on, for the process that follows it.
+// One that starts while service discovery is silent would otherwise act on the list of its configuration, and send to
+// endpoints that were known to be draining.
 //
-// The package owns one file in the state folder and has no state in memory. Its functions may be called by several goroutines.
+// The package owns one file in the state folder and has no state in memory. Its functions may be called by several
+// goroutines.
 package endpointcache
 
 import (
@@ -33,7 +34,8 @@
 }
 
 const (
-	// MaxAge bounds the age of a usable list: it replaces a discovery service that is silent at the start, not one that is gone.
+	// MaxAge bounds the age of a usable list: it replaces a discovery service that is silent at the start, not one that
+	// is gone.
 	MaxAge = time.Hour
 
 	fileName = "newest.list"
@@ -65,7 +67,8 @@
 	return nil
 }
 
-// Load reads the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must not use it now.
+// Load reads the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must not
+// use it now.
 func Load(dir string, owner Owner, now system.Stamp) (Cached, error) {
 	sealed, err := atomicfile.Read(filepath.Join(dir, fileName), maxBytes)
 	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -31,15 +31,18 @@
 		if err := Save(system.Real(), dir, list); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Load(dir, testOwner, system.Now(system.Real())); err != nil || got.Version != version || string(got.Entries) != string(list.Entries) {
+		got, err := Load(dir, testOwner, system.Now(system.Real()))
+		if err != nil || got.Version != version || string(got.Entries) != string(list.Entries) {
 			t.Errorf("loaded %+v, %v", got, err)
 		}
 	}
 	if files, _ := os.ReadDir(dir); len(files) != 1 {
 		t.Errorf("%d files remain", len(files))
 	}
-	for _, other := range []Owner{{"g", "n0", testOwner.Discovery}, {"f", "n1", testOwner.Discovery}, {"f", "n0", "127.0.0.1:8501"}} {
-		if _, err := Load(dir, other, system.Now(system.Real())); !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
+	others := []Owner{{"g", "n0", testOwner.Discovery}, {"f", "n1", testOwner.Discovery}, {"f", "n0", "127.0.0.1:8501"}}
+	for _, other := range others {
+		_, err := Load(dir, other, system.Now(system.Real()))
+		if !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("of %+v: %v", other, err)
 		}
 	}
@@ -112,8 +115,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, text := range testkit.Broken(11, string(good)) {
-		f.Add([]byte(text))
+	for _, broken := range testkit.Broken(11, string(good)) {
+		f.Add([]byte(broken))
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
 		path := filepath.Join(t.TempDir(), fileName)
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -1,6 +1,7 @@
-// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing when all members are
-// killed at once: results of earlier leases would otherwise be taken for newer ones. It is the high-water mark of a block
-// allocator (hi/lo): the stored bound is ahead of all tokens observed, so that it is seldom written.
+// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing when
+// all members are killed at once: results of earlier leases would otherwise be taken for newer ones. It is the
+// high-water mark of a block allocator (hi/lo): the stored bound is ahead of all tokens observed, so that it is seldom
+// written.
 //
 // The package owns one file in the state folder. TokenFloor is safe for use by several goroutines.
 package fencing
@@ -38,7 +39,8 @@
 	Name  string `json:"Name"`
 }
 
-// boundFile is the body of the file. The tags are the names in the file, which other versions of the program read: they never change.
+// boundFile is the body of the file. The tags are the names in the file, which other versions of the program read: they
+// never change.
 type boundFile struct {
 	Owner Owner  `json:"Owner"`
 	Bound uint64 `json:"Bound"`
@@ -49,8 +51,9 @@
 	magic    = "rampspread lease numbers 1\n"
 	maxBytes = 4 << 10
 
-	// reservation is how far the bound is ahead of the tokens observed: tokens grow with each takeover, a few a second at most, so the
-	// disk is written seldom and has hours to store a bound. A higher value makes tokens jump further at a restart.
+	// reservation is how far the bound is ahead of the tokens observed: tokens grow with each takeover, a few a second
+	// at most, so the disk is written seldom and has hours to store a bound. A higher value makes tokens jump further
+	// at a restart.
 	reservation = 1 << 16
 	// minReservation is the distance from the bound at which a greater one is stored.
 	minReservation = reservation / 2
@@ -58,8 +61,8 @@
 	folderMode = 0o700
 )
 
-// Open reads the bound in a folder, which need not exist. A bound that is corrupt or another owner's is refused with a log line, and
-// counts as none.
+// Open reads the bound in a folder, which need not exist. A bound that is corrupt or another owner's is refused with a
+// log line, and counts as none.
 func Open(machine system.System, dir string, owner Owner) *TokenFloor {
 	f := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), owner: owner}
 	f.saver = atomicfile.NewSaver("lease numbers", f.save)
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -25,14 +25,33 @@
 var (
 	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
 	goldenRecords  = map[idempotency.Key]idempotency.Record{
-		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
-			Digest: idempotency.Digest{19, 31: 20}, State: idempotency.Answered, WrittenAt: 21 * time.Second, AttemptDeadline: 22 * time.Second, Answer: []byte("golden answer")},
-		{23, 15: 24}: {Attempt: idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26}, Digest: idempotency.Digest{27, 31: 28}, State: idempotency.InFlight, WrittenAt: 29, AttemptDeadline: 30},
-		{31, 15: 32}: {Attempt: idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34}, Digest: idempotency.Digest{35, 31: 36}, State: idempotency.MayHaveRun, WrittenAt: 37, AttemptDeadline: 38},
+		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {
+			Attempt:         idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Digest:          idempotency.Digest{19, 31: 20},
+			State:           idempotency.Answered,
+			WrittenAt:       21 * time.Second,
+			AttemptDeadline: 22 * time.Second,
+			Answer:          []byte("golden answer"),
+		},
+		{23, 15: 24}: {
+			Attempt:         idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26},
+			Digest:          idempotency.Digest{27, 31: 28},
+			State:           idempotency.InFlight,
+			WrittenAt:       29,
+			AttemptDeadline: 30,
+		},
+		{31, 15: 32}: {
+			Attempt:         idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34},
+			Digest:          idempotency.Digest{35, 31: 36},
+			State:           idempotency.MayHaveRun,
+			WrittenAt:       37,
+			AttemptDeadline: 38,
+		},
 	}
 )
 
-// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its entries.
+// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its
+// entries.
 func writeGoldenState(t *testing.T) (file []byte, entryList string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -87,8 +106,8 @@
 	return out.String()
 }
 
-// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is up to the database, and may
-// have its pages in another order.
+// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is up to the
+// database, and may have its pages in another order.
 func TestGoldenEntriesAreWritten(t *testing.T) {
 	_, entryList := writeGoldenState(t)
 	if want := golden.Text(t, "entries.txt", entryList); entryList != want {
--- a/internal/state/identity.go
+++ b/internal/state/identity.go
@@ -25,8 +25,9 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return s.initialize(tx, who, ifCreated) })
 }
 
-// load checks the owner and the checksum of all entries, and reads the counters. The result is false for a file that has still
-// to be initialized: one that nothing was written to yet, or one of format 1, which has no checksum of all entries.
+// load checks the owner and the checksum of all entries, and reads the counters. The result is false for a file that
+// has still to be initialized: one that nothing was written to yet, or one of format 1, which has no checksum of all
+// entries.
 func (s *Store) load(tx *bbolt.Tx, who Identity) (current bool, err error) {
 	meta, records, writeTimes := tx.Bucket(bucketMeta), tx.Bucket(bucketRecords), tx.Bucket(bucketWriteTimes)
 	if meta == nil && records == nil && writeTimes == nil {
--- a/internal/state/inflight/claim.go
+++ b/internal/state/inflight/claim.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// MarkMayHaveRun ends a request with an idempotency key that may have run: the key stays claimed for the retention. It does nothing
-// if this process does not hold the key.
+// MarkMayHaveRun ends a request with an idempotency key that may have run: the key stays claimed for the retention. It
+// does nothing if this process does not hold the key.
 func (t *Table) MarkMayHaveRun(name string) {
 	if t == nil {
 		return
--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -6,6 +6,8 @@
 	"path/filepath"
 	"testing"
 	"time"
+
+	"rampspread/internal/testkit"
 )
 
 // shiftModTimes makes the files in a folder look as if the wall clock had been stepped since they were written.
@@ -27,7 +29,8 @@
 	}
 }
 
-// A step of the wall clock, forward or back, does not shorten the retention of an idempotency key that ran, nor extend it by much.
+// A step of the wall clock, forward or back, does not shorten the retention of an idempotency key that ran, nor extend
+// it by much.
 func TestRetentionOfKeysIgnoresWallClockSteps(t *testing.T) {
 	for name, by := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +46,7 @@
 			if got := second.request("acquire key- ran"); got != claimText(MayHaveRun) && time.Since(acquiredAt) < testRetention {
 				t.Errorf("after the step: %s", got)
 			}
-			eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
+			testkit.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
 		})
 	}
 }
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -13,28 +13,32 @@
 	"rampspread/internal/system"
 )
 
-// Processes of different versions that run at the same time read one another's folders. The forms below are those of 1ac8dd0, which are
-// short enough for the source.
+// Processes of different versions that run at the same time read one another's folders. The forms below are those of
+// 1ac8dd0, which are short enough for the source.
 const goldenMarker = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
 
 var (
-	goldenMarkerForm = regexp.MustCompile(`^\{"Taken":\{"Wall":[1-9][0-9]*,"Boot":-?[1-9][0-9]*,"BootID":"[0-9a-f-]+"\},"Ran":(true|false)\}$`)
+	goldenMarkerForm = regexp.MustCompile(
+		`^\{"Taken":\{"Wall":[1-9][0-9]*,"Boot":-?[1-9][0-9]*,"BootID":"[0-9a-f-]+"\},"Ran":(true|false)\}$`)
 	goldenOwnDirForm = regexp.MustCompile(`^[0-9]+-[0-9a-z]+$`)
 )
 
 func TestGoldenMarkerContent(t *testing.T) {
-	want := marker{AcquiredAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"}, MayHaveRun: true}
+	want := marker{
+		AcquiredAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
+		MayHaveRun: true,
+	}
 	var got marker
 	if err := json.Unmarshal([]byte(goldenMarker), &got); err != nil || got != want {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if text, err := json.Marshal(want); err != nil || string(text) != goldenMarker {
-		t.Errorf("wrote %s, %v", text, err)
+	if content, err := json.Marshal(want); err != nil || string(content) != goldenMarker {
+		t.Errorf("wrote %s, %v", content, err)
 	}
 }
 
-// The form of a marker that is written, and its age when it is read: by the boot clock after the same boot, by the wall clock after
-// another, and by the modification time in the form of the earliest version.
+// The form of a marker that is written, and its age when it is read: by the boot clock after the same boot, by the wall
+// clock after another, and by the modification time in the form of the earliest version.
 func TestGoldenMarkerFiles(t *testing.T) {
 	table, err := Start(system.Real(), t.TempDir(), "golden", testRetention)
 	if err != nil {
@@ -46,32 +50,36 @@
 		if err := table.writeMarker(path, time.Now().Add(-time.Hour), ran); err != nil {
 			t.Fatal(err)
 		}
-		text, err := os.ReadFile(path)
-		if found := goldenMarkerForm.FindStringSubmatch(string(text)); err != nil || found == nil || found[1] != fmt.Sprint(ran) {
-			t.Errorf("wrote %s, %v", text, err)
+		content, err := os.ReadFile(path)
+		match := goldenMarkerForm.FindStringSubmatch(string(content))
+		if err != nil || match == nil || match[1] != fmt.Sprint(ran) {
+			t.Errorf("wrote %s, %v", content, err)
 		}
 		if info, err := os.Stat(path); err != nil || !nearlyEqual(time.Since(info.ModTime()), time.Hour) {
 			t.Errorf("the file's modification time is wrong: %v", err)
 		}
 	}
 	now := system.Now(system.Real())
+	sameBoot := fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot-int64(time.Minute), now.BootID)
+	otherBoot := fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall-int64(time.Hour))
 	for _, c := range []struct {
-		name, text string
-		want       markerState
+		name, content string
+		want          markerState
 	}{
-		{"same boot", fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot-int64(time.Minute), now.BootID), markerState{time.Minute, true}},
-		{"other boot", fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall-int64(time.Hour)), markerState{time.Hour, false}},
+		{"same boot", sameBoot, markerState{time.Minute, true}},
+		{"other boot", otherBoot, markerState{time.Hour, false}},
 		{"earliest, ended", "ran", markerState{2 * time.Hour, true}},
 		{"earliest, not ended", "", markerState{2 * time.Hour, false}},
 	} {
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(c.content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		modified := time.Now().Add(-2 * time.Hour)
 		if err := os.Chtimes(path, modified, modified); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := table.readMarker(path); err != nil || got.mayHaveRun != c.want.mayHaveRun || !nearlyEqual(got.age, c.want.age) {
+		got, err := table.readMarker(path)
+		if err != nil || got.mayHaveRun != c.want.mayHaveRun || !nearlyEqual(got.age, c.want.age) {
 			t.Errorf("%s: read %+v, %v", c.name, got, err)
 		}
 	}
@@ -90,7 +98,9 @@
 	if got, want := table.sharedDir, filepath.Join(dir, "rampspread-dd56de4137951d9c.beside"); got != want {
 		t.Errorf("the shared folder: %s, not %s", got, want)
 	}
-	if own := filepath.Base(table.ownDir); filepath.Dir(table.ownDir) != table.sharedDir || !goldenOwnDirForm.MatchString(own) || !strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
+	own := filepath.Base(table.ownDir)
+	if filepath.Dir(table.ownDir) != table.sharedDir || !goldenOwnDirForm.MatchString(own) ||
+		!strings.HasPrefix(own, fmt.Sprint(os.Getpid(), "-")) {
 		t.Errorf("the process's own folder: %s", table.ownDir)
 	}
 	if info, err := os.Stat(filepath.Join(table.ownDir, "lock")); err != nil || info.Size() != 0 {
@@ -108,7 +118,10 @@
 	if info, err := os.Stat(filepath.Join(table.ownDir, "shown")); err != nil || info.Size() != 0 {
 		t.Errorf("the ready file of a process with a peer: %v", err)
 	}
-	for kind, want := range map[Kind]string{Request: "id-dd56de4137951d9c92681b03416ec15f", IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f"} {
+	for kind, want := range map[Kind]string{
+		Request:        "id-dd56de4137951d9c92681b03416ec15f",
+		IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f",
+	} {
 		if got := fileName(kind, "golden"); got != want {
 			t.Errorf("%s, not %s", got, want)
 		}
--- a/internal/state/inflight/marker.go
+++ b/internal/state/inflight/marker.go
@@ -9,15 +9,15 @@
 	"rampspread/internal/system"
 )
 
-// marker is the content of a name's file. The tags are the names in the file, which processes of other versions read: they never
-// change.
+// marker is the content of a name's file. The tags are the names in the file, which processes of other versions read:
+// they never change.
 type marker struct {
 	AcquiredAt system.Stamp `json:"Taken"`
 	MayHaveRun bool         `json:"Ran"` // it has ended, and may have run
 }
 
-// legacyEnded is the whole content of an ended idempotency key's file in earlier versions, where the file's modification time was
-// the time of acquisition.
+// legacyEnded is the whole content of an ended idempotency key's file in earlier versions, where the file's
+// modification time was the time of acquisition.
 const legacyEnded = "ran"
 
 // markerState is what is known of a name that another process has published.
@@ -45,9 +45,9 @@
 	return os.Chtimes(path, acquiredAt, acquiredAt) // for a process of an earlier version
 }
 
-// readMarker reads a name's file. Its age counts by the machine's boot clock: the wall clock may have been stepped, and would make a
-// key that has just run an old one. What cannot be read as of this version, as after a write that was cut off, is aged by the file's
-// modification time.
+// readMarker reads a name's file. Its age counts by the machine's boot clock: the wall clock may have been stepped, and
+// would make a key that has just run an old one. What cannot be read as of this version, as after a write that was cut
+// off, is aged by the file's modification time.
 func (t *Table) readMarker(path string) (markerState, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/state/inflight/peers.go
+++ b/internal/state/inflight/peers.go
@@ -72,8 +72,8 @@
 	return n
 }
 
-// isAlive reports whether a folder's process holds its lock. A lock that cannot be opened, as when this process is out of file
-// descriptors, counts as held: the folder of a running process would otherwise be removed.
+// isAlive reports whether a folder's process holds its lock. A lock that cannot be opened, as when this process is out
+// of file descriptors, counts as held: the folder of a running process would otherwise be removed.
 func isAlive(dir string) bool {
 	f, err := os.Open(filepath.Join(dir, lockFile))
 	if err != nil {
@@ -83,8 +83,8 @@
 	return unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil
 }
 
-// removeExpired removes the folder of an ended process unless it has idempotency keys within their retention. The result is whether
-// the folder remains.
+// removeExpired removes the folder of an ended process unless it has idempotency keys within their retention. The
+// result is whether the folder remains.
 func (t *Table) removeExpired(dir string) (remains bool) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/state/inflight/table.go
+++ b/internal/state/inflight/table.go
@@ -1,12 +1,13 @@
-// Package inflight keeps processes of one name on one machine, of which one is about to replace another, from carrying out the same
-// request twice. The processes share a folder. Each publishes there, as one marker file a name, the requests and idempotency keys
-// that it has in flight; while it is alone it writes no markers.
+// Package inflight keeps processes of one name on one machine, of which one is about to replace another, from carrying
+// out the same request twice. The processes share a folder. Each publishes there, as one marker file a name, the
+// requests and idempotency keys that it has in flight; while it is alone it writes no markers.
 //
-// Protocol: a process that starts creates a folder of its own, locked (flock) for as long as it lives, and accepts no clients before
-// every process that was already running has published what it has in flight (WaitForPeers). From then on each process writes its
-// marker before it looks for those of others, as in Dekker's algorithm for mutual exclusion: of two that claim the same name at
-// once, at most one gets it, and possibly neither. A lock that is free shows that its process has ended, however it ended. Its
-// requests are then free, but its idempotency keys may have run, and stay for their retention.
+// Protocol: a process that starts creates a folder of its own, locked (flock) for as long as it lives, and accepts no
+// clients before every process that was already running has published what it has in flight (WaitForPeers). From then
+// on each process writes its marker before it looks for those of others, as in Dekker's algorithm for mutual exclusion:
+// of two that claim the same name at once, at most one gets it, and possibly neither. A lock that is free shows that
+// its process has ended, however it ended. Its requests are then free, but its idempotency keys may have run, and stay
+// for their retention.
 //
 // The package owns the shared folder. Stored names and forms don't change: processes of other versions read them.
 package inflight
@@ -32,8 +33,8 @@
 	"rampspread/internal/system"
 )
 
-// Table holds what one process has in flight. A nil Table is one of a process that never has peers. It is safe for use by several
-// goroutines.
+// Table holds what one process has in flight. A nil Table is one of a process that never has peers. It is safe for use
+// by several goroutines.
 type Table struct {
 	machine   system.System
 	sharedDir string
@@ -75,8 +76,8 @@
 	fileMode           = 0o600
 )
 
-// Start creates this process's folder below dir, under the name that the processes share. Idempotency keys that may have run are
-// remembered for retention.
+// Start creates this process's folder below dir, under the name that the processes share. Idempotency keys that may
+// have run are remembered for retention.
 func Start(machine system.System, dir, name string, retention time.Duration) (*Table, error) {
 	hash := sha256.Sum256([]byte(name)) // a name may hold characters that a path may not
 	sharedDir := filepath.Join(dir, "rampspread-"+hex.EncodeToString(hash[:sharedDirHashBytes])+".beside")
@@ -106,8 +107,9 @@
 	return t, nil
 }
 
-// createOwnDir creates this process's folder with its lock, held, and the mark that it is ready, since nothing is in flight yet.
-// The lock is taken before the folder has its name: a folder whose lock is free is one of a process that has ended.
+// createOwnDir creates this process's folder with its lock, held, and the mark that it is ready, since nothing is in
+// flight yet. The lock is taken before the folder has its name: a folder whose lock is free is one of a process that
+// has ended.
 func createOwnDir(sharedDir, ownDir string) (lock *os.File, err error) {
 	temporary, err := os.MkdirTemp(sharedDir, temporaryPrefix)
 	if err != nil {
@@ -131,8 +133,8 @@
 	return lock, os.Rename(temporary, ownDir)
 }
 
-// WaitForPeers returns when each process that is running has published what it has in flight, or has ended. The result is the number
-// of those that did not in time.
+// WaitForPeers returns when each process that is running has published what it has in flight, or has ended. The result
+// is the number of those that did not in time.
 func (t *Table) WaitForPeers(ctx context.Context) (notReady int) {
 	if t == nil {
 		return 0
@@ -161,8 +163,8 @@
 	}
 }
 
-// Run follows which peers start and end until the context ends. Then it publishes the idempotency keys that may have run for the
-// process that follows, and removes the rest.
+// Run follows which peers start and end until the context ends. Then it publishes the idempotency keys that may have
+// run for the process that follows, and removes the rest.
 func (t *Table) Run(ctx context.Context) {
 	tick := time.NewTicker(peerPollInterval)
 	defer tick.Stop()
@@ -204,8 +206,8 @@
 	}
 }
 
-// takePending forgets idempotency keys past their retention, and returns the names whose markers have to be synchronized: those that
-// changed, and all if peers came or went.
+// takePending forgets idempotency keys past their retention, and returns the names whose markers have to be
+// synchronized: those that changed, and all if peers came or went.
 func (t *Table) takePending(peers peerCount) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"rampspread/internal/system"
+	"rampspread/internal/testkit"
 )
 
 const testRetention = 2 * time.Second
@@ -22,8 +23,8 @@
 // peerDirVariable makes the test program a peer process that shares the folder which it names.
 const peerDirVariable = "INFLIGHT_PEER_DIR"
 
-// TestMain also runs the peer process: "acquire KIND NAME", "release KIND NAME" and "may-have-run NAME" on its standard input, a
-// claim for each on its standard output.
+// TestMain also runs the peer process: "acquire KIND NAME", "release KIND NAME" and "may-have-run NAME" on its standard
+// input, a claim for each on its standard output.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(peerDirVariable); dir != "" {
 		os.Exit(runPeerProcess(dir))
@@ -121,8 +122,8 @@
 // claimText is how a peer process prints a claim.
 func claimText(claim Claim) string { return fmt.Sprint(claim) }
 
-// What one process has in flight when another starts is known to that one before it acquires anything, and the other way about; what
-// is released is free again.
+// What one process has in flight when another starts is known to that one before it acquires anything, and the other
+// way about; what is released is free again.
 func TestNameInFlightIsHeldByOneProcess(t *testing.T) {
 	dir := t.TempDir()
 	first := startProcess(t, dir)
@@ -145,10 +146,12 @@
 		t.Errorf("a name of the second process: %s", got)
 	}
 	first.request("release id- a")
-	eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
+	testkit.Eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
 	second.kill() // its names are free then
-	eventually(t, "the name of the killed process to be free", func() bool { return first.request("acquire id- c") == claimText(Acquired) })
-	eventually(t, "all markers to be removed", func() bool {
+	testkit.Eventually(t, "the name of the killed process to be free", func() bool {
+		return first.request("acquire id- c") == claimText(Acquired)
+	})
+	testkit.Eventually(t, "all markers to be removed", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*"))
 		return len(files) == 0
 	})
@@ -182,17 +185,18 @@
 				first.kill()
 			}
 			for name, want := range map[string]Claim{"ran": MayHaveRun, "open": MayHaveRun, "never": Acquired} {
-				if got := second.request("acquire key- %s", name); got != claimText(want) && time.Since(acquiredAt) < testRetention {
+				got := second.request("acquire key- %s", name)
+				if got != claimText(want) && time.Since(acquiredAt) < testRetention {
 					t.Errorf("%s: %s, want %d", name, got, want)
 				}
 			}
-			eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
+			testkit.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
 		})
 	}
 }
 
-// Three processes acquire the same names, at once or one before the others, while one after another is killed and replaced: no name
-// is ever held by two running processes, and the first to acquire a name gets it.
+// Three processes acquire the same names, at once or one before the others, while one after another is killed and
+// replaced: no name is ever held by two running processes, and the first to acquire a name gets it.
 func TestConcurrentProcessesNeverShareAName(t *testing.T) {
 	dir, random := t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	processes := []*process{startProcess(t, dir), startProcess(t, dir), startProcess(t, dir)}
@@ -280,12 +284,3 @@
 		t.Error("started in a folder that cannot be created")
 	}
 }
-
-func eventually(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not in 20 s", what)
-		}
-	}
-}
--- a/internal/state/internal/golden/golden.go
+++ b/internal/state/internal/golden/golden.go
@@ -1,4 +1,6 @@
-// Package golden keeps the bytes of stored formats in testdata, as hex dumps that can be read in review.
+// Package golden reads and writes the golden files of stored formats in testdata: text, and bytes as sparse hex dumps
+// that can be read in review. It differs from internal/testkit/golden, whose dumps hold every byte and no offsets: a
+// database file is mostly zero, and its dump is reviewed by offset.
 package golden
 
 import (
@@ -17,7 +19,7 @@
 	lengthLine   = "length "
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from the code as it stands")
+var update = flag.Bool("update", false, "replace the golden files by what the code produces")
 
 // Bytes returns the bytes of a golden file; with -update it first replaces them by current.
 func Bytes(t testing.TB, name string, current []byte) []byte {
@@ -26,11 +28,11 @@
 	if *update {
 		write(t, path, dump(current))
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden, err := parse(string(text))
+	golden, err := parse(string(content))
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
@@ -44,24 +46,25 @@
 	if *update {
 		write(t, path, current)
 	}
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(text)
+	return string(content)
 }
 
-func write(t testing.TB, path, text string) {
+func write(t testing.TB, path, content string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// dump writes bytes as lines of offset, hex and printable characters. Lines that are all zero are left out: most of a database is.
+// dump writes bytes as lines of offset, hex and printable characters. Lines that are all zero, as most of a database is,
+// are omitted.
 func dump(b []byte) string {
 	var out strings.Builder
 	for start := 0; start < len(b); start += bytesPerLine {
@@ -96,12 +99,12 @@
 }
 
 // parse reads what dump wrote.
-func parse(text string) ([]byte, error) {
-	body, last, found := strings.Cut(text, lengthLine)
+func parse(dumped string) ([]byte, error) {
+	body, lengthText, found := strings.Cut(dumped, lengthLine)
 	if !found {
 		return nil, fmt.Errorf("no line %q", lengthLine)
 	}
-	length, err := strconv.Atoi(strings.TrimSpace(last))
+	length, err := strconv.Atoi(strings.TrimSpace(lengthText))
 	if err != nil {
 		return nil, fmt.Errorf("length: %w", err)
 	}
@@ -115,14 +118,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("offset: %w", err)
 		}
-		bytes, err := hex.DecodeString(columns[1])
+		decoded, err := hex.DecodeString(columns[1])
 		if err != nil {
 			return nil, fmt.Errorf("line %q: %w", line, err)
 		}
-		if int(offset)+len(bytes) > length {
+		if int(offset)+len(decoded) > length {
 			return nil, fmt.Errorf("line %q is past the length %d", line, length)
 		}
-		copy(out[offset:], bytes)
+		copy(out[offset:], decoded)
 	}
 	return out, nil
 }
--- a/internal/state/internal/golden/golden_test.go
+++ b/internal/state/internal/golden/golden_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A dump is read back to the same bytes, also where they hold the words that the dump itself uses.
-func TestDumpAndParse(t *testing.T) {
+// A dump is parsed to the same bytes, also where they hold characters that the dump itself uses; a malformed dump is an
+// error.
+func TestDumpIsParsedToSameBytes(t *testing.T) {
 	sparse := make([]byte, 100)
 	sparse[40], sparse[99] = 1, 2
 	for _, want := range [][]byte{{}, {0}, []byte("short"), []byte("a text of over one line | with a bar\n\x00\xff"), sparse} {
--- a/internal/state/lock.go
+++ b/internal/state/lock.go
@@ -9,9 +9,9 @@
 // lockRetryInterval is the pause between two attempts to lock the file.
 const lockRetryInterval = lockTimeout / 10
 
-// openVerified opens the database's file for bbolt, locked, and only if every page that bbolt would follow lies whole inside the
-// file. bbolt reads its file through unsafe pointers, so a flipped bit in a length leads it out of the file's mapping: to a
-// fault that no recover stops, or to whatever memory lies there.
+// openVerified opens the database's file for bbolt, locked, and only if every page that bbolt would follow lies whole
+// inside the file. bbolt reads its file through unsafe pointers, so a flipped bit in a length leads it out of the
+// file's mapping: to a fault that no recover stops, or to whatever memory lies there.
 func openVerified(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := os.OpenFile(path, flag, mode)
 	if err != nil {
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Expire implements idempotency.Store: it deletes at most limit records that were written at or before a time, oldest first, and
-// returns the number of records that remain.
+// Expire implements idempotency.Store: it deletes at most limit records that were written at or before a time, oldest
+// first, and returns the number of records that remain.
 func (s *Store) Expire(before time.Duration, limit int) (remaining int, err error) {
 	defer recoverCorruption(&err)()
 	var expired [][]byte
@@ -143,7 +143,8 @@
 	return deleted, nil
 }
 
-// deleteRecord deletes a key's record and its entry in the index by time written. It returns the number of records deleted, 0 or 1.
+// deleteRecord deletes a key's record and its entry in the index by time written. It returns the number of records
+// deleted, 0 or 1.
 func deleteRecord(w *entryWriter, key []byte) (deleted int, err error) {
 	encoded := w.tx.Bucket(bucketRecords).Get(key)
 	if encoded == nil {
@@ -155,8 +156,8 @@
 	return 1, w.delete(bucketRecords, key)
 }
 
-// deleteWriteTime deletes the entry of an encoded record in the index by time written. A record that cannot be read does not say
-// where its entry is, which then remains until it expires.
+// deleteWriteTime deletes the entry of an encoded record in the index by time written. A record that cannot be read
+// does not say where its entry is, which then remains until it expires.
 func deleteWriteTime(w *entryWriter, key idempotency.Key, encoded []byte) error {
 	record, err := decodeRecord(encoded)
 	if err != nil {
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -15,8 +15,8 @@
 	"rampspread/routing"
 )
 
-// Snapshots that processes of different versions exchange, on the disk and over the network, have the form that commit 1ac8dd0 wrote:
-// this magic string, then two gob values whose field names are those of the types below.
+// Snapshots that processes of different versions exchange, on the disk and over the network, have the form that commit
+// 1ac8dd0 wrote: this magic string, then two gob values whose field names are those of the types below.
 const (
 	goldenMagic    = "rampspread beliefs 1\n"
 	goldenName     = "golden"
@@ -71,25 +71,46 @@
 	}
 )
 
+var (
+	goldenPrefillA = [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}
+	goldenDecodeA  = [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}
+)
+
 func goldenSnapshot() routing.Snapshot {
 	return routing.Snapshot{
 		TakenAt:          101,
-		Prefill:          routing.LatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Decode:           routing.LatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Prefill:          routing.LatencyModel{A: goldenPrefillA, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Decode:           routing.LatencyModel{A: goldenDecodeA, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
 		CommonQueueDelay: routing.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
 		EstimateError:    routing.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
 		CacheHitRatio:    routing.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
 		Arrivals:         routing.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
 		PerQueuedRequest: routing.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
 		Prefixes: []routing.PrefixCacheEntry{
-			{Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109, Requests: routing.DecayedMean{Sum: 51.5, Count: 52.5, At: 110}},
-			{Key: 111, Endpoint: 112, Tokens: 113, UpdatedAt: 114, Requests: routing.DecayedMean{Sum: 53.5, Count: 54.5, At: 115}},
+			{
+				Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109,
+				Requests: routing.DecayedMean{Sum: 51.5, Count: 52.5, At: 110},
+			},
+			{
+				Key: 111, Endpoint: 112, Tokens: 113, UpdatedAt: 114,
+				Requests: routing.DecayedMean{Sum: 53.5, Count: 54.5, At: 115},
+			},
 		},
 		Endpoints: []routing.EndpointStats{
-			{ID: 1<<31 + 2, Started: -116, CacheValidFrom: 117, LastResponse: 118, Health: []routing.EWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
-				QueueDelay: routing.DecayedMean{Sum: 57.5, Count: 58.5, At: 121}, FirstTokenDelay: routing.DecayedMean{Sum: 59.5, Count: 60.5, At: 122}, SlowStartCredit: 61.5},
-			{ID: 123, Started: 1<<62 + 124, CacheValidFrom: 125, LastResponse: 126, Health: []routing.EWMA{{Value: 62.5, At: 127}},
-				QueueDelay: routing.DecayedMean{Sum: 63.5, Count: 64.5, At: 128}, FirstTokenDelay: routing.DecayedMean{Sum: 65.5, Count: 66.5, At: 129}, SlowStartCredit: 67.5},
+			{
+				ID: 1<<31 + 2, Started: -116, CacheValidFrom: 117, LastResponse: 118,
+				Health:          []routing.EWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+				QueueDelay:      routing.DecayedMean{Sum: 57.5, Count: 58.5, At: 121},
+				FirstTokenDelay: routing.DecayedMean{Sum: 59.5, Count: 60.5, At: 122},
+				SlowStartCredit: 61.5,
+			},
+			{
+				ID: 123, Started: 1<<62 + 124, CacheValidFrom: 125, LastResponse: 126,
+				Health:          []routing.EWMA{{Value: 62.5, At: 127}},
+				QueueDelay:      routing.DecayedMean{Sum: 63.5, Count: 64.5, At: 128},
+				FirstTokenDelay: routing.DecayedMean{Sum: 65.5, Count: 66.5, At: 129},
+				SlowStartCredit: 67.5,
+			},
 		},
 	}
 }
@@ -98,8 +119,8 @@
 func goldenOldSnapshot() oldSnapshot {
 	return oldSnapshot{
 		At:       101,
-		Read:     oldLatencyModel{A: [3][3]float64{{1.5, 2.5, 3.5}, {4.5, 5.5, 6.5}, {7.5, 8.5, 9.5}}, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Fetch:    oldLatencyModel{A: [3][3]float64{{21.5, 22.5, 23.5}, {24.5, 25.5, 26.5}, {27.5, 28.5, 29.5}}, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Read:     oldLatencyModel{A: goldenPrefillA, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Fetch:    oldLatencyModel{A: goldenDecodeA, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
 		Lag:      oldDecayedMean{Sum: 41.5, N: 42.5, At: 104},
 		Scatter:  oldDecayedMean{Sum: 43.5, N: 44.5, At: 105},
 		Trust:    oldDecayedMean{Sum: 45.5, N: 46.5, At: 106},
@@ -110,7 +131,8 @@
 			{Key: 111, Reader: 112, Tokens: 113, At: 114, Asked: oldDecayedMean{Sum: 53.5, N: 54.5, At: 115}},
 		},
 		Servers: []oldEndpointStats{
-			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118, Health: []oldEWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
+			{ID: 1<<31 + 2, Started: -116, VoidTill: 117, Heard: 118,
+				Health: []oldEWMA{{Value: 55.5, At: 119}, {Value: 56.5, At: 120}},
 				Excess: oldDecayedMean{Sum: 57.5, N: 58.5, At: 121}, Wait: oldDecayedMean{Sum: 59.5, N: 60.5, At: 122}, Turn: 61.5},
 			{ID: 123, Started: 1<<62 + 124, VoidTill: 125, Heard: 126, Health: []oldEWMA{{Value: 62.5, At: 127}},
 				Excess: oldDecayedMean{Sum: 63.5, N: 64.5, At: 128}, Wait: oldDecayedMean{Sum: 65.5, N: 66.5, At: 129}, Turn: 67.5},
@@ -120,8 +142,8 @@
 
 func goldenExchange() Exchange { return Exchange{Name: goldenName, Settings: goldenSettings} }
 
-// The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers types by what the
-// process encoded before, and writes the types' names, which no decoder uses.
+// The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers
+// types by what the process encoded before, and writes the types' names, which no decoder uses.
 func TestGoldenBytesAreRead(t *testing.T) {
 	current, err := goldenExchange().Encode(goldenSnapshot())
 	if err != nil {
@@ -173,7 +195,10 @@
 	if err != nil || !reflect.DeepEqual(got, goldenSnapshot()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	for _, other := range []Exchange{{Name: "other", Settings: goldenSettings}, {Name: goldenName, Settings: goldenSettings + 1}} {
+	for _, other := range []Exchange{
+		{Name: "other", Settings: goldenSettings},
+		{Name: goldenName, Settings: goldenSettings + 1},
+	} {
 		if _, err := other.Decode(encoded); err == nil {
 			t.Errorf("%+v accepted a snapshot of another owner", other)
 		}
@@ -245,7 +270,10 @@
 // Processes of different versions meet at files of these names.
 func TestGoldenFileNames(t *testing.T) {
 	exchange := Exchange{Dir: "folder", Name: "a/b\x01c"}
-	for extension, want := range map[string]string{".beliefs": "rampspread-a_b_c.beliefs", ".ask": "rampspread-a_b_c.ask"} {
+	for extension, want := range map[string]string{
+		".beliefs": "rampspread-a_b_c.beliefs",
+		".ask":     "rampspread-a_b_c.ask",
+	} {
 		if got := exchange.path(extension); got != filepath.Join("folder", want) {
 			t.Errorf("%s: %s", extension, got)
 		}
--- a/internal/state/statetransfer/records.go
+++ b/internal/state/statetransfer/records.go
@@ -6,9 +6,9 @@
 	"rampspread/routing"
 )
 
-// The types below are the serialized form. Programs of other versions read it from the disk and over the network, and gob finds a
-// field by its name alone: one that is renamed is zero at the reader, with no error. So the field names here never change, whatever
-// becomes of the names in package routing.
+// The types below are the serialized form. Programs of other versions read it from the disk and over the network, and
+// gob finds a field by its name alone: one that is renamed is zero at the reader, with no error. So the field names
+// here never change, whatever becomes of the names in package routing.
 type (
 	// header names the owner of the snapshot that follows it.
 	header struct {
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -1,7 +1,7 @@
-// Package statetransfer lets a process start with the state that another of the same name on the same machine has learned: the one
-// that it replaces, or the one that ran before it. They share a folder, which need not survive a reboot. A process that starts
-// requests a snapshot by creating a file; the one that serves answers by replacing the snapshot file atomically, and removes the
-// request. The same encoding is sent between members of a fleet.
+// Package statetransfer lets a process start with the state that another of the same name on the same machine has
+// learned: the one that it replaces, or the one that ran before it. They share a folder, which need not survive a
+// reboot. A process that starts requests a snapshot by creating a file; the one that serves answers by replacing the
+// snapshot file atomically, and removes the request. The same encoding is sent between members of a fleet.
 //
 // The package owns the two files of a name. Exchange is a value without state of its own; one process at a time serves.
 package statetransfer
@@ -94,9 +94,9 @@
 	return e.Decode(encoded)
 }
 
-// Request passes the existing snapshot to restore, and then requests a current one from a process of the same name that may be
-// serving. restore is called at most twice, the second time only with a newer snapshot. Request returns after answerTimeout if
-// no process serves.
+// Request passes the existing snapshot to restore, and then requests a current one from a process of the same name that
+// may be serving. restore is called at most twice, the second time only with a newer snapshot. Request returns after
+// answerTimeout if no process serves.
 func (e Exchange) Request(ctx context.Context, restore func(routing.Snapshot)) {
 	latest := e.restoreNewer(0, restore)
 	requestPath := e.path(requestExtension)
@@ -124,7 +124,8 @@
 	}
 }
 
-// restoreNewer passes the snapshot file to restore if it was taken after a time, and returns the time of the latest snapshot.
+// restoreNewer passes the snapshot file to restore if it was taken after a time, and returns the time of the latest
+// snapshot.
 func (e Exchange) restoreNewer(latest time.Duration, restore func(routing.Snapshot)) time.Duration {
 	snapshot, err := e.Read()
 	switch {
@@ -139,9 +140,9 @@
 	return latest
 }
 
-// Serve writes the snapshot that take returns whenever another process requests one, and every periodicWriteInterval without a
-// request, until the context ends. It writes nothing while take's second result is false, so that a process answers requests only
-// once its own request has ended.
+// Serve writes the snapshot that take returns whenever another process requests one, and every periodicWriteInterval
+// without a request, until the context ends. It writes nothing while take's second result is false, so that a process
+// answers requests only once its own request has ended.
 func (e Exchange) Serve(ctx context.Context, take func() (routing.Snapshot, bool)) {
 	tick := time.NewTicker(requestPollInterval)
 	defer tick.Stop()
--- a/internal/state/statetransfer/statetransfer_test.go
+++ b/internal/state/statetransfer/statetransfer_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// A snapshot that is written is read whole; one that is corrupt, cut, another member's or of other settings is unusable, and never a
-// panic.
+// A snapshot that is written is read whole; one that is corrupt, cut, another member's or of other settings is
+// unusable, and never a panic.
 func TestWrittenSnapshotIsReadAndOthersAreUnusable(t *testing.T) {
 	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
 	if _, err := exchange.Read(); !errors.Is(err, os.ErrNotExist) {
@@ -39,7 +39,10 @@
 		got.CommonQueueDelay.Sum != 3 {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	for _, other := range []Exchange{{exchange.Dir, "n/0", 6, exchange.Machine}, {exchange.Dir, "n_0", 5, exchange.Machine}} { // the second has the same file
+	otherSettings, otherName := exchange, exchange
+	otherSettings.Settings = 6
+	otherName.Name = "n_0" // which has the same file
+	for _, other := range []Exchange{otherSettings, otherName} {
 		if _, err := other.Read(); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%+v: %v", other, err)
 		}
@@ -64,7 +67,8 @@
 	}
 }
 
-// A request gets the existing snapshot and then a current one from the process that serves; if none serves it ends after a timeout.
+// A request gets the existing snapshot and then a current one from the process that serves; if none serves it ends
+// after a timeout.
 func TestRequestIsAnsweredOrTimesOut(t *testing.T) {
 	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -95,7 +99,8 @@
 		_, err := os.Stat(exchange.path(requestExtension))
 		return err != nil
 	})
-	(Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}).Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
+	withoutDir := Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}
+	withoutDir.Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
 }
 
 func FuzzDecode(f *testing.F) {
@@ -113,7 +118,8 @@
 func BenchmarkEncode(b *testing.B) {
 	snapshot := testSnapshot(1)
 	for i := range MaxPrefixes {
-		snapshot.Prefixes = append(snapshot.Prefixes, routing.PrefixCacheEntry{Key: routing.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour})
+		entry := routing.PrefixCacheEntry{Key: routing.Key(i) << 40, Endpoint: 5, Tokens: 3000, UpdatedAt: time.Hour}
+		snapshot.Prefixes = append(snapshot.Prefixes, entry)
 	}
 	encoded, _ := Exchange{}.Encode(snapshot)
 	b.ReportMetric(float64(len(encoded)), "bytes")
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -35,13 +35,19 @@
 		t.Fatal(err)
 	}
 	s := openStore(t, dir)
-	r := idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7}, Digest: idempotency.Digest{1, 2, 3}, State: idempotency.Answered,
-		WrittenAt: time.Second, AttemptDeadline: time.Hour, Answer: []byte("answer")}
+	record := idempotency.Record{
+		Attempt:         idempotency.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7},
+		Digest:          idempotency.Digest{1, 2, 3},
+		State:           idempotency.Answered,
+		AttemptDeadline: time.Hour,
+		Answer:          []byte("answer"),
+	}
 	for i := range byte(10) {
-		if r.WrittenAt = time.Duration(i) * time.Second; i == 3 {
-			r.State, r.Answer = idempotency.InFlight, nil
+		record.WrittenAt = time.Duration(i) * time.Second
+		if i == 3 {
+			record.State, record.Answer = idempotency.InFlight, nil
 		}
-		if err := s.Put(idempotency.Key{i}, r); err != nil {
+		if err := s.Put(idempotency.Key{i}, record); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -54,7 +60,9 @@
 		t.Fatal(err)
 	}
 	restarted := openStore(t, nextDir)
-	if got, ok, err := restarted.Get(idempotency.Key{9}); err != nil || !ok || got.Attempt != r.Attempt || got.Digest != r.Digest || got.AttemptDeadline != r.AttemptDeadline || got.WrittenAt != r.WrittenAt || got.State != r.State {
+	got, ok, err := restarted.Get(idempotency.Key{9})
+	if err != nil || !ok || got.Attempt != record.Attempt || got.Digest != record.Digest || got.State != record.State ||
+		got.AttemptDeadline != record.AttemptDeadline || got.WrittenAt != record.WrittenAt {
 		t.Errorf("%+v, %t, %v", got, ok, err)
 	}
 	if got, _, _ := restarted.Get(idempotency.Key{2}); string(got.Answer) != "answer" {
@@ -69,13 +77,14 @@
 	if remaining, err := restarted.Expire(4*time.Second, 3); err != nil || remaining != 7 {
 		t.Errorf("%d remain, %v", remaining, err)
 	}
-	if remaining, err := restarted.Expire(4*time.Second, 100); err != nil || remaining != 5 || restarted.Delete(idempotency.Key{9}) != nil || restarted.Keys() != 4 {
+	remaining, err := restarted.Expire(4*time.Second, 100)
+	if err != nil || remaining != 5 || restarted.Delete(idempotency.Key{9}) != nil || restarted.Keys() != 4 {
 		t.Errorf("%d remain, %v", remaining, err)
 	}
 }
 
-// A state that Open had to create is incomplete until the member's lifetime reaches the retention of records; the wall clock has no
-// part in that. Init marks a state as complete, and refuses to replace one.
+// A state that Open had to create is incomplete until the member's lifetime reaches the retention of records; the wall
+// clock has no part in that. Init marks a state as complete, and refuses to replace one.
 func TestStateCreatedAfterLossIsIncompleteUntilRetention(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -113,7 +122,8 @@
 	}
 }
 
-// stateImages writes n answered records of 280 bytes each, and returns the state's file before the first and after each write.
+// stateImages writes n answered records of 280 bytes each, and returns the state's file before the first and after each
+// write.
 func stateImages(t testing.TB, n byte) (images [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -140,9 +150,18 @@
 	return images
 }
 
+// numberedKey returns a key of its own for each number.
+func numberedKey(i uint64) idempotency.Key {
+	return idempotency.Key(append(encodeNumber(i), encodeNumber(i)...))
+}
+
 func answeredRecord(i byte) idempotency.Record {
-	return idempotency.Record{Attempt: idempotency.Attempt{Name: "n2", Seq: uint64(i)}, State: idempotency.Answered, WrittenAt: time.Duration(i),
-		Answer: bytes.Repeat([]byte("answer "), 40)}
+	return idempotency.Record{
+		Attempt:   idempotency.Attempt{Name: "n2", Seq: uint64(i)},
+		State:     idempotency.Answered,
+		WrittenAt: time.Duration(i),
+		Answer:    bytes.Repeat([]byte("answer "), 40),
+	}
 }
 
 // countKeysOf opens a state with the given file, and returns how many of the first n keys it has, each as it was written.
@@ -175,9 +194,9 @@
 	return found, nil
 }
 
-// A file that is cut, or has a flipped bit anywhere, is refused, or the bit is in a page that is not in use: never a panic or a
-// fault, and never a key less than was written. Before the file was verified, some of these bits led the database out of its
-// mapping, and the process died of it.
+// A file that is cut, or has a flipped bit anywhere, is refused, or the bit is in a page that is not in use: never a
+// panic or a fault, and never a key less than was written. Before the file was verified, some of these bits led the
+// database out of its mapping, and the process died of it.
 func TestCorruptFileIsRefusedOrUnharmed(t *testing.T) {
 	const n = 40
 	images := stateImages(t, n)
@@ -205,7 +224,8 @@
 	for bit := 0; bit < len(good)*8; bit += 8*197 + 3 {
 		flip(bit)
 	}
-	for page := 0; page < len(good); page += os.Getpagesize() { // the numbers that the database follows are at the start of a page
+	// The numbers that the database follows are at the start of a page.
+	for page := 0; page < len(good); page += os.Getpagesize() {
 		for bit := page * 8; bit < (page+128)*8; bit += 11 {
 			flip(bit)
 		}
@@ -225,9 +245,10 @@
 	}
 }
 
-// A crash between any two writes of a transaction leaves the state as before it or as after it. The database writes the pages of a
-// transaction, syncs them, writes one meta page, and syncs it; so on the disk may be any part of the pages, in sectors, with the
-// meta pages as they were, or all of them with the new one. The pages written are found by comparing the file before and after.
+// A crash between any two writes of a transaction leaves the state as before it or as after it. The database writes the
+// pages of a transaction, syncs them, writes one meta page, and syncs it; so on the disk may be any part of the pages,
+// in sectors, with the meta pages as they were, or all of them with the new one. The pages written are found by
+// comparing the file before and after.
 func TestCrashAtEveryWriteLeavesStateBeforeOrAfter(t *testing.T) {
 	const n, sector = 24, 512
 	images, dir := stateImages(t, n), t.TempDir()
@@ -268,18 +289,27 @@
 
 // A record is decoded to what was encoded, and one with a flipped bit is an error.
 func TestRecordEncodingRoundTrip(t *testing.T) {
+	states := []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}
 	rapid.Check(t, func(t *rapid.T) {
-		r := idempotency.Record{Attempt: idempotency.Attempt{Name: rapid.StringN(1, 64, 64).Draw(t, "name"), Incarnation: rapid.Uint64().Draw(t, "incarnation"), Seq: rapid.Uint64().Draw(t, "seq")},
-			State:     rapid.SampledFrom([]idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}).Draw(t, "state"),
-			WrittenAt: time.Duration(rapid.Int64Min(0).Draw(t, "writtenAt")), AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "attemptDeadline")),
-			Answer: rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer")}
-		b := encodeRecord(r)
-		got, err := decodeRecord(b)
-		if err != nil || got.Attempt != r.Attempt || got.State != r.State || got.WrittenAt != r.WrittenAt || got.AttemptDeadline != r.AttemptDeadline || !bytes.Equal(got.Answer, r.Answer) {
-			t.Fatalf("%+v became %+v, %v", r, got, err)
+		record := idempotency.Record{
+			Attempt: idempotency.Attempt{
+				Name:        rapid.StringN(1, 64, 64).Draw(t, "name"),
+				Incarnation: rapid.Uint64().Draw(t, "incarnation"),
+				Seq:         rapid.Uint64().Draw(t, "seq"),
+			},
+			State:           rapid.SampledFrom(states).Draw(t, "state"),
+			WrittenAt:       time.Duration(rapid.Int64Min(0).Draw(t, "writtenAt")),
+			AttemptDeadline: time.Duration(rapid.Int64Min(0).Draw(t, "attemptDeadline")),
+			Answer:          rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "answer"),
+		}
+		encoded := encodeRecord(record)
+		got, err := decodeRecord(encoded)
+		if err != nil || got.Attempt != record.Attempt || got.State != record.State || got.WrittenAt != record.WrittenAt ||
+			got.AttemptDeadline != record.AttemptDeadline || !bytes.Equal(got.Answer, record.Answer) {
+			t.Fatalf("%+v became %+v, %v", record, got, err)
 		}
-		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if _, err := decodeRecord(b); err == nil {
+		encoded[rapid.IntRange(0, len(encoded)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+		if _, err := decodeRecord(encoded); err == nil {
 			t.Fatal("a flipped bit was not detected")
 		}
 	})
@@ -318,7 +348,12 @@
 	i := uint64(0)
 	for b.Loop() {
 		i++
-		if err := s.Put(idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), idempotency.Record{Attempt: idempotency.Attempt{Name: "n2"}, State: idempotency.InFlight, WrittenAt: time.Duration(i)}); err != nil {
+		record := idempotency.Record{
+			Attempt:   idempotency.Attempt{Name: "n2"},
+			State:     idempotency.InFlight,
+			WrittenAt: time.Duration(i),
+		}
+		if err := s.Put(numberedKey(i), record); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -333,8 +368,11 @@
 	}
 	if err := s.update(func(w *entryWriter) error {
 		for i := range uint64(20_000) {
-			key, r := idempotency.Key(append(encodeNumber(i), encodeNumber(i)...)), answeredRecord(byte(i))
-			if err := errors.Join(w.put(bucketRecords, key[:], encodeRecord(r)), w.put(bucketWriteTimes, writeTimeKey(r.WrittenAt, key), nil)); err != nil {
+			key, record := numberedKey(i), answeredRecord(byte(i))
+			err := errors.Join(
+				w.put(bucketRecords, key[:], encodeRecord(record)),
+				w.put(bucketWriteTimes, writeTimeKey(record.WrittenAt, key), nil))
+			if err != nil {
 				return err
 			}
 		}
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// Layout of a bbolt file, version 2, as go.etcd.io/bbolt documents it. Numbers are in the machine's byte order; the program runs
-// on little-endian machines only.
+// Layout of a bbolt file, version 2, as go.etcd.io/bbolt documents it. Numbers are in the machine's byte order; the
+// program runs on little-endian machines only.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -20,8 +20,8 @@
 	offsetCount    = 10
 	offsetOverflow = 12
 
-	// A meta page's header is followed by magic 4, version 4, page size 4, flags 4, root bucket 16, freelist 8, high water mark 8,
-	// transaction 8, checksum 8 bytes.
+	// A meta page's header is followed by magic 4, version 4, page size 4, flags 4, root bucket 16, freelist 8, high
+	// water mark 8, transaction 8, checksum 8 bytes.
 	metaSize            = 64
 	offsetVersion       = 4
 	offsetPageSize      = 8
@@ -31,7 +31,8 @@
 	offsetTransaction   = 48
 	offsetChecksum      = 56
 
-	// A branch or leaf page's header is followed by its elements, which say where keys and values begin, relative to themselves.
+	// A branch or leaf page's header is followed by its elements, which say where keys and values begin, relative to
+	// themselves.
 	elementSize = 16
 	// bucketHeaderSize is the size of the header before a nested bucket's inline page: root page 8, sequence 8 bytes.
 	bucketHeaderSize = 16
@@ -75,9 +76,9 @@
 	isBucket   bool   // of a leaf page: value is a nested bucket
 }
 
-// verifyFile checks that a bbolt file is sound: both its meta pages, one transaction apart, and every page that the newer one
-// leads to. Both must be sound, since bbolt would go back by a transaction, and forget what was synced, where only the older one
-// is; a crash while a meta page is written leaves one or the other, for it lies within one sector.
+// verifyFile checks that a bbolt file is sound: both its meta pages, one transaction apart, and every page that the
+// newer one leads to. Both must be sound, since bbolt would go back by a transaction, and forget what was synced, where
+// only the older one is; a crash while a meta page is written leaves one or the other, for it lies within one sector.
 func verifyFile(file io.ReaderAt, size int64) error {
 	first, err := readMetaPage(file, 0)
 	if err != nil {
@@ -123,7 +124,8 @@
 	switch {
 	case flags != flagMeta || magic != boltMagic || version != boltVersion:
 		return metaPage{}, fmt.Errorf("%w: it is no database", ErrCorrupt)
-	case checksum.Sum64() != binary.LittleEndian.Uint64(body[offsetChecksum:]) || pageSize < minPageSize || pageSize > maxPageSize:
+	case checksum.Sum64() != binary.LittleEndian.Uint64(body[offsetChecksum:]),
+		pageSize < minPageSize, pageSize > maxPageSize:
 		return metaPage{}, fmt.Errorf("%w: the checksum of a beginning is off", ErrCorrupt)
 	}
 	return metaPage{
@@ -204,8 +206,8 @@
 	return nil
 }
 
-// verifyBucket verifies a nested bucket, which has a root page of its own or, if it is small, an inline page in its value. The
-// name is that of the page with the value.
+// verifyBucket verifies a nested bucket, which has a root page of its own or, if it is small, an inline page in its
+// value. The name is that of the page with the value.
 func (v *fileVerifier) verifyBucket(value []byte, depth int, name string) error {
 	if len(value) < bucketHeaderSize {
 		return corruptAt(name, "has a bucket that is cut")
@@ -216,8 +218,8 @@
 	return v.verifyElements(value[bucketHeaderSize:], keyRange{}, depth, name)
 }
 
-// parsePage reads the elements of a branch or leaf page, and checks that each lies inside the page, and that the keys are in order
-// and within a range.
+// parsePage reads the elements of a branch or leaf page, and checks that each lies inside the page, and that the keys
+// are in order and within a range.
 func parsePage(page []byte, keys keyRange, name string) ([]pageElement, error) {
 	if len(page) < pageHeaderSize {
 		return nil, corruptAt(name, "is cut")
@@ -247,8 +249,8 @@
 	return elements, nil
 }
 
-// parseBranchElement reads position 4, key size 4, child page 8 bytes. b goes from the element to the page's end, and the key
-// may not begin before minPosition. A problem that is not empty says what is wrong.
+// parseBranchElement reads position 4, key size 4, child page 8 bytes. b goes from the element to the page's end, and
+// the key may not begin before minPosition. A problem that is not empty says what is wrong.
 func parseBranchElement(b []byte, minPosition int) (e pageElement, problem string) {
 	position, keySize := elementNumber(b, 0), elementNumber(b, 1)
 	e.child = binary.LittleEndian.Uint64(b[8:])
