--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -19,24 +19,43 @@
 
 const (
 	goldenFileName = "filings.db"
-	goldenLived    = 3*time.Hour + 5
+	goldenLifetime = 3*time.Hour + 5
 )
 
 var (
 	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
 	goldenRecords  = map[idempotency.Key]idempotency.Record{
-		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {Attempt: idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
-			Digest: idempotency.Digest{19, 31: 20}, State: idempotency.Answered, WrittenAt: 21 * time.Second, AttemptDeadline: 22 * time.Second, Answer: []byte("golden answer")},
-		{23, 15: 24}: {Attempt: idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26}, Digest: idempotency.Digest{27, 31: 28}, State: idempotency.InFlight, WrittenAt: 29, AttemptDeadline: 30},
-		{31, 15: 32}: {Attempt: idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34}, Digest: idempotency.Digest{35, 31: 36}, State: idempotency.MayHaveRun, WrittenAt: 37, AttemptDeadline: 38},
+		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {
+			Attempt:         idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Digest:          idempotency.Digest{19, 31: 20},
+			State:           idempotency.Answered,
+			WrittenAt:       21 * time.Second,
+			AttemptDeadline: 22 * time.Second,
+			Answer:          []byte("golden answer"),
+		},
+		{23, 15: 24}: {
+			Attempt:         idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26},
+			Digest:          idempotency.Digest{27, 31: 28},
+			State:           idempotency.InFlight,
+			WrittenAt:       29,
+			AttemptDeadline: 30,
+		},
+		{31, 15: 32}: {
+			Attempt:         idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34},
+			Digest:          idempotency.Digest{35, 31: 36},
+			State:           idempotency.MayHaveRun,
+			WrittenAt:       37,
+			AttemptDeadline: 38,
+		},
 	}
 )
 
-// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its entries.
+// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its
+// entries.
 func writeGoldenState(t *testing.T) (file []byte, entryList string) {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := Open(dir, goldenIdentity) // not made by Init: one that says that it was lost
+	s, err := Open(dir, goldenIdentity) // without Init, so it is marked as incomplete
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +69,9 @@
 			}
 		}
 	}
-	if err := s.update(func(e *entries) error { return e.put(bucketMeta, keyLived, encodeNumber(uint64(goldenLived))) }); err != nil {
+	if err := s.update(func(e *entryWriter) error {
+		return e.put(bucketMeta, keyLifetime, encodeNumber(uint64(goldenLifetime)))
+	}); err != nil {
 		t.Fatal(err)
 	}
 	entryList = listEntries(t, s.db)
@@ -85,8 +106,8 @@
 	return out.String()
 }
 
-// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is the database's affair, and
-// may have its pages in another order.
+// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is up to the
+// database, and may have its pages in another order.
 func TestGoldenEntriesAreWritten(t *testing.T) {
 	_, entryList := writeGoldenState(t)
 	if want := golden.Text(t, "entries.txt", entryList); entryList != want {
@@ -98,7 +119,7 @@
 func TestGoldenFileIsRead(t *testing.T) {
 	current, entryList := writeGoldenState(t)
 	file := golden.Bytes(t, "filings.db.hex", current)
-	if err := verify(bytes.NewReader(file), int64(len(file))); err != nil {
+	if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -113,8 +134,8 @@
 	if got, want := listEntries(t, s.db), golden.Text(t, "entries.txt", entryList); got != want {
 		t.Errorf("read\n%s\nnot\n%s", got, want)
 	}
-	if !s.lost || s.lived != goldenLived || s.Keys() != len(goldenRecords) {
-		t.Errorf("lost %t, lived %v, %d keys", s.lost, s.lived, s.Keys())
+	if !s.incomplete || s.previousLifetime != goldenLifetime || s.Keys() != len(goldenRecords) {
+		t.Errorf("incomplete %t, lifetime %v, %d keys", s.incomplete, s.previousLifetime, s.Keys())
 	}
 	got := map[idempotency.Key]idempotency.Record{}
 	if err := s.Each(func(key idempotency.Key, record idempotency.Record, err error) {
@@ -125,12 +146,12 @@
 	}); err != nil || !reflect.DeepEqual(got, goldenRecords) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if left, err := s.Expire(30, 10); err != nil || left != 2 { // the one that was written at 29 ns goes
-		t.Errorf("%d left, %v", left, err)
+	if remaining, err := s.Expire(30, 10); err != nil || remaining != 2 { // the one that was written at 29 ns is deleted
+		t.Errorf("%d remain, %v", remaining, err)
 	}
 }
 
-// A record with every field set, so that one that is new cannot be left out unseen.
+// One golden record sets every field, so that a new field cannot be missed.
 func TestGoldenRecordSetsEveryField(t *testing.T) {
 	for _, record := range goldenRecords {
 		if record.State != idempotency.Answered {
@@ -146,8 +167,8 @@
 	}
 }
 
-// Operators look for a state that was refused under this name.
-func TestGoldenNameOfStateSetAside(t *testing.T) {
+// Operators look for a refused state under this name.
+func TestGoldenNameOfRefusedState(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenFileName), nil, 0o600); err != nil {
 		t.Fatal(err)
