--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,6 +1,14 @@
-// Package membership decides who is in the fleet: what a process has heard of the others goes in, each with its time, and a
-// numbered view comes out. It does no I/O and has no clock, so that a simulation drives the same code as the
-// processes. Times are of a clock that only advances and goes on while a process is stopped.
+// Package membership is the membership table of a process: it records what the process received from and about the
+// other members of the fleet, each event with its time, and yields a versioned view of them.
+//
+// The algorithm is a heartbeat failure detector with suspicion and incarnation numbers, as in SWIM (Das, Gupta,
+// Motivala, DSN 2002). The gossip itself, and with it the decision that a member joined or is lost, is memberlist's;
+// this package combines its events with the heartbeats that come straight from the members. A member is told apart
+// from an earlier process of the same name by its incarnation alone, never by wall clocks.
+//
+// The package does no I/O and has no clock, so that a simulation drives the same code as the processes. Times are
+// those of a clock that only advances and goes on while the process is stopped. A Table is not safe for concurrent
+// use; a View is immutable.
 package membership
 
 import (
@@ -9,211 +17,163 @@
 	"time"
 )
 
-// State is how a member looks from here.
-type State uint8
+// maxConflicts is how many conflicts a Table remembers for operators; the oldest are dropped first.
+const maxConflicts = 16
 
-// The states of a member.
-const (
-	Unknown     State = iota // configured, and never heard of
-	Joining                  // it is there, and does not serve yet
-	Alive                    // it serves
-	Suspect                  // it served, and has given no sign for a while
-	Unreachable              // it was given up; it may be there all the same
-	Left                     // it said that it goes
-)
-
-var stateNames = [...]string{"unknown", "joining", "alive", "suspect", "unreachable", "left"}
-
-// String is the state's name as operators see it.
-func (s State) String() string { return stateNames[s] }
-
-// MemberInfo is what a member tells of itself.
-type MemberInfo struct {
-	Name string
-	Zone string
-	// Incarnation orders the lives of one name: a later life has a higher one, whatever the clocks say.
-	Incarnation  uint64
-	Started      time.Time // by its own wall clock
-	Version      string    // of the program
-	Settings     uint64    // fingerprint of the settings in force
-	ListVersion  uint64    // version of discovery's list that it acts on
-	HighestToken uint64    // the highest number of a lease that it knows of, by its last beat
-	Serving      bool
-	Leaving      bool
-}
-
-// Member is one name of the fleet as it looks from here.
-type Member struct {
-	MemberInfo
-	State         State
-	Since         time.Duration // of the state
-	LastHeartbeat time.Duration // the last sign of life; how sure a state is
-	Incarnations  int           // incarnations seen of this name
-}
-
-// Active tells whether a member is one that work may be shared with.
-func (m Member) Active() bool { return m.State == Alive || m.State == Suspect }
-
-// View is who is there, at a time. It is never changed once it was handed out.
-type View struct {
-	Version uint64        // grows with every change; never goes back within a life
-	AsOf    time.Duration // the last time at which it was known to hold
-	Self    string
-	Members []Member // by name
-	// Recovering says that the process was stopped for long, or has just started, and has not yet heard from the others again.
-	Recovering bool
-	Conflicts  []Conflict
-}
-
-// Conflict is a name that was claimed by two processes at once.
-type Conflict struct {
-	Name, Address string
-	At            time.Duration
-}
-
-// Fresh tells whether a decision may rest on the view at a time: it was known to hold a moment ago, and what
-// was missed while the process was stopped has been heard. It is to be asked directly before each act.
-func (v View) Fresh(now, within time.Duration) bool { return !v.Recovering && now-v.AsOf <= within }
-
-// ActiveMembers are the members that count, by name.
-func (v View) ActiveMembers() []Member {
-	var out []Member
-	for _, m := range v.Members {
-		if m.Active() {
-			out = append(out, m)
-		}
-	}
-	return out
-}
-
-// Limits are the times by which a Table judges.
+// Limits are the times by which a Table judges the other members.
 type Limits struct {
-	// HeartbeatInterval is how often a member is heard from, on the mean, where all is well and the fleet is of the size
-	// that is given. After SuspectAfter such times without a sign it is suspect.
+	// HeartbeatInterval is the mean time between two heartbeats of a healthy member in a fleet of the given size.
 	HeartbeatInterval func(size int) time.Duration
-	SuspectAfter      float64
-	// MaxTickGap is the longest pause between ticks that a process that is only busy has.
+	// SuspectAfter is the number of heartbeat intervals without a heartbeat after which a member is suspect.
+	SuspectAfter float64
+	// MaxTickGap is the longest pause between two ticks of a process that is merely busy; a longer one means that the
+	// process was stopped.
 	MaxTickGap time.Duration
 }
 
-// Table keeps what was heard. It is not safe for use by several goroutines at once.
+// Table is the state of the failure detector of one process. It is not safe for concurrent use.
 type Table struct {
-	limits    Limits
-	self      string
-	members   map[string]*Member
-	number    uint64
-	asOf      time.Duration
-	woke      bool
-	wokeAt    time.Duration
-	waitFor   map[string]bool // who counted when it stopped, and has not been heard from since it woke
-	conflicts []Conflict
-	stale     int64
-	strangers int64
-	changed   bool
+	limits  Limits
+	self    string
+	members map[string]*Member
+	version uint64
+	asOf    time.Duration
+
+	// recovering is true from the start, and from the end of a long stop, until enough of the others were heard from
+	// again. awaited are the members that were active at the end of the stop and were not heard from since.
+	recovering      bool
+	recoveringSince time.Duration
+	awaited         map[string]bool
+
+	conflicts    []Conflict
+	stale        int64
+	unconfigured int64
+	changed      bool
 }
 
-// mostConflicts is how many conflicts are kept to be shown, the newest.
-const mostConflicts = 16
-
-// New returns a Table for the configured names, of which self is one. It begins as one that has just woken.
+// New returns a Table for the configured names, of which self is one. It begins in recovery, as after a long stop.
 func New(self MemberInfo, names []string, limits Limits, now time.Duration) *Table {
-	t := &Table{limits: limits, self: self.Name, members: map[string]*Member{}, asOf: now, woke: true, wokeAt: now, waitFor: map[string]bool{}, number: 1}
-	for _, n := range names {
-		t.members[n] = &Member{MemberInfo: MemberInfo{Name: n}, Since: now}
+	t := &Table{
+		limits:          limits,
+		self:            self.Name,
+		members:         map[string]*Member{},
+		version:         1,
+		asOf:            now,
+		recovering:      true,
+		recoveringSince: now,
+		awaited:         map[string]bool{},
+	}
+	for _, name := range names {
+		t.members[name] = &Member{MemberInfo: MemberInfo{Name: name}, Since: now}
+	}
+	t.members[self.Name] = &Member{
+		MemberInfo:    self,
+		State:         stateOf(self),
+		Since:         now,
+		LastHeartbeat: now,
+		Incarnations:  1,
 	}
-	t.members[self.Name] = &Member{MemberInfo: self, State: stateOf(self), Since: now, LastHeartbeat: now, Incarnations: 1}
 	return t
 }
 
-func stateOf(i MemberInfo) State {
+// stateOf is the state of a member that is known to run.
+func stateOf(info MemberInfo) State {
 	switch {
-	case i.Leaving:
+	case info.Leaving:
 		return Left
-	case i.Serving:
+	case info.Serving:
 		return Alive
 	}
 	return Joining
 }
 
-// Stale is how many words of earlier lives, or of members given up, were passed over.
+// Stale counts the messages that were ignored since they came from an earlier incarnation, or from a member that was
+// given up.
 func (t *Table) Stale() int64 { return t.stale }
 
-// Unconfigured is how many words of names that are not configured were passed over.
-func (t *Table) Unconfigured() int64 { return t.strangers }
+// Unconfigured counts the messages that were ignored since their sender's name is not configured.
+func (t *Table) Unconfigured() int64 { return t.unconfigured }
 
-// set changes a member's state.
-func (t *Table) set(m *Member, s State, now time.Duration) {
-	if m.State != s {
-		m.State, m.Since = s, now
-		t.number++
-		t.changed = true
+// markChanged begins a new version of the view.
+func (t *Table) markChanged() {
+	t.version++
+	t.changed = true
+}
+
+// setState moves a member to a state.
+func (t *Table) setState(m *Member, state State, now time.Duration) {
+	if m.State != state {
+		m.State, m.Since = state, now
+		t.markChanged()
 	}
 }
 
-// accept takes what a member tells of itself unless it is of an earlier life.
-func (t *Table) accept(i MemberInfo, now time.Duration) *Member {
-	m := t.members[i.Name]
+// lookup returns the member that sent info, and counts a new incarnation of it; nil if the name is not configured or
+// the incarnation is an earlier one.
+func (t *Table) lookup(info MemberInfo, now time.Duration) *Member {
+	m := t.members[info.Name]
 	switch {
 	case m == nil:
-		t.strangers++
+		t.unconfigured++
 		return nil
-	case i.Incarnation < m.Incarnation:
+	case info.Incarnation < m.Incarnation:
 		t.stale++
 		return nil
-	case i.Incarnation > m.Incarnation:
+	case info.Incarnation > m.Incarnation:
 		m.Incarnations++
 		m.Since = now
-		t.number++
-		t.changed = true
+		t.markChanged()
 	}
 	return m
 }
 
-// UpdateSelf changes what this process tells of itself; a lower incarnation is passed over.
-func (t *Table) UpdateSelf(i MemberInfo, now time.Duration) {
-	if m := t.members[t.self]; i.Name == t.self && i.Incarnation >= m.Incarnation {
-		if i.Incarnation > m.Incarnation {
-			t.number++
-			t.changed = true
-		}
-		m.MemberInfo, m.LastHeartbeat = i, now
-		t.set(m, stateOf(i), now)
+// UpdateSelf replaces what this process publishes about itself; a lower incarnation is ignored.
+func (t *Table) UpdateSelf(info MemberInfo, now time.Duration) {
+	m := t.members[t.self]
+	if info.Name != t.self || info.Incarnation < m.Incarnation {
+		return
+	}
+	if info.Incarnation > m.Incarnation {
+		t.markChanged()
 	}
+	m.MemberInfo, m.LastHeartbeat = info, now
+	t.setState(m, stateOf(info), now)
 }
 
-// MarkJoined takes the news that a member is there, by those who agree on who is: it brings back one that was given up.
-func (t *Table) MarkJoined(i MemberInfo, now time.Duration) {
-	if i.Name == t.self {
-		return // nobody knows better than this process whether it is there
+// MarkJoined records that the gossip layer reports a member as present. It brings back a member that was given up.
+func (t *Table) MarkJoined(info MemberInfo, now time.Duration) {
+	if info.Name == t.self {
+		return // no other process knows better than this one whether it runs
 	}
-	m := t.accept(i, now)
+	m := t.lookup(info, now)
 	if m == nil {
 		return
 	}
-	m.MemberInfo, m.LastHeartbeat = i, now
-	delete(t.waitFor, i.Name)
-	t.set(m, stateOf(i), now)
+	m.MemberInfo, m.LastHeartbeat = info, now
+	delete(t.awaited, info.Name)
+	t.setState(m, stateOf(info), now)
 }
 
-// Heartbeat takes a sign of life that came straight from a member. A late one does not bring back one that was given up.
-func (t *Table) Heartbeat(i MemberInfo, now time.Duration) {
-	m := t.members[i.Name]
-	if i.Name == t.self {
+// Heartbeat records a heartbeat that came straight from a member. A late one does not bring back an incarnation that
+// was given up.
+func (t *Table) Heartbeat(info MemberInfo, now time.Duration) {
+	if info.Name == t.self {
 		return
 	}
-	if m != nil && i.Incarnation == m.Incarnation && (m.State == Unreachable || m.State == Left) {
-		if i.Leaving { // its goodbye came behind the news that it is gone
-			m.Leaving = true
-			t.set(m, Left, now)
-			return
-		}
-		t.stale++
+	m := t.members[info.Name]
+	if m == nil || info.Incarnation != m.Incarnation || m.State != Unreachable && m.State != Left {
+		t.MarkJoined(info, now)
 		return
 	}
-	t.MarkJoined(i, now)
+	if info.Leaving { // its leave notice came after the report that it is gone
+		m.Leaving = true
+		t.setState(m, Left, now)
+		return
+	}
+	t.stale++
 }
 
-// MarkLost takes the news that a life of a member was given up.
+// MarkLost records that the gossip layer gave up an incarnation of a member.
 func (t *Table) MarkLost(name string, incarnation uint64, now time.Duration) {
 	m := t.members[name]
 	if m == nil || name == t.self {
@@ -223,15 +183,16 @@
 		t.stale++
 		return
 	}
-	delete(t.waitFor, name)
+	delete(t.awaited, name)
 	if m.Leaving {
-		t.set(m, Left, now)
+		t.setState(m, Left, now)
 		return
 	}
-	t.set(m, Unreachable, now)
+	t.setState(m, Unreachable, now)
 }
 
-// RecordConflict takes the news that a second process claimed a name that is in use.
+// RecordConflict records that a second process claimed a name that is in use. A repeated conflict only updates its
+// time.
 func (t *Table) RecordConflict(name, address string, now time.Duration) {
 	for i, c := range t.conflicts {
 		if c.Name == name && c.Address == address {
@@ -240,49 +201,61 @@
 		}
 	}
 	t.conflicts = append(t.conflicts, Conflict{name, address, now})
-	t.conflicts = t.conflicts[max(0, len(t.conflicts)-mostConflicts):]
-	t.number++
-	t.changed = true
+	t.conflicts = t.conflicts[max(0, len(t.conflicts)-maxConflicts):]
+	t.markChanged()
 }
 
-// Tick is called often, and says that the process runs. It finds out that it had been stopped, and who has given
-// no sign.
+// Tick records that the process runs, and is to be called often. It detects that the process was stopped meanwhile,
+// and which members have sent no heartbeat for too long.
 func (t *Table) Tick(now time.Duration) {
 	if now-t.asOf > t.limits.MaxTickGap {
-		t.woke, t.wokeAt = true, now
-		t.waitFor = map[string]bool{}
-		t.changed = true
-		t.number++
-		for name, m := range t.members {
-			if name != t.self && m.Active() {
-				t.waitFor[name] = true
-				m.LastHeartbeat = now // while it was stopped it could hear nobody
-			}
-		}
+		t.beginRecovery(now)
 	}
 	t.asOf = max(t.asOf, now)
 	t.members[t.self].LastHeartbeat = now
-	limit := t.patience()
+	timeout := t.suspicionTimeout()
+	t.updateSuspicion(now, timeout)
+	// Recovery ends once at least half of the active members were heard from, or when waiting longer is of no use.
+	timedOut := now-t.recoveringSince > timeout
+	if t.recovering && (timedOut || now > t.recoveringSince && t.heardFromHalf()) {
+		t.recovering = false
+		t.changed = true
+	}
+}
+
+// beginRecovery notes that the process was stopped until now. Meanwhile it could receive nothing, so the silence of
+// the others does not count against them.
+func (t *Table) beginRecovery(now time.Duration) {
+	t.recovering, t.recoveringSince = true, now
+	t.awaited = map[string]bool{}
+	t.markChanged()
+	for name, m := range t.members {
+		if name != t.self && m.Active() {
+			t.awaited[name] = true
+			m.LastHeartbeat = now
+		}
+	}
+}
+
+// updateSuspicion moves members between Alive and Suspect by the age of their last heartbeat.
+func (t *Table) updateSuspicion(now, timeout time.Duration) {
 	for name, m := range t.members {
 		if name == t.self {
 			continue
 		}
-		if m.State == Alive && now-m.LastHeartbeat > limit {
-			t.set(m, Suspect, now)
-		} else if m.State == Suspect && now-m.LastHeartbeat <= limit {
-			t.set(m, Alive, now)
+		overdue := now-m.LastHeartbeat > timeout
+		switch {
+		case m.State == Alive && overdue:
+			t.setState(m, Suspect, now)
+		case m.State == Suspect && !overdue:
+			t.setState(m, Alive, now)
 		}
 	}
-	// The others have been heard again once half of those that counted have, or once nobody can be waited for longer.
-	if t.woke && now-t.wokeAt > limit || t.woke && now > t.wokeAt && t.heardAgain() {
-		t.woke = false
-		t.changed = true
-	}
 }
 
-// heardAgain tells whether most of those that counted before have been heard from since it woke.
-func (t *Table) heardAgain() bool {
-	others, missing := 0, len(t.waitFor)
+// heardFromHalf reports whether at least half of the active members were heard from since recovery began.
+func (t *Table) heardFromHalf() bool {
+	others, missing := 0, len(t.awaited)
 	for name, m := range t.members {
 		if name != t.self && m.Active() {
 			others++
@@ -291,8 +264,9 @@
 	return others > 0 && 2*missing <= others
 }
 
-// patience is how long no sign is none to worry about.
-func (t *Table) patience() time.Duration {
+// suspicionTimeout is how long a member may send no heartbeat before it is suspect. It grows with the number of
+// running members as the heartbeat interval does.
+func (t *Table) suspicionTimeout() time.Duration {
 	size := 0
 	for _, m := range t.members {
 		if m.Active() || m.State == Joining {
@@ -302,14 +276,14 @@
 	return time.Duration(t.limits.SuspectAfter * float64(t.limits.HeartbeatInterval(size)))
 }
 
-// Changed tells whether anything but times has changed since it was last asked.
+// Changed reports whether anything but times has changed since the previous call.
 func (t *Table) Changed() bool {
-	c := t.changed
+	changed := t.changed
 	t.changed = false
-	return c
+	return changed
 }
 
-// Incarnation is the latest that was heard of a name; 0: none.
+// Incarnation is the highest known incarnation of a name, or 0 if none is known.
 func (t *Table) Incarnation(name string) uint64 {
 	if m := t.members[name]; m != nil {
 		return m.Incarnation
@@ -317,9 +291,15 @@
 	return 0
 }
 
-// View is who is there now.
+// View is a copy of the current state.
 func (t *Table) View() View {
-	v := View{Version: t.number, AsOf: t.asOf, Self: t.self, Recovering: t.woke, Conflicts: slices.Clone(t.conflicts)}
+	v := View{
+		Version:    t.version,
+		AsOf:       t.asOf,
+		Self:       t.self,
+		Recovering: t.recovering,
+		Conflicts:  slices.Clone(t.conflicts),
+	}
 	for _, m := range t.members {
 		v.Members = append(v.Members, *m)
 	}
