--- a/internal/fleet/quota/rate.go
+++ b/internal/fleet/quota/rate.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Rate is how much comes in a second of late, from a count that only grows. Its zero value has seen nothing.
+// rateWindow is the time constant of the moving average.
+const rateWindow = 2 * time.Second
+
+// Rate is an exponential moving average of events per second, from a count that only grows. Its zero value has seen
+// nothing.
 type Rate struct {
-	count int64
-	at    time.Duration
-	rate  float64
-	begun bool
+	count   int64
+	at      time.Duration
+	rate    float64
+	started bool
 }
 
-// rateFade is how long what came counts, on the mean.
-const rateFade = 2 * time.Second
-
-// Observe takes the count at a time and returns the rate.
+// Observe takes the count at a time and returns the rate; the first count gives 0.
 func (r *Rate) Observe(now time.Duration, count int64) float64 {
-	if !r.begun {
-		r.begun, r.count, r.at = true, count, now
+	if !r.started {
+		r.started, r.count, r.at = true, count, now
 		return 0
 	}
-	if past := now - r.at; past > 0 {
-		latest := float64(max(count-r.count, 0)) / past.Seconds()
-		part := min(float64(past)/float64(rateFade), 1)
-		r.rate += part * (latest - r.rate)
+	if elapsed := now - r.at; elapsed > 0 {
+		latest := float64(max(count-r.count, 0)) / elapsed.Seconds()
+		weight := min(float64(elapsed)/float64(rateWindow), 1)
+		r.rate += weight * (latest - r.rate)
 		r.count, r.at = count, now
 	}
 	return r.rate
