--- a/internal/fleet/tombstone/tombstone.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -1,91 +1,79 @@
-// Package tombstone keeps what a fleet's members tell each other of the list that they act on, so that a member whose own is older sends
-// nothing to a replica that theirs has ended. It does no I/O and has no clock.
+// Package tombstone keeps a member whose endpoint list is stale from sending to replicas that the newer lists of other
+// members have ended.
 //
-// What a replica is, and where, a member takes from discovery alone; from others it takes only which of its replicas are gone or drain
-// by a newer version. So others can hold a member back from a replica, and never make it send anywhere. A whole list's names are told,
-// as hashes, and not what ended since some version: one that has just started knows the list and nothing of what was before.
+// The algorithm is that of tombstones in replicated stores (Demers et al., "Epidemic algorithms for replicated database
+// maintenance", PODC 1987: death certificates): the knowledge that an entry was deleted overrides older copies of it
+// for a bounded time (Limits.PeerReportTTL). Here a peer sends a digest of its whole list, the hashes of the names on
+// it, rather than what was deleted since some version: a process that has just started knows the list and nothing of
+// what was before. A name that is missing from a newer digest is a tombstone.
+//
+// A member takes what a replica is, and its address, from discovery alone; from peers it takes only which of its
+// replicas are gone or draining by a newer version. So peers can keep a member from a replica, and never make it send
+// anywhere.
+//
+// The package does no I/O and has no clock. A Table is not safe for concurrent use.
 package tombstone
 
 import (
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"rampspread/routing"
 )
 
-// Limits bound what is taken.
+// ownPast is the peer name under which a Table remembers its own list from before its version went back.
+const ownPast = ""
+
+// Limits bound what is taken from peers.
 type Limits struct {
-	// PeerReportTTL is for how long a teller's word holds after it came last. One that is there tells it anew for as long as this member is
-	// behind, so it ends only with its teller, or with discovery's count, if that begins anew.
+	// PeerReportTTL is for how long a peer's digest holds after it was last received. A peer that runs sends it again
+	// for as long as this member is behind, so it ends only with its peer, or with discovery's version count, if that
+	// starts over.
 	PeerReportTTL time.Duration
-	// MaxSuppressedFraction is the largest part of the own list that others' word may end. Beyond it none of it holds: the others go by another
-	// list, or one of them lies, and most replicas are not given up for that.
+	// MaxSuppressedFraction is the largest fraction of the own list that peers may suppress. Beyond it their digests
+	// are all ignored: they act on another list, or one of them is wrong, and most replicas aren't given up for that.
 	MaxSuppressedFraction float64
 }
 
-// DefaultLimits are the limits that members go by.
+// DefaultLimits are the limits that members use.
 var DefaultLimits = Limits{PeerReportTTL: 60 * time.Second, MaxSuppressedFraction: 0.5}
 
-// MaxReplicas bounds a Digest.
-const MaxReplicas = 4096
-
-// Digest is a list as it is told: hashes of the names of what is on it.
-type Digest struct {
-	Version         uint64
-	Ready, Draining []uint64 // in order
-}
-
-// Hash is a replica's name in a Digest.
-func Hash(name string) uint64 { return xxhash.Sum64String(name) }
-
-// state is a replica's by the digest.
-func (d *Digest) state(name uint64) routing.EndpointState {
-	if _, ok := slices.BinarySearch(d.Ready, name); ok {
-		return routing.Ready
-	}
-	if _, ok := slices.BinarySearch(d.Draining, name); ok {
-		return routing.Draining
-	}
-	return routing.Gone
-}
-
 // Endpoint is a replica on a list.
 type Endpoint struct {
 	Name  string
 	State routing.EndpointState
 }
 
-// Table is what one member knows of its own list and others'. It is not safe for use by several goroutines at once.
+// Table is what one member knows of its own list and of its peers' lists. It is not safe for concurrent use.
 type Table struct {
-	limits  Limits
-	version uint64 // of the own list; 0: none yet
-	held    map[string]routing.EndpointState
-	told    map[string]heard // by teller, the last
-	over    bool             // the others' word would end too much
-	refused int
+	limits      Limits
+	version     uint64 // of the own list; 0: none yet
+	own         map[string]routing.EndpointState
+	peers       map[string]peerReport // the last of each peer
+	ignorePeers bool                  // the peers' digests would suppress too much
+	rejected    int
 }
 
-type heard struct {
+// peerReport is a peer's digest and when it was received.
+type peerReport struct {
 	Digest
 	at time.Duration
 }
 
 // New returns a table that knows no list yet.
 func New(limits Limits) *Table {
-	return &Table{limits: limits, held: map[string]routing.EndpointState{}, told: map[string]heard{}}
+	return &Table{limits: limits, own: map[string]routing.EndpointState{}, peers: map[string]peerReport{}}
 }
 
-// Version is that of the own list.
+// Version is that of the own list; 0 means that there is none yet.
 func (t *Table) Version() uint64 { return t.version }
 
-// Rejected is how many times others' word began to end too much, and was passed over.
-func (t *Table) Rejected() int { return t.refused }
+// Rejected counts how many times the peers' digests began to suppress too much and were ignored.
+func (t *Table) Rejected() int { return t.rejected }
 
-// Suppressed is how many replicas others' word holds back now.
+// Suppressed is the number of replicas that peers suppress now.
 func (t *Table) Suppressed() (n int) {
-	for name, state := range t.held {
+	for name, state := range t.own {
 		if t.State(name) != state {
 			n++
 		}
@@ -93,21 +81,21 @@
 	return n
 }
 
-// State is what a replica is to be taken as.
+// State is the state that this member is to act on for a replica.
 func (t *Table) State(name string) routing.EndpointState {
-	if t.over {
-		return t.held[name]
+	if t.ignorePeers {
+		return t.own[name]
 	}
-	return t.worst(name)
+	return t.worstState(name)
 }
 
-// worst is a replica's state by the own list and all newer ones that were told. One teller's newer word does not undo another's, so
-// none can bring back what others have ended; each tells its newest again and again.
-func (t *Table) worst(name string) routing.EndpointState {
-	state, hash := t.held[name], Hash(name)
-	for _, d := range t.told {
-		if d.Version > t.version && state != routing.Gone {
-			if s := d.state(hash); s != routing.Ready {
+// worstState is a replica's state by the own list and all newer digests. One peer's newer digest does not undo
+// another's, so none can revive what others have ended; each sends its newest again and again.
+func (t *Table) worstState(name string) routing.EndpointState {
+	state, hash := t.own[name], Hash(name)
+	for _, report := range t.peers {
+		if report.Version > t.version && state != routing.Gone {
+			if s := report.state(hash); s != routing.Ready {
 				state = s
 			}
 		}
@@ -115,82 +103,68 @@
 	return state
 }
 
-// UpdateOwn notes a list from discovery, whole or changes to it, and returns the names that are to be taken otherwise from now on.
-// Whether an older version than the last is an old list or a new count cannot be told: it is taken, and what the list before it
-// had ended stays ended for a while, as if another had told it.
+// UpdateOwn takes a list from discovery, or with full unset the changes to the last one, and returns the names whose
+// State has changed, in order. An older version than the last may be an old list or a version count that has started
+// over, and these can't be told apart: it is taken, and what the list before it had ended stays ended for PeerReportTTL,
+// as if a peer had sent that list.
+//
+//revive:disable-next-line:flag-parameter full comes with discovery's event and is passed on by endpointfilter
 func (t *Table) UpdateOwn(now time.Duration, version uint64, full bool, entries []Endpoint) (changed []string) {
-	return t.change(func() {
+	return t.update(func() {
 		if version < t.version {
-			t.told[""] = heard{t.Digest(), now}
+			t.peers[ownPast] = peerReport{t.Digest(), now}
 		}
 		if full {
-			t.held = make(map[string]routing.EndpointState, len(entries))
+			t.own = make(map[string]routing.EndpointState, len(entries))
 		}
 		for _, e := range entries {
-			if t.held[e.Name] = e.State; e.State == routing.Gone {
-				delete(t.held, e.Name)
+			t.own[e.Name] = e.State
+			if e.State == routing.Gone {
+				delete(t.own, e.Name)
 			}
 		}
 		t.version = version
 	})
 }
 
-// UpdatePeer notes the list that another member acts on, and returns the names that are to be taken otherwise from now on.
-func (t *Table) UpdatePeer(now time.Duration, teller string, d Digest) (changed []string) {
+// UpdatePeer takes the digest of the list that a peer acts on, and returns the names whose State has changed, in order.
+// A digest that is no newer than the own list, or beyond MaxReplicas, is ignored.
+func (t *Table) UpdatePeer(now time.Duration, peer string, d Digest) (changed []string) {
 	if d.Version <= t.version || len(d.Ready)+len(d.Draining) > MaxReplicas {
 		return nil
 	}
-	return t.change(func() {
-		d = Digest{d.Version, slices.Sorted(slices.Values(d.Ready)), slices.Sorted(slices.Values(d.Draining))}
-		t.told[teller] = heard{d, now}
+	return t.update(func() {
+		sorted := Digest{d.Version, slices.Sorted(slices.Values(d.Ready)), slices.Sorted(slices.Values(d.Draining))}
+		t.peers[peer] = peerReport{sorted, now}
 	})
 }
 
-// Tick lets go of what has held for long enough, and returns the names that are to be taken otherwise from now on.
+// Tick drops digests that have ended or are no longer newer than the own list, and returns the names whose State has
+// changed, in order.
 func (t *Table) Tick(now time.Duration) (changed []string) {
-	return t.change(func() {
-		for name, d := range t.told {
-			if now-d.at > t.limits.PeerReportTTL || d.Version <= t.version {
-				delete(t.told, name)
+	return t.update(func() {
+		for peer, report := range t.peers {
+			if now-report.at > t.limits.PeerReportTTL || report.Version <= t.version {
+				delete(t.peers, peer)
 			}
 		}
 	})
 }
 
-// Digest is what to tell others of the own list.
-func (t *Table) Digest() Digest {
-	d := Digest{Version: t.version}
-	for name, state := range t.held {
-		if state == routing.Ready {
-			d.Ready = append(d.Ready, Hash(name))
-		} else {
-			d.Draining = append(d.Draining, Hash(name))
-		}
-	}
-	slices.Sort(d.Ready)
-	slices.Sort(d.Draining)
-	return d
-}
-
-// change does something and returns whom it changed, in order.
-func (t *Table) change(do func()) (changed []string) {
-	before := make(map[string]routing.EndpointState, len(t.held))
-	for name := range t.held {
+// update applies a change, decides anew whether the peers' digests are ignored, and returns the names whose State has
+// changed, in order.
+func (t *Table) update(apply func()) (changed []string) {
+	before := make(map[string]routing.EndpointState, len(t.own))
+	for name := range t.own {
 		before[name] = t.State(name)
 	}
-	do()
-	ends := 0
-	for name, state := range t.held {
-		if state == routing.Ready && t.worst(name) != routing.Ready {
-			ends++
-		}
-	}
-	over := float64(ends) > t.limits.MaxSuppressedFraction*float64(len(t.held))
-	if over && !t.over {
-		t.refused++
+	apply()
+	tooMany := float64(t.suppressible()) > t.limits.MaxSuppressedFraction*float64(len(t.own))
+	if tooMany && !t.ignorePeers {
+		t.rejected++
 	}
-	t.over = over
-	for name := range t.held {
+	t.ignorePeers = tooMany
+	for name := range t.own {
 		if was, ok := before[name]; ok && was != t.State(name) {
 			changed = append(changed, name)
 		}
@@ -198,3 +172,13 @@
 	slices.Sort(changed)
 	return changed
 }
+
+// suppressible is the number of ready replicas on the own list that the peers' digests would suppress.
+func (t *Table) suppressible() (n int) {
+	for name, state := range t.own {
+		if state == routing.Ready && t.worstState(name) != routing.Ready {
+			n++
+		}
+	}
+	return n
+}
