--- /dev/null
+++ b/internal/fleet/versionskew/detector.go
@@ -0,0 +1,217 @@
+package versionskew
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Detector assesses the fleet again and again. It goes by the last report of each member, so a member that is silent is
+// not lagging: package membership detects those. It is not safe for concurrent use.
+type Detector struct {
+	limits    Limits
+	members   map[string]*member
+	reached   []reachedVersion // list versions that a majority has reached, oldest first
+	overrides map[string]State
+	frozen    bool
+	last      Assessment
+}
+
+// reachedVersion is a list version and when a majority was first seen to have it or a newer one.
+type reachedVersion struct {
+	version uint64
+	at      time.Duration
+}
+
+type member struct {
+	MemberStatus
+	currentSince time.Duration // meaningless if it lags
+}
+
+// New returns a Detector that knows no members.
+func New(limits Limits) *Detector {
+	return &Detector{
+		limits:    limits,
+		members:   map[string]*member{},
+		overrides: map[string]State{},
+		last:      Assessment{Members: map[string]MemberStatus{}},
+	}
+}
+
+// Freeze stops every change of a state while frozen is set.
+func (d *Detector) Freeze(frozen bool) { d.frozen = frozen }
+
+// Override sets a member's state by an operator's decision, Current or Fenced, until ClearOverride.
+func (d *Detector) Override(name string, s State) { d.overrides[name] = s }
+
+// ClearOverride leaves a member's state to the detector again.
+func (d *Detector) ClearOverride(name string) { delete(d.overrides, name) }
+
+// Assess assesses the active members. The reports must come from a fresh view of a majority: the caller does not call it
+// while it sees no member, or only a minority of the fleet. While frozen, or without reports, it returns the last
+// assessment.
+func (d *Detector) Assess(now time.Duration, reports []Report) Assessment {
+	if d.frozen || len(reports) == 0 {
+		return d.last
+	}
+	a := Assessment{
+		List:     d.settledList(now, reports),
+		Settings: majoritySettings(reports),
+		Members:  map[string]MemberStatus{},
+	}
+	reported := map[string]bool{}
+	for _, r := range reports {
+		reported[r.Name] = true
+		d.applyReport(now, r, a)
+	}
+	maps.DeleteFunc(d.members, func(name string, _ *member) bool { return !reported[name] })
+	d.updateStates(now, &a)
+	for name, m := range d.members {
+		a.Members[name] = m.MemberStatus
+	}
+	d.last = a
+	return a
+}
+
+// settledList is the newest list version that a majority has had for Settle, or 0. It goes back only with a majority:
+// then no member lags behind what discovery no longer publishes.
+func (d *Detector) settledList(now time.Duration, reports []Report) uint64 {
+	versions := make([]uint64, len(reports))
+	for i, r := range reports {
+		versions[i] = r.ListVersion
+	}
+	slices.SortFunc(versions, func(a, b uint64) int { return cmp.Compare(b, a) })
+	majority := versions[len(versions)/2] // more than half have it or a newer one
+	d.reached = slices.DeleteFunc(d.reached, func(r reachedVersion) bool { return r.version > majority })
+	if n := len(d.reached); n == 0 || d.reached[n-1].version < majority {
+		d.reached = append(d.reached, reachedVersion{majority, now})
+	}
+	newestSettled := 0
+	for i, r := range d.reached {
+		if now-r.at >= d.limits.Settle {
+			newestSettled = i
+		}
+	}
+	d.reached = d.reached[newestSettled:]
+	if now-d.reached[0].at < d.limits.Settle {
+		return 0
+	}
+	return d.reached[0].version
+}
+
+// majoritySettings is the settings digest of more than half of the members, or 0.
+func majoritySettings(reports []Report) uint64 {
+	count := map[uint64]int{}
+	for _, r := range reports {
+		if count[r.SettingsDigest]++; 2*count[r.SettingsDigest] > len(reports) {
+			return r.SettingsDigest
+		}
+	}
+	return 0
+}
+
+// applyReport notes a member's report, and whether and since when the member lags.
+func (d *Detector) applyReport(now time.Duration, r Report, a Assessment) {
+	m := d.members[r.Name]
+	if m == nil {
+		m = &member{MemberStatus: MemberStatus{Since: now}, currentSince: now}
+		d.members[r.Name] = m
+	}
+	m.Report = r
+	reason := ""
+	switch {
+	case r.ListVersion < a.List:
+		reason = reasonList
+	case a.Settings != 0 && r.SettingsDigest != a.Settings:
+		reason = reasonSettings
+	}
+	lagged, lags := m.Reason != "", reason != ""
+	switch {
+	case lagged && !lags:
+		m.currentSince = now
+	case !lagged && lags:
+		m.LaggingSince = now
+	}
+	m.Reason = reason
+}
+
+// updateStates moves the members to their next states, and fences those that are due and that the limits allow.
+func (d *Detector) updateStates(now time.Duration, a *Assessment) {
+	lagging, fenced := 0, 0
+	for _, m := range d.members {
+		if m.Reason != "" {
+			lagging++
+		}
+		if m.State == Fenced {
+			fenced++
+		}
+	}
+	var due []*member
+	for name, m := range d.members {
+		if s, ok := d.overrides[name]; ok {
+			m.setState(now, s)
+			continue
+		}
+		next, fenceDue := d.nextState(now, m)
+		m.setState(now, next)
+		if fenceDue {
+			due = append(due, m)
+		}
+	}
+	if a.Settings == 0 && len(d.members) > 1 {
+		a.Fault = "no settings are most members'"
+	}
+	if len(due) > 0 {
+		d.fence(now, due, lagging, fenced, a)
+	}
+}
+
+func (m *member) setState(now time.Duration, s State) {
+	if m.State != s {
+		m.State, m.Since = s, now
+	}
+}
+
+// nextState is the state that a member is in by how long it has lagged or been current. FenceDue says that it has lagged
+// for long enough to be fenced; until fence decides that, it is Restricted.
+func (d *Detector) nextState(now time.Duration, m *member) (next State, fenceDue bool) {
+	if m.Reason == "" {
+		if m.State <= Lagging || now-m.currentSince >= d.limits.RecoverAfter {
+			return Current, false
+		}
+		return m.State, false
+	}
+	lag := now - m.LaggingSince
+	switch {
+	case m.State == Fenced:
+		return Fenced, false
+	case lag >= d.limits.FenceAfter:
+		return Restricted, true
+	case lag >= d.limits.RestrictAfter:
+		return max(m.State, Restricted), false
+	case lag >= d.limits.Settle:
+		return max(m.State, Lagging), false
+	}
+	return m.State, false
+}
+
+// fence fences the members that are due, those that have lagged longest first, as far as MaxFencedFraction allows; none
+// if half of the fleet lags. Lagging and fenced are the numbers of such members before.
+func (d *Detector) fence(now time.Duration, due []*member, lagging, fenced int, a *Assessment) {
+	allowed := int(d.limits.MaxFencedFraction*float64(len(d.members))) - fenced
+	if 2*lagging >= len(d.members) {
+		allowed = 0
+		a.Fault = fmt.Sprintf("%d of %d are behind: the source is at fault", lagging, len(d.members))
+	} else if allowed < len(due) {
+		a.Fault = fmt.Sprintf("%d more would be shut out, and no more than %.0f%% may be",
+			len(due)-max(allowed, 0), 100*d.limits.MaxFencedFraction)
+	}
+	slices.SortFunc(due, func(a, b *member) int {
+		return cmp.Or(cmp.Compare(a.LaggingSince, b.LaggingSince), cmp.Compare(a.Name, b.Name))
+	})
+	for _, m := range due[:min(len(due), max(allowed, 0))] {
+		m.setState(now, Fenced)
+	}
+}
