--- a/internal/fleet/bootstrap/golden_test.go
+++ b/internal/fleet/bootstrap/golden_test.go
@@ -8,20 +8,25 @@
 	"rampspread/internal/testkit/golden"
 )
 
-// The order and the spans of the draws decide, with a seed, whom a process asks and when.
+// The order and the spans of the draws decide, with a seed, whom a process sends requests to and when.
 func TestGoldenDraws(t *testing.T) {
 	var text []byte
 	draws := int64(0)
-	asker := NewRequester(DefaultLimits, 0, func(n int64) int64 {
+	requester := NewRequester(DefaultLimits, 0, func(n int64) int64 {
 		draws++
 		text = fmt.Appendf(text, "draw %d of %d\n", draws, n)
 		return draws * 7 % n
 	})
-	members := []Member{{Name: "a", Older: true}, {Name: "b", Older: true}, {Name: "c", SameZone: true}, {Name: "d"}}
+	members := []Member{
+		{Name: "a", Older: true},
+		{Name: "b", Older: true},
+		{Name: "c", SameZone: true},
+		{Name: "d"},
+	}
 	for now := time.Duration(0); now < 5*time.Second; now += time.Millisecond {
-		if to, ok := asker.NextDonor(now, members); ok {
+		if to, ok := requester.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "%v asks %s\n", now, to)
-			asker.RecordResponse(now, to, to == "d")
+			requester.RecordResponse(now, to, to == "d")
 		}
 	}
 	golden.Text(t, "draws.txt", text)
