--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -17,7 +17,7 @@
 	// start of the whole fleet at once makes about one request in that time in all.
 	SpreadPerMember time.Duration
 	MaxSpread       time.Duration // the longest such span
-	ResponseTimeout time.Duration // for a response, until the next member is asked
+	ResponseTimeout time.Duration // until the next request, to another member
 	// RetryInterval is after how long a member that refused, or had nothing to transfer, may be requested from again.
 	RetryInterval time.Duration
 	Transfers     int           // received by a process
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -357,8 +357,8 @@
 	return len(s.cut) == 0
 }
 
-// Under kills, restarts with and without memory, pauses, partitions, delay, loss, repeats, reordering and clocks that run
-// apart by up to 2%, two members never act on one task, and results are accepted in the order of tokens.
+// Under kills, restarts with and without memory, pauses, partitions, delay, loss, repeats, reordering and clocks that
+// run apart by up to 2%, two members never act on one task, and results are accepted in the order of tokens.
 func TestNeverTwoHolders(t *testing.T) {
 	worstGap, results := time.Duration(0), 0
 	for seed := range *simSeeds {
@@ -375,7 +375,8 @@
 	if results == 0 {
 		t.Error("no member ever acted")
 	}
-	// Up to seven claim a task here at once, and one message in twenty is lost; in a fleet it is the owner and one other.
+	// Up to seven claim a task here at once, and one message in twenty is lost; in a fleet it is the owner and one
+	// other.
 	if limit := 5 * limits.Term; worstGap > limit {
 		t.Errorf("no member held a task for %v though all voters were healthy, want at most %v", worstGap, limit)
 	}
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -32,9 +32,9 @@
 
 // State is the state of a member as this process sees it.
 //
-// Joining and Alive follow what the member publishes. Alive and Suspect alternate with its heartbeats. The gossip
-// layer moves any member to Unreachable, or to Left if the member had announced it; only the gossip layer, or a
-// heartbeat of a later incarnation, brings it back.
+// Joining, Alive and Left follow what the member publishes. Alive and Suspect alternate with its heartbeats. When the
+// gossip layer gives a member up it becomes Unreachable, or Left if it had announced that it leaves. From these two
+// only the gossip layer, or a heartbeat of a later incarnation, brings it back.
 type State uint8
 
 // The states of a member.
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -70,8 +70,8 @@
 }
 
 // HandleGrant takes a voter's grant. One to an unknown claim, to another incarnation, by an unconfigured voter or beyond
-// a slice is ignored. So is one that a later grant has overtaken: its voter may have been told that the later one is in
-// force.
+// a slice is ignored. So is one that a later grant has overtaken: its voter may have been notified that the later one
+// is in force.
 func (b *Borrower) HandleGrant(g Grant) {
 	sent, ok := b.pending[g.Seq]
 	if !ok || g.To != b.self || !slices.Contains(b.voters, g.Voter) {
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -3,10 +3,10 @@
 //
 // Safety invariant: at any instant the fractions that all processes act by add up to no more than 1.
 //
-// The algorithm is escrow under leases: the quota is cut into parts that are granted for a time, as by leases (Gray and
-// Cheriton 1989), and no two voters need to agree. Limits.Floor of the whole belongs to the configured members for
-// good, in equal parts, and is what a member has that reaches no other. The rest is cut into one slice for each voter,
-// which grants from its slice alone.
+// The algorithm is escrow (O'Neil, "The escrow transactional method", 1986) under leases (Gray and Cheriton 1989): the
+// quota is cut into parts that are granted for a time, and no two voters need to agree. Limits.Floor of the whole
+// belongs to the configured members for good, in equal parts, and is what a member has that reaches no other. The rest
+// is cut into one slice for each voter, which grants from its slice alone.
 //
 //   - A voter never has more outstanding than its slice. A grant counts from when its claim was received, for Term, at
 //     the largest fraction that the borrower may still act by. It counts for less only once the borrower has reported
