--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -283,14 +283,6 @@
 	return changed
 }
 
-// Incarnation is the highest known incarnation of a name, or 0 if none is known.
-func (t *Table) Incarnation(name string) uint64 {
-	if m := t.members[name]; m != nil {
-		return m.Incarnation
-	}
-	return 0
-}
-
 // View is a copy of the current state.
 func (t *Table) View() View {
 	v := View{
