--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -28,14 +28,14 @@
 	beliefsMost = 1 << 20
 )
 
-// beliefs asks others for what they know after this process's start, and tells those that ask.
-type beliefs struct {
+// bootstrapper asks others for what they know after this process's start, and tells those that ask.
+type bootstrapper struct {
 	node  *Node
 	knows LearnedState
 
-	mu    sync.Mutex
-	asker *bootstrap.Requester
-	donor bootstrap.Donor
+	mu        sync.Mutex
+	requester *bootstrap.Requester
+	donor     bootstrap.Donor
 
 	taken, given, busy, bad atomic.Int64
 }
@@ -48,15 +48,15 @@
 	Malformed int64 `json:"bad"`  // gifts that made no sense
 }
 
-func newBeliefs(n *Node, k LearnedState) *beliefs {
+func newBootstrapper(n *Node, k LearnedState) *bootstrapper {
 	rng := rand.New(rand.NewPCG(n.self.Seed, 0xbe11ef))
-	return &beliefs{node: n, knows: k, asker: bootstrap.NewRequester(bootstrap.DefaultLimits, n.now(), rng.Int64N)}
+	return &bootstrapper{node: n, knows: k, requester: bootstrap.NewRequester(bootstrap.DefaultLimits, n.now(), rng.Int64N)}
 }
 
 // step asks somebody, if it is time.
-func (b *beliefs) step(now time.Duration) {
+func (b *bootstrapper) step(now time.Duration) {
 	b.mu.Lock()
-	if b.asker.Done(now) {
+	if b.requester.Done(now) {
 		b.mu.Unlock()
 		return
 	}
@@ -67,15 +67,15 @@
 			members = append(members, bootstrap.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), SameZone: m.Zone == self.Zone})
 		}
 	}
-	to, ok := b.asker.NextDonor(now, members)
+	to, ok := b.requester.NextDonor(now, members)
 	b.mu.Unlock()
 	if ok {
-		b.node.send(to, heading(kindAskBeliefs, 0, self.Name, uint64(b.node.wall.UnixNano())))
+		b.node.send(to, encodeHeader(kindBootstrapRequest, 0, self.Name, uint64(b.node.wall.UnixNano())))
 	}
 }
 
 // answer tells another what this process knows, or that it knows nothing or has given enough.
-func (b *beliefs) answer(from string) {
+func (b *bootstrapper) answer(from string) {
 	now := b.node.now()
 	b.mu.Lock()
 	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.TakeTransfer(now, bootstrap.DefaultLimits)
@@ -85,18 +85,18 @@
 		defer cancel()
 		if told, ok := b.knows.Tell(ctx); ok && len(told) <= beliefsMost {
 			b.given.Add(1)
-			b.node.call(from, encodeBeliefs(b.node.self.Name, told))
+			b.node.call(from, encodeLearnedState(b.node.self.Name, told))
 			return
 		}
 	}
 	b.busy.Add(1)
-	b.node.send(from, encodeBeliefs(b.node.self.Name, nil))
+	b.node.send(from, encodeLearnedState(b.node.self.Name, nil))
 }
 
 // take takes an answer of one that was asked.
-func (b *beliefs) take(from string, told []byte) {
+func (b *bootstrapper) take(from string, told []byte) {
 	b.mu.Lock()
-	asked := b.asker.WasRequested(from)
+	asked := b.requester.WasRequested(from)
 	b.mu.Unlock()
 	if !asked {
 		return
@@ -113,7 +113,7 @@
 		}
 	}
 	b.mu.Lock()
-	b.asker.RecordResponse(b.node.now(), from, taught)
+	b.requester.RecordResponse(b.node.now(), from, taught)
 	b.mu.Unlock()
 }
 
--- a/internal/fleet/endpointfilter.go
+++ b/internal/fleet/endpointfilter.go
@@ -25,24 +25,24 @@
 	datagramMost = 1200
 )
 
-// ends tells members whose list is older what this one's has.
-type ends struct {
-	node  *Node
-	lists EndpointFilter
-	next  time.Duration
+// endpointSync tells members whose list is older what this one's has.
+type endpointSync struct {
+	node   *Node
+	filter EndpointFilter
+	next   time.Duration
 
 	mu    sync.Mutex
 	calls map[string]bool // under way
 }
 
 // step tells those that are behind, if it is time.
-func (e *ends) step(now time.Duration) {
+func (e *endpointSync) step(now time.Duration) {
 	if now < e.next {
 		return
 	}
 	e.next = now + tellListEvery
-	e.lists.Tick()
-	own := e.lists.Version()
+	e.filter.Tick()
+	own := e.filter.Version()
 	var message []byte
 	members := e.node.View().ActiveMembers()
 	for _, m := range members {
@@ -60,14 +60,14 @@
 			continue
 		}
 		if message == nil {
-			message = encodeList(e.node.self.Name, e.lists.Digest())
+			message = encodeEndpointDigest(e.node.self.Name, e.filter.Digest())
 		}
 		e.tell(m.Name, message)
 	}
 }
 
 // tell sends a list; a call that is under way stands for the next ones too.
-func (e *ends) tell(name string, message []byte) {
+func (e *endpointSync) tell(name string, message []byte) {
 	if len(message) <= datagramMost {
 		e.node.send(name, message)
 		return
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -30,7 +30,7 @@
 var goldenVoters = []string{"v0", "v1", "v2"}
 
 func TestGoldenMessageKinds(t *testing.T) {
-	got := []int{kindBeat, kindRequest, kindReply, kindResults, kindClaim, kindLoan, kindClaims, kindAskBeliefs, kindBeliefs, kindList}
+	got := []int{kindHeartbeat, kindLeaseRequest, kindLeaseReply, kindTaskResults, kindQuotaClaim, kindQuotaGrant, kindIdempotency, kindBootstrapRequest, kindLearnedState, kindEndpointDigest}
 	if want := []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !slices.Equal(got, want) {
 		t.Errorf("kinds are %v, want %v", got, want)
 	}
@@ -46,7 +46,7 @@
 		sent int64
 	}{
 		{"member-meta.hex", n.NodeMeta(512), goldenInfo, 0},
-		{"member-heartbeat.hex", encode(goldenInfo, goldenSent), goldenInfo, goldenSent},
+		{"member-heartbeat.hex", encodeMemberInfo(goldenInfo, goldenSent), goldenInfo, goldenSent},
 	}
 	for _, serving := range []bool{true, false} {
 		one := goldenInfo
@@ -56,10 +56,10 @@
 			got  []byte
 			want membership.MemberInfo
 			sent int64
-		}{fmt.Sprintf("member-serving-%t.hex", serving), encode(one, goldenSent), one, goldenSent})
+		}{fmt.Sprintf("member-serving-%t.hex", serving), encodeMemberInfo(one, goldenSent), one, goldenSent})
 	}
 	for _, c := range cases {
-		info, sent, err := decode(golden.Bytes(t, c.file, c.got))
+		info, sent, err := decodeMemberInfo(golden.Bytes(t, c.file, c.got))
 		if err != nil || info != c.want || sent != c.sent {
 			t.Errorf("%s: %+v sent %d, %v", c.file, info, sent, err)
 		}
@@ -70,14 +70,14 @@
 func TestGoldenHeartbeatFrame(t *testing.T) {
 	n := &Node{info: goldenInfo}
 	before := time.Now().UnixMilli()
-	b := n.sign()
-	info, sent, err := decode(b[1:])
+	b := n.encodeHeartbeat()
+	info, sent, err := decodeMemberInfo(b[1:])
 	want := goldenInfo
 	want.HighestToken = 0 // no duties, so no lease is known
 	if b[0] != 1 || err != nil || info != want || sent < before || sent > time.Now().UnixMilli() {
 		t.Errorf("kind %d, %+v sent %d, %v", b[0], info, sent, err)
 	}
-	if string(b) != string(append([]byte{1}, encode(want, sent)...)) {
+	if string(b) != string(append([]byte{1}, encodeMemberInfo(want, sent)...)) {
 		t.Errorf("the message is % x", b)
 	}
 }
@@ -90,15 +90,15 @@
 		{Task: 0x1122334455667788, ClaimedToken: 31, Token: 32, Granted: true, Remaining: 33 * time.Microsecond},
 		{Task: 12, ClaimedToken: 34, Token: 35, Remaining: 1200 * time.Millisecond}}}
 	now := 10 * time.Second
-	results := []result{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
+	results := []taskResult{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
 	claim := quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
 	loan := quota.Grant{To: quota.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
 	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
-	requests := encodeRequest(request)
+	requests := encodeLeaseRequest(request)
 	if len(requests) != 1 {
 		t.Fatalf("%d packets", len(requests))
 	}
-	packet, rest := encodeResults(now, results)
+	packet, rest := encodeTaskResults(now, results)
 	if len(rest) != 0 {
 		t.Fatalf("%d results are left", len(rest))
 	}
@@ -106,19 +106,19 @@
 		file string
 		kind byte
 		got  []byte
-		want message
+		want peerMessage
 	}{
-		{"lease-request.hex", 2, requests[0], message{seq: 3, from: "n1", life: 1001, claims: request.Claims, releases: request.Releases}},
-		{"lease-reply.hex", 3, encodeReply(reply), message{seq: 4, from: "v1", life: 1002, grants: reply.Grants}},
-		{"duty-results.hex", 4, packet, message{results: results}},
-		{"share-claim.hex", 5, encodeClaim(claim, goldenVoters),
-			message{seq: 5, from: "n1", life: 1003, demand: 51.25, leaves: true, acts: []uint64{0, 52, 2, 53}}},
-		{"share-loan.hex", 6, encodeLoan(loan), message{seq: 6, from: "v2", life: 1004, part: 0.0625}},
-		{"beliefs-question.hex", 8, heading(kindAskBeliefs, 0, "n1", 1005), message{from: "n1", life: 1005}},
-		{"beliefs-answer.hex", 9, encodeBeliefs("n1", []byte("told")), message{from: "n1", beliefs: []byte("told")}},
-		{"beliefs-answer-empty.hex", 9, encodeBeliefs("n1", nil), message{from: "n1"}},
-		{"list.hex", 10, encodeList("n1", digest), message{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
-		{"list-empty.hex", 10, encodeList("n1", tombstone.Digest{Version: 8}), message{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
+		{"lease-request.hex", 2, requests[0], peerMessage{seq: 3, from: "n1", incarnation: 1001, claims: request.Claims, releases: request.Releases}},
+		{"lease-reply.hex", 3, encodeLeaseReply(reply), peerMessage{seq: 4, from: "v1", incarnation: 1002, grants: reply.Grants}},
+		{"duty-results.hex", 4, packet, peerMessage{results: results}},
+		{"share-claim.hex", 5, encodeQuotaClaim(claim, goldenVoters),
+			peerMessage{seq: 5, from: "n1", incarnation: 1003, demand: 51.25, leaving: true, inForce: []uint64{0, 52, 2, 53}}},
+		{"share-loan.hex", 6, encodeQuotaGrant(loan), peerMessage{seq: 6, from: "v2", incarnation: 1004, fraction: 0.0625}},
+		{"beliefs-question.hex", 8, encodeHeader(kindBootstrapRequest, 0, "n1", 1005), peerMessage{from: "n1", incarnation: 1005}},
+		{"beliefs-answer.hex", 9, encodeLearnedState("n1", []byte("told")), peerMessage{from: "n1", learnedState: []byte("told")}},
+		{"beliefs-answer-empty.hex", 9, encodeLearnedState("n1", nil), peerMessage{from: "n1"}},
+		{"list.hex", 10, encodeEndpointDigest("n1", digest), peerMessage{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
+		{"list-empty.hex", 10, encodeEndpointDigest("n1", tombstone.Digest{Version: 8}), peerMessage{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
 	} {
 		b := golden.Bytes(t, c.file, c.got)
 		if b[0] != c.kind {
@@ -128,8 +128,8 @@
 			t.Errorf("%s: %+v, %v, want %+v", c.file, m, err, c.want)
 		}
 	}
-	m, err := decodeMessage(encodeClaim(claim, goldenVoters)[1:], now)
-	if got := m.claim(goldenVoters); err != nil || !reflect.DeepEqual(got, claim) {
+	m, err := decodeMessage(encodeQuotaClaim(claim, goldenVoters)[1:], now)
+	if got := m.quotaClaim(goldenVoters); err != nil || !reflect.DeepEqual(got, claim) {
 		t.Errorf("claim %+v, %v", got, err)
 	}
 }
@@ -142,22 +142,22 @@
 		request.Claims = append(request.Claims, lease.Claim{Task: lease.Task(300 + i), Token: 400 + i, Renew: i%2 == 0})
 	}
 	var text []byte
-	for _, p := range encodeRequest(request) {
+	for _, p := range encodeLeaseRequest(request) {
 		text = fmt.Appendf(text, "%x\n", p)
 	}
 	golden.Text(t, "lease-request-packets.txt", text)
 }
 
-// toldLists notes what it was told last.
-type toldLists struct {
+// recordingFilter notes what it was told last.
+type recordingFilter struct {
 	from   string
 	digest tombstone.Digest
 }
 
-func (l *toldLists) Version() uint64          { return 0 }
-func (l *toldLists) Digest() tombstone.Digest { return tombstone.Digest{} }
-func (l *toldLists) Tick()                    {}
-func (l *toldLists) UpdatePeer(from string, d tombstone.Digest) {
+func (l *recordingFilter) Version() uint64          { return 0 }
+func (l *recordingFilter) Digest() tombstone.Digest { return tombstone.Digest{} }
+func (l *recordingFilter) Tick()                    {}
+func (l *recordingFilter) UpdatePeer(from string, d tombstone.Digest) {
 	l.from, l.digest = from, d
 }
 
@@ -172,28 +172,28 @@
 	n.info = membership.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
 	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
 	n.publish()
-	n.up.Store(true)
+	n.joined.Store(true)
 	return n
 }
 
 // Golden bytes reach the part that they are for, with the values that they were written with.
 func TestGoldenMessagesAreTaken(t *testing.T) {
 	var claims []byte
-	lists := &toldLists{}
+	lists := &recordingFilter{}
 	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { claims = message }})
-	n.ends = &ends{node: n, lists: lists}
+	n.ends = &endpointSync{node: n, filter: lists}
 	take := func(file string, kind byte, encoded []byte) {
 		t.Helper()
 		b := golden.Bytes(t, file, encoded)
 		n.NotifyMsg(append([]byte{kind}, b...))
 	}
-	take("member-heartbeat.hex", 1, encode(goldenInfo, goldenSent))
+	take("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSent))
 	for _, m := range n.View().Members {
 		if m.Name == "n1" && m.MemberInfo != goldenInfo {
 			t.Errorf("heartbeat gives %+v", m.MemberInfo)
 		}
 	}
-	if skew, ok := n.skews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
+	if skew, ok := n.clockSkews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
 		t.Errorf("skew %v", skew)
 	}
 	n.NotifyMsg([]byte{7, 8, 9})
@@ -201,7 +201,7 @@
 		t.Errorf("claims were given % x", claims)
 	}
 	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
-	n.NotifyMsg(golden.Bytes(t, "list.hex", encodeList("n1", digest)))
+	n.NotifyMsg(golden.Bytes(t, "list.hex", encodeEndpointDigest("n1", digest)))
 	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
 		t.Errorf("list %+v", lists)
 	}
@@ -240,7 +240,7 @@
 	n := offlineNode(t, Self{Name: "n0"})
 	info := goldenInfo
 	info.Settings = 0xab // is shown with its leading zeros
-	n.hear(func(table *membership.Table, now time.Duration) {
+	n.updateTable(func(table *membership.Table, now time.Duration) {
 		table.Heartbeat(info, now)
 		table.RecordConflict("n1", "10.0.0.9:7946", now)
 	})
@@ -307,16 +307,16 @@
 func TestGoldenDraws(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
 	var text []byte
-	b := newBeliefs(n, nil)
+	b := newBootstrapper(n, nil)
 	members := []bootstrap.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
 	for now, asked := time.Duration(0), 0; asked < 4 && now < time.Minute; now += time.Microsecond {
-		if to, ok := b.asker.NextDonor(now, members); ok {
+		if to, ok := b.requester.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
-			b.asker.RecordResponse(now, to, false)
+			b.requester.RecordResponse(now, to, false)
 			asked++
 		}
 	}
-	d := newDuties(n, part{&chores{}, "n0"})
+	d := newLeasedTasks(n, loggingRunner{&taskLog{}, "n0"})
 	d.holder.SetWanted(0, map[lease.Task]bool{1: true, 2: true})
 	for now, sent := time.Duration(0), 0; sent < 6 && now < time.Minute; now += time.Microsecond {
 		q, ok := d.holder.Step(now)
@@ -338,12 +338,12 @@
 
 // A node that waits for its address has drawn nothing yet, so its source is as it was seeded.
 func TestGoldenNodeSeed(t *testing.T) {
-	taken, err := net.Listen("tcp", addr(95))
+	taken, err := net.Listen("tcp", memberAddress(95))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	n := start(t, file("f", key, 95, 96), 95, nil)
+	n := startNode(t, configJSON("f", testKey, 95, 96), 95, nil)
 	n.Close()
 	if got, want := n.rng.Uint64(), uint64(0x3d0110e9a8579436); got != want {
 		t.Errorf("first draw %#x, want %#x", got, want)
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -32,17 +32,17 @@
 	fieldLease       = 11 // the highest number of a lease that it knows of
 	fieldSent        = 10 // a beat's time by the sender's wall clock, ms since 1970
 
-	format      = 1
-	flagServing = 1
-	flagLeaving = 2
-	maxMessage  = 512
-	maxText     = 64
+	format             = 1
+	flagServing        = 1
+	flagLeaving        = 2
+	maxMemberInfoBytes = 512
+	maxStringBytes     = 64
 )
 
 var errFormat = errors.New("fleet: message of an unknown format")
 
-// encode is what a member says; sent is a beat's time, 0 for meta data.
-func encode(i membership.MemberInfo, sent int64) []byte {
+// encodeMemberInfo is what a member says; sent is a beat's time, 0 for meta data.
+func encodeMemberInfo(i membership.MemberInfo, sent int64) []byte {
 	number := func(b []byte, field protowire.Number, v uint64) []byte {
 		if v == 0 {
 			return b
@@ -50,7 +50,7 @@
 		return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 	}
 	text := func(b []byte, field protowire.Number, s string) []byte {
-		return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s[:min(len(s), maxText)])
+		return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s[:min(len(s), maxStringBytes)])
 	}
 	b := number(nil, fieldFormat, format)
 	b = text(b, fieldName, i.Name)
@@ -72,10 +72,10 @@
 	return number(b, fieldSent, uint64(sent))
 }
 
-// decode reads what a member says. Fields that are not known, or of another type than theirs, are passed over.
-func decode(b []byte) (i membership.MemberInfo, sent int64, err error) {
-	if len(b) > maxMessage {
-		return i, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMessage)
+// decodeMemberInfo reads what a member says. Fields that are not known, or of another type than theirs, are passed over.
+func decodeMemberInfo(b []byte) (i membership.MemberInfo, sent int64, err error) {
+	if len(b) > maxMemberInfoBytes {
+		return i, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMemberInfoBytes)
 	}
 	format := uint64(0)
 	for len(b) > 0 {
@@ -85,7 +85,7 @@
 		}
 		b = rest
 		field, kind, v, text := f.Number, f.Kind, f.Value, f.Bytes
-		if len(text) > maxText {
+		if len(text) > maxStringBytes {
 			continue
 		}
 		switch {
@@ -121,16 +121,16 @@
 
 // The kinds of message between members, by their first byte. One that is not known is passed over.
 const (
-	kindBeat       = 1
-	kindRequest    = 2
-	kindReply      = 3
-	kindResults    = 4
-	kindClaim      = 5 // of a part of the budgets
-	kindLoan       = 6
-	kindClaims     = 7 // of package claims, which reads it itself
-	kindAskBeliefs = 8
-	kindBeliefs    = 9 // empty: none
-	kindList       = 10
+	kindHeartbeat        = 1
+	kindLeaseRequest     = 2
+	kindLeaseReply       = 3
+	kindTaskResults      = 4
+	kindQuotaClaim       = 5 // of a part of the budgets
+	kindQuotaGrant       = 6
+	kindIdempotency      = 7 // of package claims, which reads it itself
+	kindBootstrapRequest = 8
+	kindLearnedState     = 9 // empty: none
+	kindEndpointDigest   = 10
 )
 
 // Fields of requests, replies and results. Claims and grants are packed as numbers in a row.
@@ -143,7 +143,7 @@
 	fieldGrants   = 6 // duty, asked, number, yes (1) or no (0), µs left, …
 	fieldResult   = 7 // duty, number, age in µs, data
 	fieldDemand   = 8 // thousandths of a request a second
-	fieldActs     = 9 // voter's place on the list, claim, …
+	fieldInForce  = 9 // voter's place on the list, claim, …
 	fieldLeaves   = 10
 	fieldPart     = 11 // of the whole, in units of partUnit
 	fieldBeliefs  = 12
@@ -154,7 +154,7 @@
 	partUnit   = 1e-12
 )
 
-func packed(b []byte, field protowire.Number, numbers []uint64) []byte {
+func appendPackedVarints(b []byte, field protowire.Number, numbers []uint64) []byte {
 	if len(numbers) == 0 {
 		return b
 	}
@@ -165,7 +165,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), in)
 }
 
-func unpack(b []byte) ([]uint64, error) {
+func unpackVarints(b []byte) ([]uint64, error) {
 	var out []uint64
 	for len(b) > 0 {
 		v, n := protowire.ConsumeVarint(b)
@@ -177,14 +177,14 @@
 	return out, nil
 }
 
-func heading(kind byte, seq uint64, from string, life uint64) []byte {
+func encodeHeader(kind byte, seq uint64, from string, life uint64) []byte {
 	b := protowire.AppendVarint(protowire.AppendTag([]byte{kind}, fieldSeq, protowire.VarintType), seq)
 	b = protowire.AppendString(protowire.AppendTag(b, fieldFrom, protowire.BytesType), from)
 	return protowire.AppendVarint(protowire.AppendTag(b, fieldLife, protowire.VarintType), life)
 }
 
-// encodeRequest makes packets of a request, each with a part of its claims.
-func encodeRequest(q lease.Request) (out [][]byte) {
+// encodeLeaseRequest makes packets of a request, each with a part of its claims.
+func encodeLeaseRequest(q lease.Request) (out [][]byte) {
 	numbers := func(claims []lease.Claim) (n []uint64) {
 		for _, c := range claims {
 			renew := uint64(0)
@@ -197,19 +197,19 @@
 	}
 	claims, releases := q.Claims, q.Releases
 	for len(claims) > 0 || len(releases) > 0 {
-		b := heading(kindRequest, q.Seq, q.From.Name, q.From.Incarnation)
+		b := encodeHeader(kindLeaseRequest, q.Seq, q.From.Name, q.From.Incarnation)
 		n := min(len(releases), claimsMost)
-		b = packed(b, fieldReleases, numbers(releases[:n]))
+		b = appendPackedVarints(b, fieldReleases, numbers(releases[:n]))
 		releases = releases[n:]
 		n = min(len(claims), claimsMost-n)
-		b = packed(b, fieldClaims, numbers(claims[:n]))
+		b = appendPackedVarints(b, fieldClaims, numbers(claims[:n]))
 		claims = claims[n:]
 		out = append(out, b)
 	}
 	return out
 }
 
-func encodeReply(r lease.Reply) []byte {
+func encodeLeaseReply(r lease.Reply) []byte {
 	var n []uint64
 	for _, g := range r.Grants {
 		yes := uint64(0)
@@ -218,12 +218,12 @@
 		}
 		n = append(n, uint64(g.Task), g.ClaimedToken, g.Token, yes, uint64(g.Remaining.Microseconds()))
 	}
-	return packed(heading(kindReply, r.Seq, r.Voter, r.To.Incarnation), fieldGrants, n)
+	return appendPackedVarints(encodeHeader(kindLeaseReply, r.Seq, r.Voter, r.To.Incarnation), fieldGrants, n)
 }
 
-// encodeClaim makes the packet of a claim; voters are all that the file names, in its order.
-func encodeClaim(c quota.Claim, voters []string) []byte {
-	b := heading(kindClaim, c.Seq, c.From.Name, c.From.Incarnation)
+// encodeQuotaClaim makes the packet of a claim; voters are all that the file names, in its order.
+func encodeQuotaClaim(c quota.Claim, voters []string) []byte {
+	b := encodeHeader(kindQuotaClaim, c.Seq, c.From.Name, c.From.Incarnation)
 	b = protowire.AppendVarint(protowire.AppendTag(b, fieldDemand, protowire.VarintType), uint64(c.Demand*1000))
 	if c.Leaving {
 		b = protowire.AppendVarint(protowire.AppendTag(b, fieldLeaves, protowire.VarintType), 1)
@@ -234,27 +234,27 @@
 			acts = append(acts, uint64(i), seq)
 		}
 	}
-	return packed(b, fieldActs, acts)
+	return appendPackedVarints(b, fieldInForce, acts)
 }
 
-// encodeLoan makes the packet of a loan; it goes to the life that claimed. The part is rounded down.
-func encodeLoan(l quota.Grant) []byte {
-	b := heading(kindLoan, l.Seq, l.Voter, l.To.Incarnation)
+// encodeQuotaGrant makes the packet of a loan; it goes to the life that claimed. The part is rounded down.
+func encodeQuotaGrant(l quota.Grant) []byte {
+	b := encodeHeader(kindQuotaGrant, l.Seq, l.Voter, l.To.Incarnation)
 	return protowire.AppendVarint(protowire.AppendTag(b, fieldPart, protowire.VarintType), uint64(l.Fraction/partUnit))
 }
 
-// encodeBeliefs makes a message of what a member knows.
-func encodeBeliefs(from string, told []byte) []byte {
-	b := heading(kindBeliefs, 0, from, 0)
+// encodeLearnedState makes a message of what a member knows.
+func encodeLearnedState(from string, told []byte) []byte {
+	b := encodeHeader(kindLearnedState, 0, from, 0)
 	if len(told) == 0 {
 		return b
 	}
 	return protowire.AppendBytes(protowire.AppendTag(b, fieldBeliefs, protowire.BytesType), told)
 }
 
-// encodeList makes a message of a member's list.
-func encodeList(from string, d tombstone.Digest) []byte {
-	b := heading(kindList, d.Version, from, 0)
+// encodeEndpointDigest makes a message of a member's list.
+func encodeEndpointDigest(from string, d tombstone.Digest) []byte {
+	b := encodeHeader(kindEndpointDigest, d.Version, from, 0)
 	for _, part := range []struct {
 		field  protowire.Number
 		hashes []uint64
@@ -268,15 +268,15 @@
 	return b
 }
 
-// encodeResults makes one packet of the first results, and returns the rest.
-func encodeResults(now time.Duration, results []result) (b []byte, rest []result) {
-	b = []byte{kindResults}
+// encodeTaskResults makes one packet of the first results, and returns the rest.
+func encodeTaskResults(now time.Duration, results []taskResult) (b []byte, rest []taskResult) {
+	b = []byte{kindTaskResults}
 	for i, r := range results {
-		in := protowire.AppendVarint(nil, uint64(r.duty))
-		in = protowire.AppendVarint(in, r.number)
+		in := protowire.AppendVarint(nil, uint64(r.task))
+		in = protowire.AppendVarint(in, r.token)
 		in = protowire.AppendVarint(in, uint64(max(now-r.at, 0).Microseconds()))
 		in = append(in, r.data...)
-		if i > 0 && len(b)+len(in)+4 > resultsMost {
+		if i > 0 && len(b)+len(in)+4 > maxResultsPacketBytes {
 			return b, results[i:]
 		}
 		b = protowire.AppendBytes(protowire.AppendTag(b, fieldResult, protowire.BytesType), in)
@@ -284,24 +284,24 @@
 	return b, nil
 }
 
-// message is what a packet of the kinds above says.
-type message struct {
-	seq, life        uint64
+// peerMessage is what a packet of the kinds above says.
+type peerMessage struct {
+	seq, incarnation uint64
 	from             string
 	claims, releases []lease.Claim
 	grants           []lease.Grant
-	results          []result
-	demand, part     float64
-	leaves           bool
-	acts             []uint64
-	beliefs          []byte
+	results          []taskResult
+	demand, fraction float64
+	leaving          bool
+	inForce          []uint64
+	learnedState     []byte
 	ready, draining  []uint64
 }
 
-// claim is the claim that a packet holds; voters are all that the file names.
-func (m *message) claim(voters []string) quota.Claim {
-	c := quota.Claim{From: quota.BorrowerID{Name: m.from, Incarnation: m.life}, Seq: m.seq, Demand: m.demand, Leaving: m.leaves, InForce: map[string]uint64{}}
-	for a := range slices.Chunk(m.acts, 2) {
+// quotaClaim is the quotaClaim that a packet holds; voters are all that the file names.
+func (m *peerMessage) quotaClaim(voters []string) quota.Claim {
+	c := quota.Claim{From: quota.BorrowerID{Name: m.from, Incarnation: m.incarnation}, Seq: m.seq, Demand: m.demand, Leaving: m.leaving, InForce: map[string]uint64{}}
+	for a := range slices.Chunk(m.inForce, 2) {
 		if a[0] < uint64(len(voters)) {
 			c.InForce[voters[a[0]]] = a[1]
 		}
@@ -313,7 +313,7 @@
 const maxAge = time.Hour
 
 // decodeMessage reads a packet behind its kind. now is when it came.
-func decodeMessage(b []byte, now time.Duration) (m message, err error) {
+func decodeMessage(b []byte, now time.Duration) (m peerMessage, err error) {
 	for len(b) > 0 {
 		f, rest, err := fields.Next(b)
 		if err != nil {
@@ -326,13 +326,13 @@
 			case fieldSeq:
 				m.seq = v
 			case fieldLife:
-				m.life = v
+				m.incarnation = v
 			case fieldDemand:
 				m.demand = float64(v) / 1000
 			case fieldLeaves:
-				m.leaves = v == 1
+				m.leaving = v == 1
 			case fieldPart:
-				m.part = float64(v) * partUnit
+				m.fraction = float64(v) * partUnit
 			}
 			continue
 		}
@@ -341,12 +341,12 @@
 		}
 		switch field {
 		case fieldFrom:
-			if len(text) > maxText {
+			if len(text) > maxStringBytes {
 				return m, errFormat
 			}
 			m.from = string(text)
 		case fieldClaims, fieldReleases:
-			numbers, err := unpack(text)
+			numbers, err := unpackVarints(text)
 			if err != nil || len(numbers)%2 != 0 {
 				return m, errFormat
 			}
@@ -358,7 +358,7 @@
 				}
 			}
 		case fieldGrants:
-			numbers, err := unpack(text)
+			numbers, err := unpackVarints(text)
 			if err != nil || len(numbers)%5 != 0 {
 				return m, errFormat
 			}
@@ -370,7 +370,7 @@
 			if len(text) > beliefsMost {
 				return m, errFormat
 			}
-			m.beliefs = slices.Clone(text)
+			m.learnedState = slices.Clone(text)
 		case fieldReady, fieldDraining:
 			if len(text)%8 != 0 || len(text) > 8*tombstone.MaxReplicas {
 				return m, errFormat
@@ -384,8 +384,8 @@
 			} else {
 				m.draining = hashes
 			}
-		case fieldActs:
-			if m.acts, err = unpack(text); err != nil || len(m.acts)%2 != 0 {
+		case fieldInForce:
+			if m.inForce, err = unpackVarints(text); err != nil || len(m.inForce)%2 != 0 {
 				return m, errFormat
 			}
 		case fieldResult:
@@ -397,10 +397,10 @@
 				}
 				v[i], text = x, text[n:]
 			}
-			if len(text) > maxPayload || v[2] > uint64(maxAge.Microseconds()) {
+			if len(text) > maxResultBytes || v[2] > uint64(maxAge.Microseconds()) {
 				return m, errFormat
 			}
-			m.results = append(m.results, result{lease.Task(v[0]), v[1], now - time.Duration(v[2])*time.Microsecond, slices.Clone(text)})
+			m.results = append(m.results, taskResult{lease.Task(v[0]), v[1], now - time.Duration(v[2])*time.Microsecond, slices.Clone(text)})
 		}
 	}
 	return m, nil
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -80,24 +80,24 @@
 
 // Node is this process in the fleet. Its goroutines stop by Close.
 type Node struct {
-	cfg   *Config
-	self  Self
-	start time.Time // of the clock that only advances
-	wall  time.Time // at the start
-	list  *memberlist.Memberlist
-	rng   *rand.Rand // only run uses it
-	bad   atomic.Int64
-	view  atomic.Pointer[membership.View]
-	left  atomic.Bool
-	up    atomic.Bool // list is there
-	skews sync.Map    // name -> time.Duration, by the last beat
-	done  chan struct{}
-	stop  context.CancelFunc
-
-	duties  *duties  // nil: none
-	shares  *shares  // nil: none
-	beliefs *beliefs // nil: none
-	ends    *ends    // nil: none
+	cfg        *Config
+	self       Self
+	start      time.Time // of the clock that only advances
+	wall       time.Time // at the start
+	gossip     *memberlist.Memberlist
+	rng        *rand.Rand // only run uses it
+	bad        atomic.Int64
+	view       atomic.Pointer[membership.View]
+	left       atomic.Bool
+	joined     atomic.Bool // list is there
+	clockSkews sync.Map    // name -> time.Duration, by the last beat
+	done       chan struct{}
+	stop       context.CancelFunc
+
+	duties  *leasedTasks  // nil: none
+	shares  *shares       // nil: none
+	beliefs *bootstrapper // nil: none
+	ends    *endpointSync // nil: none
 
 	stragglers *stragglers // nil: nobody is judged
 	failed     func(error)
@@ -127,16 +127,16 @@
 	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: cycle, SuspectAfter: 3, MaxTickGap: gap}, n.now())
 	n.publish()
 	if self.Tasks != nil && len(cfg.Voters) > 0 {
-		n.duties = newDuties(n, self.Tasks)
+		n.duties = newLeasedTasks(n, self.Tasks)
 	}
 	if self.Quota != nil && cfg.Budgets != nil {
 		n.shares = newShares(n, self.Quota)
 	}
 	if self.LearnedState != nil && cfg.Bootstrap {
-		n.beliefs = newBeliefs(n, self.LearnedState)
+		n.beliefs = newBootstrapper(n, self.LearnedState)
 	}
 	if self.EndpointFilter != nil && cfg.EndpointFilter {
-		n.ends = &ends{node: n, lists: self.EndpointFilter, calls: map[string]bool{}}
+		n.ends = &endpointSync{node: n, filter: self.EndpointFilter, calls: map[string]bool{}}
 	}
 	if self.VersionSkew != nil && cfg.VersionSkew != nil {
 		n.stragglers = newStragglers(n, self.VersionSkew)
@@ -186,11 +186,11 @@
 	m.Logger = logger
 	// A name that was given up may come back at once, from wherever the list says that it is.
 	m.DeadNodeReclaimTime = time.Millisecond
-	if n.list, err = memberlist.Create(m); err != nil {
+	if n.gossip, err = memberlist.Create(m); err != nil {
 		t.Shutdown()
 		return fmt.Errorf("fleet: %w", err)
 	}
-	n.up.Store(true)
+	n.joined.Store(true)
 	return nil
 }
 
@@ -199,7 +199,7 @@
 
 // waitOpen returns once the node is up, or false at the context's end.
 func (n *Node) waitOpen(ctx context.Context) bool {
-	for !n.up.Load() {
+	for !n.joined.Load() {
 		select {
 		case <-time.After(reopenEvery):
 		case <-ctx.Done():
@@ -243,8 +243,8 @@
 	n.view.Store(&v)
 }
 
-// hear gives the table an event.
-func (n *Node) hear(f func(t *membership.Table, now time.Duration)) {
+// updateTable gives the table an event.
+func (n *Node) updateTable(f func(t *membership.Table, now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(n.table, n.now())
@@ -262,7 +262,7 @@
 	others := n.others()
 	n.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for _, to := range others[:min(firstCalls, len(others))] {
-		go n.list.Join([]string{to}) // one that is not there yet is called upon later
+		go n.gossip.Join([]string{to}) // one that is not there yet is called upon later
 	}
 	var steps []func(time.Duration)
 	if n.duties != nil {
@@ -284,7 +284,7 @@
 	defer work.Wait()
 	for _, step := range steps {
 		work.Go(func() {
-			t := time.NewTicker(dutyTick)
+			t := time.NewTicker(componentInterval)
 			defer t.Stop()
 			for {
 				select {
@@ -313,7 +313,7 @@
 		n.publish()
 		n.mu.Unlock()
 		if n.refresh() {
-			n.list.UpdateNode(leaveWait) // told by gossip; a time-out here loses nothing
+			n.gossip.UpdateNode(leaveWait) // told by gossip; a time-out here loses nothing
 		}
 		if now >= nextBeat {
 			nextBeat = now + beatEvery
@@ -344,8 +344,8 @@
 	return told
 }
 
-// sign is a beat's message.
-func (n *Node) sign() []byte {
+// encodeHeartbeat is a beat's message.
+func (n *Node) encodeHeartbeat() []byte {
 	number := uint64(0)
 	if n.duties != nil {
 		number = n.duties.most()
@@ -354,24 +354,24 @@
 	defer n.mu.Unlock()
 	told := n.info
 	told.HighestToken = number // in beats only: it changes often
-	return append([]byte{kindBeat}, encode(told, time.Now().UnixMilli())...)
+	return append([]byte{kindHeartbeat}, encodeMemberInfo(told, time.Now().UnixMilli())...)
 }
 
 // send sends a message to a member by one datagram, which may get lost as any other. Its address is the list's: the nodes that memberlist hands out change
 // under the reader.
 func (n *Node) send(name string, msg []byte) {
 	if addr := n.cfg.address(name); addr != "" {
-		n.list.SendToAddress(memberlist.Address{Addr: addr, Name: name}, msg)
+		n.gossip.SendToAddress(memberlist.Address{Addr: addr, Name: name}, msg)
 	}
 }
 
 // SendIdempotency sends a message of package claims to a member. A large one goes by a call, the others by a datagram; either may
 // get lost.
 func (n *Node) SendIdempotency(name string, message []byte, large bool) {
-	if !n.up.Load() {
+	if !n.joined.Load() {
 		return
 	}
-	message = append([]byte{kindClaims}, message...)
+	message = append([]byte{kindIdempotency}, message...)
 	if !large {
 		n.send(name, message)
 		return
@@ -386,14 +386,14 @@
 		return // a name that is not on the list
 	}
 	to := &memberlist.Node{Name: name, Addr: at.Addr().AsSlice(), Port: at.Port()}
-	if err := n.list.SendReliable(to, message); err != nil {
+	if err := n.gossip.SendReliable(to, message); err != nil {
 		slog.Debug("fleet_call", "to", name, "err", err)
 	}
 }
 
 // beat sends a sign of life to the next of the members that are there.
 func (n *Node) beat(at int) int {
-	msg, there := n.sign(), n.there()
+	msg, there := n.encodeHeartbeat(), n.there()
 	for range min(fanout, len(there)) {
 		at = (at + 1) % len(there)
 		n.send(there[at], msg)
@@ -428,12 +428,12 @@
 		return
 	}
 	to := missing[n.rng.IntN(len(missing))]
-	go n.list.Join([]string{to}) // it waits for a connection; one that is not there costs TCPTimeout
+	go n.gossip.Join([]string{to}) // it waits for a connection; one that is not there costs TCPTimeout
 }
 
 // Leave tells the others that this process goes. It waits a short time for them to hear it.
 func (n *Node) Leave() {
-	if n.left.Swap(true) || !n.up.Load() {
+	if n.left.Swap(true) || !n.joined.Load() {
 		return
 	}
 	if n.duties != nil {
@@ -450,13 +450,13 @@
 	n.mu.Unlock()
 	// By gossip the news that it is gone may overtake the news that it goes, so it says goodbye to each as well.
 	for range goodbyes {
-		msg := n.sign()
+		msg := n.encodeHeartbeat()
 		for _, name := range there {
 			n.send(name, msg)
 		}
 		time.Sleep(goodbyeWait)
 	}
-	if err := n.list.Leave(leaveWait); err != nil {
+	if err := n.gossip.Leave(leaveWait); err != nil {
 		slog.Warn("fleet_leave", "err", err)
 	}
 }
@@ -465,10 +465,10 @@
 func (n *Node) Close() {
 	n.stop()
 	<-n.done
-	if !n.up.Swap(false) {
+	if !n.joined.Swap(false) {
 		return
 	}
-	if err := n.list.Shutdown(); err != nil {
+	if err := n.gossip.Shutdown(); err != nil {
 		slog.Warn("fleet_close", "err", err)
 	}
 }
@@ -477,7 +477,7 @@
 func (n *Node) NodeMeta(limit int) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := encode(n.info, 0)
+	b := encodeMemberInfo(n.info, 0)
 	return b[:min(len(b), limit)] // fields are bounded so that it always fits
 }
 
@@ -487,14 +487,14 @@
 		n.bad.Add(1)
 		return
 	}
-	if b[0] == kindBeat {
+	if b[0] == kindHeartbeat {
 		n.beaten(b[1:])
 		return
 	}
-	if !n.up.Load() {
+	if !n.joined.Load() {
 		return
 	}
-	if b[0] == kindClaims {
+	if b[0] == kindIdempotency {
 		if n.self.HandleIdempotency != nil {
 			n.self.HandleIdempotency(b[1:])
 		}
@@ -507,42 +507,42 @@
 	}
 	stranger := m.from == n.self.Name || n.cfg.address(m.from) == ""
 	switch kind := b[0]; {
-	case (kind == kindRequest || kind == kindClaim || kind == kindAskBeliefs || kind == kindBeliefs || kind == kindList) && stranger:
+	case (kind == kindLeaseRequest || kind == kindQuotaClaim || kind == kindBootstrapRequest || kind == kindLearnedState || kind == kindEndpointDigest) && stranger:
 		n.bad.Add(1)
-	case kind == kindRequest && n.duties != nil:
-		n.duties.answer(lease.Request{Seq: m.seq, From: lease.Candidate{Name: m.from, Incarnation: m.life}, Claims: m.claims, Releases: m.releases})
-	case kind == kindReply && n.duties != nil:
+	case kind == kindLeaseRequest && n.duties != nil:
+		n.duties.answer(lease.Request{Seq: m.seq, From: lease.Candidate{Name: m.from, Incarnation: m.incarnation}, Claims: m.claims, Releases: m.releases})
+	case kind == kindLeaseReply && n.duties != nil:
 		n.duties.mu.Lock()
-		n.duties.holder.HandleReply(n.now(), lease.Reply{Seq: m.seq, To: lease.Candidate{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Grants: m.grants})
+		n.duties.holder.HandleReply(n.now(), lease.Reply{Seq: m.seq, To: lease.Candidate{Name: n.self.Name, Incarnation: m.incarnation}, Voter: m.from, Grants: m.grants})
 		n.duties.mu.Unlock()
-	case kind == kindResults && n.duties != nil:
+	case kind == kindTaskResults && n.duties != nil:
 		n.duties.take(m.results, false)
-	case kind == kindClaim && n.shares != nil:
-		n.shares.answer(m.claim(n.cfg.Voters))
-	case kind == kindAskBeliefs && n.beliefs != nil:
+	case kind == kindQuotaClaim && n.shares != nil:
+		n.shares.answer(m.quotaClaim(n.cfg.Voters))
+	case kind == kindBootstrapRequest && n.beliefs != nil:
 		go n.beliefs.answer(m.from) // it asks the core
-	case kind == kindBeliefs && n.beliefs != nil:
-		go n.beliefs.take(m.from, m.beliefs)
-	case kind == kindList && n.ends != nil:
-		n.ends.lists.UpdatePeer(m.from, tombstone.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
-	case kind == kindLoan && n.shares != nil:
-		n.shares.take(quota.Grant{To: quota.BorrowerID{Name: n.self.Name, Incarnation: m.life}, Voter: m.from, Seq: m.seq, Fraction: m.part})
+	case kind == kindLearnedState && n.beliefs != nil:
+		go n.beliefs.take(m.from, m.learnedState)
+	case kind == kindEndpointDigest && n.ends != nil:
+		n.ends.filter.UpdatePeer(m.from, tombstone.Digest{Version: m.seq, Ready: m.ready, Draining: m.draining})
+	case kind == kindQuotaGrant && n.shares != nil:
+		n.shares.take(quota.Grant{To: quota.BorrowerID{Name: n.self.Name, Incarnation: m.incarnation}, Voter: m.from, Seq: m.seq, Fraction: m.fraction})
 	}
 }
 
 func (n *Node) beaten(b []byte) {
-	i, sent, err := decode(b)
+	i, sent, err := decodeMemberInfo(b)
 	if err != nil {
 		n.bad.Add(1)
 		return
 	}
 	if sent > 0 && n.cfg.address(i.Name) != "" {
-		n.skews.Store(i.Name, time.Until(time.UnixMilli(sent)))
+		n.clockSkews.Store(i.Name, time.Until(time.UnixMilli(sent)))
 	}
 	if n.duties != nil {
-		n.duties.raise(i.HighestToken)
+		n.duties.observeToken(i.HighestToken)
 	}
-	n.hear(func(t *membership.Table, now time.Duration) { t.Heartbeat(i, now) })
+	n.updateTable(func(t *membership.Table, now time.Duration) { t.Heartbeat(i, now) })
 }
 
 // GetBroadcasts implements memberlist.Delegate; beats go straight to their receivers.
@@ -596,7 +596,7 @@
 
 // member reads what a node tells of itself.
 func (n *Node) member(node *memberlist.Node) (membership.MemberInfo, bool) {
-	i, _, err := decode(node.Meta)
+	i, _, err := decodeMemberInfo(node.Meta)
 	if err != nil || i.Name != node.Name {
 		n.bad.Add(1)
 		return i, false
@@ -607,7 +607,7 @@
 // NotifyJoin implements memberlist.EventDelegate.
 func (n *Node) NotifyJoin(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *membership.Table, now time.Duration) { t.MarkJoined(i, now) })
+		n.updateTable(func(t *membership.Table, now time.Duration) { t.MarkJoined(i, now) })
 	}
 }
 
@@ -617,14 +617,14 @@
 // NotifyLeave implements memberlist.EventDelegate.
 func (n *Node) NotifyLeave(node *memberlist.Node) {
 	if i, ok := n.member(node); ok {
-		n.hear(func(t *membership.Table, now time.Duration) { t.MarkLost(i.Name, i.Incarnation, now) })
+		n.updateTable(func(t *membership.Table, now time.Duration) { t.MarkLost(i.Name, i.Incarnation, now) })
 	}
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: the other is passed over.
 func (n *Node) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("fleet_conflict", "name", existing.Name, "address", existing.Address(), "other", other.Address())
-	n.hear(func(t *membership.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
+	n.updateTable(func(t *membership.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
 }
 
 // NotifyMerge implements memberlist.MergeDelegate: two processes of one name do not meet in one fleet.
@@ -715,7 +715,7 @@
 		if m.Incarnation > 0 {
 			s.Started = m.Started.UTC().Format(time.RFC3339)
 		}
-		if skew, ok := n.skews.Load(m.Name); ok {
+		if skew, ok := n.clockSkews.Load(m.Name); ok {
 			s.SkewMS = skew.(time.Duration).Milliseconds()
 		}
 		out.Members = append(out.Members, s)
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -97,7 +97,7 @@
 	if !claims {
 		return
 	}
-	packet := encodeClaim(c, s.node.cfg.Voters)
+	packet := encodeQuotaClaim(c, s.node.cfg.Voters)
 	for _, voter := range s.node.cfg.Voters {
 		if voter != s.node.self.Name {
 			s.node.send(voter, packet)
@@ -138,7 +138,7 @@
 // answer answers another member's claim.
 func (s *shares) answer(c quota.Claim) {
 	if l, ok := s.lend(c); ok {
-		s.node.send(c.From.Name, encodeLoan(l))
+		s.node.send(c.From.Name, encodeQuotaGrant(l))
 	}
 }
 
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	defaultTerm = 1200 * time.Millisecond
-	dutyTick    = 50 * time.Millisecond
-	flushEvery  = 2 * dutyTick // at the least
+	defaultTerm       = 1200 * time.Millisecond
+	componentInterval = 50 * time.Millisecond
+	flushEvery        = 2 * componentInterval // at the least
 	// One that stands by claims a duty that it has heard nothing of for a term and this.
 	standbyGrace = 100 * time.Millisecond
 	// And gives it back to the owner after so many terms, where that one counts again.
-	standbyTerms = 8
-	resultsMost  = 1200     // bytes of results in a packet
-	resultBytes  = 64 << 10 // that a member sends in a second, to all together
-	maxPayload   = 64
-	forgetAfter  = time.Minute
+	standbyTerms          = 8
+	maxResultsPacketBytes = 1200     // bytes of results in a packet
+	resultBytes           = 64 << 10 // that a member sends in a second, to all together
+	maxResultBytes        = 64
+	forgetAfter           = time.Minute
 )
 
 // TaskRunner is what the fleet does in turn. Its methods may be called from several goroutines; Duties, Every and Told must not
@@ -72,15 +72,15 @@
 	Bytes       int64        `json:"bytes"`
 }
 
-// duties carries out the fleet's work: it claims what the view says is this member's, votes if it is a voter, acts
+// leasedTasks carries out the fleet's work: it claims what the view says is this member's, votes if it is a voter, acts
 // under its leases and spreads what was found.
-type duties struct {
-	node   *Node
-	work   TaskRunner
-	limits lease.Limits
-	acts   atomic.Int64
-	late   atomic.Int64
-	bytes  atomic.Int64
+type leasedTasks struct {
+	node       *Node
+	work       TaskRunner
+	limits     lease.Limits
+	executions atomic.Int64
+	late       atomic.Int64
+	bytes      atomic.Int64
 
 	mu         sync.Mutex
 	holder     *lease.Holder
@@ -93,7 +93,7 @@
 	next       map[lease.Task]time.Duration
 	heard      map[lease.Task]time.Duration // the last result
 	standing   map[lease.Task]time.Duration // held for another since
-	out        map[lease.Task]result        // to be sent, the latest of each
+	out        map[lease.Task]taskResult    // to be sent, the latest of each
 	flushed    time.Duration
 	budget     float64
 	forgotten  time.Duration
@@ -101,20 +101,20 @@
 	ended      bool // this process goes
 }
 
-// result is a Found on its way.
-type result struct {
-	duty   lease.Task
-	number uint64
-	at     time.Duration // by this process's clock
-	data   []byte
+// taskResult is a Found on its way.
+type taskResult struct {
+	task  lease.Task
+	token uint64
+	at    time.Duration // by this process's clock
+	data  []byte
 }
 
-func newDuties(n *Node, work TaskRunner) *duties {
+func newLeasedTasks(n *Node, work TaskRunner) *leasedTasks {
 	c := n.cfg
 	limits := lease.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6}
 	rng := rand.New(rand.NewPCG(n.self.Seed, 0x1ea5e))
-	d := &duties{node: n, work: work, limits: limits, next: map[lease.Task]time.Duration{}, heard: map[lease.Task]time.Duration{},
-		standing: map[lease.Task]time.Duration{}, out: map[lease.Task]result{}, names: map[lease.Task]string{}, budget: resultBytes}
+	d := &leasedTasks{node: n, work: work, limits: limits, next: map[lease.Task]time.Duration{}, heard: map[lease.Task]time.Duration{},
+		standing: map[lease.Task]time.Duration{}, out: map[lease.Task]taskResult{}, names: map[lease.Task]string{}, budget: resultBytes}
 	d.holder = lease.NewHolder(lease.Candidate{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, c.Voters, limits, rng.Int64N)
 	d.holder.ObserveToken(n.self.TokenFloor)
 	if slices.Contains(c.Voters, n.self.Name) {
@@ -124,22 +124,22 @@
 }
 
 // most is the highest number of a lease that this member knows of.
-func (d *duties) most() uint64 {
+func (d *leasedTasks) most() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(d.fence.HighestToken(), d.holder.HighestToken())
 }
 
-// raise takes the highest number that another knows of, so that one that starts grants and claims no lower ones: while it may
+// observeToken takes the highest number that another knows of, so that one that starts grants and claims no lower ones: while it may
 // not vote yet it hears of them.
-func (d *duties) raise(number uint64) {
+func (d *leasedTasks) observeToken(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.holder.ObserveToken(number)
 }
 
 // step is one look at what is to be claimed, done and sent.
-func (d *duties) step(now time.Duration) {
+func (d *leasedTasks) step(now time.Duration) {
 	v := d.node.View()
 	d.mu.Lock()
 	d.assign(now, v)
@@ -182,7 +182,7 @@
 }
 
 // end gives up all that is held: this process goes, and others may go on at once.
-func (d *duties) end() {
+func (d *leasedTasks) end() {
 	d.mu.Lock()
 	d.ended = true
 	d.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // assign works out whose each duty is, when the duties or those who count have changed; the caller holds the lock.
-func (d *duties) assign(now time.Duration, v membership.View) {
+func (d *leasedTasks) assign(now time.Duration, v membership.View) {
 	names := d.work.Names()
 	slices.Sort(names)
 	var members []string
@@ -226,7 +226,7 @@
 
 // wants are the duties that are this member's, and those that it stands by for and that seem to have lapsed; the caller
 // holds the lock.
-func (d *duties) wants(now time.Duration) map[lease.Task]bool {
+func (d *leasedTasks) wants(now time.Duration) map[lease.Task]bool {
 	out := map[lease.Task]bool{}
 	if d.ended || d.node.stragglers != nil && d.node.stragglers.restricted.Load() {
 		return out
@@ -257,8 +257,8 @@
 }
 
 // ask sends a request to all voters.
-func (d *duties) ask(q lease.Request) {
-	packets := encodeRequest(q)
+func (d *leasedTasks) ask(q lease.Request) {
+	packets := encodeLeaseRequest(q)
 	for _, voter := range d.node.cfg.Voters {
 		if voter == d.node.self.Name {
 			d.answer(q)
@@ -271,7 +271,7 @@
 }
 
 // answer answers a request as a voter.
-func (d *duties) answer(q lease.Request) {
+func (d *leasedTasks) answer(q lease.Request) {
 	d.mu.Lock()
 	if d.voter == nil {
 		d.mu.Unlock()
@@ -286,12 +286,12 @@
 	}
 	d.mu.Unlock()
 	if len(r.Grants) > 0 {
-		d.node.send(q.From.Name, encodeReply(r))
+		d.node.send(q.From.Name, encodeLeaseReply(r))
 	}
 }
 
 // act carries out one duty, if the lease still runs at this very time.
-func (d *duties) act(duty lease.Task) {
+func (d *leasedTasks) act(duty lease.Task) {
 	d.mu.Lock()
 	name := d.names[duty]
 	now := d.node.now()
@@ -300,31 +300,31 @@
 	if !ok || name == "" {
 		return
 	}
-	d.acts.Add(1)
+	d.executions.Add(1)
 	d.work.Run(name, number, func(found []byte) {
-		if found != nil && len(found) <= maxPayload {
-			d.take([]result{{duty, number, d.node.now(), found}}, true)
+		if found != nil && len(found) <= maxResultBytes {
+			d.take([]taskResult{{duty, number, d.node.now(), found}}, true)
 		}
 	})
 }
 
 // take takes results, of which those of leases that others have followed are passed over. Own ones go to the others.
-func (d *duties) take(results []result, own bool) {
+func (d *leasedTasks) take(results []taskResult, own bool) {
 	var news []TaskResult
 	now := d.node.now()
 	d.mu.Lock()
 	for _, r := range results {
-		name, ok := d.names[r.duty]
+		name, ok := d.names[r.task]
 		if !ok {
 			continue // a duty that is not known here, or no more
 		}
-		if !d.fence.Accept(now, r.duty, r.number) {
+		if !d.fence.Accept(now, r.task, r.token) {
 			d.late.Add(1)
 			continue
 		}
-		d.heard[r.duty] = now
+		d.heard[r.task] = now
 		if own {
-			d.out[r.duty] = r
+			d.out[r.task] = r
 		}
 		news = append(news, TaskResult{name, r.data, max(now-r.at, 0)})
 	}
@@ -341,7 +341,7 @@
 }
 
 // flush makes packets of the results that wait, within the budget of bytes; the caller holds the lock.
-func (d *duties) flush(now time.Duration) (out []packet) {
+func (d *leasedTasks) flush(now time.Duration) (out []packet) {
 	// In a large fleet results wait longer, so that the packets of a second stay bounded.
 	every := max(flushEvery, time.Duration(len(d.members))*2*time.Millisecond)
 	if now-d.flushed < every || len(d.out) == 0 {
@@ -349,12 +349,12 @@
 	}
 	d.budget = min(d.budget+resultBytes*(now-d.flushed).Seconds(), resultBytes)
 	d.flushed = now
-	waiting := slices.SortedFunc(maps.Values(d.out), func(a, b result) int { return int(a.at - b.at) })
+	waiting := slices.SortedFunc(maps.Values(d.out), func(a, b taskResult) int { return int(a.at - b.at) })
 	clear(d.out)
 	var messages [][]byte
 	for len(waiting) > 0 {
 		var m []byte
-		m, waiting = encodeResults(now, waiting)
+		m, waiting = encodeTaskResults(now, waiting)
 		messages = append(messages, m)
 	}
 	for _, m := range messages {
@@ -374,12 +374,12 @@
 }
 
 // status is what operators are shown.
-func (d *duties) status() TasksStatus {
+func (d *leasedTasks) status() TasksStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.node.now()
 	s := TasksStatus{Self: d.node.self.Name, Voters: d.node.cfg.Voters, Recovering: d.voter != nil && d.voter.Recovering(now),
-		Executions: d.acts.Load(), LateResults: d.late.Load(), Bytes: d.bytes.Load()}
+		Executions: d.executions.Load(), LateResults: d.late.Load(), Bytes: d.bytes.Load()}
 	held := map[lease.Task]lease.Lease{}
 	for _, h := range d.holder.Leases(now) {
 		held[h.Task] = h
