--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -23,9 +23,8 @@
 	// olderBy is by how much another must have started earlier to count as one that knows.
 	olderBy = 3 * time.Second
 	// knowsAfter is how long a process has to live until it knows something, if nobody has told it.
-	knowsAfter  = 3 * time.Second
-	tellWait    = time.Second
-	beliefsMost = 1 << 20
+	knowsAfter = 3 * time.Second
+	tellWait   = time.Second
 )
 
 // bootstrapper asks others for what they know after this process's start, and tells those that ask.
@@ -70,7 +69,7 @@
 	to, ok := b.requester.NextDonor(now, members)
 	b.mu.Unlock()
 	if ok {
-		b.node.send(to, encodeHeader(kindBootstrapRequest, 0, self.Name, uint64(b.node.wall.UnixNano())))
+		b.node.send(to, encodeBootstrapRequest(self.Name, uint64(b.node.wall.UnixNano())))
 	}
 }
 
@@ -83,7 +82,7 @@
 	if gives {
 		ctx, cancel := context.WithTimeout(context.Background(), tellWait)
 		defer cancel()
-		if told, ok := b.knows.Tell(ctx); ok && len(told) <= beliefsMost {
+		if told, ok := b.knows.Tell(ctx); ok && len(told) <= maxLearnedStateBytes {
 			b.given.Add(1)
 			b.node.call(from, encodeLearnedState(b.node.self.Name, told))
 			return
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -114,7 +114,7 @@
 		{"share-claim.hex", 5, encodeQuotaClaim(claim, goldenVoters),
 			peerMessage{seq: 5, from: "n1", incarnation: 1003, demand: 51.25, leaving: true, inForce: []uint64{0, 52, 2, 53}}},
 		{"share-loan.hex", 6, encodeQuotaGrant(loan), peerMessage{seq: 6, from: "v2", incarnation: 1004, fraction: 0.0625}},
-		{"beliefs-question.hex", 8, encodeHeader(kindBootstrapRequest, 0, "n1", 1005), peerMessage{from: "n1", incarnation: 1005}},
+		{"beliefs-question.hex", 8, encodeBootstrapRequest("n1", 1005), peerMessage{from: "n1", incarnation: 1005}},
 		{"beliefs-answer.hex", 9, encodeLearnedState("n1", []byte("told")), peerMessage{from: "n1", learnedState: []byte("told")}},
 		{"beliefs-answer-empty.hex", 9, encodeLearnedState("n1", nil), peerMessage{from: "n1"}},
 		{"list.hex", 10, encodeEndpointDigest("n1", digest), peerMessage{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
--- /dev/null
+++ b/internal/fleet/message_bootstrap.go
@@ -0,0 +1,33 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+
+	"rampspread/internal/fields"
+)
+
+// maxLearnedStateBytes bounds the learned state that one member sends to another.
+const maxLearnedStateBytes = 1 << 20
+
+// encodeBootstrapRequest makes a request for a donor's learned state.
+func encodeBootstrapRequest(from string, incarnation uint64) []byte {
+	return encodeHeader(kindBootstrapRequest, 0, from, incarnation)
+}
+
+// encodeLearnedState makes the response to a bootstrap request; an empty state declines it.
+func encodeLearnedState(from string, state []byte) []byte {
+	b := encodeHeader(kindLearnedState, 0, from, 0)
+	if len(state) == 0 {
+		return b
+	}
+	return fields.Bytes(b, fieldLearnedState, state)
+}
+
+func decodeLearnedState(m *peerMessage, f fields.Field, _ time.Duration) error {
+	if len(f.Bytes) > maxLearnedStateBytes {
+		return errFormat
+	}
+	m.learnedState = slices.Clone(f.Bytes)
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/message_endpoints.go
@@ -0,0 +1,50 @@
+package fleet
+
+import (
+	"encoding/binary"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"rampspread/internal/fields"
+	"rampspread/internal/fleet/tombstone"
+)
+
+const hashBytes = 8
+
+// encodeEndpointDigest makes a message of the digest of a member's endpoint list.
+func encodeEndpointDigest(from string, digest tombstone.Digest) []byte {
+	b := encodeHeader(kindEndpointDigest, digest.Version, from, 0)
+	b = appendHashes(b, fieldReady, digest.Ready)
+	return appendHashes(b, fieldDraining, digest.Draining)
+}
+
+func appendHashes(b []byte, field protowire.Number, hashes []uint64) []byte {
+	encoded := make([]byte, 0, hashBytes*len(hashes))
+	for _, h := range hashes {
+		encoded = binary.LittleEndian.AppendUint64(encoded, h)
+	}
+	return fields.Bytes(b, field, encoded)
+}
+
+func decodeReady(m *peerMessage, f fields.Field, _ time.Duration) (err error) {
+	m.ready, err = decodeHashes(f.Bytes)
+	return err
+}
+
+func decodeDraining(m *peerMessage, f fields.Field, _ time.Duration) (err error) {
+	m.draining, err = decodeHashes(f.Bytes)
+	return err
+}
+
+func decodeHashes(b []byte) ([]uint64, error) {
+	if len(b)%hashBytes != 0 || len(b) > hashBytes*tombstone.MaxReplicas {
+		return nil, errFormat
+	}
+	hashes := make([]uint64, 0, len(b)/hashBytes)
+	for h := range slices.Chunk(b, hashBytes) {
+		hashes = append(hashes, binary.LittleEndian.Uint64(h))
+	}
+	return hashes, nil
+}
--- /dev/null
+++ b/internal/fleet/message_member.go
@@ -0,0 +1,136 @@
+package fleet
+
+import (
+	"fmt"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"rampspread/internal/fields"
+	"rampspread/internal/fleet/membership"
+)
+
+// A member's info is protobuf, so that a later program may add fields; unknown ones are ignored. It is in memberlist's
+// metadata (at most 512 bytes) and, with the time of sending and a fencing token, in the heartbeat that each member
+// sends to a few others.
+const (
+	infoFormat       = 1
+	infoName         = 2
+	infoZone         = 3
+	infoIncarnation  = 4
+	infoStarted      = 5 // ms since 1970
+	infoVersion      = 6
+	infoSettings     = 7
+	infoListVersion  = 8
+	infoFlags        = 9
+	infoSent         = 10 // when a heartbeat was sent, by the sender's wall clock, ms since 1970
+	infoHighestToken = 11 // the highest fencing token that the member knows of
+
+	infoFieldCount = infoHighestToken + 1
+
+	memberInfoFormat   = 1
+	flagServing        = 1
+	flagLeaving        = 2
+	maxMemberInfoBytes = 512
+	maxStringBytes     = 64
+	maxUnixMillis      = 1 << 52 // later times are decoded as this one
+)
+
+// encodeMemberInfo encodes a member's info. sent is the time of a heartbeat in ms since 1970; 0: metadata.
+func encodeMemberInfo(info membership.MemberInfo, sent int64) []byte {
+	b := appendNonZero(nil, infoFormat, memberInfoFormat)
+	b = appendTruncated(b, infoName, info.Name)
+	b = appendTruncated(b, infoZone, info.Zone)
+	b = appendNonZero(b, infoIncarnation, info.Incarnation)
+	b = appendNonZero(b, infoStarted, uint64(info.Started.UnixMilli()))
+	b = appendTruncated(b, infoVersion, info.Version)
+	b = protowire.AppendFixed64(protowire.AppendTag(b, infoSettings, protowire.Fixed64Type), info.Settings)
+	b = appendNonZero(b, infoListVersion, info.ListVersion)
+	flags := uint64(0)
+	if info.Serving {
+		flags |= flagServing
+	}
+	if info.Leaving {
+		flags |= flagLeaving
+	}
+	b = appendNonZero(b, infoFlags, flags)
+	b = appendNonZero(b, infoHighestToken, info.HighestToken)
+	return appendNonZero(b, infoSent, uint64(sent))
+}
+
+func appendNonZero(b []byte, field protowire.Number, v uint64) []byte {
+	if v == 0 {
+		return b
+	}
+	return fields.Varint(b, field, v)
+}
+
+func appendTruncated(b []byte, field protowire.Number, s string) []byte {
+	return appendString(b, field, s[:min(len(s), maxStringBytes)])
+}
+
+// memberMessage is a member's info while it is decoded.
+type memberMessage struct {
+	format uint64
+	info   membership.MemberInfo
+	sent   int64
+}
+
+// infoDecoder decodes one field of a member's info. A field of another wire type than kind is ignored.
+type infoDecoder struct {
+	kind   protowire.Type
+	decode func(m *memberMessage, f fields.Field)
+}
+
+// infoDecoders are the decoders by field number; a field without one is ignored.
+var infoDecoders = [infoFieldCount]infoDecoder{
+	infoFormat:       {protowire.VarintType, func(m *memberMessage, f fields.Field) { m.format = f.Value }},
+	infoName:         {protowire.BytesType, func(m *memberMessage, f fields.Field) { m.info.Name = string(f.Bytes) }},
+	infoZone:         {protowire.BytesType, func(m *memberMessage, f fields.Field) { m.info.Zone = string(f.Bytes) }},
+	infoIncarnation:  {protowire.VarintType, func(m *memberMessage, f fields.Field) { m.info.Incarnation = f.Value }},
+	infoStarted:      {protowire.VarintType, decodeInfoStarted},
+	infoVersion:      {protowire.BytesType, func(m *memberMessage, f fields.Field) { m.info.Version = string(f.Bytes) }},
+	infoSettings:     {protowire.Fixed64Type, func(m *memberMessage, f fields.Field) { m.info.Settings = f.Value }},
+	infoListVersion:  {protowire.VarintType, func(m *memberMessage, f fields.Field) { m.info.ListVersion = f.Value }},
+	infoFlags:        {protowire.VarintType, decodeInfoFlags},
+	infoSent:         {protowire.VarintType, decodeInfoSent},
+	infoHighestToken: {protowire.VarintType, func(m *memberMessage, f fields.Field) { m.info.HighestToken = f.Value }},
+}
+
+// decodeMemberInfo decodes a member's info. Fields that are unknown, too long or of another type than theirs are
+// ignored; an info without a format, a name or an incarnation is an error.
+func decodeMemberInfo(b []byte) (info membership.MemberInfo, sent int64, err error) {
+	if len(b) > maxMemberInfoBytes {
+		return info, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMemberInfoBytes)
+	}
+	var m memberMessage
+	for len(b) > 0 {
+		f, rest, err := fields.Next(b)
+		if err != nil {
+			return m.info, 0, fmt.Errorf("fleet: message: %w", err)
+		}
+		b = rest
+		if len(f.Bytes) > maxStringBytes || f.Number >= infoFieldCount {
+			continue
+		}
+		if decoder := infoDecoders[f.Number]; decoder.decode != nil && decoder.kind == f.Kind {
+			decoder.decode(&m, f)
+		}
+	}
+	if m.format < 1 || m.info.Name == "" || m.info.Incarnation == 0 {
+		return m.info, 0, errFormat
+	}
+	return m.info, m.sent, nil
+}
+
+func decodeInfoStarted(m *memberMessage, f fields.Field) {
+	m.info.Started = time.UnixMilli(int64(min(f.Value, maxUnixMillis)))
+}
+
+func decodeInfoFlags(m *memberMessage, f fields.Field) {
+	m.info.Serving, m.info.Leaving = f.Value&flagServing != 0, f.Value&flagLeaving != 0
+}
+
+func decodeInfoSent(m *memberMessage, f fields.Field) {
+	m.sent = int64(min(f.Value, maxUnixMillis))
+}
--- /dev/null
+++ b/internal/fleet/message_quota.go
@@ -0,0 +1,72 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+
+	"rampspread/internal/fields"
+	"rampspread/internal/fleet/quota"
+)
+
+const (
+	// fractionUnit is the unit of a granted fraction on the wire.
+	fractionUnit = 1e-12
+	// demandUnitsPerRequest is how many units of demand on the wire make one request a second.
+	demandUnitsPerRequest = 1000
+
+	inForceGroup = 2 // values of a grant in force
+)
+
+// encodeQuotaClaim makes the packet of a claim; voters are all that the configuration names, in its order.
+func encodeQuotaClaim(claim quota.Claim, voters []string) []byte {
+	b := encodeHeader(kindQuotaClaim, claim.Seq, claim.From.Name, claim.From.Incarnation)
+	b = fields.Varint(b, fieldDemand, uint64(claim.Demand*demandUnitsPerRequest))
+	if claim.Leaving {
+		b = fields.Varint(b, fieldLeaving, 1)
+	}
+	var inForce []uint64
+	for i, voter := range voters {
+		if seq, ok := claim.InForce[voter]; ok {
+			inForce = append(inForce, uint64(i), seq)
+		}
+	}
+	return appendPackedVarints(b, fieldInForce, inForce)
+}
+
+// quotaClaim is the claim in a message; voters are all that the configuration names, in its order.
+func (m *peerMessage) quotaClaim(voters []string) quota.Claim {
+	claim := quota.Claim{From: quota.BorrowerID{Name: m.from, Incarnation: m.incarnation}, Seq: m.seq, Demand: m.demand,
+		Leaving: m.leaving, InForce: map[string]uint64{}}
+	for pair := range slices.Chunk(m.inForce, inForceGroup) {
+		if pair[0] < uint64(len(voters)) {
+			claim.InForce[voters[pair[0]]] = pair[1]
+		}
+	}
+	return claim
+}
+
+func decodeDemand(m *peerMessage, f fields.Field, _ time.Duration) error {
+	m.demand = float64(f.Value) / demandUnitsPerRequest
+	return nil
+}
+
+func decodeLeaving(m *peerMessage, f fields.Field, _ time.Duration) error {
+	m.leaving = f.Value == 1
+	return nil
+}
+
+func decodeInForce(m *peerMessage, f fields.Field, _ time.Duration) (err error) {
+	m.inForce, err = unpackVarints(f.Bytes, inForceGroup)
+	return err
+}
+
+// encodeQuotaGrant makes the packet of a grant, for the incarnation that claimed. The fraction is rounded down.
+func encodeQuotaGrant(grant quota.Grant) []byte {
+	b := encodeHeader(kindQuotaGrant, grant.Seq, grant.Voter, grant.To.Incarnation)
+	return fields.Varint(b, fieldFraction, uint64(grant.Fraction/fractionUnit))
+}
+
+func decodeFraction(m *peerMessage, f fields.Field, _ time.Duration) error {
+	m.fraction = float64(f.Value) * fractionUnit
+	return nil
+}
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -21,11 +21,9 @@
 	// One that stands by claims a duty that it has heard nothing of for a term and this.
 	standbyGrace = 100 * time.Millisecond
 	// And gives it back to the owner after so many terms, where that one counts again.
-	standbyTerms          = 8
-	maxResultsPacketBytes = 1200     // bytes of results in a packet
-	resultBytes           = 64 << 10 // that a member sends in a second, to all together
-	maxResultBytes        = 64
-	forgetAfter           = time.Minute
+	standbyTerms = 8
+	resultBytes  = 64 << 10 // that a member sends in a second, to all together
+	forgetAfter  = time.Minute
 )
 
 // TaskRunner is what the fleet does in turn. Its methods may be called from several goroutines; Duties, Every and Told must not
@@ -101,14 +99,6 @@
 	ended      bool // this process goes
 }
 
-// taskResult is a Found on its way.
-type taskResult struct {
-	task  lease.Task
-	token uint64
-	at    time.Duration // by this process's clock
-	data  []byte
-}
-
 func newLeasedTasks(n *Node, work TaskRunner) *leasedTasks {
 	c := n.cfg
 	limits := lease.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6}
