--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -11,49 +11,62 @@
 	"rampspread/internal/fleet/bootstrap"
 )
 
-// LearnedState is what a process has learnt, for others that start, and takes what they tell it.
+const (
+	// donorMinAgeGap is by how much earlier another member must have started to count as one that has learned something.
+	donorMinAgeGap = 3 * time.Second
+	// donorMinAge is how long a process must have run until it has learned something, if no other has given it its state.
+	donorMinAge = 3 * time.Second
+	// snapshotTimeout bounds the wait for this process's learned state.
+	snapshotTimeout = time.Second
+	// bootstrapSeedStream separates the requester's random draws from those of the node and other components.
+	bootstrapSeedStream = 0xbe11ef
+)
+
+// LearnedState is what this process has learned of replicas and prefixes, to be transferred to members that start.
 type LearnedState interface {
-	// Tell packs what this process knows; false: it cannot now.
+	// Tell returns the encoded state of this process; false: it cannot now.
 	Tell(ctx context.Context) ([]byte, bool)
-	// Learn takes what another has packed.
-	Learn(told []byte) error
+	// Learn merges the encoded state of another member; it is an error if the state cannot be decoded.
+	Learn(state []byte) error
 }
 
-const (
-	// olderBy is by how much another must have started earlier to count as one that knows.
-	olderBy = 3 * time.Second
-	// knowsAfter is how long a process has to live until it knows something, if nobody has told it.
-	knowsAfter = 3 * time.Second
-	tellWait   = time.Second
-)
+// BootstrapStatus is the transfers of learned state as operators are shown them.
+type BootstrapStatus struct {
+	Received  int64 `json:"taken"` // from others, after the start
+	Sent      int64 `json:"given"`
+	Declined  int64 `json:"busy"` // requests without a transfer: nothing learned yet, or the limit was reached
+	Malformed int64 `json:"bad"`  // transfers that could not be decoded
+}
 
-// bootstrapper asks others for what they know after this process's start, and tells those that ask.
+// bootstrapper is the component that requests learned state from others after this process's start, and is a donor to
+// those that request it.
 type bootstrapper struct {
 	node  *Node
-	knows LearnedState
+	state LearnedState
 
 	mu        sync.Mutex
 	requester *bootstrap.Requester
 	donor     bootstrap.Donor
 
-	taken, given, busy, bad atomic.Int64
+	received, sent, declined, malformed atomic.Int64
 }
 
-// BootstrapStatus is what operators are shown of them.
-type BootstrapStatus struct {
-	Received  int64 `json:"taken"` // from others, after the start
-	Sent      int64 `json:"given"`
-	Declined  int64 `json:"busy"` // questions that had no gift: it knew nothing yet, or had given enough
-	Malformed int64 `json:"bad"`  // gifts that made no sense
+func newBootstrapper(n *Node, state LearnedState) *bootstrapper {
+	rng := rand.New(rand.NewPCG(n.self.Seed, bootstrapSeedStream))
+	requester := bootstrap.NewRequester(bootstrap.DefaultLimits, n.now(), rng.Int64N)
+	return &bootstrapper{node: n, state: state, requester: requester}
 }
 
-func newBootstrapper(n *Node, k LearnedState) *bootstrapper {
-	rng := rand.New(rand.NewPCG(n.self.Seed, 0xbe11ef))
-	return &bootstrapper{node: n, knows: k, requester: bootstrap.NewRequester(bootstrap.DefaultLimits, n.now(), rng.Int64N)}
+// handlers implements component. Both wait for the core, so each message has a goroutine of its own.
+func (b *bootstrapper) handlers() map[byte]messageHandler {
+	return map[byte]messageHandler{
+		kindBootstrapRequest: func(m peerMessage) { go b.handleRequest(m.from) },
+		kindLearnedState:     func(m peerMessage) { go b.handleState(m.from, m.learnedState) },
+	}
 }
 
-// step asks somebody, if it is time.
-func (b *bootstrapper) step(now time.Duration) {
+// tick implements component: it sends a request to a donor, if one is due.
+func (b *bootstrapper) tick(now time.Duration) {
 	b.mu.Lock()
 	if b.requester.Done(now) {
 		b.mu.Unlock()
@@ -63,64 +76,84 @@
 	var members []bootstrap.Member
 	for _, m := range b.node.View().ActiveMembers() {
 		if m.Name != self.Name {
-			members = append(members, bootstrap.Member{Name: m.Name, Older: m.Started.Before(b.node.wall.Add(-olderBy)), SameZone: m.Zone == self.Zone})
+			older := m.Started.Before(b.node.startWall.Add(-donorMinAgeGap))
+			members = append(members, bootstrap.Member{Name: m.Name, Older: older, SameZone: m.Zone == self.Zone})
 		}
 	}
 	to, ok := b.requester.NextDonor(now, members)
 	b.mu.Unlock()
 	if ok {
-		b.node.send(to, encodeBootstrapRequest(self.Name, uint64(b.node.wall.UnixNano())))
+		b.node.send(to, encodeBootstrapRequest(self.Name, uint64(b.node.startWall.UnixNano())))
+	}
+}
+
+// stop implements component; nothing is held.
+func (b *bootstrapper) stop() {}
+
+// handleRequest sends this process's state to another member, or declines: it has learned nothing yet, or has sent as
+// much as it may for now.
+func (b *bootstrapper) handleRequest(from string) {
+	if b.takeTransfer() && b.sendState(from) {
+		return
 	}
+	b.declined.Add(1)
+	b.node.send(from, encodeLearnedState(b.node.self.Name, nil))
 }
 
-// answer tells another what this process knows, or that it knows nothing or has given enough.
-func (b *bootstrapper) answer(from string) {
+// takeTransfer tells whether this process may be a donor now, and counts the transfer.
+func (b *bootstrapper) takeTransfer() bool {
 	now := b.node.now()
 	b.mu.Lock()
-	gives := (now > knowsAfter || b.taken.Load() > 0) && b.donor.TakeTransfer(now, bootstrap.DefaultLimits)
-	b.mu.Unlock()
-	if gives {
-		ctx, cancel := context.WithTimeout(context.Background(), tellWait)
-		defer cancel()
-		if told, ok := b.knows.Tell(ctx); ok && len(told) <= maxLearnedStateBytes {
-			b.given.Add(1)
-			b.node.call(from, encodeLearnedState(b.node.self.Name, told))
-			return
-		}
+	defer b.mu.Unlock()
+	hasLearned := now > donorMinAge || b.received.Load() > 0
+	return hasLearned && b.donor.TakeTransfer(now, bootstrap.DefaultLimits)
+}
+
+// sendState sends this process's state to another member; false: it has none that can be sent now.
+func (b *bootstrapper) sendState(to string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
+	defer cancel()
+	state, ok := b.state.Tell(ctx)
+	if !ok || len(state) > maxLearnedStateBytes {
+		return false
 	}
-	b.busy.Add(1)
-	b.node.send(from, encodeLearnedState(b.node.self.Name, nil))
+	b.sent.Add(1)
+	b.node.sendReliable(to, encodeLearnedState(b.node.self.Name, state))
+	return true
 }
 
-// take takes an answer of one that was asked.
-func (b *bootstrapper) take(from string, told []byte) {
+// handleState takes the response of a member; one that was not requested is ignored.
+func (b *bootstrapper) handleState(from string, state []byte) {
 	b.mu.Lock()
-	asked := b.requester.WasRequested(from)
+	requested := b.requester.WasRequested(from)
 	b.mu.Unlock()
-	if !asked {
+	if !requested {
 		return
 	}
-	taught := false
-	if len(told) > 0 {
-		if err := b.knows.Learn(told); err != nil {
-			b.bad.Add(1)
-			slog.Warn("beliefs_refused", "from", from, "err", err)
-		} else {
-			taught = true
-			b.taken.Add(1)
-			slog.Info("beliefs", "from", from, "bytes", len(told), "after", b.node.now().Round(time.Millisecond))
-		}
-	}
+	learned := len(state) > 0 && b.learn(from, state)
 	b.mu.Lock()
-	b.requester.RecordResponse(b.node.now(), from, taught)
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	b.requester.RecordResponse(b.node.now(), from, learned)
+}
+
+// learn merges another member's state, and tells whether it could be decoded.
+func (b *bootstrapper) learn(from string, state []byte) bool {
+	if err := b.state.Learn(state); err != nil {
+		b.malformed.Add(1)
+		slog.Warn("bootstrap_rejected", "from", from, "err", err)
+		return false
+	}
+	b.received.Add(1)
+	slog.Info("bootstrap_received", "from", from, "bytes", len(state), "after", b.node.now().Round(time.Millisecond))
+	return true
 }
 
-// BootstrapStatus is what was learnt from others and told to them, for operators; false: nothing is.
+// BootstrapStatus is the transfers of learned state, for operators; false: they are not enabled.
 func (n *Node) BootstrapStatus() (s BootstrapStatus, ok bool) {
-	b := n.beliefs
-	if b == nil {
+	b, ok := componentOf[*bootstrapper](n)
+	if !ok {
 		return s, false
 	}
-	return BootstrapStatus{Received: b.taken.Load(), Sent: b.given.Load(), Declined: b.busy.Load(), Malformed: b.bad.Load()}, true
+	return BootstrapStatus{Received: b.received.Load(), Sent: b.sent.Load(), Declined: b.declined.Load(),
+		Malformed: b.malformed.Load()}, true
 }
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -16,7 +16,7 @@
 	awaitState(t, one, "n21", membership.Alive)
 	awaitState(t, two, "n20", membership.Alive)
 	former := two.info.Incarnation
-	two.stop()
+	two.cancel()
 	<-two.done
 	two.gossip.Shutdown() // dies without a word
 	awaitState(t, one, "n21", membership.Unreachable)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,5 +1,3 @@
-// Package fleet is a process's membership in the fleet: who else is there, by gossip over memberlist. It does the
-// I/O; what is made of what was heard is decided in view. The core never waits for any of it.
 package fleet
 
 import (
@@ -15,54 +13,53 @@
 	"rampspread/internal/fleet/subset"
 )
 
-// Config is an operator's file, deploy/fleet.json.
+// Config is the operator's file, deploy/fleet.json. It is the same at all members, except for Listen.
 type Config struct {
-	// Fleet names the deployment. Packets of another fleet are passed over.
+	// Fleet names the deployment. Packets of another fleet are ignored.
 	Fleet string `json:"fleet"`
-	// Key seals and authenticates what members say (AES-GCM): 16, 24 or 32 bytes in hex, the same for all.
+	// Key encrypts and authenticates the members' messages (AES-GCM): 16, 24 or 32 bytes in hex, the same at all.
 	Key string `json:"key"`
-	// Listen is where this process takes the others' packets (UDP) and calls (TCP), and where it sends from. None: its
-	// own address on the list.
+	// Listen is where this process receives packets (UDP) and connections (TCP), and where it sends from. Empty: its own
+	// address among Members.
 	Listen string `json:"listen"`
-	// Members are all who may be in the fleet, this process among them.
+	// Members are all processes that may be in the fleet, this one among them.
 	Members []Peer `json:"members"`
-	// ProbeMS is how often a member looks whether another is there, in ms; 0: defaultProbe. The time to find one
-	// gone grows with it.
+	// ProbeMS is how often a member probes whether another is reachable, in ms; 0: defaultProbeInterval. The time to
+	// detect a failure grows with it.
 	ProbeMS int `json:"probe_ms"`
-	// Voters are the members that grant duties: 1, 3 or 5 of them. None: nothing is done in turn.
+	// Voters are the members that grant leases: 1, 3 or 5 of them. None: no tasks run.
 	Voters []string `json:"voters"`
-	// TermMS is how long a duty is granted for, in ms; 0: defaultTerm. A duty is taken over about so long after its
-	// holder died.
+	// TermMS is the term of a lease, in ms; 0: defaultLeaseTerm. A task is taken over about a term after its holder died.
 	TermMS int `json:"term_ms"`
-	// Idempotency makes a filing run once in the whole fleet: the voters keep who has claimed it, each in a state of its own. None:
-	// each dispatcher knows its own filings only.
+	// Idempotency makes a request with an idempotency key run once in the whole fleet: the voters record who has claimed
+	// it, each in a store of its own. None: each dispatcher knows its own requests only.
 	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
-	// Bootstrap lets a member that starts learn from others what they know of replicas and texts.
+	// Bootstrap lets a member that starts receive the learned state of others: of replicas and of prefixes.
 	Bootstrap bool `json:"beliefs,omitempty"`
-	// EndpointFilter lets members hold each other back from replicas that a newer list than their own has ended.
+	// EndpointFilter lets members suppress each other's use of replicas that a newer list than their own has removed.
 	EndpointFilter bool `json:"ends,omitempty"`
-	// VersionSkew lets members that act on something older than most be restricted and shut out; none: nobody is.
+	// VersionSkew lets members that act on something older than most be restricted and fenced; none: nobody is.
 	VersionSkew *VersionSkewConfig `json:"stragglers,omitempty"`
-	// SubsetReaders is how many readers, with their writers, a dispatcher keeps to at the least; 0: to all replicas.
+	// SubsetReaders is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0: all.
 	SubsetReaders int `json:"subset_readers,omitempty"`
-	// Budgets are what all may do together; none: each dispatcher goes by the settings' count of dispatchers.
+	// Budgets are what all members may do together; none: each dispatcher goes by the settings' count of dispatchers.
 	Budgets *Budgets `json:"budgets,omitempty"`
 
-	key   []byte
-	addrs map[string]string // by name
-	probe time.Duration
-	term  time.Duration
+	key           []byte
+	addressByName map[string]string
+	probeInterval time.Duration
+	leaseTerm     time.Duration
 }
 
-// IdempotencyConfig says how long, and how many, the fleet's keepers remember; the same at all.
+// IdempotencyConfig bounds the idempotency records of the voters; it is the same at all.
 type IdempotencyConfig struct {
-	KeepS   float64 `json:"keep_s"`
-	Entries int     `json:"entries"`
+	KeepS   float64 `json:"keep_s"`  // retention, in seconds
+	Entries int     `json:"entries"` // records at each voter
 }
 
-// Keep is how long a filing is remembered.
-func (f *IdempotencyConfig) Keep() time.Duration {
-	return time.Duration(f.KeepS * float64(time.Second))
+// Keep is how long an idempotency record is retained.
+func (c *IdempotencyConfig) Keep() time.Duration {
+	return time.Duration(c.KeepS * float64(time.Second))
 }
 
 // Peer is one name that may be in the fleet, and the address at which others reach it.
@@ -72,9 +69,17 @@
 }
 
 const (
-	defaultProbe = 250 * time.Millisecond
-	maxMembers   = 4096 // names on the file's list; what grows with them grows by need
-	maxName      = 64
+	defaultProbeInterval = 250 * time.Millisecond
+	minProbeMS           = 50
+	maxProbeMS           = 10_000
+	minTermMS            = 300
+	maxTermMS            = 60_000
+	maxMembers           = 4096 // what grows with the members is allocated by need
+	maxNameBytes         = 64
+	minRetentionS        = 1
+	maxRetentionS        = 1e7 // exclusive
+	maxRecords           = 1e6
+	maxBudgetLimit       = 1e6
 )
 
 // Load reads and checks an operator's file for the process of that name.
@@ -90,128 +95,190 @@
 	return c, nil
 }
 
-// Parse reads a file strictly: unknown keys and whatever cannot work are refused.
+// Parse reads a file strictly, for the process of that name: unknown keys and values that cannot work are errors.
 func Parse(text []byte, name string) (*Config, error) {
 	var c Config
 	if err := cli.Strict(text, &c); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	key, err := hex.DecodeString(c.Key)
-	if err != nil {
-		return nil, errors.New("fleet: key is not in hex")
+	c.probeInterval = millisOr(c.ProbeMS, defaultProbeInterval)
+	c.leaseTerm = millisOr(c.TermMS, defaultLeaseTerm)
+	for _, section := range []func() error{
+		c.parseKey,
+		c.checkSizes,
+		func() error { return c.parseMembers(name) },
+		c.checkVoters,
+		c.checkListen,
+		c.checkIdempotency,
+		c.checkVersionSkew,
+		c.checkSubset,
+		c.checkBudgets,
+	} {
+		if err := section(); err != nil {
+			return nil, err
+		}
 	}
-	switch {
-	case c.Fleet == "" || len(c.Fleet) > maxName:
-		return nil, fmt.Errorf("fleet: the fleet's name has %d bytes, not from 1 to %d", len(c.Fleet), maxName)
-	case len(key) != 16 && len(key) != 24 && len(key) != 32:
-		return nil, fmt.Errorf("fleet: key has %d bytes, not 16, 24 or 32", len(key))
-	case c.ProbeMS != 0 && (c.ProbeMS < 50 || c.ProbeMS > 10_000):
-		return nil, fmt.Errorf("fleet: probe_ms %d is not from 50 to 10000", c.ProbeMS)
-	case c.TermMS != 0 && (c.TermMS < 300 || c.TermMS > 60_000):
-		return nil, fmt.Errorf("fleet: term_ms %d is not from 300 to 60000", c.TermMS)
-	case len(c.Voters) != 0 && len(c.Voters) != 1 && len(c.Voters) != 3 && len(c.Voters) != 5:
-		return nil, fmt.Errorf("fleet: %d voters, not 1, 3 or 5", len(c.Voters))
-	case len(c.Members) > maxMembers:
-		return nil, fmt.Errorf("fleet: %d members, at most %d", len(c.Members), maxMembers)
+	return &c, nil
+}
+
+func millisOr(ms int, byDefault time.Duration) time.Duration {
+	if ms == 0 {
+		return byDefault
 	}
-	if c.term = time.Duration(c.TermMS) * time.Millisecond; c.term == 0 {
-		c.term = defaultTerm
+	return time.Duration(ms) * time.Millisecond
+}
+
+func (c *Config) parseKey() (err error) {
+	if c.key, err = hex.DecodeString(c.Key); err != nil {
+		return errors.New("fleet: key is not in hex")
 	}
-	c.key, c.probe = key, time.Duration(c.ProbeMS)*time.Millisecond
-	if c.probe == 0 {
-		c.probe = defaultProbe
+	return nil
+}
+
+func (c *Config) checkSizes() error {
+	switch {
+	case c.Fleet == "" || len(c.Fleet) > maxNameBytes:
+		return fmt.Errorf("fleet: the fleet's name has %d bytes, not from 1 to %d", len(c.Fleet), maxNameBytes)
+	case !slices.Contains([]int{16, 24, 32}, len(c.key)):
+		return fmt.Errorf("fleet: key has %d bytes, not 16, 24 or 32", len(c.key))
+	case c.ProbeMS != 0 && (c.ProbeMS < minProbeMS || c.ProbeMS > maxProbeMS):
+		return fmt.Errorf("fleet: probe_ms %d is not from %d to %d", c.ProbeMS, minProbeMS, maxProbeMS)
+	case c.TermMS != 0 && (c.TermMS < minTermMS || c.TermMS > maxTermMS):
+		return fmt.Errorf("fleet: term_ms %d is not from %d to %d", c.TermMS, minTermMS, maxTermMS)
+	case !slices.Contains([]int{0, 1, 3, 5}, len(c.Voters)):
+		return fmt.Errorf("fleet: %d voters, not 1, 3 or 5", len(c.Voters))
+	case len(c.Members) > maxMembers:
+		return fmt.Errorf("fleet: %d members, at most %d", len(c.Members), maxMembers)
 	}
-	addrs := map[string]bool{}
-	c.addrs = map[string]string{}
+	return nil
+}
+
+// parseMembers checks the members, and takes this process's listen address from them if there is no other.
+func (c *Config) parseMembers(self string) error {
+	addresses := map[string]bool{}
+	c.addressByName = map[string]string{}
 	for i, m := range c.Members {
-		if m.Name == "" || len(m.Name) > maxName {
-			return nil, fmt.Errorf("fleet: member %d: its name has %d bytes, not from 1 to %d", i, len(m.Name), maxName)
+		if m.Name == "" || len(m.Name) > maxNameBytes {
+			return fmt.Errorf("fleet: member %d: its name has %d bytes, not from 1 to %d", i, len(m.Name), maxNameBytes)
 		}
-		if c.addrs[m.Name] != "" || addrs[m.Address] {
-			return nil, fmt.Errorf("fleet: member %q: its name or address %s stands twice", m.Name, m.Address)
+		if c.addressByName[m.Name] != "" || addresses[m.Address] {
+			return fmt.Errorf("fleet: member %q: its name or address %s stands twice", m.Name, m.Address)
 		}
-		c.addrs[m.Name], addrs[m.Address] = m.Address, true
-		if err := private(m.Address); err != nil {
-			return nil, fmt.Errorf("fleet: member %q: %w", m.Name, err)
+		c.addressByName[m.Name], addresses[m.Address] = m.Address, true
+		if err := checkPrivate(m.Address); err != nil {
+			return fmt.Errorf("fleet: member %q: %w", m.Name, err)
 		}
-		if m.Name == name && c.Listen == "" {
+		if m.Name == self && c.Listen == "" {
 			c.Listen = m.Address
 		}
 	}
-	if c.addrs[name] == "" {
-		return nil, fmt.Errorf("fleet: this process's name %q is not on the list of members", name)
+	if c.addressByName[self] == "" {
+		return fmt.Errorf("fleet: this process's name %q is not on the list of members", self)
 	}
+	return nil
+}
+
+func (c *Config) checkVoters() error {
 	for i, v := range c.Voters {
-		if c.addrs[v] == "" || slices.Contains(c.Voters[:i], v) {
-			return nil, fmt.Errorf("fleet: voter %q is no member, or stands twice", v)
+		if c.addressByName[v] == "" || slices.Contains(c.Voters[:i], v) {
+			return fmt.Errorf("fleet: voter %q is no member, or stands twice", v)
 		}
 	}
-	if err := private(c.Listen); err != nil {
-		return nil, fmt.Errorf("fleet: listen: %w", err)
+	return nil
+}
+
+func (c *Config) checkListen() error {
+	if err := checkPrivate(c.Listen); err != nil {
+		return fmt.Errorf("fleet: listen: %w", err)
 	}
-	if f := c.Idempotency; f != nil {
-		if !(f.KeepS >= 1 && f.KeepS < 1e7) || f.Entries < 1 || f.Entries > 1e6 {
-			return nil, errors.New("fleet: filings: keep_s is not from 1 to 10000000, or entries not from 1 to 1000000")
-		}
-		if len(c.Voters) == 0 {
-			return nil, errors.New("fleet: filings: there are no voters to keep them")
-		}
+	return nil
+}
+
+func (c *Config) checkIdempotency() error {
+	i := c.Idempotency
+	if i == nil {
+		return nil
 	}
-	if c.VersionSkew != nil {
-		if err := c.VersionSkew.Limits().Validate(); err != nil {
-			return nil, fmt.Errorf("fleet: stragglers: %w", err)
-		}
+	isRetentionValid := i.KeepS >= minRetentionS && i.KeepS < maxRetentionS // false for NaN
+	if !isRetentionValid || i.Entries < 1 || i.Entries > maxRecords {
+		return errors.New("fleet: filings: keep_s is not from 1 to 10000000, or entries not from 1 to 1000000")
 	}
-	if c.SubsetReaders != 0 {
-		if err := c.Subset().Validate(); err != nil {
-			return nil, fmt.Errorf("fleet: subset_readers: %w", err)
-		}
+	if len(c.Voters) == 0 {
+		return errors.New("fleet: filings: there are no voters to keep them")
 	}
-	if b := c.Budgets; b != nil {
-		if err := c.limits().Validate(); err != nil {
-			return nil, fmt.Errorf("fleet: budgets: %w", err)
-		}
-		if b.Floor < 1 && len(c.Voters) == 0 {
-			return nil, errors.New("fleet: budgets: there are no voters to lend what is over the floor")
-		}
-		if !(min(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond) >= 0 && max(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond) <= 1e6) {
-			return nil, errors.New("fleet: budgets: a limit is not from 0 to 1000000")
-		}
+	return nil
+}
+
+func (c *Config) checkVersionSkew() error {
+	if c.VersionSkew == nil {
+		return nil
 	}
-	return &c, nil
+	if err := c.VersionSkew.Limits().Validate(); err != nil {
+		return fmt.Errorf("fleet: stragglers: %w", err)
+	}
+	return nil
+}
+
+func (c *Config) checkSubset() error {
+	if c.SubsetReaders == 0 {
+		return nil
+	}
+	if err := c.Subset().Validate(); err != nil {
+		return fmt.Errorf("fleet: subset_readers: %w", err)
+	}
+	return nil
 }
 
-// Subset is how small the part of the replicas may be that a dispatcher keeps to.
+func (c *Config) checkBudgets() error {
+	b := c.Budgets
+	if b == nil {
+		return nil
+	}
+	if err := c.quotaLimits().Validate(); err != nil {
+		return fmt.Errorf("fleet: budgets: %w", err)
+	}
+	if b.Floor < 1 && len(c.Voters) == 0 {
+		return errors.New("fleet: budgets: there are no voters to lend what is over the floor")
+	}
+	least := min(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond)
+	greatest := max(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond)
+	if areValid := least >= 0 && greatest <= maxBudgetLimit; !areValid { // not valid for NaN
+		return errors.New("fleet: budgets: a limit is not from 0 to 1000000")
+	}
+	return nil
+}
+
+// Subset bounds the subset of the replicas that a dispatcher uses.
 func (c *Config) Subset() subset.Limits { return subset.Limits{MinPrefillReplicas: c.SubsetReaders} }
 
 // IsVoter tells whether the member of that name is a voter.
 func (c *Config) IsVoter(name string) bool { return slices.Contains(c.Voters, name) }
 
-// Secret is what hashes are keyed with: the same at all members, and no other fleet's.
+// Secret is the key of hashes that all members, and no other fleet's, compute alike.
 func (c *Config) Secret() []byte { return c.key }
 
-// private refuses addresses that are not of a machine's or a site's own network.
-func private(addr string) error {
-	a, err := netip.ParseAddrPort(addr)
+// address is where others reach a name; empty for one that is not configured.
+func (c *Config) address(name string) string { return c.addressByName[name] }
+
+// names are all members' names, in the file's order.
+func (c *Config) names() []string {
+	names := make([]string, len(c.Members))
+	for i, m := range c.Members {
+		names[i] = m.Name
+	}
+	return names
+}
+
+// checkPrivate rejects addresses that are not of a machine's or a site's own network.
+func checkPrivate(address string) error {
+	a, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		return fmt.Errorf("%q is no address with a port", addr)
+		return fmt.Errorf("%q is no address with a port", address)
 	case a.Port() == 0:
-		return fmt.Errorf("%s has no port", addr)
+		return fmt.Errorf("%s has no port", address)
 	case !a.Addr().IsLoopback() && !a.Addr().IsPrivate():
-		return fmt.Errorf("%s is no loopback or private address", addr)
+		return fmt.Errorf("%s is no loopback or private address", address)
 	}
 	return nil
 }
-
-// address is where others reach a name; none for one that is not on the list.
-func (c *Config) address(name string) string { return c.addrs[name] }
-
-// names are all that may be in the fleet.
-func (c *Config) names() []string {
-	out := make([]string, len(c.Members))
-	for i, m := range c.Members {
-		out[i] = m.Name
-	}
-	return out
-}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 
 func TestFileIsChecked(t *testing.T) {
 	good := configJSON("f", testKey, 0, 1, 2)
-	if c, err := Parse([]byte(good), "n1"); err != nil || c.Listen != memberAddress(1) || c.probe != 100*time.Millisecond {
+	if c, err := Parse([]byte(good), "n1"); err != nil || c.Listen != memberAddress(1) || c.probeInterval != 100*time.Millisecond {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, c := range [][2]string{
@@ -108,14 +108,14 @@
 	awaitState(t, one, "n13", membership.Left)
 	awaitState(t, two, "n13", membership.Left)
 	old := two.info
-	two.stop()
+	two.cancel()
 	<-two.done
 	two.gossip.Shutdown() // dies without a word
 	awaitState(t, one, "n12", membership.Unreachable)
 	again := startNode(t, text, 12, nil)
 	awaitState(t, one, "n12", membership.Alive)
 	awaitState(t, again, "n11", membership.Alive)
-	one.NotifyMsg(heartbeatMessage(membership.MemberInfo{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
+	(&delegate{one}).NotifyMsg(heartbeatMessage(membership.MemberInfo{Name: "n12", Incarnation: old.Incarnation, Leaving: true}, 1))
 	if m := one.Status().Members[2]; m.State != "alive" || m.Incarnations != 2 || m.Incarnation <= old.Incarnation || one.Status().Stale == 0 {
 		t.Errorf("after the old life's word: %+v", one.Status())
 	}
@@ -214,7 +214,7 @@
 	testkit.Eventually(t, "the count", func() bool { return one.Malformed() > 10 })
 	before := one.View().Version
 	for range 50 { // the same beat, again and again, from a life that has ended
-		one.NotifyMsg(heartbeatMessage(membership.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
+		(&delegate{one}).NotifyMsg(heartbeatMessage(membership.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1))
 	}
 	if v := one.View(); v.Version != before || memberState(one, "n51") != membership.Alive {
 		t.Errorf("view %d after %d", v.Version, before)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -45,7 +45,7 @@
 		want membership.MemberInfo
 		sent int64
 	}{
-		{"member-meta.hex", n.NodeMeta(512), goldenInfo, 0},
+		{"member-meta.hex", (&delegate{n}).NodeMeta(512), goldenInfo, 0},
 		{"member-heartbeat.hex", encodeMemberInfo(goldenInfo, goldenSent), goldenInfo, goldenSent},
 	}
 	for _, serving := range []bool{true, false} {
@@ -168,8 +168,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{cfg: cfg, self: self, start: time.Now(), wall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
-	n.info = membership.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.wall, Serving: true}
+	n := &Node{cfg: cfg, self: self, start: time.Now(), startWall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
+	n.info = membership.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.startWall, Serving: true}
 	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
 	n.publish()
 	n.joined.Store(true)
@@ -181,11 +181,11 @@
 	var claims []byte
 	lists := &recordingFilter{}
 	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { claims = message }})
-	n.ends = &endpointSync{node: n, filter: lists}
+	n.add(newEndpointSync(n, lists))
 	take := func(file string, kind byte, encoded []byte) {
 		t.Helper()
 		b := golden.Bytes(t, file, encoded)
-		n.NotifyMsg(append([]byte{kind}, b...))
+		(&delegate{n}).NotifyMsg(append([]byte{kind}, b...))
 	}
 	take("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSent))
 	for _, m := range n.View().Members {
@@ -196,12 +196,12 @@
 	if skew, ok := n.clockSkews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
 		t.Errorf("skew %v", skew)
 	}
-	n.NotifyMsg([]byte{7, 8, 9})
+	(&delegate{n}).NotifyMsg([]byte{7, 8, 9})
 	if string(claims) != "\x08\x09" {
 		t.Errorf("claims were given % x", claims)
 	}
 	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
-	n.NotifyMsg(golden.Bytes(t, "list.hex", encodeEndpointDigest("n1", digest)))
+	(&delegate{n}).NotifyMsg(golden.Bytes(t, "list.hex", encodeEndpointDigest("n1", digest)))
 	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
 		t.Errorf("list %+v", lists)
 	}
@@ -214,13 +214,13 @@
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
 	n.view.Store(&membership.View{Members: []membership.Member{{MemberInfo: membership.MemberInfo{Name: "n0", Incarnation: 6}}, {MemberInfo: membership.MemberInfo{Name: "n1", Incarnation: 7}}, {MemberInfo: membership.MemberInfo{Name: "n2"}}}})
-	b := golden.Text(t, "push-pull.json", n.LocalState(true))
-	n.MergeRemoteState(b, true)
+	b := golden.Text(t, "push-pull.json", (&delegate{n}).LocalState(true))
+	(&delegate{n}).MergeRemoteState(b, true)
 	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over what was told of it
 		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Malformed())
 	}
 	n.view.Store(&membership.View{})
-	golden.Text(t, "push-pull-empty.json", n.LocalState(false))
+	golden.Text(t, "push-pull-empty.json", (&delegate{n}).LocalState(false))
 }
 
 func TestGoldenStatus(t *testing.T) {
@@ -287,7 +287,7 @@
 		Idempotency: &IdempotencyConfig{KeepS: 61, Entries: 62}, Bootstrap: true, EndpointFilter: true, VersionSkew: &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3}, SubsetReaders: 8,
 		Budgets: &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
 	golden.JSON(t, "config.json", want)
-	got.key, got.addrs, got.probe, got.term = nil, nil, 0, 0
+	got.key, got.addressByName, got.probeInterval, got.leaseTerm = nil, nil, 0, 0
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -9,189 +8,221 @@
 	"rampspread/internal/fleet/quota"
 )
 
+const (
+	// quotaLeadDivisor is by which part of its term before its end a grant is not counted on any more.
+	quotaLeadDivisor = 12
+	// On leaving the shares are returned in returnTicks ticks, returnInterval apart: the process needs a moment to act by
+	// its minimum, and only then may the voters be notified.
+	returnTicks    = 4
+	returnInterval = leaveNoticeInterval / 6
+)
+
 // Budgets are what the whole fleet may do together, in the operator's file. A limit of 0 is none.
 type Budgets struct {
-	// Floor is the part of each budget that is the configured members' for good, evenly; the voters lend the rest to those
-	// that are there, by their traffic. With 1 nothing is lent.
+	// Floor is the fraction of each budget that belongs to the configured members for good, evenly; the voters lend the
+	// remaining fraction to active members, by their traffic. With 1 nothing is lent.
 	Floor float64 `json:"floor"`
-	// PollsPerReplica is how often a second dispatchers may ask one replica for its load for themselves, all together.
+	// PollsPerReplica is how many load polls a second all dispatchers together may send to one replica for themselves.
 	PollsPerReplica float64 `json:"probes_per_replica_s"`
-	// RetriesPerRequest is how many steps of a request may be taken again after a failure, for each request, and Spare how many in
-	// a second besides, all together.
+	// RetriesPerRequest is how many retries all dispatchers together may make for each request, and RetriesPerSecond how
+	// many a second on top of that.
 	RetriesPerRequest float64 `json:"repeats_per_request"`
 	RetriesPerSecond  float64 `json:"repeats_s"`
 }
 
-// QuotaUser is this process as one that acts by a part of the whole.
+// QuotaUser is this process as one that acts by its share of the budgets.
 type QuotaUser interface {
-	// Accepted is how many requests it has taken so far.
+	// Accepted is how many requests it has accepted so far.
 	Accepted() int64
-	// SetQuotaShare acts by a part until left has passed, and then calls applied, once; false: it will not. It must not block.
-	SetQuotaShare(part float64, left time.Duration, applied func()) bool
+	// SetQuotaShare makes it act by a fraction of the whole for a remaining time. It calls applied once, when it does;
+	// false: it will not. It must not block.
+	SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool
 }
 
-// QuotaStatus is what operators are shown of this member's part.
+// QuotaStatus is this member's share of the budgets as operators are shown it.
 type QuotaStatus struct {
 	Self        string  `json:"self"`
-	Fraction    float64 `json:"part"` // of the whole, acted by now
-	MinFraction float64 `json:"least"`
+	Fraction    float64 `json:"part"`  // of the whole, in force now
+	MinFraction float64 `json:"least"` // of the whole, for good
 	RemainingS  float64 `json:"left_s"`
-	Demand      float64 `json:"demand_s"`         // requests a second of late
-	IsVoter     bool    `json:"lends"`            // it is a voter,
-	Recovering  bool    `json:"mute,omitempty"`   // that lends nothing yet
-	Outstanding float64 `json:"lent,omitempty"`   // by it, of the whole
-	Borrowers   int     `json:"asking,omitempty"` // members that it lends to
-	Shares      int64   `json:"offers"`           // parts that came to be acted by
-	Dropped     int64   `json:"dropped"`          // that the core had no room for
+	Demand      float64 `json:"demand_s"`         // recent requests a second
+	IsVoter     bool    `json:"lends"`            // this member is a voter
+	Recovering  bool    `json:"mute,omitempty"`   // a voter that grants nothing yet
+	Outstanding float64 `json:"lent,omitempty"`   // granted by this voter, of the whole
+	Borrowers   int     `json:"asking,omitempty"` // members that this voter has granted a share
+	Shares      int64   `json:"offers"`           // shares that came into force
+	Dropped     int64   `json:"dropped"`          // shares that the core had no capacity for
 }
 
-// limits are the times and parts by which a file's budgets are shared.
-func (c *Config) limits() quota.Limits {
-	return quota.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6, Lead: c.term / 12, Floor: c.Budgets.Floor,
-		Members: len(c.Members), Voters: len(c.Voters)}
+// quotaLimits are the times and fractions by which the budgets are shared.
+func (c *Config) quotaLimits() quota.Limits {
+	return quota.Limits{Term: c.leaseTerm, Margin: c.leaseTerm / leaseMarginDivisor, Renew: c.leaseTerm / leaseRenewDivisor,
+		Lead: c.leaseTerm / quotaLeadDivisor, Floor: c.Budgets.Floor, Members: len(c.Members), Voters: len(c.Voters)}
 }
 
-// MinFraction is what this process may do of each budget whatever it sees; 0: there are no budgets.
+// MinFraction is this process's fraction of each budget whatever it sees of the fleet; 0: there are no budgets.
 func (c *Config) MinFraction() float64 {
 	if c.Budgets == nil {
 		return 0
 	}
-	return c.limits().MinFraction()
+	return c.quotaLimits().MinFraction()
 }
 
-// shares claims this process's part of the budgets from the voters, and lends if it is one.
-type shares struct {
+// quotaShares is the component that borrows this process's share of the budgets from the voters, and grants shares to
+// others if this member is a voter.
+type quotaShares struct {
 	node    *Node
-	to      QuotaUser
+	user    QuotaUser
 	limits  quota.Limits
-	offers  atomic.Int64
+	applied atomic.Int64
 	dropped atomic.Int64
 
 	mu       sync.Mutex
 	borrower *quota.Borrower
-	voter    *quota.Voter // nil: not one
+	voter    *quota.Voter // nil: this member is none
 	traffic  quota.Rate
-	demand   float64
+	demand   float64 // requests a second
 }
 
-func newShares(n *Node, to QuotaUser) *shares {
-	s := &shares{node: n, to: to, limits: n.cfg.limits()}
-	s.borrower = quota.NewBorrower(quota.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, n.cfg.Voters, s.limits)
-	if slices.Contains(n.cfg.Voters, n.self.Name) {
-		s.voter = quota.NewVoter(n.self.Name, s.limits, n.now())
+func newQuotaShares(n *Node, user QuotaUser) *quotaShares {
+	q := &quotaShares{node: n, user: user, limits: n.cfg.quotaLimits()}
+	self := quota.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.startWall.UnixNano())}
+	q.borrower = quota.NewBorrower(self, n.cfg.Voters, q.limits)
+	if n.cfg.IsVoter(n.self.Name) {
+		q.voter = quota.NewVoter(n.self.Name, q.limits, n.now())
 	}
-	return s
+	return q
 }
 
-// step is one look at what is to be claimed and acted by.
-func (s *shares) step(now time.Duration) {
-	taken := s.to.Accepted()
-	s.mu.Lock()
-	s.demand = s.traffic.Observe(now, taken)
-	o, offered := s.borrower.NextShare(now)
-	c, claims := s.borrower.Step(now, s.demand)
-	s.mu.Unlock()
-	if offered {
-		s.apply(o)
+// handlers implements component.
+func (q *quotaShares) handlers() map[byte]messageHandler {
+	return map[byte]messageHandler{
+		kindQuotaClaim: func(m peerMessage) { q.answerClaim(m.quotaClaim(q.node.cfg.Voters)) },
+		kindQuotaGrant: func(m peerMessage) {
+			to := quota.BorrowerID{Name: q.node.self.Name, Incarnation: m.incarnation}
+			q.handleGrant(quota.Grant{To: to, Voter: m.from, Seq: m.seq, Fraction: m.fraction})
+		},
 	}
-	if !claims {
-		return
+}
+
+// tick implements component: it applies a new share and sends a claim, if either is due.
+func (q *quotaShares) tick(now time.Duration) {
+	accepted := q.user.Accepted()
+	q.mu.Lock()
+	q.demand = q.traffic.Observe(now, accepted)
+	share, hasShare := q.borrower.NextShare(now)
+	claim, hasClaim := q.borrower.Step(now, q.demand)
+	q.mu.Unlock()
+	if hasShare {
+		q.apply(share)
 	}
-	packet := encodeQuotaClaim(c, s.node.cfg.Voters)
-	for _, voter := range s.node.cfg.Voters {
-		if voter != s.node.self.Name {
-			s.node.send(voter, packet)
-		} else if l, ok := s.lend(c); ok {
-			s.take(l)
-		}
+	if hasClaim {
+		q.sendClaim(claim)
+	}
+}
+
+// stop implements component: it returns what is borrowed. It waits a moment for the core to act by no more than the
+// minimum, and notifies the voters; a grant that they do not know to be returned ends by itself.
+func (q *quotaShares) stop() {
+	q.mu.Lock()
+	q.borrower.ReturnAll()
+	q.mu.Unlock()
+	for range returnTicks {
+		q.tick(q.node.now())
+		time.Sleep(returnInterval)
 	}
 }
 
-// apply hands an offer on. Only once it is acted by may the voters count it.
-func (s *shares) apply(o quota.Share) {
-	settle := func(f func(b *quota.Borrower)) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		f(s.borrower)
+// apply makes the core act by a share. The voters may count it only once it is in force.
+func (q *quotaShares) apply(share quota.Share) {
+	if q.node.isSelfRestricted() {
+		share.Fraction = 0 // less than what was granted is safe at any time
 	}
-	if n := s.node.stragglers; n != nil && n.restricted.Load() {
-		o.Fraction = 0 // less than what was lent is safe at any time
+	confirm := func() {
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		q.borrower.Confirm(share)
 	}
-	if s.to.SetQuotaShare(o.Fraction, o.Until-s.node.now(), func() { settle(func(b *quota.Borrower) { b.Confirm(o) }) }) {
-		s.offers.Add(1)
+	if q.user.SetQuotaShare(share.Fraction, share.Until-q.node.now(), confirm) {
+		q.applied.Add(1)
 		return
 	}
-	s.dropped.Add(1)
-	settle((*quota.Borrower).Discard)
+	q.dropped.Add(1)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.borrower.Discard()
+}
+
+// sendClaim sends a claim to all voters; this member's own voter is called directly.
+func (q *quotaShares) sendClaim(claim quota.Claim) {
+	packet := encodeQuotaClaim(claim, q.node.cfg.Voters)
+	for _, voter := range q.node.cfg.Voters {
+		if voter != q.node.self.Name {
+			q.node.send(voter, packet)
+		} else if grant, ok := q.handleClaim(claim); ok {
+			q.handleGrant(grant)
+		}
+	}
 }
 
-// lend answers a claim as a voter; false: with nothing.
-func (s *shares) lend(c quota.Claim) (quota.Grant, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.voter == nil {
+// handleClaim handles a claim as a voter; false: there is no answer.
+func (q *quotaShares) handleClaim(claim quota.Claim) (quota.Grant, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.voter == nil {
 		return quota.Grant{}, false
 	}
-	return s.voter.HandleClaim(s.node.now(), c)
+	return q.voter.HandleClaim(q.node.now(), claim)
 }
 
-// answer answers another member's claim.
-func (s *shares) answer(c quota.Claim) {
-	if l, ok := s.lend(c); ok {
-		s.node.send(c.From.Name, encodeQuotaGrant(l))
+// answerClaim answers another member's claim.
+func (q *quotaShares) answerClaim(claim quota.Claim) {
+	if grant, ok := q.handleClaim(claim); ok {
+		q.node.send(claim.From.Name, encodeQuotaGrant(grant))
 	}
 }
 
-func (s *shares) take(l quota.Grant) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.borrower.HandleGrant(l)
+func (q *quotaShares) handleGrant(grant quota.Grant) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.borrower.HandleGrant(grant)
 }
 
-// end gives back what was lent: this process goes. It waits for a moment for the core to act by no more than the least part,
-// and tells the voters; what is not told ends by itself.
-func (s *shares) end() {
-	s.mu.Lock()
-	s.borrower.ReturnAll()
-	s.mu.Unlock()
-	for range 4 {
-		s.step(s.node.now())
-		time.Sleep(goodbyeWait / 6)
-	}
-}
-
-// part is what this process acts by now.
-func (s *shares) part() float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.borrower.Fraction(s.node.now())
+// fraction is the fraction of the whole that is in force now.
+func (q *quotaShares) fraction() float64 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.borrower.Fraction(q.node.now())
 }
 
-func (s *shares) status() QuotaStatus {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.node.now()
-	out := QuotaStatus{Self: s.node.self.Name, Fraction: s.borrower.Fraction(now), MinFraction: s.limits.MinFraction(), Demand: s.demand, IsVoter: s.voter != nil,
-		RemainingS: max(s.borrower.Until()-now, 0).Seconds(), Shares: s.offers.Load(), Dropped: s.dropped.Load()}
-	if s.voter != nil {
-		out.Recovering = s.voter.Recovering(now)
-		out.Outstanding, out.Borrowers = s.voter.Outstanding(now)
+func (q *quotaShares) status() QuotaStatus {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.node.now()
+	s := QuotaStatus{Self: q.node.self.Name, Fraction: q.borrower.Fraction(now), MinFraction: q.limits.MinFraction(),
+		RemainingS: max(q.borrower.Until()-now, 0).Seconds(), Demand: q.demand, IsVoter: q.voter != nil,
+		Shares: q.applied.Load(), Dropped: q.dropped.Load()}
+	if q.voter != nil {
+		s.Recovering = q.voter.Recovering(now)
+		s.Outstanding, s.Borrowers = q.voter.Outstanding(now)
 	}
-	return out
+	return s
 }
 
-// QuotaFraction is the part of the fleet's budgets that this process acts by now; false: there are none.
-func (n *Node) QuotaFraction() (part float64, ok bool) {
-	if n.shares == nil {
+// QuotaFraction is the fraction of the fleet's budgets that is in force at this process now; false: there are none.
+func (n *Node) QuotaFraction() (fraction float64, ok bool) {
+	shares, ok := componentOf[*quotaShares](n)
+	if !ok {
 		return 0, false
 	}
-	return n.shares.part(), true
+	return shares.fraction(), true
 }
 
-// QuotaStatus is this process's part, for operators; false: nothing is shared.
+// QuotaStatus is this process's share of the budgets, for operators; false: nothing is shared.
 func (n *Node) QuotaStatus() (s QuotaStatus, ok bool) {
-	if n.shares == nil {
+	shares, ok := componentOf[*quotaShares](n)
+	if !ok {
 		return s, false
 	}
-	return n.shares.status(), true
+	return shares.status(), true
 }
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -106,8 +106,8 @@
 		return sum() > 0.98 && all[3].fractionInForce() == 0.05 && all[0].fractionInForce() > 0.2
 	})
 	before := nodes[0].Malformed()
-	nodes[0].NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
-	nodes[0].NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
+	(&delegate{nodes[0]}).NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
+	(&delegate{nodes[0]}).NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
 	if nodes[0].Malformed() != before+2 {
 		t.Errorf("%d bad messages counted, want 2", nodes[0].Malformed()-before)
 	}
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
@@ -15,376 +14,319 @@
 )
 
 const (
-	defaultTerm       = 1200 * time.Millisecond
-	componentInterval = 50 * time.Millisecond
-	flushEvery        = 2 * componentInterval // at the least
-	// One that stands by claims a duty that it has heard nothing of for a term and this.
-	standbyGrace = 100 * time.Millisecond
-	// And gives it back to the owner after so many terms, where that one counts again.
+	defaultLeaseTerm = 1200 * time.Millisecond
+	// A standby claims a task that it has had no result of for a lease's term, a quarter of the task's interval and
+	// standbyGrace.
+	standbyGrace           = 100 * time.Millisecond
+	standbyIntervalDivisor = 4
+	// standbyTerms is after how many terms a standby gives a task back to its owner, if that one is an active member again.
 	standbyTerms = 8
-	resultBytes  = 64 << 10 // that a member sends in a second, to all together
-	forgetAfter  = time.Minute
+	// grantRetention is how long a voter remembers grants that have ended, of tasks that no longer exist.
+	grantRetention = time.Minute
+	// The margin and the renewal interval of a lease, as parts of its term; quota grants have the same.
+	leaseMarginDivisor = 10
+	leaseRenewDivisor  = 6
+	// leaseSeedStream separates the lease holder's random draws from those of the node and other components.
+	leaseSeedStream = 0x1ea5e
 )
 
-// TaskRunner is what the fleet does in turn. Its methods may be called from several goroutines; Duties, Every and Told must not
-// block.
+// TaskRunner is the tasks that one member runs for all. Its methods may be called from several goroutines; Names,
+// Interval and HandleResults must not block.
 type TaskRunner interface {
-	// Names are the names of what is to be done by one member for all.
+	// Names are the names of the tasks that there are now.
 	Names() []string
-	// Interval is how often a duty is carried out.
-	Interval(duty string) time.Duration
-	// Run carries it out under a lease, and calls done once with what it found (at most 64 bytes), or with nil.
-	Run(duty string, number uint64, done func(found []byte))
-	// HandleResults takes what was found out, here or by other members.
-	HandleResults(found []TaskResult)
+	// Interval is how often a task runs.
+	Interval(task string) time.Duration
+	// Run runs a task once under the lease of a fencing token, and calls done once with its result (at most 64 bytes), or
+	// with nil.
+	Run(task string, token uint64, done func(result []byte))
+	// HandleResults takes results, from this process or other members.
+	HandleResults(results []TaskResult)
 }
 
-// TaskResult is one result of a duty.
+// TaskResult is one result of a task.
 type TaskResult struct {
 	Task string
 	Data []byte
 	Age  time.Duration
 }
 
-// TaskStatus is a duty as operators are shown it.
-type TaskStatus struct {
-	Task        string  `json:"duty"`
-	Owner       string  `json:"owner"` // by the view
-	Standby     string  `json:"standby"`
-	Held        bool    `json:"held"` // by this member
-	Token       uint64  `json:"number"`
-	HeldForS    float64 `json:"for_s"`
-	RemainingS  float64 `json:"left_s"`
-	LastResultS float64 `json:"heard_s"` // since its last result, from whomever
-}
+// leasedTasks is the component that has each task run by one member at a time: it claims leases on those tasks that the
+// view assigns to this member, votes if it is a voter, runs tasks under its leases and distributes their results.
+type leasedTasks struct {
+	node        *Node
+	runner      TaskRunner
+	limits      lease.Limits
+	executions  atomic.Int64
+	lateResults atomic.Int64
+	bytesSent   atomic.Int64
 
-// TasksStatus is what operators are shown of the duties.
-type TasksStatus struct {
-	Self        string       `json:"self"`
-	Voters      []string     `json:"voters"`
-	Recovering  bool         `json:"mute"` // a voter that does not vote yet
-	Tasks       []TaskStatus `json:"duties"`
-	LastExpired string       `json:"lapsed,omitempty"` // what ended last here, and why
-	Executions  int64        `json:"acts"`
-	LateResults int64        `json:"late"` // results of leases that others have followed
-	Bytes       int64        `json:"bytes"`
-}
+	mu             sync.Mutex
+	stopped        bool // the process leaves: it wants no lease any more
+	holder         *lease.Holder
+	voter          *lease.Voter // nil: this member is none
+	fence          lease.Fence
+	lastCompaction time.Duration // of the voter's grants
+	lastExpired    *lease.Expired
 
-// leasedTasks carries out the fleet's work: it claims what the view says is this member's, votes if it is a voter, acts
-// under its leases and spreads what was found.
-type leasedTasks struct {
-	node       *Node
-	work       TaskRunner
-	limits     lease.Limits
-	executions atomic.Int64
-	late       atomic.Int64
-	bytes      atomic.Int64
+	sortedNames []string // what names was made from
+	names       map[lease.Task]string
+	members     []string // that tasks are assigned to
+	assignment  lease.Assignment
 
-	mu         sync.Mutex
-	holder     *lease.Holder
-	voter      *lease.Voter // nil: not one
-	fence      lease.Fence
-	names      map[lease.Task]string
-	list       []string // what names was made of
-	assigned   lease.Assignment
-	members    []string
-	next       map[lease.Task]time.Duration
-	heard      map[lease.Task]time.Duration // the last result
-	standing   map[lease.Task]time.Duration // held for another since
-	out        map[lease.Task]taskResult    // to be sent, the latest of each
-	flushed    time.Duration
-	budget     float64
-	forgotten  time.Duration
-	lapsedSeen *lease.Expired
-	ended      bool // this process goes
-}
+	nextRun      map[lease.Task]time.Duration
+	lastResult   map[lease.Task]time.Duration
+	standbySince map[lease.Task]time.Duration // claimed in the owner's place since
 
-func newLeasedTasks(n *Node, work TaskRunner) *leasedTasks {
-	c := n.cfg
-	limits := lease.Limits{Term: c.term, Margin: c.term / 10, Renew: c.term / 6}
-	rng := rand.New(rand.NewPCG(n.self.Seed, 0x1ea5e))
-	d := &leasedTasks{node: n, work: work, limits: limits, next: map[lease.Task]time.Duration{}, heard: map[lease.Task]time.Duration{},
-		standing: map[lease.Task]time.Duration{}, out: map[lease.Task]taskResult{}, names: map[lease.Task]string{}, budget: resultBytes}
-	d.holder = lease.NewHolder(lease.Candidate{Name: n.self.Name, Incarnation: uint64(n.wall.UnixNano())}, c.Voters, limits, rng.Int64N)
-	d.holder.ObserveToken(n.self.TokenFloor)
-	if slices.Contains(c.Voters, n.self.Name) {
-		d.voter = lease.NewVoter(n.self.Name, limits, n.now())
-	}
-	return d
+	unsent     map[lease.Task]taskResult // the latest of each task
+	lastFlush  time.Duration
+	byteBudget float64
 }
 
-// most is the highest number of a lease that this member knows of.
-func (d *leasedTasks) most() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(d.fence.HighestToken(), d.holder.HighestToken())
+func newLeasedTasks(n *Node, runner TaskRunner) *leasedTasks {
+	term := n.cfg.leaseTerm
+	limits := lease.Limits{Term: term, Margin: term / leaseMarginDivisor, Renew: term / leaseRenewDivisor}
+	rng := rand.New(rand.NewPCG(n.self.Seed, leaseSeedStream))
+	self := lease.Candidate{Name: n.self.Name, Incarnation: uint64(n.startWall.UnixNano())}
+	t := &leasedTasks{
+		node:         n,
+		runner:       runner,
+		limits:       limits,
+		holder:       lease.NewHolder(self, n.cfg.Voters, limits, rng.Int64N),
+		names:        map[lease.Task]string{},
+		nextRun:      map[lease.Task]time.Duration{},
+		lastResult:   map[lease.Task]time.Duration{},
+		standbySince: map[lease.Task]time.Duration{},
+		unsent:       map[lease.Task]taskResult{},
+		byteBudget:   resultBytesPerSecond,
+	}
+	t.holder.ObserveToken(n.self.TokenFloor)
+	if n.cfg.IsVoter(n.self.Name) {
+		t.voter = lease.NewVoter(n.self.Name, limits, n.now())
+	}
+	return t
 }
 
-// observeToken takes the highest number that another knows of, so that one that starts grants and claims no lower ones: while it may
-// not vote yet it hears of them.
-func (d *leasedTasks) observeToken(number uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.holder.ObserveToken(number)
+// handlers implements component.
+func (t *leasedTasks) handlers() map[byte]messageHandler {
+	return map[byte]messageHandler{
+		kindLeaseRequest: func(m peerMessage) {
+			from := lease.Candidate{Name: m.from, Incarnation: m.incarnation}
+			t.handleRequest(lease.Request{Seq: m.seq, From: from, Claims: m.claims, Releases: m.releases})
+		},
+		kindLeaseReply: func(m peerMessage) {
+			to := lease.Candidate{Name: t.node.self.Name, Incarnation: m.incarnation}
+			t.handleReply(lease.Reply{Seq: m.seq, To: to, Voter: m.from, Grants: m.grants})
+		},
+		kindTaskResults: func(m peerMessage) { t.addPeerResults(m.results) },
+	}
 }
 
-// step is one look at what is to be claimed, done and sent.
-func (d *leasedTasks) step(now time.Duration) {
-	v := d.node.View()
-	d.mu.Lock()
-	d.assign(now, v)
-	most := max(d.fence.HighestToken(), d.holder.HighestToken())
-	d.holder.ObserveToken(most)
-	if d.node.self.ObserveToken != nil {
-		d.node.self.ObserveToken(most)
+// tick implements component: it claims leases, runs the tasks that are due and sends results.
+func (t *leasedTasks) tick(now time.Duration) {
+	v := t.node.View()
+	t.mu.Lock()
+	t.assign(now, v)
+	t.shareHighestToken()
+	t.compactVoter(now)
+	t.holder.SetWanted(now, t.wantedTasks(now))
+	request, hasRequest := t.holder.Step(now)
+	t.logExpired()
+	due := t.dueTasks(now)
+	packets := t.flushResults(now)
+	t.mu.Unlock()
+	if hasRequest {
+		t.sendRequest(request)
 	}
-	if d.voter != nil {
-		d.voter.ObserveToken(most)
-		if now-d.forgotten > forgetAfter {
-			d.forgotten = now
-			d.voter.Compact(now, forgetAfter)
-		}
+	for _, task := range due {
+		t.run(task)
 	}
-	d.holder.SetWanted(now, d.wants(now))
-	q, claims := d.holder.Step(now)
-	if l := d.holder.LastExpired(); l != nil && l != d.lapsedSeen {
-		d.lapsedSeen = l
-		slog.Info("duty_lapsed", "duty", d.names[l.Task], "number", l.Token, "why", l.Reason)
+	for _, p := range packets {
+		t.node.send(p.to, p.data)
 	}
-	var due []lease.Task
-	for _, h := range d.holder.Leases(now) {
-		if now >= d.next[h.Task] {
-			due = append(due, h.Task)
-			d.next[h.Task] = now + d.work.Interval(d.names[h.Task])
-		}
+}
+
+// stop implements component: it releases all leases, so that other members may claim them at once.
+func (t *leasedTasks) stop() {
+	t.mu.Lock()
+	t.stopped = true
+	t.mu.Unlock()
+	t.tick(t.node.now())
+}
+
+// highestToken is the highest fencing token that this member knows of.
+func (t *leasedTasks) highestToken() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return max(t.fence.HighestToken(), t.holder.HighestToken())
+}
+
+// observeToken takes the highest fencing token that another member knows of, so that a process that starts neither grants
+// nor claims lower ones: it learns them while its voter is recovering and may not vote yet.
+func (t *leasedTasks) observeToken(token uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.holder.ObserveToken(token)
+}
+
+// shareHighestToken makes the highest fencing token known to the holder, the voter and the process. The caller holds the
+// lock.
+func (t *leasedTasks) shareHighestToken() {
+	highest := max(t.fence.HighestToken(), t.holder.HighestToken())
+	t.holder.ObserveToken(highest)
+	if t.node.self.ObserveToken != nil {
+		t.node.self.ObserveToken(highest)
 	}
-	packets := d.flush(now)
-	d.mu.Unlock()
-	if claims {
-		d.ask(q)
+	if t.voter != nil {
+		t.voter.ObserveToken(highest)
 	}
-	for _, duty := range due {
-		d.act(duty)
+}
+
+// compactVoter has the voter forget old grants from time to time. The caller holds the lock.
+func (t *leasedTasks) compactVoter(now time.Duration) {
+	if t.voter != nil && now-t.lastCompaction > grantRetention {
+		t.lastCompaction = now
+		t.voter.Compact(now, grantRetention)
 	}
-	for _, p := range packets {
-		d.node.send(p.to, p.data)
+}
+
+// logExpired logs a lease that has expired since it was called last. The caller holds the lock.
+func (t *leasedTasks) logExpired() {
+	expired := t.holder.LastExpired()
+	if expired == nil || expired == t.lastExpired {
+		return
 	}
+	t.lastExpired = expired
+	slog.Info("lease_expired", "task", t.names[expired.Task], "token", expired.Token, "reason", expired.Reason)
 }
 
-// end gives up all that is held: this process goes, and others may go on at once.
-func (d *leasedTasks) end() {
-	d.mu.Lock()
-	d.ended = true
-	d.mu.Unlock()
-	d.step(d.node.now())
+// dueTasks are the tasks under lease that are to run now, and schedules their next runs. The caller holds the lock.
+func (t *leasedTasks) dueTasks(now time.Duration) []lease.Task {
+	var due []lease.Task
+	for _, l := range t.holder.Leases(now) {
+		if now >= t.nextRun[l.Task] {
+			due = append(due, l.Task)
+			t.nextRun[l.Task] = now + t.runner.Interval(t.names[l.Task])
+		}
+	}
+	return due
 }
 
-// assign works out whose each duty is, when the duties or those who count have changed; the caller holds the lock.
-func (d *leasedTasks) assign(now time.Duration, v membership.View) {
-	names := d.work.Names()
+// assign assigns the tasks to members again, if the tasks or the active members have changed. The caller holds the lock.
+func (t *leasedTasks) assign(now time.Duration, v membership.View) {
+	names := t.runner.Names()
 	slices.Sort(names)
 	var members []string
 	for _, m := range v.ActiveMembers() {
-		if s := d.node.stragglers; s == nil || !s.excluded(m.Name) {
+		if !t.node.isRestricted(m.Name) {
 			members = append(members, m.Name)
 		}
 	}
-	if slices.Equal(names, d.list) && slices.Equal(members, d.members) {
+	if slices.Equal(names, t.sortedNames) && slices.Equal(members, t.members) {
 		return
 	}
-	d.list, d.members = names, members
-	d.names = map[lease.Task]string{}
+	t.sortedNames, t.members = names, members
+	t.names = map[lease.Task]string{}
 	for _, name := range names {
-		duty := lease.TaskOf(name)
-		d.names[duty] = name
-		if _, ok := d.heard[duty]; !ok {
-			d.heard[duty] = now
+		task := lease.TaskOf(name)
+		t.names[task] = name
+		if _, ok := t.lastResult[task]; !ok {
+			t.lastResult[task] = now
 		}
 	}
-	forget(d.heard, d.names)
-	forget(d.next, d.names)
-	forget(d.standing, d.names)
-	forget(d.out, d.names)
-	d.fence.Retain(func(duty lease.Task) bool { return d.names[duty] != "" })
-	d.assigned = lease.Assign(slices.Collect(maps.Keys(d.names)), members)
+	retainKeys(t.lastResult, t.names)
+	retainKeys(t.nextRun, t.names)
+	retainKeys(t.standbySince, t.names)
+	retainKeys(t.unsent, t.names)
+	t.fence.Retain(func(task lease.Task) bool { return t.names[task] != "" })
+	t.assignment = lease.Assign(slices.Collect(maps.Keys(t.names)), members)
 }
 
-// forget drops what is kept of duties that are no more.
-func forget[V any](kept map[lease.Task]V, names map[lease.Task]string) {
-	maps.DeleteFunc(kept, func(d lease.Task, _ V) bool { return names[d] == "" })
+// retainKeys drops the entries of tasks that no longer exist.
+func retainKeys[V any](entries map[lease.Task]V, names map[lease.Task]string) {
+	maps.DeleteFunc(entries, func(task lease.Task, _ V) bool { return names[task] == "" })
 }
 
-// wants are the duties that are this member's, and those that it stands by for and that seem to have lapsed; the caller
-// holds the lock.
-func (d *leasedTasks) wants(now time.Duration) map[lease.Task]bool {
-	out := map[lease.Task]bool{}
-	if d.ended || d.node.stragglers != nil && d.node.stragglers.restricted.Load() {
-		return out
+// wantedTasks are the tasks that this member owns, and those that it is the standby for and whose lease seems to have
+// expired. The caller holds the lock.
+func (t *leasedTasks) wantedTasks(now time.Duration) map[lease.Task]bool {
+	wanted := map[lease.Task]bool{}
+	if t.stopped || t.node.isSelfRestricted() {
+		return wanted
 	}
-	self := d.node.self.Name
-	for duty := range d.names {
-		if d.assigned.Owner[duty] == self {
-			out[duty] = true
-			delete(d.standing, duty)
-			continue
-		}
-		if d.assigned.Standby[duty] != self {
-			continue
-		}
-		since, standing := d.standing[duty]
-		switch {
-		case standing && now-since < standbyTerms*d.limits.Term:
-			out[duty] = true
-		case standing:
-			delete(d.standing, duty) // the owner counts, or the duty would be another's by now
-			d.heard[duty] = now
-		case now-d.heard[duty] > d.limits.Term+standbyGrace+d.work.Interval(d.names[duty])/4:
-			d.standing[duty] = now
-			out[duty] = true
+	self := t.node.self.Name
+	for task := range t.names {
+		switch self {
+		case t.assignment.Owner[task]:
+			wanted[task] = true
+			delete(t.standbySince, task)
+		case t.assignment.Standby[task]:
+			if t.standsInFor(task, now) {
+				wanted[task] = true
+			}
 		}
 	}
-	return out
+	return wanted
 }
 
-// ask sends a request to all voters.
-func (d *leasedTasks) ask(q lease.Request) {
-	packets := encodeLeaseRequest(q)
-	for _, voter := range d.node.cfg.Voters {
-		if voter == d.node.self.Name {
-			d.answer(q)
-			continue
-		}
-		for _, p := range packets {
-			d.node.send(voter, p)
-		}
+// standsInFor tells whether this member, as the standby of a task, claims it in the owner's place. The caller holds the
+// lock.
+func (t *leasedTasks) standsInFor(task lease.Task, now time.Duration) bool {
+	since, claiming := t.standbySince[task]
+	switch {
+	case claiming && now-since < standbyTerms*t.limits.Term:
+		return true
+	case claiming:
+		delete(t.standbySince, task) // the owner is active, or the task would be assigned to another by now
+		t.lastResult[task] = now
+	case now-t.lastResult[task] > t.resultTimeout(task):
+		t.standbySince[task] = now
+		return true
 	}
+	return false
 }
 
-// answer answers a request as a voter.
-func (d *leasedTasks) answer(q lease.Request) {
-	d.mu.Lock()
-	if d.voter == nil {
-		d.mu.Unlock()
-		return
-	}
-	now := d.node.now()
-	r := d.voter.HandleRequest(now, q)
-	if q.From.Name == d.node.self.Name {
-		d.holder.HandleReply(now, r)
-		d.mu.Unlock()
-		return
-	}
-	d.mu.Unlock()
-	if len(r.Grants) > 0 {
-		d.node.send(q.From.Name, encodeLeaseReply(r))
-	}
+// resultTimeout is after how long without a result a task's lease seems to have expired.
+func (t *leasedTasks) resultTimeout(task lease.Task) time.Duration {
+	return t.limits.Term + standbyGrace + t.runner.Interval(t.names[task])/standbyIntervalDivisor
 }
 
-// act carries out one duty, if the lease still runs at this very time.
-func (d *leasedTasks) act(duty lease.Task) {
-	d.mu.Lock()
-	name := d.names[duty]
-	now := d.node.now()
-	number, ok := d.holder.Holds(now, duty)
-	d.mu.Unlock()
-	if !ok || name == "" {
-		return
-	}
-	d.executions.Add(1)
-	d.work.Run(name, number, func(found []byte) {
-		if found != nil && len(found) <= maxResultBytes {
-			d.take([]taskResult{{duty, number, d.node.now(), found}}, true)
-		}
-	})
-}
-
-// take takes results, of which those of leases that others have followed are passed over. Own ones go to the others.
-func (d *leasedTasks) take(results []taskResult, own bool) {
-	var news []TaskResult
-	now := d.node.now()
-	d.mu.Lock()
-	for _, r := range results {
-		name, ok := d.names[r.task]
-		if !ok {
-			continue // a duty that is not known here, or no more
-		}
-		if !d.fence.Accept(now, r.task, r.token) {
-			d.late.Add(1)
+// sendRequest sends a request to all voters; this member's own voter is called directly.
+func (t *leasedTasks) sendRequest(request lease.Request) {
+	packets := encodeLeaseRequest(request)
+	for _, voter := range t.node.cfg.Voters {
+		if voter == t.node.self.Name {
+			t.handleRequest(request)
 			continue
 		}
-		d.heard[r.task] = now
-		if own {
-			d.out[r.task] = r
+		for _, p := range packets {
+			t.node.send(voter, p)
 		}
-		news = append(news, TaskResult{name, r.data, max(now-r.at, 0)})
-	}
-	d.mu.Unlock()
-	if len(news) > 0 {
-		d.work.HandleResults(news)
 	}
 }
 
-// packet is what is to be sent to a member.
-type packet struct {
-	to   string
-	data []byte
-}
-
-// flush makes packets of the results that wait, within the budget of bytes; the caller holds the lock.
-func (d *leasedTasks) flush(now time.Duration) (out []packet) {
-	// In a large fleet results wait longer, so that the packets of a second stay bounded.
-	every := max(flushEvery, time.Duration(len(d.members))*2*time.Millisecond)
-	if now-d.flushed < every || len(d.out) == 0 {
-		return nil
+// handleRequest answers a request as a voter; a member that is none ignores it.
+func (t *leasedTasks) handleRequest(request lease.Request) {
+	t.mu.Lock()
+	if t.voter == nil {
+		t.mu.Unlock()
+		return
 	}
-	d.budget = min(d.budget+resultBytes*(now-d.flushed).Seconds(), resultBytes)
-	d.flushed = now
-	waiting := slices.SortedFunc(maps.Values(d.out), func(a, b taskResult) int { return int(a.at - b.at) })
-	clear(d.out)
-	var messages [][]byte
-	for len(waiting) > 0 {
-		var m []byte
-		m, waiting = encodeTaskResults(now, waiting)
-		messages = append(messages, m)
+	now := t.node.now()
+	reply := t.voter.HandleRequest(now, request)
+	if request.From.Name == t.node.self.Name {
+		t.holder.HandleReply(now, reply)
+		t.mu.Unlock()
+		return
 	}
-	for _, m := range messages {
-		cost := float64(len(m) * max(len(d.members)-1, 0))
-		if cost > d.budget {
-			continue // the next results are newer
-		}
-		d.budget -= cost
-		d.bytes.Add(int64(cost))
-		for _, to := range d.members {
-			if to != d.node.self.Name {
-				out = append(out, packet{to, m})
-			}
-		}
+	t.mu.Unlock()
+	if len(reply.Grants) > 0 {
+		t.node.send(request.From.Name, encodeLeaseReply(reply))
 	}
-	return out
 }
 
-// status is what operators are shown.
-func (d *leasedTasks) status() TasksStatus {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.node.now()
-	s := TasksStatus{Self: d.node.self.Name, Voters: d.node.cfg.Voters, Recovering: d.voter != nil && d.voter.Recovering(now),
-		Executions: d.executions.Load(), LateResults: d.late.Load(), Bytes: d.bytes.Load()}
-	held := map[lease.Task]lease.Lease{}
-	for _, h := range d.holder.Leases(now) {
-		held[h.Task] = h
-	}
-	for _, name := range d.list {
-		duty := lease.TaskOf(name)
-		h, ok := held[duty]
-		one := TaskStatus{Task: name, Owner: d.assigned.Owner[duty], Standby: d.assigned.Standby[duty], Held: ok, LastResultS: (now - d.heard[duty]).Seconds()}
-		if ok {
-			one.Token, one.HeldForS, one.RemainingS = h.Token, (now - h.Since).Seconds(), (h.Until - now).Seconds()
-		}
-		s.Tasks = append(s.Tasks, one)
-	}
-	if l := d.holder.LastExpired(); l != nil {
-		s.LastExpired = fmt.Sprintf("%s, lease %d, %.1f s ago: %s", d.names[l.Task], l.Token, (now - l.At).Seconds(), l.Reason)
-	}
-	return s
+func (t *leasedTasks) handleReply(reply lease.Reply) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.holder.HandleReply(t.node.now(), reply)
 }
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -68,6 +68,16 @@
 	return out
 }
 
+// leasedTasksOf is the node's component of leased tasks.
+func leasedTasksOf(t *testing.T, n *Node) *leasedTasks {
+	t.Helper()
+	tasks, ok := componentOf[*leasedTasks](n)
+	if !ok {
+		t.Fatalf("%s has no leased tasks", n.self.Name)
+	}
+	return tasks
+}
+
 func startTaskNode(t *testing.T, c *taskLog, text string, host int) *Node {
 	t.Helper()
 	name := fmt.Sprint("n", host%100)
@@ -80,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { n.stop(); <-n.done; n.gossip.Shutdown() })
+	t.Cleanup(func() { n.cancel(); <-n.done; n.gossip.Shutdown() })
 	return n
 }
 
@@ -112,7 +122,7 @@
 		t.Errorf("%+v", s)
 	}
 	dead := nodes[3]
-	dead.stop()
+	dead.cancel()
 	<-dead.done
 	dead.gossip.Shutdown()
 	testkit.Eventually(t, "its duties to be taken over", func() bool {
@@ -128,7 +138,7 @@
 	}
 	c.mu.Unlock()
 	for _, n := range nodes[1:3] { // one voter of three is left
-		n.stop()
+		n.cancel()
 		<-n.done
 		n.gossip.Shutdown()
 	}
@@ -143,14 +153,14 @@
 		return n
 	}
 	testkit.Eventually(t, "the minority to hold nothing", func() bool { return held() == 0 })
-	acts := nodes[0].duties.executions.Load()
+	acts := leasedTasksOf(t, nodes[0]).executions.Load()
 	for range 20 {
 		time.Sleep(componentInterval)
 		if held() > 0 {
 			t.Fatal("a minority holds a duty")
 		}
 	}
-	if now := nodes[0].duties.executions.Load(); now != acts {
+	if now := leasedTasksOf(t, nodes[0]).executions.Load(); now != acts {
 		t.Errorf("a minority acted %d times", now-acts)
 	}
 }
@@ -161,10 +171,11 @@
 	text := strings.Replace(configJSON("f", testKey, 70, 71, 72, 73), `"probe_ms":100`, `"probe_ms":100,"term_ms":400,"voters":["n70","n71","n72"]`, 1)
 	c := &taskLog{results: map[string]int{}, names: []string{"one"}}
 	knows := startTaskNode(t, c, text, 73)
-	knows.duties.mu.Lock()
-	knows.duties.fence.Accept(knows.now(), lease.TaskOf("gone"), 50)
-	knows.duties.mu.Unlock()
-	knows.duties.observeToken(50)
+	tasks := leasedTasksOf(t, knows)
+	tasks.mu.Lock()
+	tasks.fence.Accept(knows.now(), lease.TaskOf("gone"), 50)
+	tasks.mu.Unlock()
+	tasks.observeToken(50)
 	for _, h := range []int{70, 71, 72} {
 		startTaskNode(t, c, text, h)
 	}
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -1,45 +1,48 @@
 package fleet
 
 import (
-	"fmt"
+	"errors"
 	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"rampspread/internal/fleet/membership"
 	"rampspread/internal/fleet/versionskew"
 )
 
-// VersionSkewConfig says when a member that acts on something older than most is restricted and shut out.
+// VersionSkewConfig says when a member that acts on something older than most is restricted and fenced.
 type VersionSkewConfig struct {
-	RestrictS         float64 `json:"restrict_s"` // after it has been behind for so long
-	FenceS            float64 `json:"out_s"`
-	MaxFencedFraction float64 `json:"part"` // of the fleet, at most, is shut out at once
+	RestrictS         float64 `json:"restrict_s"` // s of lagging after which it is restricted
+	FenceS            float64 `json:"out_s"`      // s of lagging after which it is fenced
+	MaxFencedFraction float64 `json:"part"`       // of the fleet, fenced at the same time
 }
 
-// Limits are the file's, the rest the usual ones.
-func (s VersionSkewConfig) Limits() versionskew.Limits {
+// Limits are the file's, the others the default ones.
+func (c VersionSkewConfig) Limits() versionskew.Limits {
 	l := versionskew.DefaultLimits
-	l.RestrictAfter, l.FenceAfter, l.MaxFencedFraction = time.Duration(s.RestrictS*float64(time.Second)), time.Duration(s.FenceS*float64(time.Second)), s.MaxFencedFraction
+	l.RestrictAfter = time.Duration(c.RestrictS * float64(time.Second))
+	l.FenceAfter = time.Duration(c.FenceS * float64(time.Second))
+	l.MaxFencedFraction = c.MaxFencedFraction
 	return l
 }
 
-// VersionSkewActions acts by how this process stands in its fleet.
+// VersionSkewActions acts on this process's own version skew.
 type VersionSkewActions interface {
-	// Refresh asks discovery for the whole list anew.
+	// Refresh requests the whole endpoint list from discovery.
 	Refresh()
-	// Out takes clients no more, or again. It must not block.
-	Out(out bool)
+	// Out fences the process, so that it admits no clients, or lifts the fence. It must not block.
+	Out(fenced bool)
 }
 
-// VersionSkewStatus is who acts on what, for operators.
+// VersionSkewStatus is which versions the members act on, as operators are shown it.
 type VersionSkewStatus struct {
 	Self             string          `json:"self"`
-	List             uint64          `json:"list"`     // that most members have had for a while
-	Settings         string          `json:"settings"` // that most members have
+	List             uint64          `json:"list"`     // the version that most members have had for a while
+	Settings         string          `json:"settings"` // the fingerprint that most members have
 	Fault            string          `json:"fault,omitempty"`
-	Enabled          bool            `json:"judged"` // false: the file asks for no judgement
-	InsufficientView bool            `json:"blind"`  // it sees too few members to judge
+	Enabled          bool            `json:"judged"` // false: the configuration asks for no detection
+	InsufficientView bool            `json:"blind"`  // this process sees too few members for a detection
 	Frozen           bool            `json:"frozen"`
 	Members          []MemberVersion `json:"members"`
 }
@@ -47,123 +50,169 @@
 // MemberVersion is what one member acts on.
 type MemberVersion struct {
 	Name           string  `json:"name"`
-	State          string  `json:"state"` // of its membership; what it acts on is by its last sign of life
+	State          string  `json:"state"` // of its membership; the versions are those of its last heartbeat
 	LastHeartbeatS float64 `json:"heard_s"`
 	Program        string  `json:"program"`
 	Settings       string  `json:"settings"`
 	ListVersion    uint64  `json:"list"`
-	HighestToken   uint64  `json:"lease"` // the highest number that it knows of
+	HighestToken   uint64  `json:"lease"` // the highest fencing token that it knows of
 	SkewState      string  `json:"step"`
 	Reason         string  `json:"why,omitempty"`
 	LaggingS       float64 `json:"behind_s,omitempty"`
 	SkewStateForS  float64 `json:"step_for_s"`
 }
 
-// stragglers judges the members, and acts on this one's part of it.
-type stragglers struct {
-	node *Node
-	acts VersionSkewActions
+// skewMonitor is the component that detects members that act on old versions, and acts on this one's own skew.
+type skewMonitor struct {
+	node    *Node
+	actions VersionSkewActions
 
-	restricted atomic.Bool // this process
+	selfRestricted atomic.Bool
 
-	mu      sync.Mutex
-	judge   *versionskew.Detector
-	verdict versionskew.Assessment
-	blind   bool
-	frozen  bool
-	acted   versionskew.State // this process's, that was acted on
+	mu               sync.Mutex
+	detector         *versionskew.Detector
+	assessment       versionskew.Assessment
+	insufficientView bool
+	frozen           bool
+	appliedState     versionskew.State // of this process, that was acted on last
 }
 
-func newStragglers(n *Node, acts VersionSkewActions) *stragglers {
-	return &stragglers{node: n, acts: acts, judge: versionskew.New(n.cfg.VersionSkew.Limits())}
+func newSkewMonitor(n *Node, actions VersionSkewActions) *skewMonitor {
+	return &skewMonitor{node: n, actions: actions, detector: versionskew.New(n.cfg.VersionSkew.Limits())}
 }
 
-// step judges, if it sees enough. One that sees only a minority judges nobody, and is not judged by itself: its leases and its part
-// of the budgets end by its own clock.
-func (s *stragglers) step(now time.Duration) {
+// handlers implements component; all that is assessed is in the view.
+func (s *skewMonitor) handlers() map[byte]messageHandler { return nil }
+
+// stop implements component; nothing is held.
+func (s *skewMonitor) stop() {}
+
+// tick implements component: it assesses the members, if it sees enough of them. A process that sees only a minority
+// assesses nobody, and does not assess itself: its leases and its share of the budgets end by its own clock.
+func (s *skewMonitor) tick(now time.Duration) {
 	v := s.node.View()
-	var told []versionskew.Report
-	self := false
-	for _, m := range v.ActiveMembers() {
-		told = append(told, versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings})
-		self = self || m.Name == s.node.self.Name
-	}
+	reports, includesSelf := s.reports(v)
 	s.mu.Lock()
-	s.blind = !self || !v.Fresh(now, MaxViewAge) || 2*len(told) <= len(s.node.cfg.Members)
-	if s.blind {
+	isMinority := 2*len(reports) <= len(s.node.cfg.Members)
+	s.insufficientView = !includesSelf || !v.Fresh(now, MaxViewAge) || isMinority
+	if s.insufficientView {
 		s.mu.Unlock()
 		return
 	}
-	s.verdict = s.judge.Assess(now, told)
-	own, fault := s.verdict.Members[s.node.self.Name], s.verdict.Fault
-	was := s.acted
-	s.acted = own.State
+	assessment := s.detector.Assess(now, reports)
+	own := assessment.Members[s.node.self.Name]
+	previous := s.appliedState
+	s.assessment, s.appliedState = assessment, own.State
 	s.mu.Unlock()
-	s.restricted.Store(own.State >= versionskew.Restricted)
-	if own.State == was {
+	s.selfRestricted.Store(own.State >= versionskew.Restricted)
+	if own.State == previous {
 		return
 	}
-	slog.Info("straggler", "step", own.State, "was", was, "why", own.Reason, "list", own.ListVersion, "most", s.verdict.List, "fault", fault)
+	slog.Info("version_skew", "state", own.State, "previous", previous, "reason", own.Reason, "list", own.ListVersion,
+		"majority_list", assessment.List, "fault", assessment.Fault)
+	s.applyTransition(previous, own)
+}
+
+// reports are what the active members report, and whether this process is one of them.
+func (s *skewMonitor) reports(v membership.View) (reports []versionskew.Report, includesSelf bool) {
+	for _, m := range v.ActiveMembers() {
+		reports = append(reports, versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings})
+		includesSelf = includesSelf || m.Name == s.node.self.Name
+	}
+	return reports, includesSelf
+}
+
+// applyTransition acts on a change of this process's own state.
+func (s *skewMonitor) applyTransition(previous versionskew.State, own versionskew.MemberStatus) {
 	if own.State > versionskew.Current && own.Reason == "list" {
-		s.acts.Refresh()
+		s.actions.Refresh()
 	}
-	if out := own.State == versionskew.Fenced; out != (was == versionskew.Fenced) {
-		s.acts.Out(out)
+	if fenced := own.State == versionskew.Fenced; fenced != (previous == versionskew.Fenced) {
+		s.actions.Out(fenced)
 	}
 }
 
-// excluded tells whether a member is to do nothing for the others.
-func (s *stragglers) excluded(name string) bool {
+// isRestricted tells whether a member is to run no tasks for the others.
+func (n *Node) isRestricted(name string) bool {
+	s, ok := componentOf[*skewMonitor](n)
+	if !ok {
+		return false
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.verdict.Members[name].State >= versionskew.Restricted
+	return s.assessment.Members[name].State >= versionskew.Restricted
+}
+
+// isSelfRestricted tells whether this process is restricted, by what it has acted on last.
+func (n *Node) isSelfRestricted() bool {
+	s, ok := componentOf[*skewMonitor](n)
+	return ok && s.selfRestricted.Load()
 }
 
-// OverrideVersionSkew sets how this process stands by the operator's hand: shut out, let in, or given back to the judgement; and stops every
-// change of a step here, or lets it go on.
+// errNoVersionSkew says that the configuration has no version-skew detection.
+var errNoVersionSkew = errors.New("the fleet's file has no stragglers")
+
+// Calls of OverrideVersionSkew.
+const (
+	callFence         = "shut-out"
+	callAdmit         = "let-in"
+	callClearOverride = "judge"
+	callFreeze        = "freeze"
+)
+
+// OverrideVersionSkew is the operators' manual override of this process's state: "shut-out" fences it, "let-in" admits it,
+// and "judge" gives it back to the detection; "freeze" stops every change of state at this process until a "judge". An
+// error says that the detection is not enabled.
 func (n *Node) OverrideVersionSkew(call string) error {
-	s := n.stragglers
-	if s == nil {
-		return fmt.Errorf("the fleet's file has no stragglers")
+	s, ok := componentOf[*skewMonitor](n)
+	if !ok {
+		return errNoVersionSkew
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch call {
-	case "shut-out":
-		s.judge.Override(n.self.Name, versionskew.Fenced)
-	case "let-in":
-		s.judge.Override(n.self.Name, versionskew.Current)
-	case "judge":
-		s.judge.ClearOverride(n.self.Name)
+	case callFence:
+		s.detector.Override(n.self.Name, versionskew.Fenced)
+	case callAdmit:
+		s.detector.Override(n.self.Name, versionskew.Current)
+	case callClearOverride:
+		s.detector.ClearOverride(n.self.Name)
 		s.frozen = false
-	case "freeze":
+	case callFreeze:
 		s.frozen = true
 	}
-	s.judge.Freeze(s.frozen)
+	s.detector.Freeze(s.frozen)
 	return nil
 }
 
-// VersionSkewStatus is who acts on what, as this member sees it.
+// VersionSkewStatus is which versions the members act on, as this member sees it.
 func (n *Node) VersionSkewStatus() VersionSkewStatus {
 	now, v := n.now(), n.View()
-	out := VersionSkewStatus{Self: n.self.Name}
-	var verdict versionskew.Assessment
-	if s := n.stragglers; s != nil {
+	status := VersionSkewStatus{Self: n.self.Name}
+	var assessment versionskew.Assessment
+	if s, ok := componentOf[*skewMonitor](n); ok {
 		s.mu.Lock()
-		verdict, out.InsufficientView, out.Frozen, out.Enabled = s.verdict, s.blind, s.frozen, true
+		assessment = s.assessment
+		status.Enabled, status.InsufficientView, status.Frozen = true, s.insufficientView, s.frozen
 		s.mu.Unlock()
-		out.List, out.Settings, out.Fault = verdict.List, fmt.Sprintf("%016x", verdict.Settings), verdict.Fault
+		status.List, status.Settings = assessment.List, formatFingerprint(assessment.Settings)
+		status.Fault = assessment.Fault
 	}
 	for _, m := range v.Members {
-		one := MemberVersion{Name: m.Name, State: m.State.String(), LastHeartbeatS: (now - m.LastHeartbeat).Seconds(), Program: m.Version,
-			Settings: fmt.Sprintf("%016x", m.Settings), ListVersion: m.ListVersion, HighestToken: m.HighestToken, SkewState: "-"}
-		if s, ok := verdict.Members[m.Name]; ok {
-			one.SkewState, one.Reason, one.SkewStateForS = s.State.String(), s.Reason, (now - s.Since).Seconds()
-			if s.Reason != "" {
-				one.LaggingS = (now - s.LaggingSince).Seconds()
-			}
+		status.Members = append(status.Members, memberVersion(m, assessment, now))
+	}
+	return status
+}
+
+func memberVersion(m membership.Member, assessment versionskew.Assessment, now time.Duration) MemberVersion {
+	version := MemberVersion{Name: m.Name, State: m.State.String(), LastHeartbeatS: (now - m.LastHeartbeat).Seconds(),
+		Program: m.Version, Settings: formatFingerprint(m.Settings), ListVersion: m.ListVersion,
+		HighestToken: m.HighestToken, SkewState: "-"}
+	if s, ok := assessment.Members[m.Name]; ok {
+		version.SkewState, version.Reason, version.SkewStateForS = s.State.String(), s.Reason, (now - s.Since).Seconds()
+		if s.Reason != "" {
+			version.LaggingS = (now - s.LaggingSince).Seconds()
 		}
-		out.Members = append(out.Members, one)
 	}
-	return out
+	return version
 }
