--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -12,9 +12,11 @@
 )
 
 const (
-	// donorMinAgeGap is by how much earlier another member must have started to count as one that has learned something.
+	// donorMinAgeGap is by how much earlier another member must have started to count as one that has learned
+	// something.
 	donorMinAgeGap = 3 * time.Second
-	// donorMinAge is how long a process must have run until it has learned something, if no other has given it its state.
+	// donorMinAge is how long a process must have run until it has learned something, if no other has given it its
+	// state.
 	donorMinAge = 3 * time.Second
 	// snapshotTimeout bounds the wait for this process's learned state.
 	snapshotTimeout = time.Second
--- a/internal/fleet/component.go
+++ b/internal/fleet/component.go
@@ -16,8 +16,8 @@
 	// tick does what is due at a time of the node's clock. The component's own goroutine calls it every
 	// componentInterval.
 	tick(now time.Duration)
-	// stop gives up what the component holds, since the process leaves the fleet. The node calls it once, while ticks may
-	// go on, and waits for it.
+	// stop gives up what the component holds, since the process leaves the fleet. The node calls it once, while ticks
+	// may go on, and waits for it.
 	stop()
 }
 
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -19,8 +19,8 @@
 	Fleet string `json:"fleet"`
 	// Key encrypts and authenticates the members' messages (AES-GCM): 16, 24 or 32 bytes in hex, the same at all.
 	Key string `json:"key"`
-	// Listen is where this process receives packets (UDP) and connections (TCP), and where it sends from. Empty: its own
-	// address among Members.
+	// Listen is where this process receives packets (UDP) and connections (TCP), and where it sends from. Empty: its
+	// own address among Members.
 	Listen string `json:"listen"`
 	// Members are all processes that may be in the fleet, this one among them.
 	Members []Peer `json:"members"`
@@ -29,10 +29,11 @@
 	ProbeMS int `json:"probe_ms"`
 	// Voters are the members that grant leases: 1, 3 or 5 of them. None: no tasks run.
 	Voters []string `json:"voters"`
-	// TermMS is the term of a lease, in ms; 0: defaultLeaseTerm. A task is taken over about a term after its holder died.
+	// TermMS is the term of a lease, in ms; 0: defaultLeaseTerm. A task is taken over about a term after its holder
+	// died.
 	TermMS int `json:"term_ms"`
-	// Idempotency makes a request with an idempotency key run once in the whole fleet: the voters record who has claimed
-	// it, each in a store of its own. None: each dispatcher knows its own requests only.
+	// Idempotency makes a request with an idempotency key run once in the whole fleet: the voters record who has
+	// claimed it, each in a store of its own. None: each dispatcher knows its own requests only.
 	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
 	// Bootstrap lets a member that starts receive the learned state of others: of replicas and of prefixes.
 	Bootstrap bool `json:"beliefs,omitempty"`
@@ -40,7 +41,8 @@
 	EndpointFilter bool `json:"ends,omitempty"`
 	// VersionSkew lets members that act on something older than most be restricted and fenced; none: nobody is.
 	VersionSkew *VersionSkewConfig `json:"stragglers,omitempty"`
-	// SubsetReaders is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0: all.
+	// SubsetReaders is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0:
+	// all.
 	SubsetReaders int `json:"subset_readers,omitempty"`
 	// Budgets are what all members may do together; none: each dispatcher goes by the settings' count of dispatchers.
 	Budgets *Budgets `json:"budgets,omitempty"`
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -11,8 +11,9 @@
 	"rampspread/internal/fleet/membership"
 )
 
-// delegate is a Node as memberlist calls it back: memberlist.Delegate, EventDelegate, ConflictDelegate and MergeDelegate.
-// Its methods are called from memberlist's goroutines, some under memberlist's locks, and must not block.
+// delegate is a Node as memberlist calls it back: memberlist.Delegate, EventDelegate, ConflictDelegate and
+// MergeDelegate. Its methods are called from memberlist's goroutines, some under memberlist's locks, and must not
+// block.
 type delegate struct{ node *Node }
 
 // NodeMeta implements memberlist.Delegate: this process's info.
@@ -35,14 +36,15 @@
 	Incarnation uint64 `json:"i"`
 }
 
-// knownIncarnationBytes is at most what a knownIncarnation takes in JSON beside its name: keys and a number of 20 digits.
+// knownIncarnationBytes is at most what a knownIncarnation takes in JSON beside its name: keys and a number of 20
+// digits.
 const knownIncarnationBytes = 64
 
 // maxRemoteStateBytes bounds what is read of another member's state.
 const maxRemoteStateBytes = maxMembers * (maxNameBytes + knownIncarnationBytes)
 
-// LocalState implements memberlist.Delegate: the latest incarnation of each name, so that a process that restarts without
-// memory, and with a clock that was set back, takes a higher one.
+// LocalState implements memberlist.Delegate: the latest incarnation of each name, so that a process that restarts
+// without memory, and with a clock that was set back, takes a higher one.
 func (d *delegate) LocalState(bool) []byte {
 	var incarnations []knownIncarnation
 	for _, m := range d.node.View().Members {
@@ -112,11 +114,15 @@
 
 // NotifyConflict implements memberlist.ConflictDelegate: the other process is ignored.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
-	slog.Warn("fleet_name_conflict", "name", existing.Name, "address", existing.Address(), "other_address", other.Address())
-	d.node.updateTable(func(t *membership.Table, now time.Duration) { t.RecordConflict(other.Name, other.Address(), now) })
+	slog.Warn("fleet_name_conflict", "name", existing.Name, "address", existing.Address(),
+		"other_address", other.Address())
+	d.node.updateTable(func(t *membership.Table, now time.Duration) {
+		t.RecordConflict(other.Name, other.Address(), now)
+	})
 }
 
-// NotifyMerge implements memberlist.MergeDelegate: it rejects a merge with members that know another process of this name.
+// NotifyMerge implements memberlist.MergeDelegate: it rejects a merge with members that know another process of this
+// name.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	n := d.node
 	own := n.cfg.address(n.self.Name)
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// requiresSender tells whether a message of a kind must name a configured member other than this one. Replies and grants
-// are checked against the request that they answer, and results against their fencing tokens.
+// requiresSender tells whether a message of a kind must name a configured member other than this one. Replies and
+// grants are checked against the request that they answer, and results against their fencing tokens.
 func requiresSender(kind byte) bool {
 	switch kind {
 	case kindLeaseRequest, kindQuotaClaim, kindBootstrapRequest, kindLearnedState, kindEndpointDigest:
--- a/internal/fleet/endpointfilter.go
+++ b/internal/fleet/endpointfilter.go
@@ -12,14 +12,15 @@
 const (
 	// digestInterval is how often each sender sends its digest to a member whose endpoint list is older.
 	digestInterval = 200 * time.Millisecond
-	// digestSenders is how many send their digest to one member: two, so that one that is slow or stopped delays nothing.
+	// digestSenders is how many send their digest to one member: two, so that one that is slow or stopped delays
+	// nothing.
 	digestSenders = 2
 	// maxDatagramBytes is what a datagram holds unfragmented; a larger message goes over TCP.
 	maxDatagramBytes = 1200
 )
 
-// EndpointFilter suppresses endpoints that others' newer lists have removed, and gives the digest of this process's own
-// list. Its methods must not block.
+// EndpointFilter suppresses endpoints that others' newer lists have removed, and gives the digest of this process's
+// own list. Its methods must not block.
 type EndpointFilter interface {
 	// Version is the version of this process's list.
 	Version() uint64
@@ -78,8 +79,8 @@
 // stop implements component; nothing is held.
 func (e *endpointSync) stop() {}
 
-// isSender tells whether this member is one of the digestSenders for another. All that have a newer list than the receiver
-// are ranked by rendezvous hashing, so that they agree without a message.
+// isSender tells whether this member is one of the digestSenders for another. All that have a newer list than the
+// receiver are ranked by rendezvous hashing, so that they agree without a message.
 func (e *endpointSync) isSender(receiver membership.Member, members []membership.Member) bool {
 	self := e.node.self.Name
 	key := lease.TaskOf(receiver.Name)
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// A member sends its heartbeat to heartbeatFanout others every heartbeatInterval, to one part of the fleet after the
-	// other, so that what a member sends does not grow with the fleet.
+	// A member sends its heartbeat to heartbeatFanout others every heartbeatInterval, to one part of the fleet after
+	// the other, so that what a member sends does not grow with the fleet.
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatFanout   = 8
 )
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -21,11 +21,12 @@
 	listenRetryInterval = 300 * time.Millisecond
 	// firstContacts is how many of the other members a process contacts at its start.
 	firstContacts = 3
-	// rejoinInterval is the mean time between two contacts of missing members. They are contacted one at a time: after a
-	// long partition no other member would.
+	// rejoinInterval is the mean time between two contacts of missing members. They are contacted one at a time:
+	// after a long partition no other member would.
 	rejoinInterval = 2 * time.Second
 
-	// memberlist's parameters. Times are multiples of the configured probe interval; the TCP timeout bounds a connection.
+	// memberlist's parameters. Times are multiples of the configured probe interval; the TCP timeout bounds a
+	// connection.
 	suspicionMult           = 4
 	suspicionMaxTimeoutMult = 2
 	gossipToTheDeadProbes   = 40
--- a/internal/fleet/memberlistlog.go
+++ b/internal/fleet/memberlistlog.go
@@ -6,8 +6,8 @@
 	"log/slog"
 )
 
-// memberlistLog is an io.Writer that passes memberlist's log on to slog. Packets that cannot be read or are not of this
-// fleet show only there, so it counts them.
+// memberlistLog is an io.Writer that passes memberlist's log on to slog. Packets that cannot be read or are not of
+// this fleet show only there, so it counts them.
 type memberlistLog struct{ node *Node }
 
 // malformedLines are parts of memberlist's log lines about packets that cannot be read.
--- a/internal/fleet/message_lease.go
+++ b/internal/fleet/message_lease.go
@@ -80,9 +80,11 @@
 func encodeLeaseReply(reply lease.Reply) []byte {
 	var values []uint64
 	for _, g := range reply.Grants {
-		values = append(values, uint64(g.Task), g.ClaimedToken, g.Token, boolValue(g.Granted), uint64(g.Remaining.Microseconds()))
+		remaining := uint64(g.Remaining.Microseconds())
+		values = append(values, uint64(g.Task), g.ClaimedToken, g.Token, boolValue(g.Granted), remaining)
 	}
-	return appendPackedVarints(encodeHeader(kindLeaseReply, reply.Seq, reply.Voter, reply.To.Incarnation), fieldGrants, values)
+	header := encodeHeader(kindLeaseReply, reply.Seq, reply.Voter, reply.To.Incarnation)
+	return appendPackedVarints(header, fieldGrants, values)
 }
 
 func decodeLeaseGrants(m *peerMessage, f fields.Field, _ time.Duration) error {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -61,7 +61,7 @@
 	// called often with the highest token that this one knows of; it must not block. nil: tokens do not outlive the
 	// process.
 	TokenFloor   uint64
-	ObserveToken func(number uint64)
+	ObserveToken func(token uint64)
 	// HandleIdempotency takes other members' messages of package idempotencyquorum; nil: they are ignored. It must not
 	// block.
 	HandleIdempotency func(message []byte)
@@ -105,10 +105,10 @@
 	info  membership.MemberInfo // what this process reports of itself now
 }
 
-// Start listens for the other members and returns; the node contacts them for as long as it runs. While another process
-// has the address, as when this one is to replace it, the node waits for it without harm to what the process serves.
-// failed is called once, with an ErrDuplicateName, if a member that this process contacts knows a living one of the same
-// name at another address.
+// Start listens for the other members and returns; the node contacts them for as long as it runs. While another
+// process has the address, as when this one is to replace it, the node waits for it without harm to what the process
+// serves. failed is called once, with an ErrDuplicateName, if a member that this process contacts knows a living one
+// of the same name at another address.
 func Start(cfg *Config, self Self, failed func(error)) (*Node, error) {
 	if self.Machine == nil {
 		self.Machine = system.Real()
@@ -183,7 +183,8 @@
 	}
 }
 
-// Leave stops the components and tells the others that this process goes. It waits a short time for them to be notified.
+// Leave stops the components and tells the others that this process goes. It waits a short time for them to be
+// notified.
 func (n *Node) Leave() {
 	if n.leaving.Swap(true) || !n.joined.Load() {
 		return
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -11,21 +11,21 @@
 const (
 	// quotaLeadDivisor is by which part of its term before its end a grant is not counted on any more.
 	quotaLeadDivisor = 12
-	// On leaving the shares are returned in returnTicks ticks, returnInterval apart: the process needs a moment to act by
-	// its minimum, and only then may the voters be notified.
+	// On leaving the shares are returned in returnTicks ticks, returnInterval apart: the process needs a moment to
+	// act by its minimum, and only then may the voters be notified.
 	returnTicks    = 4
 	returnInterval = leaveNoticeInterval / 6
 )
 
 // Budgets are what the whole fleet may do together, in the operator's file. A limit of 0 is none.
 type Budgets struct {
-	// Floor is the fraction of each budget that belongs to the configured members for good, evenly; the voters lend the
-	// remaining fraction to active members, by their traffic. With 1 nothing is lent.
+	// Floor is the fraction of each budget that belongs to the configured members for good, evenly; the voters lend
+	// the remaining fraction to active members, by their traffic. With 1 nothing is lent.
 	Floor float64 `json:"floor"`
 	// PollsPerReplica is how many load polls a second all dispatchers together may send to one replica for themselves.
 	PollsPerReplica float64 `json:"probes_per_replica_s"`
-	// RetriesPerRequest is how many retries all dispatchers together may make for each request, and RetriesPerSecond how
-	// many a second on top of that.
+	// RetriesPerRequest is how many retries all dispatchers together may make for each request, and RetriesPerSecond
+	// how many a second on top of that.
 	RetriesPerRequest float64 `json:"repeats_per_request"`
 	RetriesPerSecond  float64 `json:"repeats_s"`
 }
@@ -56,8 +56,9 @@
 
 // quotaLimits are the times and fractions by which the budgets are shared.
 func (c *Config) quotaLimits() quota.Limits {
-	return quota.Limits{Term: c.leaseTerm, Margin: c.leaseTerm / leaseMarginDivisor, Renew: c.leaseTerm / leaseRenewDivisor,
-		Lead: c.leaseTerm / quotaLeadDivisor, Floor: c.Budgets.Floor, Members: len(c.Members), Voters: len(c.Voters)}
+	term := c.leaseTerm
+	return quota.Limits{Term: term, Margin: term / leaseMarginDivisor, Renew: term / leaseRenewDivisor,
+		Lead: term / quotaLeadDivisor, Floor: c.Budgets.Floor, Members: len(c.Members), Voters: len(c.Voters)}
 }
 
 // MinFraction is this process's fraction of each budget whatever it sees of the fleet; 0: there are no budgets.
--- a/internal/fleet/taskresults.go
+++ b/internal/fleet/taskresults.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// accept notes a result; false: its task is unknown here, or its lease has been followed by another. The caller holds the
-// lock.
+// accept notes a result; false: its task is unknown here, or its lease has been followed by another. The caller holds
+// the lock.
 func (t *leasedTasks) accept(now time.Duration, r taskResult) (TaskResult, bool) {
 	name, ok := t.names[r.task]
 	if !ok {
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -19,7 +19,8 @@
 	// standbyGrace.
 	standbyGrace           = 100 * time.Millisecond
 	standbyIntervalDivisor = 4
-	// standbyTerms is after how many terms a standby gives a task back to its owner, if that one is an active member again.
+	// standbyTerms is after how many terms a standby gives a task back to its owner, if that one is an active member
+	// again.
 	standbyTerms = 8
 	// grantRetention is how long a voter remembers grants that have ended, of tasks that no longer exist.
 	grantRetention = time.Minute
@@ -37,8 +38,8 @@
 	Names() []string
 	// Interval is how often a task runs.
 	Interval(task string) time.Duration
-	// Run runs a task once under the lease of a fencing token, and calls done once with its result (at most 64 bytes), or
-	// with nil.
+	// Run runs a task once under the lease of a fencing token, and calls done once with its result (at most 64
+	// bytes), or with nil.
 	Run(task string, token uint64, done func(result []byte))
 	// HandleResults takes results, from this process or other members.
 	HandleResults(results []TaskResult)
@@ -51,8 +52,8 @@
 	Age  time.Duration
 }
 
-// leasedTasks is the component that has each task run by one member at a time: it claims leases on those tasks that the
-// view assigns to this member, votes if it is a voter, runs tasks under its leases and distributes their results.
+// leasedTasks is the component that has each task run by one member at a time: it claims leases on those tasks that
+// the view assigns to this member, votes if it is a voter, runs tasks under its leases and distributes their results.
 type leasedTasks struct {
 	node        *Node
 	runner      TaskRunner
@@ -161,16 +162,16 @@
 	return max(t.fence.HighestToken(), t.holder.HighestToken())
 }
 
-// observeToken takes the highest fencing token that another member knows of, so that a process that starts neither grants
-// nor claims lower ones: it learns them while its voter is recovering and may not vote yet.
+// observeToken takes the highest fencing token that another member knows of, so that a process that starts neither
+// grants nor claims lower ones: it learns them while its voter is recovering and may not vote yet.
 func (t *leasedTasks) observeToken(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder.ObserveToken(token)
 }
 
-// shareHighestToken makes the highest fencing token known to the holder, the voter and the process. The caller holds the
-// lock.
+// shareHighestToken makes the highest fencing token known to the holder, the voter and the process. The caller holds
+// the lock.
 func (t *leasedTasks) shareHighestToken() {
 	highest := max(t.fence.HighestToken(), t.holder.HighestToken())
 	t.holder.ObserveToken(highest)
@@ -212,7 +213,8 @@
 	return due
 }
 
-// assign assigns the tasks to members again, if the tasks or the active members have changed. The caller holds the lock.
+// assign assigns the tasks to members again, if the tasks or the active members have changed. The caller holds the
+// lock.
 func (t *leasedTasks) assign(now time.Duration, v membership.View) {
 	names := t.runner.Names()
 	slices.Sort(names)
@@ -269,8 +271,8 @@
 	return wanted
 }
 
-// standsInFor tells whether this member, as the standby of a task, claims it in the owner's place. The caller holds the
-// lock.
+// standsInFor tells whether this member, as the standby of a task, claims it in the owner's place. The caller holds
+// the lock.
 func (t *leasedTasks) standsInFor(task lease.Task, now time.Duration) bool {
 	since, claiming := t.standbySince[task]
 	switch {
--- a/internal/fleet/taskstatus.go
+++ b/internal/fleet/taskstatus.go
@@ -55,7 +55,8 @@
 		s.Tasks = append(s.Tasks, t.taskStatus(now, name, leases))
 	}
 	if l := t.holder.LastExpired(); l != nil {
-		s.LastExpired = fmt.Sprintf("%s, lease %d, %.1f s ago: %s", t.names[l.Task], l.Token, (now - l.At).Seconds(), l.Reason)
+		s.LastExpired = fmt.Sprintf("%s, lease %d, %.1f s ago: %s", t.names[l.Task], l.Token, (now - l.At).Seconds(),
+			l.Reason)
 	}
 	return s
 }
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -160,9 +160,9 @@
 	callFreeze        = "freeze"
 )
 
-// OverrideVersionSkew is the operators' manual override of this process's state: "shut-out" fences it, "let-in" admits it,
-// and "judge" gives it back to the detection; "freeze" stops every change of state at this process until a "judge". An
-// error says that the detection is not enabled.
+// OverrideVersionSkew is the operators' manual override of this process's state: "shut-out" fences it, "let-in"
+// admits it, and "judge" gives it back to the detection; "freeze" stops every change of state at this process until a
+// "judge". An error says that the detection is not enabled.
 func (n *Node) OverrideVersionSkew(call string) error {
 	s, ok := componentOf[*skewMonitor](n)
 	if !ok {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -34,8 +34,8 @@
 	n.publish()
 }
 
-// refreshInfo brings this process's info up to date, and tells whether the change is to be gossiped. A new endpoint list
-// alone goes with the next heartbeat: discovery changes often, and all members would gossip of it at once.
+// refreshInfo brings this process's info up to date, and tells whether the change is to be gossiped. A new endpoint
+// list alone goes with the next heartbeat: discovery changes often, and all members would gossip of it at once.
 func (n *Node) refreshInfo() (gossip bool) {
 	facts := n.self.Facts()
 	n.mu.Lock()
