--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"math"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -12,10 +11,10 @@
 	"rampspread/internal/testkit"
 )
 
-// fakeQuotaUser is a process that acts by parts: what its core would do.
+// fakeQuotaUser acts by shares as a process's core does.
 type fakeQuotaUser struct {
 	accepted  atomic.Int64
-	rejecting atomic.Bool // its queue
+	rejecting atomic.Bool // its queue is full
 
 	mu          sync.Mutex
 	fraction    float64
@@ -45,6 +44,7 @@
 	return w.minFraction
 }
 
+// startQuotaNode starts the member of that host with a user of its quota.
 func startQuotaNode(t *testing.T, text string, host int, w *fakeQuotaUser) *Node {
 	t.Helper()
 	cfg, err := Parse([]byte(text), hostName(host))
@@ -61,9 +61,9 @@
 	return n
 }
 
-// Members share the whole by their traffic, never go past it, take over a dead one's part but for its floor, and a core
-// without room costs nobody anything.
-func TestShares(t *testing.T) {
+// Members share the whole by their traffic, never exceed it, and take over the share of one that crashed except for its
+// floor. A core without capacity for its share costs the others nothing.
+func TestQuotaIsSharedByTrafficAndNeverExceeded(t *testing.T) {
 	text := strings.Replace(configJSON("f", testKey, 80, 81, 82, 83), `"probe_ms":100`,
 		`"probe_ms":100,"term_ms":600,"voters":["n80","n81","n82"],"budgets":{"floor":0.2}`, 1)
 	all := make([]*fakeQuotaUser, 4)
@@ -77,11 +77,11 @@
 			sum += w.fractionInForce()
 		}
 		if sum > 1+1e-9 {
-			t.Fatalf("all together act by %.4f", sum)
+			t.Fatalf("%.4f of the whole is in force", sum)
 		}
 		return sum
 	}
-	load := func(n int64) { // the last has as much as the others together, and three times as much again
+	load := func(n int64) { // the last has three times the traffic of the others together
 		for i, w := range all {
 			w.accepted.Add(n)
 			if i == 3 {
@@ -94,70 +94,34 @@
 		return sum() > 0.98 && all[3].fractionInForce() > 0.5 && min(all[0].fractionInForce(), all[1].fractionInForce(), all[2].fractionInForce()) > 0.05
 	})
 	all[1].rejecting.Store(true)
-	testkit.Eventually(t, "one that cannot take its part to have the least", func() bool { load(1); return sum() < 1 && all[1].fractionInForce() == 0.05 })
+	testkit.Eventually(t, "one that cannot apply its share to have the minimum", func() bool {
+		load(1)
+		return sum() < 1 && all[1].fractionInForce() == 0.05
+	})
 	if s, ok := nodes[1].QuotaStatus(); !ok || s.Dropped == 0 || !s.IsVoter {
 		t.Errorf("%+v", s)
 	}
 	all[1].rejecting.Store(false)
-	testkit.Eventually(t, "it to have its part again", func() bool { load(1); sum(); return all[1].fractionInForce() > 0.06 })
-	nodes[3].Close() // without a word; it goes on by what it was told for as long as that lasts
-	testkit.Eventually(t, "the others to have what it leaves", func() bool {
+	testkit.Eventually(t, "it to have its share again", func() bool {
+		load(1)
+		sum()
+		return all[1].fractionInForce() > 0.06
+	})
+	nodes[3].Close() // without a leave notice; its share stays in force for its term
+	testkit.Eventually(t, "the others to have its share", func() bool {
 		load(1)
 		return sum() > 0.98 && all[3].fractionInForce() == 0.05 && all[0].fractionInForce() > 0.2
 	})
 	before := nodes[0].Malformed()
-	(&delegate{nodes[0]}).NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "stranger", Incarnation: 1}, Seq: 1}, nil))
-	(&delegate{nodes[0]}).NotifyMsg(encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n80", Incarnation: 1}, Seq: 1}, nil))
+	for _, sender := range []string{"unconfigured", "n80"} {
+		claim := quota.Claim{From: quota.BorrowerID{Name: sender, Incarnation: 1}, Seq: 1}
+		receive(nodes[0], encodeQuotaClaim(claim, nil))
+	}
 	if nodes[0].Malformed() != before+2 {
-		t.Errorf("%d bad messages counted, want 2", nodes[0].Malformed()-before)
+		t.Errorf("%d malformed messages counted, want 2", nodes[0].Malformed()-before)
 	}
 	nodes[0].Leave()
 	if got := all[0].fractionInForce(); got != 0.05 {
-		t.Errorf("after it said that it goes it acts by %.3f", got)
-	}
-}
-
-// What the file says of budgets is checked, and nothing is shared without it.
-func TestBudgetsAreChecked(t *testing.T) {
-	with := func(budgets string) string {
-		return strings.Replace(configJSON("f", testKey, 0, 1, 2), `"probe_ms":100`, `"probe_ms":100,`+budgets, 1)
-	}
-	for _, bad := range []string{`"voters":["n0"],"budgets":{"floor":-1}`, `"voters":["n0"],"budgets":{"floor":1.1}`, `"budgets":{"floor":0.5}`,
-		`"voters":["n0"],"budgets":{"floor":0.5,"repeats_s":-1}`, `"voters":["n0"],"budgets":{"floors":0.5}`,
-		`"voters":["n0"],"budgets":{"floor":0.5,"probes_per_replica_s":1e9}`} {
-		if _, err := Parse([]byte(with(bad)), "n1"); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", bad, err)
-		}
-	}
-	c, err := Parse([]byte(with(`"budgets":{"floor":1}`)), "n1")
-	if err != nil || c.MinFraction() != 1.0/3 {
-		t.Errorf("%v, %v", c, err)
-	}
-	if c, _ := Parse([]byte(with(`"voters":["n0"]`)), "n1"); c.MinFraction() != 0 {
-		t.Error("a part without budgets")
-	}
-}
-
-// Claims and loans survive the wire.
-func TestShareMessages(t *testing.T) {
-	voters := []string{"n0", "n1", "n2"}
-	c := quota.Claim{From: quota.BorrowerID{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345, InForce: map[string]uint64{"n0": 5, "n2": 6}, Leaving: true}
-	p := encodeQuotaClaim(c, voters)
-	m, err := decodeMessage(p[1:], 0)
-	got := m.quotaClaim(voters)
-	if err != nil || p[0] != kindQuotaClaim || got.From != c.From || got.Seq != 7 || math.Abs(got.Demand-c.Demand) > 0.001 || !got.Leaving ||
-		len(got.InForce) != 2 || got.InForce["n0"] != 5 || got.InForce["n2"] != 6 {
-		t.Errorf("%+v, %v", got, err)
-	}
-	if short := m.quotaClaim(voters[:1]); len(short.InForce) != 1 {
-		t.Errorf("with fewer voters: %+v", short)
-	}
-	p = encodeQuotaGrant(quota.Grant{To: c.From, Voter: "n1", Seq: 7, Fraction: 1.0 / 3})
-	m, err = decodeMessage(p[1:], 0)
-	if err != nil || p[0] != kindQuotaGrant || m.from != "n1" || m.incarnation != 1<<60 || m.fraction > 1.0/3 || m.fraction < 1.0/3-1e-9 {
-		t.Errorf("%+v, %v", m, err)
-	}
-	if _, err := decodeMessage(appendPackedVarints(nil, fieldInForce, []uint64{1, 2, 3}), 0); err == nil {
-		t.Error("an odd row of claims was taken")
+		t.Errorf("after its leave a fraction of %.3f is in force", got)
 	}
 }
