--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -8,8 +8,9 @@
 
 func TestConfigWithInvalidValuesIsRejected(t *testing.T) {
 	good := configJSON("f", testKey, 0, 1, 2)
-	if c, err := Parse([]byte(good), "n1"); err != nil || c.Listen != memberAddress(1) || c.probeInterval != 100*time.Millisecond {
-		t.Fatalf("%+v, %v", c, err)
+	parsed, err := Parse([]byte(good), "n1")
+	if err != nil || parsed.Listen != memberAddress(1) || parsed.probeInterval != 100*time.Millisecond {
+		t.Fatalf("%+v, %v", parsed, err)
 	}
 	for _, c := range []struct{ name, old, replacement string }{
 		{"unknown key", `"fleet"`, `"flee"`},
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// A process that is to replace another waits for its address while that one serves, and takes its place when it leaves.
+// A process that is to replace another waits for its address while that one serves, and takes its place when it
+// leaves.
 func TestReplacementWaitsForTheAddress(t *testing.T) {
 	text := configJSON("f", testKey, 70, 71)
 	one, first := startNode(t, text, 70, nil), startNode(t, text, 71, nil)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,24 +19,29 @@
 	"rampspread/internal/testkit/golden"
 )
 
-// The tests of this file freeze what members send to each other and what operators are answered. Members of different versions
-// run side by side during a rolling update, so the bytes must not change.
+// The tests of this file freeze what members send to each other and what operators are answered. Members of different
+// versions run side by side during a rolling update, so the bytes must not change.
 
-var goldenInfo = membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001, Started: time.UnixMilli(1700000000123), Version: "1.2.3",
-	Settings: 0x1122334455667788, ListVersion: 41, HighestToken: 77, Serving: true, Leaving: true}
+var goldenInfo = membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001,
+	Started: time.UnixMilli(1700000000123), Version: "1.2.3", Settings: 0x1122334455667788, ListVersion: 41,
+	HighestToken: 77, Serving: true, Leaving: true}
 
 const goldenSent = 1700000001234
 
+var goldenDigest = tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72},
+	Draining: []uint64{73, 0x99aabbccddeeff00}}
+
 var goldenVoters = []string{"v0", "v1", "v2"}
 
 func TestGoldenMessageKinds(t *testing.T) {
-	got := []int{kindHeartbeat, kindLeaseRequest, kindLeaseReply, kindTaskResults, kindQuotaClaim, kindQuotaGrant, kindIdempotency, kindBootstrapRequest, kindLearnedState, kindEndpointDigest}
+	got := []int{kindHeartbeat, kindLeaseRequest, kindLeaseReply, kindTaskResults, kindQuotaClaim, kindQuotaGrant,
+		kindIdempotency, kindBootstrapRequest, kindLearnedState, kindEndpointDigest}
 	if want := []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !slices.Equal(got, want) {
 		t.Errorf("kinds are %v, want %v", got, want)
 	}
 }
 
-// Member info goes into memberlist's meta data, and with a time into heartbeats.
+// Member info is in memberlist's metadata, and with a time in heartbeats.
 func TestGoldenMemberInfo(t *testing.T) {
 	n := &Node{info: goldenInfo}
 	cases := []struct {
@@ -49,14 +54,14 @@
 		{"member-heartbeat.hex", encodeMemberInfo(goldenInfo, goldenSent), goldenInfo, goldenSent},
 	}
 	for _, serving := range []bool{true, false} {
-		one := goldenInfo
-		one.Serving, one.Leaving = serving, !serving
+		info := goldenInfo
+		info.Serving, info.Leaving = serving, !serving
 		cases = append(cases, struct {
 			file string
 			got  []byte
 			want membership.MemberInfo
 			sent int64
-		}{fmt.Sprintf("member-serving-%t.hex", serving), encodeMemberInfo(one, goldenSent), one, goldenSent})
+		}{fmt.Sprintf("member-serving-%t.hex", serving), encodeMemberInfo(info, goldenSent), info, goldenSent})
 	}
 	for _, c := range cases {
 		info, sent, err := decodeMemberInfo(golden.Bytes(t, c.file, c.got))
@@ -66,14 +71,14 @@
 	}
 }
 
-// A heartbeat is the kind and the member info with the highest lease number. The message's time is the sender's own.
+// A heartbeat is the kind and the member info with the highest fencing token. Its time is the sender's own.
 func TestGoldenHeartbeatFrame(t *testing.T) {
 	n := &Node{info: goldenInfo}
 	before := time.Now().UnixMilli()
 	b := n.encodeHeartbeat()
 	info, sent, err := decodeMemberInfo(b[1:])
 	want := goldenInfo
-	want.HighestToken = 0 // no duties, so no lease is known
+	want.HighestToken = 0 // no leased tasks, so no token is known
 	if b[0] != 1 || err != nil || info != want || sent < before || sent > time.Now().UnixMilli() {
 		t.Errorf("kind %d, %+v sent %d, %v", b[0], info, sent, err)
 	}
@@ -90,17 +95,19 @@
 		{Task: 0x1122334455667788, ClaimedToken: 31, Token: 32, Granted: true, Remaining: 33 * time.Microsecond},
 		{Task: 12, ClaimedToken: 34, Token: 35, Remaining: 1200 * time.Millisecond}}}
 	now := 10 * time.Second
-	results := []taskResult{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")}, {12, 43, now - 3*time.Second, []byte{0}}}
-	claim := quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25, InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
-	loan := quota.Grant{To: quota.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
-	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
+	results := []taskResult{{0x1122334455667788, 41, now - 42*time.Microsecond, []byte("found")},
+		{12, 43, now - 3*time.Second, []byte{0}}}
+	claim := quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 1003}, Seq: 5, Demand: 51.25,
+		InForce: map[string]uint64{"v0": 52, "v2": 53}, Leaving: true}
+	grant := quota.Grant{To: quota.BorrowerID{Name: "n1", Incarnation: 1004}, Voter: "v2", Seq: 6, Fraction: 0.0625}
+	digest := goldenDigest
 	requests := encodeLeaseRequest(request)
 	if len(requests) != 1 {
 		t.Fatalf("%d packets", len(requests))
 	}
 	packet, rest := encodeTaskResults(now, results)
 	if len(rest) != 0 {
-		t.Fatalf("%d results are left", len(rest))
+		t.Fatalf("%d results remain", len(rest))
 	}
 	for _, c := range []struct {
 		file string
@@ -108,17 +115,23 @@
 		got  []byte
 		want peerMessage
 	}{
-		{"lease-request.hex", 2, requests[0], peerMessage{seq: 3, from: "n1", incarnation: 1001, claims: request.Claims, releases: request.Releases}},
-		{"lease-reply.hex", 3, encodeLeaseReply(reply), peerMessage{seq: 4, from: "v1", incarnation: 1002, grants: reply.Grants}},
+		{"lease-request.hex", 2, requests[0],
+			peerMessage{seq: 3, from: "n1", incarnation: 1001, claims: request.Claims, releases: request.Releases}},
+		{"lease-reply.hex", 3, encodeLeaseReply(reply),
+			peerMessage{seq: 4, from: "v1", incarnation: 1002, grants: reply.Grants}},
 		{"duty-results.hex", 4, packet, peerMessage{results: results}},
 		{"share-claim.hex", 5, encodeQuotaClaim(claim, goldenVoters),
 			peerMessage{seq: 5, from: "n1", incarnation: 1003, demand: 51.25, leaving: true, inForce: []uint64{0, 52, 2, 53}}},
-		{"share-loan.hex", 6, encodeQuotaGrant(loan), peerMessage{seq: 6, from: "v2", incarnation: 1004, fraction: 0.0625}},
+		{"share-loan.hex", 6, encodeQuotaGrant(grant),
+			peerMessage{seq: 6, from: "v2", incarnation: 1004, fraction: 0.0625}},
 		{"beliefs-question.hex", 8, encodeBootstrapRequest("n1", 1005), peerMessage{from: "n1", incarnation: 1005}},
-		{"beliefs-answer.hex", 9, encodeLearnedState("n1", []byte("told")), peerMessage{from: "n1", learnedState: []byte("told")}},
+		{"beliefs-answer.hex", 9, encodeLearnedState("n1", []byte("told")),
+			peerMessage{from: "n1", learnedState: []byte("told")}},
 		{"beliefs-answer-empty.hex", 9, encodeLearnedState("n1", nil), peerMessage{from: "n1"}},
-		{"list.hex", 10, encodeEndpointDigest("n1", digest), peerMessage{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
-		{"list-empty.hex", 10, encodeEndpointDigest("n1", tombstone.Digest{Version: 8}), peerMessage{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
+		{"list.hex", 10, encodeEndpointDigest("n1", digest),
+			peerMessage{seq: 7, from: "n1", ready: digest.Ready, draining: digest.Draining}},
+		{"list-empty.hex", 10, encodeEndpointDigest("n1", tombstone.Digest{Version: 8}),
+			peerMessage{seq: 8, from: "n1", ready: []uint64{}, draining: []uint64{}}},
 	} {
 		b := golden.Bytes(t, c.file, c.got)
 		if b[0] != c.kind {
@@ -148,7 +161,7 @@
 	golden.Text(t, "lease-request-packets.txt", text)
 }
 
-// recordingFilter notes what it was told last.
+// recordingFilter records the last digest that it was given.
 type recordingFilter struct {
 	from   string
 	digest tombstone.Digest
@@ -161,81 +174,96 @@
 	l.from, l.digest = from, d
 }
 
-// offlineNode is a node without a network: what it is given by NotifyMsg goes to its parts.
+// offlineNode is a node without a network: messages given to receive reach its components.
 func offlineNode(t *testing.T, self Self) *Node {
 	t.Helper()
 	cfg, err := Parse([]byte(goldenConfig), self.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{cfg: cfg, self: self, start: time.Now(), startWall: time.UnixMilli(1700000000123), rng: rand.New(rand.NewPCG(1, 2))}
+	n := &Node{cfg: cfg, self: self, start: time.Now(), startWall: time.UnixMilli(1700000000123),
+		rng: rand.New(rand.NewPCG(1, 2))}
 	n.info = membership.MemberInfo{Name: self.Name, Zone: "wien", Incarnation: 5, Started: n.startWall, Serving: true}
-	n.table = membership.New(n.info, cfg.names(), membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3, MaxTickGap: time.Second}, n.now())
+	limits := membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3,
+		MaxTickGap: time.Second}
+	n.table = membership.New(n.info, cfg.names(), limits, n.now())
 	n.publish()
 	n.joined.Store(true)
 	return n
 }
 
-// Golden bytes reach the part that they are for, with the values that they were written with.
-func TestGoldenMessagesAreTaken(t *testing.T) {
-	var claims []byte
-	lists := &recordingFilter{}
-	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { claims = message }})
-	n.add(newEndpointSync(n, lists))
-	take := func(file string, kind byte, encoded []byte) {
+// Golden bytes reach the component that they are for, with the values that they were written with.
+func TestGoldenMessagesReachTheirComponents(t *testing.T) {
+	var idempotency []byte
+	filter := &recordingFilter{}
+	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { idempotency = message }})
+	n.add(newEndpointSync(n, filter))
+	receiveGolden := func(file string, kind byte, encoded []byte) {
 		t.Helper()
 		b := golden.Bytes(t, file, encoded)
-		(&delegate{n}).NotifyMsg(append([]byte{kind}, b...))
+		receive(n, append([]byte{kind}, b...))
 	}
-	take("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSent))
+	receiveGolden("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSent))
 	for _, m := range n.View().Members {
 		if m.Name == "n1" && m.MemberInfo != goldenInfo {
-			t.Errorf("heartbeat gives %+v", m.MemberInfo)
+			t.Errorf("the heartbeat is decoded as %+v", m.MemberInfo)
 		}
 	}
 	if skew, ok := n.clockSkews.Load("n1"); !ok || skew.(time.Duration) >= 0 {
 		t.Errorf("skew %v", skew)
 	}
-	(&delegate{n}).NotifyMsg([]byte{7, 8, 9})
-	if string(claims) != "\x08\x09" {
-		t.Errorf("claims were given % x", claims)
+	receive(n, []byte{7, 8, 9})
+	if string(idempotency) != "\x08\x09" {
+		t.Errorf("the idempotency message is % x", idempotency)
 	}
-	digest := tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72}, Draining: []uint64{73, 0x99aabbccddeeff00}}
-	(&delegate{n}).NotifyMsg(golden.Bytes(t, "list.hex", encodeEndpointDigest("n1", digest)))
-	if lists.from != "n1" || !reflect.DeepEqual(lists.digest, digest) {
-		t.Errorf("list %+v", lists)
+	receive(n, golden.Bytes(t, "list.hex", encodeEndpointDigest("n1", goldenDigest)))
+	if filter.from != "n1" || !reflect.DeepEqual(filter.digest, goldenDigest) {
+		t.Errorf("digest %+v", filter)
 	}
 	if n.Malformed() != 0 {
-		t.Errorf("%d bad messages", n.Malformed())
+		t.Errorf("%d malformed messages", n.Malformed())
 	}
 }
 
 // Members exchange the incarnations that they know in memberlist's push and pull.
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
-	n.view.Store(&membership.View{Members: []membership.Member{{MemberInfo: membership.MemberInfo{Name: "n0", Incarnation: 6}}, {MemberInfo: membership.MemberInfo{Name: "n1", Incarnation: 7}}, {MemberInfo: membership.MemberInfo{Name: "n2"}}}})
-	b := golden.Text(t, "push-pull.json", (&delegate{n}).LocalState(true))
-	(&delegate{n}).MergeRemoteState(b, true)
-	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over what was told of it
-		t.Errorf("incarnation %d, %d bad", n.info.Incarnation, n.Malformed())
+	n.view.Store(&membership.View{Members: []membership.Member{
+		{MemberInfo: membership.MemberInfo{Name: "n0", Incarnation: 6}},
+		{MemberInfo: membership.MemberInfo{Name: "n1", Incarnation: 7}},
+		{MemberInfo: membership.MemberInfo{Name: "n2"}},
+	}})
+	d := &delegate{n}
+	b := golden.Text(t, "push-pull.json", d.LocalState(true))
+	d.MergeRemoteState(b, true)
+	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over the incarnation in the remote state
+		t.Errorf("incarnation %d, %d malformed", n.info.Incarnation, n.Malformed())
 	}
 	n.view.Store(&membership.View{})
-	golden.Text(t, "push-pull-empty.json", (&delegate{n}).LocalState(false))
+	golden.Text(t, "push-pull-empty.json", d.LocalState(false))
 }
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status-members.json", Status{Fleet: "f", Self: "n1", ViewVersion: 2, Fresh: true, Malformed: 3, Stale: 4, Unconfigured: 5, Conflicts: []string{"n2 at 10.0.0.9:7946"},
-		Members: []MemberStatus{{Name: "n3", State: "alive", StateForS: 1.5, LastHeartbeatS: 0.25, Zone: "wien", Incarnation: 6, Incarnations: 7, Started: "2023-11-14T22:13:20Z",
-			Version: "1.2.3", Settings: "0000000000000008", ListVersion: 9, SkewMS: 10}}})
-	golden.JSON(t, "status-duties.json", TasksStatus{Self: "n1", Voters: []string{"v0", "v1"}, Recovering: true, LastExpired: "list, lease 2", Executions: 3, LateResults: 4, Bytes: 5,
-		Tasks: []TaskStatus{{Task: "list", Owner: "n2", Standby: "n3", Held: true, Token: 6, HeldForS: 7.5, RemainingS: 8.5, LastResultS: 9.5}}})
-	golden.JSON(t, "status-shares.json", QuotaStatus{Self: "n1", Fraction: 0.1, MinFraction: 0.2, RemainingS: 0.3, Demand: 0.4, IsVoter: true, Recovering: true, Outstanding: 0.5, Borrowers: 6, Shares: 7, Dropped: 8})
+	golden.JSON(t, "status-members.json", Status{Fleet: "f", Self: "n1", ViewVersion: 2, Fresh: true, Malformed: 3,
+		Stale: 4, Unconfigured: 5, Conflicts: []string{"n2 at 10.0.0.9:7946"},
+		Members: []MemberStatus{{Name: "n3", State: "alive", StateForS: 1.5, LastHeartbeatS: 0.25, Zone: "wien",
+			Incarnation: 6, Incarnations: 7, Started: "2023-11-14T22:13:20Z", Version: "1.2.3",
+			Settings: "0000000000000008", ListVersion: 9, SkewMS: 10}}})
+	golden.JSON(t, "status-duties.json", TasksStatus{Self: "n1", Voters: []string{"v0", "v1"}, Recovering: true,
+		LastExpired: "list, lease 2", Executions: 3, LateResults: 4, Bytes: 5,
+		Tasks: []TaskStatus{{Task: "list", Owner: "n2", Standby: "n3", Held: true, Token: 6, HeldForS: 7.5,
+			RemainingS: 8.5, LastResultS: 9.5}}})
+	golden.JSON(t, "status-shares.json", QuotaStatus{Self: "n1", Fraction: 0.1, MinFraction: 0.2, RemainingS: 0.3,
+		Demand: 0.4, IsVoter: true, Recovering: true, Outstanding: 0.5, Borrowers: 6, Shares: 7, Dropped: 8})
 	golden.JSON(t, "status-beliefs.json", BootstrapStatus{Received: 1, Sent: 2, Declined: 3, Malformed: 4})
-	golden.JSON(t, "status-versions.json", VersionSkewStatus{Self: "n1", List: 2, Settings: "0000000000000003", Fault: "fault", Enabled: true, InsufficientView: true, Frozen: true,
-		Members: []MemberVersion{{Name: "n4", State: "alive", LastHeartbeatS: 5.5, Program: "1.2.3", Settings: "0000000000000006", ListVersion: 7, HighestToken: 8, SkewState: "behind", Reason: "list", LaggingS: 9.5, SkewStateForS: 10.5}}})
+	golden.JSON(t, "status-versions.json", VersionSkewStatus{Self: "n1", List: 2, Settings: "0000000000000003",
+		Fault: "fault", Enabled: true, InsufficientView: true, Frozen: true,
+		Members: []MemberVersion{{Name: "n4", State: "alive", LastHeartbeatS: 5.5, Program: "1.2.3",
+			Settings: "0000000000000006", ListVersion: 7, HighestToken: 8, SkewState: "behind", Reason: "list",
+			LaggingS: 9.5, SkewStateForS: 10.5}}})
 }
 
-// What operators are answered is filled from the view as it was: names of states, hexadecimal fingerprints, times.
+// Operators' answers are filled from the view: names of states, hexadecimal fingerprints, times.
 func TestGoldenStatusText(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0"})
 	info := goldenInfo
@@ -246,12 +274,15 @@
 	})
 	s := n.Status()
 	m := s.Members[1]
-	if s.Fleet != "f" || s.Self != "n0" || m.Name != "n1" || m.State != "left" || m.Zone != "wien" || m.Incarnation != 1001 || m.Started != "2023-11-14T22:13:20Z" ||
-		m.Version != "1.2.3" || m.Settings != "00000000000000ab" || m.ListVersion != 41 || !slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
+	if s.Fleet != "f" || s.Self != "n0" || m.Name != "n1" || m.State != "left" || m.Zone != "wien" ||
+		m.Incarnation != 1001 || m.Started != "2023-11-14T22:13:20Z" || m.Version != "1.2.3" ||
+		m.Settings != "00000000000000ab" || m.ListVersion != 41 ||
+		!slices.Equal(s.Conflicts, []string{"n1 at 10.0.0.9:7946"}) {
 		t.Errorf("%+v", s)
 	}
 	v := n.VersionSkewStatus()
-	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "00000000000000ab" || m.ListVersion != 41 || m.HighestToken != 77 || m.SkewState != "-" || m.State != "left" {
+	if m := v.Members[1]; m.Program != "1.2.3" || m.Settings != "00000000000000ab" || m.ListVersion != 41 ||
+		m.HighestToken != 77 || m.SkewState != "-" || m.State != "left" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -276,16 +307,19 @@
   "budgets": {"floor": 0.4, "probes_per_replica_s": 2.5, "repeats_per_request": 0.5, "repeats_s": 1.5}
 }`
 
-// Operators' files keep their keys.
+// Operators' files have fixed keys.
 func TestGoldenConfig(t *testing.T) {
 	got, err := Parse([]byte(goldenConfig), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Config{Fleet: "f", Key: "000102030405060708090a0b0c0d0e0f", Listen: "127.0.0.1:7001",
-		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300, Voters: []string{"n0", "n1", "n2"}, TermMS: 900,
-		Idempotency: &IdempotencyConfig{KeepS: 61, Entries: 62}, Bootstrap: true, EndpointFilter: true, VersionSkew: &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3}, SubsetReaders: 8,
-		Budgets: &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
+		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300,
+		Voters: []string{"n0", "n1", "n2"}, TermMS: 900, Idempotency: &IdempotencyConfig{KeepS: 61, Entries: 62},
+		Bootstrap: true, EndpointFilter: true,
+		VersionSkew:   &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3},
+		SubsetReaders: 8,
+		Budgets:       &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
 	golden.JSON(t, "config.json", want)
 	got.key, got.addressByName, got.probeInterval, got.leaseTerm = nil, nil, 0, 0
 	if !reflect.DeepEqual(*got, want) {
@@ -293,33 +327,35 @@
 	}
 }
 
-// Operators read the limits that were refused.
+// Operators read the limits that were rejected.
 func TestGoldenConfigError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(goldenConfig, `"part": 0.3`, `"part": 0.5`, 1)), "n0")
-	want := "fleet: stragglers: straggler: limits {Settle:1.5s Restrict:4s Out:11s Back:2s Part:0.5}: want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5"
+	want := "fleet: stragglers: straggler: limits {Settle:1.5s Restrict:4s Out:11s Back:2s Part:0.5}: " +
+		"want 0 < settle <= restrict <= out, back over 0, part over 0 and under 0.5"
 	if err == nil || err.Error() != want {
 		t.Errorf("got %v, want %s", err, want)
 	}
 }
 
-// The draws of a part come from the process's seed and a constant of the part's own, in a fixed order. What the node itself draws
-// (the order of first calls, the pauses between calls, whom of the missing it calls) hangs on timers: of it only the seed is compared.
+// The draws of a component come from the process's seed and a constant of its own, in a fixed order. What the node
+// itself draws (the order of first contacts, the delays between rejoins, which missing member it contacts) depends on
+// timers: of it only the seed is compared.
 func TestGoldenDraws(t *testing.T) {
 	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
 	var text []byte
 	b := newBootstrapper(n, nil)
 	members := []bootstrap.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
-	for now, asked := time.Duration(0), 0; asked < 4 && now < time.Minute; now += time.Microsecond {
+	for now, requests := time.Duration(0), 0; requests < 4 && now < time.Minute; now += time.Microsecond {
 		if to, ok := b.requester.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
 			b.requester.RecordResponse(now, to, false)
-			asked++
+			requests++
 		}
 	}
-	d := newLeasedTasks(n, loggingRunner{&taskLog{}, "n0"})
-	d.holder.SetWanted(0, map[lease.Task]bool{1: true, 2: true})
+	tasks := newLeasedTasks(n, loggingRunner{&taskLog{}, "n0"})
+	tasks.holder.SetWanted(0, map[lease.Task]bool{1: true, 2: true})
 	for now, sent := time.Duration(0), 0; sent < 6 && now < time.Minute; now += time.Microsecond {
-		q, ok := d.holder.Step(now)
+		q, ok := tasks.holder.Step(now)
 		if !ok {
 			continue
 		}
@@ -327,9 +363,10 @@
 		for i, voter := range []string{"n0", "n1", "n2"} {
 			r := lease.Reply{Seq: q.Seq, To: q.From, Voter: voter}
 			for _, c := range q.Claims {
-				r.Grants = append(r.Grants, lease.Grant{Task: c.Task, ClaimedToken: c.Token, Token: c.Token, Granted: i == 0})
+				grant := lease.Grant{Task: c.Task, ClaimedToken: c.Token, Token: c.Token, Granted: i == 0}
+				r.Grants = append(r.Grants, grant)
 			}
-			d.holder.HandleReply(now, r)
+			tasks.holder.HandleReply(now, r)
 		}
 		sent++
 	}
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -11,8 +11,9 @@
 	"rampspread/internal/fleet/lease"
 )
 
-// peerMessage is what a datagram or a TCP message between members says, whatever its kind: a kind uses some of the fields and
-// leaves the others zero. Messages are protobuf, so that a later program may add fields; unknown ones are ignored.
+// peerMessage is what a datagram or a TCP message between members says, whatever its kind: a kind uses some of the
+// fields and leaves the others zero. Messages are protobuf, so that a later program may add fields; unknown ones are
+// ignored.
 type peerMessage struct {
 	seq         uint64 // of the sender's request; of an endpoint digest, the list's version
 	from        string // the sender's name
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -15,7 +15,8 @@
 	"rampspread/internal/testkit"
 )
 
-// A member's info survives the wire, unknown fields of later programs are ignored, and garbage neither panics nor is taken.
+// A member's info survives the wire, unknown fields of later programs are ignored, and garbage neither panics nor is
+// taken.
 func FuzzDecodeMemberInfo(f *testing.F) {
 	info := membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1",
 		Settings: 7, ListVersion: 41, Serving: true}
@@ -89,7 +90,9 @@
 	if !slices.Equal(claims, q.Claims) || !slices.Equal(releases, q.Releases) {
 		f.Errorf("%d claims and %d releases came", len(claims), len(releases))
 	}
-	r := lease.Reply{Seq: 9, Voter: "n2", Grants: []lease.Grant{{Task: 1 << 63, ClaimedToken: 4, Token: 5, Remaining: time.Second}, {Task: 2, ClaimedToken: 6, Token: 6, Granted: true}}}
+	r := lease.Reply{Seq: 9, Voter: "n2", Grants: []lease.Grant{
+		{Task: 1 << 63, ClaimedToken: 4, Token: 5, Remaining: time.Second},
+		{Task: 2, ClaimedToken: 6, Token: 6, Granted: true}}}
 	reply := encodeLeaseReply(r)
 	if m, err := decodeMessage(reply[1:], 0); err != nil || m.from != "n2" || !slices.Equal(m.grants, r.Grants) {
 		f.Errorf("%+v, %v", m, err)
@@ -110,18 +113,24 @@
 		}
 		got = append(got, m.results...)
 	}
-	if len(got) != len(all) || got[199].task != 199 || got[0].at != 8*time.Second || string(got[5].data) != "0123456789abcdef" {
+	if len(got) != len(all) || got[199].task != 199 || got[0].at != 8*time.Second ||
+		string(got[5].data) != "0123456789abcdef" {
 		f.Errorf("%d results came, the first as %+v", len(got), got[0])
 	}
-	claim := encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4, InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
-	list := encodeEndpointDigest("n3", tombstone.Digest{Version: 1 << 60, Ready: []uint64{1, 1 << 63}, Draining: []uint64{7}})
-	if m, err := decodeMessage(list[1:], 0); err != nil || m.from != "n3" || m.seq != 1<<60 || !slices.Equal(m.ready, []uint64{1, 1 << 63}) || !slices.Equal(m.draining, []uint64{7}) {
+	claim := encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4,
+		InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
+	digest := encodeEndpointDigest("n3", tombstone.Digest{Version: 1 << 60, Ready: []uint64{1, 1 << 63},
+		Draining: []uint64{7}})
+	if m, err := decodeMessage(digest[1:], 0); err != nil || m.from != "n3" || m.seq != 1<<60 ||
+		!slices.Equal(m.ready, []uint64{1, 1 << 63}) || !slices.Equal(m.draining, []uint64{7}) {
 		f.Errorf("%+v, %v", m, err)
 	}
-	if _, err := decodeMessage(encodeEndpointDigest("n3", tombstone.Digest{Version: 1, Ready: make([]uint64, tombstone.MaxReplicas+1)})[1:], 0); err == nil {
+	tooLarge := tombstone.Digest{Version: 1, Ready: make([]uint64, tombstone.MaxReplicas+1)}
+	if _, err := decodeMessage(encodeEndpointDigest("n3", tooLarge)[1:], 0); err == nil {
 		f.Error("a digest over the bound was decoded")
 	}
-	for _, s := range testkit.Broken(8, string(packets[0][1:]), string(reply[1:]), seeds[0], string(claim[1:]), string(list[1:])) {
+	seeds = []string{string(packets[0][1:]), string(reply[1:]), seeds[0], string(claim[1:]), string(digest[1:])}
+	for _, s := range testkit.Broken(8, seeds...) {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Members share the whole by their traffic, never exceed it, and take over the share of one that crashed except for its
-// floor. A core without capacity for its share costs the others nothing.
+// Members share the whole by their traffic, never exceed it, and take over the share of one that crashed except for
+// its floor. A core without capacity for its share costs the others nothing.
 func TestQuotaIsSharedByTrafficAndNeverExceeded(t *testing.T) {
 	text := strings.Replace(configJSON("f", testKey, 80, 81, 82, 83), `"probe_ms":100`,
 		`"probe_ms":100,"term_ms":600,"voters":["n80","n81","n82"],"budgets":{"floor":0.2}`, 1)
@@ -91,7 +91,8 @@
 	}
 	testkit.Eventually(t, "the whole to be used, by traffic", func() bool {
 		load(1)
-		return sum() > 0.98 && all[3].fractionInForce() > 0.5 && min(all[0].fractionInForce(), all[1].fractionInForce(), all[2].fractionInForce()) > 0.05
+		least := min(all[0].fractionInForce(), all[1].fractionInForce(), all[2].fractionInForce())
+		return sum() > 0.98 && all[3].fractionInForce() > 0.5 && least > 0.05
 	})
 	all[1].rejecting.Store(true)
 	testkit.Eventually(t, "one that cannot apply its share to have the minimum", func() bool {
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -76,6 +76,13 @@
 	return tasks
 }
 
+// tasksConfigJSON is the configuration of a fleet of four members, of which the first three are voters.
+func tasksConfigJSON(hosts ...int) string {
+	voters := fmt.Sprintf(`"voters":[%q,%q,%q]`, hostName(hosts[0]), hostName(hosts[1]), hostName(hosts[2]))
+	text := configJSON("f", testKey, hosts...)
+	return strings.Replace(text, `"probe_ms":100`, `"probe_ms":100,"term_ms":400,`+voters, 1)
+}
+
 // startTaskNode starts the member of that host with the tasks of the log.
 func startTaskNode(t *testing.T, c *taskLog, text string, host int) *Node {
 	t.Helper()
@@ -93,10 +100,10 @@
 	return n
 }
 
-// Tasks are divided among the members, each runs at one member at a time under a lease, all receive the results, and the
-// tasks of a member that crashes are taken over. A minority runs nothing.
+// Tasks are divided among the members, each runs at one member at a time under a lease, all receive the results, and
+// the tasks of a member that crashes are taken over. A minority runs nothing.
 func TestTasksAreDividedAndTakenOver(t *testing.T) {
-	text := strings.Replace(configJSON("f", testKey, 60, 61, 62, 63), `"probe_ms":100`, `"probe_ms":100,"term_ms":400,"voters":["n60","n61","n62"]`, 1)
+	text := tasksConfigJSON(60, 61, 62, 63)
 	c := &taskLog{results: map[string]int{}}
 	for i := range 12 {
 		c.names = append(c.names, fmt.Sprint("task", i))
@@ -110,7 +117,8 @@
 		for _, who := range c.latestExecutors() {
 			load[who]++
 		}
-		return len(c.latestExecutors()) == 12 && len(load) == 4 && load["n60"] <= 3 && load["n61"] <= 3 && load["n62"] <= 3 && load["n63"] <= 3
+		return len(c.latestExecutors()) == 12 && len(load) == 4 &&
+			load["n60"] <= 3 && load["n61"] <= 3 && load["n62"] <= 3 && load["n63"] <= 3
 	})
 	testkit.Eventually(t, "all to receive the results of all", func() bool {
 		c.mu.Lock()
@@ -159,10 +167,10 @@
 	}
 }
 
-// Fencing tokens go on from the highest that any member knows, even if it holds no lease, has no vote, and all voters have
-// just started: they learn the token while they are recovering. Otherwise that member would ignore all results.
+// Fencing tokens go on from the highest that any member knows, even if it holds no lease, has no vote, and all voters
+// have just started: they learn the token while they are recovering. Otherwise that member would ignore all results.
 func TestTokensGoOnFromAnyMemberThatKnowsThem(t *testing.T) {
-	text := strings.Replace(configJSON("f", testKey, 70, 71, 72, 73), `"probe_ms":100`, `"probe_ms":100,"term_ms":400,"voters":["n70","n71","n72"]`, 1)
+	text := tasksConfigJSON(70, 71, 72, 73)
 	c := &taskLog{results: map[string]int{}, names: []string{"one"}}
 	knowing := startTaskNode(t, c, text, 73)
 	tasks := leasedTasksOf(t, knowing)
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -116,7 +116,8 @@
 // reports are what the active members report, and whether this process is one of them.
 func (s *skewMonitor) reports(v membership.View) (reports []versionskew.Report, includesSelf bool) {
 	for _, m := range v.ActiveMembers() {
-		reports = append(reports, versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings})
+		report := versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings}
+		reports = append(reports, report)
 		includesSelf = includesSelf || m.Name == s.node.self.Name
 	}
 	return reports, includesSelf
