--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -76,8 +76,8 @@
 	EndpointFilter EndpointFilter
 }
 
-// Node is this process as a member of the fleet. Start creates it; Leave tells the others that the process goes, and
-// Close ends its goroutines. Its methods are safe for use by several goroutines.
+// Node is this process as a member of the fleet. Start creates it; Leave notifies the others that the process leaves,
+// and Close ends its goroutines. Its methods are safe for use by several goroutines.
 type Node struct {
 	cfg       *Config
 	self      Self
@@ -183,7 +183,7 @@
 	}
 }
 
-// Leave stops the components and tells the others that this process goes. It waits a short time for them to be
+// Leave stops the components and notifies the others that this process leaves. It waits a short time for them to be
 // notified.
 func (n *Node) Leave() {
 	if n.leaving.Swap(true) || !n.joined.Load() {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -20,7 +20,7 @@
 // Budgets are what the whole fleet may do together, in the operator's file. A limit of 0 is none.
 type Budgets struct {
 	// Floor is the fraction of each budget that belongs to the configured members for good, evenly; the voters lend
-	// the remaining fraction to active members, by their traffic. With 1 nothing is lent.
+	// the remaining fraction to active members, by their traffic. With 1 there is nothing to grant.
 	Floor float64 `json:"floor"`
 	// PollsPerReplica is how many load polls a second all dispatchers together may send to one replica for themselves.
 	PollsPerReplica float64 `json:"probes_per_replica_s"`
