--- /dev/null
+++ b/internal/fleet/idempotency/round_test.go
@@ -0,0 +1,58 @@
+package idempotency
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestRoundOutcome(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		replicas int
+		votes    []Vote
+		final    bool
+		want     Outcome
+		wantVote Vote
+	}{
+		{"the only replica grants", 1, []Vote{VoteGranted}, false, Granted, 0},
+		{"one grant of three", 3, []Vote{VoteGranted}, false, Pending, 0},
+		{"one grant of three at the deadline", 3, []Vote{VoteGranted}, true, NoQuorum, 0},
+		{"a majority beside a rejection", 3, []Vote{VoteGranted, VoteInFlight, VoteGranted}, false, Granted, 0},
+		{"one rejection of three", 3, []Vote{VoteInFlight}, false, Pending, 0},
+		{"a rejection and a grant at the deadline", 3, []Vote{VoteInFlight, VoteGranted}, true, Rejected, VoteInFlight},
+		{"an answer tells more than a key in flight", 3, []Vote{VoteInFlight, VoteAnswered}, false, Rejected, VoteAnswered},
+		{"two full stores of three", 3, []Vote{VoteStoreFull, VoteStoreFull}, false, NoQuorum, 0},
+		{"no votes at the deadline", 3, nil, true, NoQuorum, 0},
+		{"a majority of five is possible", 5, []Vote{VoteGranted, VoteGranted, VoteInFlight, VoteKeyReused}, false, Pending, 0},
+		{"a majority of five is out of reach", 5, []Vote{VoteGranted, VoteGranted, VoteInFlight, VoteKeyReused, VoteMayHaveRun},
+			false, Rejected, VoteKeyReused},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := NewRound(c.replicas)
+			for i, v := range c.votes {
+				r.AddVote(fmt.Sprint(i), v, nil)
+				r.AddVote(fmt.Sprint(i), VoteGranted, nil) // its second vote changes nothing
+			}
+			outcome := r.Outcome
+			if c.final {
+				outcome = r.FinalOutcome
+			}
+			if got, vote, _ := outcome(); got != c.want || vote != c.wantVote {
+				t.Errorf("%v (%v), want %v (%v)", got, vote, c.want, c.wantVote)
+			}
+		})
+	}
+}
+
+func TestRoundIgnoresUnknownVotes(t *testing.T) {
+	r := NewRound(3)
+	for i, v := range []Vote{0, 99} {
+		r.AddVote(fmt.Sprint(i), v, nil)
+		if r.HasVote(fmt.Sprint(i)) {
+			t.Errorf("vote %d was counted", v)
+		}
+	}
+	if got, vote, _ := r.FinalOutcome(); got != NoQuorum || vote != 0 {
+		t.Errorf("%v (%v), want NoQuorum", got, vote)
+	}
+}
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -139,7 +139,11 @@
 	defer s.mu.Unlock()
 	// The keeper waits for Keep from what it is told is now; what was lived since the loss counts.
 	s.store, s.mute = store, !remembers
-	s.keeper = idempotency.NewReplica(s.cfg.Limits, store, remembers, store.Lifetime()+left-s.cfg.Limits.Retention)
+	if remembers {
+		s.keeper = idempotency.NewReplica(s.cfg.Limits, store)
+	} else {
+		s.keeper = idempotency.NewRecoveringReplica(s.cfg.Limits, store, store.Lifetime()+left-s.cfg.Limits.Retention)
+	}
 	return true
 }
 
@@ -198,7 +202,11 @@
 			ended = true
 		}
 		r.mu.Lock()
-		out, why, answer := r.r.Outcome(ended)
+		outcome := r.r.Outcome
+		if ended {
+			outcome = r.r.FinalOutcome
+		}
+		out, why, answer := outcome()
 		r.mu.Unlock()
 		if out != idempotency.Pending {
 			return out, why, answer
@@ -311,7 +319,7 @@
 		if m.answered && answer == nil {
 			answer = []byte{}
 		}
-		if err := s.keeper.Settle(now, m.key, m.try, answer); err != nil {
+		if err := s.keeper.Settle(m.key, m.try, answer); err != nil {
 			s.failed(err)
 		}
 	case kindWithdraw:
