--- a/internal/fleet/idempotencyquorum/golden_test.go
+++ b/internal/fleet/idempotencyquorum/golden_test.go
@@ -11,27 +11,32 @@
 	"rampspread/internal/testkit/golden"
 )
 
-// The tests of this file freeze what members send to each other of claims, which members of other versions read.
+// The tests of this file freeze the messages that members send each other about claims: members of other versions read them.
 
 var (
-	goldenTry    = idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
-	goldenKey    = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
-	goldenDigest = idempotency.Digest{31: 32, 0: 21, 1: 22, 2: 23}
+	goldenAttempt = idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
+	goldenKey     = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
+	goldenDigest  = idempotency.Digest{31: 32, 0: 21, 1: 22, 2: 23}
 )
 
 func TestGoldenMessages(t *testing.T) {
+	answer := []byte("answer")
 	for _, c := range []struct {
 		file string
 		m    message
 	}{
-		{"ask.hex", message{kind: kindAsk, try: goldenTry, key: goldenKey, digest: goldenDigest, ends: 1500 * time.Millisecond}},
-		{"word-yes.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: idempotency.VoteGranted}},
-		{"word-held-known.hex", message{kind: kindWord, try: goldenTry, key: goldenKey, keeper: "k0", verdict: idempotency.VoteAnswered, answer: []byte("answer"), answered: true}},
-		{"settle.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte("answer"), answered: true}},
-		{"settle-empty.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey, answer: []byte{}, answered: true}},
-		{"settle-unknown.hex", message{kind: kindSettle, try: goldenTry, key: goldenKey}},
-		{"withdraw.hex", message{kind: kindWithdraw, try: goldenTry, key: goldenKey}},
+		{"ask.hex", message{kind: kindClaim, digest: goldenDigest, maxDuration: 1500 * time.Millisecond}},
+		{"word-yes.hex", message{kind: kindVote, replica: "k0", vote: idempotency.VoteGranted}},
+		{
+			"word-held-known.hex",
+			message{kind: kindVote, replica: "k0", vote: idempotency.VoteAnswered, answer: answer, hasAnswer: true},
+		},
+		{"settle.hex", message{kind: kindSettle, answer: answer, hasAnswer: true}},
+		{"settle-empty.hex", message{kind: kindSettle, answer: []byte{}, hasAnswer: true}},
+		{"settle-unknown.hex", message{kind: kindSettle}},
+		{"withdraw.hex", message{kind: kindWithdraw}},
 	} {
+		c.m.attempt, c.m.key = goldenAttempt, goldenKey
 		m, err := decode(golden.Bytes(t, c.file, c.m.encode()))
 		if err != nil || !reflect.DeepEqual(m, c.m) {
 			t.Errorf("%s: %+v, %v, want %+v", c.file, m, err, c.m)
@@ -40,13 +45,16 @@
 }
 
 func TestGoldenNumbers(t *testing.T) {
-	kinds := []int{kindAsk, kindWord, kindSettle, kindWithdraw}
-	if want := []int{1, 2, 3, 4}; !slices.Equal(kinds, want) {
+	kinds := []messageKind{kindClaim, kindVote, kindSettle, kindWithdraw}
+	if want := []messageKind{1, 2, 3, 4}; !slices.Equal(kinds, want) {
 		t.Errorf("kinds are %v, want %v", kinds, want)
 	}
-	verdicts := []idempotency.Vote{idempotency.VoteGranted, idempotency.VoteInFlight, idempotency.VoteMayHaveRun, idempotency.VoteAnswered, idempotency.VoteKeyReused, idempotency.VoteStoreFull}
-	if want := []idempotency.Vote{1, 2, 3, 4, 5, 6}; !slices.Equal(verdicts, want) {
-		t.Errorf("verdicts are %v, want %v", verdicts, want)
+	votes := []idempotency.Vote{
+		idempotency.VoteGranted, idempotency.VoteInFlight, idempotency.VoteMayHaveRun,
+		idempotency.VoteAnswered, idempotency.VoteKeyReused, idempotency.VoteStoreFull,
+	}
+	if want := []idempotency.Vote{1, 2, 3, 4, 5, 6}; !slices.Equal(votes, want) {
+		t.Errorf("votes are %v, want %v", votes, want)
 	}
 	states := []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}
 	if want := []idempotency.State{1, 2, 3}; !slices.Equal(states, want) {
@@ -63,21 +71,27 @@
 func TestGoldenClaim(t *testing.T) {
 	var mu sync.Mutex
 	var sent []byte
-	var service *Coordinator
-	word := message{kind: kindWord, try: idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 1}, keeper: "k0", verdict: idempotency.VoteGranted}
-	service = New(Config{Name: "n1", Incarnation: 1001, Replicas: []string{"k0"}, Secret: []byte("secret"), Send: func(to string, b []byte, large bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if sent == nil {
-			if to != "k0" || large {
-				t.Errorf("sent to %s, large %t", to, large)
+	var coordinator *Coordinator
+	vote := message{
+		kind:    kindVote,
+		attempt: idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 1},
+		replica: "k0",
+		vote:    idempotency.VoteGranted,
+	}
+	coordinator = New(Config{Name: "n1", Incarnation: 1001, Replicas: []string{"k0"}, Secret: []byte("secret"),
+		Send: func(to string, b []byte, large bool) {
+			mu.Lock()
+			defer mu.Unlock()
+			if sent == nil {
+				if to != "k0" || large {
+					t.Errorf("sent to %s, large %t", to, large)
+				}
+				sent = slices.Clone(b)
+				go coordinator.HandleMessage(golden.Bytes(t, "claim-word.hex", vote.encode()))
 			}
-			sent = slices.Clone(b)
-			go service.HandleMessage(golden.Bytes(t, "claim-word.hex", word.encode()))
-		}
-	}})
-	if out, _, _, _ := service.Claim("key", []byte("body"), 1500*time.Millisecond); out != idempotency.Granted {
-		t.Errorf("outcome %v", out)
+		}})
+	if outcome, _, _, _ := coordinator.Claim("key", []byte("body"), 1500*time.Millisecond); outcome != idempotency.Granted {
+		t.Errorf("outcome %v", outcome)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -85,5 +99,18 @@
 }
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status.json", Status{Self: "n1", Replicas: []string{"k0", "k1"}, IsReplica: true, RecoveringS: 1.5, Keys: 2, Granted: 3, Rejected: 4, NoMajority: 5, GrantMS: 6.5, Dropped: 7, Errors: 8, Bad: 9})
+	golden.JSON(t, "status.json", Status{
+		Self:        "n1",
+		Replicas:    []string{"k0", "k1"},
+		IsReplica:   true,
+		RecoveringS: 1.5,
+		Keys:        2,
+		Granted:     3,
+		Rejected:    4,
+		NoMajority:  5,
+		GrantMS:     6.5,
+		Dropped:     7,
+		Errors:      8,
+		Bad:         9,
+	})
 }
--- a/internal/fleet/idempotencyquorum/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -11,123 +11,160 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-// The kinds of message.
+// messageKind says what a message is for. The values travel between members.
+type messageKind uint64
+
 const (
-	kindAsk      = 1
-	kindWord     = 2
-	kindSettle   = 3
-	kindWithdraw = 4
+	kindClaim    messageKind = 1 // asks a replica for its vote
+	kindVote     messageKind = 2 // a replica's reply to a claim
+	kindSettle   messageKind = 3 // tells a replica how an attempt ended
+	kindWithdraw messageKind = 4 // takes a claim back
 )
 
-// Fields of a message. Those that are not known are passed over.
+// Fields of a message, in the protobuf encoding. Unknown fields are skipped.
 const (
-	fieldKind        = 1
-	fieldName        = 2 // of who claims
-	fieldIncarnation = 3
-	fieldSeq         = 4
-	fieldKey         = 5
-	fieldDigest      = 6
-	fieldEnds        = 7 // µs
-	fieldKeeper      = 8
-	fieldVerdict     = 9
-	fieldAnswer      = 10
+	fieldKind        protowire.Number = 1
+	fieldClaimant    protowire.Number = 2 // name of the member that claims
+	fieldIncarnation protowire.Number = 3 // of that member
+	fieldSeq         protowire.Number = 4 // of the attempt
+	fieldKey         protowire.Number = 5
+	fieldDigest      protowire.Number = 6
+	fieldMaxDuration protowire.Number = 7 // of the attempt, in µs
+	fieldReplica     protowire.Number = 8 // name of the replica that votes
+	fieldVote        protowire.Number = 9
+	fieldAnswer      protowire.Number = 10
+)
 
-	smallMost   = 1200 // bytes: more does not go by one packet everywhere
-	maxName     = 64
-	maxAnswer   = 64 << 10
-	maxEnds     = time.Hour
-	maxEndsInUS = uint64(maxEnds / time.Microsecond)
+const (
+	maxDatagramBytes = 1200 // a larger message does not fit into one packet on every network
+	maxNameBytes     = 64
+	maxAnswerBytes   = 64 << 10
+	maxDurationBound = time.Hour // a claim's longer duration counts as this one
 )
 
-var errMessage = errors.New("claims: a message that makes no sense")
+var errMalformed = errors.New("idempotency: malformed message")
 
-// message is what members say to each other of a claim.
+// message is what members send each other about a claim. Which fields are set depends on its kind.
 type message struct {
-	kind     uint64
-	try      idempotency.Attempt
-	key      idempotency.Key
-	digest   idempotency.Digest
-	ends     time.Duration
-	keeper   string
-	verdict  idempotency.Vote
-	answer   []byte
-	answered bool // there is an answer, though it may be empty
+	kind        messageKind
+	attempt     idempotency.Attempt
+	key         idempotency.Key
+	digest      idempotency.Digest // of kindClaim
+	maxDuration time.Duration      // of kindClaim: how long the attempt can last
+	replica     string             // of kindVote
+	vote        idempotency.Vote   // of kindVote
+	answer      []byte             // of kindVote and kindSettle
+	hasAnswer   bool               // an answer may be empty
 }
 
 func (m message) encode() []byte {
-	var b []byte
-	num := func(field protowire.Number, v uint64) {
-		b = fields.Varint(b, field, v)
-	}
-	bytes := func(field protowire.Number, v []byte) {
-		b = fields.Bytes(b, field, v)
-	}
-	num(fieldKind, m.kind)
-	bytes(fieldName, []byte(m.try.Name))
-	num(fieldIncarnation, m.try.Incarnation)
-	num(fieldSeq, m.try.Seq)
-	bytes(fieldKey, m.key[:])
+	b := fields.Varint(nil, fieldKind, uint64(m.kind))
+	b = fields.Bytes(b, fieldClaimant, []byte(m.attempt.Name))
+	b = fields.Varint(b, fieldIncarnation, m.attempt.Incarnation)
+	b = fields.Varint(b, fieldSeq, m.attempt.Seq)
+	b = fields.Bytes(b, fieldKey, m.key[:])
 	switch m.kind {
-	case kindAsk:
-		bytes(fieldDigest, m.digest[:])
-		num(fieldEnds, uint64(max(m.ends, 0).Microseconds()))
-	case kindWord:
-		bytes(fieldKeeper, []byte(m.keeper))
-		num(fieldVerdict, uint64(m.verdict))
+	case kindClaim:
+		b = fields.Bytes(b, fieldDigest, m.digest[:])
+		b = fields.Varint(b, fieldMaxDuration, uint64(max(m.maxDuration, 0).Microseconds()))
+	case kindVote:
+		b = fields.Bytes(b, fieldReplica, []byte(m.replica))
+		b = fields.Varint(b, fieldVote, uint64(m.vote))
 	}
-	if m.answered {
-		bytes(fieldAnswer, m.answer)
+	if m.hasAnswer {
+		b = fields.Bytes(b, fieldAnswer, m.answer)
 	}
 	return b
 }
 
-func decode(b []byte) (m message, err error) {
-	hasKey, hasDigest := false, false
+// decoder collects the fields of one message.
+type decoder struct {
+	message
+	hasKey, hasDigest bool
+}
+
+// decode reads a message. The error is errMalformed, or says which field cannot be read.
+func decode(b []byte) (message, error) {
+	var d decoder
 	for len(b) > 0 {
-		f, rest, err := fields.Next(b)
+		field, rest, err := fields.Next(b)
 		if err != nil {
-			return m, fmt.Errorf("claims: message: %w", err)
+			return message{}, fmt.Errorf("idempotency: message: %w", err)
 		}
 		b = rest
-		field, kind, v, text := f.Number, f.Kind, f.Value, f.Bytes
-		switch {
-		case kind == protowire.BytesType && (field == fieldName || field == fieldKeeper):
-			if len(text) > maxName {
-				return m, errMessage
-			}
-			if field == fieldName {
-				m.try.Name = string(text)
-			} else {
-				m.keeper = string(text)
-			}
-		case kind == protowire.BytesType && field == fieldKey && len(text) == len(m.key):
-			hasKey = true
-			copy(m.key[:], text)
-		case kind == protowire.BytesType && field == fieldDigest && len(text) == len(m.digest):
-			hasDigest = true
-			copy(m.digest[:], text)
-		case kind == protowire.BytesType && field == fieldAnswer:
-			if len(text) > maxAnswer {
-				return m, errMessage
+		switch field.Kind {
+		case protowire.BytesType:
+			if !d.setBytes(field.Number, field.Bytes) {
+				return message{}, errMalformed
 			}
-			m.answer, m.answered = append([]byte{}, text...), true
-		case kind != protowire.VarintType:
-		case field == fieldKind:
-			m.kind = v
-		case field == fieldIncarnation:
-			m.try.Incarnation = v
-		case field == fieldSeq:
-			m.try.Seq = v
-		case field == fieldEnds:
-			m.ends = time.Duration(min(v, maxEndsInUS)) * time.Microsecond
-		case field == fieldVerdict && v <= uint64(idempotency.VoteStoreFull):
-			m.verdict = idempotency.Vote(v)
+		case protowire.VarintType:
+			d.setNumber(field.Number, field.Value)
 		}
 	}
-	switch {
-	case m.kind < kindAsk || m.kind > kindWithdraw, m.try.Name == "", !hasKey, m.kind == kindAsk && !hasDigest,
-		m.kind == kindWord && (m.keeper == "" || m.verdict == 0):
-		return m, errMessage
+	if !d.complete() {
+		return message{}, errMalformed
+	}
+	return d.message, nil
+}
+
+// setBytes sets a field that has a length; false means that it is too long. A key or digest of another length is skipped.
+func (d *decoder) setBytes(field protowire.Number, value []byte) (ok bool) {
+	switch field {
+	case fieldClaimant:
+		d.attempt.Name = string(value)
+		return len(value) <= maxNameBytes
+	case fieldReplica:
+		d.replica = string(value)
+		return len(value) <= maxNameBytes
+	case fieldKey:
+		if len(value) == len(d.key) {
+			d.hasKey = true
+			copy(d.key[:], value)
+		}
+	case fieldDigest:
+		if len(value) == len(d.digest) {
+			d.hasDigest = true
+			copy(d.digest[:], value)
+		}
+	case fieldAnswer:
+		if len(value) > maxAnswerBytes {
+			return false
+		}
+		d.answer, d.hasAnswer = append([]byte{}, value...), true
+	}
+	return true
+}
+
+// setNumber sets a field that is a number. An unknown vote is skipped.
+func (d *decoder) setNumber(field protowire.Number, value uint64) {
+	switch field {
+	case fieldKind:
+		d.kind = messageKind(value)
+	case fieldIncarnation:
+		d.attempt.Incarnation = value
+	case fieldSeq:
+		d.attempt.Seq = value
+	case fieldMaxDuration:
+		d.maxDuration = time.Duration(min(value, uint64(maxDurationBound/time.Microsecond))) * time.Microsecond
+	case fieldVote:
+		if value <= uint64(idempotency.VoteStoreFull) {
+			d.vote = idempotency.Vote(value)
+		}
+	}
+}
+
+// complete reports whether the message has all fields that its kind needs.
+func (d *decoder) complete() bool {
+	if d.attempt.Name == "" || !d.hasKey {
+		return false
+	}
+	switch d.kind {
+	case kindClaim:
+		return d.hasDigest
+	case kindVote:
+		return d.replica != "" && d.vote != 0
+	case kindSettle, kindWithdraw:
+		return true
 	}
-	return m, nil
+	return false
 }
--- /dev/null
+++ b/internal/fleet/idempotencyquorum/message_test.go
@@ -0,0 +1,42 @@
+package idempotencyquorum
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"rampspread/internal/fleet/idempotency"
+	"rampspread/internal/testkit"
+)
+
+// Valid messages decode to what was encoded; malformed ones are errors, are counted, and change nothing.
+func FuzzDecode(f *testing.F) {
+	attempt, key := idempotency.Attempt{Name: "n1", Incarnation: 5, Seq: 7}, idempotency.Key{1}
+	var encoded []string
+	for _, in := range []message{
+		{kind: kindClaim, attempt: attempt, key: key, digest: idempotency.Digest{2}, maxDuration: time.Second},
+		{
+			kind: kindVote, attempt: attempt, key: key,
+			replica: "n2", vote: idempotency.VoteAnswered, answer: []byte("a"), hasAnswer: true,
+		},
+		{kind: kindSettle, attempt: attempt, key: key, answer: []byte{}, hasAnswer: true},
+	} {
+		if got, err := decode(in.encode()); err != nil || !reflect.DeepEqual(got, in) {
+			f.Errorf("%+v became %+v, %v", in, got, err)
+		}
+		encoded = append(encoded, string(in.encode()))
+	}
+	c := New(Config{Name: "n0", Replicas: replicaNames})
+	for _, b := range testkit.Broken(4, encoded...) {
+		f.Add([]byte(b))
+		c.HandleMessage([]byte(b))
+	}
+	if c.Status().Bad == 0 {
+		f.Error("no malformed message was counted")
+	}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		if m, err := decode(b); err == nil && (m.attempt.Name == "" || len(m.answer) > maxAnswerBytes) {
+			t.Errorf("%x was decoded as %+v", b, m)
+		}
+	})
+}
