--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -1,5 +1,6 @@
-// Package endpointfilter stands between discovery's list and those that act on it, in a fleet: what other members' newer lists have ended
-// is ended here too. Package ended decides it; this one hands it on.
+// Package endpointfilter applies the fleet's tombstones to discovery's endpoint list: endpoints that other members' newer
+// lists have ended are published as gone or draining here too. Package tombstone decides which; this package keeps the
+// list's entries, and publishes what has changed to the dispatcher and the others that act on the list.
 package endpointfilter
 
 import (
@@ -12,119 +13,136 @@
 	"rampspread/routing"
 )
 
-// Filter takes a dispatcher's list and what others tell of theirs. It is safe for use by several goroutines.
+// Filter merges a member's own endpoint list with the digests of other members' lists. It is safe for concurrent use.
 type Filter struct {
 	publish func(full bool, entries []dispatch.Endpoint)
 	version func() uint64
 	now     func() time.Time
+	start   time.Time
 
-	// mu is held while a list is handed on, so that an older one never comes behind what was told since.
-	mu    sync.Mutex
-	start time.Time
-	table *tombstone.Table
-	held  map[string]dispatch.Endpoint
-	told  int64
+	// mu is also held while publish runs, so that an older list is never published after a newer one.
+	mu        sync.Mutex
+	table     *tombstone.Table
+	endpoints map[string]dispatch.Endpoint // the own list, by name
+	peerLists int64
 }
 
-// Status is what operators are shown of it.
+// Status is what operators are shown of a Filter.
 type Status struct {
-	List       uint64 `json:"list"`
-	Suppressed int    `json:"held_back"` // replicas that others' newer lists have ended
-	PeerLists  int64  `json:"told"`      // newer lists that came
-	Rejected   int    `json:"refused"`   // times that they would have ended too much
+	List       uint64 `json:"list"`      // version of the own list
+	Suppressed int    `json:"held_back"` // replicas that peers' newer lists have ended
+	PeerLists  int64  `json:"told"`      // newer lists that peers sent
+	Rejected   int    `json:"refused"`   // times that peers' lists would have ended too many replicas
 }
 
-// New returns a guard before publish, which must not block. Version is that of the list handed to Roster.
-func New(publish func(bool, []dispatch.Endpoint), version func() uint64, now func() time.Time) *Filter {
-	return &Filter{publish: publish, version: version, now: now, start: now(), table: tombstone.New(tombstone.DefaultLimits), held: map[string]dispatch.Endpoint{}}
+// New returns a filter in front of publish, which must not block. version returns the version of the list that was last
+// passed to UpdateOwn.
+func New(publish func(full bool, entries []dispatch.Endpoint), version func() uint64, now func() time.Time) *Filter {
+	return &Filter{
+		publish:   publish,
+		version:   version,
+		now:       now,
+		start:     now(),
+		table:     tombstone.New(tombstone.DefaultLimits),
+		endpoints: map[string]dispatch.Endpoint{},
+	}
 }
 
-// UpdateOwn takes discovery's list, or changes to it, and hands on what is to be acted on.
-func (g *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	dispatch.ApplyUpdate(g.held, full, entries)
-	list := make([]tombstone.Endpoint, len(entries))
-	named := make(map[string]bool, len(entries))
+// UpdateOwn applies discovery's list, full or as changes, and publishes what is to be acted on.
+func (f *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter the dispatcher's form
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	dispatch.ApplyUpdate(f.endpoints, full, entries)
+	updates := make([]tombstone.Endpoint, len(entries))
+	updated := make(map[string]bool, len(entries))
 	for i, e := range entries {
-		list[i], named[e.Name] = tombstone.Endpoint{Name: e.Name, State: e.State}, true
+		updates[i], updated[e.Name] = tombstone.Endpoint{Name: e.Name, State: e.State}, true
 	}
-	changed := g.table.UpdateOwn(g.now().Sub(g.start), g.version(), full, list)
+	changed := f.table.UpdateOwn(f.elapsed(), f.version(), full, updates)
 	out := make([]dispatch.Endpoint, 0, len(entries))
 	for _, e := range entries {
-		if e = g.as(e); !full || e.State != routing.Gone {
+		if e = f.filtered(e); !full || e.State != routing.Gone {
 			out = append(out, e)
 		}
 	}
-	if !full { // a whole list has them
+	if !full { // a full list contains them already
 		for _, name := range changed {
-			if e, ok := g.held[name]; ok && !named[name] {
-				out = append(out, g.as(e))
+			if e, ok := f.endpoints[name]; ok && !updated[name] {
+				out = append(out, f.filtered(e))
 			}
 		}
 	}
-	g.publish(full, out)
-}
-
-// as is an entry as it is to be taken.
-func (g *Filter) as(e dispatch.Endpoint) dispatch.Endpoint {
-	if _, ok := g.held[e.Name]; ok {
-		e.State = g.table.State(e.Name)
-	}
-	return e
+	f.publish(full, out)
 }
 
-// UpdatePeer takes what another member tells of its list.
-func (g *Filter) UpdatePeer(from string, d tombstone.Digest) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if d.Version > g.table.Version() {
-		g.told++
+// UpdatePeer applies the digest of another member's list, and publishes the endpoints that change by it.
+func (f *Filter) UpdatePeer(from string, d tombstone.Digest) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if d.Version > f.table.Version() {
+		f.peerLists++
 	}
-	refused := g.table.Rejected()
-	g.hand("list_behind", g.table.UpdatePeer(g.now().Sub(g.start), from, d))
-	if g.table.Rejected() > refused {
-		slog.Warn("list_behind_refused", "from", from, "own", g.table.Version(), "told", d.Version)
+	rejected := f.table.Rejected()
+	f.publishChanges("peer_list_applied", f.table.UpdatePeer(f.elapsed(), from, d))
+	if f.table.Rejected() > rejected {
+		slog.Warn("peer_list_rejected", "from", from, "own_version", f.table.Version(), "peer_version", d.Version)
 	}
 }
 
-// Tick lets go of what nobody has told for long.
-func (g *Filter) Tick() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.hand("list_believed", g.table.Tick(g.now().Sub(g.start)))
+// Tick expires digests that no peer has repeated for long, and publishes the endpoints that change by it.
+func (f *Filter) Tick() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.publishChanges("peer_list_expired", f.table.Tick(f.elapsed()))
 }
 
-// hand hands on replicas that are to be taken otherwise.
-func (g *Filter) hand(why string, changed []string) {
+// publishChanges publishes the named endpoints, whose state has changed, and logs that as event.
+func (f *Filter) publishChanges(event string, changed []string) {
 	if len(changed) == 0 {
 		return
 	}
 	out := make([]dispatch.Endpoint, 0, len(changed))
 	for _, name := range changed {
-		out = append(out, g.as(g.held[name]))
+		out = append(out, f.filtered(f.endpoints[name]))
 	}
-	slog.Info(why, "own", g.table.Version(), "replicas", len(out), "first", changed[0], "held_back", g.table.Suppressed())
-	g.publish(false, out)
+	slog.Info(event, "own_version", f.table.Version(), "replicas", len(out), "first", changed[0],
+		"suppressed", f.table.Suppressed())
+	f.publish(false, out)
 }
 
-// Digest is what to tell others of the list that this member was told by discovery.
-func (g *Filter) Digest() tombstone.Digest {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.table.Digest()
+// filtered returns an endpoint with the state that it is to be published in.
+func (f *Filter) filtered(e dispatch.Endpoint) dispatch.Endpoint {
+	if _, ok := f.endpoints[e.Name]; ok {
+		e.State = f.table.State(e.Name)
+	}
+	return e
 }
 
-// Version is that of the list.
-func (g *Filter) Version() uint64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.table.Version()
+// elapsed is the time since the filter was made, which is the clock of its table.
+func (f *Filter) elapsed() time.Duration { return f.now().Sub(f.start) }
+
+// Digest returns the digest of the own list, as discovery sent it, for other members.
+func (f *Filter) Digest() tombstone.Digest {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.table.Digest()
 }
 
-// Status is for operators.
-func (g *Filter) Status() Status {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return Status{List: g.table.Version(), Suppressed: g.table.Suppressed(), PeerLists: g.told, Rejected: g.table.Rejected()}
+// Version returns the version of the own list.
+func (f *Filter) Version() uint64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.table.Version()
+}
+
+// Status returns the present counts.
+func (f *Filter) Status() Status {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return Status{
+		List:       f.table.Version(),
+		Suppressed: f.table.Suppressed(),
+		PeerLists:  f.peerLists,
+		Rejected:   f.table.Rejected(),
+	}
 }
--- a/internal/fleet/endpointfilter/filter_test.go
+++ b/internal/fleet/endpointfilter/filter_test.go
@@ -10,69 +10,85 @@
 	"rampspread/routing"
 )
 
-// What is handed on is the own list without what others' newer ones have ended, at each step; an address only ever comes from
-// the own one.
-func TestGuard(t *testing.T) {
-	version, now := uint64(4), time.Unix(1000, 0)
-	acts := map[string]dispatch.Endpoint{}
-	g := New(func(full bool, entries []dispatch.Endpoint) {
+// testBench is a filter and the list that results from what it publishes.
+type testBench struct {
+	filter    *Filter
+	version   uint64 // of the own list
+	now       time.Time
+	published map[string]dispatch.Endpoint
+}
+
+func newTestBench() *testBench {
+	b := &testBench{version: 4, now: time.Unix(1000, 0), published: map[string]dispatch.Endpoint{}}
+	b.filter = New(func(full bool, entries []dispatch.Endpoint) {
 		if full {
-			clear(acts)
+			clear(b.published)
 		}
 		for _, e := range entries {
-			if acts[e.Name] = e; e.State == routing.Gone {
-				delete(acts, e.Name)
+			if b.published[e.Name] = e; e.State == routing.Gone {
+				delete(b.published, e.Name)
 			}
 		}
-	}, func() uint64 { return version }, func() time.Time { return now })
-	ready := func() (out []string) {
-		for name, e := range acts {
-			if e.State == routing.Ready && e.Addr == "at-"+name {
-				out = append(out, name)
-			}
+	}, func() uint64 { return b.version }, func() time.Time { return b.now })
+	return b
+}
+
+// wantReady checks which endpoints are published as ready, with the addresses of the own list.
+func (b *testBench) wantReady(t *testing.T, when string, names ...string) {
+	t.Helper()
+	var got []string
+	for name, e := range b.published {
+		if e.State == routing.Ready && e.Addr == addressOf(name) {
+			got = append(got, name)
 		}
-		slices.Sort(out)
-		return out
 	}
-	want := func(when string, names ...string) {
-		t.Helper()
-		if got := ready(); !slices.Equal(got, names) {
-			t.Errorf("%s: %v", when, got)
-		}
+	slices.Sort(got)
+	if !slices.Equal(got, names) {
+		t.Errorf("%s: %v", when, got)
 	}
-	list := func(names ...string) (out []dispatch.Endpoint) {
-		for _, n := range names {
-			out = append(out, dispatch.Endpoint{Name: n, Addr: "at-" + n, State: routing.Ready})
-		}
-		return out
+}
+
+func addressOf(name string) string { return "at-" + name }
+
+func readyEndpoints(names ...string) (out []dispatch.Endpoint) {
+	for _, n := range names {
+		out = append(out, dispatch.Endpoint{Name: n, Addr: addressOf(n), State: routing.Ready})
 	}
-	hashes := func(names ...string) (out []uint64) {
-		for _, n := range names {
-			out = append(out, tombstone.Hash(n))
-		}
-		return out
+	return out
+}
+
+func hashes(names ...string) (out []uint64) {
+	for _, n := range names {
+		out = append(out, tombstone.Hash(n))
 	}
-	g.UpdateOwn(true, list("a", "b", "c", "d"))
-	want("its list", "a", "b", "c", "d")
-	g.UpdatePeer("n1", tombstone.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
-	want("another's", "a", "c")
-	if acts["b"].State != routing.Draining {
-		t.Errorf("%+v", acts)
+	return out
+}
+
+func TestPublishedIsTheOwnListWithoutWhatNewerPeerListsEnded(t *testing.T) {
+	b := newTestBench()
+	f := b.filter
+	f.UpdateOwn(true, readyEndpoints("a", "b", "c", "d"))
+	b.wantReady(t, "the own list", "a", "b", "c", "d")
+	f.UpdatePeer("n1", tombstone.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
+	b.wantReady(t, "a newer peer list", "a", "c")
+	if b.published["b"].State != routing.Draining {
+		t.Errorf("%+v", b.published)
 	}
-	g.UpdateOwn(true, list("a", "b", "c", "d"))
-	want("the same list again", "a", "c")
-	version = 5
-	g.UpdateOwn(false, list("e"))
-	want("a change", "a", "c", "e")
-	version = 7
-	g.UpdateOwn(false, list("b"))
-	want("a newer one than the other's", "a", "b", "c", "d", "e")
-	g.UpdatePeer("n1", tombstone.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
-	want("another's again", "b", "c", "d", "e")
-	now = now.Add(tombstone.DefaultLimits.PeerReportTTL + time.Second)
-	g.Tick()
-	want("after long silence", "a", "b", "c", "d", "e")
-	if s := g.Status(); s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || g.Version() != 7 || len(g.Digest().Ready) != 5 {
+	f.UpdateOwn(true, readyEndpoints("a", "b", "c", "d"))
+	b.wantReady(t, "the same own list again", "a", "c")
+	b.version = 5
+	f.UpdateOwn(false, readyEndpoints("e"))
+	b.wantReady(t, "a change that is older than the peer list", "a", "c", "e")
+	b.version = 7
+	f.UpdateOwn(false, readyEndpoints("b"))
+	b.wantReady(t, "a change that is newer than the peer list", "a", "b", "c", "d", "e")
+	f.UpdatePeer("n1", tombstone.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
+	b.wantReady(t, "another newer peer list", "b", "c", "d", "e")
+	b.now = b.now.Add(tombstone.DefaultLimits.PeerReportTTL + time.Second)
+	f.Tick()
+	b.wantReady(t, "after the peer list expired", "a", "b", "c", "d", "e")
+	s := f.Status()
+	if s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || f.Version() != 7 || len(f.Digest().Ready) != 5 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -1,5 +1,8 @@
-// Package leasedtasks is what a fleet does in turn: one member asks a replica for its load on behalf of all, and one looks at
-// discovery's list. What they find goes to the core as evidence, and brings a dispatcher that was left behind up to date.
+// Package leasedtasks implements the tasks that one member of the fleet does for all, under a lease: it polls a replica for
+// its load, or reads the version of discovery's endpoint list. Every member receives the results. Load reports go to the
+// dispatcher as evidence, and a member whose own endpoint list is older than the one found requests it again.
+//
+// Tasks is the only type with state. It owns the addresses of the ready replicas and is safe for concurrent use.
 package leasedtasks
 
 import (
@@ -7,7 +10,6 @@
 	"encoding/binary"
 	"fmt"
 	"log/slog"
-	"math"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,60 +20,72 @@
 	"rampspread/routing"
 )
 
+// Names of tasks. Members hash them to agree on who holds a task's lease, so they are part of the protocol.
 const (
-	probe      = "probe/" // and a replica's name
-	list       = "list"
-	probeEvery = 400 * time.Millisecond
-	probeWait  = 200 * time.Millisecond // as long as the core waits for a load
-	listEvery  = 2 * time.Second
-	listWait   = time.Second
-	// A dispatcher whose list is older than the one that was found asks for it anew after so long.
-	behindFor = 1500 * time.Millisecond
+	pollTaskPrefix = "probe/" // followed by a replica's name
+	listTask       = "list"
 )
 
-// LoadPoller asks replicas for their load.
+const (
+	pollInterval = 400 * time.Millisecond
+	// pollTimeout is as long as the dispatcher waits for a load that it polls itself.
+	pollTimeout  = 200 * time.Millisecond
+	listInterval = 2 * time.Second
+	listTimeout  = time.Second
+	// staleListGrace is how long the own endpoint list may be older than the one found before it is requested again: a
+	// newer one may be on its way.
+	staleListGrace = 1500 * time.Millisecond
+)
+
+// LoadPoller polls replicas for their load.
 type LoadPoller interface {
-	PollLoadFor(duty string, to dispatch.Target, limit time.Duration, told func(*routing.LoadReport))
+	// PollLoadFor polls a replica on behalf of the fleet; lease names the task and its fencing token. done is called once,
+	// with nil if no report came within the timeout.
+	PollLoadFor(lease string, to dispatch.Target, timeout time.Duration, done func(*routing.LoadReport))
 }
 
-// EndpointLists is this dispatcher's own way to discovery's list.
+// EndpointLists is this member's own connection to service discovery.
 type EndpointLists interface {
+	// Version returns the version of the endpoint list that this member acts on.
 	Version() uint64
+	// Peek reads the version of discovery's present list, without the list.
 	Peek(ctx context.Context) (version uint64, err error)
+	// Refresh requests the list again.
 	Refresh()
 }
 
-// Tasks implements fleet.Work.
+// Tasks implements fleet.TaskRunner.
 type Tasks struct {
-	prober  LoadPoller
-	lists   EndpointLists
-	heard   func([]dispatch.PeerLoad) bool
-	now     func() time.Time
-	dropped atomic.Int64 // news that the core had no room for
-	bad     atomic.Int64
-	renewed atomic.Int64 // lists that were asked for anew
-
-	mu      sync.Mutex
-	targets map[string]dispatch.Target
-	behind  time.Time // since when this dispatcher's list is older; zero: it is not
+	poller     LoadPoller
+	lists      EndpointLists
+	applyLoads func([]dispatch.PeerLoad) bool
+	now        func() time.Time
+	dropped    atomic.Int64 // load reports that the dispatcher's queue had no capacity for
+	bad        atomic.Int64 // results that could not be decoded
+	refreshed  atomic.Int64 // requests for the endpoint list after it was found stale
+
+	mu         sync.Mutex
+	targets    map[string]dispatch.Target // the ready replicas, by name
+	staleSince time.Time                  // since when the own list is older than the one found; zero if it is not
 }
 
-// New returns the tasks; heard takes news for the core and must not block. Without a prober replicas are not asked.
-func New(prober LoadPoller, lists EndpointLists, heard func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
-	return &Tasks{prober: prober, lists: lists, heard: heard, now: now, targets: map[string]dispatch.Target{}}
+// New returns the tasks. applyLoads passes load reports to the dispatcher; it must not block, and returns false if they were
+// dropped. With a nil poller replicas are not polled.
+func New(poller LoadPoller, lists EndpointLists, applyLoads func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
+	return &Tasks{poller: poller, lists: lists, applyLoads: applyLoads, now: now, targets: map[string]dispatch.Target{}}
 }
 
 // Bad returns how many results could not be decoded.
 func (t *Tasks) Bad() int64 { return t.bad.Load() }
 
 // Refreshed returns how many times the endpoint list was requested again.
-func (t *Tasks) Refreshed() int64 { return t.renewed.Load() }
+func (t *Tasks) Refreshed() int64 { return t.refreshed.Load() }
 
-// Dropped returns how many load reports the core's queue had no capacity for.
+// Dropped returns how many load reports the dispatcher's queue had no capacity for.
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
-// UpdateEndpoints takes discovery's list, or changes to it, as the core does.
-func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
+// UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
+func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter the dispatcher's form
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
@@ -86,124 +100,110 @@
 	}
 }
 
-// Names implements fleet.Work.
+// Names implements fleet.TaskRunner.
 func (t *Tasks) Names() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := []string{list}
-	if t.prober != nil {
+	names := []string{listTask}
+	if t.poller != nil {
 		for name := range t.targets {
-			out = append(out, probe+name)
+			names = append(names, pollTaskPrefix+name)
 		}
 	}
-	return out
+	return names
 }
 
-// Interval implements fleet.Work.
-func (t *Tasks) Interval(duty string) time.Duration {
-	if duty == list {
-		return listEvery
+// Interval implements fleet.TaskRunner.
+func (t *Tasks) Interval(task string) time.Duration {
+	if task == listTask {
+		return listInterval
 	}
-	return probeEvery
+	return pollInterval
 }
 
-// Run implements fleet.Work.
-func (t *Tasks) Run(duty string, number uint64, done func([]byte)) {
-	if duty == list {
-		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), listWait)
-			defer cancel()
-			version, err := t.lists.Peek(ctx)
-			if err != nil {
-				slog.Debug("list_duty", "err", err)
-				done(nil)
-				return
-			}
-			done(binary.AppendUvarint(nil, version))
-		}()
-		return
-	}
-	name, _ := strings.CutPrefix(duty, probe)
-	t.mu.Lock()
-	to, ok := t.targets[name]
-	t.mu.Unlock()
-	if !ok || t.prober == nil {
-		done(nil)
+// Run implements fleet.TaskRunner. It does not wait for the result.
+func (t *Tasks) Run(task string, fencingToken uint64, done func([]byte)) {
+	if task == listTask {
+		go t.peekList(done)
 		return
 	}
-	t.prober.PollLoadFor(fmt.Sprintf("%s %d", duty, number), to, probeWait, func(l *routing.LoadReport) { done(encodeLoad(l)) })
+	t.pollLoad(task, fencingToken, done)
 }
 
-// encodeLoad packs a report into 17 bytes; nil: the replica told none.
-func encodeLoad(l *routing.LoadReport) []byte {
-	if l == nil {
-		return []byte{0}
-	}
-	b := []byte{1}
-	for _, v := range []float64{l.Memory, l.QueuedKiloTokens, l.QueuedRequests, l.SlotUtilization} {
-		b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v)))
+// peekList reads the version of discovery's list.
+func (t *Tasks) peekList(done func([]byte)) {
+	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
+	defer cancel()
+	version, err := t.lists.Peek(ctx)
+	if err != nil {
+		slog.Debug("list_task_failed", "err", err)
+		done(nil)
+		return
 	}
-	return b
+	done(binary.AppendUvarint(nil, version))
 }
 
-func decodeLoad(b []byte) (*routing.LoadReport, error) {
-	if len(b) == 1 && b[0] == 0 {
-		return nil, nil
-	}
-	if len(b) != 17 || b[0] != 1 {
-		return nil, fmt.Errorf("work: a load of %d bytes", len(b))
-	}
-	var v [4]float64
-	for i := range v {
-		v[i] = float64(math.Float32frombits(binary.LittleEndian.Uint32(b[1+4*i:])))
-		if math.IsNaN(v[i]) || v[i] > 1e9 || v[i] < -1 {
-			return nil, fmt.Errorf("work: a load of %v", v[i])
-		}
+// pollLoad polls the replica of a task, unless it is no longer ready.
+func (t *Tasks) pollLoad(task string, fencingToken uint64, done func([]byte)) {
+	t.mu.Lock()
+	target, ok := t.targets[strings.TrimPrefix(task, pollTaskPrefix)]
+	t.mu.Unlock()
+	if !ok || t.poller == nil {
+		done(nil)
+		return
 	}
-	return &routing.LoadReport{Memory: v[0], QueuedKiloTokens: v[1], QueuedRequests: v[2], SlotUtilization: v[3]}, nil
+	lease := fmt.Sprintf("%s %d", task, fencingToken)
+	t.poller.PollLoadFor(lease, target, pollTimeout, func(l *routing.LoadReport) { done(encodeLoad(l)) })
 }
 
-// HandleResults implements fleet.Work.
-func (t *Tasks) HandleResults(found []fleet.TaskResult) {
-	var news []dispatch.PeerLoad
-	for _, f := range found {
-		if f.Task == list {
-			version, n := binary.Uvarint(f.Data)
-			if n <= 0 {
-				t.bad.Add(1)
-				continue
-			}
-			t.compare(version)
+// HandleResults implements fleet.TaskRunner.
+func (t *Tasks) HandleResults(results []fleet.TaskResult) {
+	var loads []dispatch.PeerLoad
+	for _, r := range results {
+		if r.Task == listTask {
+			t.handleListVersion(r.Data)
 			continue
 		}
-		l, err := decodeLoad(f.Data)
+		load, err := decodeLoad(r.Data)
 		if err != nil {
 			t.bad.Add(1)
 			continue
 		}
-		news = append(news, dispatch.PeerLoad{Name: strings.TrimPrefix(f.Task, probe), Load: l, Age: f.Age})
+		loads = append(loads, dispatch.PeerLoad{Name: strings.TrimPrefix(r.Task, pollTaskPrefix), Load: load, Age: r.Age})
 	}
-	if len(news) > 0 && !t.heard(news) {
-		t.dropped.Add(int64(len(news)))
+	if len(loads) > 0 && !t.applyLoads(loads) {
+		t.dropped.Add(int64(len(loads)))
 	}
 }
 
-// compare asks for the list anew where this dispatcher has been told less than another was, for a while.
-func (t *Tasks) compare(version uint64) {
+// handleListVersion requests the endpoint list again if it has been older than the one found for staleListGrace.
+func (t *Tasks) handleListVersion(data []byte) {
+	found, n := binary.Uvarint(data)
+	if n <= 0 {
+		t.bad.Add(1)
+		return
+	}
+	if !t.staleForLong(found) {
+		return
+	}
+	t.refreshed.Add(1)
+	slog.Info("endpoint_list_stale", "own_version", t.lists.Version(), "found_version", found)
+	t.lists.Refresh()
+}
+
+// staleForLong notes whether the own list is older than the version found, and reports whether it has been so for
+// staleListGrace. If so, the time starts anew.
+func (t *Tasks) staleForLong(found uint64) bool {
 	now := t.now()
 	t.mu.Lock()
-	behind := t.lists.Version() < version
-	renew := behind && !t.behind.IsZero() && now.Sub(t.behind) >= behindFor
+	defer t.mu.Unlock()
+	stale := t.lists.Version() < found
+	expired := stale && !t.staleSince.IsZero() && now.Sub(t.staleSince) >= staleListGrace
 	switch {
-	case !behind || renew:
-		t.behind = time.Time{}
-	case t.behind.IsZero():
-		t.behind = now
-	}
-	t.mu.Unlock()
-	if renew {
-		t.renewed.Add(1)
-		slog.Info("list_behind", "own", t.lists.Version(), "found", version)
-		t.lists.Refresh()
+	case !stale || expired:
+		t.staleSince = time.Time{}
+	case t.staleSince.IsZero():
+		t.staleSince = now
 	}
+	return expired
 }
--- a/internal/fleet/leasedtasks/leasedtasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -13,87 +14,136 @@
 	"rampspread/routing"
 )
 
-type lists struct{ own, all, refreshed uint64 }
+// fakeLists is a connection to a discovery service, which is down while its version is 0.
+type fakeLists struct{ ownVersion, discoveryVersion, refreshes uint64 }
 
-func (l *lists) Version() uint64 { return l.own }
-func (l *lists) Peek(context.Context) (uint64, error) {
-	if l.all == 0 {
+func (l *fakeLists) Version() uint64 { return l.ownVersion }
+func (l *fakeLists) Peek(context.Context) (uint64, error) {
+	if l.discoveryVersion == 0 {
 		return 0, errors.New("down")
 	}
-	return l.all, nil
+	return l.discoveryVersion, nil
 }
-func (l *lists) Refresh() { l.refreshed++ }
+func (l *fakeLists) Refresh() { l.refreshes++ }
 
-type prober struct{ asked []string }
+// fakePoller answers at once; the replica named dead does not report.
+type fakePoller struct{ polls []string }
 
-func (p *prober) PollLoadFor(duty string, to dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
-	p.asked = append(p.asked, duty+" "+to.Addr)
+var polledLoad = routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}
+
+func (p *fakePoller) PollLoadFor(lease string, to dispatch.Target, _ time.Duration, done func(*routing.LoadReport)) {
+	p.polls = append(p.polls, lease+" "+to.Addr)
 	if to.Name == "dead" {
-		told(nil)
+		done(nil)
 		return
 	}
-	told(&routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1})
+	load := polledLoad
+	done(&load)
+}
+
+// loadSink stands for the dispatcher; full makes it drop what comes.
+type loadSink struct {
+	loads []dispatch.PeerLoad
+	full  bool
+}
+
+func (s *loadSink) apply(loads []dispatch.PeerLoad) bool {
+	s.loads = append(s.loads, loads...)
+	return !s.full
 }
 
-// What one finds out reaches another's core as it was; who has told nothing is told as silent.
-func TestLoadsAreHandedOn(t *testing.T) {
-	p, l := &prober{}, &lists{own: 1, all: 1}
-	var news []dispatch.PeerLoad
-	room := true
-	tasks := New(p, l, func(n []dispatch.PeerLoad) bool { news = append(news, n...); return room }, time.Now)
-	tasks.UpdateEndpoints(true, []dispatch.Endpoint{{Name: "dead", Addr: "a:1", State: routing.Ready}, {Name: "r", Addr: "a:2", State: routing.Ready},
-		{Name: "going", Addr: "a:3", State: routing.Draining}})
-	duties := tasks.Names()
-	slices.Sort(duties)
-	if !slices.Equal(duties, []string{"list", "probe/dead", "probe/r"}) {
-		t.Fatalf("duties %v", duties)
+func newPollTasks() (*Tasks, *fakePoller, *loadSink) {
+	poller, sink := &fakePoller{}, &loadSink{}
+	tasks := New(poller, &fakeLists{ownVersion: 1, discoveryVersion: 1}, sink.apply, time.Now)
+	tasks.UpdateEndpoints(true, []dispatch.Endpoint{
+		{Name: "dead", Addr: "a:1", State: routing.Ready},
+		{Name: "r", Addr: "a:2", State: routing.Ready},
+		{Name: "draining", Addr: "a:3", State: routing.Draining},
+	})
+	return tasks, poller, sink
+}
+
+func TestPolledLoadsReachTheDispatcherUnchanged(t *testing.T) {
+	tasks, poller, sink := newPollTasks()
+	names := tasks.Names()
+	slices.Sort(names)
+	if !slices.Equal(names, []string{"list", "probe/dead", "probe/r"}) {
+		t.Fatalf("tasks %v", names)
 	}
-	for _, d := range duties[1:] {
-		tasks.Run(d, 7, func(found []byte) { tasks.HandleResults([]fleet.TaskResult{{Task: d, Data: found, Age: time.Second}}) })
+	for _, task := range names[1:] {
+		tasks.Run(task, 7, func(data []byte) {
+			tasks.HandleResults([]fleet.TaskResult{{Task: task, Data: data, Age: time.Second}})
+		})
 	}
-	if len(news) != 2 || news[0].Name != "dead" || news[0].Load != nil || news[1].Name != "r" || *news[1].Load != (routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}) ||
-		news[1].Age != time.Second || p.asked[1] != "probe/r 7 a:2" {
-		t.Errorf("%+v, asked %v", news, p.asked)
+	want := []dispatch.PeerLoad{{Name: "dead", Age: time.Second}, {Name: "r", Load: &polledLoad, Age: time.Second}}
+	if !reflect.DeepEqual(sink.loads, want) || poller.polls[1] != "probe/r 7 a:2" {
+		t.Errorf("%+v, polled %v", sink.loads, poller.polls)
 	}
-	room = false
+}
+
+func TestLoadsAreCountedAsDroppedIfTheDispatcherIsFull(t *testing.T) {
+	tasks, _, sink := newPollTasks()
+	sink.full = true
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte{0}}})
+	if tasks.Dropped() != 1 {
+		t.Errorf("%d dropped", tasks.Dropped())
+	}
+}
+
+func TestTaskOfAReplicaThatIsGoneFindsNothing(t *testing.T) {
+	tasks, _, _ := newPollTasks()
 	tasks.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "r", State: routing.Gone}})
-	done := false
-	tasks.Run("probe/r", 8, func(found []byte) { done = found == nil })
-	if !done || tasks.Dropped() != 1 || len(tasks.Names()) != 2 {
-		t.Errorf("a duty that is no more: done %t, %d dropped, %v", done, tasks.Dropped(), tasks.Names())
+	foundNothing := false
+	tasks.Run("probe/r", 8, func(data []byte) { foundNothing = data == nil })
+	if !foundNothing || len(tasks.Names()) != 2 {
+		t.Errorf("found nothing: %t, tasks %v", foundNothing, tasks.Names())
 	}
-	for _, text := range testkit.Broken(4, string(encodeLoad(&routing.LoadReport{QueuedRequests: 1}))) {
-		if load, err := decodeLoad([]byte(text)); err == nil && load != nil && !(load.QueuedRequests <= 1e9) {
-			t.Errorf("%q was taken as %+v", text, load)
+}
+
+func TestMalformedResultsAreCounted(t *testing.T) {
+	for _, b := range testkit.Broken(4, string(encodeLoad(&routing.LoadReport{QueuedRequests: 1}))) {
+		if load, err := decodeLoad([]byte(b)); err == nil && load != nil && !(load.QueuedRequests <= maxLoadValue) {
+			t.Errorf("%q was decoded as %+v", b, load)
 		}
 	}
+	tasks, _, _ := newPollTasks()
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte("garbage")}, {Task: "list"}})
 	if tasks.Bad() != 2 {
 		t.Errorf("%d counted as bad", tasks.Bad())
 	}
 }
 
-// A dispatcher that discovery has told less than another asks anew, but not for what is on its way.
-func TestStaleList(t *testing.T) {
-	l, now := &lists{own: 5, all: 9}, time.Unix(0, 0)
-	tasks := New(nil, l, nil, func() time.Time { return now })
+func TestStaleListIsRefreshedOnlyAfterItsGrace(t *testing.T) {
+	lists, now := &fakeLists{ownVersion: 5, discoveryVersion: 9}, time.Unix(0, 0)
+	tasks := New(nil, lists, nil, func() time.Time { return now })
 	found := make(chan []byte, 1)
-	tasks.Run("list", 1, func(b []byte) { found <- b })
-	told := []fleet.TaskResult{{Task: "list", Data: <-found}}
+	tasks.Run("list", 1, func(data []byte) { found <- data })
+	results := []fleet.TaskResult{{Task: "list", Data: <-found}}
 	for _, step := range []struct {
-		after time.Duration
-		own   uint64
-		want  uint64
-	}{{0, 5, 0}, {time.Second, 5, 0}, {time.Second, 9, 0}, {time.Second, 5, 0}, {time.Second, 5, 0}, {time.Second, 5, 1}, {time.Second, 5, 1}} {
-		now, l.own = now.Add(step.after), step.own
-		if tasks.HandleResults(told); l.refreshed != step.want {
-			t.Fatalf("at %v: asked anew %d times, want %d", now.Unix(), l.refreshed, step.want)
+		after         time.Duration
+		ownVersion    uint64
+		wantRefreshes uint64
+	}{
+		{0, 5, 0},
+		{time.Second, 5, 0},
+		{time.Second, 9, 0}, // the newer list has come
+		{time.Second, 5, 0},
+		{time.Second, 5, 0},
+		{time.Second, 5, 1},
+		{time.Second, 5, 1},
+	} {
+		now, lists.ownVersion = now.Add(step.after), step.ownVersion
+		if tasks.HandleResults(results); lists.refreshes != step.wantRefreshes {
+			t.Fatalf("at %v: refreshed %d times, want %d", now.Unix(), lists.refreshes, step.wantRefreshes)
 		}
 	}
-	l.all = 0
-	tasks.Run("list", 1, func(b []byte) { found <- b })
+}
+
+func TestListTaskFindsNothingWhileDiscoveryIsDown(t *testing.T) {
+	tasks := New(nil, &fakeLists{ownVersion: 5}, nil, time.Now)
+	found := make(chan []byte, 1)
+	tasks.Run("list", 1, func(data []byte) { found <- data })
 	if b := <-found; b != nil {
-		t.Errorf("discovery is down, and %v was found", b)
+		t.Errorf("found %v", b)
 	}
 }
