--- a/internal/fleet/subset/golden_test.go
+++ b/internal/fleet/subset/golden_test.go
@@ -9,7 +9,7 @@
 
 // Dispatchers work out alone who keeps to what, and it is even only if all versions come to the same.
 func TestGoldenShares(t *testing.T) {
-	text := fmt.Appendf(nil, "score %016x, offset %.17g\n", score("n1", "0/0/0"), offset("0/0/0"))
+	text := fmt.Appendf(nil, "score %016x, offset %.17g\n", score("n1", "0/0/0"), roundingOffset("0/0/0"))
 	var uneven []Replica
 	for i, r := range list(12, 3) {
 		r.Weight = 1 + float64(i%5)/4
--- a/internal/fleet/subset/match.go
+++ b/internal/fleet/subset/match.go
@@ -2,180 +2,138 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// score ranks pairs, the same at every process.
-func score(dispatcher, unit string) uint64 {
-	h := xxhash.NewWithSeed(0x5ab5e7)
-	h.WriteString(dispatcher) // it cannot fail
-	h.WriteString("\x00")
-	h.WriteString(unit)
-	return h.Sum64()
+// match assigns perDispatcher units to each dispatcher, and each unit to as many dispatchers as its capacity says: the pairs
+// with the highest scores first, which is a stable matching and independent of the order of the names. allowed says which
+// pairs may be made; nil allows all. The result lists for each dispatcher the indices of its units by score, with those that
+// a repair added at the end.
+func match(dispatchers, units []string, perDispatcher int, capacity []int, allowed func(d, u int) bool) [][]int {
+	return matchBy(score, dispatchers, units, perDispatcher, capacity, allowed)
 }
 
-// offset is a unit's own place in the rounding of capacities, from 0 up to 1.
-func offset(unit string) float64 { return float64(score("", unit)>>11) / (1 << 53) }
-
-// capacities are how many of n dispatchers each unit is given to, in proportion to its weight, in whole numbers that add up
-// to slots (or to n for each unit, if that is less). Each unit is rounded by an offset of its own, so that one dispatcher
-// or unit more changes those few that it must, and not the order of all remainders.
-func capacities(names []string, weights []float64, n, slots int) []int {
-	out := make([]int, len(names))
-	slots = min(slots, n*len(names))
-	offsets := make([]float64, len(names))
-	for i, name := range names {
-		offsets[i] = offset(name)
-	}
-	// What a heavy unit cannot take, as it has all dispatchers already, goes to the others.
-	quota := make([]float64, len(names))
-	full := make([]bool, len(names))
-	for again := true; again; {
-		again = false
-		left, sum := float64(slots), 0.0
-		for i, w := range weights {
-			if full[i] {
-				left -= float64(n)
-			} else {
-				sum += w
-			}
-		}
-		for i, w := range weights {
-			if full[i] {
-				quota[i] = float64(n)
-				continue
-			}
-			if quota[i] = left * w / sum; quota[i] > float64(n) {
-				full[i], again = true, true
-			}
-		}
-	}
-	count := func(shift float64) (sum int) {
-		for i, q := range quota {
-			out[i] = min(max(int(math.Floor(q+offsets[i]+shift)), 0), n)
-			sum += out[i]
-		}
-		return sum
+// matchBy is match with another score.
+func matchBy(
+	score func(dispatcher, unit string) uint64,
+	dispatchers, units []string, perDispatcher int, capacity []int, allowed func(d, u int) bool,
+) [][]int {
+	m := &matching{
+		assigned:      make([][]int, len(dispatchers)),
+		holders:       make([][]int, len(units)),
+		capacity:      slices.Clone(capacity),
+		perDispatcher: perDispatcher,
+		allowed:       allowed,
 	}
-	low, high := -2.0, 2.0
-	for range 60 {
-		if mid := (low + high) / 2; count(mid) < slots {
-			low = mid
-		} else {
-			high = mid
+	for _, p := range rankedPairs(score, dispatchers, units, allowed) {
+		if d, u := int(p.dispatcher), int(p.unit); len(m.assigned[d]) < perDispatcher && m.capacity[u] > 0 {
+			m.assigned[d] = append(m.assigned[d], u)
+			m.capacity[u]--
 		}
 	}
-	// Two offsets may be as good as equal: what is then too many goes by name.
-	for over, i := count(high)-slots, 0; over > 0 && i < len(out); i++ {
-		if quota[i]+offsets[i]+low < float64(out[i]) && out[i] > 0 {
-			out[i]--
-			over--
+	for d, matched := range m.assigned {
+		for _, u := range matched {
+			m.holders[u] = append(m.holders[u], d)
 		}
 	}
-	return out
+	m.repair()
+	return m.assigned
 }
 
-// match gives each of the dispatchers so many of the units, each unit to as many as its capacity says: the pairs with the
-// highest scores first (a stable matching, which does not hang on any order). allowed says which pairs may be; nil: all.
-// The result is by dispatcher, the units' numbers in the order of their scores.
-func match(dispatchers, units []string, each int, capacity []int, allowed func(d, u int) bool) [][]int {
-	return matchBy(score, dispatchers, units, each, capacity, allowed)
+// pair is a dispatcher and a unit, by index.
+type pair struct {
+	score            uint64
+	dispatcher, unit int32
 }
 
-// matchBy is match by other scores.
-func matchBy(score func(d, u string) uint64, dispatchers, units []string, each int, capacity []int, allowed func(d, u int) bool) [][]int {
-	type pair struct {
-		score uint64
-		d, u  int32
-	}
+// rankedPairs are the allowed pairs, the highest score first, and then in the order of the names.
+func rankedPairs(
+	score func(dispatcher, unit string) uint64, dispatchers, units []string, allowed func(d, u int) bool,
+) []pair {
 	pairs := make([]pair, 0, len(dispatchers)*len(units))
-	for d, dn := range dispatchers {
-		for u, un := range units {
+	for d, dispatcher := range dispatchers {
+		for u, unit := range units {
 			if allowed == nil || allowed(d, u) {
-				pairs = append(pairs, pair{score(dn, un), int32(d), int32(u)})
+				pairs = append(pairs, pair{score(dispatcher, unit), int32(d), int32(u)})
 			}
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(-cmp.Compare(a.score, b.score), cmp.Compare(a.d, b.d), cmp.Compare(a.u, b.u))
+		return cmp.Or(-cmp.Compare(a.score, b.score), cmp.Compare(a.dispatcher, b.dispatcher), cmp.Compare(a.unit, b.unit))
 	})
-	out := make([][]int, len(dispatchers))
-	room := slices.Clone(capacity)
-	for _, p := range pairs {
-		if len(out[p.d]) < each && room[p.u] > 0 {
-			out[p.d] = append(out[p.d], int(p.u))
-			room[p.u]--
-		}
-	}
-	m := &mender{out: out, room: room, each: each, allowed: allowed, holders: make([][]int, len(units))}
-	for d, held := range out {
-		for _, u := range held {
-			m.holders[u] = append(m.holders[u], d)
-		}
-	}
-	m.mend()
-	return out
+	return pairs
 }
 
-// mender finishes a matching in which dispatchers miss units while the units with room are those that they have already.
-type mender struct {
-	out     [][]int
-	holders [][]int // by unit
-	room    []int
-	each    int
-	allowed func(d, u int) bool
+// matching is a matching under construction. The greedy part can end with dispatchers that miss units while the units with
+// remaining capacity are those that they have already; repair completes it.
+type matching struct {
+	assigned      [][]int // units by dispatcher
+	holders       [][]int // dispatchers by unit
+	capacity      []int   // remaining, by unit
+	perDispatcher int
+	allowed       func(d, u int) bool
 }
 
-func (m *mender) may(d, u int) bool {
-	return (m.allowed == nil || m.allowed(d, u)) && !slices.Contains(m.out[d], u)
+// canAssign reports whether a dispatcher may get a unit that it does not have.
+func (m *matching) canAssign(d, u int) bool {
+	return (m.allowed == nil || m.allowed(d, u)) && !slices.Contains(m.assigned[d], u)
 }
 
-func (m *mender) give(d, u int) {
-	m.out[d], m.holders[u] = append(m.out[d], u), append(m.holders[u], d)
+func (m *matching) add(d, u int) {
+	m.assigned[d], m.holders[u] = append(m.assigned[d], u), append(m.holders[u], d)
 }
 
-func (m *mender) takeAway(d, u int) {
-	m.out[d] = slices.DeleteFunc(m.out[d], func(x int) bool { return x == u })
+func (m *matching) remove(d, u int) {
+	m.assigned[d] = slices.DeleteFunc(m.assigned[d], func(x int) bool { return x == u })
 	m.holders[u] = slices.DeleteFunc(m.holders[u], func(x int) bool { return x == d })
 }
 
-// mend gives a dispatcher that misses a unit one that another gives up for a unit with room.
-func (m *mender) mend() {
-	for d := range m.out {
-		for len(m.out[d]) < m.each && m.swap(d) {
+// repair assigns units to the dispatchers that miss some, as far as it can.
+func (m *matching) repair() {
+	for d := range m.assigned {
+		for len(m.assigned[d]) < m.perDispatcher && (m.assignFree(d) || m.assignBySwap(d)) {
 		}
 	}
 }
 
-func (m *mender) swap(d int) bool {
-	for u, room := range m.room {
-		if room > 0 && m.may(d, u) {
-			m.give(d, u)
-			m.room[u]--
+// assignFree assigns a unit with remaining capacity to a dispatcher.
+func (m *matching) assignFree(d int) bool {
+	for u, remaining := range m.capacity {
+		if remaining > 0 && m.canAssign(d, u) {
+			m.add(d, u)
+			m.capacity[u]--
 			return true
 		}
 	}
-	for u, room := range m.room {
-		if room <= 0 {
+	return false
+}
+
+// assignBySwap assigns to a dispatcher a unit that another one gives up for a unit with remaining capacity (an augmenting
+// path of length three).
+func (m *matching) assignBySwap(d int) bool {
+	for free, remaining := range m.capacity {
+		if remaining <= 0 {
 			continue
 		}
-		for other := range m.out {
-			if other == d || !m.may(other, u) {
-				continue
-			}
-			for _, given := range m.out[other] {
-				if m.may(d, given) {
-					m.takeAway(other, given)
-					m.give(other, u)
-					m.give(d, given)
-					m.room[u]--
-					return true
-				}
+		for other := range m.assigned {
+			if other != d && m.canAssign(other, free) && m.swap(d, other, free) {
+				return true
 			}
 		}
 	}
 	return false
 }
+
+// swap moves a unit from another dispatcher to d, and assigns the free unit to the other one.
+func (m *matching) swap(d, other, free int) bool {
+	for _, u := range m.assigned[other] {
+		if m.canAssign(d, u) {
+			m.remove(other, u)
+			m.add(other, free)
+			m.add(d, u)
+			m.capacity[free]--
+			return true
+		}
+	}
+	return false
+}
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,23 +1,24 @@
-// Package subset decides which replicas a dispatcher keeps to: asks, keeps connections to, and sends to as long as enough of
-// them are well. It hangs on the list of replicas and on who is in the fleet alone, so processes that know the same
-// agree without a word. It does no I/O and has no clock.
+// Package subset computes deterministic subsets: which replicas a dispatcher polls, keeps connections to, and routes to
+// while enough of them are healthy. The result is a function of the endpoint list and the fleet's members alone, so processes that
+// know the same agree without communicating. The package does no I/O, has no clock and keeps no state; all of its functions
+// are safe for concurrent use, and so is an Assignment.
 //
-// Replicas go in units that are kept whole: a cell, or a part of a large one, with readers and the writers that take their
-// states. Each unit has the same number of dispatchers by its weight, within one: capacities are rounded to whole
-// numbers that add up, and dispatchers and units find each other by the scores of their names, the highest first (a
-// stable matching). Most of a dispatcher's units are of its own zone; some are not, so that a zone's loss leaves it some.
+// Replicas are assigned in units that stay whole: a cell, or a part of a large cell, with prefill replicas and the decode
+// replicas that take over their state. Each unit gets the number of dispatchers that its weight asks for, within one:
+// capacities are rounded to whole numbers that add up, and dispatchers and units are matched by their rendezvous scores, the
+// highest first (a greedy b-matching, which is stable in the sense of Gale and Shapley because both sides rank a pair
+// alike). Most of a dispatcher's units are in its own zone; some are not, so that a zone's loss leaves it some.
 package subset
 
 import (
 	"cmp"
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 )
 
-// Replica is one that the list says is there.
+// Replica is a replica on the endpoint list.
 type Replica struct {
 	Name       string
 	Zone       int
@@ -27,267 +28,128 @@
 	Weight     float64
 }
 
-// Dispatcher is a member that replicas are shared among.
+// Dispatcher is a member of the fleet among which replicas are divided.
 type Dispatcher struct {
 	Name string
 	Zone int
 }
 
+// LeastPrefillReplicas is the least value of Limits.MinPrefillReplicas: fewer leave too little choice.
+const LeastPrefillReplicas = 4
+
+// maxPrefillReplicas is the greatest value of Limits.MinPrefillReplicas, beyond any endpoint list.
+const maxPrefillReplicas = 1 << 16
+
 // Limits say how small a subset may be.
 type Limits struct {
-	// MinPrefillReplicas is how many readers a subset has at the least; as many writers as belong to them come with them.
+	// MinPrefillReplicas is how many prefill replicas a subset has at least, from LeastPrefillReplicas to 65,536. The decode
+	// replicas of their units come with them.
 	MinPrefillReplicas int
 }
 
-// LeastPrefillReplicas is the least that Limits may ask for: fewer leave too little choice. maxReaders is past any list.
-const (
-	LeastPrefillReplicas = 4
-	maxReaders           = 1 << 16
-)
-
-// Validate reports what cannot work.
+// Validate reports a limit that is out of range.
 func (l Limits) Validate() error {
-	if l.MinPrefillReplicas < LeastPrefillReplicas || l.MinPrefillReplicas > maxReaders {
-		return fmt.Errorf("subset: %d readers are not from %d to %d", l.MinPrefillReplicas, LeastPrefillReplicas, maxReaders)
+	if l.MinPrefillReplicas < LeastPrefillReplicas || l.MinPrefillReplicas > maxPrefillReplicas {
+		return fmt.Errorf("subset: %d readers are not from %d to %d",
+			l.MinPrefillReplicas, LeastPrefillReplicas, maxPrefillReplicas)
 	}
 	return nil
 }
 
 const (
-	unitReaders = 4 // readers, and writers, that a part of a large cell has at the least
-	// spare is what a subset bears against its dispatcher's part of the traffic: a fifth of it may be gone, and another
-	// fifth more may come.
-	spare = 1.2 / 0.8
-	// awayPart is the part of a subset that is in other zones.
-	awayPart = 0.25
-	// Where a subset would be nearly all, there is none.
-	nearlyAll = 0.75
+	// headroom is the capacity of a subset relative to its dispatcher's fraction of the traffic: a fifth of the subset may
+	// fail, and a fifth more traffic may come.
+	headroom = 1.2 / 0.8
+	// maxSubsetFraction is the largest fraction of all units that a subset may have. Beyond it subsets save too little, and
+	// each dispatcher uses all replicas.
+	maxSubsetFraction = 0.75
 )
 
-// ErrNotMember says that the dispatcher is not one of those among whom replicas are shared.
-var ErrNotMember = errors.New("subset: the dispatcher is none of the fleet's")
-
-// unit is what is given to a dispatcher as a whole.
-type unit struct {
-	name    string
-	zone    int
-	weight  float64
-	readers int
-	members []string
-}
-
-// units are the replicas in units with readers and writers each: by cell, or where a cell lacks either by zone; nil: not
-// even a zone has both.
-func units(replicas []Replica) []unit {
-	type place struct{ zone, cell int }
-	group := func(key func(r Replica) place) (out map[place][]Replica, whole bool) {
-		out = map[place][]Replica{}
-		for _, r := range replicas {
-			out[key(r)] = append(out[key(r)], r)
-		}
-		for _, g := range out {
-			if count(g, reads) == 0 || count(g, writes) == 0 {
-				return nil, false
-			}
-		}
-		return out, true
-	}
-	groups, whole := group(func(r Replica) place { return place{r.Zone, r.Cell} })
-	if !whole {
-		if groups, whole = group(func(r Replica) place { return place{r.Zone, -1} }); !whole {
-			return nil
-		}
-	}
-	var out []unit
-	for at, g := range groups {
-		out = append(out, split(fmt.Sprintf("%d/%d", at.zone, at.cell), at.zone, g)...)
-	}
-	slices.SortFunc(out, func(a, b unit) int { return cmp.Compare(a.name, b.name) })
-	return out
-}
-
-func reads(r Replica) bool  { return r.CanPrefill }
-func writes(r Replica) bool { return r.CanDecode && !r.CanPrefill }
-
-func count(g []Replica, of func(Replica) bool) (n int) {
-	for _, r := range g {
-		if of(r) {
-			n++
-		}
-	}
-	if n == 0 && !slices.ContainsFunc(g, func(r Replica) bool { return !r.CanDecode }) {
-		return len(g) // all do both
-	}
-	return n
-}
-
-// split cuts a group into as many parts as it has room for, a power of two: so the parts change only where the group has
-// doubled or halved, and one replica more or less changes one of them.
-func split(name string, zone int, g []Replica) []unit {
-	parts := 1
-	for 2*parts*unitReaders <= min(count(g, reads), count(g, writes)) {
-		parts *= 2
-	}
-	out := make([]unit, parts)
-	names := make([]string, parts)
-	even := make([]float64, parts)
-	for i := range out {
-		names[i], even[i] = fmt.Sprintf("%s/%d", name, i), 1
-		out[i] = unit{name: names[i], zone: zone}
-	}
-	for _, of := range []func(Replica) bool{reads, func(r Replica) bool { return !r.CanPrefill }} {
-		var some []Replica
-		var who []string
-		for _, r := range g {
-			if of(r) {
-				some = append(some, r)
-			}
-		}
-		slices.SortFunc(some, func(a, b Replica) int { return cmp.Compare(a.Name, b.Name) })
-		for _, r := range some {
-			who = append(who, r.Name)
-		}
-		for i, held := range match(who, names, 1, capacities(names, even, len(who), len(who)), nil) {
-			for _, p := range held {
-				u := &out[p]
-				u.members = append(u.members, some[i].Name)
-				u.weight += some[i].Weight
-				if some[i].CanPrefill {
-					u.readers++
-				}
-			}
-		}
-	}
-	return out
-}
+// ErrNotMember reports a dispatcher that is not among those that replicas are divided among.
+var ErrNotMember = errors.New("subset: the dispatcher is not a member of the fleet")
 
-// Assignment is who keeps to what; Of is the replicas of one dispatcher.
+// Assignment divides the replicas among the dispatchers. It does not change once it is made.
 type Assignment struct {
-	units       []unit
-	dispatchers []Dispatcher
-	given       [][]int // by dispatcher
-	wanted      int     // units of each
+	units       []unit       // by name
+	dispatchers []Dispatcher // by name
+	assigned    [][]int      // by dispatcher: its units' indices
+	subsetUnits int          // units that each dispatcher gets
 }
 
-// Assign shares the replicas among the dispatchers. A nil result says that each keeps to all: there are too few replicas, or
-// too few dispatchers, for less.
+// Assign divides the replicas among the dispatchers. A nil result means that each dispatcher uses all replicas: there are
+// too few replicas, or too few dispatchers, for subsets.
 func Assign(replicas []Replica, dispatchers []Dispatcher, l Limits) *Assignment {
-	s := &Assignment{units: units(replicas), dispatchers: slices.SortedFunc(slices.Values(dispatchers), func(a, b Dispatcher) int { return cmp.Compare(a.Name, b.Name) })}
-	if len(s.units) < 2 || len(dispatchers) == 0 {
+	a := &Assignment{units: unitsOf(replicas), dispatchers: slices.Clone(dispatchers)}
+	slices.SortFunc(a.dispatchers, func(a, b Dispatcher) int { return cmp.Compare(a.Name, b.Name) })
+	if len(a.units) < 2 || len(dispatchers) == 0 {
 		return nil
 	}
-	var readers []int
-	for _, u := range s.units {
-		readers = append(readers, u.readers)
-	}
-	slices.Sort(readers)
-	// By the middle unit: with the mean one replica more or less could change every dispatcher's number.
-	middle := readers[len(readers)/2]
-	n := float64(len(s.units))
-	s.wanted = int(math.Ceil(max(float64(l.MinPrefillReplicas)/float64(middle), spare*n/float64(len(dispatchers)))))
-	if float64(s.wanted) > nearlyAll*n {
+	unitCount := float64(len(a.units))
+	forChoice := float64(l.MinPrefillReplicas) / float64(medianPrefillReplicas(a.units))
+	forTraffic := headroom * unitCount / float64(len(dispatchers))
+	a.subsetUnits = int(math.Ceil(max(forChoice, forTraffic)))
+	if float64(a.subsetUnits) > maxSubsetFraction*unitCount {
 		return nil
 	}
-	s.given = make([][]int, len(s.dispatchers))
-	s.share()
-	return s
+	a.assigned = make([][]int, len(a.dispatchers))
+	a.assignZones()
+	return a
 }
 
-// share matches dispatchers and units: in each zone its own, and over all zones those of others.
-func (s *Assignment) share() {
-	byZone := map[int][]int{}
-	for d, m := range s.dispatchers {
-		byZone[m.Zone] = append(byZone[m.Zone], d)
-	}
-	away := make([]int, len(s.dispatchers))
-	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		own := byZone[zone]
-		var here []int
-		for u := range s.units {
-			if s.units[u].zone == zone {
-				here = append(here, u)
-			}
-		}
-		home := s.wanted
-		if len(here) < len(s.units) {
-			home = min(s.wanted-int(math.Ceil(awayPart*float64(s.wanted))), len(here))
-		}
-		for _, d := range own {
-			away[d] = s.wanted - home
-		}
-		if home > 0 {
-			s.deal(own, here, home, nil)
-		}
-	}
-	// Dispatchers of zones that differ in their units miss different numbers: each number is a matching of its own.
-	byMissing := map[int][]int{}
-	for d, n := range away {
-		if n > 0 {
-			byMissing[n] = append(byMissing[n], d)
-		}
-	}
-	all := make([]int, len(s.units))
-	for u := range all {
-		all[u] = u
-	}
-	for _, n := range slices.Sorted(maps.Keys(byMissing)) {
-		some := byMissing[n]
-		s.deal(some, all, n, func(d, u int) bool { return s.units[u].zone != s.dispatchers[some[d]].Zone })
+// medianPrefillReplicas is the median number of prefill replicas in a unit. With the mean, one replica more or less could
+// change the size of every subset.
+func medianPrefillReplicas(units []unit) int {
+	counts := make([]int, 0, len(units))
+	for _, u := range units {
+		counts = append(counts, u.prefillReplicas)
 	}
+	slices.Sort(counts)
+	return counts[len(counts)/2]
 }
 
-// deal gives each of some dispatchers so many of some units.
-func (s *Assignment) deal(who, what []int, each int, allowed func(d, u int) bool) {
-	names, weights := make([]string, len(what)), make([]float64, len(what))
-	for i, u := range what {
-		names[i], weights[i] = s.units[u].name, s.units[u].weight
-		if allowed != nil { // in proportion to those who may have it
-			may := 0
-			for d := range who {
-				if allowed(d, i) {
-					may++
-				}
-			}
-			weights[i] *= float64(may) / float64(len(who))
-		}
+// Of returns the sorted names of the replicas that a dispatcher uses, which has the given fraction of all traffic. One with
+// more than an even fraction gets more units, by its scores; the other dispatchers do not know of it, so these are not
+// evened out. The error is ErrNotMember.
+func (a *Assignment) Of(name string, trafficFraction float64) ([]string, error) {
+	d, ok := slices.BinarySearchFunc(a.dispatchers, name, func(d Dispatcher, name string) int {
+		return cmp.Compare(d.Name, name)
+	})
+	if !ok {
+		return nil, ErrNotMember
 	}
-	dispatchers := make([]string, len(who))
-	for i, d := range who {
-		dispatchers[i] = s.dispatchers[d].Name
+	units := slices.Clone(a.assigned[d])
+	needed := int(math.Ceil(headroom * min(trafficFraction, 1) * float64(len(a.units))))
+	if missing := needed - len(units); missing > 0 {
+		others := a.othersByScore(a.dispatchers[d], units)
+		units = append(units, others[:min(missing, len(others))]...)
 	}
-	for i, held := range match(dispatchers, names, each, capacities(names, weights, len(who), each*len(who)), allowed) {
-		for _, u := range held {
-			s.given[who[i]] = append(s.given[who[i]], what[u])
-		}
+	var names []string
+	for _, u := range units {
+		names = append(names, a.units[u].members...)
 	}
+	slices.Sort(names)
+	return names, nil
 }
 
-// Of is the names of the replicas that a dispatcher keeps to, whose part of all traffic is given. One with more than its even
-// part has more units, by its scores; that others do not know, so it is not evened out.
-func (s *Assignment) Of(name string, part float64) ([]string, error) {
-	d, ok := slices.BinarySearchFunc(s.dispatchers, name, func(m Dispatcher, name string) int { return cmp.Compare(m.Name, name) })
-	if !ok {
-		return nil, ErrNotMember
-	}
-	held := slices.Clone(s.given[d])
-	if need := int(math.Ceil(spare * min(part, 1) * float64(len(s.units)))); need > len(held) {
-		zone := s.dispatchers[d].Zone
-		var more []int
-		for u := range s.units {
-			if !slices.Contains(held, u) {
-				more = append(more, u)
-			}
+// othersByScore are the units that a dispatcher does not have: those of its zone first, each group by score.
+func (a *Assignment) othersByScore(d Dispatcher, assigned []int) []int {
+	var others []int
+	for u := range a.units {
+		if !slices.Contains(assigned, u) {
+			others = append(others, u)
 		}
-		slices.SortFunc(more, func(a, b int) int {
-			far := func(u int) int { return min(1, max(s.units[u].zone-zone, zone-s.units[u].zone)) }
-			return cmp.Or(cmp.Compare(far(a), far(b)), -cmp.Compare(score(name, s.units[a].name), score(name, s.units[b].name)))
-		})
-		held = append(held, more[:min(need-len(held), len(more))]...)
-	}
-	var out []string
-	for _, u := range held {
-		out = append(out, s.units[u].members...)
 	}
-	slices.Sort(out)
-	return out, nil
+	zoneRank := func(u int) int {
+		if a.units[u].zone == d.Zone {
+			return 0
+		}
+		return 1
+	}
+	slices.SortFunc(others, func(x, y int) int {
+		return cmp.Or(
+			cmp.Compare(zoneRank(x), zoneRank(y)),
+			-cmp.Compare(score(d.Name, a.units[x].name), score(d.Name, a.units[y].name)),
+		)
+	})
+	return others
 }
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -155,7 +155,7 @@
 					readers++
 				}
 			}
-			if readers < c.readers || float64(len(held)) < spare*float64(len(replicas))/float64(c.n) {
+			if readers < c.readers || float64(len(held)) < headroom*float64(len(replicas))/float64(c.n) {
 				t.Errorf("%+v: %s keeps to %d replicas, %d readers", c, m.Name, len(held), readers)
 			}
 			for r := range kept {
@@ -239,7 +239,7 @@
 	s := Assign(replicas, fleet(100, 1), Limits{MinPrefillReplicas: 20})
 	usual, _ := s.Of("n7", 0.01)
 	hot, _ := s.Of("n7", 0.08)
-	if float64(len(hot)) < spare*0.08*float64(len(replicas)) || len(usual) >= len(hot) {
+	if float64(len(hot)) < headroom*0.08*float64(len(replicas)) || len(usual) >= len(hot) {
 		t.Errorf("%d replicas at eight times the traffic, %d at the mean", len(hot), len(usual))
 	}
 	for _, r := range usual {
@@ -405,7 +405,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	for _, bad := range []int{-1, 0, LeastPrefillReplicas - 1, maxReaders + 1} {
+	for _, bad := range []int{-1, 0, LeastPrefillReplicas - 1, maxPrefillReplicas + 1} {
 		if (Limits{MinPrefillReplicas: bad}).Validate() == nil {
 			t.Errorf("%d passes", bad)
 		}
