--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -1,5 +1,8 @@
-// Package subsetter keeps a dispatcher to its subset of the replicas: it follows discovery's list and who is in the fleet, and
-// hands the core what package subset makes of them.
+// Package subsetter applies a dispatcher's subset of the replicas: its Controller follows discovery's endpoint list and the
+// fleet's members, and passes the dispatcher what package subset computes from them.
+//
+// The Controller owns the list of replicas that subsets are computed from. UpdateEndpoints and Status may be called from any
+// goroutine; the computation runs in the goroutine of Run.
 package subsetter
 
 import (
@@ -16,145 +19,197 @@
 )
 
 const (
-	// every is how often it looks whether anything changed: a new replica gets work by those that keep to it so late.
-	every = 500 * time.Millisecond
-	// hold is how long a member that is gone keeps its place: most are back after a restart, and each change of who is
-	// there moves some of what the others keep to.
-	hold = 10 * time.Second
-	// shift is how much the part of the traffic must change for a new subset, as a part of it.
-	shift = 0.25
+	// updateInterval is how often the controller looks for changes. A new replica gets work from the dispatchers whose
+	// subsets it is in after this time at the latest.
+	updateInterval = 500 * time.Millisecond
+	// departedMemberGrace is how long a member that is gone still counts. Most are back after a restart, and each change of
+	// the members moves some replicas of the others' subsets.
+	departedMemberGrace = 10 * time.Second
+	// trafficTolerance is how much the traffic fraction must change for a new subset, relative to the last one.
+	trafficTolerance = 0.25
+	// defaultWeight replaces a weight that is not positive, as in package routing.
+	defaultWeight = 1
 )
 
-// FleetView is who is there, as this process sees it.
+// FleetView is the fleet as this process sees it.
 type FleetView struct {
 	View            membership.View
-	Now             time.Duration // by the view's clock
-	TrafficFraction float64       // of all traffic that is this process's; 0: an even one
+	Now             time.Duration // on the view's clock
+	TrafficFraction float64       // this process's fraction of all traffic; 0 stands for an even one
 	Usable          bool          // the view may be acted on
 }
 
-// Controller keeps one dispatcher to its subset.
+// Controller keeps one dispatcher's subset up to date.
 type Controller struct {
-	limits subset.Limits
-	self   string
-	zone   func(name string) int
-	roles  []routing.Role // by kind
-	fleet  func() FleetView
-	to     func(names []string) bool // must not block; false: it had no room
+	limits    subset.Limits
+	self      string
+	zoneOf    func(name string) int
+	roles     []routing.Role // by kind
+	view      func() FleetView
+	setSubset func(names []string) bool
 
 	mu       sync.Mutex
-	replicas map[string]subset.Replica
-	changed  bool // since the last look
+	replicas map[string]subset.Replica // the ready ones, by name
+	changed  bool                      // the replicas, since the last computation
 	status   Status
-	members  []subset.Dispatcher // that the last subset was made for,
-	part     float64             // also
+	// What the last subset was computed for.
+	members         []subset.Dispatcher
+	trafficFraction float64
 }
 
-// Status is what operators are shown.
+// Status is what operators are shown of a Controller.
 type Status struct {
 	Self      string   `json:"self"`
-	Subset    []string `json:"kept"`    // none: all
+	Subset    []string `json:"kept"`    // names of its replicas; none: all
 	Endpoints int      `json:"of"`      // replicas on the list
-	Members   int      `json:"members"` // that they are shared among
-	Updates   int      `json:"times"`   // that a subset was handed to the core
-	TookMS    float64  `json:"took_ms"` // to work the last one out
+	Members   int      `json:"members"` // among which they are divided
+	Updates   int      `json:"times"`   // subsets that were passed to the dispatcher
+	TookMS    float64  `json:"took_ms"` // to compute the last one
 }
 
-// New returns a Keeper that Run must drive. zone numbers the settings' zones, and roles are theirs; to takes the names, none for all.
-func New(limits subset.Limits, self string, zone func(name string) int, roles []routing.Role, fleet func() FleetView, to func([]string) bool) *Controller {
-	return &Controller{limits: limits, self: self, zone: zone, roles: roles, fleet: fleet, to: to, replicas: map[string]subset.Replica{},
-		status: Status{Self: self}}
+// New returns a Controller that Run must drive. zoneOf returns the number of a zone in the settings, and roles are the
+// settings' roles by kind. setSubset takes the names of a subset, none for all replicas; it must not block, and returns
+// false if the dispatcher could not take them.
+func New(limits subset.Limits, self string, zoneOf func(name string) int, roles []routing.Role,
+	view func() FleetView, setSubset func(names []string) bool) *Controller {
+	return &Controller{
+		limits:    limits,
+		self:      self,
+		zoneOf:    zoneOf,
+		roles:     roles,
+		view:      view,
+		setSubset: setSubset,
+		replicas:  map[string]subset.Replica{},
+		status:    Status{Self: self},
+	}
 }
 
-// UpdateEndpoints takes discovery's list, or changes to it, as the core does.
-func (k *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
+func (c *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter dispatcher's form
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if full {
-		clear(k.replicas)
+		clear(c.replicas)
 	}
 	for _, e := range entries {
-		if e.State != routing.Ready || e.Kind < 0 || e.Kind >= len(k.roles) {
-			delete(k.replicas, e.Name)
+		if e.State != routing.Ready || e.Kind < 0 || e.Kind >= len(c.roles) {
+			delete(c.replicas, e.Name)
 			continue
 		}
-		role, weight := k.roles[e.Kind], e.Weight
-		if !(weight > 0) {
-			weight = 1 // as the module takes it
-		}
-		k.replicas[e.Name] = subset.Replica{Name: e.Name, Zone: e.Zone, Cell: e.Cell, CanPrefill: role != routing.Decode, CanDecode: role != routing.Prefill, Weight: weight}
+		c.replicas[e.Name] = replicaOf(e, c.roles[e.Kind])
+	}
+	c.changed = true
+}
+
+func replicaOf(e dispatch.Endpoint, role routing.Role) subset.Replica {
+	weight := e.Weight
+	if !(weight > 0) { // also if it is not a number
+		weight = defaultWeight
+	}
+	return subset.Replica{
+		Name:       e.Name,
+		Zone:       e.Zone,
+		Cell:       e.Cell,
+		CanPrefill: role != routing.Decode,
+		CanDecode:  role != routing.Prefill,
+		Weight:     weight,
 	}
-	k.changed = true
 }
 
-// Run looks again and again until the context ends.
-func (k *Controller) Run(ctx context.Context) {
-	t := time.NewTicker(every)
+// Run updates the subset at intervals until the context ends.
+func (c *Controller) Run(ctx context.Context) {
+	t := time.NewTicker(updateInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			k.look()
+			c.update()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// among are the members that replicas are shared among: those that count, and those that are gone for a moment only.
-func (k *Controller) among(f FleetView) (out []subset.Dispatcher) {
-	for _, m := range f.View.Members {
+// dispatchers are the members among which replicas are divided: the active ones, and those that are gone for less than
+// departedMemberGrace.
+func (c *Controller) dispatchers(v FleetView) (out []subset.Dispatcher) {
+	for _, m := range v.View.Members {
 		gone := m.State == membership.Unreachable || m.State == membership.Left
-		if m.Active() || gone && f.Now-m.Since < hold {
-			out = append(out, subset.Dispatcher{Name: m.Name, Zone: k.zone(m.Zone)})
+		if m.Active() || gone && v.Now-m.Since < departedMemberGrace {
+			out = append(out, subset.Dispatcher{Name: m.Name, Zone: c.zoneOf(m.Zone)})
 		}
 	}
 	return out
 }
 
-// look hands the core a new subset where the list, the members or this one's part have changed. On a view that may not be acted
-// on it leaves all as it is.
-func (k *Controller) look() {
-	f := k.fleet()
-	if !f.Usable {
+// update passes the dispatcher a new subset if the list, the members or this member's traffic fraction have changed. While
+// the view may not be acted on, it changes nothing.
+func (c *Controller) update() {
+	view := c.view()
+	if !view.Usable {
+		return
+	}
+	members := c.dispatchers(view)
+	replicas, changed := c.takeChanges(members, view.TrafficFraction)
+	if !changed {
 		return
 	}
-	members := k.among(f)
-	k.mu.Lock()
-	same := !k.changed && slices.Equal(members, k.members) && f.TrafficFraction >= k.part*(1-shift) && f.TrafficFraction <= k.part*(1+shift)
-	if same {
-		k.mu.Unlock()
+	started := time.Now()
+	names := c.compute(replicas, members, view.TrafficFraction)
+	took := time.Since(started)
+	accepted := c.setSubset(names)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !accepted {
+		c.changed = true
 		return
 	}
-	replicas := make([]subset.Replica, 0, len(k.replicas))
-	for _, r := range k.replicas {
+	c.members, c.trafficFraction = members, view.TrafficFraction
+	c.status = Status{
+		Self:      c.self,
+		Subset:    names,
+		Endpoints: len(replicas),
+		Members:   len(members),
+		Updates:   c.status.Updates + 1,
+		TookMS:    float64(took) / float64(time.Millisecond),
+	}
+}
+
+// takeChanges returns the present replicas, and whether anything differs from what the last subset was computed for.
+func (c *Controller) takeChanges(members []subset.Dispatcher, trafficFraction float64) (
+	replicas []subset.Replica, changed bool,
+) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sameTraffic := trafficFraction >= c.trafficFraction*(1-trafficTolerance) &&
+		trafficFraction <= c.trafficFraction*(1+trafficTolerance)
+	if !c.changed && slices.Equal(members, c.members) && sameTraffic {
+		return nil, false
+	}
+	replicas = make([]subset.Replica, 0, len(c.replicas))
+	for _, r := range c.replicas {
 		replicas = append(replicas, r)
 	}
-	k.changed = false
-	k.mu.Unlock()
-	from := time.Now()
-	var kept []string
-	if s := subset.Assign(replicas, members, k.limits); s != nil {
-		var err error
-		if kept, err = s.Of(k.self, f.TrafficFraction); err != nil {
-			slog.Debug("subset", "err", err) // this process does not serve yet, or goes
-		}
+	c.changed = false
+	return replicas, true
+}
+
+// compute returns the names of this dispatcher's replicas; none means all.
+func (c *Controller) compute(replicas []subset.Replica, members []subset.Dispatcher, trafficFraction float64) []string {
+	assignment := subset.Assign(replicas, members, c.limits)
+	if assignment == nil {
+		return nil
 	}
-	took := time.Since(from)
-	handed := k.to(kept)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !handed {
-		k.changed = true
-		return
+	names, err := assignment.Of(c.self, trafficFraction)
+	if err != nil {
+		slog.Debug("subset_failed", "err", err) // this process is not active yet, or is leaving
 	}
-	k.members, k.part = members, f.TrafficFraction
-	k.status = Status{Self: k.self, Subset: kept, Endpoints: len(replicas), Members: len(members), Updates: k.status.Updates + 1, TookMS: float64(took) / float64(time.Millisecond)}
+	return names
 }
 
-// Status is what the core was last kept to.
-func (k *Controller) Status() Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.status
+// Status returns the subset that was last passed to the dispatcher.
+func (c *Controller) Status() Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.status
 }
