--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -49,7 +49,9 @@
 }
 
 // UpdateOwn applies discovery's list, full or as changes, and publishes what is to be acted on.
-func (f *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter the dispatcher's form
+//
+//revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
+func (f *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	dispatch.ApplyUpdate(f.endpoints, full, entries)
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -85,7 +85,9 @@
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
 // UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
-func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter the dispatcher's form
+//
+//revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
+func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if full {
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,7 +1,7 @@
 // Package subset computes deterministic subsets: which replicas a dispatcher polls, keeps connections to, and routes to
-// while enough of them are healthy. The result is a function of the endpoint list and the fleet's members alone, so processes that
-// know the same agree without communicating. The package does no I/O, has no clock and keeps no state; all of its functions
-// are safe for concurrent use, and so is an Assignment.
+// while enough of them are healthy. The result is a function of the endpoint list and the fleet's members alone, so
+// processes that know the same agree without communicating. The package does no I/O, has no clock and keeps no state; all
+// of its functions are safe for concurrent use, and so is an Assignment.
 //
 // Replicas are assigned in units that stay whole: a cell, or a part of a large cell, with prefill replicas and the decode
 // replicas that take over their state. Each unit gets the number of dispatchers that its weight asks for, within one:
--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -85,7 +85,9 @@
 }
 
 // UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
-func (c *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) { //revive:disable-line:flag-parameter dispatcher's form
+//
+//revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
+func (c *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if full {
