--- a/internal/fleet/idempotency/replica.go
+++ b/internal/fleet/idempotency/replica.go
@@ -21,7 +21,7 @@
 type Replica struct {
 	limits         Limits
 	store          Store
-	recoveringTill time.Duration // in time of its life; it does not vote before
+	recoveringTill time.Duration // in time that it has lived; it does not vote before
 	storedKeys     int           // as counted by the last expiry, and adjusted since
 	lastExpiry     time.Duration
 	withdrawn      map[Attempt]time.Duration // when each was withdrawn
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -40,13 +40,13 @@
 
 // simReplica is a replica that can be killed and restarted.
 type simReplica struct {
-	name       string
-	store      *memoryStore
-	unwritten  map[Key]Record // of the mutant that votes before writing
-	replica    *Replica
-	up         bool
-	startedAt  time.Duration // in simulated time
-	livedUntil time.Duration // its life when it started
+	name        string
+	store       *memoryStore
+	unwritten   map[Key]Record // of the mutant that votes before writing
+	replica     *Replica
+	up          bool
+	startedAt   time.Duration // in simulated time
+	livedBefore time.Duration // how long it had lived when it started
 }
 
 // simAttempt is an attempt and the round that decides on it.
@@ -100,7 +100,7 @@
 }
 
 // lifetime is how long a replica has lived.
-func (s *sim) lifetime(r *simReplica) time.Duration { return r.livedUntil + s.now - r.startedAt }
+func (s *sim) lifetime(r *simReplica) time.Duration { return r.livedBefore + s.now - r.startedAt }
 
 func (s *sim) start(r *simReplica, storeIntact bool) {
 	r.up, r.startedAt = true, s.now
@@ -261,7 +261,7 @@
 	switch s.rng.IntN(6) {
 	case 0:
 		if r.up { // killed; it does not count the last part of its life
-			r.livedUntil += (s.now - r.startedAt) * time.Duration(s.rng.IntN(3)) / 2
+			r.livedBefore += (s.now - r.startedAt) * time.Duration(s.rng.IntN(3)) / 2
 			r.up = false
 		}
 	case 1, 2:
--- a/internal/fleet/subset/match_test.go
+++ b/internal/fleet/subset/match_test.go
@@ -127,10 +127,10 @@
 		}
 		for _, a := range []algorithm{
 			{"even", 0, score},
-			{"a tenth of room", 0.1, score},
-			{"a fifth of room", 0.2, score},
+			{"a tenth more capacity", 0.1, score},
+			{"a fifth more capacity", 0.2, score},
 			{"rendezvous", math.Inf(1), score},
-			{"ring, a tenth of room", 0.1, ringScore},
+			{"ring, a tenth more capacity", 0.1, ringScore},
 		} {
 			measureAlgorithm(t, a, size)
 		}
