--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -152,3 +152,32 @@
 		}
 	}
 }
+
+// linkTarget is a link to another page in Markdown, or a page that is named in a code span.
+var linkTarget = regexp.MustCompile("\\]\\(([^)#:]+\\.md)\\)|`((?:docs/)?[\\w/-]+\\.md)`")
+
+func TestPagesLinkToPagesThatExist(t *testing.T) {
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, page := range append(pages, "../README.md", "../CONTRIBUTING.md", "../OPEN.md") {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range linkTarget.FindAllStringSubmatch(string(text), -1) {
+			target := match[1] + match[2]
+			beside := filepath.Join(filepath.Dir(page), target)
+			fromRoot := filepath.Join("..", target)
+			if !exists(beside) && !exists(fromRoot) {
+				t.Errorf("%s links to %s, which is not there", page, target)
+			}
+		}
+	}
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(path)
+	return err == nil
+}
