--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -23,7 +23,7 @@
 	return names[o]
 }
 
-func (n *Counters) outcome(o routing.Outcome) {
+func (n *Counters) countOutcome(o routing.Outcome) {
 	if n.Outcomes == nil {
 		n.Outcomes = map[string]int{}
 	}
@@ -35,14 +35,14 @@
 	got := make(chan Counters, 1)
 	c.post(func() {
 		n := c.counters
-		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(c.requests), len(c.list)
+		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(c.requests), len(c.endpoints)
 		got <- n
 	})
 	select {
 	case n := <-got:
 		return n
 	case <-ctx.Done():
-	case <-c.done:
+	case <-c.stopped:
 	}
 	return Counters{}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -15,54 +15,54 @@
 	"rampspread/routing"
 )
 
-// hand is a set of servers that does only what the test tells it.
-type hand struct {
-	sends    chan sent
+// fakeUpstream is a set of servers that does only what the test tells it.
+type fakeUpstream struct {
+	sends    chan sentAttempt
 	aborts   chan string
 	releases chan string
 	withdrew chan string
 }
 
-type sent struct {
+type sentAttempt struct {
 	to string
 	ev dispatch.AttemptObserver
 }
 
-type handAttempt struct {
-	h  *hand
+type fakeAttempt struct {
+	h  *fakeUpstream
 	to string
 }
 
-func (a handAttempt) Abort() { a.h.aborts <- a.to }
+func (a fakeAttempt) Abort() { a.h.aborts <- a.to }
 
-func (a handAttempt) Withdraw() { a.h.withdrew <- a.to }
+func (a fakeAttempt) Withdraw() { a.h.withdrew <- a.to }
 
-func (h *hand) Send(order dispatch.AttemptSpec, ev dispatch.AttemptObserver) dispatch.Attempt {
-	h.sends <- sent{order.Target.Name, ev}
-	return handAttempt{h, order.Target.Name}
+func (h *fakeUpstream) Send(order dispatch.AttemptSpec, ev dispatch.AttemptObserver) dispatch.Attempt {
+	h.sends <- sentAttempt{order.Target.Name, ev}
+	return fakeAttempt{h, order.Target.Name}
 }
 
-func (h *hand) Release(call dispatch.Call, _ []dispatch.Target) { h.releases <- call.ID }
+func (h *fakeUpstream) Release(call dispatch.Call, _ []dispatch.Target) { h.releases <- call.ID }
 
-func (h *hand) PollLoad(_ dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
+func (h *fakeUpstream) PollLoad(_ dispatch.Target, _ time.Duration, told func(*routing.LoadReport)) {
 	go told(nil)
 }
 
 type noStream struct{ io.ReadCloser }
 
-func start(t *testing.T) (*hand, *dispatch.Dispatcher) {
+func start(t *testing.T) (*fakeUpstream, *dispatch.Dispatcher) {
 	t.Helper()
 	return startWith(t, func(*routing.Config) {})
 }
 
-func startWith(t *testing.T, change func(*routing.Config)) (*hand, *dispatch.Dispatcher) {
+func startWith(t *testing.T, change func(*routing.Config)) (*fakeUpstream, *dispatch.Dispatcher) {
 	t.Helper()
 	return startOn(t, system.Real(), change)
 }
 
-func startOn(t *testing.T, machine system.System, change func(*routing.Config)) (*hand, *dispatch.Dispatcher) {
+func startOn(t *testing.T, machine system.System, change func(*routing.Config)) (*fakeUpstream, *dispatch.Dispatcher) {
 	t.Helper()
-	h := &hand{sends: make(chan sent, 64), aborts: make(chan string, 64), releases: make(chan string, 64),
+	h := &fakeUpstream{sends: make(chan sentAttempt, 64), aborts: make(chan string, 64), releases: make(chan string, 64),
 		withdrew: make(chan string, 64)}
 	cfg, err := testkit.Settings(t).Router()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return h, c
 }
 
-func ask(ctx context.Context, c *dispatch.Dispatcher, class int, wait time.Duration) chan dispatch.Answer {
+func dispatchAsync(ctx context.Context, c *dispatch.Dispatcher, class int, wait time.Duration) chan dispatch.Answer {
 	got := make(chan dispatch.Answer, 2)
 	req := dispatch.Request{Call: dispatch.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(wait)}
 	go func() { got <- c.Dispatch(ctx, req) }()
@@ -93,7 +93,7 @@
 
 func TestServed(t *testing.T) {
 	h, c := start(t)
-	got := ask(context.Background(), c, 1, time.Minute)
+	got := dispatchAsync(context.Background(), c, 1, time.Minute)
 	(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	w := <-h.sends
 	if w.to != "w1" && w.to != "w2" || !w.ev.FirstToken(noStream{}) {
@@ -113,7 +113,7 @@
 func TestFilingMayHaveRun(t *testing.T) {
 	for _, o := range []routing.Outcome{routing.ConnectionReset, routing.Errored, routing.TimedOut} {
 		h, c := start(t)
-		got := ask(context.Background(), c, 1, time.Minute)
+		got := dispatchAsync(context.Background(), c, 1, time.Minute)
 		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: o})
 		if a := <-got; a.Kind != dispatch.Failed || len(h.sends) > 0 {
@@ -126,7 +126,7 @@
 // A filing whose writer surely never got it goes to another.
 func TestFilingNeverRan(t *testing.T) {
 	h, c := start(t)
-	got := ask(context.Background(), c, 1, time.Minute)
+	got := dispatchAsync(context.Background(), c, 1, time.Minute)
 	(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	first := <-h.sends
 	first.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectFailed})
@@ -142,7 +142,7 @@
 func TestSilentUntilDeadline(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		h, c := start(t)
-		got := ask(context.Background(), c, 0, 300*time.Millisecond)
+		got := dispatchAsync(context.Background(), c, 0, 300*time.Millisecond)
 		s := <-h.sends
 		<-h.aborts
 		if told {
@@ -169,7 +169,7 @@
 // for it in that moment.
 func TestNoCopyBeforeClose(t *testing.T) {
 	h, c := start(t)
-	got := ask(context.Background(), c, 1, 30*time.Second)
+	got := dispatchAsync(context.Background(), c, 1, 30*time.Second)
 	s := <-h.sends
 	<-h.aborts // the module's time-out for a read
 	if s.ev.FirstToken(noStream{}) {
@@ -189,7 +189,7 @@
 func TestClientLeft(t *testing.T) {
 	h, c := start(t)
 	ctx, leave := context.WithCancel(context.Background())
-	got := ask(ctx, c, 0, time.Minute)
+	got := dispatchAsync(ctx, c, 0, time.Minute)
 	s := <-h.sends
 	leave()
 	if a := <-got; a.Kind != dispatch.ClientGone {
@@ -215,7 +215,7 @@
 	} {
 		h, c := startWith(t, func(cfg *routing.Config) { cfg.CanCancel = false })
 		ctx, leave := context.WithCancel(context.Background())
-		got := ask(ctx, c, 0, time.Minute)
+		got := dispatchAsync(ctx, c, 0, time.Minute)
 		s := <-h.sends
 		for _, o := range before {
 			s.ev.Ended(dispatch.AttemptResult{Outcome: o})
@@ -239,7 +239,7 @@
 // A process that is about to be killed answers what is unanswered, ends what is out, lets go of what is held, and takes nothing more.
 func TestGiveUp(t *testing.T) {
 	h, c := start(t)
-	waits := ask(context.Background(), c, 1, 30*time.Second)
+	waits := dispatchAsync(context.Background(), c, 1, 30*time.Second)
 	read := <-h.sends
 	read.ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 	write := <-h.sends
@@ -252,7 +252,7 @@
 	}
 	write.ev.Ended(dispatch.AttemptResult{Outcome: routing.ConnectionReset})
 	<-h.releases
-	if a := <-ask(context.Background(), c, 0, 30*time.Second); a.Kind != dispatch.Rejected || a.RetryAfter <= 0 {
+	if a := <-dispatchAsync(context.Background(), c, 0, 30*time.Second); a.Kind != dispatch.Rejected || a.RetryAfter <= 0 {
 		t.Errorf("what came later was answered %+v", a)
 	}
 	if n := c.Counters(context.Background()); n.Open != 0 || len(h.sends) > 0 {
@@ -265,7 +265,7 @@
 	h, c := start(t)
 	for range 50 {
 		ctx, leave := context.WithCancel(context.Background())
-		got := ask(ctx, c, 0, time.Minute)
+		got := dispatchAsync(ctx, c, 0, time.Minute)
 		(<-h.sends).ev.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 		w := <-h.sends
 		taken := make(chan bool)
@@ -327,7 +327,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stopped, err := dispatch.New(cfg, 1, &hand{}, system.Real(), nil) // nobody takes from its queue
+	stopped, err := dispatch.New(cfg, 1, &fakeUpstream{}, system.Real(), nil) // nobody takes from its queue
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,7 +354,7 @@
 		},
 	} {
 		h, c := start(t)
-		got := ask(context.Background(), c, 1, time.Minute)
+		got := dispatchAsync(context.Background(), c, 1, time.Minute)
 		s := <-h.sends
 		c.UpdateEndpoints(false, []dispatch.Endpoint{{Name: "w2", Kind: 1, State: routing.Draining, Weight: 1}}) // has nothing to do with it
 		tell(c, s.to)
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -12,7 +12,7 @@
 // has refused it.
 func (c *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
 	done := make(chan error, 1)
-	if !c.post(func() { done <- c.retune(cfg) }) {
+	if !c.post(func() { done <- c.reconfigure(cfg) }) {
 		return errStopped
 	}
 	select {
@@ -23,12 +23,12 @@
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("core: retune: %w", ctx.Err())
-	case <-c.done:
+	case <-c.stopped:
 		return errStopped
 	}
 }
 
-func (c *Dispatcher) retune(cfg routing.Config) error {
+func (c *Dispatcher) reconfigure(cfg routing.Config) error {
 	if err := c.router.Reconfigure(c.now(), cfg); err != nil {
 		return err
 	}
--- a/internal/precondition/golden_test.go
+++ b/internal/precondition/golden_test.go
@@ -10,10 +10,10 @@
 	want := map[Reason]string{
 		Allowed: "allowed", ClientDisconnected: "client_gone", AlreadyAnswered: "answered", DeadlineExceeded: "deadline_over", EndpointLeaving: "server_leaving",
 		Withdrawn: "withdrawn", AttemptInFlight: "copy_out", MayHaveRun: "may_have_run", DedupWindowExpired: "window_over", ShuttingDown: "ending", Draining: "drained",
-		Evicted: "gave_way", RequestUnanswered: "unanswered", RequestArriving: "arriving", UnreadBytes: "unread", reasons: "unknown",
+		Evicted: "gave_way", RequestUnanswered: "unanswered", RequestArriving: "arriving", UnreadBytes: "unread", reasonCount: "unknown",
 	}
-	if len(want) != int(reasons)+1 {
-		t.Errorf("%d reasons, %d texts", reasons, len(want)-1)
+	if len(want) != int(reasonCount)+1 {
+		t.Errorf("%d reasons, %d texts", reasonCount, len(want)-1)
 	}
 	for reason, text := range want {
 		if got := reason.String(); got != text {
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -13,7 +13,7 @@
 // Reason says why something may not be done; Allowed: it may.
 type Reason uint8
 
-// The reasons.
+// The reasonCount.
 const (
 	Allowed            Reason = iota
 	ClientDisconnected        // the client has closed its connection
@@ -30,15 +30,15 @@
 	RequestUnanswered         // a request of the connection has no answer yet
 	RequestArriving           // a request is coming on the connection, or has come and is not looked at yet
 	UnreadBytes               // bytes wait on the connection
-	reasons
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"allowed", "client_gone", "answered", "deadline_over", "server_leaving", "withdrawn", "copy_out",
+var reasonNames = [reasonCount]string{"allowed", "client_gone", "answered", "deadline_over", "server_leaving", "withdrawn", "copy_out",
 	"may_have_run", "window_over", "ending", "drained", "gave_way", "unanswered", "arriving", "unread"}
 
 // String is the reason as logs and counters name it.
 func (r Reason) String() string {
-	if r >= reasons {
+	if r >= reasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
--- a/internal/precondition/violations.go
+++ b/internal/precondition/violations.go
@@ -19,13 +19,13 @@
 
 // ViolationCounter counts violations of the rules, by reason. It is safe for use by several goroutines; a nil one counts nothing.
 type ViolationCounter struct {
-	counts [reasons]atomic.Int64
+	counts [reasonCount]atomic.Int64
 }
 
 // Record notes that a rule would have been broken by an act, or has been: something before should have prevented it.
 func (a *ViolationCounter) Record(act Operation, why Reason, id string) {
 	slog.Error("violation", "act", string(act), "why", why.String(), "id", id)
-	if a != nil && why < reasons {
+	if a != nil && why < reasonCount {
 		a.counts[why].Add(1)
 	}
 }
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -98,8 +98,8 @@
 	"an attempt after the client's close": {
 		{"internal/precondition/precondition.go", "case s.ClientGone:", "case false:"},
 		{"internal/precondition/precondition.go", "case b.ClientGone:", "case false:"},
-		{"internal/dispatch/dispatcher.go", "	case <-client.Done():\n		c.post(func() { c.left(q) })\n", ""},
-		{"internal/dispatch/dispatcher.go", "if q.gone() {", "if false {"},
+		{"internal/dispatch/dispatcher.go", "	case <-client.Done():\n		c.post(func() { c.clientDisconnected(q) })\n", ""},
+		{"internal/dispatch/dispatcher.go", "if q.clientGone() {", "if false {"},
 	},
 	"a resend of what may have run": {
 		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
