--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -1,5 +1,3 @@
-// The contract between the core, the fronts that ask it and the servers that it sends to.
-
 package dispatch
 
 import (
@@ -9,30 +7,89 @@
 	"rampspread/routing"
 )
 
-// Call is what goes on to the servers for one request, unchanged.
+// Upstream sends calls to endpoints. None of its methods blocks, since the dispatcher's owner calls them.
+type Upstream interface {
+	// Send makes one attempt and reports on it to the observer.
+	Send(spec AttemptSpec, observer AttemptObserver) Attempt
+	// PollLoad polls an endpoint's load and calls onReport once, from any goroutine. The report is nil if the endpoint
+	// gave none within the limit.
+	PollLoad(endpoint Target, limit time.Duration, onReport func(*routing.LoadReport))
+	// Release releases what is reserved for the call's request, through the first of the targets that answers.
+	Release(call Call, through []Target)
+}
+
+// Attempt is one call in flight at an endpoint.
+type Attempt interface {
+	// Abort stops waiting for the call. The attempt's end is reported once its connection is closed.
+	Abort()
+	// Withdraw ends an attempt of which no byte has been written, as one that could not connect. If the attempt is
+	// being written, Withdraw only keeps it from being written anew on another connection. It does not wait.
+	Withdraw()
+}
+
+// AttemptObserver receives the events of one attempt. Its methods may be called from any goroutine but the
+// dispatcher's owner: FirstToken waits for the owner, Ended only while the mailbox is full.
+type AttemptObserver interface {
+	// FirstToken offers the attempt's stream as the request's final answer. If it returns true the stream goes to the
+	// client; otherwise the attempt must be given up.
+	FirstToken(Stream) bool
+	// Ended is called once, when nothing remains of the attempt on its connection. No FirstToken follows it.
+	Ended(AttemptResult)
+}
+
+// AttemptSpec is one attempt to be made.
+type AttemptSpec struct {
+	Call    Call
+	Target  Target
+	Timeout time.Duration // of the whole attempt
+	// ClientGone asks whether the client has disconnected, and does not wait; nil: that can't be found out.
+	ClientGone func() bool
+	// Retry says that the request may have been executed and that the endpoints discard repeats of it. They do so for
+	// DedupWindow from now; without Retry the window has no meaning.
+	Retry       bool
+	DedupWindow time.Duration
+}
+
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome       routing.Outcome
+	CachedTokens  int                 // prompt tokens found in the endpoint's prefix cache
+	StreamStarted bool                // the answer had begun, and then it broke
+	Load          *routing.LoadReport // nil: the answer had none
+}
+
+// Target is the address of a listed endpoint.
+type Target struct {
+	ID   routing.EndpointID
+	Name string
+	Addr string // host:port
+}
+
+// Call is what is forwarded to the endpoints for one request, unchanged.
 type Call struct {
-	ID          string
+	ID          string // the request's, also in logs
 	Method      string
-	Target      string
+	Target      string // the HTTP request target
 	ContentType string // of the body
 	Body        []byte
 }
 
-// Request is what a front has taken from a client.
+// Request is what a frontend has accepted from a client.
 type Request struct {
 	Call               Call
-	Class              int
-	Tenant             int
+	Class              int // index into the configuration's classes
+	Tenant             int // index into the configuration's tenant quotas
 	Session            routing.Key
 	SharedPrefix       routing.Key
 	PromptTokens       int
 	SharedPrefixTokens int
 	MaxOutputTokens    int
-	Deadline           time.Time // the final answer has left by then
-	// ClientGone asks the client's connection whether the client has closed it, which its context may tell a moment later; nil: the context
-	// is all there is to ask. It does not wait.
+	Deadline           time.Time // the final answer is given by then
+	// ClientGone asks the client's connection whether the client has closed it, which the client's context may show a
+	// moment later. It does not wait; nil: only the context can tell.
 	ClientGone func() bool
-	// RunToCompletion lets what has been sent go on to its end though the client has left; no further attempt begins.
+	// RunToCompletion lets an attempt that was sent run to its end though the client has disconnected. No further
+	// attempt begins then.
 	RunToCompletion bool
 }
 
@@ -41,103 +98,55 @@
 
 // The kinds of a final answer.
 const (
-	Failed     AnswerKind = iota // no promise
-	Rejected                     // a retry is harmless
-	Served                       // Stream holds the answer
-	ClientGone                   // the client went away first, and nothing may have run
+	Failed   AnswerKind = iota // promises nothing: the request may have been executed
+	Rejected                   // promises that a retry is harmless
+	Served                     // Stream holds the answer
+	// ClientGone says that the client disconnected first. For a RunToCompletion request it also says that the request
+	// was not executed: one that may have been is Failed.
+	ClientGone
 )
 
-var kindNames = [...]string{Failed: "failed", Rejected: "refused", Served: "served", ClientGone: "left"}
+var kindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientGone: "client_gone"}
 
-// String is the kind as logs name it.
+// String is the kind's name in logs.
 func (k AnswerKind) String() string { return kindNames[k] }
 
 // Answer is the one final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration
-	Stream     Stream
+	RetryAfter time.Duration // for Rejected; positive
+	Stream     Stream        // for Served
 }
 
-// Stream is a server's answer from its first event on. Read returns io.EOF only
-// after the whole answer; whoever holds the stream closes it.
+// Stream is an endpoint's answer from its first event on. Read returns io.EOF only after the whole answer. Whoever
+// holds the stream must close it.
 type Stream interface {
 	io.ReadCloser
 }
 
-// Target is a server as the core was told of it.
-type Target struct {
-	ID   routing.EndpointID
-	Name string
-	Addr string
-}
-
-// Attempt is one call that is out at a server.
-type Attempt interface {
-	// Abort stops waiting. The attempt's end is reported once its connection is closed.
-	Abort()
-	// Withdraw ends an attempt of which no byte has been written, as one that could not connect; of one that is
-	// being written it stops only what would be written anew. It does not wait.
-	Withdraw()
-}
-
-// AttemptResult is how an attempt ended.
-type AttemptResult struct {
-	Outcome       routing.Outcome
-	CachedTokens  int
-	StreamStarted bool // the answer had begun, and then it broke
-	Load          *routing.LoadReport
-}
-
-// AttemptObserver takes an attempt's news; its methods may be called from any goroutine.
-type AttemptObserver interface {
-	// FirstToken asks for the client: the stream goes to it, or false is returned and the attempt is to be given up.
-	FirstToken(Stream) bool
-	// Ended is called once, when nothing is left of the attempt on its connection.
-	Ended(AttemptResult)
-}
-
-// AttemptSpec is one attempt to be made.
-type AttemptSpec struct {
-	Call    Call
-	Target  Target
-	Timeout time.Duration // for all of it
-	// ClientGone asks whether the client has gone; nil: nobody can tell. It does not wait.
-	ClientGone func() bool
-	// Window is for how long the servers drop repeats of what may have run already, where Retry says that it may have.
-	Retry       bool
-	DedupWindow time.Duration
-}
-
-// Upstream sends calls. None of its methods blocks.
-type Upstream interface {
-	Send(order AttemptSpec, ev AttemptObserver) Attempt
-	// PollLoad asks a server for its load and calls back once, from any goroutine; nil: it told none in time.
-	PollLoad(to Target, limit time.Duration, told func(*routing.LoadReport))
-	// Release lets go of what is held for the call's request, through the first of the targets that answers.
-	Release(call Call, through []Target)
-}
-
-// Endpoint is one entry of the list of servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Name    string
-	Addr    string
+	Name    string // identifies the endpoint
+	Addr    string // host:port
 	Zone    int
-	Kind    int
+	Kind    int // index into the configuration's kinds
 	Cell    int
 	State   routing.EndpointState
 	Weight  float64
-	Started time.Time // zero: long ago
+	Started time.Time // of its process; zero: long ago
 }
 
-// ApplyUpdate brings a list by name up to date with what discovery told: the whole of it, or changes.
-func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) {
+// ApplyUpdate brings an endpoint list, keyed by name, up to date with an update from service discovery: a whole list
+// (full), or changes to it. Entries in state Gone are removed.
+//
+// The flag parameter stays until discovery and the other callers can move to an update type together.
+func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) { //revive:disable-line:flag-parameter
 	if full {
 		clear(list)
 	}
-	for _, e := range entries {
-		if list[e.Name] = e; e.State == routing.Gone {
-			delete(list, e.Name)
+	for _, entry := range entries {
+		if list[entry.Name] = entry; entry.State == routing.Gone {
+			delete(list, entry.Name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/dispatch/attempts.go
@@ -0,0 +1,243 @@
+package dispatch
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"rampspread/internal/precondition"
+	"rampspread/routing"
+)
+
+// noEndpointName stands in logs for an endpoint that is not listed.
+const noEndpointName = "none"
+
+// attemptState is where an attempt stands:
+//
+//	attemptInFlight -> attemptStreaming   its stream has become the request's final answer (firstToken)
+//	attemptInFlight -> attemptAborted     it was given up (abortAttempt)
+//	attemptInFlight, attemptStreaming, attemptAborted -> attemptEnded   (endAttempt)
+//
+// An aborted attempt counts as in flight until its connection is closed, and its end is reported only then.
+type attemptState uint8
+
+const (
+	attemptInFlight attemptState = iota
+	attemptStreaming
+	attemptAborted
+	attemptEnded
+)
+
+// attempt is one call of a request that was sent, or was to be sent, to an endpoint. It is the AttemptObserver of its
+// own call.
+type attempt struct {
+	dispatcher      *Dispatcher
+	request         *request
+	number          int             // index in the request's attempts
+	endpoint        *endpointRecord // nil: the endpoint was not listed, and the attempt has ended unsent
+	sentAt          time.Duration
+	upstreamAttempt Attempt     // nil: it was never sent
+	timeoutTimer    *time.Timer // nil: it was never sent
+	state           attemptState
+	abortOutcome    routing.Outcome // how an aborted attempt ends, if it may have run
+}
+
+// FirstToken implements AttemptObserver.
+func (a *attempt) FirstToken(s Stream) bool {
+	accepted, err := query(context.Background(), a.dispatcher, func() bool { return a.dispatcher.firstToken(a, s) })
+	return err == nil && accepted
+}
+
+// Ended implements AttemptObserver.
+func (a *attempt) Ended(result AttemptResult) {
+	a.dispatcher.post(func() { a.dispatcher.endAttempt(a, result) })
+}
+
+// beforeFirstToken reports whether the attempt has not ended and has brought no first token.
+func (a *attempt) beforeFirstToken() bool {
+	return a.state == attemptInFlight || a.state == attemptAborted
+}
+
+// executes reports whether the attempt, where it reaches its endpoint, carries out the request, as a prefill does not.
+func (a *attempt) executes() bool { return a.endpoint != nil && !a.endpoint.prefillOnly }
+
+// endpointName is the name of the attempt's endpoint, for logs.
+func (a *attempt) endpointName() string {
+	if a.endpoint == nil {
+		return noEndpointName
+	}
+	return a.endpoint.Name
+}
+
+// sendAttempt makes an attempt that the Router wants, if its preconditions hold. One whose preconditions do not hold
+// ends as NotSent, which has cost no endpoint anything.
+func (d *Dispatcher) sendAttempt(action routing.Send) {
+	q, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
+	if q == nil {
+		return
+	}
+	now := d.now()
+	timeout := q.deadline - now
+	if action.Timeout > 0 {
+		timeout = min(timeout, action.Timeout)
+	}
+	a := &attempt{dispatcher: d, request: q, number: len(q.attempts), endpoint: endpoint, sentAt: now}
+	facts := d.attemptFacts(a, timeout)
+	q.attempts = append(q.attempts, a)
+	if reason := facts.Check(); reason != precondition.Allowed {
+		d.endUnsent(a, reason)
+		return
+	}
+	if a.number > 0 {
+		slog.Info("further_attempt", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(),
+			"may_have_run", q.execution.mayHaveRun)
+	}
+	d.counters.Attempts++
+	a.upstreamAttempt = d.upstream.Send(AttemptSpec{
+		Call:        q.Call,
+		Target:      endpoint.Target,
+		Timeout:     timeout,
+		ClientGone:  q.ClientGone,
+		Retry:       facts.Executes && q.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
+		DedupWindow: facts.DedupWindow,
+	}, a)
+	a.timeoutTimer = time.AfterFunc(timeout, func() { d.post(func() { d.abortAttempt(a, routing.TimedOut) }) })
+}
+
+// attemptFacts gathers what the preconditions of an attempt go by. The attempt is not yet among its request's.
+func (d *Dispatcher) attemptFacts(a *attempt, timeout time.Duration) precondition.Attempt {
+	q := a.request
+	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
+	return precondition.Attempt{
+		Answered:        q.answered(),
+		ClientGone:      q.clientGone(),
+		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
+		TimeLeft:        timeout,
+		AttemptInFlight: q.hasAttemptInFlight(),
+		Executes:        a.executes(),
+		MayHaveRun:      q.execution.mayHaveRun,
+		Idempotency:     d.config.Classes[q.Class].Idempotency,
+		InDedupScope:    inDedupScope,
+		DedupWindow:     dedupWindow,
+	}
+}
+
+// remainingDedupWindow is for how long yet the attempt's endpoint discards repeats of what may have run. inScope is
+// false if it does not discard them at all, or if nothing may have run.
+func (d *Dispatcher) remainingDedupWindow(a *attempt) (remaining time.Duration, inScope bool) {
+	class, execution := d.config.Classes[a.request.Class], a.request.execution
+	if execution.endpoint == nil || a.endpoint == nil {
+		return 0, false
+	}
+	switch class.DedupScope {
+	case routing.ScopeZone:
+		inScope = a.endpoint.zone == execution.endpoint.zone
+	case routing.ScopeCell:
+		inScope = a.endpoint.cell == execution.endpoint.cell
+	default:
+		inScope = true
+	}
+	return execution.sentAt + class.DedupWindow - a.sentAt, inScope
+}
+
+// endUnsent ends an attempt whose preconditions do not hold.
+func (d *Dispatcher) endUnsent(a *attempt, reason precondition.Reason) {
+	q := a.request
+	slog.Info("not_sent", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
+	switch reason {
+	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired:
+		d.violations.Record(precondition.OperationSend, reason, q.Call.ID) // the Router should not have wanted it
+	}
+	d.endAttempt(a, AttemptResult{Outcome: routing.NotSent})
+	if reason == precondition.ClientDisconnected {
+		d.clientDisconnected(q)
+	}
+}
+
+// abortAttempt gives an attempt up. It counts as in flight until its connection is closed: what is sent elsewhere
+// before that would be a second copy.
+func (d *Dispatcher) abortAttempt(a *attempt, outcome routing.Outcome) {
+	if a.state != attemptInFlight {
+		return
+	}
+	a.state, a.abortOutcome = attemptAborted, outcome
+	a.upstreamAttempt.Abort()
+}
+
+// firstToken makes the attempt's stream the request's final answer, and reports false if the attempt was given up or
+// the request has its answer.
+func (d *Dispatcher) firstToken(a *attempt, s Stream) (accepted bool) {
+	q := a.request
+	if a.state != attemptInFlight || q.answered() {
+		return false // it counts as in flight until its connection is closed, and its end is reported then
+	}
+	a.state = attemptStreaming
+	a.timeoutTimer.Stop()
+	a.endpoint.lastResponse = d.now()
+	d.counters.Served++
+	d.reply(q, Answer{Kind: Served, Stream: s})
+	d.handleEvent(routing.FirstToken{
+		Request: q.id, Attempt: a.number, Endpoint: a.endpoint.ID, Elapsed: d.now() - a.sentAt,
+	})
+	return true
+}
+
+// endAttempt takes an attempt's one outcome.
+func (d *Dispatcher) endAttempt(a *attempt, result AttemptResult) {
+	if a.state == attemptEnded {
+		return
+	}
+	stateBefore := a.state
+	a.state = attemptEnded
+	if stateBefore == attemptAborted && result.Outcome == routing.ConnectionReset {
+		result.Outcome = a.abortOutcome
+	}
+	if a.timeoutTimer != nil {
+		a.timeoutTimer.Stop()
+	}
+	q := a.request
+	q.execution.recordEnd(a, result.Outcome)
+	d.recordResponse(a, result.Outcome)
+	d.counters.countOutcome(result.Outcome)
+	streamed := stateBefore == attemptStreaming
+	d.logLostAttempt(a, result.Outcome, streamed)
+	if streamed && result.Outcome != routing.Served {
+		d.counters.BrokenStreams++
+	}
+	var endpoint routing.EndpointID
+	if a.endpoint != nil {
+		endpoint = a.endpoint.ID
+	}
+	d.handleEvent(routing.AttemptEnded{
+		Request: q.id, Attempt: a.number, Endpoint: endpoint, Outcome: result.Outcome, Elapsed: d.now() - a.sentAt,
+		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: q.answered(), Load: result.Load,
+	})
+	if q.state == requestCompleting && !q.hasExecutingAttempt() {
+		d.answerDisconnected(q) // nothing is in flight that could still run to completion
+	}
+	d.forget(q)
+}
+
+// recordResponse notes whether an attempt's endpoint has responded. Where its end was not observed, what it reserved
+// may show only later; a prefill whose endpoint has been silent since it was sent is followed up.
+func (d *Dispatcher) recordResponse(a *attempt, outcome routing.Outcome) {
+	switch outcome {
+	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
+		a.endpoint.lastResponse = d.now()
+	case routing.TimedOut, routing.Cancelled, routing.ConnectionReset:
+		a.request.lostAttempt = true
+		if a.endpoint.prefillOnly && a.endpoint.lastResponse < a.sentAt {
+			d.followLostPrefill(a)
+		}
+	}
+}
+
+// logLostAttempt logs an attempt that brought neither an answer nor a sound refusal.
+func (d *Dispatcher) logLostAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
+	switch outcome {
+	case routing.Served, routing.PrefillDone, routing.QueueFull:
+		return
+	}
+	slog.Info("attempt_lost", "id", a.request.Call.ID, "attempt", a.number, "server", a.endpointName(),
+		"outcome", outcomeName(outcome), "elapsed", d.now()-a.sentAt, "first_token", streamed)
+}
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,42 +7,68 @@
 	"rampspread/routing"
 )
 
-// Counters tells what the core took in, sent and answered.
+// Counters are totals since the start, except the gauges.
 type Counters struct {
-	Accepted, Attempts, LoadPolls, Releases, PeerLoadReports            int
-	ExpiredReservations                                                 int // releases of them, since nothing told that an attempt had arrived
-	Served, Rejected, Failed, ClientGone, DeadlineForced, BrokenStreams int
-	Outcomes                                                            map[string]int
-	Open, Endpoints                                                     int
+	Accepted        int // requests
+	Attempts        int // attempts that were sent
+	LoadPolls       int
+	Releases        int
+	PeerLoadReports int // load reports of other dispatchers
+
+	ExpiredReservations int // releases because nothing proved in time that an attempt had reached its endpoint
+
+	Served         int // requests answered with a stream
+	Rejected       int // requests answered Rejected
+	Failed         int // requests answered Failed, by the Router or by AbandonPending
+	ClientGone     int // requests whose client disconnected before the final answer
+	DeadlineForced int // requests that the Router had not answered by their deadline
+	BrokenStreams  int // streams that broke after their first token
+
+	Outcomes map[string]int // ended attempts, by the name of their outcome; nil: none has ended
+
+	Open      int // gauge: requests that are not forgotten
+	Endpoints int // gauge: listed endpoints
 }
 
-func outcomeName(o routing.Outcome) string {
-	names := [...]string{routing.Served: "served", routing.Errored: "errored", routing.QueueFull: "full",
-		routing.StateMissing: "no_state", routing.TimedOut: "timed_out", routing.ConnectFailed: "connect_failed",
-		routing.ConnectionReset: "reset", routing.Cancelled: "cancelled", routing.NotSent: "moot", routing.PrefillDone: "read"}
-	return names[o]
+var outcomeNames = [...]string{
+	routing.Served:          "served",
+	routing.Errored:         "errored",
+	routing.QueueFull:       "full",
+	routing.StateMissing:    "no_state",
+	routing.TimedOut:        "timed_out",
+	routing.ConnectFailed:   "connect_failed",
+	routing.ConnectionReset: "reset",
+	routing.Cancelled:       "cancelled",
+	routing.NotSent:         "moot",
+	routing.PrefillDone:     "read",
 }
 
-func (n *Counters) countOutcome(o routing.Outcome) {
+// outcomeName names an outcome in logs and in keys of the counters' line, which programs read.
+func outcomeName(outcome routing.Outcome) string { return outcomeNames[outcome] }
+
+func (n *Counters) countOutcome(outcome routing.Outcome) {
 	if n.Outcomes == nil {
 		n.Outcomes = map[string]int{}
 	}
-	n.Outcomes[outcomeName(o)]++
+	n.Outcomes[outcomeName(outcome)]++
 }
 
-// Counters returns a copy.
-func (c *Dispatcher) Counters(ctx context.Context) Counters {
-	got := make(chan Counters, 1)
-	c.post(func() {
-		n := c.counters
-		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(c.requests), len(c.endpoints)
-		got <- n
-	})
-	select {
-	case n := <-got:
-		return n
-	case <-ctx.Done():
-	case <-c.stopped:
+// countUnserved counts an answer that is Rejected or Failed.
+func (n *Counters) countUnserved(kind AnswerKind) {
+	switch kind {
+	case Rejected:
+		n.Rejected++
+	case Failed:
+		n.Failed++
 	}
-	return Counters{}
+}
+
+// Counters returns a copy of the counters. It is empty if the context or the dispatcher ended first.
+func (d *Dispatcher) Counters(ctx context.Context) Counters {
+	counters, _ := query(ctx, d, func() Counters {
+		n := d.counters
+		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(d.requests), len(d.endpoints)
+		return n
+	})
+	return counters
 }
--- /dev/null
+++ b/internal/dispatch/events.go
@@ -0,0 +1,72 @@
+package dispatch
+
+import (
+	"cmp"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"rampspread/routing"
+)
+
+// loadPollTimeout bounds the wait for an endpoint's load report; the Router does not wait for that long.
+const loadPollTimeout = 200 * time.Millisecond
+
+// handleEvent gives the Router an event and carries out the actions that it returns, and handles the events that follow
+// from those at once. A nested call only queues its event: the outermost call handles events in order.
+func (d *Dispatcher) handleEvent(event routing.Event) {
+	d.pendingEvents = append(d.pendingEvents, event)
+	if len(d.pendingEvents) > 1 {
+		return // the loop below is running further up the stack
+	}
+	for len(d.pendingEvents) > 0 {
+		d.actionBuffer = d.router.Handle(d.now(), d.pendingEvents[0], d.actionBuffer[:0])
+		for _, action := range d.actionBuffer {
+			d.executeAction(action)
+		}
+		d.pendingEvents = d.pendingEvents[1:]
+	}
+	d.pendingEvents = nil
+	for _, q := range d.pendingForget {
+		d.forget(q)
+	}
+	d.pendingForget = d.pendingForget[:0]
+}
+
+func (d *Dispatcher) executeAction(action routing.Action) {
+	switch a := action.(type) {
+	case routing.Send:
+		d.sendAttempt(a)
+	case routing.PollLoad:
+		d.pollLoad(a.Endpoint)
+	case routing.Release:
+		d.releaseReservation(a.Request, a.Reason)
+	case routing.Reject:
+		d.rejectOrFail(a.Request, a.Reason, Answer{Kind: Rejected, RetryAfter: cmp.Or(a.RetryAfter, defaultRetryAfter)})
+	case routing.Fail:
+		d.rejectOrFail(a.Request, a.Reason, Answer{Kind: Failed})
+	case routing.Cancel:
+		if q := d.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
+			d.abortAttempt(q.attempts[a.Attempt], routing.Cancelled)
+		}
+	case routing.SetTimer:
+		time.AfterFunc(a.After, func() { d.post(func() { d.handleEvent(routing.TimerFired{ID: a.Timer}) }) })
+	default:
+		slog.Warn("unknown_action", "type", fmt.Sprintf("%T", a))
+	}
+}
+
+// pollLoad polls an endpoint's load. The poll of an endpoint that is not listed has no result, which a goroutine of its
+// own reports, since the owner must not post.
+func (d *Dispatcher) pollLoad(id routing.EndpointID) {
+	onReport := func(load *routing.LoadReport) {
+		d.post(func() { d.handleEvent(routing.LoadPolled{Endpoint: id, Load: load}) })
+	}
+	endpoint := d.endpoints[id]
+	if endpoint == nil {
+		go onReport(nil)
+		return
+	}
+	d.counters.LoadPolls++
+	d.upstream.PollLoad(endpoint.Target, loadPollTimeout, onReport)
+}
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -2,39 +2,29 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 
 	"rampspread/routing"
 )
 
-// Reconfigure gives the module a new configuration while requests are open, and returns once it has it or
-// has refused it.
-func (c *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
-	done := make(chan error, 1)
-	if !c.post(func() { done <- c.reconfigure(cfg) }) {
-		return errStopped
+// Reconfigure gives the Router a new configuration while requests are open. It returns once the Router has taken or
+// refused it; the error is the Router's, the context's, or says that the dispatcher is stopped.
+func (d *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
+	refusal, err := query(ctx, d, func() error { return d.reconfigure(cfg) })
+	if err == nil {
+		err = refusal
 	}
-	select {
-	case err := <-done:
-		if err != nil {
-			return fmt.Errorf("core: %w", err)
-		}
-		return nil
-	case <-ctx.Done():
-		return fmt.Errorf("core: retune: %w", ctx.Err())
-	case <-c.stopped:
-		return errStopped
+	if err != nil {
+		return fmt.Errorf("reconfigure dispatcher: %w", err)
 	}
+	return nil
 }
 
-func (c *Dispatcher) reconfigure(cfg routing.Config) error {
-	if err := c.router.Reconfigure(c.now(), cfg); err != nil {
+func (d *Dispatcher) reconfigure(cfg routing.Config) error {
+	if err := d.router.Reconfigure(d.now(), cfg); err != nil {
 		return err
 	}
-	cfg.Kinds = c.config.Kinds // they hold from the next start
-	c.config = cfg
+	cfg.Kinds = d.config.Kinds // new kinds take effect only at the next process start
+	d.config = cfg
 	return nil
 }
-
-var errStopped = errors.New("core: stopped")
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -98,8 +98,8 @@
 	"an attempt after the client's close": {
 		{"internal/precondition/precondition.go", "case s.ClientGone:", "case false:"},
 		{"internal/precondition/precondition.go", "case b.ClientGone:", "case false:"},
-		{"internal/dispatch/dispatcher.go", "	case <-client.Done():\n		c.post(func() { c.clientDisconnected(q) })\n", ""},
-		{"internal/dispatch/dispatcher.go", "if q.clientGone() {", "if false {"},
+		{"internal/dispatch/requests.go", "	case <-client.Done():\n		d.post(func() { d.clientDisconnected(q) })\n", ""},
+		{"internal/dispatch/requests.go", "if q.clientGone() {", "if false {"},
 	},
 	"a resend of what may have run": {
 		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
@@ -107,8 +107,8 @@
 		{"routing/decode.go", "if c.Idempotency == Idempotent {", "if true {"},
 	},
 	"a send after a drain was told": {
-		{"internal/dispatch/dispatcher.go", "s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State,",
-			"l.state = routing.Ready\n		s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: routing.Ready,"},
+		{"internal/dispatch/endpoints.go", "entry := routing.Endpoint{ID: record.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State,",
+			"record.state = routing.Ready\n		entry := routing.Endpoint{ID: record.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: routing.Ready,"},
 	},
 	"a write that counts as out once it was sent": {
 		{"routing/reservation.go", "	if !q.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
