--- /dev/null
+++ b/internal/dispatch/helpers_test.go
@@ -0,0 +1,140 @@
+package dispatch_test
+
+import (
+	"context"
+	"io"
+	"sync"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/routing"
+)
+
+// The kinds and classes of testkit.Settings.
+const (
+	prefillKind = 0
+	decodeKind  = 1
+
+	idempotentClass    = 0
+	nonIdempotentClass = 1
+)
+
+// fakeUpstream is an Upstream whose attempts end only as the test says. Its channels hold what the dispatcher has asked
+// for: attempts, and the names of endpoints, or IDs of requests.
+type fakeUpstream struct {
+	sends       chan sentAttempt
+	aborts      chan string
+	releases    chan string
+	withdrawals chan string
+}
+
+type sentAttempt struct {
+	endpoint string
+	observer dispatch.AttemptObserver
+}
+
+func newFakeUpstream() *fakeUpstream {
+	const capacity = 64 // more than a test makes the dispatcher ask for
+	return &fakeUpstream{
+		sends:       make(chan sentAttempt, capacity),
+		aborts:      make(chan string, capacity),
+		releases:    make(chan string, capacity),
+		withdrawals: make(chan string, capacity),
+	}
+}
+
+// Send implements dispatch.Upstream.
+func (u *fakeUpstream) Send(spec dispatch.AttemptSpec, observer dispatch.AttemptObserver) dispatch.Attempt {
+	u.sends <- sentAttempt{spec.Target.Name, observer}
+	return fakeAttempt{u, spec.Target.Name}
+}
+
+// Release implements dispatch.Upstream.
+func (u *fakeUpstream) Release(call dispatch.Call, _ []dispatch.Target) { u.releases <- call.ID }
+
+// PollLoad implements dispatch.Upstream: no endpoint answers.
+func (u *fakeUpstream) PollLoad(_ dispatch.Target, _ time.Duration, onReport func(*routing.LoadReport)) {
+	go onReport(nil)
+}
+
+type fakeAttempt struct {
+	upstream *fakeUpstream
+	endpoint string
+}
+
+// Abort implements dispatch.Attempt.
+func (a fakeAttempt) Abort() { a.upstream.aborts <- a.endpoint }
+
+// Withdraw implements dispatch.Attempt.
+func (a fakeAttempt) Withdraw() { a.upstream.withdrawals <- a.endpoint }
+
+// fakeStream is a stream that nobody reads.
+type fakeStream struct{ io.ReadCloser }
+
+// readyEndpoint is a list entry that takes requests.
+func readyEndpoint(name string, kind int) dispatch.Endpoint {
+	return dispatch.Endpoint{Name: name, Kind: kind, State: routing.Ready, Weight: 1}
+}
+
+// startDispatcher runs a dispatcher with the endpoints r1 and r2 (prefill), w1 and w2 (decode).
+func startDispatcher(t *testing.T) (*fakeUpstream, *dispatch.Dispatcher) {
+	t.Helper()
+	return startDispatcherWith(t, system.Real(), func(*routing.Config) {})
+}
+
+// startDispatcherWith is startDispatcher on a machine, with changes to the configuration.
+func startDispatcherWith(
+	t *testing.T, machine system.System, change func(*routing.Config),
+) (*fakeUpstream, *dispatch.Dispatcher) {
+	t.Helper()
+	upstream := newFakeUpstream()
+	config := routerConfig(t)
+	change(&config)
+	dispatcher, err := dispatch.New(config, 1, upstream, machine, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { dispatcher.Run(ctx) })
+	t.Cleanup(func() { stop(); running.Wait() })
+	dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{
+		readyEndpoint("r1", prefillKind), readyEndpoint("r2", prefillKind),
+		readyEndpoint("w1", decodeKind), readyEndpoint("w2", decodeKind),
+	})
+	return upstream, dispatcher
+}
+
+func routerConfig(t *testing.T) routing.Config {
+	t.Helper()
+	config, err := testkit.Settings(t).Router()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// dispatchAsync dispatches a request whose deadline is after the timeout, and returns where its answer comes.
+func dispatchAsync(
+	client context.Context, dispatcher *dispatch.Dispatcher, class int, timeout time.Duration,
+) <-chan dispatch.Answer {
+	answer := make(chan dispatch.Answer, 2)
+	request := dispatch.Request{
+		Call: dispatch.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(timeout),
+	}
+	go func() { answer <- dispatcher.Dispatch(client, request) }()
+	return answer
+}
+
+// finishPrefill lets the next attempt, a prefill, succeed.
+func (u *fakeUpstream) finishPrefill() {
+	(<-u.sends).observer.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
+}
+
+// end ends the attempt with an outcome.
+func (a sentAttempt) end(outcome routing.Outcome) {
+	a.observer.Ended(dispatch.AttemptResult{Outcome: outcome})
+}
--- /dev/null
+++ b/internal/dispatch/releases_test.go
@@ -0,0 +1,88 @@
+package dispatch_test
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/testkit"
+)
+
+// maxReservationTime is how long a reservation may last while no attempt has reached a running replica: 300 ms by the
+// settings and 300 ms more, which the protocol's page adds for real sockets.
+const maxReservationTime = 600 * time.Millisecond
+
+// listenSilently listens on an address whose connections nobody accepts or reads: what is written to them is taken by
+// this machine's kernel, and never reaches a running replica.
+func listenSilently(t *testing.T) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener.Addr().String()
+}
+
+// silentEndpoint is a list entry of a replica that never runs what is sent to it.
+func silentEndpoint(t *testing.T, name string, kind int) dispatch.Endpoint {
+	t.Helper()
+	endpoint := readyEndpoint(name, kind)
+	endpoint.Addr = listenSilently(t)
+	return endpoint
+}
+
+func chatCall(id string) dispatch.Call {
+	return dispatch.Call{ID: id, Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}
+}
+
+// A prefill's reservation is released in time though a decode for it is in flight, if that decode never reaches a
+// running replica.
+func TestReservationIsReleasedWhenDecodeNeverArrives(t *testing.T) {
+	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			prefilled := make(chan time.Time, 8)
+			fleet := testkit.NewFleet(t, testkit.ReadAt(prefilled), testkit.Silent)
+			fleet.Core.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "w", decodeKind)})
+			client, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
+			go fleet.Core.Dispatch(client, dispatch.Request{
+				Call: chatCall("reserved"), Class: class, PromptTokens: 100, Deadline: time.Now().Add(5 * time.Second),
+			})
+			reservedAt := <-prefilled
+			testkit.Eventually(t, "the release", func() bool {
+				return fleet.Reader.Releases("reserved") > 0 || time.Since(reservedAt) > 2*maxReservationTime
+			})
+			if took := time.Since(reservedAt); took > maxReservationTime {
+				t.Errorf("still reserved %v after the prefill", took)
+			}
+		})
+	}
+}
+
+// What a prefill may reserve that was given up while its replica was silent is released again and again: the close does
+// not reach the replica either, and the prefill may succeed long after it.
+func TestLostPrefillIsReleasedAgain(t *testing.T) {
+	t.Parallel()
+	fleet := testkit.NewFleet(t, testkit.Read, testkit.Silent)
+	fleet.Core.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "r", prefillKind)})
+	fleet.Core.Dispatch(t.Context(), dispatch.Request{
+		Call: chatCall("lost"), PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond),
+	})
+	answeredAt := time.Now()
+	const late = time.Second // after the answer
+	releasesBefore := 0
+	testkit.Eventually(t, "a release long after the answer", func() bool {
+		n := fleet.Writer.Releases("lost")
+		if time.Since(answeredAt) < late {
+			releasesBefore = n
+		}
+		return n > releasesBefore || time.Since(answeredAt) > 4*late
+	})
+	if n := fleet.Writer.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
+		t.Errorf("%d releases within %v, %d in all", releasesBefore, late, n)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/starttime_test.go
@@ -0,0 +1,62 @@
+package dispatch_test
+
+import (
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/testkit"
+	"rampspread/routing"
+)
+
+// A wall clock that is stepped neither ends an endpoint's slow start nor begins one anew, whether the endpoint was
+// reported before the step or after it.
+func TestEndpointAgeSurvivesClockStep(t *testing.T) {
+	const hour, moment, tolerance = time.Hour, 2 * time.Second, 500 * time.Millisecond
+	for _, c := range []struct {
+		name             string
+		step             time.Duration // of the wall clock
+		reportedBefore   bool          // the endpoint is reported before the step, and again after it
+		age              time.Duration // of the endpoint, before the step
+		startedAfterStep bool          // the endpoint starts after the step, by the stepped clock
+		want             time.Duration
+	}{
+		{name: "reported before a step forward", step: hour, reportedBefore: true, age: moment, want: moment},
+		{name: "reported before a step back", step: -hour, reportedBefore: true, age: moment, want: moment},
+		{name: "started before a step forward, reported after it", step: hour, age: moment, want: moment},
+		{name: "started before a step back, reported after it", step: -hour, age: moment, want: moment},
+		{name: "started after a step forward", step: hour, startedAfterStep: true},
+		{name: "started after a step back", step: -hour, startedAfterStep: true},
+		{name: "warm, reported before a step back", step: -hour, reportedBefore: true, age: 30 * hour, want: 30 * hour},
+		{name: "no step", reportedBefore: true, age: moment, want: moment},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			machine := testkit.NewMachine()
+			testStart := time.Now()
+			_, dispatcher := startDispatcherWith(t, machine, func(*routing.Config) {})
+			started := machine.Wall().Add(-c.age)
+			reportAndGetAge := func() time.Duration {
+				endpoint := readyEndpoint("r9", prefillKind)
+				endpoint.Started = started
+				dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{endpoint})
+				snapshot, ok := dispatcher.Snapshot(t.Context(), 0)
+				if !ok || len(snapshot.Endpoints) != 1 {
+					t.Fatalf("%d endpoints, %t", len(snapshot.Endpoints), ok)
+				}
+				return snapshot.TakenAt - snapshot.Endpoints[0].Started
+			}
+			if c.reportedBefore {
+				reportAndGetAge()
+			}
+			machine.Step(c.step)
+			if c.startedAfterStep {
+				started = machine.Wall()
+			}
+			for range 2 {
+				if got := reportAndGetAge(); got < c.want || got > c.want+time.Since(testStart)+tolerance {
+					t.Errorf("age %v, want %v", got, c.want)
+				}
+			}
+		})
+	}
+}
