--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -23,7 +23,7 @@
 	// Abort stops waiting for the call. The attempt's end is reported once its connection is closed.
 	Abort()
 	// Withdraw ends an attempt of which no byte has been written, as one that could not connect. If the attempt is
-	// being written, Withdraw only keeps it from being written anew on another connection. It does not wait.
+	// being written, Withdraw only prevents it from being written again on another connection. It does not wait.
 	Withdraw()
 }
 
@@ -42,7 +42,7 @@
 	Call    Call
 	Target  Target
 	Timeout time.Duration // of the whole attempt
-	// ClientGone asks whether the client has disconnected, and does not wait; nil: that can't be found out.
+	// ClientGone checks whether the client has disconnected. It does not wait; nil: that cannot be checked.
 	ClientGone func() bool
 	// Retry says that the request may have been executed and that the endpoints discard repeats of it. They do so for
 	// DedupWindow from now; without Retry the window has no meaning.
@@ -85,8 +85,8 @@
 	SharedPrefixTokens int
 	MaxOutputTokens    int
 	Deadline           time.Time // the final answer is given by then
-	// ClientGone asks the client's connection whether the client has closed it, which the client's context may show a
-	// moment later. It does not wait; nil: only the context can tell.
+	// ClientGone checks on the connection whether the client has closed it, which the client's context may show a
+	// moment later. It does not wait; nil: only the context shows it.
 	ClientGone func() bool
 	// RunToCompletion lets an attempt that was sent run to its end though the client has disconnected. No further
 	// attempt begins then.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,10 +9,10 @@
 	"rampspread/routing"
 )
 
-// noEndpointName stands in logs for an endpoint that is not listed.
+// noEndpointName replaces in logs the name of an endpoint that is not listed.
 const noEndpointName = "none"
 
-// attemptState is where an attempt stands:
+// attemptState is the state of an attempt, with these transitions:
 //
 //	attemptInFlight -> attemptStreaming   its stream has become the request's final answer (firstToken)
 //	attemptInFlight -> attemptAborted     it was given up (abortAttempt)
@@ -112,7 +112,7 @@
 		Answered:        q.answered(),
 		ClientGone:      q.clientGone(),
 		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
-		TimeLeft:        timeout,
+		RemainingTime:   timeout,
 		AttemptInFlight: q.hasAttemptInFlight(),
 		Executes:        a.executes(),
 		MayHaveRun:      q.execution.mayHaveRun,
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -99,9 +99,9 @@
 	upstream, dispatcher := startDispatcher(t)
 	dispatchAsync(t.Context(), dispatcher, nonIdempotentClass, 30*time.Second)
 	attempt := <-upstream.sends
-	<-upstream.aborts // the Router's time-out for a prefill
+	<-upstream.aborts // the Router's timeout for a prefill
 	if attempt.observer.FirstToken(fakeStream{}) {
-		t.Error("a stream was accepted after the time-out")
+		t.Error("a stream was accepted after the timeout")
 	}
 	dispatcher.Counters(t.Context())
 	if len(upstream.sends) > 0 {
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -22,8 +22,8 @@
 	nonIdempotentClass = 1
 )
 
-// fakeUpstream is an Upstream whose attempts end only as the test says. Its channels hold what the dispatcher has asked
-// for: attempts, and the names of endpoints, or IDs of requests.
+// fakeUpstream is an Upstream whose attempts end only as the test decides. Its channels record the dispatcher's calls:
+// the attempts that it sends, the endpoints' names for aborts and withdrawals, the requests' IDs for releases.
 type fakeUpstream struct {
 	sends       chan sentAttempt
 	aborts      chan string
@@ -37,7 +37,7 @@
 }
 
 func newFakeUpstream() *fakeUpstream {
-	const capacity = 64 // more than a test makes the dispatcher ask for
+	const capacity = 64 // more calls than any test provokes
 	return &fakeUpstream{
 		sends:       make(chan sentAttempt, capacity),
 		aborts:      make(chan string, capacity),
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -16,7 +16,7 @@
 
 // ApplyPeerLoads passes load reports of other dispatchers to the Router; reports on endpoints that are not listed are
 // ignored. It never waits: while the mailbox is full the reports are dropped, since they would be stale by the time
-// there is a free slot, and false is returned.
+// a slot is free, and false is returned.
 func (d *Dispatcher) ApplyPeerLoads(reports []PeerLoad) bool {
 	receivedAt := time.Now()
 	return d.tryPost(func() {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -18,7 +18,7 @@
 	deadlineGrace = 8 * time.Millisecond
 )
 
-// requestState is where a request stands on its way to its one final answer:
+// requestState is the state of a request on its way to its one final answer, with these transitions:
 //
 //	requestOpen -> requestServed       an attempt's stream goes to the client (firstToken)
 //	requestOpen -> requestCompleting   the client has disconnected; an attempt runs to completion (clientDisconnected)
@@ -39,7 +39,7 @@
 	Request
 	id            routing.RequestID
 	clientContext context.Context
-	answer        chan Answer // has room for the one final answer
+	answer        chan Answer // buffered for the one final answer
 	state         requestState
 	execution     possibleExecution
 	lostAttempt   bool   // the end of an attempt was not observed, so that its reservation may show only later
@@ -104,9 +104,9 @@
 	d.requests[q.id] = q
 	d.counters.Accepted++
 	d.accepted.Add(1)
-	timeLeft := q.deadline - now
+	remaining := q.deadline - now
 	// The guard behind the Router: whatever it does, the client is answered by the deadline.
-	q.deadlineTimer = time.AfterFunc(timeLeft, func() { d.post(func() { d.deadlineReached(q) }) })
+	q.deadlineTimer = time.AfterFunc(remaining, func() { d.post(func() { d.deadlineReached(q) }) })
 	if d.abandoned {
 		d.abandonRequest(q)
 		return
@@ -118,7 +118,7 @@
 	d.handleEvent(routing.RequestArrived{
 		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.SharedPrefix,
 		PromptTokens: q.PromptTokens, SharedPrefixTokens: q.SharedPrefixTokens, MaxOutputTokens: q.MaxOutputTokens,
-		TimeLeft: timeLeft,
+		TimeLeft: remaining,
 	})
 }
 
@@ -198,7 +198,7 @@
 	d.forget(q)
 }
 
-// reply gives the one final answer. It does not wait: the channel has room for it.
+// reply gives the one final answer. It does not wait, since the channel is buffered.
 func (d *Dispatcher) reply(q *request, answer Answer) {
 	if reason := (precondition.FinalAnswer{Answered: q.answered()}).Check(); reason != precondition.Allowed {
 		d.violations.Record(precondition.OperationAnswer, reason, q.Call.ID)
@@ -228,7 +228,7 @@
 		return
 	}
 	delete(d.requests, q.id)
-	q.deadlineTimer.Stop() // it would keep the request and its body alive until a deadline that may be an hour away
+	q.deadlineTimer.Stop() // it would retain the request and its body until a deadline that may be an hour away
 }
 
 // withdrawPendingAttempts withdraws the attempts of a request that still wait for their connection.
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -13,7 +13,7 @@
 const maxClockSkew = time.Second
 
 // startTime converts an endpoint's reported start to the Router's clock; 0 means long ago. A start that is reported
-// again keeps its converted time: only the first report is compared with the clocks, since the wall clock may be
+// again has the same converted time: only the first report is compared with the clocks, since the wall clock may be
 // stepped while the endpoint is in its slow start.
 func (d *Dispatcher) startTime(record *endpointRecord, reported time.Time) time.Duration {
 	if reported.IsZero() {
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -7,57 +7,121 @@
 	"rampspread/routing"
 )
 
-const second = time.Second
-
-// check is any of the questions.
-type check interface{ Check() Reason }
-
-func TestEachReason(t *testing.T) {
-	sound := Attempt{TimeLeft: second, Executes: true}
-	with := func(change func(*Attempt)) Attempt { s := sound; change(&s); return s }
-	for _, c := range []struct {
-		ask  check
-		want Reason
-	}{
-		{Accept{}, Allowed}, {Accept{Evicted: true, ClientGone: true}, Evicted}, {Accept{ClientGone: true}, ClientDisconnected}, {Accept{ShuttingDown: true}, ShuttingDown}, {Accept{Draining: true}, Draining},
-		{sound, Allowed},
-		{with(func(s *Attempt) { s.Answered = true }), AlreadyAnswered},
-		{with(func(s *Attempt) { s.ClientGone = true }), ClientDisconnected},
-		{with(func(s *Attempt) { s.EndpointLeaving = true }), EndpointLeaving},
-		{with(func(s *Attempt) { s.TimeLeft = 0 }), DeadlineExceeded},
-		{with(func(s *Attempt) { s.AttemptInFlight = true }), AttemptInFlight},
-		{with(func(s *Attempt) { s.MayHaveRun = true }), Allowed},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency = true, routing.NonIdempotent }), MayHaveRun},
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.Executes = true, routing.NonIdempotent, false }), Allowed}, // a read has no effect
-		{with(func(s *Attempt) { s.MayHaveRun, s.Idempotency, s.DedupWindow = true, routing.IdempotentByKey, second }), MayHaveRun},
-		{with(func(s *Attempt) {
-			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, routing.IdempotentByKey, true, MaxStall
+// checker is any of the facts.
+type checker interface{ Check() Reason }
+
+// checkCase is a set of facts and the reason that is expected.
+type checkCase struct {
+	name  string
+	facts checker
+	want  Reason
+}
+
+func runChecks(t *testing.T, cases []checkCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.facts.Check(); got != c.want {
+				t.Errorf("%T%+v: %v, want %v", c.facts, c.facts, got, c.want)
+			}
+		})
+	}
+}
+
+func TestAcceptCheck(t *testing.T) {
+	runChecks(t, []checkCase{
+		{"no fact against it", Accept{}, Allowed},
+		{"evicted comes before client gone", Accept{Evicted: true, ClientGone: true}, Evicted},
+		{"client gone", Accept{ClientGone: true}, ClientDisconnected},
+		{"shutting down", Accept{ShuttingDown: true}, ShuttingDown},
+		{"draining", Accept{Draining: true}, Draining},
+	})
+}
+
+func TestAttemptCheck(t *testing.T) {
+	allowed := Attempt{RemainingTime: time.Second, Executes: true}
+	with := func(change func(*Attempt)) Attempt {
+		facts := allowed
+		change(&facts)
+		return facts
+	}
+	repeat := func(idempotency routing.Idempotency, change func(*Attempt)) Attempt {
+		return with(func(a *Attempt) {
+			a.MayHaveRun, a.Idempotency = true, idempotency
+			change(a)
+		})
+	}
+	runChecks(t, []checkCase{
+		{"no fact against it", allowed, Allowed},
+		{"answered", with(func(a *Attempt) { a.Answered = true }), AlreadyAnswered},
+		{"client gone", with(func(a *Attempt) { a.ClientGone = true }), ClientDisconnected},
+		{"endpoint leaving", with(func(a *Attempt) { a.EndpointLeaving = true }), EndpointLeaving},
+		{"no time remaining", with(func(a *Attempt) { a.RemainingTime = 0 }), DeadlineExceeded},
+		{"attempt in flight", with(func(a *Attempt) { a.AttemptInFlight = true }), AttemptInFlight},
+		{"repeat of an idempotent request", repeat(routing.Idempotent, func(*Attempt) {}), Allowed},
+		{"repeat of a non-idempotent request", repeat(routing.NonIdempotent, func(*Attempt) {}), MayHaveRun},
+		{"prefill of a non-idempotent request", repeat(routing.NonIdempotent, func(a *Attempt) {
+			a.Executes = false
+		}), Allowed},
+		{"repeat by key outside the dedup scope", repeat(routing.IdempotentByKey, func(a *Attempt) {
+			a.DedupWindow = time.Second
+		}), MayHaveRun},
+		{"repeat by key at the window's end", repeat(routing.IdempotentByKey, func(a *Attempt) {
+			a.InDedupScope, a.DedupWindow = true, MaxStall
 		}), DedupWindowExpired},
-		{with(func(s *Attempt) {
-			s.MayHaveRun, s.Idempotency, s.InDedupScope, s.DedupWindow = true, routing.IdempotentByKey, true, MaxStall+1
+		{"repeat by key within the window", repeat(routing.IdempotentByKey, func(a *Attempt) {
+			a.InDedupScope, a.DedupWindow = true, MaxStall+1
 		}), Allowed},
-		{FirstByte{TimeLeft: 1}, Allowed}, {FirstByte{Withdrawn: true, TimeLeft: 1}, Withdrawn}, {FirstByte{ClientGone: true, TimeLeft: 1}, ClientDisconnected},
-		{FirstByte{}, DeadlineExceeded}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: MaxStall}, DedupWindowExpired}, {FirstByte{TimeLeft: 1, Retry: true, DedupWindow: second}, Allowed},
-		{CloseConnection{AwaitingBytes: true}, Allowed}, {CloseConnection{AwaitingBytes: true, RequestOpen: true}, RequestUnanswered}, {CloseConnection{}, RequestArriving},
-		{CloseConnection{AwaitingBytes: true, PartialRequest: true, Idle: 1, PartialRequestTimeout: 2}, RequestArriving}, {CloseConnection{AwaitingBytes: true, PartialRequest: true, Idle: 2, PartialRequestTimeout: 2}, Allowed},
-		{CloseConnection{AwaitingBytes: true, PartialRequest: true, Idle: 2, Cause: AtShutdown}, RequestArriving},
-		{CloseConnection{AwaitingBytes: true, UnreadBytes: true, Cause: ForDrain}, UnreadBytes}, {CloseConnection{AwaitingBytes: true, UnreadBytes: true, Cause: AtShutdown}, Allowed},
-		{FinalAnswer{}, Allowed}, {FinalAnswer{Answered: true}, AlreadyAnswered},
-	} {
-		if got := c.ask.Check(); got != c.want {
-			t.Errorf("%T%+v: %v, want %v", c.ask, c.ask, got, c.want)
+	})
+}
+
+func TestFirstByteCheck(t *testing.T) {
+	runChecks(t, []checkCase{
+		{"no fact against it", FirstByte{TimeLeft: 1}, Allowed},
+		{"withdrawn", FirstByte{Withdrawn: true, TimeLeft: 1}, Withdrawn},
+		{"client gone", FirstByte{ClientGone: true, TimeLeft: 1}, ClientDisconnected},
+		{"no time remaining", FirstByte{}, DeadlineExceeded},
+		{"retry at the window's end", FirstByte{TimeLeft: 1, Retry: true, DedupWindow: MaxStall}, DedupWindowExpired},
+		{"retry within the window", FirstByte{TimeLeft: 1, Retry: true, DedupWindow: time.Second}, Allowed},
+	})
+}
+
+func TestCloseConnectionCheck(t *testing.T) {
+	partial := func(idle, timeout time.Duration, cause Cause) CloseConnection {
+		return CloseConnection{
+			AwaitingBytes: true, PartialRequest: true, Idle: idle, PartialRequestTimeout: timeout, Cause: cause,
 		}
 	}
+	unread := func(cause Cause) CloseConnection {
+		return CloseConnection{AwaitingBytes: true, UnreadBytes: true, Cause: cause}
+	}
+	runChecks(t, []checkCase{
+		{"idle", CloseConnection{AwaitingBytes: true}, Allowed},
+		{"request open", CloseConnection{AwaitingBytes: true, RequestOpen: true}, RequestUnanswered},
+		{"read bytes not parsed", CloseConnection{}, RequestArriving},
+		{"partial request within its timeout", partial(1, 2, ForCapacity), RequestArriving},
+		{"partial request after its timeout", partial(2, 2, ForCapacity), Allowed},
+		{"partial request at shutdown", partial(2, 0, AtShutdown), RequestArriving},
+		{"unread bytes at a drain", unread(ForDrain), UnreadBytes},
+		{"unread bytes at shutdown", unread(AtShutdown), Allowed},
+	})
+}
+
+func TestFinalAnswerCheck(t *testing.T) {
+	runChecks(t, []checkCase{
+		{"unanswered", FinalAnswer{}, Allowed},
+		{"answered", FinalAnswer{Answered: true}, AlreadyAnswered},
+	})
 }
 
-func TestAudit(t *testing.T) {
+func TestViolationCounterCountsByReason(t *testing.T) {
 	var none *ViolationCounter
 	none.Record(OperationSend, AttemptInFlight, "a")
-	var a ViolationCounter
-	a.Record(OperationSend, AttemptInFlight, "a")
-	a.Record(OperationSend, AttemptInFlight, "b")
-	a.Record(OperationClose, RequestUnanswered, "")
-	if none.Total() != 0 || a.Total() != 3 || a.String() != " violation_copy_out=2 violation_unanswered=1" {
-		t.Errorf("%d, %q", a.Total(), a.String())
+	var counter ViolationCounter
+	counter.Record(OperationSend, AttemptInFlight, "a")
+	counter.Record(OperationSend, AttemptInFlight, "b")
+	counter.Record(OperationClose, RequestUnanswered, "")
+	if none.Total() != 0 || counter.Total() != 3 || counter.String() != " violation_copy_out=2 violation_unanswered=1" {
+		t.Errorf("%d, %q", counter.Total(), counter.String())
 	}
 }
--- a/internal/precondition/violations.go
+++ b/internal/precondition/violations.go
@@ -7,50 +7,52 @@
 	"sync/atomic"
 )
 
-// Operation is what a violation was about to do, or has done.
+// ViolationCounter counts violations by reason. It is safe for concurrent use. A nil ViolationCounter counts nothing,
+// but Record still logs.
+type ViolationCounter struct {
+	counts [reasonCount]atomic.Int64
+}
+
+// Operation is the action of a violation.
 type Operation string
 
-// The acts.
+// The operations, as logs name them.
 const (
-	OperationSend   Operation = "send"
-	OperationClose  Operation = "close"
-	OperationAnswer Operation = "answer"
+	OperationSend   Operation = "send"   // of an attempt
+	OperationClose  Operation = "close"  // of a client's connection
+	OperationAnswer Operation = "answer" // a request's final answer
 )
 
-// ViolationCounter counts violations of the rules, by reason. It is safe for use by several goroutines; a nil one counts nothing.
-type ViolationCounter struct {
-	counts [reasonCount]atomic.Int64
-}
-
-// Record notes that a rule would have been broken by an act, or has been: something before should have prevented it.
-func (a *ViolationCounter) Record(act Operation, why Reason, id string) {
-	slog.Error("violation", "act", string(act), "why", why.String(), "id", id)
-	if a != nil && why < reasonCount {
-		a.counts[why].Add(1)
+// Record logs and counts that an operation would have broken an invariant, or has broken it: an earlier stage should
+// have prevented it. id names the request, or the connection's remote address.
+func (c *ViolationCounter) Record(operation Operation, reason Reason, id string) {
+	slog.Error("violation", "operation", string(operation), "reason", reason.String(), "id", id)
+	if c != nil && reason < reasonCount {
+		c.counts[reason].Add(1)
 	}
 }
 
-// Total is how many violations there were.
-func (a *ViolationCounter) Total() (n int64) {
-	if a == nil {
+// Total is the number of violations.
+func (c *ViolationCounter) Total() (total int64) {
+	if c == nil {
 		return 0
 	}
-	for i := range a.counts {
-		n += a.counts[i].Load()
+	for reason := range c.counts {
+		total += c.counts[reason].Load()
 	}
-	return n
+	return total
 }
 
-// String is the counters that are not 0, as the program's line of counters has them, each behind a space.
-func (a *ViolationCounter) String() string {
-	var out strings.Builder
-	if a == nil {
+// String is the counters that are not 0, in the form of the program's line of counters, each after a space.
+func (c *ViolationCounter) String() string {
+	if c == nil {
 		return ""
 	}
-	for i := range a.counts {
-		if n := a.counts[i].Load(); n > 0 {
-			fmt.Fprintf(&out, " violation_%s=%d", Reason(i), n)
+	var line strings.Builder
+	for reason := range c.counts {
+		if n := c.counts[reason].Load(); n > 0 {
+			fmt.Fprintf(&line, " violation_%s=%d", Reason(reason), n)
 		}
 	}
-	return out.String()
+	return line.String()
 }
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -96,13 +96,13 @@
 // mutants are faults that are built into the program, each on every layer that would keep it from showing.
 var programMutants = map[string][]replacement{
 	"an attempt after the client's close": {
-		{"internal/precondition/precondition.go", "case s.ClientGone:", "case false:"},
+		{"internal/precondition/precondition.go", "case a.ClientGone:", "case false:"},
 		{"internal/precondition/precondition.go", "case b.ClientGone:", "case false:"},
 		{"internal/dispatch/requests.go", "	case <-client.Done():\n		d.post(func() { d.clientDisconnected(q) })\n", ""},
 		{"internal/dispatch/requests.go", "if q.clientGone() {", "if false {"},
 	},
 	"a resend of what may have run": {
-		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
+		{"internal/precondition/precondition.go", "repeat := a.Executes && a.MayHaveRun", "repeat := false && a.MayHaveRun"},
 		{"routing/outcome.go", "		r.rejectOrFail(q, MayHaveRun, 0)\n		return", "		r.release(q, BeforePrefillRetry)\n		q.state = awaitingPrefill\n		r.advance(q)\n		return"},
 		{"routing/decode.go", "if c.Idempotency == Idempotent {", "if true {"},
 	},
