--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -7,28 +7,28 @@
 
 // A tenant's quota follows the router's part while that lasts, and falls back to the part for good after it.
 func TestPartOfAQuota(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
+	b := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
 	part := func() float64 { return b.r.ownFraction(100) }
 	if got := part(); got != 5 {
 		t.Errorf("%v without a word, want 5", got)
 	}
-	b.do(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
+	b.handle(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
 	if got := part(); got != 50 {
 		t.Errorf("%v of a half, want 50", got)
 	}
-	b.do(999*ms, TimerFired{})
+	b.handle(999*ms, TimerFired{})
 	if got := part(); got != 50 {
 		t.Errorf("%v before its end, want 50", got)
 	}
-	b.do(ms, TimerFired{})
+	b.handle(ms, TimerFired{})
 	if got := part(); got != 5 {
 		t.Errorf("%v after its end, want 5", got)
 	}
-	b.do(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it was old when it came
+	b.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it was old when it came
 	if got := part(); got != 5 {
 		t.Errorf("%v of one that had ended, want 5", got)
 	}
-	even := newBench(t, func(c *Config) { c.Routers = 4 })
+	even := newHarness(t, func(c *Config) { c.Routers = 4 })
 	if got := even.r.ownFraction(100); got != 25 {
 		t.Errorf("%v without budgets, want 25", got)
 	}
@@ -39,21 +39,21 @@
 	const routers, span = 100, 80 * time.Second
 	probes, sent := map[EndpointID]int{}, 0
 	for range routers {
-		b := newBench(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
+		b := newHarness(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
 		id := RequestID(0)
 		for end := b.now + span; b.now < end; {
 			id++
-			acts := b.do(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+			acts := b.handle(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 			for len(acts) > 0 {
 				a := acts[0]
 				acts = acts[1:]
 				switch a := a.(type) {
 				case PollLoad:
 					probes[a.Endpoint]++
-					acts = append(acts, b.do(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
+					acts = append(acts, b.handle(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
 				case Send:
 					sent++
-					acts = append(acts, b.do(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
+					acts = append(acts, b.handle(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
 				}
 			}
 		}
@@ -69,24 +69,24 @@
 	}
 }
 
-// fails takes a request to a reader that fails it.
-func (b *bench) fails(id RequestID, class int) []Action {
+// failPrefill takes a request to a reader that failPrefill it.
+func (b *harness) failPrefill(id RequestID, class int) []Action {
 	b.Helper()
-	return b.do(5*ms, AttemptEnded{Request: id, Endpoint: b.sent(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
+	return b.handle(5*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
 }
 
 // Repeats are a part of first tries and a few besides; what is beyond is refused at once with when to come back. Critical
 // requests have what others leave.
 func TestRepeatsAreLimited(t *testing.T) {
-	b := newBench(t, func(c *Config) {
+	b := newHarness(t, func(c *Config) {
 		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
 	})
 	again := map[bool]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		acts := b.fails(id, 0)
-		again[has[Send](acts)]++
-		if has[Send](acts) {
-			b.do(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: b.sent(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
+		acts := b.failPrefill(id, 0)
+		again[containsAction[Send](acts)]++
+		if containsAction[Send](acts) {
+			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
 		} else {
 			r, ok := acts[len(acts)-1].(Reject)
 			if !ok || r.RetryAfter < 200*ms || r.RetryAfter > 400*ms {
@@ -97,18 +97,18 @@
 	if again[true] < 1 || again[true] > 4 {
 		t.Errorf("%d of 20 were tried again", again[true])
 	}
-	acts := b.fails(100, 1)
-	if !has[Send](acts) {
+	acts := b.failPrefill(100, 1)
+	if !containsAction[Send](acts) {
 		t.Error("a critical request is not tried again though something was kept for it")
 	}
-	b.do(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: b.sent(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
-	b.do(time.Minute, TimerFired{}) // the readers' failures are forgotten too
-	if acts := b.fails(200, 0); !has[Send](acts) {
+	b.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
+	b.handle(time.Minute, TimerFired{}) // the readers' failures are forgotten too
+	if acts := b.failPrefill(200, 0); !containsAction[Send](acts) {
 		t.Errorf("%+v: not tried again though the budget has filled", acts)
 	}
-	off := newBench(t, nil)
+	off := newHarness(t, nil)
 	for id := RequestID(1); id <= 20; id++ {
-		if !has[Send](off.fails(id, 0)) {
+		if !containsAction[Send](off.failPrefill(id, 0)) {
 			t.Fatal("limited without a budget")
 		}
 	}
@@ -116,19 +116,19 @@
 
 // An unsafe request that may have run is never refused for want of a repeat: that would promise that nothing ran.
 func TestNoRepeatLeftIsNoPromise(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
+	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
 	for id := RequestID(1); id < 5; id++ {
-		b.fails(id, 1)
+		b.failPrefill(id, 1)
 	}
-	_, w := b.reads(10, 1)
-	if acts := b.do(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); has[Reject](acts) || has[Send](acts) || !has[Fail](acts) {
+	_, w := b.completePrefill(10, 1)
+	if acts := b.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
 		t.Errorf("%+v", acts)
 	}
 }
 
 // A retune keeps the budgets: they are the fleet's, not the settings'.
 func TestRetuneKeepsBudgets(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
+	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
 	if err := b.r.Reconfigure(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Fraction != 0.1 {
 		t.Errorf("%+v, %v", b.r.cfg.Budgets, err)
 	}
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -20,7 +20,7 @@
 	left := q.deadline - r.now
 	limit := left
 	// A silent writer is left while there is time for another, where a repeat is allowed.
-	if r.cfg.Classes[q.Class].Idempotency == Idempotent && left > 2*minDecodeTimeout && q.attempts+1 < r.attempts(q) {
+	if r.cfg.Classes[q.Class].Idempotency == Idempotent && left > 2*minDecodeTimeout && q.attempts+1 < r.maxAttempts(q) {
 		limit = max(left/2, minDecodeTimeout)
 	}
 	q.state, q.ownAttemptsAhead = decoding, float64(len(s.pending))
@@ -57,7 +57,7 @@
 		if r.rampFraction(s) < 1 {
 			flow := 1.0 // the part of all states that the cell's readers send, also if others do not answer
 			if s.cell.readyPrefillCapacity > 0 {
-				flow = max(s.cell.readyPrefillCapacity/r.total.readyPrefillCapacity, s.cell.prefillCapacity/max(r.total.prefillCapacity, 1e-9))
+				flow = max(s.cell.readyPrefillCapacity/r.totalCapacity.readyPrefillCapacity, s.cell.prefillCapacity/max(r.totalCapacity.prefillCapacity, 1e-9))
 			}
 			if s.cell.readyPrefillCapacity > 0 && (!near || spill) || !r.takeSlowStartTurn(s, q, flow, 0) {
 				continue
@@ -67,7 +67,7 @@
 				return s
 			}
 		}
-		tier, wait, spread := 0.0, r.decodeWait(s), 0.0
+		tier, wait, spread := 0.0, r.decodeWaitMS(s), 0.0
 		switch {
 		case !usable:
 			tier = 8
@@ -110,9 +110,9 @@
 	return f
 }
 
-// maxStall is how much sooner a window for repeats is over than its time: a process may be held up for 0.15 s
+// maxProcessStall is how much sooner a window for repeats is over than its time: a process may be held up for 0.15 s
 // between a decision and the bytes that follow from it, and its connection may have to settle.
-const maxStall = 200 * ms
+const maxProcessStall = 200 * ms
 
 // canRetryOn reports whether a request that may have run may go to the server.
 func (r *Router) canRetryOn(q *request, s *replica) bool {
@@ -121,7 +121,7 @@
 		return true
 	}
 	on := r.byID[q.mayHaveRunOn]
-	if c.Idempotency == NonIdempotent || on == nil || r.now+maxStall >= q.mayHaveRunAt+c.DedupWindow {
+	if c.Idempotency == NonIdempotent || on == nil || r.now+maxProcessStall >= q.mayHaveRunAt+c.DedupWindow {
 		return false
 	}
 	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && s.Zone == on.Zone ||
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -12,65 +12,65 @@
 // The driver feeds a Router legal events drawn from a seed and checks the five rules on its actions.
 // It is no model of servers: outcomes and delays are drawn, whatever was sent.
 
-// fallAfter is the window over which the cold-start rule is counted.
-const fallAfter = 3 * time.Second
+// slowStartWindow is the window over which the cold-start rule is counted.
+const slowStartWindow = 3 * time.Second
 
-type due struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type agenda []due
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	x := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return x
 }
 
-// watched is what the checks know of one request.
-type watched struct {
+// trackedRequest is what the checks know of one request.
+type trackedRequest struct {
 	RequestArrived
-	deadline  time.Duration
-	out       int // attempts out,
-	arrived   int // those of them that have reached a running server,
-	waiting   int // and a writer among them, which waits for the state
-	attempts  int
-	answered  bool
-	finished  bool
-	ran       bool
-	ranAt     time.Duration
-	ranOn     EndpointID
-	held      bool
-	free      time.Duration // end of the last attempt that arrived
-	streaming bool
+	deadline          time.Duration
+	attemptsOut       int // attempts out,
+	attemptsAtReplica int // those of them that have reached a running server,
+	decodesAtReplica  int // and a writer among them, which waits for the state
+	attempts          int
+	answered          bool
+	finished          bool
+	mayHaveRun        bool
+	mayHaveRunAt      time.Duration
+	mayHaveRunOn      EndpointID
+	reserved          bool
+	lastArrivedEnd    time.Duration // end of the last attempt that arrived
+	streaming         bool
 }
 
 type driver struct {
-	t       testing.TB
-	rng     *rand.Rand
-	cfg     Config
-	r       *Router
-	now     time.Duration
-	agenda  agenda
-	seq     int
-	reqs    map[RequestID]*watched
-	servers map[EndpointID]*Endpoint
-	sick    map[EndpointID]bool
-	cold    map[EndpointID][]time.Duration // sends while cold
-	sends   int
-	spoil   func(Action) []Action // tampers with actions, to show that the checks can fail
-	broken  []string
-	nextID  RequestID
-	counts  map[Outcome]int
-	most    [2]int // most servers ready in a list since the router's start, by kind
+	t          testing.TB
+	rng        *rand.Rand
+	cfg        Config
+	r          *Router
+	now        time.Duration
+	agenda     eventQueue
+	seq        int
+	requests   map[RequestID]*trackedRequest
+	servers    map[EndpointID]*Endpoint
+	unhealthy  map[EndpointID]bool
+	coldSends  map[EndpointID][]time.Duration // sends while cold
+	sends      int
+	intercept  func(Action) []Action // tampers with actions, to show that the checks can fail
+	violations []string
+	nextID     RequestID
+	counts     map[Outcome]int
+	maxReady   [2]int // most servers ready in a list since the router's start, by kind
 }
 
 func testConfig() Config {
@@ -96,31 +96,31 @@
 func newDriver(t testing.TB, seed uint64) *driver {
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
-		reqs: map[RequestID]*watched{}, servers: map[EndpointID]*Endpoint{}, sick: map[EndpointID]bool{},
-		cold: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
+		requests: map[RequestID]*trackedRequest{}, servers: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
+		coldSends: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
 	}
-	d.boot()
+	d.restart()
 	return d
 }
 
-// boot starts the router anew with the last list; what it held is void.
-func (d *driver) boot() {
+// restart starts the router anew with the last list; what it held is void.
+func (d *driver) restart() {
 	r, err := New(d.cfg, d.rng.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.r, d.agenda, d.reqs = r, nil, map[RequestID]*watched{}
+	d.r, d.agenda, d.requests = r, nil, map[RequestID]*trackedRequest{}
 	if len(d.servers) == 0 {
 		for i := range 12 {
 			id := EndpointID(100 + 7*i)
 			d.servers[id] = &Endpoint{ID: id, Zone: i / 6, Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1}
 		}
 	}
-	d.most = [2]int{1, 1}
+	d.maxReady = [2]int{1, 1}
 	d.countReady()
-	d.handle(EndpointUpdate{Full: true, Endpoints: d.list()})
+	d.handle(EndpointUpdate{Full: true, Endpoints: d.endpointList()})
 	d.after(0, d.arrive)
-	d.after(time.Second, d.trouble)
+	d.after(time.Second, d.injectFault)
 }
 
 func (d *driver) countReady() {
@@ -131,11 +131,11 @@
 		}
 	}
 	for i := range n {
-		d.most[i] = max(d.most[i], n[i])
+		d.maxReady[i] = max(d.maxReady[i], n[i])
 	}
 }
 
-func (d *driver) list() []Endpoint {
+func (d *driver) endpointList() []Endpoint {
 	var out []Endpoint
 	for _, s := range d.servers {
 		out = append(out, *s)
@@ -146,20 +146,20 @@
 
 func (d *driver) after(dt time.Duration, do func()) {
 	d.seq++
-	heap.Push(&d.agenda, due{d.now + dt, d.seq, do})
+	heap.Push(&d.agenda, scheduledEvent{d.now + dt, d.seq, do})
 }
 
 func (d *driver) run(until time.Duration) {
 	for len(d.agenda) > 0 && d.agenda[0].at < until {
-		x := heap.Pop(&d.agenda).(due)
+		x := heap.Pop(&d.agenda).(scheduledEvent)
 		d.now = x.at
 		x.do()
-		d.checkHeld()
+		d.checkReservations()
 	}
 }
 
-func (d *driver) breaks(format string, args ...any) {
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
+func (d *driver) violation(format string, args ...any) {
+	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
 func (d *driver) arrive() {
@@ -172,30 +172,30 @@
 		MaxOutputTokens: 200, TimeLeft: left,
 	}
 	a.SharedPrefixTokens = a.PromptTokens / 2
-	q := &watched{RequestArrived: a, deadline: d.now + left}
-	d.reqs[a.Request] = q
+	q := &trackedRequest{RequestArrived: a, deadline: d.now + left}
+	d.requests[a.Request] = q
 	d.handle(a)
 	id := a.Request
 	if d.rng.IntN(10) == 0 {
 		d.after(time.Duration(d.rng.IntN(1500))*ms, func() {
-			if q := d.reqs[id]; q != nil && !q.answered && !q.finished {
+			if q := d.requests[id]; q != nil && !q.answered && !q.finished {
 				q.finished = true
 				d.handle(ClientGone{id})
 			}
 		})
 	}
 	d.after(left+8*ms, func() {
-		if q := d.reqs[id]; q != nil && !q.answered && !q.finished && !q.streaming {
-			d.breaks("rule 1: request %d has no answer in time", id)
+		if q := d.requests[id]; q != nil && !q.answered && !q.finished && !q.streaming {
+			d.violation("rule 1: request %d has no answer in time", id)
 			q.finished = true
 		}
 	})
 }
 
-// trouble draws what befalls servers and the list.
-func (d *driver) trouble() {
-	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.trouble)
-	list := d.list()
+// injectFault draws what befalls servers and the list.
+func (d *driver) injectFault() {
+	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.injectFault)
+	list := d.endpointList()
 	s := d.servers[list[d.rng.IntN(len(list))].ID]
 	switch d.rng.IntN(6) {
 	case 0:
@@ -204,15 +204,15 @@
 		s.State = Gone
 	case 2:
 		s.State, s.Started = Ready, d.now
-		d.cold[s.ID] = nil
+		d.coldSends[s.ID] = nil
 	case 3, 4:
 		s.State = Ready
 	case 5:
-		d.sick[s.ID] = !d.sick[s.ID]
+		d.unhealthy[s.ID] = !d.unhealthy[s.ID]
 	}
 	d.countReady()
 	if d.rng.IntN(3) == 0 {
-		d.handle(EndpointUpdate{Full: true, Endpoints: slices.DeleteFunc(d.list(), func(s Endpoint) bool { return s.State == Gone })})
+		d.handle(EndpointUpdate{Full: true, Endpoints: slices.DeleteFunc(d.endpointList(), func(s Endpoint) bool { return s.State == Gone })})
 	} else {
 		d.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	}
@@ -221,8 +221,8 @@
 func (d *driver) handle(ev Event) {
 	for _, a := range d.r.Handle(d.now, ev, nil) {
 		acts := []Action{a}
-		if d.spoil != nil {
-			acts = d.spoil(a)
+		if d.intercept != nil {
+			acts = d.intercept(a)
 		}
 		for _, a := range acts {
 			d.check(a)
@@ -235,13 +235,13 @@
 	case Send:
 		d.checkSend(a)
 	case Release:
-		if q := d.reqs[a.Request]; q != nil && q.waiting == 0 {
-			q.held = false // what an attempt waits for stays
+		if q := d.requests[a.Request]; q != nil && q.decodesAtReplica == 0 {
+			q.reserved = false // what an attempt waits for stays
 		}
 	case Reject:
-		if q := d.reqs[a.Request]; q != nil && q.ran &&
+		if q := d.requests[a.Request]; q != nil && q.mayHaveRun &&
 			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != ScopeAll) {
-			d.breaks("rule 2: request %d was refused after it may have run", a.Request)
+			d.violation("rule 2: request %d was refused after it may have run", a.Request)
 		}
 		d.answer(a.Request)
 	case Fail:
@@ -252,9 +252,9 @@
 }
 
 func (d *driver) answer(id RequestID) {
-	q := d.reqs[id]
-	if q == nil || q.answered || q.finished || q.out > 0 {
-		d.breaks("rule 1: request %d was answered twice, after its end or with an attempt out", id)
+	q := d.requests[id]
+	if q == nil || q.answered || q.finished || q.attemptsOut > 0 {
+		d.violation("rule 1: request %d was answered twice, after its end or with an attempt out", id)
 		return
 	}
 	q.answered = true
@@ -262,64 +262,64 @@
 
 func (d *driver) checkSend(a Send) {
 	d.sends++
-	q, s := d.reqs[a.Request], d.servers[a.Endpoint]
+	q, s := d.requests[a.Request], d.servers[a.Endpoint]
 	if q == nil || q.answered || q.finished {
-		d.breaks("rule 1: request %d was sent after its end", a.Request)
+		d.violation("rule 1: request %d was sent after its end", a.Request)
 		return
 	}
 	if s == nil || s.State != Ready {
-		d.breaks("rule 3: request %d went to a server that is not ready", a.Request)
+		d.violation("rule 3: request %d went to a server that is not ready", a.Request)
 	}
-	if q.out > 0 {
-		d.breaks("rule 2: request %d has two attempts out", a.Request)
+	if q.attemptsOut > 0 {
+		d.violation("rule 2: request %d has two attempts out", a.Request)
 	}
-	if q.ran && d.cfg.Kinds[s.Kind].Role != Prefill {
-		d.checkRepeat(q, s)
+	if q.mayHaveRun && d.cfg.Kinds[s.Kind].Role != Prefill {
+		d.checkRetry(q, s)
 	}
 	if s.Started > 0 && d.now-s.Started < d.cfg.SlowStartDuration {
-		d.checkCold(s)
+		d.checkSlowStart(s)
 	}
-	q.out++
+	q.attemptsOut++
 	attempt := q.attempts
 	q.attempts++
 	if q.attempts > d.cfg.MaxAttempts {
-		d.breaks("request %d has more attempts than allowed", a.Request)
+		d.violation("request %d has more attempts than allowed", a.Request)
 	}
 	d.schedule(q, s, attempt, a.Timeout)
 }
 
-func (d *driver) checkRepeat(q *watched, s *Endpoint) {
-	c, on := d.cfg.Classes[q.Class], d.servers[q.ranOn]
+func (d *driver) checkRetry(q *trackedRequest, s *Endpoint) {
+	c, on := d.cfg.Classes[q.Class], d.servers[q.mayHaveRunOn]
 	switch {
 	case c.Idempotency == Idempotent:
 	case c.Idempotency == NonIdempotent:
-		d.breaks("rule 2: unsafe request %d was sent again after it may have run", q.Request)
-	case d.now > q.ranAt+c.DedupWindow:
-		d.breaks("rule 2: keyed request %d was sent again past its window", q.Request)
+		d.violation("rule 2: unsafe request %d was sent again after it may have run", q.Request)
+	case d.now > q.mayHaveRunAt+c.DedupWindow:
+		d.violation("rule 2: keyed request %d was sent again past its window", q.Request)
 	case c.DedupScope == ScopeCell && s.Cell != on.Cell, c.DedupScope == ScopeZone && s.Zone != on.Zone:
-		d.breaks("rule 2: keyed request %d was sent again outside its group", q.Request)
+		d.violation("rule 2: keyed request %d was sent again outside its group", q.Request)
 	}
 }
 
-// checkCold holds a cold server's sends to this router's even part of what the rule allows, by the
+// checkSlowStart holds a cold server's sends to this router's even part of what the rule allows, by the
 // rate of all sends so far.
-func (d *driver) checkCold(s *Endpoint) {
-	list := append(d.cold[s.ID], d.now)
-	list = slices.DeleteFunc(list, func(at time.Duration) bool { return at < d.now-fallAfter })
-	d.cold[s.ID] = list
+func (d *driver) checkSlowStart(s *Endpoint) {
+	list := append(d.coldSends[s.ID], d.now)
+	list = slices.DeleteFunc(list, func(at time.Duration) bool { return at < d.now-slowStartWindow })
+	d.coldSends[s.ID] = list
 	age := float64(d.now-s.Started) / float64(d.cfg.SlowStartDuration)
 	warmth := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
 	// Arrivals a second for each server of the role, by the most that this router was ever told of: of
 	// servers that its lists never named it can know nothing.
-	normal := 25.0 / float64(d.most[s.Kind])
-	allowed := d.cfg.OverloadMultiple*warmth*normal*fallAfter.Seconds() + 2
+	normal := 25.0 / float64(d.maxReady[s.Kind])
+	allowed := d.cfg.OverloadMultiple*warmth*normal*slowStartWindow.Seconds() + 2
 	if float64(len(list)) > allowed {
-		d.breaks("rule 4: cold server %d of kind %d got %d sends of %.1f", s.ID, s.Kind, len(list), allowed)
+		d.violation("rule 4: cold server %d of kind %d got %d sends of %.1f", s.ID, s.Kind, len(list), allowed)
 	}
 }
 
 // schedule draws how an attempt ends.
-func (d *driver) schedule(q *watched, s *Endpoint, attempt int, timeout time.Duration) {
+func (d *driver) schedule(q *trackedRequest, s *Endpoint, attempt int, timeout time.Duration) {
 	left := q.deadline - d.now
 	if timeout <= 0 || timeout > left {
 		timeout = left
@@ -331,7 +331,7 @@
 	if role != Prefill {
 		o = Served
 	}
-	if d.rng.IntN(5) == 0 || d.sick[s.ID] {
+	if d.rng.IntN(5) == 0 || d.unhealthy[s.ID] {
 		o = outcomes[d.rng.IntN(len(outcomes))]
 	}
 	if o == TimedOut || took > timeout {
@@ -340,31 +340,31 @@
 	arrives := o.reachedReplica() || o == ConnectionReset || o == TimedOut && d.rng.IntN(2) == 0
 	waits := arrives && role != Prefill
 	if arrives {
-		q.arrived++
+		q.attemptsAtReplica++
 	}
 	if waits {
-		q.waiting++
+		q.decodesAtReplica++
 	}
 	end := func(o Outcome, final bool) {
 		e := AttemptEnded{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Outcome: o, Elapsed: took, CachedTokens: q.PromptTokens / 3}
 		if d.rng.IntN(3) == 0 {
 			e.Load = &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1}
 		}
-		q.out--
+		q.attemptsOut--
 		d.counts[o]++
 		q.finished = q.finished || final
 		e.Final = q.finished || q.answered
 		lost := role == Prefill && arrives && (o == TimedOut || o == ConnectionReset) // it may have ended well all the same
-		q.held = q.held && o != Served || o == PrefillDone || lost
+		q.reserved = q.reserved && o != Served || o == PrefillDone || lost
 		if waits {
-			q.waiting--
+			q.decodesAtReplica--
 		}
 		if arrives {
-			q.arrived--
-			q.free = d.now
+			q.attemptsAtReplica--
+			q.lastArrivedEnd = d.now
 		}
-		if role != Prefill && !o.NeverRan() && !q.ran {
-			q.ran, q.ranAt, q.ranOn = true, d.now-took, s.ID
+		if role != Prefill && !o.NeverRan() && !q.mayHaveRun {
+			q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, d.now-took, s.ID
 		}
 		d.handle(e)
 	}
@@ -389,14 +389,14 @@
 	})
 }
 
-func (d *driver) checkHeld() {
-	for id, q := range d.reqs {
-		if q.arrived == 0 && q.held && d.now > q.free+d.cfg.ReservationTTL+8*ms {
-			d.breaks("rule 5: request %d is left pinned", id)
-			q.held = false
+func (d *driver) checkReservations() {
+	for id, q := range d.requests {
+		if q.attemptsAtReplica == 0 && q.reserved && d.now > q.lastArrivedEnd+d.cfg.ReservationTTL+8*ms {
+			d.violation("rule 5: request %d is left pinned", id)
+			q.reserved = false
 		}
-		if q.out == 0 && !q.held && (q.answered || q.finished) && d.now > q.deadline+time.Second {
-			delete(d.reqs, id)
+		if q.attemptsOut == 0 && !q.reserved && (q.answered || q.finished) && d.now > q.deadline+time.Second {
+			delete(d.requests, id)
 		}
 	}
 }
@@ -409,11 +409,11 @@
 		for d.now < time.Hour+10*time.Minute {
 			d.run(d.now + time.Minute)
 			if seed%2 == 1 {
-				d.boot() // the router is killed and comes back with its last list
+				d.restart() // the router is killed and comes back with its last list
 			}
 		}
-		if len(d.broken) > 0 {
-			t.Errorf("seed %d: %d breaks, first: %s", seed, len(d.broken), d.broken[0])
+		if len(d.violations) > 0 {
+			t.Errorf("seed %d: %d breaks, first: %s", seed, len(d.violations), d.violations[0])
 		}
 		if d.sends < 5000 {
 			t.Errorf("seed %d: only %d sends", seed, d.sends)
@@ -454,7 +454,7 @@
 		"rule 3": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.list() {
+					for _, x := range d.endpointList() {
 						if x.State != Ready && x.Kind == d.servers[s.Endpoint].Kind {
 							s.Endpoint = x.ID
 						}
@@ -467,7 +467,7 @@
 		"rule 4": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.list() {
+					for _, x := range d.endpointList() {
 						if x.State == Ready && x.Kind == d.servers[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
 							s.Endpoint = x.ID // herd to the coldest
 						}
@@ -487,10 +487,10 @@
 		},
 	} {
 		d := newDriver(t, 3)
-		d.spoil = spoil(d)
+		d.intercept = spoil(d)
 		d.run(d.now + 10*time.Minute)
-		if !slices.ContainsFunc(d.broken, func(s string) bool { return s[:6] == rule }) {
-			t.Errorf("a broken %s was not caught (%d breaks)", rule, len(d.broken))
+		if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == rule }) {
+			t.Errorf("a broken %s was not caught (%d breaks)", rule, len(d.violations))
 		}
 	}
 }
@@ -498,15 +498,15 @@
 // A module that takes a send for out before it has arrived is caught too.
 func TestChecksCatchSendsThatDoNotArrive(t *testing.T) {
 	d := newDriver(t, 3)
-	d.spoil = func(a Action) []Action {
+	d.intercept = func(a Action) []Action {
 		if release, ok := a.(Release); ok && release.Reason == ReservationExpired {
 			return nil
 		}
 		return []Action{a}
 	}
 	d.run(d.now + 10*time.Minute)
-	if !slices.ContainsFunc(d.broken, func(s string) bool { return s[:6] == "rule 5" }) {
-		t.Errorf("not caught (%d breaks)", len(d.broken))
+	if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == "rule 5" }) {
+		t.Errorf("not caught (%d breaks)", len(d.violations))
 	}
 }
 
@@ -515,7 +515,7 @@
 	trace := func() string {
 		d := newDriver(t, 5)
 		var out []byte
-		d.spoil = func(a Action) []Action {
+		d.intercept = func(a Action) []Action {
 			out = fmt.Appendf(out, "%d %T %v\n", d.now, a, a)
 			return []Action{a}
 		}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -64,31 +64,31 @@
 
 // sumCapacity sums up the cells for a decision about a class, in two passes over the servers.
 func (r *Router) sumCapacity(class int) {
-	none := cell{minDecodeWait: math.Inf(1)}
+	none := cellCapacity{minDecodeWaitMS: math.Inf(1)}
 	for _, s := range r.active {
 		*s.cell = none
 	}
-	r.total = none
+	r.totalCapacity = none
 	r.prefillModel.solve(r.now)
 	r.decodeModel.solve(r.now)
 	for _, s := range r.active {
 		weight := r.effectiveWeight(s)
 		if s.role == Prefill && s.State == Ready {
 			s.cell.readyPrefillCapacity += weight
-			r.total.readyPrefillCapacity += weight
+			r.totalCapacity.readyPrefillCapacity += weight
 		}
 		if !r.healthy(s, class) {
 			continue
 		}
 		if s.role == Prefill {
 			s.cell.prefillCapacity += weight
-			r.total.prefillCapacity += weight
+			r.totalCapacity.prefillCapacity += weight
 			continue
 		}
 		s.cell.decodeCapacity += weight
-		r.total.decodeCapacity += weight
-		w := r.decodeWait(s)
-		s.cell.minDecodeWait, r.total.minDecodeWait = min(s.cell.minDecodeWait, w), min(r.total.minDecodeWait, w)
+		r.totalCapacity.decodeCapacity += weight
+		w := r.decodeWaitMS(s)
+		s.cell.minDecodeWaitMS, r.totalCapacity.minDecodeWaitMS = min(s.cell.minDecodeWaitMS, w), min(r.totalCapacity.minDecodeWaitMS, w)
 	}
 	if r.toggleFallback() {
 		r.sumCapacity(class)
@@ -99,10 +99,10 @@
 // its writers can then take if all servers are used evenly. Few of a cell's servers are ever seen busy
 // by one router among many, so the list must tell that a cell has too few writers. It could do harm
 // where weights in the list mean nothing.
-func (r *Router) cellPreference(c *cell) (pull, room float64) {
+func (r *Router) cellPreference(c *cellCapacity) (pull, room float64) {
 	bears := math.Inf(1)
-	if c.prefillCapacity > 0 && r.total.decodeCapacity > 0 {
-		bears = c.decodeCapacity / r.total.decodeCapacity * r.total.prefillCapacity / c.prefillCapacity
+	if c.prefillCapacity > 0 && r.totalCapacity.decodeCapacity > 0 {
+		bears = c.decodeCapacity / r.totalCapacity.decodeCapacity * r.totalCapacity.prefillCapacity / c.prefillCapacity
 	}
 	pull = clamp(bears, minCellPreference, 1)
 	return pull, bears / pull
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -20,7 +20,7 @@
 	if home {
 		most = max(most, float64(min(q.SharedPrefixTokens, q.PromptTokens)))
 	}
-	return int(most * r.cacheHitRatio.mean(r.now, 1, priorWeight))
+	return int(most * r.cacheHitRatio.mean(r.now, 1, priorSamples))
 }
 
 // prefixReplicas is how many readers should keep the request's shared beginning, by its part of what arrives,
@@ -28,12 +28,12 @@
 func (r *Router) prefixReplicas(q *request) float64 {
 	part := 0.0
 	if t := r.prefixCache[q.SharedPrefix]; t != nil {
-		part = max(t.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorWeight)
+		part = max(t.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorRequests)
 	}
 	return math.Exp2(math.Floor(math.Log2(1 + part*float64(r.maxReady[Prefill])/maxPrefixShare)))
 }
 
-const notPrefixReplica = 1e6 // a rank past those of all homes
+const notPrefixReplicaRank = 1e6 // a rank past those of all homes
 
 // rendezvousRank orders the readers for a request's keys alike at all routers, so that texts are found kept
 // without a word between them: among the homes of the shared beginning by the session, then the rest.
@@ -43,15 +43,15 @@
 	weight := r.effectiveWeight(s) * pull
 	if q.SharedPrefix != 0 {
 		if x := exponentialDraw(q.SharedPrefix, s.ID) / weight * float64(r.maxReady[Prefill]) / homes; x > 1 {
-			return notPrefixReplica + x
+			return notPrefixReplicaRank + x
 		}
 	}
 	return exponentialDraw(q.Session, s.ID) / weight
 }
 
-// overdueBy is how far the oldest attempt out at the server has overstayed, in ms. It guards against
+// overdueMS is how far the oldest attempt out at the server has overstayed, in ms. It guards against
 // silent and slowed servers before any time-out fires.
-func (r *Router) overdueBy(s *replica) float64 {
+func (r *Router) overdueMS(s *replica) float64 {
 	if len(s.pending) == 0 {
 		return 0
 	}
@@ -68,32 +68,32 @@
 		queue = s.reportedBacklog * r.prefillModel.coefficients[1]
 	}
 	warmth := r.rampFraction(s)
-	common := max(r.prefillModel.coefficients[0]-initialPrefillBase, 0)
+	common := max(r.prefillModel.coefficients[0]-initialPrefillBaseMS, 0)
 	cost = r.prefillModel.coefficients[0] + r.prefillModel.coefficients[1]*missed - common
 	if r.cfg.CanPollLoad && r.now-s.loadReportedAt <= loadMaxAge {
-		return s.reportedQueue*r.perQueuedRequest.mean(r.now, initialPerQueuedRequest, priorWeight)/warmth + r.overdueBy(s), cost / warmth
+		return s.reportedQueue*r.perQueuedRequest.mean(r.now, initialPerQueuedRequestMS, priorSamples)/warmth + r.overdueMS(s), cost / warmth
 	}
-	queue += common + r.commonQueueDelay.mean(r.now, 0, commonDelayPriorWeight)
-	queue = max(queue+s.queueDelay.mean(r.now, 0, priorWeight), 0) + r.overdueBy(s)
+	queue += common + r.commonQueueDelay.mean(r.now, 0, commonDelayPriorSamples)
+	queue = max(queue+s.queueDelay.mean(r.now, 0, priorSamples), 0) + r.overdueMS(s)
 	return queue, cost / warmth
 }
 
-// decodeWait is what a writer adds to the estimate: nothing unless it is near full by its report, by
+// decodeWaitMS is what a writer adds to the estimate: nothing unless it is near full by its report, by
 // having turned us away, or by the first tokens that we wait for there.
-func (r *Router) decodeWait(s *replica) float64 {
-	w := s.firstTokenDelay.mean(r.now, 0, priorWeight)
+func (r *Router) decodeWaitMS(s *replica) float64 {
+	w := s.firstTokenDelay.mean(r.now, 0, priorSamples)
 	if len(s.pending) > 0 {
 		w = max(w, toMS(r.now-s.pending[0].sentAt), r.decodeModel.predict([3]float64{1, 0, float64(len(s.pending))}))
 	}
-	if r.now < s.fullUntil || w > nearFullWait || s.reportedMemory > nearFullMemory && r.loadKnown(s) {
+	if r.now < s.fullUntil || w > nearFullWaitMS || s.reportedMemory > nearFullMemoryFraction && r.loadKnown(s) {
 		return max(w, toMS(s.fullUntil-r.now))
 	}
 	return 0
 }
 
-// cellDecodeWait is the least wait among the writers of a reader's cell, else among all.
-func (r *Router) cellDecodeWait(c *cell) float64 {
-	w := min(c.minDecodeWait, r.total.minDecodeWait+nearFullWait)
+// cellDecodeWaitMS is the least wait among the writers of a reader's cell, else among all.
+func (r *Router) cellDecodeWaitMS(c *cellCapacity) float64 {
+	w := min(c.minDecodeWaitMS, r.totalCapacity.minDecodeWaitMS+nearFullWaitMS)
 	if math.IsInf(w, 1) {
 		return 0
 	}
--- a/routing/estimators.go
+++ b/routing/estimators.go
@@ -14,9 +14,9 @@
 	timeConstant time.Duration
 }
 
-// remaining is the part of the evidence that has not faded. Of most servers of a large list there is none: an exponential for each of them at
+// decayFactor is the part of the evidence that has not faded. Of most servers of a large list there is none: an exponential for each of them at
 // each decision would be most of what the router does.
-func (e *decayedMean) remaining(now time.Duration) float64 {
+func (e *decayedMean) decayFactor(now time.Duration) float64 {
 	if e.samples == 0 && e.sum == 0 {
 		return 0
 	}
@@ -24,14 +24,14 @@
 }
 
 func (e *decayedMean) add(now time.Duration, x float64) {
-	f := e.remaining(now)
+	f := e.decayFactor(now)
 	e.sum, e.samples, e.updatedAt = e.sum*f+x, e.samples*f+1, now
 }
 
-func (e *decayedMean) count(now time.Duration) float64 { return e.samples * e.remaining(now) }
+func (e *decayedMean) count(now time.Duration) float64 { return e.samples * e.decayFactor(now) }
 
 func (e *decayedMean) mean(now time.Duration, pool, weight float64) float64 {
-	f := e.remaining(now)
+	f := e.decayFactor(now)
 	return (e.sum*f + weight*pool) / (e.samples*f + weight)
 }
 
@@ -63,7 +63,7 @@
 type latencyModel struct {
 	normal                                        [3][3]float64
 	moments, coefficients, prior, maxCoefficients [3]float64
-	priorWeight                                   float64
+	priorSamples                                  float64
 	updatedAt, timeConstant                       time.Duration
 }
 
@@ -91,8 +91,8 @@
 		for j := range v {
 			m[i][j] *= left
 		}
-		m[i][i] += f.priorWeight
-		v[i] = v[i]*left + f.priorWeight*f.prior[i]
+		m[i][i] += f.priorSamples
+		v[i] = v[i]*left + f.priorSamples*f.prior[i]
 	}
 	for i := range v {
 		for j := i + 1; j < len(v); j++ {
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -50,7 +50,7 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		hash, actions := fnv.New64a(), 0
 		d := newDriver(t, seed)
-		d.spoil = func(a Action) []Action {
+		d.intercept = func(a Action) []Action {
 			actions++
 			writeAction(hash, d.now, a)
 			return []Action{a}
@@ -73,8 +73,8 @@
 		d := newDriver(t, seed)
 		d.cfg.CanPollLoad, d.cfg.CanCancel = true, seed%2 == 0
 		d.cfg.Budgets = Budgets{Fraction: 0.25, PollsPerReplica: 8, RetriesPerRequest: 0.2, RetriesPerSecond: 2}
-		d.boot()
-		d.spoil = func(a Action) []Action {
+		d.restart()
+		d.intercept = func(a Action) []Action {
 			actions++
 			writeAction(hash, d.now, a)
 			if probe, ok := a.(PollLoad); ok {
@@ -82,7 +82,7 @@
 			}
 			return []Action{a}
 		}
-		d.after(2*time.Second, d.disturb)
+		d.after(2*time.Second, d.injectFleetEvent)
 		d.run(d.now + 40*time.Second)
 		fmt.Fprintf(hash, "%v", d.r.Snapshot(d.now, 100))
 		if got := hash.Sum64(); got != goldenPolledSeeds[seed] || actions < 1000 {
@@ -109,10 +109,10 @@
 	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(LoadPolled{Endpoint: server, Load: load}) })
 }
 
-// disturb draws one of the events that only members of a fleet see.
-func (d *driver) disturb() {
-	d.after(time.Duration(200+d.rng.IntN(800))*ms, d.disturb)
-	servers := d.list()
+// injectFleetEvent draws one of the events that only members of a fleet see.
+func (d *driver) injectFleetEvent() {
+	d.after(time.Duration(200+d.rng.IntN(800))*ms, d.injectFleetEvent)
+	servers := d.endpointList()
 	switch d.rng.IntN(6) {
 	case 0:
 		d.handle(QuotaShare{Fraction: d.rng.Float64(), Duration: time.Second})
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -90,7 +90,7 @@
 	if e.Outcome == QueueFull {
 		s.fullUntil = r.now + queueFullBackoff
 		if was == prefilling { // a full queue takes longer than any class wants to wait
-			e.Elapsed = fromMS(r.tightestBudget / latencyHeadroom)
+			e.Elapsed = fromMS(r.tightestBudgetMS / latencyHeadroom)
 			r.recordPrefill(s, q, e)
 		}
 	}
@@ -107,7 +107,7 @@
 	if s.health[0].current(r.now) >= ejectionThreshold {
 		return
 	}
-	x, lag := [3]float64{1, float64(max(0, q.PromptTokens-kept)) / 1000, q.ownAttemptsAhead}, r.commonQueueDelay.mean(r.now, 0, commonDelayPriorWeight)
+	x, lag := [3]float64{1, float64(max(0, q.PromptTokens-kept)) / 1000, q.ownAttemptsAhead}, r.commonQueueDelay.mean(r.now, 0, commonDelayPriorSamples)
 	warmth := r.rampFraction(s)
 	y, expected := toMS(e.Elapsed), r.prefillModel.predict(x)/warmth+lag
 	s.queueDelay.add(r.now, y-expected)
@@ -151,7 +151,7 @@
 		q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, q.sentAt, e.Endpoint
 	}
 	q.retrying = true
-	again := r.cfg.Classes[q.Class].Idempotency == Idempotent && q.attempts+2 <= r.attempts(q)
+	again := r.cfg.Classes[q.Class].Idempotency == Idempotent && q.attempts+2 <= r.maxAttempts(q)
 	if e.Outcome == StateMissing || e.StreamStarted && again {
 		// Read anew. The state may be gone, or only out of reach: it must not stay pinned meanwhile. Another
 		// writer could not find it, and the attempt would be missed for the second read.
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -28,7 +28,7 @@
 		t.requests.timeConstant = popularityTimeConstant
 		t.requests.add(r.now, 0)
 	}
-	if r.now-r.sweptAt >= sweepEvery {
+	if r.now-r.sweptAt >= sweepInterval {
 		r.sweptAt = r.now
 		old := r.now - 2*popularityTimeConstant
 		maps.DeleteFunc(r.prefixCache, func(_ Key, t *prefixEntry) bool { return max(t.updatedAt, t.requests.updatedAt) < old })
@@ -49,7 +49,7 @@
 
 // advance moves a request that has no attempt out.
 func (r *Router) advance(q *request) {
-	if q.attempts >= r.attempts(q) {
+	if q.attempts >= r.maxAttempts(q) {
 		r.rejectOrFail(q, AttemptsExhausted, 0)
 		return
 	}
@@ -79,7 +79,7 @@
 
 // startPrefill applies the admission test and sends the request to the reader with the lowest estimate.
 func (r *Router) startPrefill(q *request) {
-	if q.attempts+2 > r.attempts(q) {
+	if q.attempts+2 > r.maxAttempts(q) {
 		r.rejectOrFail(q, AttemptsExhausted, 0)
 		return
 	}
@@ -95,19 +95,19 @@
 		r.retryLater(q, NoPrefillReplica, q.arrivedAt+q.ttftObjective)
 		return
 	}
-	if !r.admit(q, c.queueDelay, c.prefillTime) {
-		r.rejectOrFail(q, OverLatencyBudget, c.queueDelay+c.prefillTime-toMS(q.ttftObjective))
+	if !r.admit(q, c.queueDelayMS, c.prefillMS) {
+		r.rejectOrFail(q, OverLatencyBudget, c.queueDelayMS+c.prefillMS-toMS(q.ttftObjective))
 		return
 	}
-	s, est := c.replica, fromMS(c.queueDelay+c.prefillTime)
+	s, est := c.replica, fromMS(c.queueDelayMS+c.prefillMS)
 	q.state, q.prefillEndpoint = prefilling, s.ID
-	q.expectedCachedTokens, q.ownAttemptsAhead, q.reportedQueue = r.expectedCachedTokens(s, q, c.rank < notPrefixReplica), float64(len(s.pending)), r.reportedQueueOf(s)
+	q.expectedCachedTokens, q.ownAttemptsAhead, q.reportedQueue = r.expectedCachedTokens(s, q, c.rank < notPrefixReplicaRank), float64(len(s.pending)), r.reportedQueueOf(s)
 	r.recordPrefix(q.Session, s.ID, q.PromptTokens)
 	r.recordPrefix(q.SharedPrefix, s.ID, q.SharedPrefixTokens)
-	limit := fromMS(prefillTimeoutFactor*(c.queueDelay+c.prefillTime)+r.estimateError.mean(r.now, 0, priorWeight)) + prefillTimeoutGrace
+	limit := fromMS(prefillTimeoutFactor*(c.queueDelayMS+c.prefillMS)+r.estimateError.mean(r.now, 0, priorSamples)) + prefillTimeoutGrace
 	left := q.deadline - r.now
 	limit = min(limit, max(left/2, prefillTimeoutGrace))
-	if r.now+limit+est+prefillTimeoutGrace > q.deadline || q.attempts+3 > r.attempts(q) {
+	if r.now+limit+est+prefillTimeoutGrace > q.deadline || q.attempts+3 > r.maxAttempts(q) {
 		limit = left // no time or attempt for another reader: wait for this one
 	}
 	r.send(q, s, limit, r.now+time.Duration(1.5*float64(est))+100*ms)
@@ -121,7 +121,7 @@
 // passes only while most of its own aim is left: a flood of it would make all late. Traffic beyond a
 // tenant's share has no free pass and half the budget.
 func (r *Router) admit(q *request, queue, cost float64) bool {
-	budget, most := toMS(q.ttftObjective)*latencyHeadroom, r.tightestBudget
+	budget, most := toMS(q.ttftObjective)*latencyHeadroom, r.tightestBudgetMS
 	if q.overQuota {
 		budget, most = budget/2, most/2
 	} else if r.critical[q.Class] {
@@ -228,30 +228,30 @@
 				continue
 			}
 			c := candidate{replica: s, rank: r.rendezvousRank(s, q, homes)}
-			c.queueDelay, c.prefillTime = r.prefillEstimate(s, r.expectedCachedTokens(s, q, c.rank < notPrefixReplica), q)
-			c.queueDelay += r.cellDecodeWait(s.cell)
-			c.score = c.queueDelay + c.prefillTime
+			c.queueDelayMS, c.prefillMS = r.prefillEstimate(s, r.expectedCachedTokens(s, q, c.rank < notPrefixReplicaRank), q)
+			c.queueDelayMS += r.cellDecodeWaitMS(s.cell)
+			c.scoreMS = c.queueDelayMS + c.prefillMS
 			if s.Zone != r.cfg.Zone {
-				c.score += crossZonePenalty
+				c.scoreMS += crossZonePenaltyMS
 			}
 			if !healthy {
-				c.score += 1000 * s.health[0].current(r.now)
+				c.scoreMS += 1000 * s.health[0].current(r.now)
 			}
 			if tried {
-				c.score += 1000
+				c.scoreMS += 1000
 			}
-			low = min(low, c.score)
+			low = min(low, c.scoreMS)
 			r.candidates = append(r.candidates, c)
 		}
-		sure := 1 + r.samplesPerReplica()/priorWeight
-		off := estimateErrorTolerance * r.estimateError.mean(r.now, 0, priorWeight) / sure
+		sure := 1 + r.samplesPerReplica()/priorSamples
+		off := estimateErrorTolerance * r.estimateError.mean(r.now, 0, priorSamples) / sure
 		if asked {
 			off = 0 // what was told is no guess
 		}
-		near := low + max(minEstimateTolerance, off)
+		near := low + max(minEstimateToleranceMS, off)
 		best := candidate{rank: math.Inf(1)}
 		for _, c := range r.candidates {
-			if c.score <= near && c.rank < best.rank {
+			if c.scoreMS <= near && c.rank < best.rank {
 				best = c
 			}
 		}
--- a/routing/quiet_test.go
+++ b/routing/quiet_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// quietRequest is one of quietDay's.
-type quietRequest struct {
+// simulatedRequest is one of quietDay's.
+type simulatedRequest struct {
 	class, prompt int
 	session       Key
 	at            time.Duration
-	passed        bool
+	admitted      bool
 }
 
-// quietDay plays a fleet of routers before readers that take their time for what they have not kept, one request after the other, at a
+// simulateTraffic plays a fleet of routers before readers that take their time for what they have not kept, one request after the other, at a
 // part of what they can do, for two minutes. It returns whether each request was passed.
-func quietDay(t *testing.T, routers int, load float64, seed uint64) []quietRequest {
+func simulateTraffic(t *testing.T, routers int, load float64, seed uint64) []simulatedRequest {
 	t.Helper()
 	const readers, perToken = 8, 50 * time.Microsecond // 20,000 tokens a second
 	cfg := testConfig()
@@ -39,11 +39,11 @@
 		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
 		all = append(all, r)
 	}
-	var agenda agenda
-	after := func(dt time.Duration, do func()) { heap.Push(&agenda, due{now + dt, len(agenda), do}) }
+	var agenda eventQueue
+	after := func(dt time.Duration, do func()) { heap.Push(&agenda, scheduledEvent{now + dt, len(agenda), do}) }
 	free := map[EndpointID]time.Duration{}
 	kept := map[EndpointID]map[Key]int{}
-	var out []quietRequest
+	var out []simulatedRequest
 	var handle func(r *Router, n int, ev Event)
 	handle = func(r *Router, n int, ev Event) {
 		q := &out[n]
@@ -53,7 +53,7 @@
 				after(a.After, func() { handle(r, n, TimerFired{a.Timer}) })
 			case Send:
 				if list[a.Endpoint-10].Kind == 1 {
-					q.passed = true
+					q.admitted = true
 					after(30*ms, func() {
 						handle(r, n, AttemptEnded{Request: RequestID(n), Attempt: 1, Endpoint: a.Endpoint, Outcome: Served, Elapsed: 30 * ms, Final: true})
 					})
@@ -77,7 +77,7 @@
 	var arrive func()
 	arrive = func() {
 		after(time.Duration(rng.ExpFloat64()*mean/(load*readers)*float64(time.Second)), arrive)
-		q := quietRequest{session: Key(1 + rng.IntN(400)), at: now - time.Hour}
+		q := simulatedRequest{session: Key(1 + rng.IntN(400)), at: now - time.Hour}
 		q.class = int(q.session % 2)
 		turns[q.session]++
 		q.prompt = min(600+int(rng.ExpFloat64()*2400)+100*turns[q.session], 30000)
@@ -87,17 +87,17 @@
 	}
 	arrive()
 	for end := now + 2*time.Minute; agenda[0].at < end; {
-		x := heap.Pop(&agenda).(due)
+		x := heap.Pop(&agenda).(scheduledEvent)
 		now = x.at
 		x.do()
 	}
 	return out
 }
 
-func passedShare(of []quietRequest) float64 {
+func admittedFraction(of []simulatedRequest) float64 {
 	n := 0
 	for _, q := range of {
-		if q.passed {
+		if q.admitted {
 			n++
 		}
 	}
@@ -109,45 +109,45 @@
 func TestQuietDaySinglesOutNobody(t *testing.T) {
 	for _, routers := range []int{4, 30} {
 		for seed := range uint64(3) {
-			all := quietDay(t, routers, 0.5, seed)
+			all := simulateTraffic(t, routers, 0.5, seed)
 			if len(all) < 2000 {
 				t.Fatalf("only %d requests", len(all))
 			}
 			for class := range 2 {
-				var of []quietRequest
+				var of []simulatedRequest
 				for _, q := range all {
 					if q.class == class {
 						of = append(of, q)
 					}
 				}
-				whole := passedShare(of)
-				slices.SortFunc(of, func(a, b quietRequest) int { return b.prompt - a.prompt })
-				tenth, fifth := passedShare(of[:len(of)/10]), passedShare(of[len(of)/10:len(of)*3/10])
+				whole := admittedFraction(of)
+				slices.SortFunc(of, func(a, b simulatedRequest) int { return b.prompt - a.prompt })
+				tenth, fifth := admittedFraction(of[:len(of)/10]), admittedFraction(of[len(of)/10:len(of)*3/10])
 				if whole < 0.9 || tenth < whole*2/3 || fifth < whole*2/3 {
 					t.Errorf("%d routers, seed %d, class %d: passed %.2f, of the longest tenth %.2f, of the next fifth %.2f", routers, seed, class, whole, tenth, fifth)
 				}
 			}
-			sessions := map[Key][]quietRequest{}
-			var thirds [3][]quietRequest
+			sessions := map[Key][]simulatedRequest{}
+			var thirds [3][]simulatedRequest
 			for _, q := range all {
 				sessions[q.session] = append(sessions[q.session], q)
 				third := min(int(q.at*3/(2*time.Minute)), 2)
 				thirds[third] = append(thirds[third], q)
 			}
 			for key, of := range sessions {
-				if len(of) > 2 && passedShare(of) == 0 {
+				if len(of) > 2 && admittedFraction(of) == 0 {
 					t.Errorf("%d routers, seed %d: all %d turns of session %d were refused", routers, seed, len(of), key)
 				}
 			}
 			for i, of := range thirds {
-				if passedShare(of) < 0.9 {
-					t.Errorf("%d routers, seed %d: third %d: passed %.2f", routers, seed, i, passedShare(of))
+				if admittedFraction(of) < 0.9 {
+					t.Errorf("%d routers, seed %d: third %d: passed %.2f", routers, seed, i, admittedFraction(of))
 				}
 			}
 		}
 	}
 	// The check can fail: at half as much again as the readers can do, the rest is refused.
-	if whole := passedShare(quietDay(t, 4, 1.5, 1)); whole > 0.9 {
+	if whole := admittedFraction(simulateTraffic(t, 4, 1.5, 1)); whole > 0.9 {
 		t.Errorf("an overload passes %.2f", whole)
 	}
 }
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -37,7 +37,7 @@
 	top, low := math.Inf(-1), math.Inf(1)
 	for _, c := range cfg.Classes {
 		top, low = math.Max(top, c.Weight), math.Min(low, c.Weight)
-		r.tightestBudget = min(r.tightestBudget, toMS(c.TTFTObjective)*latencyHeadroom)
+		r.tightestBudgetMS = min(r.tightestBudgetMS, toMS(c.TTFTObjective)*latencyHeadroom)
 	}
 	r.critical = r.critical[:0]
 	for _, c := range cfg.Classes {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// attempts is how many attempts a request may take: the least number in force since it came.
-func (r *Router) attempts(q *request) int {
+// maxAttempts is how many maxAttempts a request may take: the least number in force since it came.
+func (r *Router) maxAttempts(q *request) int {
 	n := r.cfg.MaxAttempts
 	for _, t := range r.attemptLimits {
 		// t.attempts held until t.from; the request saw it if it came before.
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// releasedAt plays a request up to its writes, each of which fails to connect after the same time, and returns how long after its
+// releaseDelay plays a request up to its writes, each of which fails to connect after the same time, and returns how long after its
 // read the state was let go; the second result is false if it never was.
-func (b *bench) releasedAt(id RequestID, class int, each time.Duration) (time.Duration, bool) {
-	b.reads(id, class)
-	var due []timerAt
+func (b *harness) releaseDelay(id RequestID, class int, each time.Duration) (time.Duration, bool) {
+	b.completePrefill(id, class)
+	var due []scheduledTimer
 	held := b.now
 	failAt, attempt, writer := held+each, 1, b.r.requests[id].endpoint
 	due = append(due, timersOf(b.last, b.now)...)
@@ -25,9 +25,9 @@
 		if at >= 0 {
 			timer := due[at]
 			due = append(due[:at], due[at+1:]...)
-			acts = b.do(timer.at-b.now, TimerFired{timer.id})
+			acts = b.handle(timer.at-b.now, TimerFired{timer.id})
 		} else {
-			acts = b.do(failAt-b.now, AttemptEnded{Request: id, Attempt: attempt, Endpoint: writer, Outcome: ConnectFailed, Elapsed: each})
+			acts = b.handle(failAt-b.now, AttemptEnded{Request: id, Attempt: attempt, Endpoint: writer, Outcome: ConnectFailed, Elapsed: each})
 			failAt = held + time.Hour
 		}
 		due = append(due, timersOf(acts, b.now)...)
@@ -44,15 +44,15 @@
 	return 0, false
 }
 
-type timerAt struct {
+type scheduledTimer struct {
 	at time.Duration
 	id TimerID
 }
 
-func timersOf(acts []Action, now time.Duration) (out []timerAt) {
+func timersOf(acts []Action, now time.Duration) (out []scheduledTimer) {
 	for _, a := range acts {
 		if w, ok := a.(SetTimer); ok {
-			out = append(out, timerAt{now + w.After, w.Timer})
+			out = append(out, scheduledTimer{now + w.After, w.Timer})
 		}
 	}
 	return out
@@ -64,9 +64,9 @@
 	for name, each := range map[string]time.Duration{"no word": time.Hour, "connections fail late": 200 * ms, "connections fail": 80 * ms} {
 		t.Run(name, func(t *testing.T) {
 			for class := range 2 {
-				b := newBench(t, nil)
+				b := newHarness(t, nil)
 				within := b.r.cfg.ReservationTTL
-				if took, ok := b.releasedAt(1, class, each); !ok || took > within {
+				if took, ok := b.releaseDelay(1, class, each); !ok || took > within {
 					t.Errorf("class %d: let go %t, after %v, want within %v", class, ok, took, within)
 				}
 			}
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// bench drives one Router by hand: readers 1 and 2, writers 11 and 12 in cell 0 and 13 in cell 1.
-type bench struct {
+// harness drives one Router by hand: readers 1 and 2, writers 11 and 12 in cell 0 and 13 in cell 1.
+type harness struct {
 	*testing.T
 	r    *Router
 	now  time.Duration
 	last []Action // of the event before
 }
 
-func newBench(t *testing.T, change func(*Config)) *bench {
+func newHarness(t *testing.T, change func(*Config)) *harness {
 	t.Helper()
 	cfg := testConfig()
 	if change != nil {
@@ -28,26 +28,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{T: t, r: r, now: time.Hour}
-	b.do(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+	b := &harness{T: t, r: r, now: time.Hour}
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: 1, Kind: 0, State: Ready}, {ID: 2, Kind: 0, State: Ready},
 		{ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
 		{ID: 13, Kind: 1, State: Ready, Cell: 1, Zone: 1}}})
 	return b
 }
 
-func (b *bench) do(dt time.Duration, ev Event) []Action {
+func (b *harness) handle(dt time.Duration, ev Event) []Action {
 	b.now += dt
 	b.last = b.r.Handle(b.now, ev, nil)
 	return b.last
 }
 
-func (b *bench) arrive(id RequestID, class int) []Action {
-	return b.do(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+func (b *harness) arrive(id RequestID, class int) []Action {
+	return b.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 }
 
-// sent returns the server of the only Send.
-func (b *bench) sent(acts []Action) EndpointID {
+// sentTo returns the server of the only Send.
+func (b *harness) sentTo(acts []Action) EndpointID {
 	b.Helper()
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func has[A Action](acts []Action) bool {
+func containsAction[A Action](acts []Action) bool {
 	for _, a := range acts {
 		if _, ok := a.(A); ok {
 			return true
@@ -67,40 +67,40 @@
 	return false
 }
 
-// reads takes a request to the end of its read and returns the writer.
-func (b *bench) reads(id RequestID, class int) (reader, writer EndpointID) {
+// completePrefill takes a request to the end of its read and returns the writer.
+func (b *harness) completePrefill(id RequestID, class int) (reader, writer EndpointID) {
 	b.Helper()
-	reader = b.sent(b.arrive(id, class))
-	writer = b.sent(b.do(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms}))
+	reader = b.sentTo(b.arrive(id, class))
+	writer = b.sentTo(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms}))
 	return reader, writer
 }
 
 func TestOrdinaryPath(t *testing.T) {
-	b := newBench(t, nil)
-	_, w := b.reads(1, 0)
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 0)
 	if w == 13 {
 		t.Error("a writer outside the reader's cell was chosen though its own has room")
 	}
-	b.do(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
-	_, other := b.reads(2, 0)
+	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+	_, other := b.completePrefill(2, 0)
 	if other == w || other == 13 {
 		t.Errorf("second went to %d, want the other writer of the cell than %d", other, w)
 	}
-	b.do(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 	if b.r.requests[1] != nil || b.r.byID[w].streams != 0 {
 		t.Error("a served request left something behind")
 	}
 }
 
 func TestRefusesBeforeReading(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	for _, s := range b.r.replicas {
 		for i := range 200 {
 			s.pending = append(s.pending, pendingAttempt{request: RequestID(1000 + i), sentAt: b.now, expectedBy: b.now + time.Minute})
 		}
 	}
 	acts := b.arrive(1, 0)
-	if !has[Reject](acts) || has[Send](acts) {
+	if !containsAction[Reject](acts) || containsAction[Send](acts) {
 		t.Errorf("got %+v, want a refusal before any read", acts)
 	}
 	if acts[0].(Reject).RetryAfter <= 0 {
@@ -110,21 +110,21 @@
 
 // A read that alone is over the budget is judged by its queue wait.
 func TestLongReadPasses(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.r.prefillModel.prior = [3]float64{10, 900, 7}
-	if !has[Send](b.arrive(1, 0)) {
+	if !containsAction[Send](b.arrive(1, 0)) {
 		t.Error("a long read with no queue was refused")
 	}
 }
 
 func TestKeptPrefixDraws(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.r.recordPrefix(77, 2, 900)
 	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
-	if got := b.sent(b.do(ms, a)); got != 2 {
+	if got := b.sentTo(b.handle(ms, a)); got != 2 {
 		t.Errorf("went to %d, want the reader that keeps the session", got)
 	}
-	b.do(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
+	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
 	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, false); n != 0 {
 		t.Errorf("%d tokens are promised by a reader that started anew", n)
 	}
@@ -132,40 +132,40 @@
 
 func TestUnsafeNeverTwice(t *testing.T) {
 	for o := Served + 1; o < PrefillDone; o++ {
-		b := newBench(t, nil)
-		_, w := b.reads(1, 1)
-		acts := b.do(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: o})
-		if o.NeverRan() != (has[Send](acts) || has[SetTimer](acts)) || !o.NeverRan() != has[Fail](acts) || has[Reject](acts) {
+		b := newHarness(t, nil)
+		_, w := b.completePrefill(1, 1)
+		acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: o})
+		if o.NeverRan() != (containsAction[Send](acts) || containsAction[SetTimer](acts)) || !o.NeverRan() != containsAction[Fail](acts) || containsAction[Reject](acts) {
 			t.Errorf("outcome %d: got %+v", o, acts)
 		}
 	}
 }
 
 func TestFullKeepsStateNoStateReadsAgain(t *testing.T) {
-	b := newBench(t, nil)
-	_, w := b.reads(1, 1)
-	next := b.sent(b.do(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 1)
+	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
 	if next == w || next < 11 {
 		t.Errorf("after full went to %d, want another writer", next)
 	}
-	if again := b.sent(b.do(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
+	if again := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
 		t.Errorf("with no state went to %d, want a reader", again)
 	}
 }
 
 func TestClientGone(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.sent(b.arrive(1, 0))
-	if !has[Cancel](b.do(ms, ClientGone{1})) {
+	b := newHarness(t, nil)
+	s := b.sentTo(b.arrive(1, 0))
+	if !containsAction[Cancel](b.handle(ms, ClientGone{1})) {
 		t.Error("the read was not cancelled")
 	}
-	acts := b.do(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
+	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
 	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(b.r.requests) != 0 {
 		t.Errorf("got %+v, want only the state released", acts)
 	}
 	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
 		AttemptEnded{Request: 8, Endpoint: 99}} {
-		if acts := b.do(-time.Second, ev); len(acts) != 0 {
+		if acts := b.handle(-time.Second, ev); len(acts) != 0 {
 			t.Errorf("%T of a finished request or unknown server: %+v", ev, acts)
 		}
 	}
@@ -173,27 +173,27 @@
 
 // A time-out trimmed to the deadline is answered at once.
 func TestDeadline(t *testing.T) {
-	b := newBench(t, nil)
-	_, w := b.reads(1, 1)
-	acts := b.do(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: TimedOut})
-	if !has[Fail](acts) || !has[Release](acts) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 1)
+	acts := b.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: TimedOut})
+	if !containsAction[Fail](acts) || !containsAction[Release](acts) {
 		t.Errorf("got %+v", acts)
 	}
 }
 
 // A drain between read and write, and no writer at all: the state is given back within the limit.
 func TestNoWriterLeft(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.sent(b.arrive(1, 1))
-	b.do(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
+	b := newHarness(t, nil)
+	s := b.sentTo(b.arrive(1, 1))
+	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
 		{ID: 13, Kind: 1, State: Draining}}})
-	acts := b.do(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
-	for start := b.now; !has[Release](acts); acts = b.do(selectionRetryInterval, TimerFired{1}) {
-		if !has[SetTimer](acts) || has[Send](acts) || b.now > start+b.r.cfg.ReservationTTL {
+	acts := b.handle(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
+	for start := b.now; !containsAction[Release](acts); acts = b.handle(selectionRetryInterval, TimerFired{1}) {
+		if !containsAction[SetTimer](acts) || containsAction[Send](acts) || b.now > start+b.r.cfg.ReservationTTL {
 			t.Fatalf("after %v: %+v", b.now-start, acts)
 		}
 	}
-	if !has[Reject](acts) {
+	if !containsAction[Reject](acts) {
 		t.Errorf("got %+v, want a refusal: nothing has run", acts)
 	}
 }
@@ -216,21 +216,21 @@
 		{"writer of the only cell", 20, 0, true, true}, {"writer of the only cell", 30, 0, true, true}, {"writer of the only cell", 300, 0, true, true},
 	} {
 		for seed := range uint64(6) {
-			worst, sent := fleetOnOneCold(t, c.routers, c.hot, c.writer, c.cut, seed)
+			worst, sent := worstColdLoadUnderBurst(t, c.routers, c.hot, c.writer, c.cut, seed)
 			if worst > 1 || sent == 0 {
 				t.Errorf("%s, %d routers, seed %d: %d sends, at worst %.2f of what is allowed", c.name, c.routers, seed, sent, worst)
 			}
 		}
 	}
 	// The check can fail: routers that take themselves for one of three send too much.
-	if worst, _ := fleetOnOneCold(t, -300, 0.25, false, false, 1); worst <= 1 {
+	if worst, _ := worstColdLoadUnderBurst(t, -300, 0.25, false, false, 1); worst <= 1 {
 		t.Errorf("three hundred routers that know of three pass as %.2f of what is allowed", worst)
 	}
 }
 
-// fleetOnOneCold returns the most sends in any window to a server that comes cold against what is allowed, and their number. Fewer than no
+// worstColdLoadUnderBurst returns the most sends in any window to a server that comes cold against what is allowed, and their number. Fewer than no
 // routers: as many, each told that there are three.
-func fleetOnOneCold(t *testing.T, routers int, hot float64, writer, cut bool, seed uint64) (worst float64, total int) {
+func worstColdLoadUnderBurst(t *testing.T, routers int, hot float64, writer, cut bool, seed uint64) (worst float64, total int) {
 	const rate = 40.0 // requests a second, before the burst
 	cfg := testConfig()
 	if cfg.Routers = routers; routers < 0 {
@@ -306,12 +306,12 @@
 		}
 		handle(all[turns[rng.IntN(len(turns))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
 			TimeLeft: 4 * time.Second})
-		for len(sent) > 0 && sent[0] < now-fallAfter {
+		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
 		if cold.Started > 0 {
 			warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
-			n := cfg.OverloadMultiple * warmth * rate / 8 * fallAfter.Seconds() // the even share of a warm server is the least that it can surely do
+			n := cfg.OverloadMultiple * warmth * rate / 8 * slowStartWindow.Seconds() // the even share of a warm server is the least that it can surely do
 			worst = max(worst, float64(len(sent))/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -320,13 +320,13 @@
 
 // A router that comes back with only its last list keeps to a cold server's part at once.
 func TestColdServer(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
-	b.do(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
+	b := newHarness(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
+	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
 	n := map[EndpointID]int{}
 	for i := range RequestID(100) {
-		s := b.sent(b.arrive(i+1, 0))
+		s := b.sentTo(b.arrive(i+1, 0))
 		n[s]++
-		b.do(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
+		b.handle(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
 	if n[2] > 30 || n[1] < 70 {
 		t.Errorf("sends %v: the cold reader got more than its part", n)
@@ -335,17 +335,17 @@
 
 // A silent server is left alone after time-outs, and finds its way back.
 func TestEjection(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	s := b.r.byID[1]
 	b.r.recordFailure(s, 0, transportFailureWeight, true)
 	b.r.recordFailure(s, 0, transportFailureWeight, true)
 	for i := range RequestID(5) {
-		if got := b.sent(b.arrive(i+1, 0)); got != 2 {
+		if got := b.sentTo(b.arrive(i+1, 0)); got != 2 {
 			t.Fatalf("an ejected reader got request %d", i+1)
 		}
-		b.do(20*ms, AttemptEnded{Request: i + 1, Endpoint: 2, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
+		b.handle(20*ms, AttemptEnded{Request: i + 1, Endpoint: 2, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
-	b.do(healthTimeConstant, TimerFired{})
+	b.handle(healthTimeConstant, TimerFired{})
 	if !b.r.healthy(s, 1) {
 		t.Error("no way back")
 	}
@@ -359,7 +359,7 @@
 	for _, s := range b.r.replicas {
 		s.health[0].update(b.now, 1, 1)
 	}
-	if !has[Send](b.arrive(9, 0)) {
+	if !containsAction[Send](b.arrive(9, 0)) {
 		t.Error("nothing was sent though only bad servers are left")
 	}
 }
@@ -367,28 +367,28 @@
 // With the other writers jammed, an ejected one that is due for a trial keeps the door open: its
 // absence from the estimate would have everything refused and nothing lead it back.
 func TestTrialAmongJammed(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	for _, id := range []EndpointID{11, 12, 13} {
 		s := b.r.byID[id]
 		s.firstTokenDelay.add(b.now, 1e5)
 	}
-	if has[Send](b.arrive(1, 0)) {
+	if containsAction[Send](b.arrive(1, 0)) {
 		t.Fatal("the writers are not jammed")
 	}
 	b.r.byID[12].health[0].update(b.now, 1, ejectionThreshold*0.9)
 	b.r.byID[12].firstTokenDelay = decayedMean{timeConstant: decodeWaitTimeConstant}
-	s := b.sent(b.arrive(2, 0))
-	if w := b.sent(b.do(20*ms, AttemptEnded{Request: 2, Endpoint: s, Outcome: PrefillDone})); w != 12 {
+	s := b.sentTo(b.arrive(2, 0))
+	if w := b.sentTo(b.handle(20*ms, AttemptEnded{Request: 2, Endpoint: s, Outcome: PrefillDone})); w != 12 {
 		t.Errorf("the trial went to %d", w)
 	}
 }
 
 // The refit follows reads, keeps its bounds, and is unharmed by outliers or inputs that do not vary.
 func TestFit(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	f := &b.r.prefillModel
 	for i := range 300 {
-		b.do(20*ms, TimerFired{})
+		b.handle(20*ms, TimerFired{})
 		k, ahead := float64(i%7)/2, float64(i%4)
 		f.add(b.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
 	}
@@ -403,7 +403,7 @@
 		t.Errorf("one outlier moved the estimate to %.0f ms", y)
 	}
 	for range 1000 {
-		b.do(20*ms, TimerFired{})
+		b.handle(20*ms, TimerFired{})
 		f.add(b.now, [3]float64{1, 2, 0}, 80)
 	}
 	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coefficients[2] > 60 {
@@ -431,7 +431,7 @@
 
 // A class that the settings do not name gets an answer, not a panic.
 func TestUnknownClass(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	if acts := b.arrive(1, 99); !reflect.DeepEqual(acts, []Action{Fail{1, UnknownClass}}) {
 		t.Errorf("got %+v", acts)
 	}
@@ -455,10 +455,10 @@
 
 // Where servers report the tokens that wait, the report is the queue wait.
 func TestReportedBacklog(t *testing.T) {
-	b := newBench(t, nil)
-	b.do(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
+	b := newHarness(t, nil)
+	b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
 	for id := range RequestID(5) {
-		if s := b.sent(b.arrive(id+1, 0)); s != 2 {
+		if s := b.sentTo(b.arrive(id+1, 0)); s != 2 {
 			t.Fatalf("went to %d, which reports a long queue", s)
 		}
 	}
@@ -466,9 +466,9 @@
 
 // With no limit in the settings a cold server is not held back.
 func TestNoColdRule(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.OverloadMultiple = 0 })
-	b.do(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
-	if s := b.sent(b.arrive(1, 0)); s != 2 {
+	b := newHarness(t, func(c *Config) { c.OverloadMultiple = 0 })
+	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
+	if s := b.sentTo(b.arrive(1, 0)); s != 2 {
 		t.Errorf("went to %d", s)
 	}
 }
@@ -476,18 +476,18 @@
 // Two hundred routers that hear of one cold server together send it no more than their part in any
 // window of the rule, from the first moment on: each may not count itself alone.
 func TestManyRoutersOneColdServer(t *testing.T) {
-	if worst, sent := manyOnOneCold(t, false); worst > 1 || sent == 0 {
+	if worst, sent := worstColdLoadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
 	}
 	// The check can fail: requests that all have their home at the server are too many.
-	if worst, _ := manyOnOneCold(t, true); worst <= 1 {
+	if worst, _ := worstColdLoadFromStart(t, true); worst <= 1 {
 		t.Errorf("one home for all requests passes as %.2f of what is allowed", worst)
 	}
 }
 
-// manyOnOneCold returns the most sends in any window against what is allowed, and their number. With one, all
+// worstColdLoadFromStart returns the most sends in any window against what is allowed, and their number. With one, all
 // requests are of a session whose home the server is.
-func manyOnOneCold(t *testing.T, one bool) (worst float64, total int) {
+func worstColdLoadFromStart(t *testing.T, one bool) (worst float64, total int) {
 	const routers, rate = 200, 200.0 // all requests a second
 	cfg := testConfig()
 	cfg.Routers = routers
@@ -540,12 +540,12 @@
 			}
 			r.Handle(now, AttemptEnded{Request: id, Endpoint: s.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true}, nil)
 		}
-		for len(sent) > 0 && sent[0] < now-fallAfter {
+		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
 		// The even share of a warm server is the least that it can surely do.
 		warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
-		allowed := cfg.OverloadMultiple * warmth * rate / 20 * fallAfter.Seconds()
+		allowed := cfg.OverloadMultiple * warmth * rate / 20 * slowStartWindow.Seconds()
 		worst = max(worst, float64(len(sent))/allowed)
 	}
 	return worst, total
@@ -554,24 +554,24 @@
 // The test stands before every read: a request that a full or silent reader gave back is not pushed on
 // into a jam.
 func TestSecondReadIsJudgedToo(t *testing.T) {
-	b := newBench(t, nil)
-	first := b.sent(b.arrive(1, 0))
+	b := newHarness(t, nil)
+	first := b.sentTo(b.arrive(1, 0))
 	for range 20 {
 		b.r.commonQueueDelay.add(b.now, 5000)
 	}
-	acts := b.do(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
-	if !has[Reject](acts) || has[Send](acts) {
+	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
+	if !containsAction[Reject](acts) || containsAction[Send](acts) {
 		t.Errorf("got %+v, want a refusal", acts)
 	}
 }
 
 // A reader that turns a read away counts as slow, though it answers at once.
 func TestFullReaderIsAvoided(t *testing.T) {
-	b := newBench(t, nil)
-	first := b.sent(b.arrive(1, 0))
-	b.do(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
+	b := newHarness(t, nil)
+	first := b.sentTo(b.arrive(1, 0))
+	b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
 	for id := range RequestID(5) {
-		if s := b.sent(b.arrive(id+2, 0)); s == first {
+		if s := b.sentTo(b.arrive(id+2, 0)); s == first {
 			t.Fatalf("request %d went to the reader that is full", id+2)
 		}
 	}
@@ -580,7 +580,7 @@
 // Among many routers a tenant's part is a fraction of a request a second: its first requests are within
 // the share, and refused ones spend nothing of it.
 func TestTenantPartAmongMany(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Routers = 200 })
+	b := newHarness(t, func(c *Config) { c.Routers = 200 })
 	if b.r.overQuota(1) {
 		t.Error("a tenant's first request counts as beyond its share")
 	}
@@ -589,26 +589,26 @@
 		b.r.commonQueueDelay.add(b.now, 9000)
 	}
 	for id := range RequestID(50) {
-		if !has[Reject](b.do(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second})) {
+		if !containsAction[Reject](b.handle(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second})) {
 			t.Fatal("not refused")
 		}
 	}
 	if got := b.r.tenantBuckets[1].Tokens(); got < left {
 		t.Errorf("refusals left %.2f of %.2f", got, left)
 	}
-	b.do(time.Minute, TimerFired{})
+	b.handle(time.Minute, TimerFired{})
 	n := 0
 	for id := RequestID(100); !b.r.overQuota(1); id++ {
 		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second}
-		b.do(10*ms, AttemptEnded{Request: id, Endpoint: b.sent(b.do(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
+		b.handle(10*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.handle(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
 		if n++; n > 20 {
 			t.Fatal("never beyond its share")
 		}
 	}
 }
 
-// fleet lists n servers in cells of five; every third is a reader unless a cell's make-up is given.
-func fleet(n int) []Endpoint {
+// mixedEndpoints lists n servers in cells of five; every third is a reader unless a cell's make-up is given.
+func mixedEndpoints(n int) []Endpoint {
 	var out []Endpoint
 	for i := range n {
 		s := Endpoint{ID: EndpointID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
@@ -630,7 +630,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(time.Hour, EndpointUpdate{Full: true, Endpoints: fleet(60)}, nil)
+		r.Handle(time.Hour, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)}, nil)
 		for _, a := range r.Handle(time.Hour, RequestArrived{Request: id, Tenant: -1, Session: session, SharedPrefix: 7,
 			SharedPrefixTokens: 2000, PromptTokens: 2500, TimeLeft: 4 * time.Second}, nil) {
 			if s, ok := a.(Send); ok {
@@ -649,23 +649,23 @@
 
 // A text that many ask for gets more homes.
 func TestPopularTextSpreads(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Routers = 100 })
-	list := fleet(60)
+	b := newHarness(t, func(c *Config) { c.Routers = 100 })
+	list := mixedEndpoints(60)
 	for i := range list {
 		list[i].Zone = 0
 	}
-	b.do(0, EndpointUpdate{Full: true, Endpoints: list})
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	to := map[EndpointID]int{}
 	for id := range RequestID(300) {
 		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, TimeLeft: 4 * time.Second}
 		if id%2 == 0 {
 			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
 		}
-		s := b.sent(b.do(300*ms, a))
+		s := b.sentTo(b.handle(300*ms, a))
 		if a.SharedPrefix != 0 && id > 100 {
 			to[s]++
 		}
-		b.do(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
+		b.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
 	}
 	if len(to) < 8 {
 		t.Errorf("half of all requests were read at %d of 20 readers", len(to))
@@ -674,7 +674,7 @@
 
 // The states that a cell's only writer cannot bear go to cells with writers to spare.
 func TestCellWithFewWriters(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	var list []Endpoint
 	for i := range 10 {
 		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
@@ -683,12 +683,12 @@
 		}
 		list = append(list, s)
 	}
-	b.do(0, EndpointUpdate{Full: true, Endpoints: list})
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	n := map[EndpointID]int{}
 	for id := range RequestID(500) {
-		_, w := b.reads(id+1, 0)
-		b.do(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
-		b.do(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+		_, w := b.completePrefill(id+1, 0)
+		b.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+		b.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 		n[w]++
 	}
 	if n[14] > 175 || n[14] < 50 {
@@ -698,8 +698,8 @@
 
 // What reads take everywhere counts at a reader that this router has not met, and is let go of soon.
 func TestCommonWait(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Routers = 100 })
-	b.do(0, EndpointUpdate{Full: true, Endpoints: fleet(60)})
+	b := newHarness(t, func(c *Config) { c.Routers = 100 })
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
 	fresh := b.r.replicas[0]
 	q := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
 	b.r.sumCapacity(0)
@@ -712,7 +712,7 @@
 	if after, _ := b.r.prefillEstimate(fresh, 0, q); after < before+300 {
 		t.Errorf("the wait went from %.0f to %.0f ms, want it to follow the others", before, after)
 	}
-	b.do(2*modelTimeConstant, TimerFired{})
+	b.handle(2*modelTimeConstant, TimerFired{})
 	b.r.sumCapacity(0)
 	if after, _ := b.r.prefillEstimate(fresh, 0, q); after > before+80 {
 		t.Errorf("the wait is still %.0f ms", after)
@@ -722,7 +722,7 @@
 // A server that fails one class is left to the others, and comes back by itself for a class that may
 // not be tried again.
 func TestOneClassFails(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	s := b.r.byID[11]
 	for range 2 {
 		b.r.recordFailure(s, 1, transportFailureWeight, false)
@@ -730,7 +730,7 @@
 	if b.r.healthy(s, 1) || !b.r.healthy(s, 0) {
 		t.Error("want the server left alone by the class that fails there, and by no other")
 	}
-	b.do(3*healthTimeConstant, TimerFired{})
+	b.handle(3*healthTimeConstant, TimerFired{})
 	if !b.r.healthy(s, 1) {
 		t.Error("no way back")
 	}
@@ -743,18 +743,18 @@
 		"writers only": {{ID: 1, Kind: 1, State: Ready}},
 		"odd weights":  {{ID: 1, State: Ready, Weight: math.NaN()}, {ID: 2, Kind: 1, State: Ready, Weight: -3}},
 		"odd kinds":    {{ID: 1, Kind: 99, State: Ready}, {ID: 2, Kind: -1, State: Ready}},
-		"thousands":    fleet(3000),
+		"thousands":    mixedEndpoints(3000),
 	} {
-		b := newBench(t, func(c *Config) { c.Routers = 5000 })
-		b.do(ms, EndpointUpdate{Full: true, Endpoints: list})
+		b := newHarness(t, func(c *Config) { c.Routers = 5000 })
+		b.handle(ms, EndpointUpdate{Full: true, Endpoints: list})
 		acts := b.arrive(1, 0)
 		for range 200 {
-			if !has[SetTimer](acts) {
+			if !containsAction[SetTimer](acts) {
 				break
 			}
-			acts = b.do(selectionRetryInterval, TimerFired{1})
+			acts = b.handle(selectionRetryInterval, TimerFired{1})
 		}
-		if !has[Reject](acts) && !has[Send](acts) {
+		if !containsAction[Reject](acts) && !containsAction[Send](acts) {
 			t.Errorf("%s: got %+v", name, acts)
 		}
 	}
@@ -770,7 +770,7 @@
 				b.Fatal(err)
 			}
 			now := time.Hour
-			out := r.Handle(now, EndpointUpdate{Full: true, Endpoints: fleet(n)}, nil)
+			out := r.Handle(now, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(n)}, nil)
 			id := RequestID(0)
 			for b.Loop() {
 				id++
@@ -790,15 +790,15 @@
 // Reports that make no sense change no choice into a panic or a refusal.
 func TestOddReports(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		for i, s := range b.r.replicas {
-			b.do(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
+			b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
 			if i > 0 {
-				b.do(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
+				b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
 			}
 		}
 		b.r.byID[1].reportedBacklog = -1 // one reader without a report
-		if s, _ := b.reads(1, 0); s != 1 && s != 2 {
+		if s, _ := b.completePrefill(1, 0); s != 1 && s != 2 {
 			t.Errorf("%v: sent to %d", x, s)
 		}
 	}
@@ -808,13 +808,13 @@
 // nothing at all does.
 func TestTimeoutBehindAQueue(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		b := newBench(t, nil)
-		s := b.r.byID[b.sent(b.arrive(1, 0))]
+		b := newHarness(t, nil)
+		s := b.r.byID[b.sentTo(b.arrive(1, 0))]
 		if answers {
-			b.do(400*ms, TimerFired{})
+			b.handle(400*ms, TimerFired{})
 			b.r.recordSuccess(s, 0)
 		}
-		b.do(100*ms, AttemptEnded{Request: 1, Endpoint: s.ID, Outcome: TimedOut, Elapsed: 500 * ms})
+		b.handle(100*ms, AttemptEnded{Request: 1, Endpoint: s.ID, Outcome: TimedOut, Elapsed: 500 * ms})
 		if b.r.healthy(s, 0) != answers {
 			t.Errorf("answers %t: usable %t", answers, !answers)
 		}
@@ -824,21 +824,21 @@
 // An answer that broke once it had begun has used up the state: a safe request is read anew at once, while
 // its attempts last, and a filing is not sent again.
 func TestBrokenAnswerReadsAgain(t *testing.T) {
-	b := newBench(t, nil)
-	_, w := b.reads(1, 0)
-	acts := b.do(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset, StreamStarted: true})
-	if s := b.sent(acts); s > 2 || !has[Release](acts) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 0)
+	acts := b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset, StreamStarted: true})
+	if s := b.sentTo(acts); s > 2 || !containsAction[Release](acts) {
 		t.Errorf("sent to %d: %+v", s, acts)
 	}
 }
 
 // One broken connection at a server that answers others leaves it in; a second one in a row does not.
 func TestOneBreakAtALivingServer(t *testing.T) {
-	b := newBench(t, nil)
-	_, w := b.reads(1, 0)
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 0)
 	s := b.r.byID[w]
 	b.r.recordSuccess(s, 0)
-	b.do(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset})
+	b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset})
 	s.pending = []pendingAttempt{{request: 9}} // no trial is due
 	if !b.r.healthy(s, 0) {
 		t.Error("left out after one break")
@@ -852,8 +852,8 @@
 // A router that hears little of each reader asks the two that a request's keys rank first, and goes to the one with
 // the shorter queue; nothing is sent before both have told or the wait is over, and a dead one gets nothing.
 func TestAsksBeforeARead(t *testing.T) {
-	start := func() (*bench, []EndpointID) {
-		b := newBench(t, func(c *Config) { c.CanPollLoad = true })
+	start := func() (*harness, []EndpointID) {
+		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 		var asked []EndpointID
 		for _, a := range b.arrive(1, 0) {
 			switch a := a.(type) {
@@ -874,27 +874,27 @@
 	}
 	for first := range pollCandidateCount {
 		b, asked := start()
-		if acts := b.do(ms, LoadPolled{asked[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
+		if acts := b.handle(ms, LoadPolled{asked[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
 			t.Errorf("after one answer: %+v", acts)
 		}
-		if s := b.sent(b.do(ms, LoadPolled{asked[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != asked[first] {
+		if s := b.sentTo(b.handle(ms, LoadPolled{asked[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != asked[first] {
 			t.Errorf("went to %d, not to %d, which has no queue", s, asked[first])
 		}
-		if s := b.sent(b.arrive(2, 0)); s != asked[first] {
+		if s := b.sentTo(b.arrive(2, 0)); s != asked[first] {
 			t.Errorf("the next went to %d: a report may be used for a while", s)
 		}
 	}
 	b, asked := start()
-	b.do(ms, LoadPolled{asked[0], nil})
-	if s := b.sent(b.do(pollTimeout, TimerFired{1})); s == asked[0] {
+	b.handle(ms, LoadPolled{asked[0], nil})
+	if s := b.sentTo(b.handle(pollTimeout, TimerFired{1})); s == asked[0] {
 		t.Errorf("went to %d, which told nothing", s)
 	}
-	if acts := b.do(ms, LoadPolled{asked[1], &LoadReport{}}); len(acts) != 0 {
+	if acts := b.handle(ms, LoadPolled{asked[1], &LoadReport{}}); len(acts) != 0 {
 		t.Errorf("a late answer: %+v", acts)
 	}
 	b, asked = start()
 	for _, id := range asked {
-		b.do(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
+		b.handle(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
 	}
 	if b.r.requests[1] != nil {
 		t.Error("passed, though both its readers have told of long queues")
@@ -904,15 +904,15 @@
 // What a request ahead of one takes is learnt from reads: a queue that passed at first is too long once the reads
 // behind such queues have taken three times as long as thought.
 func TestLearnsWhatARequestAheadTakes(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.CanPollLoad = true })
+	b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	passes := func(id RequestID, after time.Duration) bool {
 		acts := b.arrive(id, 0)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i].(type) {
 			case PollLoad:
-				acts = append(acts, b.do(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
+				acts = append(acts, b.handle(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
 			case Send:
-				b.do(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
+				b.handle(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
 				return true
 			}
 		}
@@ -927,7 +927,7 @@
 	if passed == 0 || passed > 10 {
 		t.Errorf("%d of 20 passed", passed)
 	}
-	b = newBench(t, func(c *Config) { c.CanPollLoad = true })
+	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
 		if !passes(id+1, 200*ms) {
 			t.Errorf("request %d was refused, though the queue is short in time", id+1)
@@ -937,7 +937,7 @@
 
 // Those who are turned away in a jam must not come back together, nor later than the settings allow.
 func TestAdviceToReturnIsSpread(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	var least, most time.Duration
 	for id := range RequestID(200) {
 		b.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
@@ -957,22 +957,22 @@
 // have them the state leaves the cell.
 func TestAsksBeforeAWrite(t *testing.T) {
 	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
-		b := newBench(t, func(c *Config) { c.CanPollLoad = true })
+		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 		b.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the state is none of those that go to cells with room to spare
 		b.arrive(1, 0)
-		b.do(ms, LoadPolled{1, &LoadReport{}})
-		s := b.sent(b.do(ms, LoadPolled{2, &LoadReport{}}))
+		b.handle(ms, LoadPolled{1, &LoadReport{}})
+		s := b.sentTo(b.handle(ms, LoadPolled{2, &LoadReport{}}))
 		var acts []Action
-		for _, a := range b.do(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms}) {
+		for _, a := range b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms}) {
 			if p, ok := a.(PollLoad); ok {
 				queue := 0.0
 				if full == int(p.Endpoint) || full == 23 {
 					queue = 2
 				}
-				acts = append(acts, b.do(ms, LoadPolled{p.Endpoint, &LoadReport{Memory: 0.3, QueuedRequests: queue}})...)
+				acts = append(acts, b.handle(ms, LoadPolled{p.Endpoint, &LoadReport{Memory: 0.3, QueuedRequests: queue}})...)
 			}
 		}
-		if to := b.sent(acts); !slices.Contains(want, to) {
+		if to := b.sentTo(acts); !slices.Contains(want, to) {
 			t.Errorf("full %d: went to %d", full, to)
 		}
 	}
@@ -980,14 +980,14 @@
 
 // One that hears enough asks nobody, and neither does one whose settings forbid it.
 func TestAsksNobody(t *testing.T) {
-	b := newBench(t, nil)
-	b.sent(b.arrive(1, 0))
-	b = newBench(t, func(c *Config) { c.CanPollLoad = true })
+	b := newHarness(t, nil)
+	b.sentTo(b.arrive(1, 0))
+	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(40) {
-		b.do(ms, AttemptEnded{Request: 99, Endpoint: 1, Outcome: PrefillDone, Elapsed: 10 * ms})
+		b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Outcome: PrefillDone, Elapsed: 10 * ms})
 		b.r.estimateError.add(b.r.now, 1)
 		if id > 20 {
-			b.sent(b.arrive(100+id, 0))
+			b.sentTo(b.arrive(100+id, 0))
 		}
 	}
 }
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -9,14 +9,14 @@
 // A router that learns from one that has served takes its texts and its fits, and judges servers as that one does; nothing is taken
 // that is old, from the future, of another start of a server, or no sane figure.
 func TestLearns(t *testing.T) {
-	served := func() *bench {
-		b := newBench(t, nil)
+	served := func() *harness {
+		b := newHarness(t, nil)
 		for id := RequestID(1); id < 60; id++ {
-			s := b.sent(b.do(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
+			s := b.sentTo(b.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
 			took := 200 * ms // reads take longer than the first guess
-			w := b.sent(b.do(took, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: took}))
-			b.do(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: w, Elapsed: 5 * ms})
-			b.do(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+			w := b.sentTo(b.handle(took, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: took}))
+			b.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: w, Elapsed: 5 * ms})
+			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 		}
 		b.r.recordFailure(b.r.byID[11], 0, 1, true)
 		return b
@@ -29,15 +29,15 @@
 	if few := old.r.Snapshot(old.now, 10); len(few.Prefixes) != 10 || few.Prefixes[0].Key != 59 {
 		t.Errorf("of ten texts the first is %+v", few.Prefixes[0])
 	}
-	fresh := func(change func(*Snapshot)) *bench {
-		b := newBench(t, nil)
+	fresh := func(change func(*Snapshot)) *harness {
+		b := newHarness(t, nil)
 		b.now = old.now + 100*ms
-		b.do(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready}, {ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready}}})
+		b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready}, {ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready}}})
 		c := told
 		if change != nil {
 			change(&c)
 		}
-		b.do(0, SnapshotReceived{c})
+		b.handle(0, SnapshotReceived{c})
 		return b
 	}
 	b := fresh(nil)
@@ -70,13 +70,13 @@
 		}
 		c.Prefill.B[1], c.CommonQueueDelay.Sum, c.EstimateError.Count = math.NaN(), math.Inf(1), -1
 	})
-	if len(odd.r.prefixCache) > 0 || !odd.r.healthy(odd.r.byID[11], 0) || odd.r.prefillModel.coefficients[0] != initialPrefillBase || odd.r.commonQueueDelay.count(odd.now) > 0 {
+	if len(odd.r.prefixCache) > 0 || !odd.r.healthy(odd.r.byID[11], 0) || odd.r.prefillModel.coefficients[0] != initialPrefillBaseMS || odd.r.commonQueueDelay.count(odd.now) > 0 {
 		t.Errorf("%d texts, fit %v", len(odd.r.prefixCache), odd.r.prefillModel.coefficients)
 	}
 	// Own evidence goes first.
 	own := served()
 	before := own.r.estimateError
-	own.do(0, SnapshotReceived{Snapshot{TakenAt: own.now, EstimateError: DecayedMean{1e6, 1, own.now}}})
+	own.handle(0, SnapshotReceived{Snapshot{TakenAt: own.now, EstimateError: DecayedMean{1e6, 1, own.now}}})
 	if own.r.estimateError != before {
 		t.Error("one sample of another's took the place of many own ones")
 	}
--- a/routing/state.go
+++ b/routing/state.go
@@ -56,7 +56,7 @@
 type replica struct {
 	Endpoint
 	role            Role
-	cell            *cell
+	cell            *cellCapacity
 	cacheValidFrom  time.Duration // texts noted as kept before this are void
 	pending         []pendingAttempt
 	streams         int
@@ -74,17 +74,17 @@
 	pollBudget      tokenbucket.Bucket
 }
 
-// cell sums up a cell's usable servers for one decision.
-type cell struct {
+// cellCapacity sums up a cellCapacity's usable servers for one decision.
+type cellCapacity struct {
 	prefillCapacity, decodeCapacity float64 // capacity by the list
 	readyPrefillCapacity            float64 // the same of readers in any health: what it is part of all states
-	minDecodeWait                   float64 // least wait among its writers
+	minDecodeWaitMS                 float64 // least wait among its writers
 }
 
 // candidate is a reader with its estimate; order and rank settle the candidate alone, not the admission test.
 type candidate struct {
 	*replica
-	queueDelay, prefillTime, score, rank float64
+	queueDelayMS, prefillMS, scoreMS, rank float64
 }
 
 // prefixEntry is what the table knows of a session or shared beginning.
@@ -97,18 +97,18 @@
 
 // Router decides for one router instance.
 type Router struct {
-	cfg            Config
-	rng            *rand.Rand
-	now            time.Duration
-	actions        []Action
-	critical       []bool
-	tightestBudget float64    // the smallest class aim in ms, times headroom
-	replicas       []*replica // by id
+	cfg              Config
+	rng              *rand.Rand
+	now              time.Duration
+	actions          []Action
+	critical         []bool
+	tightestBudgetMS float64    // the smallest class aim in ms, times headroom
+	replicas         []*replica // by id
 	activeSubset
 	byID             map[EndpointID]*replica
-	cells            map[int]*cell
-	total            cell   // all servers
-	maxReady         [3]int // most servers listed, by role
+	cells            map[int]*cellCapacity
+	totalCapacity    cellCapacity // all servers
+	maxReady         [3]int       // most servers listed, by role
 	candidates       []candidate
 	requests         map[RequestID]*request
 	prefixCache      map[Key]*prefixEntry
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -89,5 +89,5 @@
 			writers += r.effectiveWeight(s)
 		}
 	}
-	return r.total.prefillCapacity < minHealthyFraction*r.total.readyPrefillCapacity || r.total.decodeCapacity < minHealthyFraction*writers
+	return r.totalCapacity.prefillCapacity < minHealthyFraction*r.totalCapacity.readyPrefillCapacity || r.totalCapacity.decodeCapacity < minHealthyFraction*writers
 }
