--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -103,7 +103,7 @@
 	},
 	"a resend of what may have run": {
 		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
-		{"routing/outcome.go", "		r.rejectOrFail(q, MayHaveRun, 0)\n		return", "		r.release(q, BeforePrefillRetry)\n		q.state = awaitingPrefill\n		r.advance(q)\n		return"},
+		{"routing/request.go", "		r.rejectOrFail(q, MayHaveRun, 0)\n		return", "		r.release(q, BeforePrefillRetry)\n		q.state = awaitingPrefill\n		r.advance(q)\n		return"},
 		{"routing/decode.go", "if c.Idempotency == Idempotent {", "if true {"},
 	},
 	"a send after a drain was told": {
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,8 +1,9 @@
 package routing
 
-// What all routers may do together, and this one's part of it. The sums over routers are package share's.
+// Budgets that all routers share: this router's fraction of them, in token buckets. The package that assigns the
+// fractions sees to their sum.
 
-// ownFraction is this router's part of a limit on what all routers do, as of now.
+// ownFraction returns this router's part of a limit on what all routers do together, as of now.
 func (r *Router) ownFraction(limit float64) float64 {
 	switch {
 	case r.now < r.quotaShare.Duration:
@@ -13,58 +14,59 @@
 	return limit / float64(r.cfg.Routers)
 }
 
-// withinPollBudget returns the servers and spends a question at each whose load is not known, or returns none of them if one has
-// none left: a choice among some would keep a request from where its text is.
-func (r *Router) withinPollBudget(of []candidate) []candidate {
+// withinPollBudget returns the replicas and spends a poll for each whose load is not known. If one of them has no poll
+// remaining it returns none: a choice among only some would keep a request from where its prefix is cached.
+func (r *Router) withinPollBudget(candidates []candidate) []candidate {
 	limit := r.cfg.Budgets.PollsPerReplica
 	if limit <= 0 {
-		return of
+		return candidates
 	}
-	asked := func(c candidate) bool { return r.now-c.loadReportedAt <= loadMaxAge || len(c.pollWaiters) > 0 }
+	needsPoll := func(c candidate) bool { return !r.loadFresh(c.replica) && len(c.pollWaiters) == 0 }
 	rate := r.ownFraction(limit)
-	most := rate*pollBurstSpan.Seconds() + pollBurstExtra
-	for _, c := range of {
-		if !asked(c) && c.pollBudget.Fill(r.now, rate, most) < 1 {
+	burst := rate*pollBurstSpan.Seconds() + pollBurstExtra
+	for _, c := range candidates {
+		if needsPoll(c) && c.pollBudget.Fill(r.now, rate, burst) < 1 {
 			return nil
 		}
 	}
-	for _, c := range of {
-		if !asked(c) {
+	for _, c := range candidates {
+		if needsPoll(c) {
 			c.pollBudget.Spend()
 		}
 	}
-	return of
+	return candidates
 }
 
-// retryBurstLimit is how many repeats may come at once.
-func (r *Router) retryBurstLimit() float64 {
+// retryBurst returns how many retries may be sent at once.
+func (r *Router) retryBurst() float64 {
 	return r.ownFraction(r.cfg.Budgets.RetriesPerSecond)*retryBurstSpan.Seconds() + retryBurstExtra
 }
 
-// withinRetryBudget reports whether a request that failed at a step may take it again. It guards against a disturbance that is
-// multiplied by all who try again; critical requests have what others leave.
+// withinRetryBudget reports whether a request that failed may be retried. It protects against a disturbance that is
+// multiplied by everyone's retries (a retry storm). A part of the budget is reserved for critical requests.
 func (r *Router) withinRetryBudget(q *request) bool {
-	b := r.cfg.Budgets
-	if !q.retrying || b.RetriesPerRequest <= 0 && b.RetriesPerSecond <= 0 {
+	budgets := r.cfg.Budgets
+	if !q.retrying || budgets.RetriesPerRequest <= 0 && budgets.RetriesPerSecond <= 0 {
 		return true
 	}
-	need, most := 1.0, r.retryBurstLimit()
+	need, burst := 1.0, r.retryBurst()
 	if !r.critical[q.Class] {
-		need += criticalRetryShare * (most - 1)
+		need += criticalRetryShare * (burst - 1)
 	}
-	return r.retryBucket.Fill(r.now, r.ownFraction(b.RetriesPerSecond), most) >= need
+	return r.retryBucket.Fill(r.now, r.ownFraction(budgets.RetriesPerSecond), burst) >= need
 }
 
-// chargeBudgets takes an attempt into the budgets: a first one earns repeats and is one of its tenant's, one again spends a repeat.
+// chargeBudgets charges an attempt to the budgets: a request's first attempt earns retries and counts against its
+// tenant's quota, a retry spends one.
 func (r *Router) chargeBudgets(q *request) {
 	if q.retrying {
 		r.retryBucket.Spend()
 	}
-	if id := q.Tenant; q.attempts == 0 && id >= 0 && id < len(r.tenantBuckets) {
-		r.tenantBuckets[id].Spend()
+	if tenant := q.Tenant; q.attempts == 0 && tenant >= 0 && tenant < len(r.tenantBuckets) {
+		r.tenantBuckets[tenant].Spend()
 	}
 	if q.attempts == 0 {
-		r.retryBucket.Add(r.cfg.Budgets.RetriesPerRequest, r.retryBurstLimit())
+		r.retryBucket.Add(r.cfg.Budgets.RetriesPerRequest, r.retryBurst())
 	}
 	q.retrying = false
 }
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -1,125 +1,181 @@
 package routing
 
-// Writing: which writer gets a request that has been read.
-
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
+	"time"
 )
 
-// startDecode sends a read request to the writer with most room in its reader's cell.
-func (r *Router) startDecode(q *request) {
-	if r.pollLoads(q) {
-		return
-	}
-	s := r.bestDecodeReplica(q)
-	if s == nil {
-		r.retryLater(q, NoDecodeReplica, r.releaseDeadline(q))
-		return
-	}
-	left := q.deadline - r.now
-	limit := left
-	// A silent writer is left while there is time for another, where a repeat is allowed.
-	if r.cfg.Classes[q.Class].Idempotency == Idempotent && left > 2*minDecodeTimeout && q.attempts+1 < r.maxAttempts(q) {
-		limit = max(left/2, minDecodeTimeout)
+// decodeSelection is what a selection of a decode replica goes by.
+type decodeSelection struct {
+	origin *replica // the prefill replica; nil: the request has not been prefilled, or the replica is unknown
+	zone   int      // the preferred zone
+	spill  bool     // the request leaves origin's cell for one with decode capacity to spare
+}
+
+// Parts of the first element of a decodeCost. A replica whose cost is higher by one of them is chosen only if there is
+// no other.
+const (
+	otherCellCost    = 1
+	otherZoneCost    = 2
+	waitCost         = 4
+	failedBeforeCost = 4
+	unhealthyCost    = 8
+)
+
+// decodeCost orders decode replicas, lexicographically: the sum of the costs above, the wait in ms, the random order
+// in which spilled requests spread over cells, and the fill level.
+type decodeCost [4]float64
+
+// decodeChoice is the best replica so far. Each of several with the same cost is chosen with the same probability
+// (reservoir sampling).
+type decodeChoice struct {
+	replica *replica
+	cost    decodeCost
+	ties    int
+}
+
+// offer takes a replica into the choice.
+func (c *decodeChoice) offer(s *replica, cost decodeCost, rng *rand.Rand) {
+	order := slices.Compare(cost[:], c.cost[:])
+	switch {
+	case c.replica == nil || order < 0:
+		c.replica, c.cost, c.ties = s, cost, 1
+	case order == 0:
+		if c.ties++; rng.IntN(c.ties) == 0 {
+			c.replica = s
+		}
 	}
-	q.state, q.ownAttemptsAhead = decoding, float64(len(s.pending))
-	r.send(q, s, limit, r.now+minDecodeTimeout)
 }
 
-// bestDecodeReplica prefers a writer with room in the reader's cell, then one elsewhere, then any. The part of
-// the states that a cell's writers cannot bear goes to cells that have writers to spare.
+// bestDecodeReplica returns a decode replica for a request, or nil. It prefers one with capacity in the prefill
+// replica's cell, then one elsewhere, then any. The part of the requests that the cell's decode replicas cannot bear
+// goes to cells that have decode capacity to spare. A replica in slow start whose turn it is comes first.
 func (r *Router) bestDecodeReplica(q *request) *replica {
 	r.sumCapacity(q.Class)
-	from := r.byID[q.prefillEndpoint]
-	if q.state != awaitingDecode {
-		from = nil
-	}
-	zone, spill := r.cfg.Zone, false
-	if from != nil {
-		_, room := r.cellPreference(from.cell)
-		zone, spill = from.Zone, r.rng.Float64() > room
-	}
-	var best *replica
-	low, ties := [4]float64{math.Inf(1)}, 0
+	selection := r.newDecodeSelection(q)
+	best := decodeChoice{cost: decodeCost{math.Inf(1)}}
 	for _, s := range r.active {
-		if s.role == Prefill || s.State != Ready || q.mayHaveRun && !r.canRetryOn(q, s) {
-			continue
-		}
-		if q.state == awaitingPrefill && s.role == Decode && !r.cfg.DecodeCanPrefill {
+		if !r.canDecode(s, q) {
 			continue
 		}
-		tried, usable := slices.Contains(q.failedEndpoints, s.ID), r.healthy(s, q.Class)
-		if tried && r.now < s.fullUntil {
-			continue
-		}
-		near := from != nil && s.cell == from.cell
-		if r.rampFraction(s) < 1 {
-			flow := 1.0 // the part of all states that the cell's readers send, also if others do not answer
-			if s.cell.readyPrefillCapacity > 0 {
-				flow = max(s.cell.readyPrefillCapacity/r.totalCapacity.readyPrefillCapacity, s.cell.prefillCapacity/max(r.totalCapacity.prefillCapacity, 1e-9))
-			}
-			if s.cell.readyPrefillCapacity > 0 && (!near || spill) || !r.takeSlowStartTurn(s, q, flow, 0) {
+		if r.inSlowStart(s) {
+			if !r.takeDecodeSlowStartTurn(s, q, selection) {
 				continue
 			}
 			s.slowStartCredit--
-			if usable {
+			if r.healthy(s, q.Class) {
 				return s
 			}
 		}
-		tier, wait, spread := 0.0, r.decodeWaitMS(s), 0.0
-		switch {
-		case !usable:
-			tier = 8
-		case wait > 0:
-			tier = 4
-		}
-		if tried {
-			tier += 4
-		}
-		if spill {
-			_, room := r.cellPreference(s.cell)
-			spread = r.rng.ExpFloat64() / (s.Weight * max(1-1/room, 1e-9))
-			if s.Zone != zone {
-				spread *= 3
-			}
-		} else if s.Zone != zone {
-			tier += 2
-		} else if !near {
-			tier++
-		}
-		key := [4]float64{tier, wait, spread, r.fillLevel(s)}
-		switch d := slices.Compare(key[:], low[:]); {
-		case best == nil || d < 0:
-			best, low, ties = s, key, 1
-		case d == 0:
-			if ties++; r.rng.IntN(ties) == 0 {
-				best = s
-			}
+		best.offer(s, r.decodeCostOf(s, q, selection), r.rng)
+	}
+	return best.replica
+}
+
+// newDecodeSelection draws whether a request leaves the cell of its prefill replica.
+func (r *Router) newDecodeSelection(q *request) decodeSelection {
+	origin := r.byID[q.prefillEndpoint]
+	if q.state != awaitingDecode || origin == nil {
+		return decodeSelection{zone: r.cfg.Zone}
+	}
+	_, bearable := r.cellPreference(origin.cell)
+	return decodeSelection{origin: origin, zone: origin.Zone, spill: r.rng.Float64() > bearable}
+}
+
+// inOriginCell reports whether a replica is in the cell of the prefill replica.
+func (d decodeSelection) inOriginCell(s *replica) bool {
+	return d.origin != nil && s.cell == d.origin.cell
+}
+
+// canDecode reports whether a replica may be sent the request's decode attempt.
+func (r *Router) canDecode(s *replica, q *request) bool {
+	if s.role == Prefill || s.State != Ready || q.mayHaveRun && !r.canRetryOn(q, s) {
+		return false
+	}
+	if q.state == awaitingPrefill && s.role == Decode && !r.cfg.DecodeCanPrefill {
+		return false
+	}
+	fullForRequest := r.now < s.fullUntil && slices.Contains(q.failedEndpoints, s.ID)
+	return !fullForRequest
+}
+
+// takeDecodeSlowStartTurn is takeSlowStartTurn for a decode replica. Only requests that stay in its cell are offered
+// to it, unless no prefill replica of the cell is ready.
+func (r *Router) takeDecodeSlowStartTurn(s *replica, q *request, selection decodeSelection) bool {
+	if s.cell.readyPrefillCapacity <= 0 {
+		return r.takeSlowStartTurn(s, q, 1, 0)
+	}
+	if !selection.inOriginCell(s) || selection.spill {
+		return false
+	}
+	// The fraction of all requests that the cell's prefill replicas send, also if those of other cells do not respond.
+	ready := s.cell.readyPrefillCapacity / r.totalCapacity.readyPrefillCapacity
+	healthy := s.cell.prefillCapacity / max(r.totalCapacity.prefillCapacity, minCapacity)
+	return r.takeSlowStartTurn(s, q, max(ready, healthy), 0)
+}
+
+// decodeCostOf returns the cost of a replica for the request. For a spilled request it draws the replica's place in
+// the order in which such requests spread: weighted by what the replica's cell has to spare.
+func (r *Router) decodeCostOf(s *replica, q *request, selection decodeSelection) decodeCost {
+	cost, waitMS, spread := 0.0, r.decodeWaitMS(s), 0.0
+	switch {
+	case !r.healthy(s, q.Class):
+		cost = unhealthyCost
+	case waitMS > 0:
+		cost = waitCost
+	}
+	if slices.Contains(q.failedEndpoints, s.ID) {
+		cost += failedBeforeCost
+	}
+	switch {
+	case selection.spill:
+		_, bearable := r.cellPreference(s.cell)
+		spread = r.rng.ExpFloat64() / (s.Weight * max(1-1/bearable, minCapacity))
+		if s.Zone != selection.zone {
+			spread *= otherZoneSpread
 		}
+	case s.Zone != selection.zone:
+		cost += otherZoneCost
+	case !selection.inOriginCell(s):
+		cost += otherCellCost
 	}
-	return best
+	return decodeCost{cost, waitMS, spread, r.fillLevel(s)}
 }
 
-// fillLevel is how full a writer is: reported memory where there is a report, plus own streams by size.
+// fillLevel returns how full a decode replica is: its reported memory where there is a report, plus own streams
+// relative to its capacity.
 func (r *Router) fillLevel(s *replica) float64 {
-	f := float64(s.streams+len(s.pending)+1) / (s.Weight * r.rampFraction(s))
+	ownLoad := float64(s.streams+len(s.pending)+1) / (s.Weight * r.rampFraction(s))
 	if s.reportedMemory >= 0 && r.loadKnown(s) {
-		return s.reportedMemory + f/1000
+		return s.reportedMemory + ownLoad/ownLoadDivisor
+	}
+	return ownLoad
+}
+
+// decodeTimeout returns the timeout of a decode attempt. A silent replica is given up while there is time for another
+// one, where a retry is allowed; otherwise it has all the time until the deadline.
+func (r *Router) decodeTimeout(q *request) time.Duration {
+	remaining := q.deadline - r.now
+	retryable := r.cfg.Classes[q.Class].Idempotency == Idempotent && q.attempts+1 < r.maxAttempts(q)
+	if retryable && remaining > 2*minDecodeTimeout {
+		return max(remaining/2, minDecodeTimeout)
 	}
-	return f
+	return remaining
 }
 
-// canRetryOn reports whether a request that may have run may go to the server.
+// canRetryOn reports whether a request that may have run may be sent to a replica.
 func (r *Router) canRetryOn(q *request, s *replica) bool {
 	c := r.cfg.Classes[q.Class]
 	if c.Idempotency == Idempotent {
 		return true
 	}
-	on := r.byID[q.mayHaveRunOn]
-	if c.Idempotency == NonIdempotent || on == nil || r.now+maxProcessStall >= q.mayHaveRunAt+c.DedupWindow {
+	ranOn := r.byID[q.mayHaveRunOn]
+	if c.Idempotency == NonIdempotent || ranOn == nil || r.now+maxProcessStall >= q.mayHaveRunAt+c.DedupWindow {
 		return false
 	}
-	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && s.Zone == on.Zone ||
-		c.DedupScope == ScopeCell && s.Cell == on.Cell
+	return c.DedupScope == ScopeAll ||
+		c.DedupScope == ScopeZone && s.Zone == ranOn.Zone ||
+		c.DedupScope == ScopeCell && s.Cell == ranOn.Cell
 }
--- a/routing/health.go
+++ b/routing/health.go
@@ -1,27 +1,33 @@
 package routing
 
-// Health: which servers may be sent work, by what became of earlier attempts.
+// Outlier ejection (as in Envoy, here with decaying failure levels in place of counts of consecutive errors): which
+// replicas may be sent requests, by the outcomes of earlier attempts.
 
-// healthy reports whether a server may be sent this class of work. It guards against servers that die,
-// go silent or fail fast, for all classes or for one: a high level ejects, and one safe attempt at a
-// time leads back.
+// healthy reports whether a replica may be sent requests of a class. It protects against replicas that die, go silent
+// or fail fast, for all classes or for one: a high failure level ejects the replica, and one attempt at a time that is
+// safe to fail leads back.
 func (r *Router) healthy(s *replica, class int) bool {
 	if s.State != Ready {
 		return false
 	}
-	failed := max(s.health[0].current(r.now), s.health[1+class].current(r.now))
-	trial := len(s.pending) == 0 && (s.role == Prefill || r.cfg.Classes[class].Idempotency == Idempotent)
-	return failed < ejectionThreshold/2 || failed < ejectionThreshold && trial
+	level := max(s.health[0].current(r.now), s.health[1+class].current(r.now))
+	mayProbe := len(s.pending) == 0 && (s.role == Prefill || r.cfg.Classes[class].Idempotency == Idempotent)
+	return level < ejectionThreshold/2 || level < ejectionThreshold && mayProbe
 }
 
-// recordFailure counts against a server for one class, and unless it has answered since, for all.
-func (r *Router) recordFailure(s *replica, class int, weight float64, all bool) {
+// recordFailure raises the failure levels of a replica for one class and for all classes.
+func (r *Router) recordFailure(s *replica, class int, weight float64) {
+	r.recordClassFailure(s, class, weight)
+	s.health[0].update(r.now, 1, weight)
+}
+
+// recordClassFailure raises the failure level of a replica for one class alone: the replica has responded to others
+// since.
+func (r *Router) recordClassFailure(s *replica, class int, weight float64) {
 	s.health[1+class].update(r.now, 1, weight)
-	if all {
-		s.health[0].update(r.now, 1, weight)
-	}
 }
 
+// recordSuccess lowers the failure levels of a replica for one class and for all classes.
 func (r *Router) recordSuccess(s *replica, class int) {
 	s.lastResponse = r.now
 	s.health[0].update(r.now, 0, successWeight)
--- /dev/null
+++ b/routing/prefixcache.go
@@ -0,0 +1,90 @@
+package routing
+
+import (
+	"maps"
+	"math"
+	"time"
+)
+
+// prefixEntry is what the router knows of a session or a shared prefix.
+type prefixEntry struct {
+	endpoint  EndpointID // replica of the latest prefill
+	tokens    int        // tokens that it cached; 0: unknown
+	updatedAt time.Duration
+	requests  decayedMean // its count is the number of recent requests
+}
+
+// countArrival counts a request towards all arrivals and the popularity of its shared prefix.
+func (r *Router) countArrival(q *request) {
+	r.arrivals.add(r.now, 0)
+	if q.SharedPrefix != 0 {
+		entry := getOrCreate(r.prefixCache, q.SharedPrefix)
+		entry.requests.timeConstant = popularityTimeConstant
+		entry.requests.add(r.now, 0)
+	}
+}
+
+// sweepPrefixCache removes the entries that have not been used for a long time, every sweepInterval.
+func (r *Router) sweepPrefixCache() {
+	if r.now-r.sweptAt < sweepInterval {
+		return
+	}
+	r.sweptAt = r.now
+	oldest := r.now - prefixExpiryMultiple*popularityTimeConstant
+	maps.DeleteFunc(r.prefixCache, func(_ Key, entry *prefixEntry) bool {
+		return max(entry.updatedAt, entry.requests.updatedAt) < oldest
+	})
+}
+
+// recordPrefix records a prefix as cached from the moment when it is sent, so that a flood of requests with one prefix
+// goes where it is being prefilled.
+func (r *Router) recordPrefix(key Key, id EndpointID, tokens int) {
+	if key == 0 {
+		return
+	}
+	entry := getOrCreate(r.prefixCache, key)
+	entry.endpoint, entry.tokens, entry.updatedAt = id, tokens, r.now
+}
+
+// forgetPrefixes drops the expectation that a replica which has failed a request's prefill has cached its prefixes.
+func (r *Router) forgetPrefixes(q *request, id EndpointID) {
+	for _, key := range []Key{q.Session, q.SharedPrefix} {
+		if entry := r.prefixCache[key]; entry != nil && entry.endpoint == id {
+			entry.tokens = 0
+		}
+	}
+}
+
+// expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache: by what this
+// router has sent there and, where the replica's rank is that of a replica for the shared prefix, by what other routers
+// will have sent there.
+func (r *Router) expectedCachedTokens(s *replica, q *request, rank float64) int {
+	tokens := max(
+		r.recordedTokens(q.Session, q.PromptTokens, s),
+		r.recordedTokens(q.SharedPrefix, q.SharedPrefixTokens, s),
+	)
+	if rank < notPrefixReplicaRank {
+		tokens = max(tokens, float64(min(q.SharedPrefixTokens, q.PromptTokens)))
+	}
+	return int(tokens * r.cacheHitRatio.mean(r.now, 1, priorSamples))
+}
+
+// recordedTokens returns the tokens of a prefix, up to a limit, that this router has sent to a replica, decayed with
+// time. There is no entry for key 0.
+func (r *Router) recordedTokens(key Key, limit int, s *replica) float64 {
+	entry := r.prefixCache[key]
+	if entry == nil || entry.endpoint != s.ID || entry.updatedAt < s.cacheValidFrom {
+		return 0
+	}
+	return max(0, decay(r.now-entry.updatedAt, prefixCacheTimeConstant)*float64(min(entry.tokens, limit)))
+}
+
+// prefixReplicaCount returns how many prefill replicas should cache the request's shared prefix, by its share of the
+// arrivals. It is a power of two, so that routers whose counts differ somewhat agree on it.
+func (r *Router) prefixReplicaCount(q *request) float64 {
+	share := 0.0
+	if entry := r.prefixCache[q.SharedPrefix]; entry != nil {
+		share = max(entry.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorRequests)
+	}
+	return math.Exp2(math.Floor(math.Log2(1 + share*float64(r.maxReady[Prefill])/maxPrefixShare)))
+}
--- /dev/null
+++ b/routing/rendezvous.go
@@ -0,0 +1,44 @@
+package routing
+
+import "math"
+
+// notPrefixReplicaRank is above the rank of each replica for a request's shared prefix and not above any other rank.
+const notPrefixReplicaRank = 1e6
+
+// rendezvousRank orders the prefill replicas for a request by weighted rendezvous (highest random weight) hashing
+// (D. Thaler, C. Ravishankar: Using Name-Based Mappings to Increase Hit Rates; the weighted form divides an exponential
+// variate by the weight). Lower is better. All routers get the same order, so that prefixes are found in the cache
+// without communication: the replicas for the shared prefix, of which there are replicaCount, come first, in an order
+// by session; then the others. It could do harm where one prefix has more requests than its replicas can take before
+// its popularity is known.
+func (r *Router) rendezvousRank(s *replica, q *request, replicaCount float64) float64 {
+	preference, _ := r.cellPreference(s.cell)
+	weight := r.effectiveWeight(s) * preference
+	if q.SharedPrefix != 0 {
+		// About replicaCount of all replicas have a value of at most 1.
+		relative := exponentialDraw(q.SharedPrefix, s.ID) / weight * float64(r.maxReady[Prefill]) / replicaCount
+		if relative > 1 {
+			return notPrefixReplicaRank + relative
+		}
+	}
+	return exponentialDraw(q.Session, s.ID) / weight
+}
+
+// The constants of SplitMix64 (G. Steele, D. Lea, C. Flood: Fast Splittable Pseudorandom Number Generators).
+const (
+	splitMixIncrement   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
+	splitMixMultiplier2 = 0x94d049bb133111eb
+	// float64Bits is the number of bits of a float64's significand.
+	float64Bits = 53
+)
+
+// exponentialDraw returns an exponential variate that depends on the key and the replica alone: by inversion from a
+// uniform one, which is their SplitMix64 hash.
+func exponentialDraw(key Key, id EndpointID) float64 {
+	x := uint64(key) ^ (uint64(id)+1)*splitMixIncrement
+	x = (x ^ x>>30) * splitMixMultiplier1
+	x = (x ^ x>>27) * splitMixMultiplier2
+	x ^= x >> 31
+	return -math.Log((float64(x>>(64-float64Bits)) + 0.5) / (1 << float64Bits))
+}
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -1,35 +1,35 @@
 package routing
 
-// Held states. A read leaves a state at its reader, which must be taken or let go in time. The time runs
-// while no attempt is known to have reached a running server: that something was sent does not tell, only an
-// answer does.
-
 import "time"
 
-// releaseTimerFlag marks the TimerIDs that look after what a request holds; the others look for a server for it.
-const releaseTimerFlag TimerID = 1 << 63
-
-// reservation is what may be held for a request at some server.
+// reservation is what may be reserved for a request at some replica: a prefill result at its prefill replica, or a
+// slot. It must be used or released within Config.ReservationTTL. The time runs while no attempt is known to have
+// reached a running replica; that an attempt was sent does not prove that, only a response does.
 type reservation struct {
-	mayExist              bool          // something may be held, and is not known to have been let go
-	since                 time.Duration // with may: when the time began to run
-	timerSet              bool          // a timer is under way
-	releasedWhileDecoding bool          // it was let go while a write was out: if that arrives later, it finds nothing
+	mayExist              bool          // something may be reserved and is not known to have been released
+	since                 time.Duration // if mayExist: when the time began to run
+	timerSet              bool          // a release timer is pending
+	releasedWhileDecoding bool          // released while a decode attempt was out, which may then find no prefill result
 }
 
-// releaseDeadline is when what is held for a request must be let go, if no attempt is known to have arrived by
+// releaseTimerFlag marks the TimerIDs of release timers; timers without it let a request look for a replica again.
+const releaseTimerFlag TimerID = 1 << 63
+
+// releaseDeadline returns when a request's reservation must be released unless an attempt is known to have arrived by
 // then.
 func (r *Router) releaseDeadline(q *request) time.Duration {
 	return q.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
 }
 
-// updateReservation takes an attempt's end. One that did not arrive leaves the time running; of one that was given up
-// or broke off nobody knows whether it did, and what it left.
-func (q *request) updateReservation(now time.Duration, o Outcome, writes bool) {
+// updateReservation takes the end of an attempt that was out in a state, prefilling or decoding. An attempt that did
+// not arrive leaves the time running. Of one that timed out or broke off it is unknown whether it arrived and what it
+// reserved.
+func (q *request) updateReservation(now time.Duration, o Outcome, during requestState) {
+	decode := during == decoding
 	switch {
-	case o == Served, o == StateMissing && writes:
+	case o == Served, o == StateMissing && decode:
 		q.reservation.mayExist = false
-	case o == PrefillDone, writes && o.reachedReplica():
+	case o == PrefillDone, decode && o.reachedReplica():
 		q.reservation.mayExist, q.reservation.since = true, now
 	case o == TimedOut || o == ConnectionReset || o == Cancelled:
 		if !q.reservation.mayExist {
@@ -38,13 +38,14 @@
 	}
 }
 
-// release lets go of all that is held for a request.
+// release releases everything that is reserved for a request.
 func (r *Router) release(q *request, why ReleaseReason) {
 	q.reservation.mayExist = false
 	r.emit(Release{q.Request, why})
 }
 
-// scheduleRelease sees to it that what may be held is let go in time, whatever becomes of the attempt that is out.
+// scheduleRelease sets the timer by which the reservation is released in time whatever becomes of the attempt that is
+// out.
 func (r *Router) scheduleRelease(q *request) {
 	if !q.reservation.mayExist || q.reservation.timerSet {
 		return
@@ -53,7 +54,7 @@
 	r.emit(SetTimer{max(r.releaseDeadline(q)-r.now, 0), TimerID(q.Request) | releaseTimerFlag})
 }
 
-// releaseIfExpired is called when the timer of watchHeld is due.
+// releaseIfExpired handles the timer of scheduleRelease.
 func (r *Router) releaseIfExpired(q *request) {
 	q.reservation.timerSet = false
 	if !q.reservation.mayExist {
@@ -64,11 +65,5 @@
 		return
 	}
 	r.release(q, ReservationExpired)
-	switch q.state {
-	case awaitingDecode: // without a writer yet: it has to be read anew
-		q.state, q.retrying, q.pendingPolls, q.selectionStart = awaitingPrefill, true, 0, r.now
-		r.advance(q)
-	case decoding:
-		q.reservation.releasedWhileDecoding = true
-	}
+	r.reservationExpired(q)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -62,9 +62,8 @@
 	quotaShare    QuotaShare // Duration is the time until which it is valid
 }
 
-// The second word of the random source's seed is derived from the first by this value, 2^64 divided by the golden
-// ratio.
-const seedMix = 0x9e3779b97f4a7c15
+// seedMix derives the second word of the random source's seed from the first.
+const seedMix = splitMixIncrement
 
 // New returns a Router with an empty endpoint list. It returns the error of Config.Validate. Routers of the same
 // configuration and seed that handle the same events decide alike.
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -125,7 +125,7 @@
 		t.Errorf("went to %d, want the reader that keeps the session", got)
 	}
 	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
-	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, false); n != 0 {
+	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
 		t.Errorf("%d tokens are promised by a reader that started anew", n)
 	}
 }
@@ -337,8 +337,8 @@
 func TestEjection(t *testing.T) {
 	b := newHarness(t, nil)
 	s := b.r.byID[1]
-	b.r.recordFailure(s, 0, transportFailureWeight, true)
-	b.r.recordFailure(s, 0, transportFailureWeight, true)
+	b.r.recordFailure(s, 0, transportFailureWeight)
+	b.r.recordFailure(s, 0, transportFailureWeight)
 	for i := range RequestID(5) {
 		if got := b.sentTo(b.arrive(i+1, 0)); got != 2 {
 			t.Fatalf("an ejected reader got request %d", i+1)
@@ -725,7 +725,7 @@
 	b := newHarness(t, nil)
 	s := b.r.byID[11]
 	for range 2 {
-		b.r.recordFailure(s, 1, transportFailureWeight, false)
+		b.r.recordClassFailure(s, 1, transportFailureWeight)
 	}
 	if b.r.healthy(s, 1) || !b.r.healthy(s, 0) {
 		t.Error("want the server left alone by the class that fails there, and by no other")
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -1,19 +1,23 @@
 package routing
 
-// Slow start: what a server that has just started may be sent.
+// Slow start (as in NGINX and Envoy): what a replica that has just started may be sent.
 
-// rampFraction is the share of its capacity that a server surely has by now.
+// rampFraction returns the fraction of its capacity that a replica surely has by now: it rises linearly from
+// Config.SlowStartInitial to 1 during Config.SlowStartDuration.
 func (r *Router) rampFraction(s *replica) float64 {
 	age := r.now - s.Started
 	if s.Started <= 0 || age >= r.cfg.SlowStartDuration || r.cfg.OverloadMultiple <= 0 {
 		return 1
 	}
-	from := min(max(r.cfg.SlowStartInitial, 0.05), 1)
-	return from + (1-from)*max(float64(age), 0)/float64(r.cfg.SlowStartDuration)
+	initial := min(max(r.cfg.SlowStartInitial, minSlowStartInitial), 1)
+	return initial + (1-initial)*max(float64(age), 0)/float64(r.cfg.SlowStartDuration)
 }
 
-// effectiveWeight is what a server takes of its role's work, against others; the rule leaves a cold reader room for
-// more than its warmth.
+// inSlowStart reports whether a replica has less than its full capacity.
+func (r *Router) inSlowStart(s *replica) bool { return r.rampFraction(s) < 1 }
+
+// effectiveWeight returns a replica's weight against others of its role. The overload rule leaves a prefill replica in
+// slow start capacity for more than its ramp fraction.
 func (r *Router) effectiveWeight(s *replica) float64 {
 	if s.role == Prefill {
 		return s.Weight * min(slowStartWeightFactor*r.rampFraction(s), 1)
@@ -21,23 +25,27 @@
 	return s.Weight * r.rampFraction(s)
 }
 
-// takeSlowStartTurn guards against cold servers being pushed over by all routers together: of the requests that
-// come to ask, flow of all, a set part may use the cold one. Each router counts that part from a start drawn
-// from the seed, so all together stay at a set part of the server's even share of all sends; ahead is how
-// many it may use before their time. It could do harm when few but cold servers are left.
-func (r *Router) takeSlowStartTurn(s *replica, q *request, flow, ahead float64) bool {
-	if first := q.attempts == 0 || q.attempts == 1 && q.state == awaitingDecode; !first || r.now != q.selectionStart {
-		return false // further attempts and looks ask for no more than the first
+// takeSlowStartTurn reports whether a request may use a replica in slow start. It protects such replicas from being
+// overloaded by all routers together: of the requests that are offered to it, which are the fraction offered of all
+// requests, a fixed part may use it. Each router counts that part from a random start, so that all together stay at a
+// fixed part of the replica's even share of all requests. The router may send allowance requests ahead of that. It
+// could do harm when few replicas except those in slow start remain.
+func (r *Router) takeSlowStartTurn(s *replica, q *request, offered, allowance float64) bool {
+	firstOfStage := q.attempts == 0 || q.attempts == 1 && q.state == awaitingDecode
+	if !firstOfStage || r.now != q.selectionStart {
+		return false // further attempts and repeated selections get no more turns than the first
 	}
-	even := slowStartShare * r.cfg.OverloadMultiple * r.rampFraction(s) / float64(max(r.maxReady[s.role], 1))
-	s.slowStartCredit = min(s.slowStartCredit+even/flow, 2-ahead)
-	return s.slowStartCredit+ahead >= 1
+	replicaCount := float64(max(r.maxReady[s.role], 1))
+	evenShare := slowStartShare * r.cfg.OverloadMultiple * r.rampFraction(s) / replicaCount
+	s.slowStartCredit = min(s.slowStartCredit+evenShare/offered, maxSlowStartCredit-allowance)
+	return s.slowStartCredit+allowance >= 1
 }
 
-// slowStartAllowance is how many sends this router may make to a cold reader before their time: one for texts that it
-// knows, whose ranks bound what all send there at once; of one that is new its part of what chance may add.
+// slowStartAllowance returns how many requests this router may send to a prefill replica in slow start ahead of its
+// part: one with a prefix that is known, since the ranks bound what all routers send there at once; of one with a new
+// prefix this router's part of what chance may add.
 func (r *Router) slowStartAllowance(q *request) float64 {
-	if t := r.prefixCache[q.SharedPrefix]; t == nil || t.requests.count(r.now) > 1.5 {
+	if entry := r.prefixCache[q.SharedPrefix]; entry == nil || entry.requests.count(r.now) > knownPrefixRequests {
 		return 1
 	}
 	return min(r.ownFraction(newPrefixAllowance), 1)
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -18,7 +18,7 @@
 			b.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: w, Elapsed: 5 * ms})
 			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 		}
-		b.r.recordFailure(b.r.byID[11], 0, 1, true)
+		b.r.recordFailure(b.r.byID[11], 0, 1)
 		return b
 	}
 	old := served()
@@ -47,7 +47,7 @@
 	q := &request{RequestArrived: RequestArrived{Session: 59, PromptTokens: 2000}}
 	kept := 0
 	for _, s := range b.r.replicas {
-		kept = max(kept, b.r.expectedCachedTokens(s, q, false))
+		kept = max(kept, b.r.expectedCachedTokens(s, q, notPrefixReplicaRank))
 	}
 	if kept < 500 {
 		t.Errorf("%d tokens of a text that the other sent are expected to be kept", kept)
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -94,7 +94,7 @@
 			}
 			for range 6 {
 				s := b.r.byID[id]
-				b.r.recordFailure(s, 0, transportFailureWeight, true)
+				b.r.recordFailure(s, 0, transportFailureWeight)
 			}
 		}
 		for id := RequestID(10); id < 40; id++ {
