--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// attemptLimit is the number of attempts in force from a time on.
+// attemptLimit is a value of Config.MaxAttempts that was in force until a time.
 type attemptLimit struct {
 	until    time.Duration
 	attempts int
 }
 
-// Reconfigure takes a new configuration while requests are open. Its classes must begin with the ones in force,
-// unchanged, so that a number means the same class for every request that is open; classes that clients may
-// no longer name stay in the list. An open request may take no more attempts than the least that was in force
-// since it came. The zone, the quotas, the kinds and the budgets stay as they were. now is the time of the change.
+// Reconfigure replaces the configuration at time now, while requests are open. The new classes must begin with the
+// ones in force, unchanged, so that an index means the same class for every open request; classes that clients may no
+// longer name stay in the list. An open request may make no more attempts than the smallest limit that was in force
+// since it arrived. The zone, the tenants' quotas, the kinds and the budgets stay as they were. An error of
+// Config.Validate or a change of the classes in force leaves the configuration as it is.
 func (r *Router) Reconfigure(now time.Duration, cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -25,13 +26,7 @@
 	}
 	r.now = max(now, r.now)
 	cfg.Zone, cfg.TenantQuotas, cfg.Kinds, cfg.Budgets = r.cfg.Zone, r.cfg.TenantQuotas, r.cfg.Kinds, r.cfg.Budgets
-	oldest := r.now
-	for _, q := range r.requests {
-		oldest = min(oldest, q.arrivedAt)
-	}
-	// What was in force before the oldest open request came binds no one any more.
-	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(t attemptLimit) bool { return t.until < oldest })
-	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
+	r.recordAttemptLimit()
 	r.cfg = cfg
 	r.updateClasses()
 	for _, s := range r.byID {
@@ -42,14 +37,24 @@
 	return nil
 }
 
-// maxAttempts is how many maxAttempts a request may take: the least number in force since it came.
+// recordAttemptLimit records that the limit in force ends now, and drops those that ended before the oldest open
+// request arrived, which bind none.
+func (r *Router) recordAttemptLimit() {
+	oldest := r.now
+	for _, q := range r.requests {
+		oldest = min(oldest, q.arrivedAt)
+	}
+	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(l attemptLimit) bool { return l.until < oldest })
+	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
+}
+
+// maxAttempts returns how many attempts a request may make: the smallest limit in force since it arrived.
 func (r *Router) maxAttempts(q *request) int {
-	n := r.cfg.MaxAttempts
-	for _, t := range r.attemptLimits {
-		// t.attempts held until t.from; the request saw it if it came before.
-		if q.arrivedAt < t.until {
-			n = min(n, t.attempts)
+	limit := r.cfg.MaxAttempts
+	for _, l := range r.attemptLimits {
+		if q.arrivedAt < l.until {
+			limit = min(limit, l.attempts)
 		}
 	}
-	return n
+	return limit
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Snapshot are what a router has learnt, for another to begin with: one that takes its place, or one that starts. Times are of the
-// clock that both share.
+// Snapshot is a router's learned state, from which another router begins: one that replaces it, or one that starts.
+// Times are of a clock that both share (see Shift).
 type Snapshot struct {
 	TakenAt          time.Duration
 	Prefill, Decode  LatencyModel
@@ -21,25 +21,25 @@
 	Endpoints        []EndpointStats
 }
 
-// Fit is a fading fit of times, Evidence a fading mean, Level a fading average, as this package sums them up.
+// The parts of a Snapshot.
 type (
-	// LatencyModel holds the sums of a fit.
+	// LatencyModel holds the decayed sums of a least-squares fit: the normal matrix A and the vector B.
 	LatencyModel struct {
 		A  [3][3]float64
 		B  [3]float64
 		At time.Duration
 	}
-	// DecayedMean holds a sum of samples and their number.
+	// DecayedMean holds the decayed sum of samples and their decayed number.
 	DecayedMean struct {
 		Sum, Count float64
 		At         time.Duration
 	}
-	// EWMA holds a value.
+	// EWMA holds an exponentially weighted moving average.
 	EWMA struct {
 		Value float64
 		At    time.Duration
 	}
-	// PrefixCacheEntry is where a text is kept.
+	// PrefixCacheEntry says where a prefix is cached and how many requests have it.
 	PrefixCacheEntry struct {
 		Key       Key
 		Endpoint  EndpointID
@@ -47,140 +47,209 @@
 		UpdatedAt time.Duration
 		Requests  DecayedMean
 	}
-	// EndpointStats is what is known of one server's process: it is void for another start of it.
+	// EndpointStats is what is known of one replica's process. It is void for another start of the replica.
 	EndpointStats struct {
 		ID              EndpointID
 		Started         time.Duration
 		CacheValidFrom  time.Duration
 		LastResponse    time.Duration
-		Health          []EWMA
+		Health          []EWMA // failure levels: of all classes, then by class
 		QueueDelay      DecayedMean
 		FirstTokenDelay DecayedMean
 		SlowStartCredit float64
 	}
 )
 
-// Shift moves all times of beliefs but servers' starts, which the list tells: another machine's clock may differ.
+// Shift adds a duration to all times of a snapshot, for a machine whose clock differs. It leaves the replicas' starts,
+// which the endpoint list tells.
 func (b *Snapshot) Shift(by time.Duration) {
 	b.TakenAt += by
 	b.Prefill.At += by
 	b.Decode.At += by
-	for _, e := range []*DecayedMean{&b.CommonQueueDelay, &b.EstimateError, &b.CacheHitRatio, &b.Arrivals, &b.PerQueuedRequest} {
-		e.At += by
-	}
+	b.CommonQueueDelay.At += by
+	b.EstimateError.At += by
+	b.CacheHitRatio.At += by
+	b.Arrivals.At += by
+	b.PerQueuedRequest.At += by
 	for i := range b.Prefixes {
 		b.Prefixes[i].UpdatedAt += by
 		b.Prefixes[i].Requests.At += by
 	}
 	for i := range b.Endpoints {
-		s := &b.Endpoints[i]
-		s.CacheValidFrom += by
-		s.LastResponse += by
-		s.QueueDelay.At += by
-		s.FirstTokenDelay.At += by
-		for j := range s.Health {
-			s.Health[j].At += by
+		stats := &b.Endpoints[i]
+		stats.CacheValidFrom += by
+		stats.LastResponse += by
+		stats.QueueDelay.At += by
+		stats.FirstTokenDelay.At += by
+		for j := range stats.Health {
+			stats.Health[j].At += by
 		}
 	}
 }
 
-func (e *decayedMean) snapshot() DecayedMean { return DecayedMean{e.sum, e.samples, e.updatedAt} }
-
-// restore takes another's evidence where it is more than its own.
-func (e *decayedMean) restore(now time.Duration, o DecayedMean) {
-	if plausible(o.Sum, o.Count) && o.Count >= 0 && o.At <= now && o.Count*decay(now-o.At, e.timeConstant) > e.count(now) {
-		e.sum, e.samples, e.updatedAt = o.Sum, o.Count, o.At
-	}
-}
-
-func (f *latencyModel) snapshot() LatencyModel { return LatencyModel{f.normal, f.moments, f.updatedAt} }
-
-func (f *latencyModel) restore(now time.Duration, o LatencyModel) {
-	ok := o.At <= now && plausible(o.B[:]...)
-	for i := range o.A {
-		ok = ok && plausible(o.A[i][:]...) && o.A[i][i] >= 0
-	}
-	// A[0][0] is the number of samples, since the first input is 1.
-	if ok && o.A[0][0]*decay(now-o.At, f.timeConstant) > f.normal[0][0]*decay(now-f.updatedAt, f.timeConstant) {
-		f.normal, f.moments, f.updatedAt = o.A, o.B, o.At
-		f.solve(now)
-	}
-}
-
-// plausible reports whether figures are such as a router may have.
-func plausible(x ...float64) bool {
-	return !slices.ContainsFunc(x, func(v float64) bool { return !(v > -maxPlausible && v < maxPlausible) })
-}
-
-// Snapshot returns what the router has learnt, with so many texts at the most, the youngest.
-func (r *Router) Snapshot(now time.Duration, texts int) Snapshot {
+// Snapshot returns the router's learned state at time now, with at most maxPrefixes prefixes: the ones used last.
+func (r *Router) Snapshot(now time.Duration, maxPrefixes int) Snapshot {
 	r.now = max(now, r.now)
-	b := Snapshot{TakenAt: r.now, Prefill: r.prefillModel.snapshot(), Decode: r.decodeModel.snapshot(), CommonQueueDelay: r.commonQueueDelay.snapshot(), EstimateError: r.estimateError.snapshot(),
-		CacheHitRatio: r.cacheHitRatio.snapshot(), Arrivals: r.arrivals.snapshot(), PerQueuedRequest: r.perQueuedRequest.snapshot()}
+	b := Snapshot{
+		TakenAt:          r.now,
+		Prefill:          r.prefillModel.snapshot(),
+		Decode:           r.decodeModel.snapshot(),
+		CommonQueueDelay: r.commonQueueDelay.snapshot(),
+		EstimateError:    r.estimateError.snapshot(),
+		CacheHitRatio:    r.cacheHitRatio.snapshot(),
+		Arrivals:         r.arrivals.snapshot(),
+		PerQueuedRequest: r.perQueuedRequest.snapshot(),
+	}
 	for _, key := range slices.Sorted(maps.Keys(r.prefixCache)) {
-		t := r.prefixCache[key]
-		b.Prefixes = append(b.Prefixes, PrefixCacheEntry{key, t.endpoint, t.tokens, t.updatedAt, t.requests.snapshot()})
+		entry := r.prefixCache[key]
+		b.Prefixes = append(b.Prefixes, PrefixCacheEntry{
+			Key:       key,
+			Endpoint:  entry.endpoint,
+			Tokens:    entry.tokens,
+			UpdatedAt: entry.updatedAt,
+			Requests:  entry.requests.snapshot(),
+		})
 	}
-	if len(b.Prefixes) > texts {
+	if len(b.Prefixes) > maxPrefixes {
 		slices.SortStableFunc(b.Prefixes, func(a, b PrefixCacheEntry) int {
-			return -cmp.Compare(max(a.UpdatedAt, a.Requests.At), max(b.UpdatedAt, b.Requests.At))
+			return -cmp.Compare(a.lastUsed(), b.lastUsed())
 		})
-		b.Prefixes = b.Prefixes[:texts]
+		b.Prefixes = b.Prefixes[:maxPrefixes]
 	}
 	for _, s := range r.replicas {
-		k := EndpointStats{ID: s.ID, Started: s.Started, CacheValidFrom: s.cacheValidFrom, LastResponse: s.lastResponse, QueueDelay: s.queueDelay.snapshot(), FirstTokenDelay: s.firstTokenDelay.snapshot(), SlowStartCredit: s.slowStartCredit}
-		for _, h := range s.health {
-			k.Health = append(k.Health, EWMA{h.value, h.updatedAt})
-		}
-		b.Endpoints = append(b.Endpoints, k)
+		b.Endpoints = append(b.Endpoints, s.snapshot())
 	}
 	return b
 }
 
-// restore takes what another router has learnt.
+// lastUsed returns the time of the latest request with the prefix.
+func (e *PrefixCacheEntry) lastUsed() time.Duration { return max(e.UpdatedAt, e.Requests.At) }
+
+func (s *replica) snapshot() EndpointStats {
+	stats := EndpointStats{
+		ID:              s.ID,
+		Started:         s.Started,
+		CacheValidFrom:  s.cacheValidFrom,
+		LastResponse:    s.lastResponse,
+		QueueDelay:      s.queueDelay.snapshot(),
+		FirstTokenDelay: s.firstTokenDelay.snapshot(),
+		SlowStartCredit: s.slowStartCredit,
+	}
+	for _, level := range s.health {
+		stats.Health = append(stats.Health, EWMA{level.value, level.updatedAt})
+	}
+	return stats
+}
+
+func (m *decayedMean) snapshot() DecayedMean { return DecayedMean{m.sum, m.samples, m.updatedAt} }
+
+func (f *latencyModel) snapshot() LatencyModel { return LatencyModel{f.normal, f.moments, f.updatedAt} }
+
+// restore takes another router's learned state, where it is recent.
 func (r *Router) restore(b Snapshot) {
 	if age := r.now - b.TakenAt; age > snapshotMaxAge || age < -maxClockSkew {
 		return
 	}
 	r.prefillModel.restore(r.now, b.Prefill)
 	r.decodeModel.restore(r.now, b.Decode)
-	for e, o := range map[*decayedMean]DecayedMean{&r.commonQueueDelay: b.CommonQueueDelay, &r.estimateError: b.EstimateError, &r.cacheHitRatio: b.CacheHitRatio, &r.arrivals: b.Arrivals, &r.perQueuedRequest: b.PerQueuedRequest} {
-		e.restore(r.now, o)
-	}
-	known := map[EndpointID]bool{}
-	for _, k := range b.Endpoints {
-		// A start is told by each process's list, and so the same but for the clocks that they turn it into.
-		if s := r.byID[k.ID]; s != nil && max(s.Started-k.Started, k.Started-s.Started) <= maxClockSkew && k.CacheValidFrom <= r.now {
-			known[k.ID] = true
-			r.restoreStats(s, k)
+	r.commonQueueDelay.restore(r.now, b.CommonQueueDelay)
+	r.estimateError.restore(r.now, b.EstimateError)
+	r.cacheHitRatio.restore(r.now, b.CacheHitRatio)
+	r.arrivals.restore(r.now, b.Arrivals)
+	r.perQueuedRequest.restore(r.now, b.PerQueuedRequest)
+	restored := map[EndpointID]bool{}
+	for _, stats := range b.Endpoints {
+		if s := r.byID[stats.ID]; s != nil && r.sameStart(s, stats) {
+			restored[stats.ID] = true
+			r.restoreStats(s, stats)
 		}
 	}
-	for _, k := range b.Prefixes {
-		if k.Key == 0 || !known[k.Endpoint] || k.Tokens < 0 || k.UpdatedAt > r.now || max(k.UpdatedAt, k.Requests.At) < r.now-2*popularityTimeConstant {
-			continue
-		}
-		t := getOrCreate(r.prefixCache, k.Key)
-		t.requests.timeConstant = popularityTimeConstant
-		t.requests.restore(r.now, k.Requests)
-		if k.UpdatedAt > t.updatedAt {
-			t.endpoint, t.tokens, t.updatedAt = k.Endpoint, k.Tokens, k.UpdatedAt
+	for _, entry := range b.Prefixes {
+		if restored[entry.Endpoint] {
+			r.restorePrefix(entry)
 		}
 	}
 }
 
-func (r *Router) restoreStats(s *replica, k EndpointStats) {
-	s.cacheValidFrom = min(s.cacheValidFrom, k.CacheValidFrom)
-	s.queueDelay.restore(r.now, k.QueueDelay)
-	s.firstTokenDelay.restore(r.now, k.FirstTokenDelay)
-	if k.LastResponse <= r.now {
-		s.lastResponse = max(s.lastResponse, k.LastResponse)
+// sameStart reports whether stats are of the replica's current process. The endpoint list of each router's process
+// tells the start, so it differs only by the clocks to which they convert it.
+func (r *Router) sameStart(s *replica, stats EndpointStats) bool {
+	skew := max(s.Started-stats.Started, stats.Started-s.Started)
+	return skew <= maxClockSkew && stats.CacheValidFrom <= r.now
+}
+
+// restorePrefix takes an entry that is plausible and not expired; of the place of a prefix the later one counts.
+func (r *Router) restorePrefix(entry PrefixCacheEntry) {
+	oldest := r.now - prefixExpiryMultiple*popularityTimeConstant
+	if entry.Key == 0 || entry.Tokens < 0 || entry.UpdatedAt > r.now || entry.lastUsed() < oldest {
+		return
+	}
+	own := getOrCreate(r.prefixCache, entry.Key)
+	own.requests.timeConstant = popularityTimeConstant
+	own.requests.restore(r.now, entry.Requests)
+	if entry.UpdatedAt > own.updatedAt {
+		own.endpoint, own.tokens, own.updatedAt = entry.Endpoint, entry.Tokens, entry.UpdatedAt
+	}
+}
+
+// restoreStats takes what another router has learned of a replica, where it is plausible and more or later than what
+// this router knows.
+func (r *Router) restoreStats(s *replica, stats EndpointStats) {
+	s.cacheValidFrom = min(s.cacheValidFrom, stats.CacheValidFrom)
+	s.queueDelay.restore(r.now, stats.QueueDelay)
+	s.firstTokenDelay.restore(r.now, stats.FirstTokenDelay)
+	if stats.LastResponse <= r.now {
+		s.lastResponse = max(s.lastResponse, stats.LastResponse)
+	}
+	if r.inSlowStart(s) && plausible(stats.SlowStartCredit) {
+		s.slowStartCredit = min(s.slowStartCredit, stats.SlowStartCredit) // what the other router has sent counts
 	}
-	if r.rampFraction(s) < 1 && plausible(k.SlowStartCredit) {
-		s.slowStartCredit = min(s.slowStartCredit, k.SlowStartCredit) // what the other has sent counts
+	for i := range min(len(s.health), len(stats.Health)) {
+		s.health[i].restore(r.now, stats.Health[i])
 	}
-	for i := range min(len(s.health), len(k.Health)) {
-		if h := k.Health[i]; h.Value >= 0 && h.Value <= 1 && h.At > s.health[i].updatedAt && h.At <= r.now {
-			s.health[i].value, s.health[i].updatedAt = h.Value, h.At
+}
+
+// restore takes another router's average if it is plausible and later than the own one.
+func (a *ewma) restore(now time.Duration, other EWMA) {
+	if other.Value >= 0 && other.Value <= 1 && other.At > a.updatedAt && other.At <= now {
+		a.value, a.updatedAt = other.Value, other.At
+	}
+}
+
+// restore takes another router's samples if they are plausible and more than the own ones.
+func (m *decayedMean) restore(now time.Duration, other DecayedMean) {
+	if !plausible(other.Sum, other.Count) || other.Count < 0 || other.At > now {
+		return
+	}
+	if other.Count*decay(now-other.At, m.timeConstant) > m.count(now) {
+		m.sum, m.samples, m.updatedAt = other.Sum, other.Count, other.At
+	}
+}
+
+// restore takes another router's samples if they are plausible and more than the own ones.
+func (f *latencyModel) restore(now time.Duration, other LatencyModel) {
+	if other.At > now || !other.plausible() {
+		return
+	}
+	// The element of the base input, which is 1, is the number of samples.
+	samples := other.A[baseInput][baseInput] * decay(now-other.At, f.timeConstant)
+	if samples > f.normal[baseInput][baseInput]*decay(now-f.updatedAt, f.timeConstant) {
+		f.normal, f.moments, f.updatedAt = other.A, other.B, other.At
+		f.solve(now)
+	}
+}
+
+// plausible reports whether all sums are, and the diagonal, a sum of squares, is not negative.
+func (m *LatencyModel) plausible() bool {
+	for i := range m.A {
+		if !plausible(m.A[i][:]...) || m.A[i][i] < 0 {
+			return false
 		}
 	}
+	return plausible(m.B[:]...)
+}
+
+// plausible reports whether no figure is NaN or so large that no router could have learned it.
+func plausible(figures ...float64) bool {
+	return !slices.ContainsFunc(figures, func(x float64) bool { return !(x > -maxPlausible && x < maxPlausible) })
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// activeSubset is which servers a router looks at: all, or a subset. What it knows of the others it keeps.
+// activeSubset is the set of replicas that a router uses: all, or an assigned subset. Subsetting bounds the number of
+// connections and lets each router see more of each replica that it uses. The router keeps what it knows of the
+// others.
 type activeSubset struct {
-	active        []*replica // by id
+	active        []*replica // in order of ID
 	subset        []EndpointID
-	limited       bool          // near is the subset's
-	fallbackUntil time.Duration // until then near is all, since the subset is not well; 0: it is
-	// Most ready servers by role: of all, and of the subset.
+	limited       bool          // active is the subset
+	fallbackUntil time.Duration // active is all until then, since the subset is not healthy; 0: no fallback
+	// The most replicas that were ready at once, by role: of all, and of the subset.
 	maxReadyAll, maxReadySubset [roleCount]int
 }
 
-// assignSubset takes a subset.
+// assignSubset takes a subset; an empty one is all replicas.
 func (r *Router) assignSubset(e SubsetAssigned) {
 	subset := slices.Clone(e.Endpoints)
 	slices.Sort(subset)
@@ -23,7 +25,8 @@
 	r.updateActive()
 }
 
-// updateActive works out near, after the roster or the subset has changed. A subset without a reader or a writer is none.
+// updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset without a
+// replica for prefill or without one for decode counts as none.
 func (r *Router) updateActive() {
 	r.active, r.limited = r.replicas, false
 	raiseMaxReady(&r.maxReadyAll, r.replicas)
@@ -31,36 +34,40 @@
 	if len(r.subset) == 0 || r.fallbackUntil > 0 {
 		return
 	}
-	var near []*replica
+	var active []*replica
 	for _, s := range r.replicas {
 		if _, ok := slices.BinarySearch(r.subset, s.ID); ok {
-			near = append(near, s)
+			active = append(active, s)
 		}
 	}
-	ready := [roleCount]int{}
-	raiseMaxReady(&ready, near)
+	ready := countReady(active)
 	if ready[Combined] == 0 && min(ready[Prefill], ready[Decode]) == 0 {
 		return
 	}
-	raiseMaxReady(&r.maxReadySubset, near)
-	r.active, r.limited, r.maxReady = near, true, r.maxReadySubset
+	raiseMaxReady(&r.maxReadySubset, active)
+	r.active, r.limited, r.maxReady = active, true, r.maxReadySubset
 }
 
-// raiseMaxReady raises the most of each role to what is ready now.
-func raiseMaxReady(most *[roleCount]int, servers []*replica) {
-	count := [roleCount]int{}
-	for _, s := range servers {
+// countReady returns the number of ready replicas by role.
+func countReady(replicas []*replica) (count [roleCount]int) {
+	for _, s := range replicas {
 		if s.State == Ready {
 			count[s.role]++
 		}
 	}
-	for i := range most {
-		most[i] = max(most[i], count[i])
+	return count
+}
+
+// raiseMaxReady raises the maxima by role to the number of replicas that are ready now.
+func raiseMaxReady(most *[roleCount]int, replicas []*replica) {
+	count := countReady(replicas)
+	for role := range most {
+		most[role] = max(most[role], count[role])
 	}
 }
 
-// toggleFallback looks at all servers where a survey found less than half of the subset well, and back at the subset after a
-// while; it reports whether the survey is to be made anew.
+// toggleFallback switches to all replicas where sumCapacity found too little of the subset healthy, and back to the
+// subset after fallbackDuration. It reports whether the capacity has to be summed up again.
 func (r *Router) toggleFallback() bool {
 	switch {
 	case r.fallbackUntil > 0 && r.now >= r.fallbackUntil:
@@ -74,13 +81,15 @@
 	return true
 }
 
-// subsetUnhealthy reports whether too few of the subset's readers or writers are well, by the survey that was just made.
+// subsetUnhealthy reports whether too little of the subset's prefill or decode capacity is healthy, by the sums that
+// sumCapacity has just made.
 func (r *Router) subsetUnhealthy() bool {
-	writers := 0.0
+	readyDecodeCapacity := 0.0
 	for _, s := range r.active {
 		if s.role != Prefill && s.State == Ready {
-			writers += r.effectiveWeight(s)
+			readyDecodeCapacity += r.effectiveWeight(s)
 		}
 	}
-	return r.totalCapacity.prefillCapacity < minHealthyFraction*r.totalCapacity.readyPrefillCapacity || r.totalCapacity.decodeCapacity < minHealthyFraction*writers
+	return r.totalCapacity.prefillCapacity < minHealthyFraction*r.totalCapacity.readyPrefillCapacity ||
+		r.totalCapacity.decodeCapacity < minHealthyFraction*readyDecodeCapacity
 }
