--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -6,7 +6,7 @@
 )
 
 // A tenant's quota follows the router's part while that lasts, and falls back to the part for good after it.
-func TestPartOfAQuota(t *testing.T) {
+func TestOwnFractionFollowsQuotaShareWhileItIsValid(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
 	part := func() float64 { return b.r.ownFraction(100) }
 	if got := part(); got != 5 {
@@ -35,7 +35,7 @@
 }
 
 // Many routers together ask a server no more often than its budget allows, and go on without asking.
-func TestAskingIsLimitedOverAllRouters(t *testing.T) {
+func TestLoadPollsStayWithinBudgetOverAllRouters(t *testing.T) {
 	const routers, span = 100, 80 * time.Second
 	probes, sent := map[EndpointID]int{}, 0
 	for range routers {
@@ -69,15 +69,9 @@
 	}
 }
 
-// failPrefill takes a request to a reader that failPrefill it.
-func (b *harness) failPrefill(id RequestID, class int) []Action {
-	b.Helper()
-	return b.handle(5*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
-}
-
 // Repeats are a part of first tries and a few besides; what is beyond is refused at once with when to come back. Critical
 // requests have what others leave.
-func TestRepeatsAreLimited(t *testing.T) {
+func TestRetriesStayWithinBudgetAndReserveSomeForCritical(t *testing.T) {
 	b := newHarness(t, func(c *Config) {
 		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
 	})
@@ -115,7 +109,7 @@
 }
 
 // An unsafe request that may have run is never refused for want of a repeat: that would promise that nothing ran.
-func TestNoRepeatLeftIsNoPromise(t *testing.T) {
+func TestNonIdempotentRequestThatMayHaveRunFailsWithoutRetryBudget(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
 	for id := RequestID(1); id < 5; id++ {
 		b.failPrefill(id, 1)
@@ -127,14 +121,14 @@
 }
 
 // A retune keeps the budgets: they are the fleet's, not the settings'.
-func TestRetuneKeepsBudgets(t *testing.T) {
+func TestReconfigureKeepsBudgets(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
 	if err := b.r.Reconfigure(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Fraction != 0.1 {
 		t.Errorf("%+v, %v", b.r.cfg.Budgets, err)
 	}
 }
 
-func TestBudgetsAreChecked(t *testing.T) {
+func TestValidateRejectsBudgetsOutOfRange(t *testing.T) {
 	for _, bad := range []Budgets{{Fraction: 1.5}, {Fraction: -1}, {PollsPerReplica: -1}, {RetriesPerRequest: -1}, {RetriesPerSecond: -1}} {
 		cfg := testConfig()
 		cfg.Budgets = bad
--- /dev/null
+++ b/routing/harness_test.go
@@ -0,0 +1,90 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+// harness drives one Router by hand: readers 1 and 2, writers 11 and 12 in cell 0 and 13 in cell 1.
+type harness struct {
+	*testing.T
+	r    *Router
+	now  time.Duration
+	last []Action // of the event before
+}
+
+func newHarness(t *testing.T, change func(*Config)) *harness {
+	t.Helper()
+	cfg := testConfig()
+	if change != nil {
+		change(&cfg)
+	}
+	r, err := New(cfg, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &harness{T: t, r: r, now: time.Hour}
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		{ID: 1, Kind: 0, State: Ready}, {ID: 2, Kind: 0, State: Ready},
+		{ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
+		{ID: 13, Kind: 1, State: Ready, Cell: 1, Zone: 1}}})
+	return b
+}
+
+func (b *harness) handle(dt time.Duration, ev Event) []Action {
+	b.now += dt
+	b.last = b.r.Handle(b.now, ev, nil)
+	return b.last
+}
+
+func (b *harness) arrive(id RequestID, class int) []Action {
+	return b.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+}
+
+// sentTo returns the server of the only Send.
+func (b *harness) sentTo(acts []Action) EndpointID {
+	b.Helper()
+	for _, a := range acts {
+		if s, ok := a.(Send); ok {
+			return s.Endpoint
+		}
+	}
+	b.Fatalf("no send in %+v", acts)
+	return 0
+}
+
+func containsAction[A Action](acts []Action) bool {
+	for _, a := range acts {
+		if _, ok := a.(A); ok {
+			return true
+		}
+	}
+	return false
+}
+
+// completePrefill takes a request to the end of its read and returns the writer.
+func (b *harness) completePrefill(id RequestID, class int) (reader, writer EndpointID) {
+	b.Helper()
+	reader = b.sentTo(b.arrive(id, class))
+	writer = b.sentTo(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms}))
+	return reader, writer
+}
+
+// mixedEndpoints lists n servers in cells of five; every third is a reader unless a cell's make-up is given.
+func mixedEndpoints(n int) []Endpoint {
+	var out []Endpoint
+	for i := range n {
+		s := Endpoint{ID: EndpointID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
+		if i%3 == 0 {
+			s.Kind = 0
+		}
+		out = append(out, s)
+	}
+	return out
+}
+
+// failPrefill takes a request to a reader that failPrefill it.
+func (b *harness) failPrefill(id RequestID, class int) []Action {
+	b.Helper()
+	return b.handle(5*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
+}
--- /dev/null
+++ b/routing/learning_test.go
@@ -0,0 +1,132 @@
+package routing
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// The refit follows reads, keeps its bounds, and is unharmed by outliers or inputs that do not vary.
+func TestLatencyModelFitsAndBoundsOutliers(t *testing.T) {
+	b := newHarness(t, nil)
+	f := &b.r.prefillModel
+	for i := range 300 {
+		b.handle(20*ms, TimerFired{})
+		k, ahead := float64(i%7)/2, float64(i%4)
+		f.add(b.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
+	}
+	for i, want := range []float64{12, 50, 20} {
+		if math.Abs(f.coefficients[i]-want) > 0.1*want {
+			t.Errorf("coefficient %d is %.1f, want about %.1f", i, f.coefficients[i], want)
+		}
+	}
+	id, s := RequestID(1000), b.r.byID[1]
+	b.r.recordPrefill(s, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
+	if y := f.predict([3]float64{1, 1, 0}); y > 150 {
+		t.Errorf("one outlier moved the estimate to %.0f ms", y)
+	}
+	for range 1000 {
+		b.handle(20*ms, TimerFired{})
+		f.add(b.now, [3]float64{1, 2, 0}, 80)
+	}
+	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coefficients[2] > 60 {
+		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", y, f.coefficients)
+	}
+}
+
+// Where servers report the tokens that wait, the report is the queue wait.
+func TestReportedBacklogIsTheQueueDelay(t *testing.T) {
+	b := newHarness(t, nil)
+	b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
+	for id := range RequestID(5) {
+		if s := b.sentTo(b.arrive(id+1, 0)); s != 2 {
+			t.Fatalf("went to %d, which reports a long queue", s)
+		}
+	}
+}
+
+// A reader that turns a read away counts as slow, though it answers at once.
+func TestFullPrefillReplicaIsAvoided(t *testing.T) {
+	b := newHarness(t, nil)
+	first := b.sentTo(b.arrive(1, 0))
+	b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
+	for id := range RequestID(5) {
+		if s := b.sentTo(b.arrive(id+2, 0)); s == first {
+			t.Fatalf("request %d went to the reader that is full", id+2)
+		}
+	}
+}
+
+// What reads take everywhere counts at a reader that this router has not met, and is let go of soon.
+func TestCommonQueueDelayAppliesToUnknownReplicaAndDecays(t *testing.T) {
+	b := newHarness(t, func(c *Config) { c.Routers = 100 })
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
+	fresh := b.r.replicas[0]
+	q := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
+	b.r.sumCapacity(0)
+	before, _ := b.r.prefillEstimate(fresh, 0, q)
+	for id := range RequestID(6) {
+		s := b.r.replicas[3+3*id]
+		b.r.recordPrefill(s, q, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
+	}
+	b.r.sumCapacity(0)
+	if after, _ := b.r.prefillEstimate(fresh, 0, q); after < before+300 {
+		t.Errorf("the wait went from %.0f to %.0f ms, want it to follow the others", before, after)
+	}
+	b.handle(2*modelTimeConstant, TimerFired{})
+	b.r.sumCapacity(0)
+	if after, _ := b.r.prefillEstimate(fresh, 0, q); after > before+80 {
+		t.Errorf("the wait is still %.0f ms", after)
+	}
+}
+
+// Reports that make no sense change no choice into a panic or a refusal.
+func TestImplausibleLoadReports(t *testing.T) {
+	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
+		b := newHarness(t, nil)
+		for i, s := range b.r.replicas {
+			b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
+			if i > 0 {
+				b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
+			}
+		}
+		b.r.byID[1].reportedBacklog = -1 // one reader without a report
+		if s, _ := b.completePrefill(1, 0); s != 1 && s != 2 {
+			t.Errorf("%v: sent to %d", x, s)
+		}
+	}
+}
+
+// What a request ahead of one takes is learnt from reads: a queue that passed at first is too long once the reads
+// behind such queues have taken three times as long as thought.
+func TestLearnsDelayPerQueuedRequest(t *testing.T) {
+	b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
+	passes := func(id RequestID, after time.Duration) bool {
+		acts := b.arrive(id, 0)
+		for i := 0; i < len(acts); i++ {
+			switch a := acts[i].(type) {
+			case PollLoad:
+				acts = append(acts, b.handle(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
+			case Send:
+				b.handle(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
+				return true
+			}
+		}
+		return false
+	}
+	passed := 0
+	for id := range RequestID(20) {
+		if passes(id+1, time.Second) {
+			passed++
+		}
+	}
+	if passed == 0 || passed > 10 {
+		t.Errorf("%d of 20 passed", passed)
+	}
+	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
+	for id := range RequestID(20) {
+		if !passes(id+1, 200*ms) {
+			t.Errorf("request %d was refused, though the queue is short in time", id+1)
+		}
+	}
+}
--- /dev/null
+++ b/routing/prefixcache_test.go
@@ -0,0 +1,95 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestCachedPrefixAttractsRequest(t *testing.T) {
+	b := newHarness(t, nil)
+	b.r.recordPrefix(77, 2, 900)
+	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
+	if got := b.sentTo(b.handle(ms, a)); got != 2 {
+		t.Errorf("went to %d, want the reader that keeps the session", got)
+	}
+	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
+	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
+		t.Errorf("%d tokens are promised by a reader that started anew", n)
+	}
+}
+
+// Routers that share nothing and differ in seed still read a session, and a text that few ask for, at
+// the same reader, so that it is found kept.
+func TestRoutersAgreeOnPrefillReplicaOfAPrefix(t *testing.T) {
+	reader := func(seed uint64, id RequestID, session Key) EndpointID {
+		cfg := testConfig()
+		cfg.Routers = 200
+		r, err := New(cfg, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Handle(time.Hour, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)}, nil)
+		for _, a := range r.Handle(time.Hour, RequestArrived{Request: id, Tenant: -1, Session: session, SharedPrefix: 7,
+			SharedPrefixTokens: 2000, PromptTokens: 2500, TimeLeft: 4 * time.Second}, nil) {
+			if s, ok := a.(Send); ok {
+				return s.Endpoint
+			}
+		}
+		t.Fatal("no send")
+		return 0
+	}
+	for seed := range uint64(20) {
+		if a, b := reader(seed, 1, 5), reader(seed+100, 2, 6); a != b {
+			t.Errorf("seeds %d and %d read the same text at %d and %d", seed, seed+100, a, b)
+		}
+	}
+}
+
+// A text that many ask for gets more homes.
+func TestPopularPrefixSpreadsOverReplicas(t *testing.T) {
+	b := newHarness(t, func(c *Config) { c.Routers = 100 })
+	list := mixedEndpoints(60)
+	for i := range list {
+		list[i].Zone = 0
+	}
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
+	to := map[EndpointID]int{}
+	for id := range RequestID(300) {
+		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, TimeLeft: 4 * time.Second}
+		if id%2 == 0 {
+			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
+		}
+		s := b.sentTo(b.handle(300*ms, a))
+		if a.SharedPrefix != 0 && id > 100 {
+			to[s]++
+		}
+		b.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
+	}
+	if len(to) < 8 {
+		t.Errorf("half of all requests were read at %d of 20 readers", len(to))
+	}
+}
+
+// The states that a cell's only writer cannot bear go to cells with writers to spare.
+func TestCellWithLittleDecodeCapacitySpills(t *testing.T) {
+	b := newHarness(t, nil)
+	var list []Endpoint
+	for i := range 10 {
+		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
+		if i == 4 || i > 5 { // four readers and a writer, a reader and four writers
+			s.Kind = 1
+		}
+		list = append(list, s)
+	}
+	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
+	n := map[EndpointID]int{}
+	for id := range RequestID(500) {
+		_, w := b.completePrefill(id+1, 0)
+		b.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+		b.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+		n[w]++
+	}
+	if n[14] > 175 || n[14] < 50 {
+		t.Errorf("the only writer of a cell of readers got %d of 500, an even share is 100", n[14])
+	}
+}
--- a/routing/quiet_test.go
+++ b/routing/quiet_test.go
@@ -106,7 +106,7 @@
 
 // On a quiet day the tenth of a class's requests with the longest prompts, and the next fifth, are passed at least two thirds as often as
 // its others, no session with several turns is refused throughout, and no third of the day and no class falls off.
-func TestQuietDaySinglesOutNobody(t *testing.T) {
+func TestLowLoadAdmitsAllGroupsOfRequestsAlike(t *testing.T) {
 	for _, routers := range []int{4, 30} {
 		for seed := range uint64(3) {
 			all := simulateTraffic(t, routers, 0.5, seed)
--- a/routing/reconfigure_test.go
+++ b/routing/reconfigure_test.go
@@ -8,7 +8,7 @@
 // A request that was open at a retune keeps the rules it came with: an unsafe one is not sent again when its
 // class's name now stands for a safe class, and none takes more attempts than the least in force since it came.
 // A new class binds from the retune on, and a retune that would renumber the classes is refused.
-func TestRetuneKeepsOpenRequestsRules(t *testing.T) {
+func TestReconfigureKeepsRulesOfOpenRequests(t *testing.T) {
 	b := newHarness(t, nil)
 	_, w := b.completePrefill(1, 1) // unsafe
 	cfg := testConfig()
--- /dev/null
+++ b/routing/request_test.go
@@ -0,0 +1,200 @@
+package routing
+
+import (
+	"reflect"
+	"strconv"
+	"testing"
+	"time"
+)
+
+func TestRequestIsServedInItsCell(t *testing.T) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 0)
+	if w == 13 {
+		t.Error("a writer outside the reader's cell was chosen though its own has room")
+	}
+	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+	_, other := b.completePrefill(2, 0)
+	if other == w || other == 13 {
+		t.Errorf("second went to %d, want the other writer of the cell than %d", other, w)
+	}
+	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+	if b.r.requests[1] != nil || b.r.byID[w].streams != 0 {
+		t.Error("a served request left something behind")
+	}
+}
+
+func TestNonIdempotentRequestNeverRunsTwice(t *testing.T) {
+	for o := Served + 1; o < PrefillDone; o++ {
+		b := newHarness(t, nil)
+		_, w := b.completePrefill(1, 1)
+		acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: o})
+		if o.NeverRan() != (containsAction[Send](acts) || containsAction[SetTimer](acts)) || !o.NeverRan() != containsAction[Fail](acts) || containsAction[Reject](acts) {
+			t.Errorf("outcome %d: got %+v", o, acts)
+		}
+	}
+}
+
+func TestQueueFullRetriesDecodeAndStateMissingRetriesPrefill(t *testing.T) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 1)
+	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
+	if next == w || next < 11 {
+		t.Errorf("after full went to %d, want another writer", next)
+	}
+	if again := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
+		t.Errorf("with no state went to %d, want a reader", again)
+	}
+}
+
+func TestClientGoneCancelsAndReleases(t *testing.T) {
+	b := newHarness(t, nil)
+	s := b.sentTo(b.arrive(1, 0))
+	if !containsAction[Cancel](b.handle(ms, ClientGone{1})) {
+		t.Error("the read was not cancelled")
+	}
+	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
+	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(b.r.requests) != 0 {
+		t.Errorf("got %+v, want only the state released", acts)
+	}
+	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
+		AttemptEnded{Request: 8, Endpoint: 99}} {
+		if acts := b.handle(-time.Second, ev); len(acts) != 0 {
+			t.Errorf("%T of a finished request or unknown server: %+v", ev, acts)
+		}
+	}
+}
+
+// A time-out trimmed to the deadline is answered at once.
+func TestTimeoutAtDeadlineFailsAtOnce(t *testing.T) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 1)
+	acts := b.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: TimedOut})
+	if !containsAction[Fail](acts) || !containsAction[Release](acts) {
+		t.Errorf("got %+v", acts)
+	}
+}
+
+// A drain between read and write, and no writer at all: the state is given back within the limit.
+func TestReservationIsReleasedWithoutDecodeReplica(t *testing.T) {
+	b := newHarness(t, nil)
+	s := b.sentTo(b.arrive(1, 1))
+	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
+		{ID: 13, Kind: 1, State: Draining}}})
+	acts := b.handle(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
+	for start := b.now; !containsAction[Release](acts); acts = b.handle(selectionRetryInterval, TimerFired{1}) {
+		if !containsAction[SetTimer](acts) || containsAction[Send](acts) || b.now > start+b.r.cfg.ReservationTTL {
+			t.Fatalf("after %v: %+v", b.now-start, acts)
+		}
+	}
+	if !containsAction[Reject](acts) {
+		t.Errorf("got %+v, want a refusal: nothing has run", acts)
+	}
+}
+
+// A class that the settings do not name gets an answer, not a panic.
+func TestUnknownClassFails(t *testing.T) {
+	b := newHarness(t, nil)
+	if acts := b.arrive(1, 99); !reflect.DeepEqual(acts, []Action{Fail{1, UnknownClass}}) {
+		t.Errorf("got %+v", acts)
+	}
+}
+
+func BenchmarkArrival(b *testing.B) {
+	d := newDriver(b, 1)
+	d.run(d.now + time.Minute)
+	var out []Action
+	id := RequestID(1 << 40)
+	for b.Loop() {
+		id++
+		out = d.r.Handle(d.now, RequestArrived{Request: id, Session: Key(id % 100), PromptTokens: 900, TimeLeft: time.Second}, out[:0])
+		d.now += ms
+		d.r.Handle(d.now, ClientGone{id}, nil)
+		for i := range 12 {
+			d.r.Handle(d.now, AttemptEnded{Request: id, Endpoint: EndpointID(100 + 7*i), Outcome: PrefillDone, Final: true}, nil)
+		}
+	}
+}
+
+// The test stands before every read: a request that a full or silent reader gave back is not pushed on
+// into a jam.
+func TestPrefillRetryPassesAdmissionAgain(t *testing.T) {
+	b := newHarness(t, nil)
+	first := b.sentTo(b.arrive(1, 0))
+	for range 20 {
+		b.r.commonQueueDelay.add(b.now, 5000)
+	}
+	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
+	if !containsAction[Reject](acts) || containsAction[Send](acts) {
+		t.Errorf("got %+v, want a refusal", acts)
+	}
+}
+
+func BenchmarkFleet(b *testing.B) {
+	for _, n := range []int{20, 100, 400} {
+		b.Run(strconv.Itoa(n), func(b *testing.B) {
+			cfg := testConfig()
+			cfg.Routers = 200
+			r, err := New(cfg, 1)
+			if err != nil {
+				b.Fatal(err)
+			}
+			now := time.Hour
+			out := r.Handle(now, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(n)}, nil)
+			id := RequestID(0)
+			for b.Loop() {
+				id++
+				now += ms
+				out = r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: Key(id % 100), PromptTokens: 900,
+					TimeLeft: time.Second}, out[:0])
+				reader := out[0].(Send).Endpoint
+				out = r.Handle(now, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: ms}, out[:0])
+				writer := out[0].(Send).Endpoint
+				out = r.Handle(now, FirstToken{Request: id, Attempt: 1, Endpoint: writer, Elapsed: ms}, out[:0])
+				out = r.Handle(now, AttemptEnded{Request: id, Attempt: 1, Endpoint: writer, Final: true}, out[:0])
+			}
+		})
+	}
+}
+
+// An answer that broke once it had begun has used up the state: a safe request is read anew at once, while
+// its attempts last, and a filing is not sent again.
+func TestBrokenStreamRetriesPrefill(t *testing.T) {
+	b := newHarness(t, nil)
+	_, w := b.completePrefill(1, 0)
+	acts := b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset, StreamStarted: true})
+	if s := b.sentTo(acts); s > 2 || !containsAction[Release](acts) {
+		t.Errorf("sent to %d: %+v", s, acts)
+	}
+}
+
+// Those who are turned away in a jam must not come back together, nor later than the settings allow.
+func TestRetryAfterHasJitter(t *testing.T) {
+	b := newHarness(t, nil)
+	var least, most time.Duration
+	for id := range RequestID(200) {
+		b.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
+		b.r.rejectOrFail(b.r.requests[id+1], AttemptsExhausted, 5000)
+		refused := b.r.actions[len(b.r.actions)-1].(Reject)
+		if id == 0 {
+			least = refused.RetryAfter
+		}
+		least, most = min(least, refused.RetryAfter), max(most, refused.RetryAfter)
+	}
+	if limit := b.r.cfg.MaxRetryAfter; least < limit/2 || most > limit || most-least < limit*2/5 {
+		t.Errorf("between %v and %v", least, most)
+	}
+}
+
+// A request that may have run is not sent again so late that a process that is held up for 0.15 s would write it when the servers no
+// longer drop its repeats.
+func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
+	for left, again := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
+		b := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
+		_, writer := b.completePrefill(1, 2)
+		acts := b.handle(3*time.Second-left, AttemptEnded{Request: 1, Attempt: 1, Endpoint: writer, Outcome: ConnectionReset, Elapsed: 3*time.Second - left})
+		if containsAction[Send](acts) != again {
+			t.Errorf("with %v of the window left: %+v", left, acts)
+		}
+	}
+}
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -60,7 +60,7 @@
 
 // The time for which a state may be held runs on while sends do not arrive: neither an attempt that is out without a word nor one that
 // could not connect stops it or begins it anew.
-func TestHeldStateIsLetGo(t *testing.T) {
+func TestReservationIsReleasedWithinTTL(t *testing.T) {
 	for name, each := range map[string]time.Duration{"no word": time.Hour, "connections fail late": 200 * ms, "connections fail": 80 * ms} {
 		t.Run(name, func(t *testing.T) {
 			for class := range 2 {
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -8,7 +8,7 @@
 
 // A router that learns from one that has served takes its texts and its fits, and judges servers as that one does; nothing is taken
 // that is old, from the future, of another start of a server, or no sane figure.
-func TestLearns(t *testing.T) {
+func TestSnapshotRestore(t *testing.T) {
 	served := func() *harness {
 		b := newHarness(t, nil)
 		for id := RequestID(1); id < 60; id++ {
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -55,7 +55,7 @@
 }
 
 // A router keeps to its subset, uses all of it, and goes back to all when it is told none.
-func TestKeepsToItsSubset(t *testing.T) {
+func TestRouterUsesExactlyItsSubset(t *testing.T) {
 	b := newLargeHarness(t, 200)
 	subset := subsetOfCells(2, 7)
 	b.handle(0, subset)
@@ -81,7 +81,7 @@
 }
 
 // Where less than half of a subset is well, by failures or by the list, the router looks at all; and back when it is well.
-func TestSubsetThatDies(t *testing.T) {
+func TestUnhealthySubsetFallsBackToAllReplicas(t *testing.T) {
 	for _, by := range []string{"list", "failures"} {
 		b := newLargeHarness(t, 100)
 		subset := subsetOfCells(1, 4)
@@ -125,7 +125,7 @@
 }
 
 // A subset without a writer, or of servers that are not there, is none.
-func TestSubsetWithoutARole(t *testing.T) {
+func TestSubsetWithoutARoleIsIgnored(t *testing.T) {
 	for _, s := range []SubsetAssigned{{Endpoints: []EndpointID{1, 2, 3}}, {Endpoints: []EndpointID{777}}} {
 		b := newLargeHarness(t, 100)
 		b.handle(0, s)
@@ -137,7 +137,7 @@
 
 // Routers with subsets of their own together send a cold server no more than those that look at all would: the part that a
 // router may send counts against its own subset.
-func TestColdPartOfASubset(t *testing.T) {
+func TestSlowStartShareCountsSubsetOnly(t *testing.T) {
 	all, near := newLargeHarness(t, 200), newLargeHarness(t, 200)
 	near.handle(0, subsetOfCells(0, 1))
 	even := func(b *harness) float64 { return 1 / float64(b.r.maxReady[Prefill]) }
