--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -14,40 +14,40 @@
 	}
 	acts := b.arrive(1, 0)
 	if !containsAction[Reject](acts) || containsAction[Send](acts) {
-		t.Errorf("got %+v, want a refusal before any read", acts)
+		t.Errorf("got %+v, want a rejection before any prefill", acts)
 	}
 	if acts[0].(Reject).RetryAfter <= 0 {
-		t.Error("no advice when to return")
+		t.Error("no Retry-After")
 	}
 }
 
-// A read that alone is over the budget is judged by its queue wait.
+// A prefill that alone exceeds the budget is judged by its queue delay.
 func TestLongPrefillIsJudgedByQueueDelayAlone(t *testing.T) {
 	b := newHarness(t, nil)
 	b.r.prefillModel.prior = [3]float64{10, 900, 7}
 	if !containsAction[Send](b.arrive(1, 0)) {
-		t.Error("a long read with no queue was refused")
+		t.Error("a long prefill without a queue was rejected")
 	}
 }
 
-// Among many routers a tenant's part is a fraction of a request a second: its first requests are within
-// the share, and refused ones spend nothing of it.
+// Among many routers a router's part of a tenant's quota is less than a request per second: the first requests are within
+// it, and rejected ones spend nothing of it.
 func TestTenantQuotaAmongManyRouters(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Routers = 200 })
 	if b.r.overQuota(1) {
-		t.Error("a tenant's first request counts as beyond its share")
+		t.Error("a tenant's first request counts as beyond its quota")
 	}
-	left := b.r.tenantBuckets[1].Tokens()
+	before := b.r.tenantBuckets[1].Tokens()
 	for range 20 {
 		b.r.commonQueueDelay.add(b.now, 9000)
 	}
 	for id := range RequestID(50) {
 		if !containsAction[Reject](b.handle(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second})) {
-			t.Fatal("not refused")
+			t.Fatal("not rejected")
 		}
 	}
-	if got := b.r.tenantBuckets[1].Tokens(); got < left {
-		t.Errorf("refusals left %.2f of %.2f", got, left)
+	if got := b.r.tenantBuckets[1].Tokens(); got < before {
+		t.Errorf("after rejections %.2f tokens remain, before them %.2f", got, before)
 	}
 	b.handle(time.Minute, TimerFired{})
 	n := 0
@@ -55,7 +55,7 @@
 		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second}
 		b.handle(10*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.handle(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
 		if n++; n > 20 {
-			t.Fatal("never beyond its share")
+			t.Fatal("never beyond its quota")
 		}
 	}
 }
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// A tenant's quota follows the router's part while that lasts, and falls back to the part for good after it.
+// A router's fraction of a limit is that of its QuotaShare while it is valid, and Budgets.Fraction afterwards.
 func TestOwnFractionFollowsQuotaShareWhileItIsValid(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
-	part := func() float64 { return b.r.ownFraction(100) }
-	if got := part(); got != 5 {
-		t.Errorf("%v without a word, want 5", got)
+	fraction := func() float64 { return b.r.ownFraction(100) }
+	if got := fraction(); got != 5 {
+		t.Errorf("%v without a QuotaShare, want 5", got)
 	}
 	b.handle(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
-	if got := part(); got != 50 {
-		t.Errorf("%v of a half, want 50", got)
+	if got := fraction(); got != 50 {
+		t.Errorf("%v with a share of a half, want 50", got)
 	}
 	b.handle(999*ms, TimerFired{})
-	if got := part(); got != 50 {
-		t.Errorf("%v before its end, want 50", got)
+	if got := fraction(); got != 50 {
+		t.Errorf("%v before the share expires, want 50", got)
 	}
 	b.handle(ms, TimerFired{})
-	if got := part(); got != 5 {
-		t.Errorf("%v after its end, want 5", got)
+	if got := fraction(); got != 5 {
+		t.Errorf("%v after the share has expired, want 5", got)
 	}
-	b.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it was old when it came
-	if got := part(); got != 5 {
-		t.Errorf("%v of one that had ended, want 5", got)
+	b.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it has expired on arrival
+	if got := fraction(); got != 5 {
+		t.Errorf("%v with a share that had expired, want 5", got)
 	}
-	even := newHarness(t, func(c *Config) { c.Routers = 4 })
-	if got := even.r.ownFraction(100); got != 25 {
+	equalSplit := newHarness(t, func(c *Config) { c.Routers = 4 })
+	if got := equalSplit.r.ownFraction(100); got != 25 {
 		t.Errorf("%v without budgets, want 25", got)
 	}
 }
 
-// Many routers together ask a server no more often than its budget allows, and go on without asking.
+// Many routers together poll a replica no more often than its budget allows, and send without a poll beyond that.
 func TestLoadPollsStayWithinBudgetOverAllRouters(t *testing.T) {
 	const routers, span = 100, 80 * time.Second
-	probes, sent := map[EndpointID]int{}, 0
+	polls, sends := map[EndpointID]int{}, 0
 	for range routers {
 		b := newHarness(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
 		id := RequestID(0)
@@ -49,78 +49,78 @@
 				acts = acts[1:]
 				switch a := a.(type) {
 				case PollLoad:
-					probes[a.Endpoint]++
+					polls[a.Endpoint]++
 					acts = append(acts, b.handle(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
 				case Send:
-					sent++
+					sends++
 					acts = append(acts, b.handle(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
 				}
 			}
 		}
 	}
-	for id, n := range probes {
-		// One a second, and at the start ten seconds' and one of each; unlimited it would be two for each of 1,000 requests.
+	for id, n := range polls {
+		// One per second, plus the burst of ten seconds and one per router; without a limit, two for each of 1,000 requests.
 		if most := int((span + pollBurstSpan).Seconds()) + routers; n > most {
-			t.Errorf("server %d was asked %d times, at most %d", id, n, most)
+			t.Errorf("replica %d was polled %d times, want at most %d", id, n, most)
 		}
 	}
-	if len(probes) == 0 || sent < routers*8 {
-		t.Errorf("%d servers asked, %d sends", len(probes), sent)
+	if len(polls) == 0 || sends < routers*8 {
+		t.Errorf("%d replicas polled, %d sends", len(polls), sends)
 	}
 }
 
-// Repeats are a part of first tries and a few besides; what is beyond is refused at once with when to come back. Critical
-// requests have what others leave.
+// Retries are a fraction of first attempts plus a few; beyond that a request is rejected at once with a Retry-After.
+// A part of the burst is reserved for critical requests.
 func TestRetriesStayWithinBudgetAndReserveSomeForCritical(t *testing.T) {
 	b := newHarness(t, func(c *Config) {
 		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
 	})
-	again := map[bool]int{}
+	retried := map[bool]int{}
 	for id := RequestID(1); id <= 20; id++ {
 		acts := b.failPrefill(id, 0)
-		again[containsAction[Send](acts)]++
+		retried[containsAction[Send](acts)]++
 		if containsAction[Send](acts) {
 			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
 		} else {
 			r, ok := acts[len(acts)-1].(Reject)
 			if !ok || r.RetryAfter < 200*ms || r.RetryAfter > 400*ms {
-				t.Fatalf("without a repeat: %+v", acts)
+				t.Fatalf("without a retry: %+v", acts)
 			}
 		}
 	}
-	if again[true] < 1 || again[true] > 4 {
-		t.Errorf("%d of 20 were tried again", again[true])
+	if retried[true] < 1 || retried[true] > 4 {
+		t.Errorf("%d of 20 were retried", retried[true])
 	}
 	acts := b.failPrefill(100, 1)
 	if !containsAction[Send](acts) {
-		t.Error("a critical request is not tried again though something was kept for it")
+		t.Error("a critical request is not retried although a part is reserved for it")
 	}
 	b.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
-	b.handle(time.Minute, TimerFired{}) // the readers' failures are forgotten too
+	b.handle(time.Minute, TimerFired{}) // the prefill replicas' failure levels have decayed too
 	if acts := b.failPrefill(200, 0); !containsAction[Send](acts) {
-		t.Errorf("%+v: not tried again though the budget has filled", acts)
+		t.Errorf("%+v: not retried although the budget has filled", acts)
 	}
-	off := newHarness(t, nil)
+	unlimited := newHarness(t, nil)
 	for id := RequestID(1); id <= 20; id++ {
-		if !containsAction[Send](off.failPrefill(id, 0)) {
+		if !containsAction[Send](unlimited.failPrefill(id, 0)) {
 			t.Fatal("limited without a budget")
 		}
 	}
 }
 
-// An unsafe request that may have run is never refused for want of a repeat: that would promise that nothing ran.
+// A non-idempotent request that may have run fails if no retry remains: a rejection would promise that nothing ran.
 func TestNonIdempotentRequestThatMayHaveRunFailsWithoutRetryBudget(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
 	for id := RequestID(1); id < 5; id++ {
 		b.failPrefill(id, 1)
 	}
-	_, w := b.completePrefill(10, 1)
-	if acts := b.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
+	_, decodeReplica := b.completePrefill(10, 1)
+	if acts := b.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
 		t.Errorf("%+v", acts)
 	}
 }
 
-// A retune keeps the budgets: they are the fleet's, not the settings'.
+// Reconfigure keeps the budgets: they are those of all routers, not of one configuration.
 func TestReconfigureKeepsBudgets(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
 	if err := b.r.Reconfigure(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Fraction != 0.1 {
@@ -129,11 +129,11 @@
 }
 
 func TestValidateRejectsBudgetsOutOfRange(t *testing.T) {
-	for _, bad := range []Budgets{{Fraction: 1.5}, {Fraction: -1}, {PollsPerReplica: -1}, {RetriesPerRequest: -1}, {RetriesPerSecond: -1}} {
+	for _, budgets := range []Budgets{{Fraction: 1.5}, {Fraction: -1}, {PollsPerReplica: -1}, {RetriesPerRequest: -1}, {RetriesPerSecond: -1}} {
 		cfg := testConfig()
-		cfg.Budgets = bad
+		cfg.Budgets = budgets
 		if cfg.Validate() == nil {
-			t.Errorf("%+v passes", bad)
+			t.Errorf("%+v passes", budgets)
 		}
 	}
 }
--- a/routing/config_test.go
+++ b/routing/config_test.go
@@ -7,13 +7,13 @@
 
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	for name, change := range map[string]func(*Config){
-		"no classes":   func(c *Config) { c.Classes = nil },
-		"no routers":   func(c *Config) { c.Routers = 0 },
-		"no attempts":  func(c *Config) { c.MaxAttempts = 0 },
-		"effect":       func(c *Config) { c.Classes[0].Idempotency = 9 },
-		"negative aim": func(c *Config) { c.Classes[0].TTFTObjective = -1 },
-		"role":         func(c *Config) { c.Kinds[0].Role = 9 },
-		"release":      func(c *Config) { c.ReservationTTL = -1 },
+		"no classes":         func(c *Config) { c.Classes = nil },
+		"no routers":         func(c *Config) { c.Routers = 0 },
+		"no attempts":        func(c *Config) { c.MaxAttempts = 0 },
+		"idempotency":        func(c *Config) { c.Classes[0].Idempotency = 9 },
+		"negative objective": func(c *Config) { c.Classes[0].TTFTObjective = -1 },
+		"role":               func(c *Config) { c.Kinds[0].Role = 9 },
+		"reservation TTL":    func(c *Config) { c.ReservationTTL = -1 },
 	} {
 		cfg := testConfig()
 		change(&cfg)
@@ -23,14 +23,14 @@
 	}
 }
 
-// Lists and settings beyond any seen are handled: no panic, and a request gets its answer.
+// Unusual endpoint lists and configurations cause no panic, and a request gets its answer.
 func TestUnusualEndpointLists(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
-		"nobody":       nil,
-		"writers only": {{ID: 1, Kind: 1, State: Ready}},
-		"odd weights":  {{ID: 1, State: Ready, Weight: math.NaN()}, {ID: 2, Kind: 1, State: Ready, Weight: -3}},
-		"odd kinds":    {{ID: 1, Kind: 99, State: Ready}, {ID: 2, Kind: -1, State: Ready}},
-		"thousands":    mixedEndpoints(3000),
+		"empty":           nil,
+		"decode only":     {{ID: 1, Kind: 1, State: Ready}},
+		"invalid weights": {{ID: 1, State: Ready, Weight: math.NaN()}, {ID: 2, Kind: 1, State: Ready, Weight: -3}},
+		"unknown kinds":   {{ID: 1, Kind: 99, State: Ready}, {ID: 2, Kind: -1, State: Ready}},
+		"thousands":       mixedEndpoints(3000),
 	} {
 		b := newHarness(t, func(c *Config) { c.Routers = 5000 })
 		b.handle(ms, EndpointUpdate{Full: true, Endpoints: list})
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -9,10 +9,12 @@
 	"time"
 )
 
-// The driver feeds a Router legal events drawn from a seed and checks the five rules on its actions.
-// It is no model of servers: outcomes and delays are drawn, whatever was sent.
+// The driver feeds a Router legal events drawn from a seed and checks five rules on its actions: (1) each request gets
+// exactly one answer, in time; (2) nothing runs twice that must not; (3) sends go to ready replicas only; (4) replicas
+// in slow start are not overloaded; (5) reservations do not outlast their time.
+// It is no model of replicas: outcomes and delays are drawn, whatever was sent.
 
-// slowStartWindow is the window over which the cold-start rule is counted.
+// slowStartWindow is the window in which sends to a replica in slow start are counted.
 const slowStartWindow = 3 * time.Second
 
 type scheduledEvent struct {
@@ -39,13 +41,13 @@
 	return x
 }
 
-// trackedRequest is what the checks know of one request.
+// trackedRequest is the driver's view of one request.
 type trackedRequest struct {
 	RequestArrived
 	deadline          time.Duration
-	attemptsOut       int // attempts out,
-	attemptsAtReplica int // those of them that have reached a running server,
-	decodesAtReplica  int // and a writer among them, which waits for the state
+	attemptsOut       int // attempts without an outcome,
+	attemptsAtReplica int // those of them that have reached a running replica,
+	decodesAtReplica  int // and those among them at a decode replica, which use the prefill result
 	attempts          int
 	answered          bool
 	finished          bool
@@ -68,13 +70,13 @@
 	requests   map[RequestID]*trackedRequest
 	servers    map[EndpointID]*Endpoint
 	unhealthy  map[EndpointID]bool
-	coldSends  map[EndpointID][]time.Duration // sends while cold
+	coldSends  map[EndpointID][]time.Duration // sends in slow start
 	sends      int
-	intercept  func(Action) []Action // tampers with actions, to show that the checks can fail
+	intercept  func(Action) []Action // sees, and may replace, each action
 	violations []string
 	nextID     RequestID
 	counts     map[Outcome]int
-	maxReady   [2]int // most servers ready in a list since the router's start, by kind
+	maxReady   [2]int // most replicas ready at once since the router's start, by kind
 }
 
 func testConfig() Config {
@@ -107,7 +109,7 @@
 	return d
 }
 
-// restart starts the router anew with the last list; what it held is void.
+// restart replaces the router by a new one with the last endpoint list; open requests are dropped.
 func (d *driver) restart() {
 	r, err := New(d.cfg, d.rng.Uint64())
 	if err != nil {
@@ -169,14 +171,14 @@
 func (d *driver) arrive() {
 	d.after(time.Duration(d.rng.ExpFloat64()*40)*ms, d.arrive)
 	d.nextID++
-	left := time.Duration(500+d.rng.IntN(6000)) * ms
+	remaining := time.Duration(500+d.rng.IntN(6000)) * ms
 	a := RequestArrived{
 		Request: d.nextID, Class: d.rng.IntN(len(d.cfg.Classes)), Tenant: d.rng.IntN(2),
 		Session: Key(d.rng.IntN(50)), SharedPrefix: Key(1000 + d.rng.IntN(5)), PromptTokens: 100 + d.rng.IntN(4000),
-		MaxOutputTokens: 200, TimeLeft: left,
+		MaxOutputTokens: 200, TimeLeft: remaining,
 	}
 	a.SharedPrefixTokens = a.PromptTokens / 2
-	q := &trackedRequest{RequestArrived: a, deadline: d.now + left}
+	q := &trackedRequest{RequestArrived: a, deadline: d.now + remaining}
 	d.requests[a.Request] = q
 	d.handle(a)
 	id := a.Request
@@ -188,7 +190,7 @@
 			}
 		})
 	}
-	d.after(left+8*ms, func() {
+	d.after(remaining+8*ms, func() {
 		if q := d.requests[id]; q != nil && !q.answered && !q.finished && !q.streaming {
 			d.violation("rule 1: request %d has no answer in time", id)
 			q.finished = true
@@ -196,11 +198,11 @@
 	})
 }
 
-// injectFault draws what befalls servers and the list.
+// injectFault draws a change of a replica and of the endpoint list.
 func (d *driver) injectFault() {
 	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.injectFault)
-	list := d.endpointList()
-	s := d.servers[list[d.rng.IntN(len(list))].ID]
+	endpoints := d.endpointList()
+	s := d.servers[endpoints[d.rng.IntN(len(endpoints))].ID]
 	switch d.rng.IntN(6) {
 	case 0:
 		s.State = Draining
@@ -240,12 +242,12 @@
 		d.checkSend(a)
 	case Release:
 		if q := d.requests[a.Request]; q != nil && q.decodesAtReplica == 0 {
-			q.reserved = false // what an attempt waits for stays
+			q.reserved = false // a release does not take what an attempt waits for
 		}
 	case Reject:
 		if q := d.requests[a.Request]; q != nil && q.mayHaveRun &&
 			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != ScopeAll) {
-			d.violation("rule 2: request %d was refused after it may have run", a.Request)
+			d.violation("rule 2: request %d was rejected after it may have run", a.Request)
 		}
 		d.answer(a.Request)
 	case Fail:
@@ -293,64 +295,64 @@
 }
 
 func (d *driver) checkRetry(q *trackedRequest, s *Endpoint) {
-	c, on := d.cfg.Classes[q.Class], d.servers[q.mayHaveRunOn]
+	c, ranOn := d.cfg.Classes[q.Class], d.servers[q.mayHaveRunOn]
 	switch {
 	case c.Idempotency == Idempotent:
 	case c.Idempotency == NonIdempotent:
-		d.violation("rule 2: unsafe request %d was sent again after it may have run", q.Request)
+		d.violation("rule 2: non-idempotent request %d was sent again after it may have run", q.Request)
 	case d.now > q.mayHaveRunAt+c.DedupWindow:
-		d.violation("rule 2: keyed request %d was sent again past its window", q.Request)
-	case c.DedupScope == ScopeCell && s.Cell != on.Cell, c.DedupScope == ScopeZone && s.Zone != on.Zone:
-		d.violation("rule 2: keyed request %d was sent again outside its group", q.Request)
+		d.violation("rule 2: request %d was sent again after its deduplication window", q.Request)
+	case c.DedupScope == ScopeCell && s.Cell != ranOn.Cell, c.DedupScope == ScopeZone && s.Zone != ranOn.Zone:
+		d.violation("rule 2: request %d was sent again outside its deduplication scope", q.Request)
 	}
 }
 
-// checkSlowStart holds a cold server's sends to this router's even part of what the rule allows, by the
-// rate of all sends so far.
+// checkSlowStart holds the sends to a replica in slow start to this router's even share of what the overload rule
+// allows, by the rate of arrivals.
 func (d *driver) checkSlowStart(s *Endpoint) {
-	list := append(d.coldSends[s.ID], d.now)
-	list = slices.DeleteFunc(list, func(at time.Duration) bool { return at < d.now-slowStartWindow })
-	d.coldSends[s.ID] = list
+	sends := append(d.coldSends[s.ID], d.now)
+	sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return at < d.now-slowStartWindow })
+	d.coldSends[s.ID] = sends
 	age := float64(d.now-s.Started) / float64(d.cfg.SlowStartDuration)
-	warmth := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
-	// Arrivals a second for each server of the role, by the most that this router was ever told of: of
-	// servers that its lists never named it can know nothing.
-	normal := 25.0 / float64(d.maxReady[s.Kind])
-	allowed := d.cfg.OverloadMultiple*warmth*normal*slowStartWindow.Seconds() + 2
-	if float64(len(list)) > allowed {
-		d.violation("rule 4: cold server %d of kind %d got %d sends of %.1f", s.ID, s.Kind, len(list), allowed)
+	ramp := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
+	// Arrivals per second for each replica of the role, by the most that were ever on this router's endpoint list: it
+	// cannot know of others.
+	evenRate := 25.0 / float64(d.maxReady[s.Kind])
+	allowed := d.cfg.OverloadMultiple*ramp*evenRate*slowStartWindow.Seconds() + 2
+	if float64(len(sends)) > allowed {
+		d.violation("rule 4: replica %d of kind %d in slow start got %d sends, allowed %.1f", s.ID, s.Kind, len(sends), allowed)
 	}
 }
 
 // schedule draws how an attempt ends.
 func (d *driver) schedule(q *trackedRequest, s *Endpoint, attempt int, timeout time.Duration) {
-	left := q.deadline - d.now
-	if timeout <= 0 || timeout > left {
-		timeout = left
+	remaining := q.deadline - d.now
+	if timeout <= 0 || timeout > remaining {
+		timeout = remaining
 	}
-	took := time.Duration(5+d.rng.IntN(300)) * ms
+	elapsed := time.Duration(5+d.rng.IntN(300)) * ms
 	role := d.cfg.Kinds[s.Kind].Role
 	outcomes := []Outcome{Errored, QueueFull, StateMissing, TimedOut, ConnectFailed, ConnectionReset, NotSent}
-	o := PrefillDone
+	drawn := PrefillDone
 	if role != Prefill {
-		o = Served
+		drawn = Served
 	}
 	if d.rng.IntN(5) == 0 || d.unhealthy[s.ID] {
-		o = outcomes[d.rng.IntN(len(outcomes))]
+		drawn = outcomes[d.rng.IntN(len(outcomes))]
 	}
-	if o == TimedOut || took > timeout {
-		o, took = TimedOut, timeout
+	if drawn == TimedOut || elapsed > timeout {
+		drawn, elapsed = TimedOut, timeout
 	}
-	arrives := o.reachedReplica() || o == ConnectionReset || o == TimedOut && d.rng.IntN(2) == 0
-	waits := arrives && role != Prefill
+	arrives := drawn.reachedReplica() || drawn == ConnectionReset || drawn == TimedOut && d.rng.IntN(2) == 0
+	arrivesAtDecode := arrives && role != Prefill
 	if arrives {
 		q.attemptsAtReplica++
 	}
-	if waits {
+	if arrivesAtDecode {
 		q.decodesAtReplica++
 	}
 	end := func(o Outcome, final bool) {
-		e := AttemptEnded{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Outcome: o, Elapsed: took, CachedTokens: q.PromptTokens / 3}
+		e := AttemptEnded{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Outcome: o, Elapsed: elapsed, CachedTokens: q.PromptTokens / 3}
 		if d.rng.IntN(3) == 0 {
 			e.Load = &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1}
 		}
@@ -358,9 +360,9 @@
 		d.counts[o]++
 		q.finished = q.finished || final
 		e.Final = q.finished || q.answered
-		lost := role == Prefill && arrives && (o == TimedOut || o == ConnectionReset) // it may have ended well all the same
-		q.reserved = q.reserved && o != Served || o == PrefillDone || lost
-		if waits {
+		mayHaveCompleted := role == Prefill && arrives && (o == TimedOut || o == ConnectionReset) // it may have completed all the same
+		q.reserved = q.reserved && o != Served || o == PrefillDone || mayHaveCompleted
+		if arrivesAtDecode {
 			q.decodesAtReplica--
 		}
 		if arrives {
@@ -368,25 +370,25 @@
 			q.lastArrivedEnd = d.now
 		}
 		if role != Prefill && !o.NeverRan() && !q.mayHaveRun {
-			q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, d.now-took, s.ID
+			q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, d.now-elapsed, s.ID
 		}
 		d.handle(e)
 	}
-	if o != Served {
-		d.after(took, func() { end(o, false) })
+	if drawn != Served {
+		d.after(elapsed, func() { end(drawn, false) })
 		return
 	}
-	d.after(took, func() {
+	d.after(elapsed, func() {
 		if q.finished {
 			end(Cancelled, false)
 			return
 		}
 		q.streaming = true
-		d.handle(FirstToken{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Elapsed: took})
+		d.handle(FirstToken{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Elapsed: elapsed})
 		d.after(time.Second, func() {
 			o := Served
 			if d.rng.IntN(10) == 0 {
-				o = ConnectionReset // a stream that breaks is finished too
+				o = ConnectionReset // a stream that breaks is final too
 			}
 			end(o, true)
 		})
@@ -396,7 +398,7 @@
 func (d *driver) checkReservations() {
 	for id, q := range d.requests {
 		if q.attemptsAtReplica == 0 && q.reserved && d.now > q.lastArrivedEnd+d.cfg.ReservationTTL+8*ms {
-			d.violation("rule 5: request %d is left pinned", id)
+			d.violation("rule 5: the reservation of request %d has outlasted its time", id)
 			q.reserved = false
 		}
 		if q.attemptsOut == 0 && !q.reserved && (q.answered || q.finished) && d.now > q.deadline+time.Second {
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"rampspread/routing"
 )
 
-// A Router takes one request from its arrival to the end of its stream.
+// One request from its arrival to the end of its response stream.
 func Example() {
 	r, err := routing.New(routing.Config{
 		Classes:     []routing.Class{{TTFTObjective: time.Second, Weight: 1}},
@@ -24,7 +24,7 @@
 			switch a := a.(type) {
 			case routing.Send:
 				fmt.Printf("%v: %T to %d\n", at, a, a.Endpoint)
-			case routing.SetTimer: // it looks whether the state has been taken
+			case routing.SetTimer: // the release timer of the reservation
 				fmt.Printf("%v: %T after %v\n", at, a, a.After)
 			}
 		}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// harness drives one Router by hand: readers 1 and 2, writers 11 and 12 in cell 0 and 13 in cell 1.
+// harness drives one Router step by step: prefill replicas 1 and 2 and decode replicas 11 and 12 in cell 0, decode
+// replica 13 in cell 1.
 type harness struct {
 	*testing.T
 	r    *Router
 	now  time.Duration
-	last []Action // of the event before
+	last []Action // of the latest event
 }
 
 func newHarness(t *testing.T, change func(*Config)) *harness {
@@ -41,7 +42,7 @@
 	return b.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 }
 
-// sentTo returns the server of the only Send.
+// sentTo returns the replica of the first Send.
 func (b *harness) sentTo(acts []Action) EndpointID {
 	b.Helper()
 	for _, a := range acts {
@@ -62,15 +63,15 @@
 	return false
 }
 
-// completePrefill takes a request to the end of its read and returns the writer.
-func (b *harness) completePrefill(id RequestID, class int) (reader, writer EndpointID) {
+// completePrefill takes a request to the end of its prefill and returns its prefill and decode replicas.
+func (b *harness) completePrefill(id RequestID, class int) (prefill, decode EndpointID) {
 	b.Helper()
-	reader = b.sentTo(b.arrive(id, class))
-	writer = b.sentTo(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms}))
-	return reader, writer
+	prefill = b.sentTo(b.arrive(id, class))
+	decode = b.sentTo(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms}))
+	return prefill, decode
 }
 
-// mixedEndpoints lists n servers in cells of five; every third is a reader unless a cell's make-up is given.
+// mixedEndpoints lists n replicas in cells of five; every third is a prefill replica.
 func mixedEndpoints(n int) []Endpoint {
 	var out []Endpoint
 	for i := range n {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// failPrefill takes a request to a reader that failPrefill it.
+// failPrefill takes a request to a prefill replica to which the connection fails, and returns what follows.
 func (b *harness) failPrefill(id RequestID, class int) []Action {
 	b.Helper()
 	return b.handle(5*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The refit follows reads, keeps its bounds, and is unharmed by outliers or inputs that do not vary.
+// The model follows its samples, keeps its bounds, and withstands outliers and inputs that do not vary.
 func TestLatencyModelFitsAndBoundsOutliers(t *testing.T) {
 	b := newHarness(t, nil)
 	f := &b.r.prefillModel
@@ -34,7 +34,7 @@
 	}
 }
 
-// Where servers report the tokens that wait, the report is the queue wait.
+// Where replicas report their backlog, it replaces the queue delay of own attempts.
 func TestReportedBacklogIsTheQueueDelay(t *testing.T) {
 	b := newHarness(t, nil)
 	b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
@@ -45,19 +45,19 @@
 	}
 }
 
-// A reader that turns a read away counts as slow, though it answers at once.
+// A prefill replica with a full queue counts as slow although it responds at once.
 func TestFullPrefillReplicaIsAvoided(t *testing.T) {
 	b := newHarness(t, nil)
 	first := b.sentTo(b.arrive(1, 0))
 	b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
 	for id := range RequestID(5) {
 		if s := b.sentTo(b.arrive(id+2, 0)); s == first {
-			t.Fatalf("request %d went to the reader that is full", id+2)
+			t.Fatalf("request %d went to the replica that is full", id+2)
 		}
 	}
 }
 
-// What reads take everywhere counts at a reader that this router has not met, and is let go of soon.
+// The delay common to all replicas applies to one that this router has not used yet, and decays soon.
 func TestCommonQueueDelayAppliesToUnknownReplicaAndDecays(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Routers = 100 })
 	b.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
@@ -71,16 +71,16 @@
 	}
 	b.r.sumCapacity(0)
 	if after, _ := b.r.prefillEstimate(fresh, 0, q); after < before+300 {
-		t.Errorf("the wait went from %.0f to %.0f ms, want it to follow the others", before, after)
+		t.Errorf("the delay went from %.0f to %.0f ms, want it to follow the others", before, after)
 	}
 	b.handle(2*modelTimeConstant, TimerFired{})
 	b.r.sumCapacity(0)
 	if after, _ := b.r.prefillEstimate(fresh, 0, q); after > before+80 {
-		t.Errorf("the wait is still %.0f ms", after)
+		t.Errorf("the delay is still %.0f ms", after)
 	}
 }
 
-// Reports that make no sense change no choice into a panic or a refusal.
+// Implausible load reports cause neither a panic nor a rejection.
 func TestImplausibleLoadReports(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
 		b := newHarness(t, nil)
@@ -90,18 +90,18 @@
 				b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
 			}
 		}
-		b.r.byID[1].reportedBacklog = -1 // one reader without a report
+		b.r.byID[1].reportedBacklog = -1 // one prefill replica without a report
 		if s, _ := b.completePrefill(1, 0); s != 1 && s != 2 {
 			t.Errorf("%v: sent to %d", x, s)
 		}
 	}
 }
 
-// What a request ahead of one takes is learnt from reads: a queue that passed at first is too long once the reads
-// behind such queues have taken three times as long as thought.
+// The delay per queued request is learned from prefills: a queue that is acceptable at first is too long once prefills
+// behind such queues have taken three times as long as estimated.
 func TestLearnsDelayPerQueuedRequest(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-	passes := func(id RequestID, after time.Duration) bool {
+	admitted := func(id RequestID, after time.Duration) bool {
 		acts := b.arrive(id, 0)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i].(type) {
@@ -114,19 +114,19 @@
 		}
 		return false
 	}
-	passed := 0
+	admittedCount := 0
 	for id := range RequestID(20) {
-		if passes(id+1, time.Second) {
-			passed++
+		if admitted(id+1, time.Second) {
+			admittedCount++
 		}
 	}
-	if passed == 0 || passed > 10 {
-		t.Errorf("%d of 20 passed", passed)
+	if admittedCount == 0 || admittedCount > 10 {
+		t.Errorf("%d of 20 were admitted", admittedCount)
 	}
 	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
-		if !passes(id+1, 200*ms) {
-			t.Errorf("request %d was refused, though the queue is short in time", id+1)
+		if !admitted(id+1, 200*ms) {
+			t.Errorf("request %d was rejected although the queue is short in time", id+1)
 		}
 	}
 }
--- a/routing/loadpoll_test.go
+++ b/routing/loadpoll_test.go
@@ -7,64 +7,64 @@
 	"time"
 )
 
-// A router that hears little of each reader asks the two that a request's keys rank first, and goes to the one with
-// the shorter queue; nothing is sent before both have told or the wait is over, and a dead one gets nothing.
+// A router with few samples per replica polls the two of the lowest ranks and sends to the one with the shorter queue;
+// nothing is sent before both have answered or the poll has timed out, and a replica that does not answer gets nothing.
 func TestLoadPollBeforePrefill(t *testing.T) {
 	start := func() (*harness, []EndpointID) {
 		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-		var asked []EndpointID
+		var polled []EndpointID
 		for _, a := range b.arrive(1, 0) {
 			switch a := a.(type) {
 			case PollLoad:
-				asked = append(asked, a.Endpoint)
+				polled = append(polled, a.Endpoint)
 			case SetTimer:
 				if a.After != pollTimeout || a.Timer != 1 {
-					t.Errorf("wake %+v", a)
+					t.Errorf("timer %+v", a)
 				}
 			default:
 				t.Errorf("before any answer: %+v", a)
 			}
 		}
-		if len(asked) != pollCandidateCount {
-			t.Fatalf("asked %v", asked)
+		if len(polled) != pollCandidateCount {
+			t.Fatalf("polled %v", polled)
 		}
-		return b, asked
+		return b, polled
 	}
 	for first := range pollCandidateCount {
-		b, asked := start()
-		if acts := b.handle(ms, LoadPolled{asked[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
+		b, polled := start()
+		if acts := b.handle(ms, LoadPolled{polled[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
 			t.Errorf("after one answer: %+v", acts)
 		}
-		if s := b.sentTo(b.handle(ms, LoadPolled{asked[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != asked[first] {
-			t.Errorf("went to %d, not to %d, which has no queue", s, asked[first])
+		if s := b.sentTo(b.handle(ms, LoadPolled{polled[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != polled[first] {
+			t.Errorf("went to %d, not to %d, which has no queue", s, polled[first])
 		}
-		if s := b.sentTo(b.arrive(2, 0)); s != asked[first] {
-			t.Errorf("the next went to %d: a report may be used for a while", s)
+		if s := b.sentTo(b.arrive(2, 0)); s != polled[first] {
+			t.Errorf("the next went to %d, want the report to be used for a while", s)
 		}
 	}
-	b, asked := start()
-	b.handle(ms, LoadPolled{asked[0], nil})
-	if s := b.sentTo(b.handle(pollTimeout, TimerFired{1})); s == asked[0] {
-		t.Errorf("went to %d, which told nothing", s)
+	b, polled := start()
+	b.handle(ms, LoadPolled{polled[0], nil})
+	if s := b.sentTo(b.handle(pollTimeout, TimerFired{1})); s == polled[0] {
+		t.Errorf("went to %d, which did not answer", s)
 	}
-	if acts := b.handle(ms, LoadPolled{asked[1], &LoadReport{}}); len(acts) != 0 {
+	if acts := b.handle(ms, LoadPolled{polled[1], &LoadReport{}}); len(acts) != 0 {
 		t.Errorf("a late answer: %+v", acts)
 	}
-	b, asked = start()
-	for _, id := range asked {
+	b, polled = start()
+	for _, id := range polled {
 		b.handle(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
 	}
 	if b.r.requests[1] != nil {
-		t.Error("passed, though both its readers have told of long queues")
+		t.Error("admitted although both replicas have reported long queues")
 	}
 }
 
-// Before a state goes on, the writers of its cell are asked: one with requests waiting is passed over, and where all
-// have them the state leaves the cell.
+// Before a decode attempt the decode replicas of the cell are polled: one with queued requests is not used, and where
+// all have them the request leaves the cell.
 func TestLoadPollBeforeDecode(t *testing.T) {
 	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
 		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-		b.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the state is none of those that go to cells with room to spare
+		b.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the request is not one that is spilled to another cell
 		b.arrive(1, 0)
 		b.handle(ms, LoadPolled{1, &LoadReport{}})
 		s := b.sentTo(b.handle(ms, LoadPolled{2, &LoadReport{}}))
@@ -84,7 +84,7 @@
 	}
 }
 
-// One that hears enough asks nobody, and neither does one whose settings forbid it.
+// A router with enough samples does not poll, and neither does one whose configuration forbids it.
 func TestNoLoadPollWithEnoughSamplesOrByConfig(t *testing.T) {
 	b := newHarness(t, nil)
 	b.sentTo(b.arrive(1, 0))
@@ -98,73 +98,73 @@
 	}
 }
 
-// What another router heard of loads stands for asking, fades, and goes behind what was told here; that it heard nothing
-// is weaker than own experience, and makes nobody count as alive.
+// A peer's load report replaces a poll, expires, and yields to a later own report. A peer's report of a silent replica
+// weighs less than own experience, and no report of a peer makes a replica count as alive.
 func TestPeerLoadReport(t *testing.T) {
-	start := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
-	tell := func(b *harness, age time.Duration, queue1, queue2 float64) {
+	newPolling := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
+	report := func(b *harness, age time.Duration, queue1, queue2 float64) {
 		b.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: queue1}, Age: age})
 		b.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{QueuedRequests: queue2}, Age: age})
 	}
 	for _, short := range []EndpointID{1, 2} {
-		b := start()
-		tell(b, 100*ms, 20*float64(short-1), 20*float64(2-short))
+		b := newPolling()
+		report(b, 100*ms, 20*float64(short-1), 20*float64(2-short))
 		if acts := b.arrive(1, 0); containsAction[PollLoad](acts) || b.sentTo(acts) != short {
-			t.Errorf("with loads heard 0.1 s ago: %+v, want a send to %d", acts, short)
+			t.Errorf("with reports of 0.1 s ago: %+v, want a send to %d", acts, short)
 		}
 	}
-	b := start()
-	tell(b, peerLoadMaxAge+ms, 0, 20)
+	b := newPolling()
+	report(b, peerLoadMaxAge+ms, 0, 20)
 	if acts := b.arrive(1, 0); !containsAction[PollLoad](acts) {
-		t.Errorf("with loads of too long ago: %+v", acts)
+		t.Errorf("with expired reports: %+v", acts)
 	}
-	b = start()
-	tell(b, 0, 0, 0)
+	b = newPolling()
+	report(b, 0, 0, 0)
 	if acts := b.handle(peerLoadMaxAge, TimerFired{}); len(acts) != 0 {
 		t.Errorf("%+v", acts)
 	}
 	if acts := b.arrive(1, 0); !containsAction[PollLoad](acts) {
-		t.Errorf("heard once and long ago: %+v", acts)
+		t.Errorf("after the reports have expired: %+v", acts)
 	}
 
-	b = start()
+	b = newPolling()
 	b.handle(0, LoadPolled{1, &LoadReport{QueuedRequests: 7}})
 	b.handle(100*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 400 * ms})
 	if s := b.r.byID[1]; s.reportedQueue != 7 {
-		t.Errorf("another's older word of %v took the place of what was told here", s.reportedQueue)
+		t.Errorf("a peer's older report of %v replaced the own one", s.reportedQueue)
 	}
 	b.handle(200*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 50 * ms})
 	if s := b.r.byID[1]; s.reportedQueue != 1 {
-		t.Errorf("another's newer word was passed over: %v", s.reportedQueue)
+		t.Errorf("a peer's newer report was not used: %v", s.reportedQueue)
 	}
 
-	b = start()
-	for range 50 { // it sees enough itself: which reader is slow is more than how many wait there
+	b = newPolling()
+	for range 50 { // with enough own samples it knows which replica is slow, which says more than a queue
 		b.r.estimateError.add(b.now, 0)
 	}
-	tell(b, 0, 0, 20)
+	report(b, 0, 0, 20)
 	if b.r.samplesPerReplica() < minSamplesPerReplica || b.r.loadKnown(b.r.byID[1]) {
-		t.Errorf("with evidence of %v another's load was taken", b.r.samplesPerReplica())
+		t.Errorf("with %v samples per replica a peer's report was used", b.r.samplesPerReplica())
 	}
 
-	b = start()
+	b = newPolling()
 	s := b.r.byID[2]
 	alive, health := s.lastResponse, s.health[0].current(b.now)
 	b.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
 	worse := s.health[0].current(b.now)
 	b.handle(0, LoadPolled{1, nil})
 	if own := b.r.byID[1].health[0].current(b.now); worse <= health || worse >= own || s.lastResponse != alive {
-		t.Errorf("health %v, %v by another's word, %v by own experience; heard %v after %v", health, worse, own, s.lastResponse, alive)
+		t.Errorf("failure level %v, %v by a peer's report, %v by own experience; last response %v after %v", health, worse, own, s.lastResponse, alive)
 	}
 	b.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{}, Age: 0})
 	if s.lastResponse != alive {
-		t.Error("another's word made a server count as heard here")
+		t.Error("a peer's report made a replica count as alive")
 	}
 	s.lastResponse = b.now
 	before := s.health[0].current(b.now)
 	b.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
 	if s.health[0].current(b.now) != before {
-		t.Error("silent by another's word, though it answered here since")
+		t.Error("a peer's report counted although the replica has responded here since")
 	}
 	b.handle(0, PeerLoadReport{Endpoint: 99, Load: &LoadReport{}})
 	b.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{}, Age: -1})
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -10,18 +10,18 @@
 	b.r.recordPrefix(77, 2, 900)
 	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
 	if got := b.sentTo(b.handle(ms, a)); got != 2 {
-		t.Errorf("went to %d, want the reader that keeps the session", got)
+		t.Errorf("went to %d, want the replica that has the session cached", got)
 	}
 	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
 	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
-		t.Errorf("%d tokens are promised by a reader that started anew", n)
+		t.Errorf("%d tokens are expected at a replica that has restarted", n)
 	}
 }
 
-// Routers that share nothing and differ in seed still read a session, and a text that few ask for, at
-// the same reader, so that it is found kept.
+// Routers that do not communicate and differ in their seeds still send a session, and a prefix that is not popular, to
+// the same prefill replica, so that it is found in the cache.
 func TestRoutersAgreeOnPrefillReplicaOfAPrefix(t *testing.T) {
-	reader := func(seed uint64, id RequestID, session Key) EndpointID {
+	prefillReplica := func(seed uint64, id RequestID, session Key) EndpointID {
 		cfg := testConfig()
 		cfg.Routers = 200
 		r, err := New(cfg, seed)
@@ -39,13 +39,13 @@
 		return 0
 	}
 	for seed := range uint64(20) {
-		if a, b := reader(seed, 1, 5), reader(seed+100, 2, 6); a != b {
-			t.Errorf("seeds %d and %d read the same text at %d and %d", seed, seed+100, a, b)
+		if a, b := prefillReplica(seed, 1, 5), prefillReplica(seed+100, 2, 6); a != b {
+			t.Errorf("seeds %d and %d send the same prefix to %d and %d", seed, seed+100, a, b)
 		}
 	}
 }
 
-// A text that many ask for gets more homes.
+// A popular prefix is sent to more replicas.
 func TestPopularPrefixSpreadsOverReplicas(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.Routers = 100 })
 	list := mixedEndpoints(60)
@@ -66,17 +66,17 @@
 		b.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
 	}
 	if len(to) < 8 {
-		t.Errorf("half of all requests were read at %d of 20 readers", len(to))
+		t.Errorf("half of all requests went to %d of 20 prefill replicas", len(to))
 	}
 }
 
-// The states that a cell's only writer cannot bear go to cells with writers to spare.
+// The requests that a cell's only decode replica cannot bear go to cells with decode capacity to spare.
 func TestCellWithLittleDecodeCapacitySpills(t *testing.T) {
 	b := newHarness(t, nil)
 	var list []Endpoint
 	for i := range 10 {
 		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
-		if i == 4 || i > 5 { // four readers and a writer, a reader and four writers
+		if i == 4 || i > 5 { // cell 0: four prefill replicas, one decode; cell 1: one prefill, four decode
 			s.Kind = 1
 		}
 		list = append(list, s)
@@ -90,6 +90,6 @@
 		n[w]++
 	}
 	if n[14] > 175 || n[14] < 50 {
-		t.Errorf("the only writer of a cell of readers got %d of 500, an even share is 100", n[14])
+		t.Errorf("the only decode replica of the cell got %d of 500, an even share is 100", n[14])
 	}
 }
--- a/routing/quiet_test.go
+++ b/routing/quiet_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// simulatedRequest is one of quietDay's.
+// simulatedRequest is a request of simulateTraffic.
 type simulatedRequest struct {
 	class, prompt int
 	session       Key
@@ -16,33 +16,33 @@
 	admitted      bool
 }
 
-// simulateTraffic plays a fleet of routers before readers that take their time for what they have not kept, one request after the other, at a
-// part of what they can do, for two minutes. It returns whether each request was passed.
+// simulateTraffic simulates two minutes of several routers in front of prefill replicas that process one request after
+// the other, at a time per uncached token. load is relative to the capacity of the replicas.
 func simulateTraffic(t *testing.T, routers int, load float64, seed uint64) []simulatedRequest {
 	t.Helper()
-	const readers, perToken = 8, 50 * time.Microsecond // 20,000 tokens a second
+	const prefillReplicas, perToken = 8, 50 * time.Microsecond // 20,000 tokens per second
 	cfg := testConfig()
 	cfg.Routers, cfg.TenantQuotas = routers, nil
 	cfg.Classes = []Class{{TTFTObjective: 1100 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 1, Idempotency: Idempotent}, {TTFTObjective: 2800 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 2, Idempotency: NonIdempotent}}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Hour
-	var list []Endpoint
-	for i := range 2 * readers {
-		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
+	var endpoints []Endpoint
+	for i := range 2 * prefillReplicas {
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
 	}
-	var all []*Router
+	var fleet []*Router
 	for i := range routers {
 		r, err := New(cfg, seed<<8|uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
-		all = append(all, r)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
+		fleet = append(fleet, r)
 	}
 	var agenda eventQueue
 	after := func(dt time.Duration, do func()) { heap.Push(&agenda, scheduledEvent{now + dt, len(agenda), do}) }
-	free := map[EndpointID]time.Duration{}
-	kept := map[EndpointID]map[Key]int{}
+	freeAt := map[EndpointID]time.Duration{}
+	cached := map[EndpointID]map[Key]int{}
 	var out []simulatedRequest
 	var handle func(r *Router, n int, ev Event)
 	handle = func(r *Router, n int, ev Event) {
@@ -52,38 +52,38 @@
 			case SetTimer:
 				after(a.After, func() { handle(r, n, TimerFired{a.Timer}) })
 			case Send:
-				if list[a.Endpoint-10].Kind == 1 {
+				if endpoints[a.Endpoint-10].Kind == 1 {
 					q.admitted = true
 					after(30*ms, func() {
 						handle(r, n, AttemptEnded{Request: RequestID(n), Attempt: 1, Endpoint: a.Endpoint, Outcome: Served, Elapsed: 30 * ms, Final: true})
 					})
 					continue
 				}
-				if kept[a.Endpoint] == nil {
-					kept[a.Endpoint] = map[Key]int{}
+				if cached[a.Endpoint] == nil {
+					cached[a.Endpoint] = map[Key]int{}
 				}
-				had := min(kept[a.Endpoint][q.session], q.prompt)
-				free[a.Endpoint] = max(free[a.Endpoint], now) + 7*ms + time.Duration(q.prompt-had)*perToken
-				kept[a.Endpoint][q.session] = q.prompt
+				cachedTokens := min(cached[a.Endpoint][q.session], q.prompt)
+				freeAt[a.Endpoint] = max(freeAt[a.Endpoint], now) + 7*ms + time.Duration(q.prompt-cachedTokens)*perToken
+				cached[a.Endpoint][q.session] = q.prompt
 				sent := now
-				after(free[a.Endpoint]-now, func() {
-					handle(r, n, AttemptEnded{Request: RequestID(n), Endpoint: a.Endpoint, Outcome: PrefillDone, CachedTokens: had, Elapsed: now - sent})
+				after(freeAt[a.Endpoint]-now, func() {
+					handle(r, n, AttemptEnded{Request: RequestID(n), Endpoint: a.Endpoint, Outcome: PrefillDone, CachedTokens: cachedTokens, Elapsed: now - sent})
 				})
 			}
 		}
 	}
-	mean := 3000 * 0.7 * perToken.Seconds() // of a read, with what is kept
-	turns := map[Key]int{}
+	mean := 3000 * 0.7 * perToken.Seconds() // mean time of a prefill, cached tokens deducted
+	requestsOfSession := map[Key]int{}
 	var arrive func()
 	arrive = func() {
-		after(time.Duration(rng.ExpFloat64()*mean/(load*readers)*float64(time.Second)), arrive)
+		after(time.Duration(rng.ExpFloat64()*mean/(load*prefillReplicas)*float64(time.Second)), arrive)
 		q := simulatedRequest{session: Key(1 + rng.IntN(400)), at: now - time.Hour}
 		q.class = int(q.session % 2)
-		turns[q.session]++
-		q.prompt = min(600+int(rng.ExpFloat64()*2400)+100*turns[q.session], 30000)
+		requestsOfSession[q.session]++
+		q.prompt = min(600+int(rng.ExpFloat64()*2400)+100*requestsOfSession[q.session], 30000)
 		out = append(out, q)
 		n := len(out) - 1
-		handle(all[rng.IntN(routers)], n, RequestArrived{Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt, TimeLeft: 6 * time.Second})
+		handle(fleet[rng.IntN(routers)], n, RequestArrived{Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt, TimeLeft: 6 * time.Second})
 	}
 	arrive()
 	for end := now + 2*time.Minute; agenda[0].at < end; {
@@ -104,8 +104,9 @@
 	return float64(n) / float64(max(len(of), 1))
 }
 
-// On a quiet day the tenth of a class's requests with the longest prompts, and the next fifth, are passed at least two thirds as often as
-// its others, no session with several turns is refused throughout, and no third of the day and no class falls off.
+// At a low load the tenth of a class's requests with the longest prompts, and the next fifth, are admitted at least two
+// thirds as often as the class's average, no session of several requests is rejected throughout, and no class and no
+// third of the time has a low rate of admission.
 func TestLowLoadAdmitsAllGroupsOfRequestsAlike(t *testing.T) {
 	for _, routers := range []int{4, 30} {
 		for seed := range uint64(3) {
@@ -120,11 +121,11 @@
 						of = append(of, q)
 					}
 				}
-				whole := admittedFraction(of)
+				total := admittedFraction(of)
 				slices.SortFunc(of, func(a, b simulatedRequest) int { return b.prompt - a.prompt })
 				tenth, fifth := admittedFraction(of[:len(of)/10]), admittedFraction(of[len(of)/10:len(of)*3/10])
-				if whole < 0.9 || tenth < whole*2/3 || fifth < whole*2/3 {
-					t.Errorf("%d routers, seed %d, class %d: passed %.2f, of the longest tenth %.2f, of the next fifth %.2f", routers, seed, class, whole, tenth, fifth)
+				if total < 0.9 || tenth < total*2/3 || fifth < total*2/3 {
+					t.Errorf("%d routers, seed %d, class %d: admitted %.2f, of the longest tenth %.2f, of the next fifth %.2f", routers, seed, class, total, tenth, fifth)
 				}
 			}
 			sessions := map[Key][]simulatedRequest{}
@@ -136,18 +137,18 @@
 			}
 			for key, of := range sessions {
 				if len(of) > 2 && admittedFraction(of) == 0 {
-					t.Errorf("%d routers, seed %d: all %d turns of session %d were refused", routers, seed, len(of), key)
+					t.Errorf("%d routers, seed %d: all %d requests of session %d were rejected", routers, seed, len(of), key)
 				}
 			}
 			for i, of := range thirds {
 				if admittedFraction(of) < 0.9 {
-					t.Errorf("%d routers, seed %d: third %d: passed %.2f", routers, seed, i, admittedFraction(of))
+					t.Errorf("%d routers, seed %d: third %d: admitted %.2f", routers, seed, i, admittedFraction(of))
 				}
 			}
 		}
 	}
-	// The check can fail: at half as much again as the readers can do, the rest is refused.
-	if whole := admittedFraction(simulateTraffic(t, 4, 1.5, 1)); whole > 0.9 {
-		t.Errorf("an overload passes %.2f", whole)
+	// The check can fail: at 1.5 times the capacity the rest is rejected.
+	if overloaded := admittedFraction(simulateTraffic(t, 4, 1.5, 1)); overloaded > 0.9 {
+		t.Errorf("at an overload %.2f are admitted", overloaded)
 	}
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -11,16 +11,16 @@
 	b := newHarness(t, nil)
 	_, w := b.completePrefill(1, 0)
 	if w == 13 {
-		t.Error("a writer outside the reader's cell was chosen though its own has room")
+		t.Error("a decode replica outside the cell was chosen although the cell has capacity")
 	}
 	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
 	_, other := b.completePrefill(2, 0)
 	if other == w || other == 13 {
-		t.Errorf("second went to %d, want the other writer of the cell than %d", other, w)
+		t.Errorf("the second request went to %d, want the other decode replica of the cell than %d", other, w)
 	}
 	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
 	if b.r.requests[1] != nil || b.r.byID[w].streams != 0 {
-		t.Error("a served request left something behind")
+		t.Error("a served request is still open or its stream is still counted")
 	}
 }
 
@@ -40,10 +40,10 @@
 	_, w := b.completePrefill(1, 1)
 	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
 	if next == w || next < 11 {
-		t.Errorf("after full went to %d, want another writer", next)
+		t.Errorf("after QueueFull it went to %d, want another decode replica", next)
 	}
 	if again := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
-		t.Errorf("with no state went to %d, want a reader", again)
+		t.Errorf("after StateMissing it went to %d, want a prefill replica", again)
 	}
 }
 
@@ -51,21 +51,21 @@
 	b := newHarness(t, nil)
 	s := b.sentTo(b.arrive(1, 0))
 	if !containsAction[Cancel](b.handle(ms, ClientGone{1})) {
-		t.Error("the read was not cancelled")
+		t.Error("the prefill was not cancelled")
 	}
 	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
 	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(b.r.requests) != 0 {
-		t.Errorf("got %+v, want only the state released", acts)
+		t.Errorf("got %+v, want only the release", acts)
 	}
 	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
 		AttemptEnded{Request: 8, Endpoint: 99}} {
 		if acts := b.handle(-time.Second, ev); len(acts) != 0 {
-			t.Errorf("%T of a finished request or unknown server: %+v", ev, acts)
+			t.Errorf("%T of a closed request or unknown replica: %+v", ev, acts)
 		}
 	}
 }
 
-// A time-out trimmed to the deadline is answered at once.
+// A timeout at the deadline fails the request at once.
 func TestTimeoutAtDeadlineFailsAtOnce(t *testing.T) {
 	b := newHarness(t, nil)
 	_, w := b.completePrefill(1, 1)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A drain between read and write, and no writer at all: the state is given back within the limit.
+// If all decode replicas drain between prefill and decode, the reservation is released within its TTL.
 func TestReservationIsReleasedWithoutDecodeReplica(t *testing.T) {
 	b := newHarness(t, nil)
 	s := b.sentTo(b.arrive(1, 1))
@@ -88,11 +88,11 @@
 		}
 	}
 	if !containsAction[Reject](acts) {
-		t.Errorf("got %+v, want a refusal: nothing has run", acts)
+		t.Errorf("got %+v, want a rejection: nothing has run", acts)
 	}
 }
 
-// A class that the settings do not name gets an answer, not a panic.
+// A class that is not configured gets an answer, not a panic.
 func TestUnknownClassFails(t *testing.T) {
 	b := newHarness(t, nil)
 	if acts := b.arrive(1, 99); !reflect.DeepEqual(acts, []Action{Fail{1, UnknownClass}}) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// The test stands before every read: a request that a full or silent reader gave back is not pushed on
+// The admission test applies to every prefill: a request that comes back from a full or silent replica is not sent on
 // into a jam.
 func TestPrefillRetryPassesAdmissionAgain(t *testing.T) {
 	b := newHarness(t, nil)
@@ -126,7 +126,7 @@
 	}
 	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
 	if !containsAction[Reject](acts) || containsAction[Send](acts) {
-		t.Errorf("got %+v, want a refusal", acts)
+		t.Errorf("got %+v, want a rejection", acts)
 	}
 }
 
@@ -157,8 +157,8 @@
 	}
 }
 
-// An answer that broke once it had begun has used up the state: a safe request is read anew at once, while
-// its attempts last, and a filing is not sent again.
+// A decode attempt that broke after its stream had begun has used up the prefill result: an idempotent request is
+// prefilled again at once, as long as attempts remain, and any other is not sent again.
 func TestBrokenStreamRetriesPrefill(t *testing.T) {
 	b := newHarness(t, nil)
 	_, w := b.completePrefill(1, 0)
@@ -168,33 +168,33 @@
 	}
 }
 
-// Those who are turned away in a jam must not come back together, nor later than the settings allow.
+// Clients that are rejected in a jam must not come back together, nor later than MaxRetryAfter.
 func TestRetryAfterHasJitter(t *testing.T) {
 	b := newHarness(t, nil)
 	var least, most time.Duration
 	for id := range RequestID(200) {
 		b.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
 		b.r.rejectOrFail(b.r.requests[id+1], AttemptsExhausted, 5000)
-		refused := b.r.actions[len(b.r.actions)-1].(Reject)
+		reject := b.r.actions[len(b.r.actions)-1].(Reject)
 		if id == 0 {
-			least = refused.RetryAfter
+			least = reject.RetryAfter
 		}
-		least, most = min(least, refused.RetryAfter), max(most, refused.RetryAfter)
+		least, most = min(least, reject.RetryAfter), max(most, reject.RetryAfter)
 	}
 	if limit := b.r.cfg.MaxRetryAfter; least < limit/2 || most > limit || most-least < limit*2/5 {
-		t.Errorf("between %v and %v", least, most)
+		t.Errorf("Retry-After between %v and %v", least, most)
 	}
 }
 
-// A request that may have run is not sent again so late that a process that is held up for 0.15 s would write it when the servers no
-// longer drop its repeats.
+// A request that may have run is not sent again so late that a process that stalls for 0.15 s would write it after the
+// replicas have stopped discarding its duplicates.
 func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
-	for left, again := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
+	for remaining, retried := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
 		b := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
 		_, writer := b.completePrefill(1, 2)
-		acts := b.handle(3*time.Second-left, AttemptEnded{Request: 1, Attempt: 1, Endpoint: writer, Outcome: ConnectionReset, Elapsed: 3*time.Second - left})
-		if containsAction[Send](acts) != again {
-			t.Errorf("with %v of the window left: %+v", left, acts)
+		acts := b.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: writer, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
+		if containsAction[Send](acts) != retried {
+			t.Errorf("with %v of the window left: %+v", remaining, acts)
 		}
 	}
 }
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -8,39 +8,39 @@
 )
 
 func TestRulesHoldOverLongRandomRuns(t *testing.T) {
-	// On 20 and 46 cold writers got more than their part while the part of all states that their cell's readers send was reckoned by
-	// the readers' weights, since those of other cells did not answer.
+	// With seeds 20 and 46 decode replicas in slow start once got more than their share: the fraction of all requests that
+	// their cell's prefill replicas send was computed from weights, and those of other cells did not respond.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 20, 46} {
 		d := newDriver(t, seed)
 		for d.now < time.Hour+10*time.Minute {
 			d.run(d.now + time.Minute)
 			if seed%2 == 1 {
-				d.restart() // the router is killed and comes back with its last list
+				d.restart() // the router is killed and restarted with its last endpoint list
 			}
 		}
 		if len(d.violations) > 0 {
-			t.Errorf("seed %d: %d breaks, first: %s", seed, len(d.violations), d.violations[0])
+			t.Errorf("seed %d: %d violations, first: %s", seed, len(d.violations), d.violations[0])
 		}
 		if d.sends < 5000 {
 			t.Errorf("seed %d: only %d sends", seed, d.sends)
 		}
 		for o := Served; o <= PrefillDone; o++ {
 			if d.counts[o] == 0 {
-				t.Errorf("seed %d: outcome %d never came", seed, o)
+				t.Errorf("seed %d: outcome %d never occurred", seed, o)
 			}
 		}
 		if n := len(d.r.requests); n > 1000 {
-			t.Errorf("seed %d: %d requests are still kept", seed, n)
+			t.Errorf("seed %d: %d requests are still open", seed, n)
 		}
 		if n := len(d.r.prefixCache); n > 60 {
-			t.Errorf("seed %d: %d keys are kept", seed, n)
+			t.Errorf("seed %d: %d keys are in the prefix table", seed, n)
 		}
 	}
 }
 
-// The checks can fail: each way of spoiling the actions is caught as the rule that it breaks.
+// The checks can fail: each way of tampering with the actions is detected as the rule that it breaks.
 func TestDriverDetectsEachBrokenRule(t *testing.T) {
-	for rule, spoil := range map[string]func(d *driver) func(Action) []Action{
+	for rule, tamper := range map[string]func(d *driver) func(Action) []Action{
 		"rule 1": func(*driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if _, ok := a.(Reject); ok {
@@ -75,7 +75,7 @@
 				if s, ok := a.(Send); ok {
 					for _, x := range d.endpointList() {
 						if x.State == Ready && x.Kind == d.servers[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
-							s.Endpoint = x.ID // herd to the coldest
+							s.Endpoint = x.ID // herd to the replica that started last
 						}
 					}
 					return []Action{s}
@@ -93,15 +93,15 @@
 		},
 	} {
 		d := newDriver(t, 3)
-		d.intercept = spoil(d)
+		d.intercept = tamper(d)
 		d.run(d.now + 10*time.Minute)
 		if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == rule }) {
-			t.Errorf("a broken %s was not caught (%d breaks)", rule, len(d.violations))
+			t.Errorf("a broken %s was not detected (%d violations)", rule, len(d.violations))
 		}
 	}
 }
 
-// A module that takes a send for out before it has arrived is caught too.
+// A router that takes an attempt for arrived as soon as it was sent is detected too.
 func TestDriverDetectsMissingReleaseOfExpiredReservation(t *testing.T) {
 	d := newDriver(t, 3)
 	d.intercept = func(a Action) []Action {
@@ -112,7 +112,7 @@
 	}
 	d.run(d.now + 10*time.Minute)
 	if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == "rule 5" }) {
-		t.Errorf("not caught (%d breaks)", len(d.violations))
+		t.Errorf("not detected (%d violations)", len(d.violations))
 	}
 }
 
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// Twenty or thirty routers, some of which see several times the mean of the traffic, are under a burst of half as much again as a cold
-// server comes: what all send it stays within the budget of N and what chance may add, 2 x root of N + 2, in any window of the rule. The
-// server is a reader, also one that is home to a new text for which a quarter of all requests ask, more than the pages name, or a writer,
-// also one whose cell sends all states since the other cells' readers do not answer.
+// A replica starts during a burst of 1.5 times the traffic of 20, 30 or 300 routers, some of which see several times the
+// mean traffic. In any window all together send it no more than the allowed number N plus what chance may add,
+// 2 sqrt(N) + 2. The replica is a prefill replica, also one on which a new prefix of a quarter of all requests hashes
+// (more than the operators' pages name), or a decode replica, also one whose cell gets all requests since the prefill
+// replicas of other cells do not respond.
 func TestSlowStartUnderBurstFromManyRouters(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -19,10 +20,10 @@
 		writer  bool
 		cut     bool
 	}{
-		{"reader", 20, 0, false, false}, {"reader", 30, 0, false, false}, {"reader", 300, 0, false, false},
-		{"home of a quarter", 20, 0.25, false, false}, {"home of a quarter", 30, 0.25, false, false}, {"home of a quarter", 300, 0.25, false, false},
-		{"writer", 20, 0, true, false}, {"writer", 30, 0, true, false}, {"writer", 300, 0, true, false},
-		{"writer of the only cell", 20, 0, true, true}, {"writer of the only cell", 30, 0, true, true}, {"writer of the only cell", 300, 0, true, true},
+		{"prefill", 20, 0, false, false}, {"prefill", 30, 0, false, false}, {"prefill", 300, 0, false, false},
+		{"prefill, new prefix of a quarter", 20, 0.25, false, false}, {"prefill, new prefix of a quarter", 30, 0.25, false, false}, {"prefill, new prefix of a quarter", 300, 0.25, false, false},
+		{"decode", 20, 0, true, false}, {"decode", 30, 0, true, false}, {"decode", 300, 0, true, false},
+		{"decode in the only cell", 20, 0, true, true}, {"decode in the only cell", 30, 0, true, true}, {"decode in the only cell", 300, 0, true, true},
 	} {
 		for seed := range uint64(6) {
 			worst, sent := worstColdLoadUnderBurst(t, c.routers, c.hot, c.writer, c.cut, seed)
@@ -31,47 +32,48 @@
 			}
 		}
 	}
-	// The check can fail: routers that take themselves for one of three send too much.
+	// The check can fail: routers configured as one of three send too much.
 	if worst, _ := worstColdLoadUnderBurst(t, -300, 0.25, false, false, 1); worst <= 1 {
-		t.Errorf("three hundred routers that know of three pass as %.2f of what is allowed", worst)
+		t.Errorf("three hundred routers configured as three pass as %.2f of what is allowed", worst)
 	}
 }
 
-// worstColdLoadUnderBurst returns the most sends in any window to a server that comes cold against what is allowed, and their number. Fewer than no
-// routers: as many, each told that there are three.
-func worstColdLoadUnderBurst(t *testing.T, routers int, hot float64, writer, cut bool, seed uint64) (worst float64, total int) {
-	const rate = 40.0 // requests a second, before the burst
+// worstColdLoadUnderBurst returns the largest ratio in any window of the sends to a replica in slow start to the allowed
+// number, and the number of all these sends. With a negative number of routers there are as many, each configured as
+// one of three.
+func worstColdLoadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
+	const rate = 40.0 // requests per second before the burst
 	cfg := testConfig()
 	if cfg.Routers = routers; routers < 0 {
 		routers, cfg.Routers = -routers, 3
 	}
 	now := time.Hour
 	rng := rand.New(rand.NewPCG(seed, 5))
-	var list []Endpoint
-	for i := range 16 { // four cells of two readers and two writers
-		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
+	var endpoints []Endpoint
+	for i := range 16 { // four cells of two prefill and two decode replicas
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
 	}
 	var all []*Router
-	var turns []int // routers by their traffic
+	var routersByTraffic []int // indices of routers, each as often as its share of the traffic
 	for i := range routers {
 		r, err := New(cfg, seed<<16|uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
 		all = append(all, r)
-		for range 1 + 5*(i%5/4) { // each fifth sees six times as much as the others
-			turns = append(turns, i)
+		for range 1 + 5*(i%5/4) { // each fifth router sees six times as much as the others
+			routersByTraffic = append(routersByTraffic, i)
 		}
 	}
-	cold := &list[0]
-	if writer {
-		cold = &list[1]
+	cold := &endpoints[0]
+	if decode {
+		cold = &endpoints[1]
 	}
-	home := Key(1000)
+	hotPrefix := Key(1000)
 	for i := 0; i < 16; i++ {
-		if list[i].Kind == 0 && list[i].ID != cold.ID && exponentialDraw(home, list[i].ID) < exponentialDraw(home, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
-			home, i = home+1, -1
+		if endpoints[i].Kind == 0 && endpoints[i].ID != cold.ID && exponentialDraw(hotPrefix, endpoints[i].ID) < exponentialDraw(hotPrefix, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
+			hotPrefix, i = hotPrefix+1, -1
 		}
 	}
 	var sent []time.Duration
@@ -86,48 +88,48 @@
 				if s.Endpoint == cold.ID && cold.Started > 0 {
 					sent, total = append(sent, now), total+1
 				}
-				o, in := PrefillDone, list[s.Endpoint-10]
-				if in.Kind == 1 {
+				o, endpoint := PrefillDone, endpoints[s.Endpoint-10]
+				if endpoint.Kind == 1 {
 					o = Served
-				} else if cut && in.Cell > 0 && cold.Started > 0 {
+				} else if otherCellsFail && endpoint.Cell > 0 && cold.Started > 0 {
 					o = ConnectFailed
 				}
 				events = append(events, AttemptEnded{Request: q.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: o, Elapsed: 40 * ms, Final: o == Served})
 			}
 		}
 	}
-	begin := now + 20*time.Second // by then the routers know the traffic
-	for id := RequestID(1); now < begin+cfg.SlowStartDuration; id++ {
+	burstStart := now + 20*time.Second // by then the routers know the traffic
+	for id := RequestID(1); now < burstStart+cfg.SlowStartDuration; id++ {
 		gap := rng.ExpFloat64() / rate
-		if now > begin {
+		if now > burstStart {
 			gap /= 1.5
 		}
 		now += time.Duration(gap * float64(time.Second))
-		if now >= begin && cold.Started == 0 {
+		if now >= burstStart && cold.Started == 0 {
 			cold.Started = now
 			for _, r := range all {
-				r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
+				r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
 			}
 		}
-		shared := Key(100 + rng.IntN(16)) // texts that all know
-		if cold.Started > 0 && rng.Float64() < hot {
-			shared = home
+		shared := Key(100 + rng.IntN(16)) // prefixes that all routers know
+		if cold.Started > 0 && rng.Float64() < hotShare {
+			shared = hotPrefix
 		}
-		handle(all[turns[rng.IntN(len(turns))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
+		handle(all[routersByTraffic[rng.IntN(len(routersByTraffic))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
 			TimeLeft: 4 * time.Second})
 		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
 		if cold.Started > 0 {
-			warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
-			n := cfg.OverloadMultiple * warmth * rate / 8 * slowStartWindow.Seconds() // the even share of a warm server is the least that it can surely do
+			ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+			n := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // a replica can take at least the even share
 			worst = max(worst, float64(len(sent))/(n+2*math.Sqrt(n)+2))
 		}
 	}
 	return worst, total
 }
 
-// A router that comes back with only its last list keeps to a cold server's part at once.
+// A new router that has only an endpoint list limits a replica in slow start at once.
 func TestSlowStartLimitsNewPrefillReplica(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
 	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
@@ -138,11 +140,11 @@
 		b.handle(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
 	if n[2] > 30 || n[1] < 70 {
-		t.Errorf("sends %v: the cold reader got more than its part", n)
+		t.Errorf("sends %v: the replica in slow start got more than its share", n)
 	}
 }
 
-// With no limit in the settings a cold server is not held back.
+// Without an OverloadMultiple there is no slow start.
 func TestNoSlowStartWithoutOverloadMultiple(t *testing.T) {
 	b := newHarness(t, func(c *Config) { c.OverloadMultiple = 0 })
 	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
@@ -151,33 +153,33 @@
 	}
 }
 
-// Two hundred routers that hear of one cold server together send it no more than their part in any
-// window of the rule, from the first moment on: each may not count itself alone.
+// Two hundred routers that learn of one new replica together send it no more than is allowed in any window, from the
+// first moment on: none may count as if it were alone.
 func TestSlowStartWithManyRoutersFromStart(t *testing.T) {
 	if worst, sent := worstColdLoadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
 	}
-	// The check can fail: requests that all have their home at the server are too many.
+	// The check can fail: requests that all hash to the replica are too many.
 	if worst, _ := worstColdLoadFromStart(t, true); worst <= 1 {
-		t.Errorf("one home for all requests passes as %.2f of what is allowed", worst)
+		t.Errorf("one session for all requests passes as %.2f of what is allowed", worst)
 	}
 }
 
-// worstColdLoadFromStart returns the most sends in any window against what is allowed, and their number. With one, all
-// requests are of a session whose home the server is.
-func worstColdLoadFromStart(t *testing.T, one bool) (worst float64, total int) {
-	const routers, rate = 200, 200.0 // all requests a second
+// worstColdLoadFromStart returns the largest ratio in any window of the sends to a replica in slow start to the allowed
+// number, and the number of all these sends. With singleSession all requests are of one session, which hashes to it.
+func worstColdLoadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
+	const routers, rate = 200, 200.0 // requests per second at all routers
 	cfg := testConfig()
 	cfg.Routers = routers
 	now := time.Hour
-	var list []Endpoint
+	var endpoints []Endpoint
 	for i := range 20 {
-		list = append(list, Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready})
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready})
 	}
 	for i := range 4 {
-		list = append(list, Endpoint{ID: EndpointID(1 + i), Kind: 1, Cell: i, State: Ready})
+		endpoints = append(endpoints, Endpoint{ID: EndpointID(1 + i), Kind: 1, Cell: i, State: Ready})
 	}
-	cold := &list[19]
+	cold := &endpoints[19]
 	cold.Started = now
 	var all []*Router
 	for i := range routers {
@@ -185,21 +187,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Handle(now, EndpointUpdate{Full: true, Endpoints: list}, nil)
+		r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
 		all = append(all, r)
 	}
 	var sent []time.Duration
 	rng := rand.New(rand.NewPCG(1, 2))
-	home := Key(1)
+	ownSession := Key(1)
 	for i := 0; i < 19; i++ {
-		if exponentialDraw(home, list[i].ID) < exponentialDraw(home, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
-			home, i = home+1, -1
+		if exponentialDraw(ownSession, endpoints[i].ID) < exponentialDraw(ownSession, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
+			ownSession, i = ownSession+1, -1
 		}
 	}
 	for id := RequestID(1); id < 2000; id++ {
 		session := Key(id)
-		if one {
-			session = home
+		if singleSession {
+			session = ownSession
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		r := all[rng.IntN(routers)]
@@ -212,18 +214,18 @@
 				sent = append(sent, now)
 				total++
 			}
-			after := 400 * ms // the warm ones are slow, so that all would rather use the cold one
+			elapsed := 400 * ms // the others are slow, so that all routers would prefer this one
 			if s.Endpoint == cold.ID {
-				after = 40 * ms
+				elapsed = 40 * ms
 			}
-			r.Handle(now, AttemptEnded{Request: id, Endpoint: s.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true}, nil)
+			r.Handle(now, AttemptEnded{Request: id, Endpoint: s.Endpoint, Outcome: PrefillDone, Elapsed: elapsed, Final: true}, nil)
 		}
 		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
-		// The even share of a warm server is the least that it can surely do.
-		warmth := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
-		allowed := cfg.OverloadMultiple * warmth * rate / 20 * slowStartWindow.Seconds()
+		// A replica at full capacity can take at least the even share.
+		ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+		allowed := cfg.OverloadMultiple * ramp * rate / 20 * slowStartWindow.Seconds()
 		worst = max(worst, float64(len(sent))/allowed)
 	}
 	return worst, total
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newLargeHarness is a router with many readers (from 1 on) and writers (from 1001 on), ten of a cell.
+// newLargeHarness returns a harness with n replicas: prefill from 1 on and decode from 1001 on, ten in a cell.
 func newLargeHarness(t testing.TB, n int) *harness {
 	cfg := testConfig()
 	r, err := New(cfg, 1)
@@ -33,8 +33,8 @@
 	return s
 }
 
-// serveRequest plays one request from its arrival to its answer and returns where it went.
-func (b *harness) serveRequest(id RequestID) (reader, writer EndpointID, ok bool) {
+// serveRequest takes one request from its arrival to its answer and returns its replicas.
+func (b *harness) serveRequest(id RequestID) (prefill, decode EndpointID, ok bool) {
 	send := func(acts []Action) (EndpointID, bool) {
 		for _, a := range acts {
 			if s, ok := a.(Send); ok {
@@ -43,29 +43,29 @@
 		}
 		return 0, false
 	}
-	if reader, ok = send(b.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
+	if prefill, ok = send(b.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
 		return 0, 0, false
 	}
-	if writer, ok = send(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
-		return reader, 0, false
+	if decode, ok = send(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
+		return prefill, 0, false
 	}
-	b.handle(30*ms, FirstToken{Request: id, Attempt: 1, Endpoint: writer, Elapsed: 30 * ms})
-	b.handle(100*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: writer, Outcome: Served, Elapsed: 130 * ms, Final: true})
-	return reader, writer, true
+	b.handle(30*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decode, Elapsed: 30 * ms})
+	b.handle(100*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decode, Outcome: Served, Elapsed: 130 * ms, Final: true})
+	return prefill, decode, true
 }
 
-// A router keeps to its subset, uses all of it, and goes back to all when it is told none.
+// A router uses its subset only, and all of it, and uses all replicas when its subset is empty.
 func TestRouterUsesExactlyItsSubset(t *testing.T) {
 	b := newLargeHarness(t, 200)
 	subset := subsetOfCells(2, 7)
 	b.handle(0, subset)
 	used := map[EndpointID]bool{}
 	for id := RequestID(1); id <= 300; id++ {
-		r, w, ok := b.serveRequest(id)
-		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
-			t.Fatalf("request %d went to %d and %d, %t", id, r, w, ok)
+		prefillReplica, decodeReplica, ok := b.serveRequest(id)
+		if !ok || !slices.Contains(subset.Endpoints, prefillReplica) || !slices.Contains(subset.Endpoints, decodeReplica) {
+			t.Fatalf("request %d went to %d and %d, %t", id, prefillReplica, decodeReplica, ok)
 		}
-		used[r], used[w] = true, true
+		used[prefillReplica], used[decodeReplica] = true, true
 	}
 	if len(used) != 20 {
 		t.Errorf("%d of 20 were used", len(used))
@@ -76,11 +76,12 @@
 		used[r] = true
 	}
 	if len(used) < 60 {
-		t.Errorf("%d servers used without a subset", len(used))
+		t.Errorf("%d replicas used without a subset", len(used))
 	}
 }
 
-// Where less than half of a subset is well, by failures or by the list, the router looks at all; and back when it is well.
+// Where less than half of a subset is healthy, by failures or by the endpoint list, the router uses all replicas; when
+// the subset is healthy again it returns to it.
 func TestUnhealthySubsetFallsBackToAllReplicas(t *testing.T) {
 	for _, by := range []string{"list", "failures"} {
 		b := newLargeHarness(t, 100)
@@ -104,55 +105,55 @@
 			}
 		}
 		if by == "list" {
-			var back []Endpoint
+			var returned []Endpoint
 			for _, id := range subset.Endpoints {
 				kind := 0
 				if id > 1000 {
 					kind = 1
 				}
-				back = append(back, Endpoint{ID: id, Kind: kind, State: Ready, Cell: int((id - 1) % 1000 / 5)})
+				returned = append(returned, Endpoint{ID: id, Kind: kind, State: Ready, Cell: int((id - 1) % 1000 / 5)})
 			}
-			b.handle(0, EndpointUpdate{Endpoints: back})
+			b.handle(0, EndpointUpdate{Endpoints: returned})
 		} else {
-			b.handle(2*time.Minute, TimerFired{}) // failures fade
+			b.handle(2*time.Minute, TimerFired{}) // the failure levels decay
 		}
-		b.serveRequest(50) // it finds that all is well
+		b.serveRequest(50) // its selection ends the fallback
 		r, w, ok := b.serveRequest(51)
 		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
-			t.Errorf("%s: back it went to %d and %d, %t", by, r, w, ok)
+			t.Errorf("%s: after the recovery it went to %d and %d, %t", by, r, w, ok)
 		}
 	}
 }
 
-// A subset without a writer, or of servers that are not there, is none.
+// A subset without a decode replica, or of unknown replicas, counts as none.
 func TestSubsetWithoutARoleIsIgnored(t *testing.T) {
 	for _, s := range []SubsetAssigned{{Endpoints: []EndpointID{1, 2, 3}}, {Endpoints: []EndpointID{777}}} {
 		b := newLargeHarness(t, 100)
 		b.handle(0, s)
 		if _, _, ok := b.serveRequest(1); !ok || b.r.limited {
-			t.Errorf("%v: narrow %t", s, b.r.limited)
+			t.Errorf("%v: limited %t", s, b.r.limited)
 		}
 	}
 }
 
-// Routers with subsets of their own together send a cold server no more than those that look at all would: the part that a
-// router may send counts against its own subset.
+// Routers with subsets together send a replica in slow start no more than routers without would: the share that a router
+// may send is relative to its own subset.
 func TestSlowStartShareCountsSubsetOnly(t *testing.T) {
-	all, near := newLargeHarness(t, 200), newLargeHarness(t, 200)
-	near.handle(0, subsetOfCells(0, 1))
-	even := func(b *harness) float64 { return 1 / float64(b.r.maxReady[Prefill]) }
-	// Ten routers with a tenth of the cells each, or ten with all.
-	if one, of := even(near), even(all); one*10/100 > of+1e-9 {
-		t.Errorf("a router with a tenth of the readers counts %v of its requests for one, a router with all %v", one, of)
+	all, limited := newLargeHarness(t, 200), newLargeHarness(t, 200)
+	limited.handle(0, subsetOfCells(0, 1))
+	evenShare := func(b *harness) float64 { return 1 / float64(b.r.maxReady[Prefill]) }
+	// Ten routers with a tenth of the cells each, or ten with all of them.
+	if one, of := evenShare(limited), evenShare(all); one*10/100 > of+1e-9 {
+		t.Errorf("the share per replica is %v with a tenth of the replicas, %v with all", one, of)
 	}
-	if near.r.maxReady[Prefill] != 10 || all.r.maxReady[Prefill] != 100 {
-		t.Errorf("%v and %v readers count", near.r.maxReady, all.r.maxReady)
+	if limited.r.maxReady[Prefill] != 10 || all.r.maxReady[Prefill] != 100 {
+		t.Errorf("%v and %v replicas count", limited.r.maxReady, all.r.maxReady)
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ servers, cells int }{{10, 0}, {100, 0}, {1000, 0}, {100, 4}, {1000, 4}} {
-		b.Run(fmt.Sprintf("%d-servers-%d-kept", c.servers, c.cells*10), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d-replicas-subset-%d", c.servers, c.cells*10), func(b *testing.B) {
 			w := newLargeHarness(b, c.servers)
 			if c.cells > 0 {
 				w.handle(0, subsetOfCells(0, 3, 5, 8))
