--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -68,7 +68,7 @@
 	agenda     eventQueue
 	seq        int
 	requests   map[RequestID]*trackedRequest
-	servers    map[EndpointID]*Endpoint
+	replicas   map[EndpointID]*Endpoint
 	unhealthy  map[EndpointID]bool
 	coldSends  map[EndpointID][]time.Duration // sends in slow start
 	sends      int
@@ -102,7 +102,7 @@
 func newDriver(t testing.TB, seed uint64) *driver {
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
-		requests: map[RequestID]*trackedRequest{}, servers: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
+		requests: map[RequestID]*trackedRequest{}, replicas: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
 		coldSends: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
 	}
 	d.restart()
@@ -116,10 +116,10 @@
 		d.t.Fatal(err)
 	}
 	d.r, d.agenda, d.requests = r, nil, map[RequestID]*trackedRequest{}
-	if len(d.servers) == 0 {
+	if len(d.replicas) == 0 {
 		for i := range 12 {
 			id := EndpointID(100 + 7*i)
-			d.servers[id] = &Endpoint{ID: id, Zone: i / 6, Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1}
+			d.replicas[id] = &Endpoint{ID: id, Zone: i / 6, Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1}
 		}
 	}
 	d.maxReady = [2]int{1, 1}
@@ -131,7 +131,7 @@
 
 func (d *driver) countReady() {
 	n := [2]int{}
-	for _, s := range d.servers {
+	for _, s := range d.replicas {
 		if s.State == Ready {
 			n[s.Kind]++
 		}
@@ -143,7 +143,7 @@
 
 func (d *driver) endpointList() []Endpoint {
 	var out []Endpoint
-	for _, s := range d.servers {
+	for _, s := range d.replicas {
 		out = append(out, *s)
 	}
 	slices.SortFunc(out, func(a, b Endpoint) int { return int(a.ID) - int(b.ID) })
@@ -202,7 +202,7 @@
 func (d *driver) injectFault() {
 	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.injectFault)
 	endpoints := d.endpointList()
-	s := d.servers[endpoints[d.rng.IntN(len(endpoints))].ID]
+	s := d.replicas[endpoints[d.rng.IntN(len(endpoints))].ID]
 	switch d.rng.IntN(6) {
 	case 0:
 		s.State = Draining
@@ -218,7 +218,8 @@
 	}
 	d.countReady()
 	if d.rng.IntN(3) == 0 {
-		d.handle(EndpointUpdate{Full: true, Endpoints: slices.DeleteFunc(d.endpointList(), func(s Endpoint) bool { return s.State == Gone })})
+		present := slices.DeleteFunc(d.endpointList(), func(s Endpoint) bool { return s.State == Gone })
+		d.handle(EndpointUpdate{Full: true, Endpoints: present})
 	} else {
 		d.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	}
@@ -268,13 +269,13 @@
 
 func (d *driver) checkSend(a Send) {
 	d.sends++
-	q, s := d.requests[a.Request], d.servers[a.Endpoint]
+	q, s := d.requests[a.Request], d.replicas[a.Endpoint]
 	if q == nil || q.answered || q.finished {
 		d.violation("rule 1: request %d was sent after its end", a.Request)
 		return
 	}
 	if s == nil || s.State != Ready {
-		d.violation("rule 3: request %d went to a server that is not ready", a.Request)
+		d.violation("rule 3: request %d went to a replica that is not ready", a.Request)
 	}
 	if q.attemptsOut > 0 {
 		d.violation("rule 2: request %d has two attempts out", a.Request)
@@ -295,7 +296,7 @@
 }
 
 func (d *driver) checkRetry(q *trackedRequest, s *Endpoint) {
-	c, ranOn := d.cfg.Classes[q.Class], d.servers[q.mayHaveRunOn]
+	c, ranOn := d.cfg.Classes[q.Class], d.replicas[q.mayHaveRunOn]
 	switch {
 	case c.Idempotency == Idempotent:
 	case c.Idempotency == NonIdempotent:
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -9,11 +9,11 @@
 )
 
 // The golden hashes freeze every action of a run: its kind, its order, its time and its arguments. They are
-// computed over a text of numbers that no renaming of a Go type or field touches. Code that is only moved or
-// renamed leaves them as they are; a change of a decision changes them, and says so in its commit.
+// computed over numbers, which no renaming of a Go type or field changes. Code that is only moved or
+// renamed leaves them as they are; a change of a decision changes them, and its commit says so.
 
 // writeAction writes one action with its time as numbers: the kind, which is fixed here for good, and the
-// arguments in a fixed order. Reasons are left out, since they only reach logs.
+// arguments in a fixed order. Reasons are omitted, since they only reach logs.
 func writeAction(w io.Writer, now time.Duration, a Action) {
 	switch a := a.(type) {
 	case Send:
@@ -103,22 +103,22 @@
 	return load
 }
 
-// answerPoll draws when and how a server answers a poll for its load.
-func (d *driver) answerPoll(server EndpointID) {
+// answerPoll draws when and how a replica answers a load poll.
+func (d *driver) answerPoll(id EndpointID) {
 	load := d.drawLoad()
-	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(LoadPolled{Endpoint: server, Load: load}) })
+	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(LoadPolled{Endpoint: id, Load: load}) })
 }
 
 // injectFleetEvent draws one of the events that only members of a fleet see.
 func (d *driver) injectFleetEvent() {
 	d.after(time.Duration(200+d.rng.IntN(800))*ms, d.injectFleetEvent)
-	servers := d.endpointList()
+	endpoints := d.endpointList()
 	switch d.rng.IntN(6) {
 	case 0:
 		d.handle(QuotaShare{Fraction: d.rng.Float64(), Duration: time.Second})
 	case 1:
 		subset := SubsetAssigned{}
-		for _, s := range servers {
+		for _, s := range endpoints {
 			if d.rng.IntN(3) > 0 {
 				subset.Endpoints = append(subset.Endpoints, s.ID)
 			}
@@ -126,7 +126,7 @@
 		d.handle(subset)
 	case 2, 3:
 		age := time.Duration(d.rng.IntN(400)) * ms
-		d.handle(PeerLoadReport{Endpoint: servers[d.rng.IntN(len(servers))].ID, Load: d.drawLoad(), Age: age})
+		d.handle(PeerLoadReport{Endpoint: endpoints[d.rng.IntN(len(endpoints))].ID, Load: d.drawLoad(), Age: age})
 	case 4:
 		learned := d.r.Snapshot(d.now, 20)
 		for i := range learned.Prefixes {
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -91,10 +91,10 @@
 // One broken connection at a replica that responds to others does not eject it; a second one in a row does.
 func TestSingleResetKeepsLiveReplicaHealthy(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 0)
-	s := b.r.byID[w]
+	_, decodeReplica := b.completePrefill(1, 0)
+	s := b.r.byID[decodeReplica]
 	b.r.recordSuccess(s, 0)
-	b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset})
+	b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset})
 	s.pending = []pendingAttempt{{request: 9}} // it may not be probed
 	if !b.r.healthy(s, 0) {
 		t.Error("ejected after one reset")
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -84,10 +84,10 @@
 	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	n := map[EndpointID]int{}
 	for id := range RequestID(500) {
-		_, w := b.completePrefill(id+1, 0)
-		b.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
-		b.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
-		n[w]++
+		_, decodeReplica := b.completePrefill(id+1, 0)
+		b.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
+		b.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
+		n[decodeReplica]++
 	}
 	if n[14] > 175 || n[14] < 50 {
 		t.Errorf("the only decode replica of the cell got %d of 500, an even share is 100", n[14])
--- a/routing/quiet_test.go
+++ b/routing/quiet_test.go
@@ -23,7 +23,10 @@
 	const prefillReplicas, perToken = 8, 50 * time.Microsecond // 20,000 tokens per second
 	cfg := testConfig()
 	cfg.Routers, cfg.TenantQuotas = routers, nil
-	cfg.Classes = []Class{{TTFTObjective: 1100 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 1, Idempotency: Idempotent}, {TTFTObjective: 2800 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 2, Idempotency: NonIdempotent}}
+	cfg.Classes = []Class{
+		{TTFTObjective: 1100 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 1, Idempotency: Idempotent},
+		{TTFTObjective: 2800 * ms, TTFTObjectivePer1K: 40 * ms, Weight: 2, Idempotency: NonIdempotent},
+	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	now := time.Hour
 	var endpoints []Endpoint
@@ -83,7 +86,10 @@
 		q.prompt = min(600+int(rng.ExpFloat64()*2400)+100*requestsOfSession[q.session], 30000)
 		out = append(out, q)
 		n := len(out) - 1
-		handle(fleet[rng.IntN(routers)], n, RequestArrived{Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt, TimeLeft: 6 * time.Second})
+		handle(fleet[rng.IntN(routers)], n, RequestArrived{
+			Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt,
+			TimeLeft: 6 * time.Second,
+		})
 	}
 	arrive()
 	for end := now + 2*time.Minute; agenda[0].at < end; {
--- a/routing/reconfigure_test.go
+++ b/routing/reconfigure_test.go
@@ -7,17 +7,18 @@
 
 // A request that is open at a reconfiguration keeps the rules of its arrival: a non-idempotent one is not retried when
 // the name of its class now means an idempotent class, and none makes more attempts than the smallest limit in force
-// since it arrived. A new class applies at once, and a reconfiguration that would renumber the classes is refused.
+// since it arrived. A new class applies at once, and a reconfiguration that would renumber the classes fails.
 func TestReconfigureKeepsRulesOfOpenRequests(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 1) // non-idempotent
+	_, decodeReplica := b.completePrefill(1, 1) // non-idempotent
 	cfg := testConfig()
-	cfg.Classes = append(cfg.Classes, Class{TTFTObjective: 2 * time.Second, Weight: 3, Idempotency: Idempotent}) // 5: has the name of 1, now idempotent
-	cfg.MaxAttempts = 2                                                                                          // a prefill and a decode
+	// Class 5 has the name of class 1, which is now idempotent.
+	cfg.Classes = append(cfg.Classes, Class{TTFTObjective: 2 * time.Second, Weight: 3, Idempotency: Idempotent})
+	cfg.MaxAttempts = 2 // a prefill and a decode
 	if err := b.r.Reconfigure(b.now, cfg); err != nil {
 		t.Fatal(err)
 	}
-	if acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset}); containsAction[Send](acts) || !containsAction[Fail](acts) {
+	if acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset}); containsAction[Send](acts) || !containsAction[Fail](acts) {
 		t.Errorf("the non-idempotent request that may have run: %+v", acts)
 	}
 	if acts := b.arrive(2, 5); !containsAction[Send](acts) {
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -9,17 +9,17 @@
 
 func TestRequestIsServedInItsCell(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 0)
-	if w == 13 {
+	_, decodeReplica := b.completePrefill(1, 0)
+	if decodeReplica == 13 {
 		t.Error("a decode replica outside the cell was chosen although the cell has capacity")
 	}
-	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: w, Elapsed: 20 * ms})
+	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
 	_, other := b.completePrefill(2, 0)
-	if other == w || other == 13 {
-		t.Errorf("the second request went to %d, want the other decode replica of the cell than %d", other, w)
+	if other == decodeReplica || other == 13 {
+		t.Errorf("the second request went to %d, want the other decode replica of the cell than %d", other, decodeReplica)
 	}
-	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
-	if b.r.requests[1] != nil || b.r.byID[w].streams != 0 {
+	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
+	if b.r.requests[1] != nil || b.r.byID[decodeReplica].streams != 0 {
 		t.Error("a served request is still open or its stream is still counted")
 	}
 }
@@ -27,8 +27,8 @@
 func TestNonIdempotentRequestNeverRunsTwice(t *testing.T) {
 	for o := Served + 1; o < PrefillDone; o++ {
 		b := newHarness(t, nil)
-		_, w := b.completePrefill(1, 1)
-		acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: o})
+		_, decodeReplica := b.completePrefill(1, 1)
+		acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: o})
 		if o.NeverRan() != (containsAction[Send](acts) || containsAction[SetTimer](acts)) || !o.NeverRan() != containsAction[Fail](acts) || containsAction[Reject](acts) {
 			t.Errorf("outcome %d: got %+v", o, acts)
 		}
@@ -37,9 +37,9 @@
 
 func TestQueueFullRetriesDecodeAndStateMissingRetriesPrefill(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 1)
-	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: QueueFull}))
-	if next == w || next < 11 {
+	_, decodeReplica := b.completePrefill(1, 1)
+	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: QueueFull}))
+	if next == decodeReplica || next < 11 {
 		t.Errorf("after QueueFull it went to %d, want another decode replica", next)
 	}
 	if again := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
@@ -68,8 +68,8 @@
 // A timeout at the deadline fails the request at once.
 func TestTimeoutAtDeadlineFailsAtOnce(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 1)
-	acts := b.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: TimedOut})
+	_, decodeReplica := b.completePrefill(1, 1)
+	acts := b.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: TimedOut})
 	if !containsAction[Fail](acts) || !containsAction[Release](acts) {
 		t.Errorf("got %+v", acts)
 	}
@@ -147,11 +147,11 @@
 				now += ms
 				out = r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: Key(id % 100), PromptTokens: 900,
 					TimeLeft: time.Second}, out[:0])
-				reader := out[0].(Send).Endpoint
-				out = r.Handle(now, AttemptEnded{Request: id, Endpoint: reader, Outcome: PrefillDone, Elapsed: ms}, out[:0])
-				writer := out[0].(Send).Endpoint
-				out = r.Handle(now, FirstToken{Request: id, Attempt: 1, Endpoint: writer, Elapsed: ms}, out[:0])
-				out = r.Handle(now, AttemptEnded{Request: id, Attempt: 1, Endpoint: writer, Final: true}, out[:0])
+				prefillReplica := out[0].(Send).Endpoint
+				out = r.Handle(now, AttemptEnded{Request: id, Endpoint: prefillReplica, Outcome: PrefillDone, Elapsed: ms}, out[:0])
+				decodeReplica := out[0].(Send).Endpoint
+				out = r.Handle(now, FirstToken{Request: id, Attempt: 1, Endpoint: decodeReplica, Elapsed: ms}, out[:0])
+				out = r.Handle(now, AttemptEnded{Request: id, Attempt: 1, Endpoint: decodeReplica, Final: true}, out[:0])
 			}
 		})
 	}
@@ -161,8 +161,8 @@
 // prefilled again at once, as long as attempts remain, and any other is not sent again.
 func TestBrokenStreamRetriesPrefill(t *testing.T) {
 	b := newHarness(t, nil)
-	_, w := b.completePrefill(1, 0)
-	acts := b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: w, Outcome: ConnectionReset, StreamStarted: true})
+	_, decodeReplica := b.completePrefill(1, 0)
+	acts := b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, StreamStarted: true})
 	if s := b.sentTo(acts); s > 2 || !containsAction[Release](acts) {
 		t.Errorf("sent to %d: %+v", s, acts)
 	}
@@ -191,8 +191,8 @@
 func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
 	for remaining, retried := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
 		b := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
-		_, writer := b.completePrefill(1, 2)
-		acts := b.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: writer, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
+		_, decodeReplica := b.completePrefill(1, 2)
+		acts := b.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
 		if containsAction[Send](acts) != retried {
 			t.Errorf("with %v of the window left: %+v", remaining, acts)
 		}
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -61,7 +61,7 @@
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
 					for _, x := range d.endpointList() {
-						if x.State != Ready && x.Kind == d.servers[s.Endpoint].Kind {
+						if x.State != Ready && x.Kind == d.replicas[s.Endpoint].Kind {
 							s.Endpoint = x.ID
 						}
 					}
@@ -74,7 +74,7 @@
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
 					for _, x := range d.endpointList() {
-						if x.State == Ready && x.Kind == d.servers[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
+						if x.State == Ready && x.Kind == d.replicas[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
 							s.Endpoint = x.ID // herd to the replica that started last
 						}
 					}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -14,34 +14,42 @@
 // replicas of other cells do not respond.
 func TestSlowStartUnderBurstFromManyRouters(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		routers int
-		hot     float64
-		writer  bool
-		cut     bool
+		name           string
+		routers        int
+		hotShare       float64
+		decode         bool
+		otherCellsFail bool
 	}{
-		{"prefill", 20, 0, false, false}, {"prefill", 30, 0, false, false}, {"prefill", 300, 0, false, false},
-		{"prefill, new prefix of a quarter", 20, 0.25, false, false}, {"prefill, new prefix of a quarter", 30, 0.25, false, false}, {"prefill, new prefix of a quarter", 300, 0.25, false, false},
-		{"decode", 20, 0, true, false}, {"decode", 30, 0, true, false}, {"decode", 300, 0, true, false},
-		{"decode in the only cell", 20, 0, true, true}, {"decode in the only cell", 30, 0, true, true}, {"decode in the only cell", 300, 0, true, true},
+		{"prefill", 20, 0, false, false},
+		{"prefill", 30, 0, false, false},
+		{"prefill", 300, 0, false, false},
+		{"prefill, new prefix of a quarter", 20, 0.25, false, false},
+		{"prefill, new prefix of a quarter", 30, 0.25, false, false},
+		{"prefill, new prefix of a quarter", 300, 0.25, false, false},
+		{"decode", 20, 0, true, false},
+		{"decode", 30, 0, true, false},
+		{"decode", 300, 0, true, false},
+		{"decode in the only cell", 20, 0, true, true},
+		{"decode in the only cell", 30, 0, true, true},
+		{"decode in the only cell", 300, 0, true, true},
 	} {
 		for seed := range uint64(6) {
-			worst, sent := worstColdLoadUnderBurst(t, c.routers, c.hot, c.writer, c.cut, seed)
+			worst, sent := overloadUnderBurst(t, c.routers, c.hotShare, c.decode, c.otherCellsFail, seed)
 			if worst > 1 || sent == 0 {
 				t.Errorf("%s, %d routers, seed %d: %d sends, at worst %.2f of what is allowed", c.name, c.routers, seed, sent, worst)
 			}
 		}
 	}
 	// The check can fail: routers configured as one of three send too much.
-	if worst, _ := worstColdLoadUnderBurst(t, -300, 0.25, false, false, 1); worst <= 1 {
+	if worst, _ := overloadUnderBurst(t, -300, 0.25, false, false, 1); worst <= 1 {
 		t.Errorf("three hundred routers configured as three pass as %.2f of what is allowed", worst)
 	}
 }
 
-// worstColdLoadUnderBurst returns the largest ratio in any window of the sends to a replica in slow start to the allowed
+// overloadUnderBurst returns the largest ratio in any window of the sends to a replica in slow start to the allowed
 // number, and the number of all these sends. With a negative number of routers there are as many, each configured as
 // one of three.
-func worstColdLoadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
+func overloadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
 	const rate = 40.0 // requests per second before the burst
 	cfg := testConfig()
 	if cfg.Routers = routers; routers < 0 {
@@ -66,13 +74,13 @@
 			routersByTraffic = append(routersByTraffic, i)
 		}
 	}
-	cold := &endpoints[0]
+	started := &endpoints[0]
 	if decode {
-		cold = &endpoints[1]
+		started = &endpoints[1]
 	}
 	hotPrefix := Key(1000)
 	for i := 0; i < 16; i++ {
-		if endpoints[i].Kind == 0 && endpoints[i].ID != cold.ID && exponentialDraw(hotPrefix, endpoints[i].ID) < exponentialDraw(hotPrefix, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
+		if endpoints[i].Kind == 0 && endpoints[i].ID != started.ID && exponentialDraw(hotPrefix, endpoints[i].ID) < exponentialDraw(hotPrefix, started.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
 			hotPrefix, i = hotPrefix+1, -1
 		}
 	}
@@ -85,13 +93,13 @@
 				if !ok {
 					continue
 				}
-				if s.Endpoint == cold.ID && cold.Started > 0 {
+				if s.Endpoint == started.ID && started.Started > 0 {
 					sent, total = append(sent, now), total+1
 				}
 				o, endpoint := PrefillDone, endpoints[s.Endpoint-10]
 				if endpoint.Kind == 1 {
 					o = Served
-				} else if otherCellsFail && endpoint.Cell > 0 && cold.Started > 0 {
+				} else if otherCellsFail && endpoint.Cell > 0 && started.Started > 0 {
 					o = ConnectFailed
 				}
 				events = append(events, AttemptEnded{Request: q.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: o, Elapsed: 40 * ms, Final: o == Served})
@@ -105,14 +113,14 @@
 			gap /= 1.5
 		}
 		now += time.Duration(gap * float64(time.Second))
-		if now >= burstStart && cold.Started == 0 {
-			cold.Started = now
+		if now >= burstStart && started.Started == 0 {
+			started.Started = now
 			for _, r := range all {
 				r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
 			}
 		}
 		shared := Key(100 + rng.IntN(16)) // prefixes that all routers know
-		if cold.Started > 0 && rng.Float64() < hotShare {
+		if started.Started > 0 && rng.Float64() < hotShare {
 			shared = hotPrefix
 		}
 		handle(all[routersByTraffic[rng.IntN(len(routersByTraffic))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
@@ -120,8 +128,8 @@
 		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
-		if cold.Started > 0 {
-			ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+		if started.Started > 0 {
+			ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-started.Started)/float64(cfg.SlowStartDuration)
 			n := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // a replica can take at least the even share
 			worst = max(worst, float64(len(sent))/(n+2*math.Sqrt(n)+2))
 		}
@@ -156,18 +164,18 @@
 // Two hundred routers that learn of one new replica together send it no more than is allowed in any window, from the
 // first moment on: none may count as if it were alone.
 func TestSlowStartWithManyRoutersFromStart(t *testing.T) {
-	if worst, sent := worstColdLoadFromStart(t, false); worst > 1 || sent == 0 {
+	if worst, sent := overloadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
 	}
 	// The check can fail: requests that all hash to the replica are too many.
-	if worst, _ := worstColdLoadFromStart(t, true); worst <= 1 {
+	if worst, _ := overloadFromStart(t, true); worst <= 1 {
 		t.Errorf("one session for all requests passes as %.2f of what is allowed", worst)
 	}
 }
 
-// worstColdLoadFromStart returns the largest ratio in any window of the sends to a replica in slow start to the allowed
+// overloadFromStart returns the largest ratio in any window of the sends to a replica in slow start to the allowed
 // number, and the number of all these sends. With singleSession all requests are of one session, which hashes to it.
-func worstColdLoadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
+func overloadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
 	const routers, rate = 200, 200.0 // requests per second at all routers
 	cfg := testConfig()
 	cfg.Routers = routers
@@ -179,8 +187,8 @@
 	for i := range 4 {
 		endpoints = append(endpoints, Endpoint{ID: EndpointID(1 + i), Kind: 1, Cell: i, State: Ready})
 	}
-	cold := &endpoints[19]
-	cold.Started = now
+	started := &endpoints[19]
+	started.Started = now
 	var all []*Router
 	for i := range routers {
 		r, err := New(cfg, uint64(i))
@@ -194,7 +202,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	ownSession := Key(1)
 	for i := 0; i < 19; i++ {
-		if exponentialDraw(ownSession, endpoints[i].ID) < exponentialDraw(ownSession, cold.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
+		if exponentialDraw(ownSession, endpoints[i].ID) < exponentialDraw(ownSession, started.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
 			ownSession, i = ownSession+1, -1
 		}
 	}
@@ -210,12 +218,12 @@
 			if !ok {
 				continue
 			}
-			if s.Endpoint == cold.ID {
+			if s.Endpoint == started.ID {
 				sent = append(sent, now)
 				total++
 			}
 			elapsed := 400 * ms // the others are slow, so that all routers would prefer this one
-			if s.Endpoint == cold.ID {
+			if s.Endpoint == started.ID {
 				elapsed = 40 * ms
 			}
 			r.Handle(now, AttemptEnded{Request: id, Endpoint: s.Endpoint, Outcome: PrefillDone, Elapsed: elapsed, Final: true}, nil)
@@ -224,7 +232,7 @@
 			sent = sent[1:]
 		}
 		// A replica at full capacity can take at least the even share.
-		ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-cold.Started)/float64(cfg.SlowStartDuration)
+		ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-started.Started)/float64(cfg.SlowStartDuration)
 		allowed := cfg.OverloadMultiple * ramp * rate / 20 * slowStartWindow.Seconds()
 		worst = max(worst, float64(len(sent))/allowed)
 	}
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -14,9 +14,9 @@
 		for id := RequestID(1); id < 60; id++ {
 			s := b.sentTo(b.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
 			elapsed := 200 * ms // longer than the prior estimate
-			w := b.sentTo(b.handle(elapsed, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: elapsed}))
-			b.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: w, Elapsed: 5 * ms})
-			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: w, Outcome: Served, Final: true})
+			decodeReplica := b.sentTo(b.handle(elapsed, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: elapsed}))
+			b.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decodeReplica, Elapsed: 5 * ms})
+			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
 		}
 		b.r.recordFailure(b.r.byID[11], 0, 1)
 		return b
@@ -32,7 +32,9 @@
 	fresh := func(change func(*Snapshot)) *harness {
 		b := newHarness(t, nil)
 		b.now = old.now + 100*ms
-		b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready}, {ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready}}})
+		b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+			{ID: 1, State: Ready}, {ID: 2, State: Ready}, {ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
+		}})
 		c := snapshot
 		if change != nil {
 			change(&c)
@@ -41,7 +43,8 @@
 		return b
 	}
 	b := fresh(nil)
-	if got, want := b.r.prefillModel.coefficients, old.r.prefillModel.coefficients; math.Abs(got[0]-want[0]) > 0.1*want[0]+1 || b.r.estimateError.count(b.now) < 10 {
+	got, want := b.r.prefillModel.coefficients, old.r.prefillModel.coefficients
+	if math.Abs(got[0]-want[0]) > 0.1*want[0]+1 || b.r.estimateError.count(b.now) < 10 {
 		t.Errorf("coefficients %v, the other router's are %v; %.1f samples", got, want, b.r.estimateError.count(b.now))
 	}
 	q := &request{RequestArrived: RequestArrived{Session: 59, PromptTokens: 2000}}
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -18,7 +18,10 @@
 	b.T, _ = t.(*testing.T)
 	var list []Endpoint
 	for i := range n / 2 {
-		list = append(list, Endpoint{ID: EndpointID(1 + i), Kind: 0, State: Ready, Cell: i / 5}, Endpoint{ID: EndpointID(1001 + i), Kind: 1, State: Ready, Cell: i / 5})
+		list = append(list,
+			Endpoint{ID: EndpointID(1 + i), Kind: 0, State: Ready, Cell: i / 5},
+			Endpoint{ID: EndpointID(1001 + i), Kind: 1, State: Ready, Cell: i / 5},
+		)
 	}
 	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	return b
@@ -152,9 +155,9 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	for _, c := range []struct{ servers, cells int }{{10, 0}, {100, 0}, {1000, 0}, {100, 4}, {1000, 4}} {
-		b.Run(fmt.Sprintf("%d-replicas-subset-%d", c.servers, c.cells*10), func(b *testing.B) {
-			w := newLargeHarness(b, c.servers)
+	for _, c := range []struct{ replicas, cells int }{{10, 0}, {100, 0}, {1000, 0}, {100, 4}, {1000, 4}} {
+		b.Run(fmt.Sprintf("%d-replicas-subset-%d", c.replicas, c.cells*10), func(b *testing.B) {
+			w := newLargeHarness(b, c.replicas)
 			if c.cells > 0 {
 				w.handle(0, subsetOfCells(0, 3, 5, 8))
 			}
