--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -103,15 +103,15 @@
 	},
 	"a resend of what may have run": {
 		{"internal/precondition/precondition.go", "repeat := s.Executes && s.MayHaveRun", "repeat := false && s.MayHaveRun"},
-		{"routing/request.go", "		r.rejectOrFail(q, MayHaveRun, 0)\n		return", "		r.release(q, BeforePrefillRetry)\n		q.state = awaitingPrefill\n		r.advance(q)\n		return"},
-		{"routing/decode.go", "if c.Idempotency == Idempotent {", "if true {"},
+		{"routing/request.go", "		r.rejectOrFail(req, MayHaveRun, 0)\n		return", "		r.release(req, BeforePrefillRetry)\n		req.state = awaitingPrefill\n		r.advance(req)\n		return"},
+		{"routing/decode.go", "if class.Idempotency == Idempotent {", "if true {"},
 	},
 	"a send after a drain was told": {
 		{"internal/dispatch/dispatcher.go", "s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: e.State,",
 			"l.state = routing.Ready\n		s := routing.Endpoint{ID: l.ID, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: routing.Ready,"},
 	},
 	"a write that counts as out once it was sent": {
-		{"routing/reservation.go", "	if !q.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
+		{"routing/reservation.go", "	if !req.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
 	},
 	"a drain that goes on taking requests": {
 		{"internal/clients/drain.go", "return d.lasted(now) < drainTakes", "return true"},
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -11,12 +11,12 @@
 //     would shut out those with a short one.
 //   - Critical requests pass only while most of their own objective remains, since a flood of them would make all late.
 //   - Requests beyond their tenant's quota have no critical pass and half the budget.
-func (r *Router) admit(q *request, queueDelayMS, prefillMS float64) bool {
-	budgetMS, maxQueueMS := toMS(q.ttftObjective)*latencyHeadroom, r.tightestBudgetMS
-	if q.overQuota {
+func (r *Router) admit(req *request, queueDelayMS, prefillMS float64) bool {
+	budgetMS, maxQueueMS := toMS(req.ttftObjective)*latencyHeadroom, r.tightestBudgetMS
+	if req.overQuota {
 		budgetMS, maxQueueMS = budgetMS/overQuotaDivisor, maxQueueMS/overQuotaDivisor
-	} else if r.critical[q.Class] {
-		budgetMS = toMS(q.ttftObjective) * criticalHeadroom
+	} else if r.critical[req.Class] {
+		budgetMS = toMS(req.ttftObjective) * criticalHeadroom
 		maxQueueMS = budgetMS
 	}
 	return queueDelayMS <= min(budgetMS, maxQueueMS) && (prefillMS > budgetMS || queueDelayMS+prefillMS <= budgetMS)
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -44,13 +44,13 @@
 
 // withinRetryBudget reports whether a request that failed may be retried. It protects against a disturbance that is
 // multiplied by everyone's retries (a retry storm). A part of the budget is reserved for critical requests.
-func (r *Router) withinRetryBudget(q *request) bool {
+func (r *Router) withinRetryBudget(req *request) bool {
 	budgets := r.cfg.Budgets
-	if !q.retrying || budgets.RetriesPerRequest <= 0 && budgets.RetriesPerSecond <= 0 {
+	if !req.retrying || budgets.RetriesPerRequest <= 0 && budgets.RetriesPerSecond <= 0 {
 		return true
 	}
 	need, burst := 1.0, r.retryBurst()
-	if !r.critical[q.Class] {
+	if !r.critical[req.Class] {
 		need += criticalRetryShare * (burst - 1)
 	}
 	return r.retryBucket.Fill(r.now, r.ownFraction(budgets.RetriesPerSecond), burst) >= need
@@ -58,15 +58,15 @@
 
 // chargeBudgets charges an attempt to the budgets: a request's first attempt earns retries and counts against its
 // tenant's quota, a retry spends one.
-func (r *Router) chargeBudgets(q *request) {
-	if q.retrying {
+func (r *Router) chargeBudgets(req *request) {
+	if req.retrying {
 		r.retryBucket.Spend()
 	}
-	if tenant := q.Tenant; q.attempts == 0 && tenant >= 0 && tenant < len(r.tenantBuckets) {
+	if tenant := req.Tenant; req.attempts == 0 && tenant >= 0 && tenant < len(r.tenantBuckets) {
 		r.tenantBuckets[tenant].Spend()
 	}
-	if q.attempts == 0 {
+	if req.attempts == 0 {
 		r.retryBucket.Add(r.cfg.Budgets.RetriesPerRequest, r.retryBurst())
 	}
-	q.retrying = false
+	req.retrying = false
 }
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -7,24 +7,24 @@
 
 // A router's fraction of a limit is that of its QuotaShare while it is valid, and Budgets.Fraction afterwards.
 func TestOwnFractionFollowsQuotaShareWhileItIsValid(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
-	fraction := func() float64 { return b.r.ownFraction(100) }
+	h := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
+	fraction := func() float64 { return h.r.ownFraction(100) }
 	if got := fraction(); got != 5 {
 		t.Errorf("%v without a QuotaShare, want 5", got)
 	}
-	b.handle(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
+	h.handle(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
 	if got := fraction(); got != 50 {
 		t.Errorf("%v with a share of a half, want 50", got)
 	}
-	b.handle(999*ms, TimerFired{})
+	h.handle(999*ms, TimerFired{})
 	if got := fraction(); got != 50 {
 		t.Errorf("%v before the share expires, want 50", got)
 	}
-	b.handle(ms, TimerFired{})
+	h.handle(ms, TimerFired{})
 	if got := fraction(); got != 5 {
 		t.Errorf("%v after the share has expired, want 5", got)
 	}
-	b.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it has expired on arrival
+	h.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it has expired on arrival
 	if got := fraction(); got != 5 {
 		t.Errorf("%v with a share that had expired, want 5", got)
 	}
@@ -39,21 +39,21 @@
 	const routers, span = 100, 80 * time.Second
 	polls, sends := map[EndpointID]int{}, 0
 	for range routers {
-		b := newHarness(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
+		h := newHarness(t, func(c *Config) { c.CanPollLoad, c.Budgets = true, Budgets{Fraction: 1.0 / routers, PollsPerReplica: 1} })
 		id := RequestID(0)
-		for end := b.now + span; b.now < end; {
+		for end := h.now + span; h.now < end; {
 			id++
-			acts := b.handle(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+			acts := h.handle(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 			for len(acts) > 0 {
 				a := acts[0]
 				acts = acts[1:]
 				switch a := a.(type) {
 				case PollLoad:
 					polls[a.Endpoint]++
-					acts = append(acts, b.handle(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
+					acts = append(acts, h.handle(0, LoadPolled{a.Endpoint, &LoadReport{}})...)
 				case Send:
 					sends++
-					acts = append(acts, b.handle(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
+					acts = append(acts, h.handle(20*ms, AttemptEnded{Request: a.Request, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})...)
 				}
 			}
 		}
@@ -72,15 +72,15 @@
 // Retries are a fraction of first attempts plus a few; beyond that a request is rejected at once with a Retry-After.
 // A part of the burst is reserved for critical requests.
 func TestRetriesStayWithinBudgetAndReserveSomeForCritical(t *testing.T) {
-	b := newHarness(t, func(c *Config) {
+	h := newHarness(t, func(c *Config) {
 		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
 	})
 	retried := map[bool]int{}
 	for id := RequestID(1); id <= 20; id++ {
-		acts := b.failPrefill(id, 0)
+		acts := h.failPrefill(id, 0)
 		retried[containsAction[Send](acts)]++
 		if containsAction[Send](acts) {
-			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
+			h.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: h.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
 		} else {
 			r, ok := acts[len(acts)-1].(Reject)
 			if !ok || r.RetryAfter < 200*ms || r.RetryAfter > 400*ms {
@@ -91,13 +91,13 @@
 	if retried[true] < 1 || retried[true] > 4 {
 		t.Errorf("%d of 20 were retried", retried[true])
 	}
-	acts := b.failPrefill(100, 1)
+	acts := h.failPrefill(100, 1)
 	if !containsAction[Send](acts) {
 		t.Error("a critical request is not retried although a part is reserved for it")
 	}
-	b.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: b.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
-	b.handle(time.Minute, TimerFired{}) // the prefill replicas' failure levels have decayed too
-	if acts := b.failPrefill(200, 0); !containsAction[Send](acts) {
+	h.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: h.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
+	h.handle(time.Minute, TimerFired{}) // the prefill replicas' failure levels have decayed too
+	if acts := h.failPrefill(200, 0); !containsAction[Send](acts) {
 		t.Errorf("%+v: not retried although the budget has filled", acts)
 	}
 	unlimited := newHarness(t, nil)
@@ -110,21 +110,21 @@
 
 // A non-idempotent request that may have run fails if no retry remains: a rejection would promise that nothing ran.
 func TestNonIdempotentRequestThatMayHaveRunFailsWithoutRetryBudget(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
+	h := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 1, RetriesPerRequest: 1e-9} })
 	for id := RequestID(1); id < 5; id++ {
-		b.failPrefill(id, 1)
+		h.failPrefill(id, 1)
 	}
-	_, decodeReplica := b.completePrefill(10, 1)
-	if acts := b.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
+	_, decodeReplica := h.completePrefill(10, 1)
+	if acts := h.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
 		t.Errorf("%+v", acts)
 	}
 }
 
 // Reconfigure keeps the budgets: they are those of all routers, not of one configuration.
 func TestReconfigureKeepsBudgets(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
-	if err := b.r.Reconfigure(b.now, testConfig()); err != nil || b.r.cfg.Budgets.Fraction != 0.1 {
-		t.Errorf("%+v, %v", b.r.cfg.Budgets, err)
+	h := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
+	if err := h.r.Reconfigure(h.now, testConfig()); err != nil || h.r.cfg.Budgets.Fraction != 0.1 {
+		t.Errorf("%+v, %v", h.r.cfg.Budgets, err)
 	}
 }
 
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -17,30 +17,30 @@
 // and switches between the subset and all replicas, in which case it sums up again.
 func (r *Router) sumCapacity(class int) {
 	empty := cellCapacity{minDecodeWaitMS: math.Inf(1)}
-	for _, s := range r.active {
-		*s.cell = empty
+	for _, replica := range r.active {
+		*replica.cell = empty
 	}
 	r.totalCapacity = empty
 	r.prefillModel.solve(r.now)
 	r.decodeModel.solve(r.now)
-	for _, s := range r.active {
-		weight := r.effectiveWeight(s)
-		if s.role == Prefill && s.State == Ready {
-			s.cell.readyPrefillCapacity += weight
+	for _, replica := range r.active {
+		weight := r.effectiveWeight(replica)
+		if replica.role == Prefill && replica.State == Ready {
+			replica.cell.readyPrefillCapacity += weight
 			r.totalCapacity.readyPrefillCapacity += weight
 		}
-		if !r.healthy(s, class) {
+		if !r.healthy(replica, class) {
 			continue
 		}
-		if s.role == Prefill {
-			s.cell.prefillCapacity += weight
+		if replica.role == Prefill {
+			replica.cell.prefillCapacity += weight
 			r.totalCapacity.prefillCapacity += weight
 			continue
 		}
-		s.cell.decodeCapacity += weight
+		replica.cell.decodeCapacity += weight
 		r.totalCapacity.decodeCapacity += weight
-		waitMS := r.decodeWaitMS(s)
-		s.cell.minDecodeWaitMS = min(s.cell.minDecodeWaitMS, waitMS)
+		waitMS := r.decodeWaitMS(replica)
+		replica.cell.minDecodeWaitMS = min(replica.cell.minDecodeWaitMS, waitMS)
 		r.totalCapacity.minDecodeWaitMS = min(r.totalCapacity.minDecodeWaitMS, waitMS)
 	}
 	if r.toggleFallback() {
--- a/routing/config_test.go
+++ b/routing/config_test.go
@@ -32,14 +32,14 @@
 		"unknown kinds":   {{ID: 1, Kind: 99, State: Ready}, {ID: 2, Kind: -1, State: Ready}},
 		"thousands":       mixedEndpoints(3000),
 	} {
-		b := newHarness(t, func(c *Config) { c.Routers = 5000 })
-		b.handle(ms, EndpointUpdate{Full: true, Endpoints: list})
-		acts := b.arrive(1, 0)
+		h := newHarness(t, func(c *Config) { c.Routers = 5000 })
+		h.handle(ms, EndpointUpdate{Full: true, Endpoints: list})
+		acts := h.arrive(1, 0)
 		for range 200 {
 			if !containsAction[SetTimer](acts) {
 				break
 			}
-			acts = b.handle(selectionRetryInterval, TimerFired{1})
+			acts = h.handle(selectionRetryInterval, TimerFired{1})
 		}
 		if !containsAction[Reject](acts) && !containsAction[Send](acts) {
 			t.Errorf("%s: got %+v", name, acts)
--- a/routing/decayedmean.go
+++ b/routing/decayedmean.go
@@ -66,11 +66,11 @@
 }
 
 // clamp returns x bounded to [low, high], and low for NaN.
-func clamp(x, low, high float64) float64 {
-	if !(x > low) {
+func clamp(value, low, high float64) float64 {
+	if !(value > low) {
 		return low
 	}
-	return min(x, high)
+	return min(value, high)
 }
 
 // toMS converts to milliseconds.
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -37,14 +37,14 @@
 }
 
 // offer takes a replica into the choice.
-func (c *decodeChoice) offer(s *replica, cost decodeCost, rng *rand.Rand) {
+func (c *decodeChoice) offer(replica *replica, cost decodeCost, rng *rand.Rand) {
 	order := slices.Compare(cost[:], c.cost[:])
 	switch {
 	case c.replica == nil || order < 0:
-		c.replica, c.cost, c.ties = s, cost, 1
+		c.replica, c.cost, c.ties = replica, cost, 1
 	case order == 0:
 		if c.ties++; rng.IntN(c.ties) == 0 {
-			c.replica = s
+			c.replica = replica
 		}
 	}
 }
@@ -52,32 +52,32 @@
 // bestDecodeReplica returns a decode replica for a request, or nil. It prefers one with capacity in the prefill
 // replica's cell, then one elsewhere, then any. The part of the requests that the cell's decode replicas cannot bear
 // goes to cells that have decode capacity to spare. A replica in slow start whose turn it is comes first.
-func (r *Router) bestDecodeReplica(q *request) *replica {
-	r.sumCapacity(q.Class)
-	selection := r.newDecodeSelection(q)
+func (r *Router) bestDecodeReplica(req *request) *replica {
+	r.sumCapacity(req.Class)
+	selection := r.newDecodeSelection(req)
 	best := decodeChoice{cost: decodeCost{math.Inf(1)}}
-	for _, s := range r.active {
-		if !r.canDecode(s, q) {
+	for _, replica := range r.active {
+		if !r.canDecode(replica, req) {
 			continue
 		}
-		if r.inSlowStart(s) {
-			if !r.takeDecodeSlowStartTurn(s, q, selection) {
+		if r.inSlowStart(replica) {
+			if !r.takeDecodeSlowStartTurn(replica, req, selection) {
 				continue
 			}
-			s.slowStartCredit--
-			if r.healthy(s, q.Class) {
-				return s
+			replica.slowStartCredit--
+			if r.healthy(replica, req.Class) {
+				return replica
 			}
 		}
-		best.offer(s, r.decodeCostOf(s, q, selection), r.rng)
+		best.offer(replica, r.decodeCostOf(replica, req, selection), r.rng)
 	}
 	return best.replica
 }
 
 // newDecodeSelection draws whether a request leaves the cell of its prefill replica.
-func (r *Router) newDecodeSelection(q *request) decodeSelection {
-	origin := r.byID[q.prefillEndpoint]
-	if q.state != awaitingDecode || origin == nil {
+func (r *Router) newDecodeSelection(req *request) decodeSelection {
+	origin := r.byID[req.prefillEndpoint]
+	if req.state != awaitingDecode || origin == nil {
 		return decodeSelection{zone: r.cfg.Zone}
 	}
 	_, bearable := r.cellPreference(origin.cell)
@@ -85,80 +85,80 @@
 }
 
 // inOriginCell reports whether a replica is in the cell of the prefill replica.
-func (d decodeSelection) inOriginCell(s *replica) bool {
-	return d.origin != nil && s.cell == d.origin.cell
+func (d decodeSelection) inOriginCell(replica *replica) bool {
+	return d.origin != nil && replica.cell == d.origin.cell
 }
 
 // canDecode reports whether a replica may be sent the request's decode attempt.
-func (r *Router) canDecode(s *replica, q *request) bool {
-	if s.role == Prefill || s.State != Ready || q.mayHaveRun && !r.canRetryOn(q, s) {
+func (r *Router) canDecode(replica *replica, req *request) bool {
+	if replica.role == Prefill || replica.State != Ready || req.mayHaveRun && !r.canRetryOn(req, replica) {
 		return false
 	}
-	if q.state == awaitingPrefill && s.role == Decode && !r.cfg.DecodeCanPrefill {
+	if req.state == awaitingPrefill && replica.role == Decode && !r.cfg.DecodeCanPrefill {
 		return false
 	}
-	fullForRequest := r.now < s.fullUntil && slices.Contains(q.failedEndpoints, s.ID)
+	fullForRequest := r.now < replica.fullUntil && slices.Contains(req.failedEndpoints, replica.ID)
 	return !fullForRequest
 }
 
 // takeDecodeSlowStartTurn is takeSlowStartTurn for a decode replica. Only requests that stay in its cell are offered
 // to it, unless no prefill replica of the cell is ready.
-func (r *Router) takeDecodeSlowStartTurn(s *replica, q *request, selection decodeSelection) bool {
-	if s.cell.readyPrefillCapacity <= 0 {
-		return r.takeSlowStartTurn(s, q, 1, 0)
+func (r *Router) takeDecodeSlowStartTurn(replica *replica, req *request, selection decodeSelection) bool {
+	if replica.cell.readyPrefillCapacity <= 0 {
+		return r.takeSlowStartTurn(replica, req, 1, 0)
 	}
-	if !selection.inOriginCell(s) || selection.spill {
+	if !selection.inOriginCell(replica) || selection.spill {
 		return false
 	}
 	// The fraction of all requests that the cell's prefill replicas send, also if those of other cells do not respond.
-	ready := s.cell.readyPrefillCapacity / r.totalCapacity.readyPrefillCapacity
-	healthy := s.cell.prefillCapacity / max(r.totalCapacity.prefillCapacity, minCapacity)
-	return r.takeSlowStartTurn(s, q, max(ready, healthy), 0)
+	ready := replica.cell.readyPrefillCapacity / r.totalCapacity.readyPrefillCapacity
+	healthy := replica.cell.prefillCapacity / max(r.totalCapacity.prefillCapacity, minCapacity)
+	return r.takeSlowStartTurn(replica, req, max(ready, healthy), 0)
 }
 
 // decodeCostOf returns the cost of a replica for the request. For a spilled request it draws the replica's place in
 // the order in which such requests spread: weighted by what the replica's cell has to spare.
-func (r *Router) decodeCostOf(s *replica, q *request, selection decodeSelection) decodeCost {
-	cost, waitMS, spread := 0.0, r.decodeWaitMS(s), 0.0
+func (r *Router) decodeCostOf(replica *replica, req *request, selection decodeSelection) decodeCost {
+	cost, waitMS, spread := 0.0, r.decodeWaitMS(replica), 0.0
 	switch {
-	case !r.healthy(s, q.Class):
+	case !r.healthy(replica, req.Class):
 		cost = unhealthyCost
 	case waitMS > 0:
 		cost = waitCost
 	}
-	if slices.Contains(q.failedEndpoints, s.ID) {
+	if slices.Contains(req.failedEndpoints, replica.ID) {
 		cost += failedBeforeCost
 	}
 	switch {
 	case selection.spill:
-		_, bearable := r.cellPreference(s.cell)
-		spread = r.rng.ExpFloat64() / (s.Weight * max(1-1/bearable, minCapacity))
-		if s.Zone != selection.zone {
+		_, bearable := r.cellPreference(replica.cell)
+		spread = r.rng.ExpFloat64() / (replica.Weight * max(1-1/bearable, minCapacity))
+		if replica.Zone != selection.zone {
 			spread *= otherZoneSpread
 		}
-	case s.Zone != selection.zone:
+	case replica.Zone != selection.zone:
 		cost += otherZoneCost
-	case !selection.inOriginCell(s):
+	case !selection.inOriginCell(replica):
 		cost += otherCellCost
 	}
-	return decodeCost{cost, waitMS, spread, r.fillLevel(s)}
+	return decodeCost{cost, waitMS, spread, r.fillLevel(replica)}
 }
 
 // fillLevel returns how full a decode replica is: its reported memory where there is a report, plus own streams
 // relative to its capacity.
-func (r *Router) fillLevel(s *replica) float64 {
-	ownLoad := float64(s.streams+len(s.pending)+1) / (s.Weight * r.rampFraction(s))
-	if s.reportedMemory >= 0 && r.loadKnown(s) {
-		return s.reportedMemory + ownLoad/ownLoadDivisor
+func (r *Router) fillLevel(replica *replica) float64 {
+	ownLoad := float64(replica.streams+len(replica.pending)+1) / (replica.Weight * r.rampFraction(replica))
+	if replica.reportedMemory >= 0 && r.loadKnown(replica) {
+		return replica.reportedMemory + ownLoad/ownLoadDivisor
 	}
 	return ownLoad
 }
 
 // decodeTimeout returns the timeout of a decode attempt. A silent replica is given up while there is time for another
 // one, where a retry is allowed; otherwise it has all the time until the deadline.
-func (r *Router) decodeTimeout(q *request) time.Duration {
-	remaining := q.deadline - r.now
-	retryable := r.cfg.Classes[q.Class].Idempotency == Idempotent && q.attempts+1 < r.maxAttempts(q)
+func (r *Router) decodeTimeout(req *request) time.Duration {
+	remaining := req.deadline - r.now
+	retryable := r.cfg.Classes[req.Class].Idempotency == Idempotent && req.attempts+1 < r.maxAttempts(req)
 	if retryable && remaining > 2*minDecodeTimeout {
 		return max(remaining/2, minDecodeTimeout)
 	}
@@ -166,16 +166,16 @@
 }
 
 // canRetryOn reports whether a request that may have run may be sent to a replica.
-func (r *Router) canRetryOn(q *request, s *replica) bool {
-	c := r.cfg.Classes[q.Class]
-	if c.Idempotency == Idempotent {
+func (r *Router) canRetryOn(req *request, replica *replica) bool {
+	class := r.cfg.Classes[req.Class]
+	if class.Idempotency == Idempotent {
 		return true
 	}
-	ranOn := r.byID[q.mayHaveRunOn]
-	if c.Idempotency == NonIdempotent || ranOn == nil || r.now+maxProcessStall >= q.mayHaveRunAt+c.DedupWindow {
+	ranOn := r.byID[req.mayHaveRunOn]
+	if class.Idempotency == NonIdempotent || ranOn == nil || r.now+maxProcessStall >= req.mayHaveRunAt+class.DedupWindow {
 		return false
 	}
-	return c.DedupScope == ScopeAll ||
-		c.DedupScope == ScopeZone && s.Zone == ranOn.Zone ||
-		c.DedupScope == ScopeCell && s.Cell == ranOn.Cell
+	return class.DedupScope == ScopeAll ||
+		class.DedupScope == ScopeZone && replica.Zone == ranOn.Zone ||
+		class.DedupScope == ScopeCell && replica.Cell == ranOn.Cell
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -7,20 +7,20 @@
 
 // updateEndpoints takes a change of the endpoint list. A replica that has gone is forgotten once none of its attempts
 // is out.
-func (r *Router) updateEndpoints(e EndpointUpdate) {
-	if e.Full {
-		for _, s := range r.replicas {
-			s.State = Gone
+func (r *Router) updateEndpoints(event EndpointUpdate) {
+	if event.Full {
+		for _, replica := range r.replicas {
+			replica.State = Gone
 		}
 	}
-	for _, endpoint := range e.Endpoints {
+	for _, endpoint := range event.Endpoints {
 		r.updateEndpoint(endpoint)
 	}
-	r.replicas = slices.DeleteFunc(r.replicas, func(s *replica) bool {
-		if s.State != Gone || len(s.pending) > 0 || s.streams > 0 {
+	r.replicas = slices.DeleteFunc(r.replicas, func(replica *replica) bool {
+		if replica.State != Gone || len(replica.pending) > 0 || replica.streams > 0 {
 			return false
 		}
-		delete(r.byID, s.ID)
+		delete(r.byID, replica.ID)
 		return true
 	})
 	r.updateActive()
@@ -28,33 +28,34 @@
 
 // updateEndpoint takes one entry of the endpoint list. A new start of the replica's process resets what was learned.
 func (r *Router) updateEndpoint(endpoint Endpoint) {
-	s := r.byID[endpoint.ID]
-	if s == nil {
+	replica := r.byID[endpoint.ID]
+	if replica == nil {
 		if endpoint.State == Gone {
 			return
 		}
-		s = &replica{Endpoint: endpoint}
-		s.resetStats(r)
-		r.insertReplica(s)
+		replica = r.addReplica(endpoint)
 	}
-	if endpoint.Started != s.Started || endpoint.State == Gone {
-		s.resetStats(r)
+	if endpoint.Started != replica.Started || endpoint.State == Gone {
+		replica.resetStats(r)
 	}
-	s.Endpoint = endpoint
-	s.cell = getOrCreate(r.cells, endpoint.Cell)
+	replica.Endpoint = endpoint
+	replica.cell = getOrCreate(r.cells, endpoint.Cell)
 	if endpoint.Kind >= 0 && endpoint.Kind < len(r.cfg.Kinds) {
-		s.role = r.cfg.Kinds[endpoint.Kind].Role
+		replica.role = r.cfg.Kinds[endpoint.Kind].Role
 	}
-	if !(s.Weight > 0) { // NaN too
-		s.Weight = 1
+	if !(replica.Weight > 0) { // NaN too
+		replica.Weight = 1
 	}
 }
 
-// insertReplica adds a replica, in order of ID.
-func (r *Router) insertReplica(s *replica) {
-	r.byID[s.ID] = s
-	at, _ := slices.BinarySearchFunc(r.replicas, s.ID, func(other *replica, id EndpointID) int {
+// addReplica adds a replica of which nothing is known, in order of ID.
+func (r *Router) addReplica(endpoint Endpoint) *replica {
+	added := &replica{Endpoint: endpoint}
+	added.resetStats(r)
+	r.byID[added.ID] = added
+	at, _ := slices.BinarySearchFunc(r.replicas, added.ID, func(other *replica, id EndpointID) int {
 		return cmp.Compare(other.ID, id)
 	})
-	r.replicas = slices.Insert(r.replicas, at, s)
+	r.replicas = slices.Insert(r.replicas, at, added)
+	return added
 }
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -6,44 +6,45 @@
 // estimated time to first token of the paper. The queue delay is what own pending prefills or load reports say, plus
 // the delay that was common to all prefill replicas recently, plus this replica's difference from it. A replica in
 // slow start gets less than its share, so that the common delay does not exist there.
-func (r *Router) prefillEstimate(s *replica, cachedTokens int, q *request) (queueDelayMS, prefillMS float64) {
+func (r *Router) prefillEstimate(replica *replica, cachedTokens int, req *request) (queueDelayMS, prefillMS float64) {
 	coefficients := &r.prefillModel.coefficients
-	uncachedKiloTokens := float64(max(0, q.PromptTokens-cachedTokens)) / 1000
-	ramp := r.rampFraction(s)
+	uncachedKiloTokens := float64(max(0, req.PromptTokens-cachedTokens)) / 1000
+	ramp := r.rampFraction(replica)
 	commonMS := max(coefficients[baseInput]-initialPrefillBaseMS, 0) // a wait that the model takes for a cost
 	prefillMS = (coefficients[baseInput] + coefficients[kiloTokensInput]*uncachedKiloTokens - commonMS) / ramp
-	if r.cfg.CanPollLoad && r.loadFresh(s) {
+	if r.cfg.CanPollLoad && r.loadFresh(replica) {
 		perRequestMS := r.perQueuedRequest.mean(r.now, initialPerQueuedRequestMS, priorSamples)
-		return s.reportedQueue*perRequestMS/ramp + r.overdueMS(s), prefillMS
+		return replica.reportedQueue*perRequestMS/ramp + r.overdueMS(replica), prefillMS
 	}
-	queueDelayMS = coefficients[aheadInput] * float64(len(s.pending))
-	if s.reportedBacklog >= 0 {
-		queueDelayMS = s.reportedBacklog * coefficients[kiloTokensInput]
+	queueDelayMS = coefficients[aheadInput] * float64(len(replica.pending))
+	if replica.reportedBacklog >= 0 {
+		queueDelayMS = replica.reportedBacklog * coefficients[kiloTokensInput]
 	}
 	queueDelayMS += commonMS + r.commonQueueDelay.mean(r.now, 0, commonDelayPriorSamples)
-	queueDelayMS = max(queueDelayMS+s.queueDelay.mean(r.now, 0, priorSamples), 0) + r.overdueMS(s)
+	queueDelayMS = max(queueDelayMS+replica.queueDelay.mean(r.now, 0, priorSamples), 0) + r.overdueMS(replica)
 	return queueDelayMS, prefillMS
 }
 
 // overdueMS returns by how much the oldest pending attempt at a replica is overdue, in ms. It protects against silent
 // and slowed replicas before a timeout fires.
-func (r *Router) overdueMS(s *replica) float64 {
-	if len(s.pending) == 0 {
+func (r *Router) overdueMS(replica *replica) float64 {
+	if len(replica.pending) == 0 {
 		return 0
 	}
-	return max(toMS(r.now-s.pending[0].expectedBy), 0)
+	return max(toMS(r.now-replica.pending[0].expectedBy), 0)
 }
 
 // decodeWaitMS returns what a decode replica adds to the estimate, in ms: nothing unless it is nearly full by its load
 // report, by a QueueFull, or by the first tokens that are awaited there.
-func (r *Router) decodeWaitMS(s *replica) float64 {
-	waitMS := s.firstTokenDelay.mean(r.now, 0, priorSamples)
-	if len(s.pending) > 0 {
-		predictedMS := r.decodeModel.predict(latencyInputs{1, 0, float64(len(s.pending))})
-		waitMS = max(waitMS, toMS(r.now-s.pending[0].sentAt), predictedMS)
+func (r *Router) decodeWaitMS(replica *replica) float64 {
+	waitMS := replica.firstTokenDelay.mean(r.now, 0, priorSamples)
+	if len(replica.pending) > 0 {
+		predictedMS := r.decodeModel.predict(latencyInputs{1, 0, float64(len(replica.pending))})
+		waitMS = max(waitMS, toMS(r.now-replica.pending[0].sentAt), predictedMS)
 	}
-	if r.now < s.fullUntil || waitMS > nearFullWaitMS || s.reportedMemory > nearFullMemoryFraction && r.loadKnown(s) {
-		return max(waitMS, toMS(s.fullUntil-r.now))
+	nearFullByReport := replica.reportedMemory > nearFullMemoryFraction && r.loadKnown(replica)
+	if r.now < replica.fullUntil || waitMS > nearFullWaitMS || nearFullByReport {
+		return max(waitMS, toMS(replica.fullUntil-r.now))
 	}
 	return 0
 }
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -24,33 +24,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{T: t, r: r, now: time.Hour}
-	b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+	h := &harness{T: t, r: r, now: time.Hour}
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 		{ID: 1, Kind: 0, State: Ready}, {ID: 2, Kind: 0, State: Ready},
 		{ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
 		{ID: 13, Kind: 1, State: Ready, Cell: 1, Zone: 1}}})
-	return b
+	return h
 }
 
-func (b *harness) handle(dt time.Duration, ev Event) []Action {
-	b.now += dt
-	b.last = b.r.Handle(b.now, ev, nil)
-	return b.last
+func (h *harness) handle(dt time.Duration, ev Event) []Action {
+	h.now += dt
+	h.last = h.r.Handle(h.now, ev, nil)
+	return h.last
 }
 
-func (b *harness) arrive(id RequestID, class int) []Action {
-	return b.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+func (h *harness) arrive(id RequestID, class int) []Action {
+	return h.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
 }
 
 // sentTo returns the replica of the first Send.
-func (b *harness) sentTo(acts []Action) EndpointID {
-	b.Helper()
+func (h *harness) sentTo(acts []Action) EndpointID {
+	h.Helper()
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
 			return s.Endpoint
 		}
 	}
-	b.Fatalf("no send in %+v", acts)
+	h.Fatalf("no send in %+v", acts)
 	return 0
 }
 
@@ -64,10 +64,10 @@
 }
 
 // completePrefill takes a request to the end of its prefill and returns its prefill and decode replicas.
-func (b *harness) completePrefill(id RequestID, class int) (prefill, decode EndpointID) {
-	b.Helper()
-	prefill = b.sentTo(b.arrive(id, class))
-	decode = b.sentTo(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms}))
+func (h *harness) completePrefill(id RequestID, class int) (prefill, decode EndpointID) {
+	h.Helper()
+	prefill = h.sentTo(h.arrive(id, class))
+	decode = h.sentTo(h.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms}))
 	return prefill, decode
 }
 
@@ -85,7 +85,7 @@
 }
 
 // failPrefill takes a request to a prefill replica to which the connection fails, and returns what follows.
-func (b *harness) failPrefill(id RequestID, class int) []Action {
-	b.Helper()
-	return b.handle(5*ms, AttemptEnded{Request: id, Endpoint: b.sentTo(b.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
+func (h *harness) failPrefill(id RequestID, class int) []Action {
+	h.Helper()
+	return h.handle(5*ms, AttemptEnded{Request: id, Endpoint: h.sentTo(h.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
 }
--- a/routing/health.go
+++ b/routing/health.go
@@ -6,30 +6,30 @@
 // healthy reports whether a replica may be sent requests of a class. It protects against replicas that die, go silent
 // or fail fast, for all classes or for one: a high failure level ejects the replica, and one attempt at a time that is
 // safe to fail leads back.
-func (r *Router) healthy(s *replica, class int) bool {
-	if s.State != Ready {
+func (r *Router) healthy(replica *replica, class int) bool {
+	if replica.State != Ready {
 		return false
 	}
-	level := max(s.health[0].current(r.now), s.health[1+class].current(r.now))
-	mayProbe := len(s.pending) == 0 && (s.role == Prefill || r.cfg.Classes[class].Idempotency == Idempotent)
+	level := max(replica.health[0].current(r.now), replica.health[1+class].current(r.now))
+	mayProbe := len(replica.pending) == 0 && (replica.role == Prefill || r.cfg.Classes[class].Idempotency == Idempotent)
 	return level < ejectionThreshold/2 || level < ejectionThreshold && mayProbe
 }
 
 // recordFailure raises the failure levels of a replica for one class and for all classes.
-func (r *Router) recordFailure(s *replica, class int, weight float64) {
-	r.recordClassFailure(s, class, weight)
-	s.health[0].update(r.now, 1, weight)
+func (r *Router) recordFailure(replica *replica, class int, weight float64) {
+	r.recordClassFailure(replica, class, weight)
+	replica.health[0].update(r.now, 1, weight)
 }
 
 // recordClassFailure raises the failure level of a replica for one class alone: the replica has responded to others
 // since.
-func (r *Router) recordClassFailure(s *replica, class int, weight float64) {
-	s.health[1+class].update(r.now, 1, weight)
+func (r *Router) recordClassFailure(replica *replica, class int, weight float64) {
+	replica.health[1+class].update(r.now, 1, weight)
 }
 
 // recordSuccess lowers the failure levels of a replica for one class and for all classes.
-func (r *Router) recordSuccess(s *replica, class int) {
-	s.lastResponse = r.now
-	s.health[0].update(r.now, 0, successWeight)
-	s.health[1+class].update(r.now, 0, successWeight)
+func (r *Router) recordSuccess(replica *replica, class int) {
+	replica.lastResponse = r.now
+	replica.health[0].update(r.now, 0, successWeight)
+	replica.health[1+class].update(r.now, 0, successWeight)
 }
--- a/routing/latencymodel.go
+++ b/routing/latencymodel.go
@@ -50,14 +50,14 @@
 }
 
 // add takes a sample of y ms.
-func (f *latencyModel) add(now time.Duration, x latencyInputs, y float64) {
+func (f *latencyModel) add(now time.Duration, inputs latencyInputs, result float64) {
 	factor := decay(now-f.updatedAt, f.timeConstant)
 	f.updatedAt = now
-	for i := range x {
-		for j := range x {
-			f.normal[i][j] = f.normal[i][j]*factor + x[i]*x[j]
+	for i := range inputs {
+		for j := range inputs {
+			f.normal[i][j] = f.normal[i][j]*factor + inputs[i]*inputs[j]
 		}
-		f.moments[i] = f.moments[i]*factor + x[i]*y
+		f.moments[i] = f.moments[i]*factor + inputs[i]*result
 	}
 	f.solve(now)
 }
--- a/routing/learning.go
+++ b/routing/learning.go
@@ -3,30 +3,30 @@
 import "math"
 
 // recordOutcome learns from an outcome about the replica that it came from. The request was in state during.
-func (r *Router) recordOutcome(s *replica, q *request, e AttemptEnded, during requestState) {
-	switch e.Outcome {
+func (r *Router) recordOutcome(replica *replica, req *request, event AttemptEnded, during requestState) {
+	switch event.Outcome {
 	case PrefillDone:
-		r.recordSuccess(s, q.Class)
-		r.recordPrefill(s, q, e)
+		r.recordSuccess(replica, req.Class)
+		r.recordPrefill(replica, req, event)
 	case Served, QueueFull, StateMissing:
-		r.recordSuccess(s, q.Class)
+		r.recordSuccess(replica, req.Class)
 	case Errored:
-		r.recordFailure(s, q.Class, errorWeight)
+		r.recordFailure(replica, req.Class, errorWeight)
 	case ConnectFailed, ConnectionReset:
 		// Connections break one by one too: a replica that answers others meanwhile is not ejected at once.
 		weight := transportFailureWeight
-		if r.now-s.lastResponse < aliveWindow {
+		if r.now-replica.lastResponse < aliveWindow {
 			weight = aliveFailureWeight
 		}
-		r.recordFailure(s, q.Class, weight)
+		r.recordFailure(replica, req.Class, weight)
 	case TimedOut:
-		r.recordTimeout(s, q, e, during)
+		r.recordTimeout(replica, req, event, during)
 	}
-	if e.Outcome == QueueFull {
-		s.fullUntil = r.now + queueFullBackoff
+	if event.Outcome == QueueFull {
+		replica.fullUntil = r.now + queueFullBackoff
 		if during == prefilling { // a full queue delays for longer than any class wants to wait
-			e.Elapsed = fromMS(r.tightestBudgetMS / latencyHeadroom)
-			r.recordPrefill(s, q, e)
+			event.Elapsed = fromMS(r.tightestBudgetMS / latencyHeadroom)
+			r.recordPrefill(replica, req, event)
 		}
 	}
 }
@@ -34,39 +34,39 @@
 // recordTimeout learns from a timeout. A prefill replica that has responded to others since the attempt was sent is
 // alive and has a queue: ejecting it would push its share on to the rest, which would then time out too, and the
 // estimate has already learned of the delay.
-func (r *Router) recordTimeout(s *replica, q *request, e AttemptEnded, during requestState) {
+func (r *Router) recordTimeout(replica *replica, req *request, event AttemptEnded, during requestState) {
 	if during == prefilling {
-		r.recordPrefill(s, q, e) // it takes at least as long
+		r.recordPrefill(replica, req, event) // it takes at least as long
 	}
-	silent := s.lastResponse < q.sentAt
+	silent := replica.lastResponse < req.sentAt
 	switch {
 	case silent && (during == prefilling || during == decoding):
-		r.recordFailure(s, q.Class, transportFailureWeight)
+		r.recordFailure(replica, req.Class, transportFailureWeight)
 	case during == decoding:
-		r.recordClassFailure(s, q.Class, transportFailureWeight)
+		r.recordClassFailure(replica, req.Class, transportFailureWeight)
 	}
 }
 
 // recordPrefill learns from how long a prefill took, or from its timeout or rejection. Ejected replicas teach nothing.
-func (r *Router) recordPrefill(s *replica, q *request, e AttemptEnded) {
-	cachedTokens := e.CachedTokens
-	if e.Outcome != PrefillDone {
-		cachedTokens = q.expectedCachedTokens
-	} else if q.expectedCachedTokens > minCachedTokensForSample {
-		r.cacheHitRatio.add(r.now, min(float64(cachedTokens)/float64(q.expectedCachedTokens), 1))
+func (r *Router) recordPrefill(replica *replica, req *request, event AttemptEnded) {
+	cachedTokens := event.CachedTokens
+	if event.Outcome != PrefillDone {
+		cachedTokens = req.expectedCachedTokens
+	} else if req.expectedCachedTokens > minCachedTokensForSample {
+		r.cacheHitRatio.add(r.now, min(float64(cachedTokens)/float64(req.expectedCachedTokens), 1))
 	}
-	if s.health[0].current(r.now) >= ejectionThreshold {
+	if replica.health[0].current(r.now) >= ejectionThreshold {
 		return
 	}
-	x := latencyInputs{1, float64(max(0, q.PromptTokens-cachedTokens)) / 1000, q.ownAttemptsAhead}
+	inputs := latencyInputs{1, float64(max(0, req.PromptTokens-cachedTokens)) / 1000, req.ownAttemptsAhead}
 	commonMS := r.commonQueueDelay.mean(r.now, 0, commonDelayPriorSamples)
-	ramp := r.rampFraction(s)
-	elapsedMS, expectedMS := toMS(e.Elapsed), r.prefillModel.predict(x)/ramp+commonMS
-	s.queueDelay.add(r.now, elapsedMS-expectedMS)
-	if q.reportedQueue >= minQueueForSample {
-		r.perQueuedRequest.add(r.now, elapsedMS*ramp/q.reportedQueue)
+	ramp := r.rampFraction(replica)
+	elapsedMS, expectedMS := toMS(event.Elapsed), r.prefillModel.predict(inputs)/ramp+commonMS
+	replica.queueDelay.add(r.now, elapsedMS-expectedMS)
+	if req.reportedQueue >= minQueueForSample {
+		r.perQueuedRequest.add(r.now, elapsedMS*ramp/req.reportedQueue)
 	}
-	if e.Outcome == QueueFull { // no measured time, so it says less of the other replicas
+	if event.Outcome == QueueFull { // no measured time, so it says less of the other replicas
 		elapsedMS = min(elapsedMS, outlierMultiple*expectedMS+outlierMarginMS)
 	}
 	r.estimateError.add(r.now, math.Abs(elapsedMS-expectedMS))
@@ -74,13 +74,13 @@
 	if ramp < 1 {
 		return // the replica's speed by now is not known
 	}
-	r.prefillModel.add(r.now, x, min(elapsedMS-commonMS, r.prefillModel.outlierLimit(x)))
+	r.prefillModel.add(r.now, inputs, min(elapsedMS-commonMS, r.prefillModel.outlierLimit(inputs)))
 }
 
 // recordFirstToken learns from the time to the first token of a decode attempt.
-func (r *Router) recordFirstToken(s *replica, q *request, elapsedMS float64) {
-	s.firstTokenDelay.add(r.now, elapsedMS)
-	x := latencyInputs{1, float64(q.PromptTokens) / 1000, q.ownAttemptsAhead}
-	r.decodeModel.add(r.now, x, min(elapsedMS, r.decodeModel.outlierLimit(x)))
-	r.recordSuccess(s, q.Class)
+func (r *Router) recordFirstToken(replica *replica, req *request, elapsedMS float64) {
+	replica.firstTokenDelay.add(r.now, elapsedMS)
+	inputs := latencyInputs{1, float64(req.PromptTokens) / 1000, req.ownAttemptsAhead}
+	r.decodeModel.add(r.now, inputs, min(elapsedMS, r.decodeModel.outlierLimit(inputs)))
+	r.recordSuccess(replica, req.Class)
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -8,26 +8,26 @@
 
 // The model follows its samples, keeps its bounds, and withstands outliers and inputs that do not vary.
 func TestLatencyModelFitsAndBoundsOutliers(t *testing.T) {
-	b := newHarness(t, nil)
-	f := &b.r.prefillModel
+	h := newHarness(t, nil)
+	f := &h.r.prefillModel
 	for i := range 300 {
-		b.handle(20*ms, TimerFired{})
+		h.handle(20*ms, TimerFired{})
 		k, ahead := float64(i%7)/2, float64(i%4)
-		f.add(b.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
+		f.add(h.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
 	}
 	for i, want := range []float64{12, 50, 20} {
 		if math.Abs(f.coefficients[i]-want) > 0.1*want {
 			t.Errorf("coefficient %d is %.1f, want about %.1f", i, f.coefficients[i], want)
 		}
 	}
-	id, s := RequestID(1000), b.r.byID[1]
-	b.r.recordPrefill(s, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
+	id, s := RequestID(1000), h.r.byID[1]
+	h.r.recordPrefill(s, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
 	if y := f.predict([3]float64{1, 1, 0}); y > 150 {
 		t.Errorf("one outlier moved the estimate to %.0f ms", y)
 	}
 	for range 1000 {
-		b.handle(20*ms, TimerFired{})
-		f.add(b.now, [3]float64{1, 2, 0}, 80)
+		h.handle(20*ms, TimerFired{})
+		f.add(h.now, [3]float64{1, 2, 0}, 80)
 	}
 	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coefficients[2] > 60 {
 		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", y, f.coefficients)
@@ -36,10 +36,10 @@
 
 // Where replicas report their backlog, it replaces the queue delay of own attempts.
 func TestReportedBacklogIsTheQueueDelay(t *testing.T) {
-	b := newHarness(t, nil)
-	b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
+	h := newHarness(t, nil)
+	h.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
 	for id := range RequestID(5) {
-		if s := b.sentTo(b.arrive(id+1, 0)); s != 2 {
+		if s := h.sentTo(h.arrive(id+1, 0)); s != 2 {
 			t.Fatalf("went to %d, which reports a long queue", s)
 		}
 	}
@@ -47,11 +47,11 @@
 
 // A prefill replica with a full queue counts as slow although it responds at once.
 func TestFullPrefillReplicaIsAvoided(t *testing.T) {
-	b := newHarness(t, nil)
-	first := b.sentTo(b.arrive(1, 0))
-	b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
+	h := newHarness(t, nil)
+	first := h.sentTo(h.arrive(1, 0))
+	h.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull, Final: true})
 	for id := range RequestID(5) {
-		if s := b.sentTo(b.arrive(id+2, 0)); s == first {
+		if s := h.sentTo(h.arrive(id+2, 0)); s == first {
 			t.Fatalf("request %d went to the replica that is full", id+2)
 		}
 	}
@@ -59,23 +59,23 @@
 
 // The delay common to all replicas applies to one that this router has not used yet, and decays soon.
 func TestCommonQueueDelayAppliesToUnknownReplicaAndDecays(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.Routers = 100 })
-	b.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
-	fresh := b.r.replicas[0]
+	h := newHarness(t, func(c *Config) { c.Routers = 100 })
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
+	fresh := h.r.replicas[0]
 	q := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
-	b.r.sumCapacity(0)
-	before, _ := b.r.prefillEstimate(fresh, 0, q)
+	h.r.sumCapacity(0)
+	before, _ := h.r.prefillEstimate(fresh, 0, q)
 	for id := range RequestID(6) {
-		s := b.r.replicas[3+3*id]
-		b.r.recordPrefill(s, q, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
+		s := h.r.replicas[3+3*id]
+		h.r.recordPrefill(s, q, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
 	}
-	b.r.sumCapacity(0)
-	if after, _ := b.r.prefillEstimate(fresh, 0, q); after < before+300 {
+	h.r.sumCapacity(0)
+	if after, _ := h.r.prefillEstimate(fresh, 0, q); after < before+300 {
 		t.Errorf("the delay went from %.0f to %.0f ms, want it to follow the others", before, after)
 	}
-	b.handle(2*modelTimeConstant, TimerFired{})
-	b.r.sumCapacity(0)
-	if after, _ := b.r.prefillEstimate(fresh, 0, q); after > before+80 {
+	h.handle(2*modelTimeConstant, TimerFired{})
+	h.r.sumCapacity(0)
+	if after, _ := h.r.prefillEstimate(fresh, 0, q); after > before+80 {
 		t.Errorf("the delay is still %.0f ms", after)
 	}
 }
@@ -83,15 +83,15 @@
 // Implausible load reports cause neither a panic nor a rejection.
 func TestImplausibleLoadReports(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
-		b := newHarness(t, nil)
-		for i, s := range b.r.replicas {
-			b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
+		h := newHarness(t, nil)
+		for i, s := range h.r.replicas {
+			h.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: -1}})
 			if i > 0 {
-				b.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
+				h.handle(ms, AttemptEnded{Request: 99, Endpoint: s.ID, Load: &LoadReport{Memory: x, QueuedKiloTokens: x}})
 			}
 		}
-		b.r.byID[1].reportedBacklog = -1 // one prefill replica without a report
-		if s, _ := b.completePrefill(1, 0); s != 1 && s != 2 {
+		h.r.byID[1].reportedBacklog = -1 // one prefill replica without a report
+		if s, _ := h.completePrefill(1, 0); s != 1 && s != 2 {
 			t.Errorf("%v: sent to %d", x, s)
 		}
 	}
@@ -100,15 +100,15 @@
 // The delay per queued request is learned from prefills: a queue that is acceptable at first is too long once prefills
 // behind such queues have taken three times as long as estimated.
 func TestLearnsDelayPerQueuedRequest(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
+	h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	admitted := func(id RequestID, after time.Duration) bool {
-		acts := b.arrive(id, 0)
+		acts := h.arrive(id, 0)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i].(type) {
 			case PollLoad:
-				acts = append(acts, b.handle(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
+				acts = append(acts, h.handle(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
 			case Send:
-				b.handle(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
+				h.handle(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
 				return true
 			}
 		}
@@ -123,7 +123,7 @@
 	if admittedCount == 0 || admittedCount > 10 {
 		t.Errorf("%d of 20 were admitted", admittedCount)
 	}
-	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
+	h = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
 		if !admitted(id+1, 200*ms) {
 			t.Errorf("request %d was rejected although the queue is short in time", id+1)
--- a/routing/loadpoll_test.go
+++ b/routing/loadpoll_test.go
@@ -11,9 +11,9 @@
 // nothing is sent before both have answered or the poll has timed out, and a replica that does not answer gets nothing.
 func TestLoadPollBeforePrefill(t *testing.T) {
 	start := func() (*harness, []EndpointID) {
-		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
+		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 		var polled []EndpointID
-		for _, a := range b.arrive(1, 0) {
+		for _, a := range h.arrive(1, 0) {
 			switch a := a.(type) {
 			case PollLoad:
 				polled = append(polled, a.Endpoint)
@@ -28,33 +28,33 @@
 		if len(polled) != pollCandidateCount {
 			t.Fatalf("polled %v", polled)
 		}
-		return b, polled
+		return h, polled
 	}
 	for first := range pollCandidateCount {
-		b, polled := start()
-		if acts := b.handle(ms, LoadPolled{polled[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
+		h, polled := start()
+		if acts := h.handle(ms, LoadPolled{polled[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
 			t.Errorf("after one answer: %+v", acts)
 		}
-		if s := b.sentTo(b.handle(ms, LoadPolled{polled[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != polled[first] {
+		if s := h.sentTo(h.handle(ms, LoadPolled{polled[1-first], &LoadReport{QueuedRequests: 20, SlotUtilization: 1}})); s != polled[first] {
 			t.Errorf("went to %d, not to %d, which has no queue", s, polled[first])
 		}
-		if s := b.sentTo(b.arrive(2, 0)); s != polled[first] {
+		if s := h.sentTo(h.arrive(2, 0)); s != polled[first] {
 			t.Errorf("the next went to %d, want the report to be used for a while", s)
 		}
 	}
-	b, polled := start()
-	b.handle(ms, LoadPolled{polled[0], nil})
-	if s := b.sentTo(b.handle(pollTimeout, TimerFired{1})); s == polled[0] {
+	h, polled := start()
+	h.handle(ms, LoadPolled{polled[0], nil})
+	if s := h.sentTo(h.handle(pollTimeout, TimerFired{1})); s == polled[0] {
 		t.Errorf("went to %d, which did not answer", s)
 	}
-	if acts := b.handle(ms, LoadPolled{polled[1], &LoadReport{}}); len(acts) != 0 {
+	if acts := h.handle(ms, LoadPolled{polled[1], &LoadReport{}}); len(acts) != 0 {
 		t.Errorf("a late answer: %+v", acts)
 	}
-	b, polled = start()
+	h, polled = start()
 	for _, id := range polled {
-		b.handle(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
+		h.handle(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
 	}
-	if b.r.requests[1] != nil {
+	if h.r.requests[1] != nil {
 		t.Error("admitted although both replicas have reported long queues")
 	}
 }
@@ -63,22 +63,22 @@
 // all have them the request leaves the cell.
 func TestLoadPollBeforeDecode(t *testing.T) {
 	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
-		b := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-		b.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the request is not one that is spilled to another cell
-		b.arrive(1, 0)
-		b.handle(ms, LoadPolled{1, &LoadReport{}})
-		s := b.sentTo(b.handle(ms, LoadPolled{2, &LoadReport{}}))
+		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
+		h.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the request is not one that is spilled to another cell
+		h.arrive(1, 0)
+		h.handle(ms, LoadPolled{1, &LoadReport{}})
+		s := h.sentTo(h.handle(ms, LoadPolled{2, &LoadReport{}}))
 		var acts []Action
-		for _, a := range b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms}) {
+		for _, a := range h.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms}) {
 			if p, ok := a.(PollLoad); ok {
 				queue := 0.0
 				if full == int(p.Endpoint) || full == 23 {
 					queue = 2
 				}
-				acts = append(acts, b.handle(ms, LoadPolled{p.Endpoint, &LoadReport{Memory: 0.3, QueuedRequests: queue}})...)
+				acts = append(acts, h.handle(ms, LoadPolled{p.Endpoint, &LoadReport{Memory: 0.3, QueuedRequests: queue}})...)
 			}
 		}
-		if to := b.sentTo(acts); !slices.Contains(want, to) {
+		if to := h.sentTo(acts); !slices.Contains(want, to) {
 			t.Errorf("full %d: went to %d", full, to)
 		}
 	}
@@ -86,14 +86,14 @@
 
 // A router with enough samples does not poll, and neither does one whose configuration forbids it.
 func TestNoLoadPollWithEnoughSamplesOrByConfig(t *testing.T) {
-	b := newHarness(t, nil)
-	b.sentTo(b.arrive(1, 0))
-	b = newHarness(t, func(c *Config) { c.CanPollLoad = true })
+	h := newHarness(t, nil)
+	h.sentTo(h.arrive(1, 0))
+	h = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(40) {
-		b.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Outcome: PrefillDone, Elapsed: 10 * ms})
-		b.r.estimateError.add(b.r.now, 1)
+		h.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Outcome: PrefillDone, Elapsed: 10 * ms})
+		h.r.estimateError.add(h.r.now, 1)
 		if id > 20 {
-			b.sentTo(b.arrive(100+id, 0))
+			h.sentTo(h.arrive(100+id, 0))
 		}
 	}
 }
@@ -102,70 +102,70 @@
 // weighs less than own experience, and no report of a peer makes a replica count as alive.
 func TestPeerLoadReport(t *testing.T) {
 	newPolling := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
-	report := func(b *harness, age time.Duration, queue1, queue2 float64) {
-		b.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: queue1}, Age: age})
-		b.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{QueuedRequests: queue2}, Age: age})
+	report := func(h *harness, age time.Duration, queue1, queue2 float64) {
+		h.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: queue1}, Age: age})
+		h.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{QueuedRequests: queue2}, Age: age})
 	}
 	for _, short := range []EndpointID{1, 2} {
-		b := newPolling()
-		report(b, 100*ms, 20*float64(short-1), 20*float64(2-short))
-		if acts := b.arrive(1, 0); containsAction[PollLoad](acts) || b.sentTo(acts) != short {
+		h := newPolling()
+		report(h, 100*ms, 20*float64(short-1), 20*float64(2-short))
+		if acts := h.arrive(1, 0); containsAction[PollLoad](acts) || h.sentTo(acts) != short {
 			t.Errorf("with reports of 0.1 s ago: %+v, want a send to %d", acts, short)
 		}
 	}
-	b := newPolling()
-	report(b, peerLoadMaxAge+ms, 0, 20)
-	if acts := b.arrive(1, 0); !containsAction[PollLoad](acts) {
+	h := newPolling()
+	report(h, peerLoadMaxAge+ms, 0, 20)
+	if acts := h.arrive(1, 0); !containsAction[PollLoad](acts) {
 		t.Errorf("with expired reports: %+v", acts)
 	}
-	b = newPolling()
-	report(b, 0, 0, 0)
-	if acts := b.handle(peerLoadMaxAge, TimerFired{}); len(acts) != 0 {
+	h = newPolling()
+	report(h, 0, 0, 0)
+	if acts := h.handle(peerLoadMaxAge, TimerFired{}); len(acts) != 0 {
 		t.Errorf("%+v", acts)
 	}
-	if acts := b.arrive(1, 0); !containsAction[PollLoad](acts) {
+	if acts := h.arrive(1, 0); !containsAction[PollLoad](acts) {
 		t.Errorf("after the reports have expired: %+v", acts)
 	}
 
-	b = newPolling()
-	b.handle(0, LoadPolled{1, &LoadReport{QueuedRequests: 7}})
-	b.handle(100*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 400 * ms})
-	if s := b.r.byID[1]; s.reportedQueue != 7 {
+	h = newPolling()
+	h.handle(0, LoadPolled{1, &LoadReport{QueuedRequests: 7}})
+	h.handle(100*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 400 * ms})
+	if s := h.r.byID[1]; s.reportedQueue != 7 {
 		t.Errorf("a peer's older report of %v replaced the own one", s.reportedQueue)
 	}
-	b.handle(200*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 50 * ms})
-	if s := b.r.byID[1]; s.reportedQueue != 1 {
+	h.handle(200*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 50 * ms})
+	if s := h.r.byID[1]; s.reportedQueue != 1 {
 		t.Errorf("a peer's newer report was not used: %v", s.reportedQueue)
 	}
 
-	b = newPolling()
+	h = newPolling()
 	for range 50 { // with enough own samples it knows which replica is slow, which says more than a queue
-		b.r.estimateError.add(b.now, 0)
+		h.r.estimateError.add(h.now, 0)
 	}
-	report(b, 0, 0, 20)
-	if b.r.samplesPerReplica() < minSamplesPerReplica || b.r.loadKnown(b.r.byID[1]) {
-		t.Errorf("with %v samples per replica a peer's report was used", b.r.samplesPerReplica())
+	report(h, 0, 0, 20)
+	if h.r.samplesPerReplica() < minSamplesPerReplica || h.r.loadKnown(h.r.byID[1]) {
+		t.Errorf("with %v samples per replica a peer's report was used", h.r.samplesPerReplica())
 	}
 
-	b = newPolling()
-	s := b.r.byID[2]
-	alive, health := s.lastResponse, s.health[0].current(b.now)
-	b.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
-	worse := s.health[0].current(b.now)
-	b.handle(0, LoadPolled{1, nil})
-	if own := b.r.byID[1].health[0].current(b.now); worse <= health || worse >= own || s.lastResponse != alive {
+	h = newPolling()
+	s := h.r.byID[2]
+	alive, health := s.lastResponse, s.health[0].current(h.now)
+	h.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
+	worse := s.health[0].current(h.now)
+	h.handle(0, LoadPolled{1, nil})
+	if own := h.r.byID[1].health[0].current(h.now); worse <= health || worse >= own || s.lastResponse != alive {
 		t.Errorf("failure level %v, %v by a peer's report, %v by own experience; last response %v after %v", health, worse, own, s.lastResponse, alive)
 	}
-	b.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{}, Age: 0})
+	h.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{}, Age: 0})
 	if s.lastResponse != alive {
 		t.Error("a peer's report made a replica count as alive")
 	}
-	s.lastResponse = b.now
-	before := s.health[0].current(b.now)
-	b.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
-	if s.health[0].current(b.now) != before {
+	s.lastResponse = h.now
+	before := s.health[0].current(h.now)
+	h.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
+	if s.health[0].current(h.now) != before {
 		t.Error("a peer's report counted although the replica has responded here since")
 	}
-	b.handle(0, PeerLoadReport{Endpoint: 99, Load: &LoadReport{}})
-	b.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{}, Age: -1})
+	h.handle(0, PeerLoadReport{Endpoint: 99, Load: &LoadReport{}})
+	h.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{}, Age: -1})
 }
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -26,11 +26,11 @@
 
 // bestPrefillReplica returns the prefill replica with the lowest estimate; near-equal ones go by rank. Bad health alone
 // never leaves a request without a replica: if no healthy one is eligible, the others are considered.
-func (r *Router) bestPrefillReplica(q *request) (candidate, bool) {
-	r.sumCapacity(q.Class)
-	replicaCount := r.prefixReplicaCount(q)
+func (r *Router) bestPrefillReplica(req *request) (candidate, bool) {
+	r.sumCapacity(req.Class)
+	replicaCount := r.prefixReplicaCount(req)
 	for _, filter := range []healthFilter{healthyOnly, anyHealth} {
-		best := r.lowestPrefillEstimate(q, filter, replicaCount)
+		best := r.lowestPrefillEstimate(req, filter, replicaCount)
 		if best.replica == nil {
 			continue
 		}
@@ -43,19 +43,19 @@
 }
 
 // lowestPrefillEstimate returns the best candidate among the replicas that pass the filter, or one without a replica.
-func (r *Router) lowestPrefillEstimate(q *request, filter healthFilter, replicaCount float64) candidate {
+func (r *Router) lowestPrefillEstimate(req *request, filter healthFilter, replicaCount float64) candidate {
 	lowestMS := math.Inf(1)
 	r.candidates = r.candidates[:0]
-	for _, s := range r.active {
-		if !r.canPrefill(s, q, filter) {
+	for _, replica := range r.active {
+		if !r.canPrefill(replica, req, filter) {
 			continue
 		}
-		c := r.prefillCandidate(s, q, filter, replicaCount)
+		c := r.prefillCandidate(replica, req, filter, replicaCount)
 		lowestMS = min(lowestMS, c.scoreMS)
 		r.candidates = append(r.candidates, c)
 	}
 	toleranceMS := minEstimateToleranceMS
-	if filter == anyHealth || !q.selectsByPoll() { // reported loads are not estimates
+	if filter == anyHealth || !req.selectsByPoll() { // reported loads are not estimates
 		toleranceMS = max(toleranceMS, r.estimateToleranceMS())
 	}
 	best := candidate{rank: math.Inf(1)}
@@ -69,38 +69,38 @@
 
 // canPrefill reports whether a replica may be sent the request's prefill. It takes the request's slow-start turn at a
 // replica in slow start, which is never used as one of bad health.
-func (r *Router) canPrefill(s *replica, q *request, filter healthFilter) bool {
-	if s.role != Prefill || s.State != Ready {
+func (r *Router) canPrefill(replica *replica, req *request, filter healthFilter) bool {
+	if replica.role != Prefill || replica.State != Ready {
 		return false
 	}
 	if filter == anyHealth {
-		return !r.inSlowStart(s)
+		return !r.inSlowStart(replica)
 	}
-	if !r.healthy(s, q.Class) {
+	if !r.healthy(replica, req.Class) {
 		return false
 	}
-	if q.selectsByPoll() && !(slices.Contains(q.pollCandidates, s.ID) && r.loadFresh(s)) {
+	if req.selectsByPoll() && !(slices.Contains(req.pollCandidates, replica.ID) && r.loadFresh(replica)) {
 		return false
 	}
-	return !r.inSlowStart(s) || r.takeSlowStartTurn(s, q, 1, r.slowStartAllowance(q))
+	return !r.inSlowStart(replica) || r.takeSlowStartTurn(replica, req, 1, r.slowStartAllowance(req))
 }
 
 // selectsByPoll reports whether the request goes to one of the replicas that were polled for it: on its first attempt.
-func (q *request) selectsByPoll() bool { return q.pollCandidates != nil && q.attempts == 0 }
+func (req *request) selectsByPoll() bool { return req.pollCandidates != nil && req.attempts == 0 }
 
 // prefillCandidate returns a replica with its estimate, score and rank.
-func (r *Router) prefillCandidate(s *replica, q *request, filter healthFilter, replicaCount float64) candidate {
-	c := candidate{replica: s, rank: r.rendezvousRank(s, q, replicaCount)}
-	c.queueDelayMS, c.prefillMS = r.prefillEstimate(s, r.expectedCachedTokens(s, q, c.rank), q)
-	c.queueDelayMS += r.cellDecodeWaitMS(s.cell)
+func (r *Router) prefillCandidate(replica *replica, req *request, filter healthFilter, replicaCount float64) candidate {
+	c := candidate{replica: replica, rank: r.rendezvousRank(replica, req, replicaCount)}
+	c.queueDelayMS, c.prefillMS = r.prefillEstimate(replica, r.expectedCachedTokens(replica, req, c.rank), req)
+	c.queueDelayMS += r.cellDecodeWaitMS(replica.cell)
 	c.scoreMS = c.queueDelayMS + c.prefillMS
-	if s.Zone != r.cfg.Zone {
+	if replica.Zone != r.cfg.Zone {
 		c.scoreMS += crossZonePenaltyMS
 	}
 	if filter == anyHealth {
-		c.scoreMS += failureLevelPenaltyMS * s.health[0].current(r.now)
+		c.scoreMS += failureLevelPenaltyMS * replica.health[0].current(r.now)
 	}
-	if slices.Contains(q.failedEndpoints, s.ID) {
+	if slices.Contains(req.failedEndpoints, replica.ID) {
 		c.scoreMS += failedBeforePenaltyMS
 	}
 	return c
@@ -115,13 +115,13 @@
 
 // prefillTimeout returns the timeout of a prefill attempt with an estimate. Where no time or attempt remains for
 // another replica it is all the time until the deadline.
-func (r *Router) prefillTimeout(q *request, estimateMS float64) time.Duration {
-	remaining := q.deadline - r.now
+func (r *Router) prefillTimeout(req *request, estimateMS float64) time.Duration {
+	remaining := req.deadline - r.now
 	errorMS := r.estimateError.mean(r.now, 0, priorSamples)
 	timeout := fromMS(prefillTimeoutFactor*estimateMS+errorMS) + prefillTimeoutGrace
 	timeout = min(timeout, max(remaining/2, prefillTimeoutGrace))
-	noTimeForRetry := r.now+timeout+fromMS(estimateMS)+prefillTimeoutGrace > q.deadline
-	if noTimeForRetry || q.attempts+1+attemptsPerPass > r.maxAttempts(q) {
+	noTimeForRetry := r.now+timeout+fromMS(estimateMS)+prefillTimeoutGrace > req.deadline
+	if noTimeForRetry || req.attempts+1+attemptsPerPass > r.maxAttempts(req) {
 		return remaining
 	}
 	return timeout
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -15,10 +15,10 @@
 }
 
 // countArrival counts a request towards all arrivals and the popularity of its shared prefix.
-func (r *Router) countArrival(q *request) {
+func (r *Router) countArrival(req *request) {
 	r.arrivals.add(r.now, 0)
-	if q.SharedPrefix != 0 {
-		entry := getOrCreate(r.prefixCache, q.SharedPrefix)
+	if req.SharedPrefix != 0 {
+		entry := getOrCreate(r.prefixCache, req.SharedPrefix)
 		entry.requests.timeConstant = popularityTimeConstant
 		entry.requests.add(r.now, 0)
 	}
@@ -47,8 +47,8 @@
 }
 
 // forgetPrefixes drops the expectation that a replica which has failed a request's prefill has cached its prefixes.
-func (r *Router) forgetPrefixes(q *request, id EndpointID) {
-	for _, key := range []Key{q.Session, q.SharedPrefix} {
+func (r *Router) forgetPrefixes(req *request, id EndpointID) {
+	for _, key := range []Key{req.Session, req.SharedPrefix} {
 		if entry := r.prefixCache[key]; entry != nil && entry.endpoint == id {
 			entry.tokens = 0
 		}
@@ -58,22 +58,22 @@
 // expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache: by what this
 // router has sent there and, where the replica's rank is that of a replica for the shared prefix, by what other routers
 // will have sent there.
-func (r *Router) expectedCachedTokens(s *replica, q *request, rank float64) int {
+func (r *Router) expectedCachedTokens(replica *replica, req *request, rank float64) int {
 	tokens := max(
-		r.recordedTokens(q.Session, q.PromptTokens, s),
-		r.recordedTokens(q.SharedPrefix, q.SharedPrefixTokens, s),
+		r.recordedTokens(req.Session, req.PromptTokens, replica),
+		r.recordedTokens(req.SharedPrefix, req.SharedPrefixTokens, replica),
 	)
 	if rank < notPrefixReplicaRank {
-		tokens = max(tokens, float64(min(q.SharedPrefixTokens, q.PromptTokens)))
+		tokens = max(tokens, float64(min(req.SharedPrefixTokens, req.PromptTokens)))
 	}
 	return int(tokens * r.cacheHitRatio.mean(r.now, 1, priorSamples))
 }
 
 // recordedTokens returns the tokens of a prefix, up to a limit, that this router has sent to a replica, decayed with
 // time. There is no entry for key 0.
-func (r *Router) recordedTokens(key Key, limit int, s *replica) float64 {
+func (r *Router) recordedTokens(key Key, limit int, replica *replica) float64 {
 	entry := r.prefixCache[key]
-	if entry == nil || entry.endpoint != s.ID || entry.updatedAt < s.cacheValidFrom {
+	if entry == nil || entry.endpoint != replica.ID || entry.updatedAt < replica.cacheValidFrom {
 		return 0
 	}
 	return max(0, decay(r.now-entry.updatedAt, prefixCacheTimeConstant)*float64(min(entry.tokens, limit)))
@@ -81,9 +81,9 @@
 
 // prefixReplicaCount returns how many prefill replicas should cache the request's shared prefix, by its share of the
 // arrivals. It is a power of two, so that routers whose counts differ somewhat agree on it.
-func (r *Router) prefixReplicaCount(q *request) float64 {
+func (r *Router) prefixReplicaCount(req *request) float64 {
 	share := 0.0
-	if entry := r.prefixCache[q.SharedPrefix]; entry != nil {
+	if entry := r.prefixCache[req.SharedPrefix]; entry != nil {
 		share = max(entry.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorRequests)
 	}
 	return math.Exp2(math.Floor(math.Log2(1 + share*float64(r.maxReady[Prefill])/maxPrefixShare)))
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestCachedPrefixAttractsRequest(t *testing.T) {
-	b := newHarness(t, nil)
-	b.r.recordPrefix(77, 2, 900)
+	h := newHarness(t, nil)
+	h.r.recordPrefix(77, 2, 900)
 	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
-	if got := b.sentTo(b.handle(ms, a)); got != 2 {
+	if got := h.sentTo(h.handle(ms, a)); got != 2 {
 		t.Errorf("went to %d, want the replica that has the session cached", got)
 	}
-	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: b.now}}})
-	if n := b.r.expectedCachedTokens(b.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
+	h.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: h.now}}})
+	if n := h.r.expectedCachedTokens(h.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
 		t.Errorf("%d tokens are expected at a replica that has restarted", n)
 	}
 }
@@ -47,23 +47,23 @@
 
 // A popular prefix is sent to more replicas.
 func TestPopularPrefixSpreadsOverReplicas(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.Routers = 100 })
+	h := newHarness(t, func(c *Config) { c.Routers = 100 })
 	list := mixedEndpoints(60)
 	for i := range list {
 		list[i].Zone = 0
 	}
-	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	to := map[EndpointID]int{}
 	for id := range RequestID(300) {
 		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, TimeLeft: 4 * time.Second}
 		if id%2 == 0 {
 			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
 		}
-		s := b.sentTo(b.handle(300*ms, a))
+		s := h.sentTo(h.handle(300*ms, a))
 		if a.SharedPrefix != 0 && id > 100 {
 			to[s]++
 		}
-		b.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
+		h.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
 	}
 	if len(to) < 8 {
 		t.Errorf("half of all requests went to %d of 20 prefill replicas", len(to))
@@ -72,7 +72,7 @@
 
 // The requests that a cell's only decode replica cannot bear go to cells with decode capacity to spare.
 func TestCellWithLittleDecodeCapacitySpills(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	var list []Endpoint
 	for i := range 10 {
 		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
@@ -81,12 +81,12 @@
 		}
 		list = append(list, s)
 	}
-	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	n := map[EndpointID]int{}
 	for id := range RequestID(500) {
-		_, decodeReplica := b.completePrefill(id+1, 0)
-		b.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
-		b.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
+		_, decodeReplica := h.completePrefill(id+1, 0)
+		h.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
+		h.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
 		n[decodeReplica]++
 	}
 	if n[14] > 175 || n[14] < 50 {
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -29,9 +29,9 @@
 	r.recordAttemptLimit()
 	r.cfg = cfg
 	r.updateClasses()
-	for _, s := range r.byID {
-		for len(s.health) < 1+len(cfg.Classes) {
-			s.health = append(s.health, ewma{timeConstant: healthTimeConstant})
+	for _, replica := range r.byID {
+		for len(replica.health) < 1+len(cfg.Classes) {
+			replica.health = append(replica.health, ewma{timeConstant: healthTimeConstant})
 		}
 	}
 	return nil
@@ -41,18 +41,18 @@
 // request arrived, which bind none.
 func (r *Router) recordAttemptLimit() {
 	oldest := r.now
-	for _, q := range r.requests {
-		oldest = min(oldest, q.arrivedAt)
+	for _, req := range r.requests {
+		oldest = min(oldest, req.arrivedAt)
 	}
 	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(l attemptLimit) bool { return l.until < oldest })
 	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
 }
 
 // maxAttempts returns how many attempts a request may make: the smallest limit in force since it arrived.
-func (r *Router) maxAttempts(q *request) int {
+func (r *Router) maxAttempts(req *request) int {
 	limit := r.cfg.MaxAttempts
 	for _, l := range r.attemptLimits {
-		if q.arrivedAt < l.until {
+		if req.arrivedAt < l.until {
 			limit = min(limit, l.attempts)
 		}
 	}
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -11,17 +11,17 @@
 // without communication: the replicas for the shared prefix, of which there are replicaCount, come first, in an order
 // by session; then the others. It could do harm where one prefix has more requests than its replicas can take before
 // its popularity is known.
-func (r *Router) rendezvousRank(s *replica, q *request, replicaCount float64) float64 {
-	preference, _ := r.cellPreference(s.cell)
-	weight := r.effectiveWeight(s) * preference
-	if q.SharedPrefix != 0 {
+func (r *Router) rendezvousRank(replica *replica, req *request, replicaCount float64) float64 {
+	preference, _ := r.cellPreference(replica.cell)
+	weight := r.effectiveWeight(replica) * preference
+	if req.SharedPrefix != 0 {
 		// About replicaCount of all replicas have a value of at most 1.
-		relative := exponentialDraw(q.SharedPrefix, s.ID) / weight * float64(r.maxReady[Prefill]) / replicaCount
+		relative := exponentialDraw(req.SharedPrefix, replica.ID) / weight * float64(r.maxReady[Prefill]) / replicaCount
 		if relative > 1 {
 			return notPrefixReplicaRank + relative
 		}
 	}
-	return exponentialDraw(q.Session, s.ID) / weight
+	return exponentialDraw(req.Session, replica.ID) / weight
 }
 
 // The constants of SplitMix64 (G. Steele, D. Lea, C. Flood: Fast Splittable Pseudorandom Number Generators).
@@ -36,9 +36,9 @@
 // exponentialDraw returns an exponential variate that depends on the key and the replica alone: by inversion from a
 // uniform one, which is their SplitMix64 hash.
 func exponentialDraw(key Key, id EndpointID) float64 {
-	x := uint64(key) ^ (uint64(id)+1)*splitMixIncrement
-	x = (x ^ x>>30) * splitMixMultiplier1
-	x = (x ^ x>>27) * splitMixMultiplier2
-	x ^= x >> 31
-	return -math.Log((float64(x>>(64-float64Bits)) + 0.5) / (1 << float64Bits))
+	hash := uint64(key) ^ (uint64(id)+1)*splitMixIncrement
+	hash = (hash ^ hash>>30) * splitMixMultiplier1
+	hash = (hash ^ hash>>27) * splitMixMultiplier2
+	hash ^= hash >> 31
+	return -math.Log((float64(hash>>(64-float64Bits)) + 0.5) / (1 << float64Bits))
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -41,26 +41,26 @@
 
 // resetStats drops what was learned of a replica's last process: its prefix cache is void, and its failures are not
 // those of the new one.
-func (s *replica) resetStats(r *Router) {
-	s.cacheValidFrom, s.fullUntil = r.now, 0
-	s.reportedMemory, s.reportedBacklog = -1, -1
-	s.queueDelay = decayedMean{timeConstant: modelTimeConstant}
-	s.firstTokenDelay = decayedMean{timeConstant: decodeWaitTimeConstant}
-	s.slowStartCredit = r.rng.Float64()
-	s.health = slices.Repeat([]ewma{{timeConstant: healthTimeConstant}}, 1+len(r.cfg.Classes))
+func (rep *replica) resetStats(r *Router) {
+	rep.cacheValidFrom, rep.fullUntil = r.now, 0
+	rep.reportedMemory, rep.reportedBacklog = -1, -1
+	rep.queueDelay = decayedMean{timeConstant: modelTimeConstant}
+	rep.firstTokenDelay = decayedMean{timeConstant: decodeWaitTimeConstant}
+	rep.slowStartCredit = r.rng.Float64()
+	rep.health = slices.Repeat([]ewma{{timeConstant: healthTimeConstant}}, 1+len(r.cfg.Classes))
 }
 
 // removePending removes the pending attempt of a request.
-func (s *replica) removePending(id RequestID) {
-	s.pending = slices.DeleteFunc(s.pending, func(p pendingAttempt) bool { return p.request == id })
+func (rep *replica) removePending(id RequestID) {
+	rep.pending = slices.DeleteFunc(rep.pending, func(p pendingAttempt) bool { return p.request == id })
 }
 
 // applyLoad takes a load report of a time.
-func (s *replica) applyLoad(load *LoadReport, reportedAt time.Duration) {
-	s.reportedQueue = load.QueuedRequests + queuedPerFullSlots*max(load.SlotUtilization, 0)
-	s.loadReportedAt = reportedAt
-	s.reportedMemory = load.Memory
-	if s.role != Prefill && load.QueuedRequests >= 1 {
-		s.fullUntil = max(s.fullUntil, reportedAt+queueFullBackoff)
+func (rep *replica) applyLoad(load *LoadReport, reportedAt time.Duration) {
+	rep.reportedQueue = load.QueuedRequests + queuedPerFullSlots*max(load.SlotUtilization, 0)
+	rep.loadReportedAt = reportedAt
+	rep.reportedMemory = load.Memory
+	if rep.role != Prefill && load.QueuedRequests >= 1 {
+		rep.fullUntil = max(rep.fullUntil, reportedAt+queueFullBackoff)
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -84,292 +84,292 @@
 }
 
 // requestArrived opens a request: it enters awaitingPrefill.
-func (r *Router) requestArrived(e RequestArrived) {
-	if r.requests[e.Request] != nil {
+func (r *Router) requestArrived(event RequestArrived) {
+	if r.requests[event.Request] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(r.cfg.Classes) {
-		r.emit(Fail{e.Request, UnknownClass})
+	if event.Class < 0 || event.Class >= len(r.cfg.Classes) {
+		r.emit(Fail{event.Request, UnknownClass})
 		return
 	}
-	class := r.cfg.Classes[e.Class]
-	perPrompt := time.Duration(float64(class.TTFTObjectivePer1K) * float64(e.PromptTokens) / 1000)
-	q := &request{
-		RequestArrived: e,
+	class := r.cfg.Classes[event.Class]
+	perPrompt := time.Duration(float64(class.TTFTObjectivePer1K) * float64(event.PromptTokens) / 1000)
+	req := &request{
+		RequestArrived: event,
 		arrivedAt:      r.now,
-		deadline:       r.now + e.TimeLeft,
+		deadline:       r.now + event.TimeLeft,
 		ttftObjective:  class.TTFTObjective + perPrompt,
-		overQuota:      r.overQuota(e.Tenant),
+		overQuota:      r.overQuota(event.Tenant),
 		selectionStart: r.now,
 	}
-	r.requests[e.Request] = q
-	r.countArrival(q)
+	r.requests[event.Request] = req
+	r.countArrival(req)
 	r.sweepPrefixCache()
-	r.advance(q)
+	r.advance(req)
 }
 
 // advance takes the next step of a request that has no attempt out.
-func (r *Router) advance(q *request) {
-	if q.attempts >= r.maxAttempts(q) {
-		r.rejectOrFail(q, AttemptsExhausted, 0)
+func (r *Router) advance(req *request) {
+	if req.attempts >= r.maxAttempts(req) {
+		r.rejectOrFail(req, AttemptsExhausted, 0)
 		return
 	}
-	if r.now+answerMargin >= q.deadline {
-		r.rejectOrFail(q, DeadlineExceeded, 0)
+	if r.now+answerMargin >= req.deadline {
+		r.rejectOrFail(req, DeadlineExceeded, 0)
 		return
 	}
-	if !r.withinRetryBudget(q) {
-		r.rejectOrFail(q, RetryBudgetExhausted, toMS(r.cfg.MaxRetryAfter))
+	if !r.withinRetryBudget(req) {
+		r.rejectOrFail(req, RetryBudgetExhausted, toMS(r.cfg.MaxRetryAfter))
 		return
 	}
-	if q.state == awaitingDecode {
-		r.startDecode(q)
+	if req.state == awaitingDecode {
+		r.startDecode(req)
 	} else {
-		r.startPrefill(q)
+		r.startPrefill(req)
 	}
 }
 
 // startPrefill applies the admission test and sends the request to the prefill replica with the lowest estimate.
-func (r *Router) startPrefill(q *request) {
-	if q.attempts+attemptsPerPass > r.maxAttempts(q) {
-		r.rejectOrFail(q, AttemptsExhausted, 0)
+func (r *Router) startPrefill(req *request) {
+	if req.attempts+attemptsPerPass > r.maxAttempts(req) {
+		r.rejectOrFail(req, AttemptsExhausted, 0)
 		return
 	}
-	if r.pollLoads(q) {
+	if r.pollLoads(req) {
 		return
 	}
-	c, ok := r.bestPrefillReplica(q)
+	best, ok := r.bestPrefillReplica(req)
 	if !ok {
 		if r.cfg.DecodeCanPrefill || r.maxReady[Prefill] == 0 && r.maxReady[Combined] > 0 {
-			r.startDecode(q)
+			r.startDecode(req)
 			return
 		}
-		r.retryLater(q, NoPrefillReplica, q.arrivedAt+q.ttftObjective)
+		r.retryLater(req, NoPrefillReplica, req.arrivedAt+req.ttftObjective)
 		return
 	}
-	estimateMS := c.queueDelayMS + c.prefillMS
-	if !r.admit(q, c.queueDelayMS, c.prefillMS) {
-		r.rejectOrFail(q, OverLatencyBudget, estimateMS-toMS(q.ttftObjective))
+	estimateMS := best.queueDelayMS + best.prefillMS
+	if !r.admit(req, best.queueDelayMS, best.prefillMS) {
+		r.rejectOrFail(req, OverLatencyBudget, estimateMS-toMS(req.ttftObjective))
 		return
 	}
-	s, estimate := c.replica, fromMS(estimateMS)
-	q.state, q.prefillEndpoint = prefilling, s.ID
-	q.expectedCachedTokens = r.expectedCachedTokens(s, q, c.rank)
-	q.ownAttemptsAhead = float64(len(s.pending))
-	q.reportedQueue = r.reportedQueueOf(s)
-	r.recordPrefix(q.Session, s.ID, q.PromptTokens)
-	r.recordPrefix(q.SharedPrefix, s.ID, q.SharedPrefixTokens)
+	replica, estimate := best.replica, fromMS(estimateMS)
+	req.state, req.prefillEndpoint = prefilling, replica.ID
+	req.expectedCachedTokens = r.expectedCachedTokens(replica, req, best.rank)
+	req.ownAttemptsAhead = float64(len(replica.pending))
+	req.reportedQueue = r.reportedQueueOf(replica)
+	r.recordPrefix(req.Session, replica.ID, req.PromptTokens)
+	r.recordPrefix(req.SharedPrefix, replica.ID, req.SharedPrefixTokens)
 	expectedBy := r.now + time.Duration(expectedPrefillFactor*float64(estimate)) + expectedPrefillGrace
-	r.send(q, s, r.prefillTimeout(q, estimateMS), expectedBy)
+	r.send(req, replica, r.prefillTimeout(req, estimateMS), expectedBy)
 }
 
 // startDecode sends a prefilled request to the decode replica with most capacity in the cell of its prefill replica.
-func (r *Router) startDecode(q *request) {
-	if r.pollLoads(q) {
+func (r *Router) startDecode(req *request) {
+	if r.pollLoads(req) {
 		return
 	}
-	s := r.bestDecodeReplica(q)
-	if s == nil {
-		r.retryLater(q, NoDecodeReplica, r.releaseDeadline(q))
+	replica := r.bestDecodeReplica(req)
+	if replica == nil {
+		r.retryLater(req, NoDecodeReplica, r.releaseDeadline(req))
 		return
 	}
-	q.state, q.ownAttemptsAhead = decoding, float64(len(s.pending))
-	r.send(q, s, r.decodeTimeout(q), r.now+minDecodeTimeout)
+	req.state, req.ownAttemptsAhead = decoding, float64(len(replica.pending))
+	r.send(req, replica, r.decodeTimeout(req), r.now+minDecodeTimeout)
 }
 
 // retryLater lets a request that found no replica wait for a moment, unless its reservation would expire at limit or
 // its time would run out.
-func (r *Router) retryLater(q *request, why Reason, limit time.Duration) {
-	if r.now+minSelectionRetries*selectionRetryInterval >= min(limit, q.deadline-answerMargin) {
-		r.rejectOrFail(q, why, 0)
+func (r *Router) retryLater(req *request, why Reason, limit time.Duration) {
+	if r.now+minSelectionRetries*selectionRetryInterval >= min(limit, req.deadline-answerMargin) {
+		r.rejectOrFail(req, why, 0)
 		return
 	}
-	r.emit(SetTimer{selectionRetryInterval, TimerID(q.Request)})
+	r.emit(SetTimer{selectionRetryInterval, TimerID(req.Request)})
 }
 
 // send makes an attempt, which counts as overdue after expectedBy. Every Send comes from here.
-func (r *Router) send(q *request, s *replica, timeout, expectedBy time.Duration) {
-	r.chargeBudgets(q)
-	q.endpoint, q.sentAt = s.ID, r.now
-	q.attempts++
-	s.pending = append(s.pending, pendingAttempt{q.Request, r.now, expectedBy})
-	r.emit(Send{q.Request, s.ID, timeout})
+func (r *Router) send(req *request, replica *replica, timeout, expectedBy time.Duration) {
+	r.chargeBudgets(req)
+	req.endpoint, req.sentAt = replica.ID, r.now
+	req.attempts++
+	replica.pending = append(replica.pending, pendingAttempt{req.Request, r.now, expectedBy})
+	r.emit(Send{req.Request, replica.ID, timeout})
 }
 
 // firstToken moves a request from decoding to streaming. The reservation ends by itself with the first event of the
 // stream.
-func (r *Router) firstToken(e FirstToken) {
-	q := r.requests[e.Request]
-	if q == nil || q.state != decoding || e.Attempt != q.attempts-1 {
+func (r *Router) firstToken(event FirstToken) {
+	req := r.requests[event.Request]
+	if req == nil || req.state != decoding || event.Attempt != req.attempts-1 {
 		return
 	}
-	q.state, q.reservation.mayExist = streaming, false
-	if s := r.byID[e.Endpoint]; s != nil {
-		s.removePending(q.Request)
-		s.streams++
-		r.recordFirstToken(s, q, toMS(e.Elapsed))
+	req.state, req.reservation.mayExist = streaming, false
+	if replica := r.byID[event.Endpoint]; replica != nil {
+		replica.removePending(req.Request)
+		replica.streams++
+		r.recordFirstToken(replica, req, toMS(event.Elapsed))
 	}
 }
 
 // attemptEnded learns from the end of an attempt and takes the request's next step.
-func (r *Router) attemptEnded(e AttemptEnded) {
-	s := r.byID[e.Endpoint]
-	if s != nil && e.Load != nil {
-		s.reportedMemory, s.reportedBacklog = e.Load.Memory, e.Load.QueuedKiloTokens
+func (r *Router) attemptEnded(event AttemptEnded) {
+	replica := r.byID[event.Endpoint]
+	if replica != nil && event.Load != nil {
+		replica.reportedMemory, replica.reportedBacklog = event.Load.Memory, event.Load.QueuedKiloTokens
 	}
-	q := r.requests[e.Request]
-	if q == nil || e.Attempt != q.attempts-1 || q.state == awaitingPrefill || q.state == awaitingDecode {
+	req := r.requests[event.Request]
+	if req == nil || event.Attempt != req.attempts-1 || req.state == awaitingPrefill || req.state == awaitingDecode {
 		return
 	}
-	during := q.state
-	q.selectionStart = r.now
+	during := req.state
+	req.selectionStart = r.now
 	if during != streaming {
-		q.updateReservation(r.now, e.Outcome, during)
+		req.updateReservation(r.now, event.Outcome, during)
 	}
-	if s != nil {
+	if replica != nil {
 		if during == streaming {
-			s.streams--
+			replica.streams--
 		}
-		s.removePending(q.Request)
-		r.recordOutcome(s, q, e, during)
+		replica.removePending(req.Request)
+		r.recordOutcome(replica, req, event, during)
 	}
 	switch {
-	case during == abandoned || e.Final:
-		if e.Outcome != Served || during == abandoned {
-			r.release(q, LateOutcome)
+	case during == abandoned || event.Final:
+		if event.Outcome != Served || during == abandoned {
+			r.release(req, LateOutcome)
 		}
-		delete(r.requests, q.Request)
+		delete(r.requests, req.Request)
 		return
 	case during == prefilling:
-		r.prefillEnded(q, e)
+		r.prefillEnded(req, event)
 	default:
-		r.decodeEnded(q, e)
+		r.decodeEnded(req, event)
 	}
-	if r.requests[q.Request] == q {
-		r.scheduleRelease(q)
+	if r.requests[req.Request] == req {
+		r.scheduleRelease(req)
 	}
 }
 
 // prefillEnded moves a request from prefilling to awaitingDecode, or back to awaitingPrefill after a failure. A
 // prefill has no effect however it ends, so another replica may always be tried.
-func (r *Router) prefillEnded(q *request, e AttemptEnded) {
-	if e.Outcome == PrefillDone {
-		q.state, q.pollCandidates = awaitingDecode, nil
-		r.advance(q)
+func (r *Router) prefillEnded(req *request, event AttemptEnded) {
+	if event.Outcome == PrefillDone {
+		req.state, req.pollCandidates = awaitingDecode, nil
+		r.advance(req)
 		return
 	}
-	r.forgetPrefixes(q, e.Endpoint)
-	q.failedEndpoints = append(q.failedEndpoints, e.Endpoint)
-	q.state, q.retrying = awaitingPrefill, true
-	if q.reservation.mayExist {
-		r.retryPrefill(q)
+	r.forgetPrefixes(req, event.Endpoint)
+	req.failedEndpoints = append(req.failedEndpoints, event.Endpoint)
+	req.state, req.retrying = awaitingPrefill, true
+	if req.reservation.mayExist {
+		r.retryPrefill(req)
 		return
 	}
-	r.advance(q)
+	r.advance(req)
 }
 
 // decodeEnded moves a request from decoding or streaming back to awaitingDecode or awaitingPrefill after a failure, or
 // ends it where a retry is not allowed.
-func (r *Router) decodeEnded(q *request, e AttemptEnded) {
-	if !e.Outcome.NeverRan() && !q.mayHaveRun {
-		q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, q.sentAt, e.Endpoint
-	}
-	q.retrying = true
-	idempotency := r.cfg.Classes[q.Class].Idempotency
-	canRepeatPrefill := idempotency == Idempotent && q.attempts+attemptsPerPass <= r.maxAttempts(q)
-	if e.Outcome == StateMissing || e.StreamStarted && canRepeatPrefill {
+func (r *Router) decodeEnded(req *request, event AttemptEnded) {
+	if !event.Outcome.NeverRan() && !req.mayHaveRun {
+		req.mayHaveRun, req.mayHaveRunAt, req.mayHaveRunOn = true, req.sentAt, event.Endpoint
+	}
+	req.retrying = true
+	idempotency := r.cfg.Classes[req.Class].Idempotency
+	canRepeatPrefill := idempotency == Idempotent && req.attempts+attemptsPerPass <= r.maxAttempts(req)
+	if event.Outcome == StateMissing || event.StreamStarted && canRepeatPrefill {
 		// The prefill result may be gone or only out of reach: it must not stay reserved meanwhile. Another decode
 		// replica could not find it, and that attempt would be missing for the second prefill.
-		r.retryPrefill(q)
+		r.retryPrefill(req)
 		return
 	}
-	q.failedEndpoints = append(q.failedEndpoints, e.Endpoint)
-	if q.mayHaveRun && idempotency == NonIdempotent {
-		r.rejectOrFail(q, MayHaveRun, 0)
+	req.failedEndpoints = append(req.failedEndpoints, event.Endpoint)
+	if req.mayHaveRun && idempotency == NonIdempotent {
+		r.rejectOrFail(req, MayHaveRun, 0)
 		return
 	}
-	if q.reservation.releasedWhileDecoding { // the prefill result may be gone
-		r.retryPrefill(q)
+	if req.reservation.releasedWhileDecoding { // the prefill result may be gone
+		r.retryPrefill(req)
 		return
 	}
-	q.state = awaitingDecode
-	r.advance(q)
+	req.state = awaitingDecode
+	r.advance(req)
 }
 
 // retryPrefill releases what may remain of a request's reservation and moves it to awaitingPrefill. The host sends the
 // prefill after the release has arrived, which would otherwise release the new prefill's result.
-func (r *Router) retryPrefill(q *request) {
-	r.release(q, BeforePrefillRetry)
-	q.state, q.reservation.releasedWhileDecoding = awaitingPrefill, false
-	r.advance(q)
+func (r *Router) retryPrefill(req *request) {
+	r.release(req, BeforePrefillRetry)
+	req.state, req.reservation.releasedWhileDecoding = awaitingPrefill, false
+	r.advance(req)
 }
 
 // reservationExpired moves a request whose reservation has just been released from awaitingDecode to awaitingPrefill.
 // A decode attempt that is out goes on; if it arrives after the release, it finds no prefill result.
-func (r *Router) reservationExpired(q *request) {
-	switch q.state {
+func (r *Router) reservationExpired(req *request) {
+	switch req.state {
 	case awaitingDecode:
-		q.state, q.retrying, q.pendingPolls, q.selectionStart = awaitingPrefill, true, 0, r.now
-		r.advance(q)
+		req.state, req.retrying, req.pendingPolls, req.selectionStart = awaitingPrefill, true, 0, r.now
+		r.advance(req)
 	case decoding:
-		q.reservation.releasedWhileDecoding = true
+		req.reservation.releasedWhileDecoding = true
 	}
 }
 
 // timerFired goes on with a request that waited, or checks its reservation.
 func (r *Router) timerFired(id TimerID) {
-	q := r.requests[RequestID(id&^releaseTimerFlag)]
+	req := r.requests[RequestID(id&^releaseTimerFlag)]
 	switch {
-	case q == nil:
+	case req == nil:
 	case id&releaseTimerFlag != 0:
-		r.releaseIfExpired(q)
-	case q.state == awaitingPrefill || q.state == awaitingDecode:
-		if q.pendingPolls > 0 { // the answers did not come in time
-			q.pendingPolls, q.selectionStart = 0, r.now
+		r.releaseIfExpired(req)
+	case req.state == awaitingPrefill || req.state == awaitingDecode:
+		if req.pendingPolls > 0 { // the answers did not come in time
+			req.pendingPolls, req.selectionStart = 0, r.now
 		}
-		r.advance(q)
+		r.advance(req)
 	}
 }
 
 // clientDisconnected closes a request without an attempt; one with an attempt out moves to abandoned.
 func (r *Router) clientDisconnected(id RequestID) {
-	q := r.requests[id]
+	req := r.requests[id]
 	switch {
-	case q == nil || q.state == abandoned:
+	case req == nil || req.state == abandoned:
 		return
-	case q.state == awaitingPrefill || q.state == awaitingDecode:
-		r.release(q, ClientDisconnected)
+	case req.state == awaitingPrefill || req.state == awaitingDecode:
+		r.release(req, ClientDisconnected)
 		delete(r.requests, id)
-	case q.state == streaming:
-		if s := r.byID[q.endpoint]; s != nil {
-			s.streams--
+	case req.state == streaming:
+		if replica := r.byID[req.endpoint]; replica != nil {
+			replica.streams--
 		}
 	case r.cfg.CanCancel:
-		r.emit(Cancel{id, q.attempts - 1})
+		r.emit(Cancel{id, req.attempts - 1})
 	}
-	q.state = abandoned
+	req.state = abandoned
 }
 
 // rejectOrFail ends a request that has no attempt out. It is rejected where the promise holds that a retry is
 // harmless, and failed otherwise. The Retry-After of a rejection is about the time, excessMS, by which the request
 // would have been late, with jitter so that not all clients come back at once.
-func (r *Router) rejectOrFail(q *request, why Reason, excessMS float64) {
-	class := r.cfg.Classes[q.Class]
+func (r *Router) rejectOrFail(req *request, why Reason, excessMS float64) {
+	class := r.cfg.Classes[req.Class]
 	deduplicated := class.Idempotency == IdempotentByKey && class.DedupScope == ScopeAll
-	if q.mayHaveRun && class.Idempotency != Idempotent && !deduplicated {
-		r.finish(q, Fail{q.Request, why})
+	if req.mayHaveRun && class.Idempotency != Idempotent && !deduplicated {
+		r.finish(req, Fail{req.Request, why})
 		return
 	}
 	retryAfter := min(fromMS(max(excessMS, 0)), r.cfg.MaxRetryAfter)
 	jittered := (1 - retryAfterJitter + r.rng.Float64()*retryAfterJitter) * float64(retryAfter)
-	r.finish(q, Reject{q.Request, time.Duration(jittered), why})
+	r.finish(req, Reject{req.Request, time.Duration(jittered), why})
 }
 
 // finish closes a request with its final answer. It is the only place that answers an open request.
-func (r *Router) finish(q *request, answer Action) {
-	if q.attempts > 0 {
-		r.release(q, AfterAnswer)
+func (r *Router) finish(req *request, answer Action) {
+	if req.attempts > 0 {
+		r.release(req, AfterAnswer)
 	}
 	r.emit(answer)
-	delete(r.requests, q.Request)
+	delete(r.requests, req.Request)
 }
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -8,27 +8,27 @@
 )
 
 func TestRequestIsServedInItsCell(t *testing.T) {
-	b := newHarness(t, nil)
-	_, decodeReplica := b.completePrefill(1, 0)
+	h := newHarness(t, nil)
+	_, decodeReplica := h.completePrefill(1, 0)
 	if decodeReplica == 13 {
 		t.Error("a decode replica outside the cell was chosen although the cell has capacity")
 	}
-	b.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
-	_, other := b.completePrefill(2, 0)
+	h.handle(20*ms, FirstToken{Request: 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
+	_, other := h.completePrefill(2, 0)
 	if other == decodeReplica || other == 13 {
 		t.Errorf("the second request went to %d, want the other decode replica of the cell than %d", other, decodeReplica)
 	}
-	b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
-	if b.r.requests[1] != nil || b.r.byID[decodeReplica].streams != 0 {
+	h.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
+	if h.r.requests[1] != nil || h.r.byID[decodeReplica].streams != 0 {
 		t.Error("a served request is still open or its stream is still counted")
 	}
 }
 
 func TestNonIdempotentRequestNeverRunsTwice(t *testing.T) {
 	for o := Served + 1; o < PrefillDone; o++ {
-		b := newHarness(t, nil)
-		_, decodeReplica := b.completePrefill(1, 1)
-		acts := b.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: o})
+		h := newHarness(t, nil)
+		_, decodeReplica := h.completePrefill(1, 1)
+		acts := h.handle(50*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: o})
 		if o.NeverRan() != (containsAction[Send](acts) || containsAction[SetTimer](acts)) || !o.NeverRan() != containsAction[Fail](acts) || containsAction[Reject](acts) {
 			t.Errorf("outcome %d: got %+v", o, acts)
 		}
@@ -36,30 +36,30 @@
 }
 
 func TestQueueFullRetriesDecodeAndStateMissingRetriesPrefill(t *testing.T) {
-	b := newHarness(t, nil)
-	_, decodeReplica := b.completePrefill(1, 1)
-	next := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: QueueFull}))
+	h := newHarness(t, nil)
+	_, decodeReplica := h.completePrefill(1, 1)
+	next := h.sentTo(h.handle(ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: QueueFull}))
 	if next == decodeReplica || next < 11 {
 		t.Errorf("after QueueFull it went to %d, want another decode replica", next)
 	}
-	if again := b.sentTo(b.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
+	if again := h.sentTo(h.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
 		t.Errorf("after StateMissing it went to %d, want a prefill replica", again)
 	}
 }
 
 func TestClientGoneCancelsAndReleases(t *testing.T) {
-	b := newHarness(t, nil)
-	s := b.sentTo(b.arrive(1, 0))
-	if !containsAction[Cancel](b.handle(ms, ClientGone{1})) {
+	h := newHarness(t, nil)
+	s := h.sentTo(h.arrive(1, 0))
+	if !containsAction[Cancel](h.handle(ms, ClientGone{1})) {
 		t.Error("the prefill was not cancelled")
 	}
-	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
-	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(b.r.requests) != 0 {
+	acts := h.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
+	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(h.r.requests) != 0 {
 		t.Errorf("got %+v, want only the release", acts)
 	}
 	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
 		AttemptEnded{Request: 8, Endpoint: 99}} {
-		if acts := b.handle(-time.Second, ev); len(acts) != 0 {
+		if acts := h.handle(-time.Second, ev); len(acts) != 0 {
 			t.Errorf("%T of a closed request or unknown replica: %+v", ev, acts)
 		}
 	}
@@ -67,9 +67,9 @@
 
 // A timeout at the deadline fails the request at once.
 func TestTimeoutAtDeadlineFailsAtOnce(t *testing.T) {
-	b := newHarness(t, nil)
-	_, decodeReplica := b.completePrefill(1, 1)
-	acts := b.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: TimedOut})
+	h := newHarness(t, nil)
+	_, decodeReplica := h.completePrefill(1, 1)
+	acts := h.handle(4*time.Second, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: TimedOut})
 	if !containsAction[Fail](acts) || !containsAction[Release](acts) {
 		t.Errorf("got %+v", acts)
 	}
@@ -77,14 +77,14 @@
 
 // If all decode replicas drain between prefill and decode, the reservation is released within its TTL.
 func TestReservationIsReleasedWithoutDecodeReplica(t *testing.T) {
-	b := newHarness(t, nil)
-	s := b.sentTo(b.arrive(1, 1))
-	b.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
+	h := newHarness(t, nil)
+	s := h.sentTo(h.arrive(1, 1))
+	h.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
 		{ID: 13, Kind: 1, State: Draining}}})
-	acts := b.handle(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
-	for start := b.now; !containsAction[Release](acts); acts = b.handle(selectionRetryInterval, TimerFired{1}) {
-		if !containsAction[SetTimer](acts) || containsAction[Send](acts) || b.now > start+b.r.cfg.ReservationTTL {
-			t.Fatalf("after %v: %+v", b.now-start, acts)
+	acts := h.handle(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
+	for start := h.now; !containsAction[Release](acts); acts = h.handle(selectionRetryInterval, TimerFired{1}) {
+		if !containsAction[SetTimer](acts) || containsAction[Send](acts) || h.now > start+h.r.cfg.ReservationTTL {
+			t.Fatalf("after %v: %+v", h.now-start, acts)
 		}
 	}
 	if !containsAction[Reject](acts) {
@@ -94,8 +94,8 @@
 
 // A class that is not configured gets an answer, not a panic.
 func TestUnknownClassFails(t *testing.T) {
-	b := newHarness(t, nil)
-	if acts := b.arrive(1, 99); !reflect.DeepEqual(acts, []Action{Fail{1, UnknownClass}}) {
+	h := newHarness(t, nil)
+	if acts := h.arrive(1, 99); !reflect.DeepEqual(acts, []Action{Fail{1, UnknownClass}}) {
 		t.Errorf("got %+v", acts)
 	}
 }
@@ -119,12 +119,12 @@
 // The admission test applies to every prefill: a request that comes back from a full or silent replica is not sent on
 // into a jam.
 func TestPrefillRetryPassesAdmissionAgain(t *testing.T) {
-	b := newHarness(t, nil)
-	first := b.sentTo(b.arrive(1, 0))
+	h := newHarness(t, nil)
+	first := h.sentTo(h.arrive(1, 0))
 	for range 20 {
-		b.r.commonQueueDelay.add(b.now, 5000)
+		h.r.commonQueueDelay.add(h.now, 5000)
 	}
-	acts := b.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
+	acts := h.handle(ms, AttemptEnded{Request: 1, Endpoint: first, Outcome: QueueFull})
 	if !containsAction[Reject](acts) || containsAction[Send](acts) {
 		t.Errorf("got %+v, want a rejection", acts)
 	}
@@ -160,28 +160,28 @@
 // A decode attempt that broke after its stream had begun has used up the prefill result: an idempotent request is
 // prefilled again at once, as long as attempts remain, and any other is not sent again.
 func TestBrokenStreamRetriesPrefill(t *testing.T) {
-	b := newHarness(t, nil)
-	_, decodeReplica := b.completePrefill(1, 0)
-	acts := b.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, StreamStarted: true})
-	if s := b.sentTo(acts); s > 2 || !containsAction[Release](acts) {
+	h := newHarness(t, nil)
+	_, decodeReplica := h.completePrefill(1, 0)
+	acts := h.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, StreamStarted: true})
+	if s := h.sentTo(acts); s > 2 || !containsAction[Release](acts) {
 		t.Errorf("sent to %d: %+v", s, acts)
 	}
 }
 
 // Clients that are rejected in a jam must not come back together, nor later than MaxRetryAfter.
 func TestRetryAfterHasJitter(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	var least, most time.Duration
 	for id := range RequestID(200) {
-		b.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
-		b.r.rejectOrFail(b.r.requests[id+1], AttemptsExhausted, 5000)
-		reject := b.r.actions[len(b.r.actions)-1].(Reject)
+		h.r.requests[id+1] = &request{RequestArrived: RequestArrived{Request: id + 1}}
+		h.r.rejectOrFail(h.r.requests[id+1], AttemptsExhausted, 5000)
+		reject := h.r.actions[len(h.r.actions)-1].(Reject)
 		if id == 0 {
 			least = reject.RetryAfter
 		}
 		least, most = min(least, reject.RetryAfter), max(most, reject.RetryAfter)
 	}
-	if limit := b.r.cfg.MaxRetryAfter; least < limit/2 || most > limit || most-least < limit*2/5 {
+	if limit := h.r.cfg.MaxRetryAfter; least < limit/2 || most > limit || most-least < limit*2/5 {
 		t.Errorf("Retry-After between %v and %v", least, most)
 	}
 }
@@ -190,9 +190,9 @@
 // replicas have stopped discarding its duplicates.
 func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
 	for remaining, retried := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
-		b := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
-		_, decodeReplica := b.completePrefill(1, 2)
-		acts := b.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
+		h := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
+		_, decodeReplica := h.completePrefill(1, 2)
+		acts := h.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
 		if containsAction[Send](acts) != retried {
 			t.Errorf("with %v of the window left: %+v", remaining, acts)
 		}
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -17,53 +17,53 @@
 
 // releaseDeadline returns when a request's reservation must be released unless an attempt is known to have arrived by
 // then.
-func (r *Router) releaseDeadline(q *request) time.Duration {
-	return q.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
+func (r *Router) releaseDeadline(req *request) time.Duration {
+	return req.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
 }
 
 // updateReservation takes the end of an attempt that was out in a state, prefilling or decoding. An attempt that did
 // not arrive leaves the time running. Of one that timed out or broke off it is unknown whether it arrived and what it
 // reserved.
-func (q *request) updateReservation(now time.Duration, o Outcome, during requestState) {
+func (req *request) updateReservation(now time.Duration, o Outcome, during requestState) {
 	decode := during == decoding
 	switch {
 	case o == Served, o == StateMissing && decode:
-		q.reservation.mayExist = false
+		req.reservation.mayExist = false
 	case o == PrefillDone, decode && o.reachedReplica():
-		q.reservation.mayExist, q.reservation.since = true, now
+		req.reservation.mayExist, req.reservation.since = true, now
 	case o == TimedOut || o == ConnectionReset || o == Cancelled:
-		if !q.reservation.mayExist {
-			q.reservation.mayExist, q.reservation.since = true, now
+		if !req.reservation.mayExist {
+			req.reservation.mayExist, req.reservation.since = true, now
 		}
 	}
 }
 
 // release releases everything that is reserved for a request.
-func (r *Router) release(q *request, why ReleaseReason) {
-	q.reservation.mayExist = false
-	r.emit(Release{q.Request, why})
+func (r *Router) release(req *request, why ReleaseReason) {
+	req.reservation.mayExist = false
+	r.emit(Release{req.Request, why})
 }
 
 // scheduleRelease sets the timer by which the reservation is released in time whatever becomes of the attempt that is
 // out.
-func (r *Router) scheduleRelease(q *request) {
-	if !q.reservation.mayExist || q.reservation.timerSet {
+func (r *Router) scheduleRelease(req *request) {
+	if !req.reservation.mayExist || req.reservation.timerSet {
 		return
 	}
-	q.reservation.timerSet = true
-	r.emit(SetTimer{max(r.releaseDeadline(q)-r.now, 0), TimerID(q.Request) | releaseTimerFlag})
+	req.reservation.timerSet = true
+	r.emit(SetTimer{max(r.releaseDeadline(req)-r.now, 0), TimerID(req.Request) | releaseTimerFlag})
 }
 
 // releaseIfExpired handles the timer of scheduleRelease.
-func (r *Router) releaseIfExpired(q *request) {
-	q.reservation.timerSet = false
-	if !q.reservation.mayExist {
+func (r *Router) releaseIfExpired(req *request) {
+	req.reservation.timerSet = false
+	if !req.reservation.mayExist {
 		return
 	}
-	if r.now < r.releaseDeadline(q) {
-		r.scheduleRelease(q)
+	if r.now < r.releaseDeadline(req) {
+		r.scheduleRelease(req)
 		return
 	}
-	r.release(q, ReservationExpired)
-	r.reservationExpired(q)
+	r.release(req, ReservationExpired)
+	r.reservationExpired(req)
 }
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -7,13 +7,13 @@
 
 // releaseDelay takes a request to its decode attempts, each of which fails to connect after attemptDuration, and returns
 // how long after its prefill the reservation was released; the second result is false if it never was.
-func (b *harness) releaseDelay(id RequestID, class int, attemptDuration time.Duration) (time.Duration, bool) {
-	b.completePrefill(id, class)
+func (h *harness) releaseDelay(id RequestID, class int, attemptDuration time.Duration) (time.Duration, bool) {
+	h.completePrefill(id, class)
 	var timers []scheduledTimer
-	reservedAt := b.now
-	failAt, attempt, decode := reservedAt+attemptDuration, 1, b.r.requests[id].endpoint
-	timers = append(timers, timersOf(b.last, b.now)...)
-	for b.now < reservedAt+2*time.Second {
+	reservedAt := h.now
+	failAt, attempt, decode := reservedAt+attemptDuration, 1, h.r.requests[id].endpoint
+	timers = append(timers, timersOf(h.last, h.now)...)
+	for h.now < reservedAt+2*time.Second {
 		next := failAt
 		at := -1
 		for i, d := range timers {
@@ -25,19 +25,19 @@
 		if at >= 0 {
 			timer := timers[at]
 			timers = append(timers[:at], timers[at+1:]...)
-			acts = b.handle(timer.at-b.now, TimerFired{timer.id})
+			acts = h.handle(timer.at-h.now, TimerFired{timer.id})
 		} else {
-			acts = b.handle(failAt-b.now, AttemptEnded{Request: id, Attempt: attempt, Endpoint: decode, Outcome: ConnectFailed, Elapsed: attemptDuration})
+			acts = h.handle(failAt-h.now, AttemptEnded{Request: id, Attempt: attempt, Endpoint: decode, Outcome: ConnectFailed, Elapsed: attemptDuration})
 			failAt = reservedAt + time.Hour
 		}
-		timers = append(timers, timersOf(acts, b.now)...)
+		timers = append(timers, timersOf(acts, h.now)...)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Release:
-				return b.now - reservedAt, true
+				return h.now - reservedAt, true
 			case Send:
 				attempt++
-				decode, failAt = a.Endpoint, b.now+attemptDuration
+				decode, failAt = a.Endpoint, h.now+attemptDuration
 			}
 		}
 	}
@@ -64,9 +64,9 @@
 	for name, each := range map[string]time.Duration{"no response": time.Hour, "connections fail late": 200 * ms, "connections fail": 80 * ms} {
 		t.Run(name, func(t *testing.T) {
 			for class := range 2 {
-				b := newHarness(t, nil)
-				within := b.r.cfg.ReservationTTL
-				if took, ok := b.releaseDelay(1, class, each); !ok || took > within {
+				h := newHarness(t, nil)
+				within := h.r.cfg.ReservationTTL
+				if took, ok := h.releaseDelay(1, class, each); !ok || took > within {
 					t.Errorf("class %d: released %t, after %v, want within %v", class, ok, took, within)
 				}
 			}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -139,13 +139,13 @@
 
 // A new router that has only an endpoint list limits a replica in slow start at once.
 func TestSlowStartLimitsNewPrefillReplica(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
-	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: b.now}}})
+	h := newHarness(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
+	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: h.now}}})
 	n := map[EndpointID]int{}
 	for i := range RequestID(100) {
-		s := b.sentTo(b.arrive(i+1, 0))
+		s := h.sentTo(h.arrive(i+1, 0))
 		n[s]++
-		b.handle(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
+		h.handle(20*ms, AttemptEnded{Request: i + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms, Final: true})
 	}
 	if n[2] > 30 || n[1] < 70 {
 		t.Errorf("sends %v: the replica in slow start got more than its share", n)
@@ -154,9 +154,9 @@
 
 // Without an OverloadMultiple there is no slow start.
 func TestNoSlowStartWithoutOverloadMultiple(t *testing.T) {
-	b := newHarness(t, func(c *Config) { c.OverloadMultiple = 0 })
-	b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: b.now}}})
-	if s := b.sentTo(b.arrive(1, 0)); s != 2 {
+	h := newHarness(t, func(c *Config) { c.OverloadMultiple = 0 })
+	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: h.now}}})
+	if s := h.sentTo(h.arrive(1, 0)); s != 2 {
 		t.Errorf("went to %d", s)
 	}
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -62,21 +62,21 @@
 
 // Shift adds a duration to all times of a snapshot, for a machine whose clock differs. It leaves the replicas' starts,
 // which the endpoint list tells.
-func (b *Snapshot) Shift(by time.Duration) {
-	b.TakenAt += by
-	b.Prefill.At += by
-	b.Decode.At += by
-	b.CommonQueueDelay.At += by
-	b.EstimateError.At += by
-	b.CacheHitRatio.At += by
-	b.Arrivals.At += by
-	b.PerQueuedRequest.At += by
-	for i := range b.Prefixes {
-		b.Prefixes[i].UpdatedAt += by
-		b.Prefixes[i].Requests.At += by
-	}
-	for i := range b.Endpoints {
-		stats := &b.Endpoints[i]
+func (snapshot *Snapshot) Shift(by time.Duration) {
+	snapshot.TakenAt += by
+	snapshot.Prefill.At += by
+	snapshot.Decode.At += by
+	snapshot.CommonQueueDelay.At += by
+	snapshot.EstimateError.At += by
+	snapshot.CacheHitRatio.At += by
+	snapshot.Arrivals.At += by
+	snapshot.PerQueuedRequest.At += by
+	for i := range snapshot.Prefixes {
+		snapshot.Prefixes[i].UpdatedAt += by
+		snapshot.Prefixes[i].Requests.At += by
+	}
+	for i := range snapshot.Endpoints {
+		stats := &snapshot.Endpoints[i]
 		stats.CacheValidFrom += by
 		stats.LastResponse += by
 		stats.QueueDelay.At += by
@@ -90,7 +90,7 @@
 // Snapshot returns the router's learned state at time now, with at most maxPrefixes prefixes: the ones used last.
 func (r *Router) Snapshot(now time.Duration, maxPrefixes int) Snapshot {
 	r.now = max(now, r.now)
-	b := Snapshot{
+	snapshot := Snapshot{
 		TakenAt:          r.now,
 		Prefill:          r.prefillModel.snapshot(),
 		Decode:           r.decodeModel.snapshot(),
@@ -102,7 +102,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.prefixCache)) {
 		entry := r.prefixCache[key]
-		b.Prefixes = append(b.Prefixes, PrefixCacheEntry{
+		snapshot.Prefixes = append(snapshot.Prefixes, PrefixCacheEntry{
 			Key:       key,
 			Endpoint:  entry.endpoint,
 			Tokens:    entry.tokens,
@@ -110,32 +110,32 @@
 			Requests:  entry.requests.snapshot(),
 		})
 	}
-	if len(b.Prefixes) > maxPrefixes {
-		slices.SortStableFunc(b.Prefixes, func(a, b PrefixCacheEntry) int {
+	if len(snapshot.Prefixes) > maxPrefixes {
+		slices.SortStableFunc(snapshot.Prefixes, func(a, b PrefixCacheEntry) int {
 			return -cmp.Compare(a.lastUsed(), b.lastUsed())
 		})
-		b.Prefixes = b.Prefixes[:maxPrefixes]
+		snapshot.Prefixes = snapshot.Prefixes[:maxPrefixes]
 	}
-	for _, s := range r.replicas {
-		b.Endpoints = append(b.Endpoints, s.snapshot())
+	for _, replica := range r.replicas {
+		snapshot.Endpoints = append(snapshot.Endpoints, replica.snapshot())
 	}
-	return b
+	return snapshot
 }
 
 // lastUsed returns the time of the latest request with the prefix.
 func (e *PrefixCacheEntry) lastUsed() time.Duration { return max(e.UpdatedAt, e.Requests.At) }
 
-func (s *replica) snapshot() EndpointStats {
+func (rep *replica) snapshot() EndpointStats {
 	stats := EndpointStats{
-		ID:              s.ID,
-		Started:         s.Started,
-		CacheValidFrom:  s.cacheValidFrom,
-		LastResponse:    s.lastResponse,
-		QueueDelay:      s.queueDelay.snapshot(),
-		FirstTokenDelay: s.firstTokenDelay.snapshot(),
-		SlowStartCredit: s.slowStartCredit,
-	}
-	for _, level := range s.health {
+		ID:              rep.ID,
+		Started:         rep.Started,
+		CacheValidFrom:  rep.cacheValidFrom,
+		LastResponse:    rep.lastResponse,
+		QueueDelay:      rep.queueDelay.snapshot(),
+		FirstTokenDelay: rep.firstTokenDelay.snapshot(),
+		SlowStartCredit: rep.slowStartCredit,
+	}
+	for _, level := range rep.health {
 		stats.Health = append(stats.Health, EWMA{level.value, level.updatedAt})
 	}
 	return stats
@@ -146,25 +146,25 @@
 func (f *latencyModel) snapshot() LatencyModel { return LatencyModel{f.normal, f.moments, f.updatedAt} }
 
 // restore takes another router's learned state, where it is recent.
-func (r *Router) restore(b Snapshot) {
-	if age := r.now - b.TakenAt; age > snapshotMaxAge || age < -maxClockSkew {
+func (r *Router) restore(snapshot Snapshot) {
+	if age := r.now - snapshot.TakenAt; age > snapshotMaxAge || age < -maxClockSkew {
 		return
 	}
-	r.prefillModel.restore(r.now, b.Prefill)
-	r.decodeModel.restore(r.now, b.Decode)
-	r.commonQueueDelay.restore(r.now, b.CommonQueueDelay)
-	r.estimateError.restore(r.now, b.EstimateError)
-	r.cacheHitRatio.restore(r.now, b.CacheHitRatio)
-	r.arrivals.restore(r.now, b.Arrivals)
-	r.perQueuedRequest.restore(r.now, b.PerQueuedRequest)
+	r.prefillModel.restore(r.now, snapshot.Prefill)
+	r.decodeModel.restore(r.now, snapshot.Decode)
+	r.commonQueueDelay.restore(r.now, snapshot.CommonQueueDelay)
+	r.estimateError.restore(r.now, snapshot.EstimateError)
+	r.cacheHitRatio.restore(r.now, snapshot.CacheHitRatio)
+	r.arrivals.restore(r.now, snapshot.Arrivals)
+	r.perQueuedRequest.restore(r.now, snapshot.PerQueuedRequest)
 	restored := map[EndpointID]bool{}
-	for _, stats := range b.Endpoints {
+	for _, stats := range snapshot.Endpoints {
 		if s := r.byID[stats.ID]; s != nil && r.sameStart(s, stats) {
 			restored[stats.ID] = true
 			r.restoreStats(s, stats)
 		}
 	}
-	for _, entry := range b.Prefixes {
+	for _, entry := range snapshot.Prefixes {
 		if restored[entry.Endpoint] {
 			r.restorePrefix(entry)
 		}
@@ -173,8 +173,8 @@
 
 // sameStart reports whether stats are of the replica's current process. The endpoint list of each router's process
 // tells the start, so it differs only by the clocks to which they convert it.
-func (r *Router) sameStart(s *replica, stats EndpointStats) bool {
-	skew := max(s.Started-stats.Started, stats.Started-s.Started)
+func (r *Router) sameStart(replica *replica, stats EndpointStats) bool {
+	skew := max(replica.Started-stats.Started, stats.Started-replica.Started)
 	return skew <= maxClockSkew && stats.CacheValidFrom <= r.now
 }
 
@@ -194,18 +194,19 @@
 
 // restoreStats takes what another router has learned of a replica, where it is plausible and more or later than what
 // this router knows.
-func (r *Router) restoreStats(s *replica, stats EndpointStats) {
-	s.cacheValidFrom = min(s.cacheValidFrom, stats.CacheValidFrom)
-	s.queueDelay.restore(r.now, stats.QueueDelay)
-	s.firstTokenDelay.restore(r.now, stats.FirstTokenDelay)
+func (r *Router) restoreStats(replica *replica, stats EndpointStats) {
+	replica.cacheValidFrom = min(replica.cacheValidFrom, stats.CacheValidFrom)
+	replica.queueDelay.restore(r.now, stats.QueueDelay)
+	replica.firstTokenDelay.restore(r.now, stats.FirstTokenDelay)
 	if stats.LastResponse <= r.now {
-		s.lastResponse = max(s.lastResponse, stats.LastResponse)
+		replica.lastResponse = max(replica.lastResponse, stats.LastResponse)
 	}
-	if r.inSlowStart(s) && plausible(stats.SlowStartCredit) {
-		s.slowStartCredit = min(s.slowStartCredit, stats.SlowStartCredit) // what the other router has sent counts
+	if r.inSlowStart(replica) && plausible(stats.SlowStartCredit) {
+		// What the other router has sent counts.
+		replica.slowStartCredit = min(replica.slowStartCredit, stats.SlowStartCredit)
 	}
-	for i := range min(len(s.health), len(stats.Health)) {
-		s.health[i].restore(r.now, stats.Health[i])
+	for i := range min(len(replica.health), len(stats.Health)) {
+		replica.health[i].restore(r.now, stats.Health[i])
 	}
 }
 
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -10,16 +10,16 @@
 // the future, of another start of a replica, or implausible.
 func TestSnapshotRestore(t *testing.T) {
 	served := func() *harness {
-		b := newHarness(t, nil)
+		h := newHarness(t, nil)
 		for id := RequestID(1); id < 60; id++ {
-			s := b.sentTo(b.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
+			s := h.sentTo(h.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
 			elapsed := 200 * ms // longer than the prior estimate
-			decodeReplica := b.sentTo(b.handle(elapsed, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: elapsed}))
-			b.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decodeReplica, Elapsed: 5 * ms})
-			b.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
+			decodeReplica := h.sentTo(h.handle(elapsed, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: elapsed}))
+			h.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decodeReplica, Elapsed: 5 * ms})
+			h.handle(5*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
 		}
-		b.r.recordFailure(b.r.byID[11], 0, 1)
-		return b
+		h.r.recordFailure(h.r.byID[11], 0, 1)
+		return h
 	}
 	old := served()
 	snapshot := old.r.Snapshot(old.now, 1000)
@@ -30,40 +30,40 @@
 		t.Errorf("of ten prefixes the first is %+v", few.Prefixes[0])
 	}
 	fresh := func(change func(*Snapshot)) *harness {
-		b := newHarness(t, nil)
-		b.now = old.now + 100*ms
-		b.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
+		h := newHarness(t, nil)
+		h.now = old.now + 100*ms
+		h.handle(0, EndpointUpdate{Full: true, Endpoints: []Endpoint{
 			{ID: 1, State: Ready}, {ID: 2, State: Ready}, {ID: 11, Kind: 1, State: Ready}, {ID: 12, Kind: 1, State: Ready},
 		}})
 		c := snapshot
 		if change != nil {
 			change(&c)
 		}
-		b.handle(0, SnapshotReceived{c})
-		return b
+		h.handle(0, SnapshotReceived{c})
+		return h
 	}
-	b := fresh(nil)
-	got, want := b.r.prefillModel.coefficients, old.r.prefillModel.coefficients
-	if math.Abs(got[0]-want[0]) > 0.1*want[0]+1 || b.r.estimateError.count(b.now) < 10 {
-		t.Errorf("coefficients %v, the other router's are %v; %.1f samples", got, want, b.r.estimateError.count(b.now))
+	h := fresh(nil)
+	got, want := h.r.prefillModel.coefficients, old.r.prefillModel.coefficients
+	if math.Abs(got[0]-want[0]) > 0.1*want[0]+1 || h.r.estimateError.count(h.now) < 10 {
+		t.Errorf("coefficients %v, the other router's are %v; %.1f samples", got, want, h.r.estimateError.count(h.now))
 	}
 	q := &request{RequestArrived: RequestArrived{Session: 59, PromptTokens: 2000}}
 	cachedTokens := 0
-	for _, s := range b.r.replicas {
-		cachedTokens = max(cachedTokens, b.r.expectedCachedTokens(s, q, notPrefixReplicaRank))
+	for _, s := range h.r.replicas {
+		cachedTokens = max(cachedTokens, h.r.expectedCachedTokens(s, q, notPrefixReplicaRank))
 	}
 	if cachedTokens < 500 {
 		t.Errorf("%d tokens of a prefix that the other router sent are expected in a cache", cachedTokens)
 	}
-	if b.r.healthy(b.r.byID[11], 0) {
+	if h.r.healthy(h.r.byID[11], 0) {
 		t.Error("a replica that the other router ejected is healthy")
 	}
 	for what, change := range map[string]func(*Snapshot){
 		"too old":         func(c *Snapshot) { c.TakenAt -= snapshotMaxAge + time.Second },
 		"from the future": func(c *Snapshot) { c.TakenAt += time.Hour },
 	} {
-		if b := fresh(change); len(b.r.prefixCache) > 0 || b.r.estimateError.count(b.now) > 0 {
-			t.Errorf("%s: %d prefixes", what, len(b.r.prefixCache))
+		if h := fresh(change); len(h.r.prefixCache) > 0 || h.r.estimateError.count(h.now) > 0 {
+			t.Errorf("%s: %d prefixes", what, len(h.r.prefixCache))
 		}
 	}
 	implausible := fresh(func(c *Snapshot) {
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -35,9 +35,9 @@
 		return
 	}
 	var active []*replica
-	for _, s := range r.replicas {
-		if _, ok := slices.BinarySearch(r.subset, s.ID); ok {
-			active = append(active, s)
+	for _, replica := range r.replicas {
+		if _, ok := slices.BinarySearch(r.subset, replica.ID); ok {
+			active = append(active, replica)
 		}
 	}
 	ready := countReady(active)
@@ -50,9 +50,9 @@
 
 // countReady returns the number of ready replicas by role.
 func countReady(replicas []*replica) (count [roleCount]int) {
-	for _, s := range replicas {
-		if s.State == Ready {
-			count[s.role]++
+	for _, replica := range replicas {
+		if replica.State == Ready {
+			count[replica.role]++
 		}
 	}
 	return count
@@ -85,9 +85,9 @@
 // sumCapacity has just made.
 func (r *Router) subsetUnhealthy() bool {
 	readyDecodeCapacity := 0.0
-	for _, s := range r.active {
-		if s.role != Prefill && s.State == Ready {
-			readyDecodeCapacity += r.effectiveWeight(s)
+	for _, replica := range r.active {
+		if replica.role != Prefill && replica.State == Ready {
+			readyDecodeCapacity += r.effectiveWeight(replica)
 		}
 	}
 	return r.totalCapacity.prefillCapacity < minHealthyFraction*r.totalCapacity.readyPrefillCapacity ||
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -14,8 +14,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{r: r, now: time.Hour}
-	b.T, _ = t.(*testing.T)
+	h := &harness{r: r, now: time.Hour}
+	h.T, _ = t.(*testing.T)
 	var list []Endpoint
 	for i := range n / 2 {
 		list = append(list,
@@ -23,8 +23,8 @@
 			Endpoint{ID: EndpointID(1001 + i), Kind: 1, State: Ready, Cell: i / 5},
 		)
 	}
-	b.handle(0, EndpointUpdate{Full: true, Endpoints: list})
-	return b
+	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
+	return h
 }
 
 func subsetOfCells(cells ...int) (s SubsetAssigned) {
@@ -37,7 +37,7 @@
 }
 
 // serveRequest takes one request from its arrival to its answer and returns its replicas.
-func (b *harness) serveRequest(id RequestID) (prefill, decode EndpointID, ok bool) {
+func (h *harness) serveRequest(id RequestID) (prefill, decode EndpointID, ok bool) {
 	send := func(acts []Action) (EndpointID, bool) {
 		for _, a := range acts {
 			if s, ok := a.(Send); ok {
@@ -46,25 +46,25 @@
 		}
 		return 0, false
 	}
-	if prefill, ok = send(b.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
+	if prefill, ok = send(h.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
 		return 0, 0, false
 	}
-	if decode, ok = send(b.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
+	if decode, ok = send(h.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
 		return prefill, 0, false
 	}
-	b.handle(30*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decode, Elapsed: 30 * ms})
-	b.handle(100*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decode, Outcome: Served, Elapsed: 130 * ms, Final: true})
+	h.handle(30*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decode, Elapsed: 30 * ms})
+	h.handle(100*ms, AttemptEnded{Request: id, Attempt: 1, Endpoint: decode, Outcome: Served, Elapsed: 130 * ms, Final: true})
 	return prefill, decode, true
 }
 
 // A router uses its subset only, and all of it, and uses all replicas when its subset is empty.
 func TestRouterUsesExactlyItsSubset(t *testing.T) {
-	b := newLargeHarness(t, 200)
+	h := newLargeHarness(t, 200)
 	subset := subsetOfCells(2, 7)
-	b.handle(0, subset)
+	h.handle(0, subset)
 	used := map[EndpointID]bool{}
 	for id := RequestID(1); id <= 300; id++ {
-		prefillReplica, decodeReplica, ok := b.serveRequest(id)
+		prefillReplica, decodeReplica, ok := h.serveRequest(id)
 		if !ok || !slices.Contains(subset.Endpoints, prefillReplica) || !slices.Contains(subset.Endpoints, decodeReplica) {
 			t.Fatalf("request %d went to %d and %d, %t", id, prefillReplica, decodeReplica, ok)
 		}
@@ -73,9 +73,9 @@
 	if len(used) != 20 {
 		t.Errorf("%d of 20 were used", len(used))
 	}
-	b.handle(0, SubsetAssigned{})
+	h.handle(0, SubsetAssigned{})
 	for id := RequestID(1001); id <= 1100; id++ {
-		r, _, _ := b.serveRequest(id)
+		r, _, _ := h.serveRequest(id)
 		used[r] = true
 	}
 	if len(used) < 60 {
@@ -87,22 +87,22 @@
 // the subset is healthy again it returns to it.
 func TestUnhealthySubsetFallsBackToAllReplicas(t *testing.T) {
 	for _, by := range []string{"list", "failures"} {
-		b := newLargeHarness(t, 100)
+		h := newLargeHarness(t, 100)
 		subset := subsetOfCells(1, 4)
-		b.handle(0, subset)
-		b.serveRequest(1)
+		h.handle(0, subset)
+		h.serveRequest(1)
 		for _, id := range subset.Endpoints {
 			if by == "list" {
-				b.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Gone}}})
+				h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Gone}}})
 				continue
 			}
 			for range 6 {
-				s := b.r.byID[id]
-				b.r.recordFailure(s, 0, transportFailureWeight)
+				s := h.r.byID[id]
+				h.r.recordFailure(s, 0, transportFailureWeight)
 			}
 		}
 		for id := RequestID(10); id < 40; id++ {
-			r, w, ok := b.serveRequest(id)
+			r, w, ok := h.serveRequest(id)
 			if !ok || slices.Contains(subset.Endpoints, r) || slices.Contains(subset.Endpoints, w) {
 				t.Fatalf("%s: request %d went to %d and %d, %t", by, id, r, w, ok)
 			}
@@ -116,12 +116,12 @@
 				}
 				returned = append(returned, Endpoint{ID: id, Kind: kind, State: Ready, Cell: int((id - 1) % 1000 / 5)})
 			}
-			b.handle(0, EndpointUpdate{Endpoints: returned})
+			h.handle(0, EndpointUpdate{Endpoints: returned})
 		} else {
-			b.handle(2*time.Minute, TimerFired{}) // the failure levels decay
+			h.handle(2*time.Minute, TimerFired{}) // the failure levels decay
 		}
-		b.serveRequest(50) // its selection ends the fallback
-		r, w, ok := b.serveRequest(51)
+		h.serveRequest(50) // its selection ends the fallback
+		r, w, ok := h.serveRequest(51)
 		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
 			t.Errorf("%s: after the recovery it went to %d and %d, %t", by, r, w, ok)
 		}
@@ -131,10 +131,10 @@
 // A subset without a decode replica, or of unknown replicas, counts as none.
 func TestSubsetWithoutARoleIsIgnored(t *testing.T) {
 	for _, s := range []SubsetAssigned{{Endpoints: []EndpointID{1, 2, 3}}, {Endpoints: []EndpointID{777}}} {
-		b := newLargeHarness(t, 100)
-		b.handle(0, s)
-		if _, _, ok := b.serveRequest(1); !ok || b.r.limited {
-			t.Errorf("%v: limited %t", s, b.r.limited)
+		h := newLargeHarness(t, 100)
+		h.handle(0, s)
+		if _, _, ok := h.serveRequest(1); !ok || h.r.limited {
+			t.Errorf("%v: limited %t", s, h.r.limited)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 func TestSlowStartShareCountsSubsetOnly(t *testing.T) {
 	all, limited := newLargeHarness(t, 200), newLargeHarness(t, 200)
 	limited.handle(0, subsetOfCells(0, 1))
-	evenShare := func(b *harness) float64 { return 1 / float64(b.r.maxReady[Prefill]) }
+	evenShare := func(h *harness) float64 { return 1 / float64(h.r.maxReady[Prefill]) }
 	// Ten routers with a tenth of the cells each, or ten with all of them.
 	if one, of := evenShare(limited), evenShare(all); one*10/100 > of+1e-9 {
 		t.Errorf("the share per replica is %v with a tenth of the replicas, %v with all", one, of)
