--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -1,109 +1,61 @@
 package routing
 
-// The list of servers: which there are, what is known of each, and how they add up by cell.
-
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
-func (r *Router) updateEndpoints(e EndpointUpdate) {
-	if e.Full {
-		for _, s := range r.replicas {
-			s.State = Gone
+// updateEndpoints takes a change of the endpoint list. A replica that has gone is forgotten once none of its attempts
+// is out.
+func (r *Router) updateEndpoints(event EndpointUpdate) {
+	if event.Full {
+		for _, replica := range r.replicas {
+			replica.State = Gone
 		}
 	}
-	for _, in := range e.Endpoints {
-		r.updateEndpoint(in)
+	for _, endpoint := range event.Endpoints {
+		r.updateEndpoint(endpoint)
 	}
-	r.replicas = slices.DeleteFunc(r.replicas, func(s *replica) bool {
-		if s.State != Gone || len(s.pending) > 0 || s.streams > 0 {
+	r.replicas = slices.DeleteFunc(r.replicas, func(replica *replica) bool {
+		if replica.State != Gone || len(replica.pending) > 0 || replica.streams > 0 {
 			return false
 		}
-		delete(r.byID, s.ID)
+		delete(r.byID, replica.ID)
 		return true
 	})
 	r.updateActive()
 }
 
-func (r *Router) updateEndpoint(in Endpoint) {
-	s := r.byID[in.ID]
-	if s == nil {
-		if in.State == Gone {
+// updateEndpoint takes one entry of the endpoint list. A new start of the replica's process resets what was learned.
+func (r *Router) updateEndpoint(endpoint Endpoint) {
+	replica := r.byID[endpoint.ID]
+	if replica == nil {
+		if endpoint.State == Gone {
 			return
 		}
-		s = &replica{Endpoint: in}
-		s.resetStats(r)
-		r.byID[in.ID] = s
-		at, _ := slices.BinarySearchFunc(r.replicas, in.ID, func(s *replica, id EndpointID) int {
-			return cmp.Compare(s.ID, id)
-		})
-		r.replicas = slices.Insert(r.replicas, at, s)
+		replica = r.addReplica(endpoint)
 	}
-	if in.Started != s.Started || in.State == Gone {
-		s.resetStats(r)
+	if endpoint.Started != replica.Started || endpoint.State == Gone {
+		replica.resetStats(r)
 	}
-	s.Endpoint = in
-	s.cell = getOrCreate(r.cells, in.Cell)
-	if in.Kind >= 0 && in.Kind < len(r.cfg.Kinds) {
-		s.role = r.cfg.Kinds[in.Kind].Role
+	replica.Endpoint = endpoint
+	replica.cell = getOrCreate(r.cells, endpoint.Cell)
+	if endpoint.Kind >= 0 && endpoint.Kind < len(r.cfg.Kinds) {
+		replica.role = r.cfg.Kinds[endpoint.Kind].Role
 	}
-	if !(s.Weight > 0) {
-		s.Weight = 1
+	if !(replica.Weight > 0) { // NaN too
+		replica.Weight = 1
 	}
 }
 
-// resetStats drops what was learnt of a server's last process: what it kept is void, its failures are not
-// the new one's.
-func (s *replica) resetStats(r *Router) {
-	s.cacheValidFrom, s.fullUntil, s.reportedMemory, s.reportedBacklog = r.now, 0, -1, -1
-	s.queueDelay, s.firstTokenDelay, s.slowStartCredit = decayedMean{timeConstant: modelTimeConstant}, decayedMean{timeConstant: decodeWaitTimeConstant}, r.rng.Float64()
-	s.health = slices.Repeat([]ewma{{timeConstant: healthTimeConstant}}, 1+len(r.cfg.Classes))
-}
-
-// sumCapacity sums up the cells for a decision about a class, in two passes over the servers.
-func (r *Router) sumCapacity(class int) {
-	none := cell{minDecodeWait: math.Inf(1)}
-	for _, s := range r.active {
-		*s.cell = none
-	}
-	r.total = none
-	r.prefillModel.solve(r.now)
-	r.decodeModel.solve(r.now)
-	for _, s := range r.active {
-		weight := r.effectiveWeight(s)
-		if s.role == Prefill && s.State == Ready {
-			s.cell.readyPrefillCapacity += weight
-			r.total.readyPrefillCapacity += weight
-		}
-		if !r.healthy(s, class) {
-			continue
-		}
-		if s.role == Prefill {
-			s.cell.prefillCapacity += weight
-			r.total.prefillCapacity += weight
-			continue
-		}
-		s.cell.decodeCapacity += weight
-		r.total.decodeCapacity += weight
-		w := r.decodeWait(s)
-		s.cell.minDecodeWait, r.total.minDecodeWait = min(s.cell.minDecodeWait, w), min(r.total.minDecodeWait, w)
-	}
-	if r.toggleFallback() {
-		r.sumCapacity(class)
-	}
-}
-
-// cellPreference weighs a cell's readers by what its writers bear; room is the part of its readers' states that
-// its writers can then take if all servers are used evenly. Few of a cell's servers are ever seen busy
-// by one router among many, so the list must tell that a cell has too few writers. It could do harm
-// where weights in the list mean nothing.
-func (r *Router) cellPreference(c *cell) (pull, room float64) {
-	bears := math.Inf(1)
-	if c.prefillCapacity > 0 && r.total.decodeCapacity > 0 {
-		bears = c.decodeCapacity / r.total.decodeCapacity * r.total.prefillCapacity / c.prefillCapacity
-	}
-	pull = clamp(bears, minCellPreference, 1)
-	return pull, bears / pull
+// addReplica adds a replica of which nothing is known, in order of ID.
+func (r *Router) addReplica(endpoint Endpoint) *replica {
+	added := &replica{Endpoint: endpoint}
+	added.resetStats(r)
+	r.byID[added.ID] = added
+	at, _ := slices.BinarySearchFunc(r.replicas, added.ID, func(other *replica, id EndpointID) int {
+		return cmp.Compare(other.ID, id)
+	})
+	r.replicas = slices.Insert(r.replicas, at, added)
+	return added
 }
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -1,101 +1,60 @@
 package routing
 
-// Estimates: what a read or a wait at a server will take.
-
-import (
-	"math"
-)
-
-// expectedCachedTokens is how many of the prompt's tokens are expected to be kept at the reader: by the table, and
-// where the reader is a home of the shared beginning, by what other routers will have sent there.
-func (r *Router) expectedCachedTokens(s *replica, q *request, home bool) int {
-	most := 0.0
-	look := func(key Key, limit int) {
-		if t := r.prefixCache[key]; t != nil && t.endpoint == s.ID && t.updatedAt >= s.cacheValidFrom {
-			most = max(most, decay(r.now-t.updatedAt, prefixCacheTimeConstant)*float64(min(t.tokens, limit)))
-		}
-	}
-	look(q.Session, q.PromptTokens) // the table holds no key 0
-	look(q.SharedPrefix, q.SharedPrefixTokens)
-	if home {
-		most = max(most, float64(min(q.SharedPrefixTokens, q.PromptTokens)))
-	}
-	return int(most * r.cacheHitRatio.mean(r.now, 1, priorWeight))
+import "math"
+
+// prefillEstimate returns the estimated queue delay and prefill time at one prefill replica, in ms; their sum is the
+// estimated time to first token of the paper. The queue delay is what own pending prefills or load reports say, plus
+// the delay that was common to all prefill replicas recently, plus this replica's difference from it. A replica in
+// slow start gets less than its share, so that the common delay does not exist there.
+func (r *Router) prefillEstimate(replica *replica, cachedTokens int, req *request) (queueDelayMS, prefillMS float64) {
+	coefficients := &r.prefillModel.coefficients
+	uncachedKiloTokens := float64(max(0, req.PromptTokens-cachedTokens)) / 1000
+	ramp := r.rampFraction(replica)
+	commonMS := max(coefficients[baseInput]-initialPrefillBaseMS, 0) // a wait that the model takes for a cost
+	prefillMS = (coefficients[baseInput] + coefficients[kiloTokensInput]*uncachedKiloTokens - commonMS) / ramp
+	if r.cfg.CanPollLoad && r.loadFresh(replica) {
+		perRequestMS := r.perQueuedRequest.mean(r.now, initialPerQueuedRequestMS, priorSamples)
+		return replica.reportedQueue*perRequestMS/ramp + r.overdueMS(replica), prefillMS
+	}
+	queueDelayMS = coefficients[aheadInput] * float64(len(replica.pending))
+	if replica.reportedBacklog >= 0 {
+		queueDelayMS = replica.reportedBacklog * coefficients[kiloTokensInput]
+	}
+	queueDelayMS += commonMS + r.commonQueueDelay.mean(r.now, 0, commonDelayPriorSamples)
+	queueDelayMS = max(queueDelayMS+replica.queueDelay.mean(r.now, 0, priorSamples), 0) + r.overdueMS(replica)
+	return queueDelayMS, prefillMS
 }
 
-// prefixReplicas is how many readers should keep the request's shared beginning, by its part of what arrives,
-// in steps that routers with somewhat different counts still agree on.
-func (r *Router) prefixReplicas(q *request) float64 {
-	part := 0.0
-	if t := r.prefixCache[q.SharedPrefix]; t != nil {
-		part = max(t.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorWeight)
-	}
-	return math.Exp2(math.Floor(math.Log2(1 + part*float64(r.maxReady[Prefill])/maxPrefixShare)))
-}
-
-const notPrefixReplica = 1e6 // a rank past those of all homes
-
-// rendezvousRank orders the readers for a request's keys alike at all routers, so that texts are found kept
-// without a word between them: among the homes of the shared beginning by the session, then the rest.
-// It could do harm where one text asks for more than its homes can read before its part is known.
-func (r *Router) rendezvousRank(s *replica, q *request, homes float64) float64 {
-	pull, _ := r.cellPreference(s.cell)
-	weight := r.effectiveWeight(s) * pull
-	if q.SharedPrefix != 0 {
-		if x := exponentialDraw(q.SharedPrefix, s.ID) / weight * float64(r.maxReady[Prefill]) / homes; x > 1 {
-			return notPrefixReplica + x
-		}
-	}
-	return exponentialDraw(q.Session, s.ID) / weight
-}
-
-// overdueBy is how far the oldest attempt out at the server has overstayed, in ms. It guards against
-// silent and slowed servers before any time-out fires.
-func (r *Router) overdueBy(s *replica) float64 {
-	if len(s.pending) == 0 {
+// overdueMS returns by how much the oldest pending attempt at a replica is overdue, in ms. It protects against silent
+// and slowed replicas before a timeout fires.
+func (r *Router) overdueMS(replica *replica) float64 {
+	if len(replica.pending) == 0 {
 		return 0
 	}
-	return max(toMS(r.now-s.pending[0].expectedBy), 0)
-}
-
-// prefillEstimate is the design's estimate for one reader, in ms. Its queue wait is what own reads or
-// reports tell, the wait common to all readers of late, and how far this one's reads lay from that. A
-// cold server gets less than its part, so the common wait is not there.
-func (r *Router) prefillEstimate(s *replica, kept int, q *request) (queue, cost float64) {
-	missed := float64(max(0, q.PromptTokens-kept)) / 1000
-	queue = r.prefillModel.coefficients[2] * float64(len(s.pending))
-	if s.reportedBacklog >= 0 {
-		queue = s.reportedBacklog * r.prefillModel.coefficients[1]
-	}
-	warmth := r.rampFraction(s)
-	common := max(r.prefillModel.coefficients[0]-initialPrefillBase, 0)
-	cost = r.prefillModel.coefficients[0] + r.prefillModel.coefficients[1]*missed - common
-	if r.cfg.CanPollLoad && r.now-s.loadReportedAt <= loadMaxAge {
-		return s.reportedQueue*r.perQueuedRequest.mean(r.now, initialPerQueuedRequest, priorWeight)/warmth + r.overdueBy(s), cost / warmth
-	}
-	queue += common + r.commonQueueDelay.mean(r.now, 0, commonDelayPriorWeight)
-	queue = max(queue+s.queueDelay.mean(r.now, 0, priorWeight), 0) + r.overdueBy(s)
-	return queue, cost / warmth
+	return max(toMS(r.now-replica.pending[0].expectedBy), 0)
 }
 
-// decodeWait is what a writer adds to the estimate: nothing unless it is near full by its report, by
-// having turned us away, or by the first tokens that we wait for there.
-func (r *Router) decodeWait(s *replica) float64 {
-	w := s.firstTokenDelay.mean(r.now, 0, priorWeight)
-	if len(s.pending) > 0 {
-		w = max(w, toMS(r.now-s.pending[0].sentAt), r.decodeModel.predict([3]float64{1, 0, float64(len(s.pending))}))
+// decodeWaitMS returns what a decode replica adds to the estimate, in ms: nothing unless it is nearly full by its load
+// report, by a QueueFull, or by the first tokens that are awaited there.
+func (r *Router) decodeWaitMS(replica *replica) float64 {
+	waitMS := replica.firstTokenDelay.mean(r.now, 0, priorSamples)
+	if len(replica.pending) > 0 {
+		predictedMS := r.decodeModel.predict(latencyInputs{1, 0, float64(len(replica.pending))})
+		waitMS = max(waitMS, toMS(r.now-replica.pending[0].sentAt), predictedMS)
 	}
-	if r.now < s.fullUntil || w > nearFullWait || s.reportedMemory > nearFullMemory && r.loadKnown(s) {
-		return max(w, toMS(s.fullUntil-r.now))
+	nearFullByReport := replica.reportedMemory > nearFullMemoryFraction && r.loadKnown(replica)
+	if r.now < replica.fullUntil || waitMS > nearFullWaitMS || nearFullByReport {
+		return max(waitMS, toMS(replica.fullUntil-r.now))
 	}
 	return 0
 }
 
-// cellDecodeWait is the least wait among the writers of a reader's cell, else among all.
-func (r *Router) cellDecodeWait(c *cell) float64 {
-	w := min(c.minDecodeWait, r.total.minDecodeWait+nearFullWait)
-	if math.IsInf(w, 1) {
+// cellDecodeWaitMS returns the least wait among the decode replicas of a prefill replica's cell, or among all if those
+// of the cell wait for longer by nearFullWaitMS.
+func (r *Router) cellDecodeWaitMS(c *cellCapacity) float64 {
+	waitMS := min(c.minDecodeWaitMS, r.totalCapacity.minDecodeWaitMS+nearFullWaitMS)
+	if math.IsInf(waitMS, 1) {
 		return 0
 	}
-	return w
+	return waitMS
 }
--- /dev/null
+++ b/routing/loadpoll.go
@@ -0,0 +1,129 @@
+package routing
+
+// pollLoads polls the prefill replicas of the lowest rendezvous ranks, or some replicas that decode in the prefill
+// replica's cell, for their load, and reports whether the request has to wait for the answers. Ranks keep a request
+// where its prefix is cached, at all routers alike; loads tell which of these few replicas is overloaded (the power of
+// two choices). A router that sees enough prefills of each replica does not poll.
+func (r *Router) pollLoads(req *request) bool {
+	if !r.cfg.CanPollLoad || req.pollCandidates != nil || r.samplesPerReplica() >= minSamplesPerReplica {
+		return false
+	}
+	r.sumCapacity(req.Class)
+	replicaCount, origin := r.prefixReplicaCount(req), r.byID[req.prefillEndpoint]
+	r.candidates = r.candidates[:0]
+	for _, replica := range r.active {
+		rank, ok := r.pollRank(replica, req, replicaCount, origin)
+		if ok && r.healthy(replica, req.Class) {
+			r.candidates = append(r.candidates, candidate{replica: replica, rank: rank})
+		}
+	}
+	for _, c := range r.withinPollBudget(lowestRanked(r.candidates, pollCandidateCount)) {
+		req.pollCandidates = append(req.pollCandidates, c.ID)
+		if r.loadFresh(c.replica) {
+			continue
+		}
+		req.pendingPolls++
+		if c.pollWaiters = append(c.pollWaiters, req.Request); len(c.pollWaiters) == 1 {
+			r.emit(PollLoad{c.ID})
+		}
+	}
+	if req.pendingPolls > 0 {
+		r.emit(SetTimer{pollTimeout, TimerID(req.Request)})
+	}
+	return req.pendingPolls > 0
+}
+
+// pollRank returns a replica's rank among those that may be polled for a request, and whether it is one of them. It
+// always makes one random draw, whether the rank is random or not.
+func (r *Router) pollRank(replica *replica, req *request, replicaCount float64, origin *replica) (rank float64, ok bool) {
+	random := r.rng.Float64()
+	atFullCapacity := r.rampFraction(replica) == 1
+	if req.state != awaitingPrefill {
+		return random, atFullCapacity && replica.role != Prefill && origin != nil && replica.cell == origin.cell
+	}
+	if replica.role != Prefill || !atFullCapacity && replica.slowStartCredit+r.slowStartAllowance(req) < 1 {
+		return 0, false
+	}
+	return r.rendezvousRank(replica, req, replicaCount), true
+}
+
+// lowestRanked moves the count candidates of the lowest ranks, or all, to the front, in their order, and returns them.
+// It does not sort the list, which is large, for the sake of a few.
+func lowestRanked(candidates []candidate, count int) []candidate {
+	count = min(count, len(candidates))
+	for i := range count {
+		lowest := i
+		for j := i + 1; j < len(candidates); j++ {
+			if candidates[j].rank < candidates[lowest].rank {
+				lowest = j
+			}
+		}
+		candidates[i], candidates[lowest] = candidates[lowest], candidates[i]
+	}
+	return candidates[:count]
+}
+
+// loadPolled takes a replica's load, and goes on with the requests that waited for no other.
+func (r *Router) loadPolled(event LoadPolled) {
+	replica := r.byID[event.Endpoint]
+	if replica == nil {
+		return
+	}
+	if event.Load == nil || event.Load.QueuedRequests < 0 {
+		replica.health[0].update(r.now, 1, transportFailureWeight)
+	} else {
+		replica.lastResponse = r.now
+		replica.applyLoad(event.Load, r.now)
+	}
+	waiters := replica.pollWaiters
+	replica.pollWaiters = nil
+	for _, id := range waiters {
+		if req := r.requests[id]; req != nil && req.pendingPolls > 0 {
+			if req.pendingPolls--; req.pendingPolls == 0 {
+				req.selectionStart = r.now
+				r.advance(req)
+			}
+		}
+	}
+}
+
+// peerLoadReport takes what another router learned of a replica, as evidence that fades with its age. Own evidence
+// takes precedence: a router that sees enough prefills of its own knows which replicas are slow, which a load alone
+// does not tell, so a report is used only where this router would poll. It never makes a replica count as alive here:
+// the path from here may be cut although the peer's is not.
+func (r *Router) peerLoadReport(event PeerLoadReport) {
+	replica := r.byID[event.Endpoint]
+	reportedAt := r.now - event.Age
+	switch {
+	case replica == nil || event.Age < 0 || event.Age > peerLoadMaxAge:
+	case event.Load == nil || event.Load.QueuedRequests < 0:
+		if replica.lastResponse < reportedAt {
+			freshness := float64(peerLoadMaxAge-event.Age) / float64(peerLoadMaxAge)
+			replica.health[0].update(r.now, 1, peerFailureWeight*freshness)
+		}
+	case r.samplesPerReplica() < minSamplesPerReplica:
+		if reportedAt > replica.loadReportedAt {
+			replica.applyLoad(event.Load, reportedAt)
+		}
+	}
+}
+
+// loadFresh reports whether a replica's load report is recent enough for use.
+func (r *Router) loadFresh(replica *replica) bool { return r.now-replica.loadReportedAt <= loadMaxAge }
+
+// loadKnown reports whether a replica's load report may be used: where loads are not polled, reports come with
+// outcomes and the latest one counts whatever its age.
+func (r *Router) loadKnown(replica *replica) bool { return !r.cfg.CanPollLoad || r.loadFresh(replica) }
+
+// reportedQueueOf returns how many requests are ahead of a new one by a replica's load report, or 0 without one.
+func (r *Router) reportedQueueOf(replica *replica) float64 {
+	if r.loadKnown(replica) {
+		return replica.reportedQueue
+	}
+	return 0
+}
+
+// samplesPerReplica returns how many recent prefills this router has seen per prefill replica.
+func (r *Router) samplesPerReplica() float64 {
+	return r.estimateError.count(r.now) / float64(max(r.maxReady[Prefill], 1))
+}
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -2,21 +2,21 @@
 
 import (
 	"errors"
-	"math"
 	"slices"
 	"time"
 )
 
-// attemptLimit is the number of attempts in force from a time on.
+// attemptLimit is a value of Config.MaxAttempts that was in force until a time.
 type attemptLimit struct {
 	until    time.Duration
 	attempts int
 }
 
-// Reconfigure takes a new configuration while requests are open. Its classes must begin with the ones in force,
-// unchanged, so that a number means the same class for every request that is open; classes that clients may
-// no longer name stay in the list. An open request may take no more attempts than the least that was in force
-// since it came. The zone, the quotas, the kinds and the budgets stay as they were. now is the time of the change.
+// Reconfigure replaces the configuration at time now, while requests are open. The new classes must begin with the
+// ones in force, unchanged, so that an index means the same class for every open request; classes that clients may no
+// longer name stay in the list. An open request may make no more attempts than the smallest limit that was in force
+// since it arrived. The zone, the tenants' quotas, the kinds and the budgets stay as they were. An error of
+// Config.Validate or a change of the classes in force leaves the configuration as it is.
 func (r *Router) Reconfigure(now time.Duration, cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -26,39 +26,35 @@
 	}
 	r.now = max(now, r.now)
 	cfg.Zone, cfg.TenantQuotas, cfg.Kinds, cfg.Budgets = r.cfg.Zone, r.cfg.TenantQuotas, r.cfg.Kinds, r.cfg.Budgets
-	oldest := r.now
-	for _, q := range r.requests {
-		oldest = min(oldest, q.arrivedAt)
-	}
-	// What was in force before the oldest open request came binds no one any more.
-	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(t attemptLimit) bool { return t.until < oldest })
-	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
+	r.recordAttemptLimit()
 	r.cfg = cfg
-	top, low := math.Inf(-1), math.Inf(1)
-	for _, c := range cfg.Classes {
-		top, low = math.Max(top, c.Weight), math.Min(low, c.Weight)
-		r.tightestBudget = min(r.tightestBudget, toMS(c.TTFTObjective)*latencyHeadroom)
-	}
-	r.critical = r.critical[:0]
-	for _, c := range cfg.Classes {
-		r.critical = append(r.critical, c.Weight == top && top > low)
-	}
-	for _, s := range r.byID {
-		for len(s.health) < 1+len(cfg.Classes) {
-			s.health = append(s.health, ewma{timeConstant: healthTimeConstant})
+	r.updateClasses()
+	for _, replica := range r.byID {
+		for len(replica.health) < 1+len(cfg.Classes) {
+			replica.health = append(replica.health, ewma{timeConstant: healthTimeConstant})
 		}
 	}
 	return nil
 }
 
-// attempts is how many attempts a request may take: the least number in force since it came.
-func (r *Router) attempts(q *request) int {
-	n := r.cfg.MaxAttempts
-	for _, t := range r.attemptLimits {
-		// t.attempts held until t.from; the request saw it if it came before.
-		if q.arrivedAt < t.until {
-			n = min(n, t.attempts)
+// recordAttemptLimit records that the limit in force ends now, and drops those that ended before the oldest open
+// request arrived, which bind none.
+func (r *Router) recordAttemptLimit() {
+	oldest := r.now
+	for _, req := range r.requests {
+		oldest = min(oldest, req.arrivedAt)
+	}
+	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(l attemptLimit) bool { return l.until < oldest })
+	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
+}
+
+// maxAttempts returns how many attempts a request may make: the smallest limit in force since it arrived.
+func (r *Router) maxAttempts(req *request) int {
+	limit := r.cfg.MaxAttempts
+	for _, l := range r.attemptLimits {
+		if req.arrivedAt < l.until {
+			limit = min(limit, l.attempts)
 		}
 	}
-	return n
+	return limit
 }
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -1,87 +1,69 @@
 package routing
 
-// Held states. A read leaves a state at its reader, which must be taken or let go in time. The time runs
-// while no attempt is known to have reached a running server: that something was sent does not tell, only an
-// answer does.
-
 import "time"
 
-// releaseFraction is the part of Config.ReleaseWithin after which a state is let go; the rest is for the release
-// to arrive.
-const releaseFraction = 0.8
-
-// releaseTimerFlag marks the TimerIDs that look after what a request holds; the others look for a server for it.
-const releaseTimerFlag TimerID = 1 << 63
-
-// reservation is what may be held for a request at some server.
+// reservation is what may be reserved for a request at some replica: a prefill result at its prefill replica, or a
+// slot. It must be used or released within Config.ReservationTTL. The time runs while no attempt is known to have
+// reached a running replica; that an attempt was sent does not prove that, only a response does.
 type reservation struct {
-	mayExist              bool          // something may be held, and is not known to have been let go
-	since                 time.Duration // with may: when the time began to run
-	timerSet              bool          // a timer is under way
-	releasedWhileDecoding bool          // it was let go while a write was out: if that arrives later, it finds nothing
+	mayExist              bool          // something may be reserved and is not known to have been released
+	since                 time.Duration // if mayExist: when the time began to run
+	timerSet              bool          // a release timer is pending
+	releasedWhileDecoding bool          // released while a decode attempt was out, which may then find no prefill result
 }
 
-// releaseDeadline is when what is held for a request must be let go, if no attempt is known to have arrived by
-// then.
-func (r *Router) releaseDeadline(q *request) time.Duration {
-	return q.reservation.since + time.Duration(releaseFraction*float64(r.cfg.ReservationTTL))
-}
+// releaseTimerFlag marks the TimerIDs of release timers; timers without it let a request look for a replica again.
+const releaseTimerFlag TimerID = 1 << 63
 
-// reachedReplica reports whether an outcome tells that the attempt reached a running server: there was an answer.
-func (o Outcome) reachedReplica() bool {
-	switch o {
-	case Served, Errored, QueueFull, StateMissing, PrefillDone:
-		return true
-	}
-	return false
+// releaseDeadline returns when a request's reservation must be released unless an attempt is known to have arrived by
+// then.
+func (r *Router) releaseDeadline(req *request) time.Duration {
+	return req.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
 }
 
-// updateReservation takes an attempt's end. One that did not arrive leaves the time running; of one that was given up
-// or broke off nobody knows whether it did, and what it left.
-func (q *request) updateReservation(now time.Duration, o Outcome, writes bool) {
+// updateReservation takes the end of an attempt that was out in a state, prefilling or decoding. An attempt that did
+// not arrive leaves the time running. Of one that timed out or broke off it is unknown whether it arrived and what it
+// reserved.
+func (req *request) updateReservation(now time.Duration, o Outcome, during requestState) {
+	decode := during == decoding
 	switch {
-	case o == Served, o == StateMissing && writes:
-		q.reservation.mayExist = false
-	case o == PrefillDone, writes && o.reachedReplica():
-		q.reservation.mayExist, q.reservation.since = true, now
+	case o == Served, o == StateMissing && decode:
+		req.reservation.mayExist = false
+	case o == PrefillDone, decode && o.reachedReplica():
+		req.reservation.mayExist, req.reservation.since = true, now
 	case o == TimedOut || o == ConnectionReset || o == Cancelled:
-		if !q.reservation.mayExist {
-			q.reservation.mayExist, q.reservation.since = true, now
+		if !req.reservation.mayExist {
+			req.reservation.mayExist, req.reservation.since = true, now
 		}
 	}
 }
 
-// release lets go of all that is held for a request.
-func (r *Router) release(q *request, why ReleaseReason) {
-	q.reservation.mayExist = false
-	r.emit(Release{q.Request, why})
+// release releases everything that is reserved for a request.
+func (r *Router) release(req *request, why ReleaseReason) {
+	req.reservation.mayExist = false
+	r.emit(Release{req.Request, why})
 }
 
-// scheduleRelease sees to it that what may be held is let go in time, whatever becomes of the attempt that is out.
-func (r *Router) scheduleRelease(q *request) {
-	if !q.reservation.mayExist || q.reservation.timerSet {
+// scheduleRelease sets the timer by which the reservation is released in time whatever becomes of the attempt that is
+// out.
+func (r *Router) scheduleRelease(req *request) {
+	if !req.reservation.mayExist || req.reservation.timerSet {
 		return
 	}
-	q.reservation.timerSet = true
-	r.emit(SetTimer{max(r.releaseDeadline(q)-r.now, 0), TimerID(q.Request) | releaseTimerFlag})
+	req.reservation.timerSet = true
+	r.emit(SetTimer{max(r.releaseDeadline(req)-r.now, 0), TimerID(req.Request) | releaseTimerFlag})
 }
 
-// releaseIfExpired is called when the timer of watchHeld is due.
-func (r *Router) releaseIfExpired(q *request) {
-	q.reservation.timerSet = false
-	if !q.reservation.mayExist {
+// releaseIfExpired handles the timer of scheduleRelease.
+func (r *Router) releaseIfExpired(req *request) {
+	req.reservation.timerSet = false
+	if !req.reservation.mayExist {
 		return
 	}
-	if r.now < r.releaseDeadline(q) {
-		r.scheduleRelease(q)
+	if r.now < r.releaseDeadline(req) {
+		r.scheduleRelease(req)
 		return
 	}
-	r.release(q, ReservationExpired)
-	switch q.state {
-	case awaitingDecode: // without a writer yet: it has to be read anew
-		q.state, q.retrying, q.pendingPolls, q.selectionStart = awaitingPrefill, true, 0, r.now
-		r.advance(q)
-	case decoding:
-		q.reservation.releasedWhileDecoding = true
-	}
+	r.release(req, ReservationExpired)
+	r.reservationExpired(req)
 }
