--- a/routing/action.go
+++ b/routing/action.go
@@ -56,12 +56,12 @@
 
 // The values of Reason.
 const (
-	AttemptsExhausted    Reason = "no_attempt_left"
-	DeadlineExceeded     Reason = "no_time_left"
-	RetryBudgetExhausted Reason = "repeats_used_up" // the retry budget that all routers share
-	NoPrefillReplica     Reason = "no_reader"
-	NoDecodeReplica      Reason = "no_writer"
-	OverLatencyBudget    Reason = "over_budget" // the first token would be late
+	AttemptsExhausted    Reason = "attempts_exhausted"
+	DeadlineExceeded     Reason = "deadline_exceeded"
+	RetryBudgetExhausted Reason = "retry_budget_exhausted" // the retry budget that all routers share
+	NoPrefillReplica     Reason = "no_prefill_replica"
+	NoDecodeReplica      Reason = "no_decode_replica"
+	OverLatencyBudget    Reason = "over_latency_budget" // the first token would be late
 	MayHaveRun           Reason = "may_have_run"
 	UnknownClass         Reason = "unknown_class"
 )
@@ -71,9 +71,9 @@
 
 // The values of ReleaseReason.
 const (
-	AfterAnswer        ReleaseReason = "answered"
-	ClientDisconnected ReleaseReason = "client_left"
-	LateOutcome        ReleaseReason = "ended_after_the_answer"
-	BeforePrefillRetry ReleaseReason = "read_again"
-	ReservationExpired ReleaseReason = "no_word_of_the_attempt"
+	AfterAnswer        ReleaseReason = "after_answer"
+	ClientDisconnected ReleaseReason = "client_disconnected"
+	LateOutcome        ReleaseReason = "late_outcome"
+	BeforePrefillRetry ReleaseReason = "before_prefill_retry"
+	ReservationExpired ReleaseReason = "reservation_expired"
 )
