--- a/internal/app/drain.go
+++ b/internal/app/drain.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/frontend"
+	"rampspread/internal/connlimit"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // busy tells whether a request is being answered.
 func (p *program) busy() bool {
-	return slices.ContainsFunc(p.guards, (*frontend.Limiter).Busy)
+	return slices.ContainsFunc(p.guards, (*connlimit.Limiter).Busy)
 }
 
 // drain ends in good order. New connections still come for a while: they are taken, and each answer is the
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -21,6 +21,7 @@
 	"rampspread/internal/admin"
 	"rampspread/internal/chatapi"
 	"rampspread/internal/config"
+	"rampspread/internal/connlimit"
 	"rampspread/internal/discovery"
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
@@ -51,9 +52,9 @@
 	front    *frontend.Handler
 	chat     *chatapi.Handler // nil without one
 	bodies   *semaphore.Weighted
-	state    frontend.Lifecycle
+	state    connlimit.Lifecycle
 	ready    atomic.Bool // the client listeners take connections
-	guards   []*frontend.Limiter
+	guards   []*connlimit.Limiter
 	servers  []*http.Server
 	listens  []net.Listener
 	fleet    *fleet.Node                    // nil: alone
@@ -274,12 +275,12 @@
 
 // listen starts a front on its address, with room for so many connections.
 func (p *program) listen(addr string, front http.Handler, conns int, failed chan<- error) error {
-	listener, _, err := frontend.Listen(context.Background(), addr)
+	listener, _, err := connlimit.Listen(context.Background(), addr)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{}
-	guard := frontend.NewLimiter(front, p.bodies, &p.state, &p.audit)
+	guard := connlimit.NewLimiter(front, p.bodies, &p.state, &p.audit)
 	guard.Attach(server)
 	p.guards, p.servers, p.listens = append(p.guards, guard), append(p.servers, server), append(p.listens, listener)
 	guarded := guard.Listen(listener, conns, p.machine)
--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"rampspread/internal/config"
+	"rampspread/internal/connlimit"
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/frontend"
@@ -140,7 +141,7 @@
 
 // complete is the whole path of one request.
 func (f *Handler) complete(w http.ResponseWriter, r *http.Request) {
-	j, e := f.read(w, r, frontend.ArrivedAt(r, time.Now()))
+	j, e := f.read(w, r, connlimit.ArrivedAt(r, time.Now()))
 	if e != nil {
 		f.reject(w, e)
 		return
@@ -201,7 +202,7 @@
 
 // read checks a request and says what the core is to decide by.
 func (f *Handler) read(w http.ResponseWriter, r *http.Request, at time.Time) (*job, *apiError) {
-	body, status, err := frontend.ReadBody(w, r)
+	body, status, err := connlimit.ReadBody(w, r)
 	if err != nil {
 		return nil, invalid(status, "invalid_body", "body: %v", err)
 	}
@@ -219,7 +220,7 @@
 		filing: f.classes[class].Idempotency != routing.Idempotent}
 	j.req = dispatch.Request{Class: class, Call: dispatch.Call{ID: hex.EncodeToString(id), Method: http.MethodPost,
 		Target: path, ContentType: "application/json", Body: out}}
-	j.req.ClientGone = frontend.ClientGoneFunc(r)
+	j.req.ClientGone = connlimit.ClientGoneFunc(r)
 	a.fill(&j.req, f.config.MaxTokens, frontend.HashKey)
 	// The class's deadline grows by twice what its aim grows for a long prompt.
 	wait := config.FromMS(f.settings.Classes[class].HardLimitMs) +
--- a/internal/frontend/conn.go
+++ b/internal/connlimit/clientconn.go
@@ -1,4 +1,4 @@
-package frontend
+package connlimit
 
 import (
 	"bytes"
--- a/internal/frontend/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,4 +1,5 @@
-package frontend
+// Package connlimit limits the client connections of an HTTP server.
+package connlimit
 
 import (
 	"context"
--- a/internal/frontend/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -1,29 +1,27 @@
-package frontend_test
+package connlimit_test
 
 import (
 	"bufio"
 	"context"
-	"errors"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"golang.org/x/sync/semaphore"
 
-	"rampspread/internal/frontend"
+	"rampspread/internal/connlimit"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 )
 
 const room = 4 // connections
 
-func guarded(t *testing.T, bytes int64, state *frontend.Lifecycle, next http.HandlerFunc) (*frontend.Limiter, *httptest.Server) {
-	g := frontend.NewLimiter(next, semaphore.NewWeighted(bytes), state, nil)
+func guarded(t *testing.T, bytes int64, state *connlimit.Lifecycle, next http.HandlerFunc) (*connlimit.Limiter, *httptest.Server) {
+	g := connlimit.NewLimiter(next, semaphore.NewWeighted(bytes), state, nil)
 	s := httptest.NewUnstartedServer(nil)
 	g.Attach(s.Config)
 	s.Listener = g.Listen(s.Listener, room, system.Real())
@@ -33,7 +31,7 @@
 }
 
 func TestBadHeadsAreCounted(t *testing.T) {
-	g, s := guarded(t, 1<<20, new(frontend.Lifecycle), func(http.ResponseWriter, *http.Request) {})
+	g, s := guarded(t, 1<<20, new(connlimit.Lifecycle), func(http.ResponseWriter, *http.Request) {})
 	for _, text := range []string{"GARBAGE\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nHost x\r\n\r\n"} {
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
 		if err != nil {
@@ -57,8 +55,8 @@
 // takes no room.
 func TestBodiesAreBounded(t *testing.T) {
 	in, let := make(chan bool), make(chan bool)
-	g, s := guarded(t, 10, new(frontend.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
-		if _, status, err := frontend.ReadBody(w, r); err != nil {
+	g, s := guarded(t, 10, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+		if _, status, err := connlimit.ReadBody(w, r); err != nil {
 			w.WriteHeader(status)
 			return
 		}
@@ -95,7 +93,7 @@
 }
 
 func TestDrainingEndsConnections(t *testing.T) {
-	var state frontend.Lifecycle
+	var state connlimit.Lifecycle
 	_, s := guarded(t, 10, &state, func(http.ResponseWriter, *http.Request) {})
 	for _, want := range []bool{false, true} {
 		state.Stopping.Store(want)
@@ -116,7 +114,7 @@
 // The operator's drain says no to GET /healthz, ends each connection with its answer, and closes those that
 // are idle or quiet, but none with an open request; after it, healthz says yes again.
 func TestHeldFrontSendsClientsAway(t *testing.T) {
-	var state frontend.Lifecycle
+	var state connlimit.Lifecycle
 	in, let := make(chan bool), make(chan bool)
 	g, s := guarded(t, 1<<20, &state, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
@@ -182,12 +180,12 @@
 
 // Two listeners share one address, as a process and the one that replaces it do.
 func TestListenersShareAnAddress(t *testing.T) {
-	first, shared, err := frontend.Listen(context.Background(), "127.0.0.1:0")
+	first, shared, err := connlimit.Listen(context.Background(), "127.0.0.1:0")
 	if err != nil || !shared {
 		t.Fatalf("%v, shared %t", err, shared)
 	}
 	defer first.Close()
-	second, shared, err := frontend.Listen(context.Background(), first.Addr().String())
+	second, shared, err := connlimit.Listen(context.Background(), first.Addr().String())
 	if err != nil || !shared {
 		t.Fatalf("the second: %v, shared %t", err, shared)
 	}
@@ -198,8 +196,8 @@
 // of them costs an open request its connection.
 func TestRoomIsMade(t *testing.T) {
 	in, let := make(chan bool), make(chan bool)
-	g, s := guarded(t, 1<<20, new(frontend.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
-		if _, _, err := frontend.ReadBody(w, r); err == nil && r.URL.Path == "/held" {
+	g, s := guarded(t, 1<<20, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+		if _, _, err := connlimit.ReadBody(w, r); err == nil && r.URL.Path == "/held" {
 			in <- true
 			<-let
 		}
@@ -249,7 +247,7 @@
 		"Content-Length: -2\r\n\r\n":                                        "400",
 		"Content-Length: 2\r\nContent-Length: 3\r\n\r\n":                    "400",
 	} {
-		g, s := guarded(t, 1<<20, new(frontend.Lifecycle), func(_ http.ResponseWriter, r *http.Request) {
+		g, s := guarded(t, 1<<20, new(connlimit.Lifecycle), func(_ http.ResponseWriter, r *http.Request) {
 			t.Errorf("%q: %s reached the handler", head, r.URL)
 		})
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -266,34 +264,11 @@
 	}
 }
 
-// A client that sends half a request, or half a head, is let go in time, also where the head alone is bad.
-func TestHalfARequest(t *testing.T) {
-	_, front, _ := serve(t, testkit.Read, testkit.Write("a"))
-	_, s := guarded(t, 1<<20, new(frontend.Lifecycle), front.ServeHTTP)
-	texts := []string{"", "POST /v1/chat/comp", "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n{"}
-	var conns []net.Conn
-	for _, text := range texts {
-		conn, err := net.Dial("tcp", s.Listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(20 * time.Second))
-		io.WriteString(conn, text)
-		conns = append(conns, conn)
-	}
-	for i, conn := range conns {
-		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: still open", texts[i])
-		}
-	}
-}
-
 // When room is needed, a client that is slowly writing its request keeps its connection, and those that have
 // sent nothing for longer give way first.
 func TestSlowWriterKeepsItsRoom(t *testing.T) {
-	_, s := guarded(t, 1<<20, new(frontend.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
-		frontend.ReadBody(w, r)
+	_, s := guarded(t, 1<<20, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+		connlimit.ReadBody(w, r)
 	})
 	addr := s.Listener.Addr().String()
 	slow, err := net.Dial("tcp", addr)
--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -6,66 +6,18 @@
 	"net"
 	"net/http"
 	"os"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"golang.org/x/sync/semaphore"
 
+	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 )
 
-// acceptErrors are those that accept(2) documents for a connection or a moment, not for the listening socket.
-var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-	syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
-	syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT}
-
-// failing is a listener whose first accepts fail, one for each error.
-type failing struct {
-	net.Listener
-	failed atomic.Int64
-}
-
-func (l *failing) Accept() (net.Conn, error) {
-	if n := l.failed.Add(1) - 1; int(n) < len(acceptErrors) {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", acceptErrors[n])}
-	}
-	return l.Listener.Accept()
-}
-
-// An accept that fails ends nothing: the client that comes next is served.
-func TestAcceptErrorsEndNothing(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	g := frontend.NewLimiter(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), semaphore.NewWeighted(1), new(frontend.Lifecycle), nil)
-	s := &http.Server{}
-	g.Attach(s)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(g.Listen(&failing{Listener: l}, room, system.Real())) }()
-	defer s.Close()
-	answered := make(chan error, 1)
-	go func() {
-		resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
-		if err == nil {
-			resp.Body.Close()
-		}
-		answered <- err
-	}()
-	select {
-	case err := <-ended:
-		t.Fatalf("serving ended with %v", err)
-	case err := <-answered:
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
-}
-
 // stalled is a listener whose accepts fail for a time.
 type stalled struct {
 	net.Listener
@@ -91,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := frontend.NewLimiter(frontend.New(f.Core, f.Settings, classes), semaphore.NewWeighted(1<<20), new(frontend.Lifecycle), nil)
+	g := connlimit.NewLimiter(frontend.New(f.Core, f.Settings, classes), semaphore.NewWeighted(1<<20), new(connlimit.Lifecycle), nil)
 	s := &http.Server{}
 	g.Attach(s)
 	asked := time.Now()
--- a/internal/frontend/chunked_test.go
+++ b/internal/frontend/chunked_test.go
@@ -10,16 +10,16 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/frontend"
+	"rampspread/internal/connlimit"
 	"rampspread/internal/testkit"
 )
 
 const chunkedHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: %s\r\nX-Qos: frage\r\n" +
 	"X-Expires-In: 30000m\r\nX-Props: " + props + "\r\nTransfer-Encoding: chunked\r\n"
 
-func chunkedServer(t *testing.T) (*testkit.Fleet, *frontend.Limiter, string) {
+func chunkedServer(t *testing.T) (*testkit.Fleet, *connlimit.Limiter, string) {
 	fleet, front, _ := serve(t, testkit.Read, testkit.Write("a"))
-	g, s := guarded(t, 1<<20, new(frontend.Lifecycle), front.ServeHTTP)
+	g, s := guarded(t, 1<<20, new(connlimit.Lifecycle), front.ServeHTTP)
 	return fleet, g, s.Listener.Addr().String()
 }
 
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -9,8 +9,8 @@
 	"regexp"
 	"strings"
 	"testing"
-	"time"
 
+	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
 	"rampspread/internal/testkit"
 )
@@ -72,44 +72,6 @@
 	testkit.CheckGolden(t, *update, "answers.golden", all.String())
 }
 
-// The answers while an operator drains, or the process ends.
-func TestGoldenGuard(t *testing.T) {
-	next := func(w http.ResponseWriter, r *http.Request) {
-		if _, status, err := frontend.ReadBody(w, r); err != nil {
-			http.Error(w, err.Error(), status)
-		}
-	}
-	var all strings.Builder
-	for _, c := range []struct {
-		name, method, path string
-		set                func(*frontend.Lifecycle)
-	}{
-		{"health while serving", http.MethodGet, "/healthz", func(*frontend.Lifecycle) {}},
-		{"health while draining", http.MethodGet, "/healthz", func(s *frontend.Lifecycle) { s.Drain.Begin(time.Now()) }},
-		{"health while stopping", http.MethodGet, "/healthz", func(s *frontend.Lifecycle) { s.Stopping.Store(true) }},
-		{"a call too late before the end", http.MethodPost, "/", func(s *frontend.Lifecycle) { s.Stopping.Store(true); s.RejectNew.Store(true) }},
-		{"a call long after a drain began", http.MethodPost, "/", func(s *frontend.Lifecycle) { s.Drain.Begin(time.Now().Add(-time.Hour)) }},
-	} {
-		state := &frontend.Lifecycle{}
-		c.set(state)
-		_, server := guarded(t, 1<<20, state, next)
-		body := io.Reader(http.NoBody)
-		if c.method == http.MethodPost {
-			body = strings.NewReader("{}")
-		}
-		r, err := http.NewRequest(c.method, server.URL+c.path, body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, text, err := do(t, r)
-		if err != nil {
-			t.Errorf("%s: %v", c.name, err)
-		}
-		fmt.Fprintf(&all, "# %s\n%sclose: %t\n\n", c.name, testkit.DumpResponse(resp, text), resp.Close)
-	}
-	testkit.CheckGolden(t, *update, "guard.golden", all.String())
-}
-
 // A text's number is the same at each dispatcher, of whatever version.
 func TestGoldenKey(t *testing.T) {
 	for text, want := range map[string]uint64{"text-1": 0x9273b224f1973628, "": 0} {
@@ -138,8 +100,8 @@
 	}
 	fmt.Fprintf(&all, "# the id of an open request\n%s\n", testkit.DumpResponse(resp, text))
 
-	_, server := guarded(t, 1, &frontend.Lifecycle{}, func(w http.ResponseWriter, r *http.Request) {
-		if _, status, err := frontend.ReadBody(w, r); err != nil {
+	_, server := guarded(t, 1, &connlimit.Lifecycle{}, func(w http.ResponseWriter, r *http.Request) {
+		if _, status, err := connlimit.ReadBody(w, r); err != nil {
 			http.Error(w, err.Error(), status)
 		}
 	})
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -9,7 +9,6 @@
 	"io"
 	"math"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"sync"
@@ -17,14 +16,13 @@
 	"time"
 
 	"rampspread/internal/config"
+	"rampspread/internal/connlimit"
 	"rampspread/internal/dispatch"
-	"rampspread/internal/precondition"
 	"rampspread/internal/state/inflight"
 	"rampspread/routing"
 )
 
 const (
-	maxBody = 256 << 10
 	// A client that takes nothing for so long has stalled; it holds a replica's stream.
 	writeWait = 10 * time.Second
 	// The answer leaves this long before the client gives up, so that it is there in time.
@@ -76,7 +74,7 @@
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	req, status, err := f.read(w, r, ArrivedAt(r, time.Now()))
+	req, status, err := f.read(w, r, connlimit.ArrivedAt(r, time.Now()))
 	if err != nil {
 		f.bad.Add(1)
 		http.Error(w, err.Error(), status)
@@ -176,45 +174,15 @@
 	if err := props(&req, h.Get("X-Props")); err != nil {
 		return fail(http.StatusBadRequest, "X-Props: %v", err)
 	}
-	body, status, err := ReadBody(w, r)
+	body, status, err := connlimit.ReadBody(w, r)
 	if err != nil {
 		return fail(status, "body: %v", err)
 	}
-	req.ClientGone = ClientGoneFunc(r)
+	req.ClientGone = connlimit.ClientGoneFunc(r)
 	req.Call = dispatch.Call{ID: id, Method: r.Method, Target: r.URL.RequestURI(), ContentType: h.Get("Content-Type"), Body: body}
 	return req, 0, nil
 }
 
-// ReadBody reads a request's whole body within the limits; the status goes with the error. The server's time
-// limit for a request's last byte ends with it, or it would end the connection while the answer is out.
-// After an error it stays, since what is left of the body is then read before the error is answered.
-func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, int, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
-	if err == nil {
-		http.NewResponseController(w).SetReadDeadline(time.Time{})
-	}
-	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.Is(err, errTooMuch):
-		w.Header().Set("Retry-After", "1")
-		return nil, http.StatusServiceUnavailable, err
-	case errors.Is(err, os.ErrDeadlineExceeded) && sentAway(r):
-		w.Header().Set("Retry-After", "0")
-		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", precondition.Draining)
-	case errors.As(err, &tooLarge):
-		return nil, http.StatusRequestEntityTooLarge, err
-	case err != nil:
-		return nil, http.StatusBadRequest, fmt.Errorf("cut short: %w", err)
-	case len(body) == 0:
-		return nil, http.StatusBadRequest, errors.New("empty")
-	}
-	if why := take(r); why != precondition.Allowed {
-		w.Header().Set("Retry-After", "0")
-		return nil, http.StatusServiceUnavailable, fmt.Errorf("not taken: %v", why)
-	}
-	return body, 0, nil
-}
-
 // validID tells whether an id is one that may stand in a path and a header.
 func validID(id string) bool {
 	if id == "" || len(id) > 64 {
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -114,13 +114,13 @@
 		{"routing/reservation.go", "	if !q.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
 	},
 	"a drain that goes on taking requests": {
-		{"internal/frontend/drain.go", "return d.lasted(now) < drainTakes", "return true"},
-		{"internal/frontend/conn.go", "!h.fresh && h.guard.state.Drain.Active()", "false"},
-		{"internal/frontend/limiter.go", "	if held || g.state.Stopping.Load() {", "	if g.state.Stopping.Load() {"},
+		{"internal/connlimit/drain.go", "return d.lasted(now) < drainTakes", "return true"},
+		{"internal/connlimit/clientconn.go", "!h.fresh && h.guard.state.Drain.Active()", "false"},
+		{"internal/connlimit/limiter.go", "	if held || g.state.Stopping.Load() {", "	if g.state.Stopping.Load() {"},
 		{"internal/app/hold.go", "			g.DrainConnections()\n", "			_ = g\n"},
 	},
 	"a close over a read request": {
-		{"internal/frontend/limiter.go", "		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}",
+		{"internal/connlimit/limiter.go", "		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}",
 			"		if cause == precondition.AtShutdown && !k.idle {\n			g.drop(c)\n			c.Close()\n			continue\n		}\n		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}"},
 	},
 }
