--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -18,10 +18,10 @@
 func TestRoomIsNotMadeOfWhatHasBeenRead(t *testing.T) {
 	h, c := pair(t)
 	g := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
-	h.guard = g
+	h.limiter = g
 	g.Attach(&http.Server{})
-	k := &conn{guard: g, since: time.Now().Add(-time.Hour)}
-	g.conns = map[net.Conn]*conn{h: k}
+	k := &trackedConn{limiter: g, quietSince: time.Now().Add(-time.Hour)}
+	g.conns = map[net.Conn]*trackedConn{h: k}
 	if _, err := c.Write([]byte(asks)); err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 	if err != nil || string(buf[:n]) != asks {
 		t.Fatalf("read %q, %v", buf[:n], err)
 	}
-	time.Sleep(silentFor + 10*time.Millisecond) // the process is held up
-	if g.makeRoom(1) || k.closed {
+	time.Sleep(evictSilentAfter + 10*time.Millisecond) // the process is held up
+	if g.ensureCapacity(1) || k.state == connEvicted {
 		t.Fatal("closed with a request read and no answer given")
 	}
 }
@@ -74,7 +74,7 @@
 		defer g.mu.Unlock()
 		open := 0
 		for _, k := range g.conns {
-			if k.open {
+			if k.state.handling() {
 				open++
 			}
 		}
@@ -101,7 +101,7 @@
 	if _, err := h.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	last := lastByte(h, before)
+	last := lastByteAt(h, before)
 	if last == last.Round(0) { // which strips the monotonic reading
 		t.Fatalf("%v has no monotonic reading", last)
 	}
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -50,7 +50,7 @@
 	if ends {
 		cause = precondition.AtShutdown
 	}
-	return h.closeIf(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
+	return h.closeIfAllowed(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
 }
 
 // A resting connection is closed only while nothing has come on it: bytes that were read and are no whole request yet keep it, and so do
@@ -58,13 +58,13 @@
 func TestCloseCrossesNoRequest(t *testing.T) {
 	come := func(t *testing.T, h *clientConn, c net.Conn) {
 		io.WriteString(c, "POST")
-		testkit.Eventually(t, "the bytes", func() bool { bytes, _ := h.peek(); return bytes })
+		testkit.Eventually(t, "the bytes", func() bool { bytes, _ := h.pollSocket(); return bytes })
 	}
 	for over, want := range map[bool]string{false: "POST", true: ""} {
 		t.Run(fmt.Sprintf("bytes wait in the socket, over them %t", over), func(t *testing.T) {
 			h, c := pair(t)
 			come(t, h, c)
-			h.waits = true // a Read has begun, and has not come to its system call
+			h.awaitingBytes = true // a Read has begun, and has not come to its system call
 			if closeResting(h, over) != over {
 				t.Fatalf("closed over unread bytes %t", !over)
 			}
@@ -77,7 +77,7 @@
 		h, c := pair(t)
 		come(t, h, c)
 		h.Read(make([]byte, 8))
-		h.waits = true // for the rest
+		h.awaitingBytes = true // for the rest
 		if closeResting(h, true) {
 			t.Fatal("closed over half a request")
 		}
@@ -108,8 +108,8 @@
 	t.Run("the process ends", func(t *testing.T) {
 		h, c := pair(t)
 		come(t, h, c)
-		h.guard.state.Closing.Store(true)
-		h.setResting(true)
+		h.limiter.lifecycle.Closing.Store(true)
+		h.endRequest()
 		if n, err := h.Read(make([]byte, 8)); n != 0 || err == nil {
 			t.Fatalf("read %d bytes, %v", n, err)
 		}
@@ -118,8 +118,8 @@
 		h, c := pair(t)
 		come(t, h, c)
 		c.Close()
-		testkit.Eventually(t, "the client's close", func() bool { _, over := h.peek(); return over })
-		h.waits = true
+		testkit.Eventually(t, "the client's close", func() bool { _, over := h.pollSocket(); return over })
+		h.awaitingBytes = true
 		if !closeResting(h, false) {
 			t.Fatal("kept for a client that has gone")
 		}
@@ -209,13 +209,13 @@
 // others end: the drain waits for it.
 func TestLingeringIsCountedOnce(t *testing.T) {
 	g := NewLimiter(nil, nil, new(Lifecycle), nil)
-	g.lingers.Store(2)
+	g.maxLingering.Store(2)
 	var all sync.WaitGroup
 	for range 16 {
 		all.Go(func() {
 			for range 50000 {
-				if g.linger() {
-					g.lingering.Add(-1)
+				if g.beginLingering() {
+					g.endLingering()
 				}
 			}
 		})
@@ -272,9 +272,9 @@
 	for _, waits := range []bool{true, false} {
 		h, client := pair(t)
 		h.mu.Lock()
-		h.fresh, h.waits = true, waits
+		h.partialRequest, h.awaitingBytes = true, waits
 		h.mu.Unlock()
-		h.cutBody()
+		h.abortBodyRead()
 		io.WriteString(client, "x")
 		_, err := h.Conn.Read(make([]byte, 1))
 		if cut := errors.Is(err, os.ErrDeadlineExceeded); cut != waits {
--- a/internal/connlimit/listen.go
+++ b/internal/connlimit/listen.go
@@ -10,29 +10,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a client address so that a second process of the same program can listen on it beside this
-// one (SO_REUSEPORT), as the platform does when it replaces a process: the kernel spreads new connections
-// over both until one closes. Where the options are refused, as on platforms that filter system calls, the
-// address is opened alone and shared says so.
-func Listen(ctx context.Context, addr string) (l net.Listener, shared bool, err error) {
-	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		var opt error
-		if err := c.Control(func(fd uintptr) {
-			if opt = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); opt == nil {
-				opt = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-			}
-		}); err != nil {
-			opt = err
+// Listen opens a TCP address so that a second process of the same program can listen on it as well (SO_REUSEPORT), as the
+// platform does when it replaces a process: the kernel spreads new connections over both until one closes. Where the
+// options are refused, as on platforms that filter system calls, the address is opened for this process alone, and shared
+// is false.
+func Listen(ctx context.Context, addr string) (listener net.Listener, shared bool, err error) {
+	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) error {
+		err := setAddressReuse(socket)
+		if err != nil {
+			slog.Warn("listen_alone", "addr", addr, "err", err)
 		}
-		if opt != nil {
-			slog.Warn("listen_alone", "addr", addr, "err", opt)
-		}
-		shared = opt == nil
+		shared = err == nil
 		return nil
 	}}
-	l, err = lc.Listen(ctx, "tcp", addr)
+	listener, err = config.Listen(ctx, "tcp", addr)
 	if err != nil {
 		return nil, false, fmt.Errorf("listen: %w", err)
 	}
-	return l, shared, nil
+	return listener, shared, nil
+}
+
+// setAddressReuse sets the socket options by which several processes can listen on one address.
+func setAddressReuse(socket syscall.RawConn) error {
+	var optionErr error
+	controlErr := socket.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+		if optionErr == nil {
+			optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		}
+	})
+	if controlErr != nil {
+		return controlErr
+	}
+	return optionErr
 }
--- a/internal/connlimit/open_connections.go
+++ b/internal/connlimit/open_connections.go
@@ -6,50 +6,58 @@
 	"time"
 )
 
-// OpenConnection describes a client's connection that is still there while its dispatcher sends clients away.
+// OpenConnection describes a client's connection that is still open, for the log of a drain that lasts too long.
 type OpenConnection struct {
-	Remote         string
-	Requests       int           // begun on it
-	Request        string        // the id of the last one that was taken; none: none was
-	RequestOpen    bool          // that one is being answered
-	Age            time.Duration // since the connection came,
-	LastRequestAge time.Duration // since the last request was taken; 0: none was,
-	LastByteAge    time.Duration // since its last byte came
-	KeptReason     string        // why the last attempt to close it did not; "allowed": it did, or there was none
+	Remote              string        // the client's address
+	Requests            int           // begun on it
+	LastRequestID       string        // the id of the last request that was accepted or rejected; empty: none was
+	RequestOpen         bool          // that one is being answered
+	Age                 time.Duration // since the connection was accepted
+	LastRequestAge      time.Duration // since the last request was accepted; 0: none was
+	LastByteAge         time.Duration // since its last byte came
+	CloseDeferredReason string        // why the last attempt to close it did not; "allowed": it did, or there was none
 }
 
 // LogValue implements slog.LogValuer.
-func (h OpenConnection) LogValue() slog.Value {
-	return slog.GroupValue(slog.String("remote", h.Remote), slog.Int("requests", h.Requests), slog.String("id", h.Request),
-		slog.Bool("open", h.RequestOpen), slog.Duration("age", h.Age), slog.Duration("taken", h.LastRequestAge),
-		slog.Duration("last_byte", h.LastByteAge), slog.String("kept", h.KeptReason))
+func (o OpenConnection) LogValue() slog.Value {
+	return slog.GroupValue(
+		slog.String("remote", o.Remote),
+		slog.Int("requests", o.Requests),
+		slog.String("id", o.LastRequestID),
+		slog.Bool("open", o.RequestOpen),
+		slog.Duration("age", o.Age),
+		slog.Duration("last_request", o.LastRequestAge),
+		slog.Duration("last_byte", o.LastByteAge),
+		slog.String("close_deferred", o.CloseDeferredReason),
+	)
 }
 
-// OpenConnections lists the connections that there are, without those that only wait for their last answer to arrive.
-func (g *Limiter) OpenConnections() []OpenConnection {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// OpenConnections lists the open connections, without those that only wait for their last answer to arrive, in no
+// order.
+func (l *Limiter) OpenConnections() []OpenConnection {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	out := make([]OpenConnection, 0, len(g.conns))
-	for c, k := range g.conns {
-		out = append(out, k.describe(c, now))
+	out := make([]OpenConnection, 0, len(l.conns))
+	for netConn, c := range l.conns {
+		out = append(out, c.describe(netConn, now))
 	}
 	return out
 }
 
-// describe is what is known of a connection; the guard's lock is held.
-func (k *conn) describe(c net.Conn, now time.Time) OpenConnection {
-	h := OpenConnection{
-		Remote:      c.RemoteAddr().String(),
-		Requests:    k.begun,
-		Request:     k.request,
-		RequestOpen: k.open,
-		Age:         now.Sub(k.came),
-		LastByteAge: now.Sub(lastByte(c, k.came)),
-		KeptReason:  k.kept.String(),
+// describe returns what is known of a connection. Limiter.mu is held.
+func (c *trackedConn) describe(netConn net.Conn, now time.Time) OpenConnection {
+	o := OpenConnection{
+		Remote:              netConn.RemoteAddr().String(),
+		Requests:            c.requestsBegun,
+		LastRequestID:       c.lastRequestID,
+		RequestOpen:         c.state.handling(),
+		Age:                 now.Sub(c.acceptedAt),
+		LastByteAge:         now.Sub(lastByteAt(netConn, c.acceptedAt)),
+		CloseDeferredReason: c.closeDeferred.String(),
 	}
-	if !k.taken.IsZero() {
-		h.LastRequestAge = now.Sub(k.taken)
+	if !c.lastRequestAt.IsZero() {
+		o.LastRequestAge = now.Sub(c.lastRequestAt)
 	}
-	return h
+	return o
 }
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -114,14 +114,14 @@
 		{"routing/reservation.go", "	if !q.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
 	},
 	"a drain that goes on taking requests": {
-		{"internal/connlimit/drain.go", "return d.lasted(now) < drainTakes", "return true"},
-		{"internal/connlimit/clientconn.go", "!h.fresh && h.guard.state.Drain.Active()", "false"},
-		{"internal/connlimit/limiter.go", "	if held || g.state.Stopping.Load() {", "	if g.state.Stopping.Load() {"},
+		{"internal/connlimit/drain.go", "return d.elapsed(now) < drainAcceptFor", "return true"},
+		{"internal/connlimit/clientconn.go", "!c.partialRequest && c.limiter.lifecycle.Drain.Active()", "false"},
+		{"internal/connlimit/limiter.go", "	if draining || l.lifecycle.Stopping.Load() {", "	if l.lifecycle.Stopping.Load() {"},
 		{"internal/app/hold.go", "			g.DrainConnections()\n", "			_ = g\n"},
 	},
 	"a close over a read request": {
-		{"internal/connlimit/limiter.go", "		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}",
-			"		if cause == precondition.AtShutdown && !k.idle {\n			g.drop(c)\n			c.Close()\n			continue\n		}\n		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}"},
+		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || !c.state.idleToServer() && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
+			"		if cause == precondition.AtShutdown && !c.state.idleToServer() {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || !c.state.idleToServer() && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
 	},
 }
 
