--- a/internal/connlimit/capacity.go
+++ b/internal/connlimit/capacity.go
@@ -64,7 +64,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
-		if !c.state.handling() {
+		if c.state != connHandling {
 			return false
 		}
 	}
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -74,7 +74,7 @@
 		defer g.mu.Unlock()
 		open := 0
 		for _, k := range g.conns {
-			if k.state.handling() {
+			if k.state == connHandling {
 				open++
 			}
 		}
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -27,7 +27,7 @@
 	}
 	closed := 0
 	for netConn, c := range l.conns {
-		if c.state == connEvicted || !c.state.idleToServer() && now.Sub(c.quietSince) < quietTimeout {
+		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {
 			continue
 		}
 		facts := precondition.CloseConnection{
@@ -46,12 +46,12 @@
 // The caller has set the facts' cause and times. l.mu is held.
 func (l *Limiter) closeQuiet(netConn net.Conn, c *trackedConn, facts precondition.CloseConnection) bool {
 	inHandler := c.inHandler()
-	if inHandler && !c.state.handling() && facts.Cause == precondition.ForDrain && c.client != nil {
+	if inHandler && c.state != connHandling && facts.Cause == precondition.ForDrain && c.client != nil {
 		c.client.abortBodyRead()
 		return false
 	}
-	facts.RequestOpen = c.state.handling() || inHandler
-	facts.PartialRequest = !c.state.idleToServer() && !inHandler && facts.Cause == precondition.ForDrain
+	facts.RequestOpen = c.state == connHandling || inHandler
+	facts.PartialRequest = c.state != connIdle && !inHandler && facts.Cause == precondition.ForDrain
 	c.closeDeferred = closeIfAllowed(netConn, facts)
 	if c.closeDeferred != precondition.Allowed {
 		if c.closeDeferred != precondition.RequestUnanswered {
@@ -74,7 +74,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
-		if c.state.handling() {
+		if c.state == connHandling {
 			return true
 		}
 	}
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -10,38 +10,27 @@
 
 // connState is the state of a client's connection, as far as net/http's hooks and the handler show it:
 //
-//	new       ──header read──────────────────────> receiving
-//	receiving ──body complete────────────────────> handling
-//	receiving ──answered, body never complete────> idle
-//	handling  ──answered─────────────────────────> idle
-//	idle      ──header read──────────────────────> receiving
-//	idle      ──body complete, no header reported─> handling a pipelined request
-//	handling a pipelined request ──answered──────> idle
+//	new       ──header read───────────────────> receiving
+//	receiving ──body complete─────────────────> handling
+//	receiving ──answered, body never complete─> idle
+//	handling  ──answered──────────────────────> idle
+//	idle      ──header read───────────────────> receiving
 //
-// net/http reports no header for a pipelined request that it has buffered whole, so such a request is handled from
-// idle. Each state in which no request is handled may become evicted, which is final. A connection that net/http has
-// closed is not tracked any more; while its last answer may be on its way, Limiter.lingering counts it.
+// Each state in which no request is handled may become evicted, which is final. A connection that net/http has closed is
+// not tracked any more; while its last answer may be on its way, Limiter.lingering counts it.
 //
-// The state does not imply two other facts: hadRequest, since an evicted or receiving connection may have had a
-// complete request or not, and the two counts of requests, since a request whose header was read may have reached its
-// handler or not.
+// The state does not imply two other facts: hadRequest, since an evicted or receiving connection may have had a complete
+// request or not, and the two counts of requests, since a request whose header was read may have reached its handler or not.
 type connState int
 
 const (
-	connNew               connState = iota // no request's header has been read
-	connReceiving                          // a header has been read; the body is not complete or not accepted
-	connHandling                           // a complete request is being answered, be it with a rejection
-	connIdle                               // the last request has been answered, the next one's header was not reported
-	connHandlingPipelined                  // as connHandling, of a request whose header was not reported
-	connEvicted                            // this side has closed it, or is about to; nothing more is accepted from it
+	connNew       connState = iota // no request's header has been read
+	connReceiving                  // a header has been read; the body is not complete or not accepted
+	connHandling                   // a complete request is being answered, be it with a rejection
+	connIdle                       // the last request has been answered, the next one's header has not been read
+	connEvicted                    // this side has closed it, or is about to; nothing more is accepted from it
 )
 
-// handling reports whether a complete request is being answered.
-func (s connState) handling() bool { return s == connHandling || s == connHandlingPipelined }
-
-// idleToServer reports whether net/http has reported the connection as idle, and no header since.
-func (s connState) idleToServer() bool { return s == connIdle || s == connHandlingPipelined }
-
 // trackedConn is what the limiter knows of a connection. Limiter.mu guards its mutable fields, but for those that say
 // otherwise.
 type trackedConn struct {
@@ -101,18 +90,14 @@
 	if decision != precondition.Allowed && !isRejection(decision) {
 		return
 	}
-	if c.state.idleToServer() {
-		c.moveTo(connHandlingPipelined)
-	} else {
-		c.moveTo(connHandling)
-	}
+	c.moveTo(connHandling)
 	c.lastRequestID, c.lastRequestAt = id, time.Now()
 }
 
 // answered notes that net/http waits for the next request. Limiter.mu is held.
 func (c *trackedConn) answered() {
 	if c.client != nil {
-		if !c.state.handling() {
+		if c.state != connHandling {
 			c.client.requestComplete() // it was answered without being read whole
 		}
 		c.client.endRequest()
@@ -123,5 +108,5 @@
 
 // inHandler reports whether the handler has been called for the last request and has not finished. Limiter.mu is held.
 func (c *trackedConn) inHandler() bool {
-	return !c.state.idleToServer() && c.requestsBegun > 0 && c.requestsHandled == c.requestsBegun
+	return c.state != connIdle && c.requestsBegun > 0 && c.requestsHandled == c.requestsBegun
 }
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -49,7 +49,7 @@
 	silentSince, idleSince := now.Add(-evictSilentAfter), now.Add(-evictIdleAfter)
 	for netConn, c := range l.conns {
 		switch {
-		case c.state.handling() || busy[netConn]:
+		case c.state == connHandling || busy[netConn]:
 		case !c.hadRequest && lastByteAt(netConn, c.quietSince).Before(silentSince):
 			// A client that slowly writes its request is not silent: its time counts from its last byte.
 			silent, silentSince = netConn, lastByteAt(netConn, c.quietSince)
--- a/internal/connlimit/open_connections.go
+++ b/internal/connlimit/open_connections.go
@@ -51,7 +51,7 @@
 		Remote:              netConn.RemoteAddr().String(),
 		Requests:            c.requestsBegun,
 		LastRequestID:       c.lastRequestID,
-		RequestOpen:         c.state.handling(),
+		RequestOpen:         c.state == connHandling,
 		Age:                 now.Sub(c.acceptedAt),
 		LastByteAge:         now.Sub(lastByteAt(netConn, c.acceptedAt)),
 		CloseDeferredReason: c.closeDeferred.String(),
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -27,7 +27,7 @@
 	}.Check()
 	rejected := isRejection(decision)
 	c.requestComplete(r.Header.Get("X-Trace-Id"), decision)
-	if c.state.handling() {
+	if c.state == connHandling {
 		if limiter.lifecycle.Drain.Active() {
 			slog.Info("request_while_draining", "id", c.lastRequestID, "rejected", rejected, "remote", r.RemoteAddr,
 				"requests", c.requestsBegun, "age", time.Since(c.acceptedAt))
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -120,8 +120,8 @@
 		{"internal/app/hold.go", "			g.DrainConnections()\n", "			_ = g\n"},
 	},
 	"a close over a read request": {
-		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || !c.state.idleToServer() && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
-			"		if cause == precondition.AtShutdown && !c.state.idleToServer() {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || !c.state.idleToServer() && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
+		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
+			"		if cause == precondition.AtShutdown && c.state != connIdle {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
 	},
 }
 
