--- a/internal/connlimit/accept_test.go
+++ b/internal/connlimit/accept_test.go
@@ -14,39 +14,42 @@
 	"rampspread/internal/system"
 )
 
-// acceptErrors are those that accept(2) documents for a connection or a moment, not for the listening socket.
+// acceptErrors are the errors that accept(2) documents for a connection or a moment, not for the listening socket.
 var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 	syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT}
 
-// failing is a listener whose first accepts fail, one for each error.
-type failing struct {
+// failingListener is a listener whose first accepts fail, once with each of acceptErrors.
+type failingListener struct {
 	net.Listener
-	failed atomic.Int64
+	accepts atomic.Int64
 }
 
-func (l *failing) Accept() (net.Conn, error) {
-	if n := l.failed.Add(1) - 1; int(n) < len(acceptErrors) {
+func (l *failingListener) Accept() (net.Conn, error) {
+	if n := l.accepts.Add(1) - 1; int(n) < len(acceptErrors) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", acceptErrors[n])}
 	}
 	return l.Listener.Accept()
 }
 
-// An accept that fails ends nothing: the client that comes next is served.
-func TestAcceptErrorsEndNothing(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// The server goes on after an accept that failed: the next client is served.
+func TestServingContinuesAfterAcceptErrors(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := connlimit.NewLimiter(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), semaphore.NewWeighted(1), new(connlimit.Lifecycle), nil)
+	discard := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	limiter := connlimit.NewLimiter(discard, semaphore.NewWeighted(1), new(connlimit.Lifecycle), nil)
 	s := &http.Server{}
-	g.Attach(s)
+	limiter.Attach(s)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(g.Listen(&failing{Listener: l}, room, system.Real())) }()
+	go func() {
+		ended <- s.Serve(limiter.Listen(&failingListener{Listener: listener}, maxConns, system.Real()))
+	}()
 	defer s.Close()
 	answered := make(chan error, 1)
 	go func() {
-		resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
+		resp, err := http.Get("http://" + listener.Addr().String() + "/healthz")
 		if err == nil {
 			resp.Body.Close()
 		}
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -13,95 +13,92 @@
 	"rampspread/internal/testkit"
 )
 
-// A request that has been read, and that its handler has not seen yet, keeps its connection when room is needed: a process that is
-// held up for a moment would else close it with no answer.
-func TestRoomIsNotMadeOfWhatHasBeenRead(t *testing.T) {
-	h, c := pair(t)
-	g := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
-	h.limiter = g
-	g.Attach(&http.Server{})
-	k := &trackedConn{limiter: g, quietSince: time.Now().Add(-time.Hour)}
-	g.conns = map[net.Conn]*trackedConn{h: k}
-	if _, err := c.Write([]byte(asks)); err != nil {
+// A request that has been read, and that its handler has not seen yet, protects its connection from eviction: a process
+// that was suspended for a moment would otherwise close it with no answer.
+func TestEvictionSparesAConnectionWithAReadRequest(t *testing.T) {
+	server, client := connPair(t)
+	l := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
+	server.limiter = l
+	l.Attach(&http.Server{})
+	tracked := &trackedConn{limiter: l, quietSince: time.Now().Add(-time.Hour)}
+	l.conns = map[net.Conn]*trackedConn{server: tracked}
+	if _, err := client.Write([]byte(smallRequest)); err != nil {
 		t.Fatal(err)
 	}
-	buf := make([]byte, 4096)
-	n, err := h.Read(buf)
-	if err != nil || string(buf[:n]) != asks {
-		t.Fatalf("read %q, %v", buf[:n], err)
+	buffer := make([]byte, 4096)
+	n, err := server.Read(buffer)
+	if err != nil || string(buffer[:n]) != smallRequest {
+		t.Fatalf("read %q, %v", buffer[:n], err)
 	}
-	time.Sleep(evictSilentAfter + 10*time.Millisecond) // the process is held up
-	if g.ensureCapacity(1) || k.state == connEvicted {
+	time.Sleep(evictSilentAfter + 10*time.Millisecond) // the process is suspended
+	if l.ensureCapacity(1) || tracked.state == connEvicted {
 		t.Fatal("closed with a request read and no answer given")
 	}
 }
 
-// A house that is full of open requests still answers who comes: it refuses. A connection that waited for room until its client's time
-// was over would be a request with no answer.
-func TestFullOfOpenRequestsRefuses(t *testing.T) {
-	const most = 3
-	let := make(chan bool)
-	g := NewLimiter(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A limiter whose connections all have open requests still answers new ones: it rejects them. A connection that waited for
+// capacity until its client gave up would be a request without an answer.
+func TestFullLimiterRejectsNewConnections(t *testing.T) {
+	const maxConns = 3
+	finish := make(chan bool)
+	l := NewLimiter(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, _, err := ReadBody(w, r); err == nil {
-			<-let
+			<-finish
 		}
 	}), semaphore.NewWeighted(1<<20), new(Lifecycle), nil)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &http.Server{}
-	g.Attach(s)
-	go s.Serve(g.Listen(l, most, system.Real()))
+	l.Attach(s)
+	go s.Serve(l.Listen(listener, maxConns, system.Real()))
 	defer s.Close()
-	defer close(let)
-	ask := func() net.Conn {
-		c, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
+	defer close(finish)
+	sendRequest := func() net.Conn {
+		t.Helper()
+		conn := dial(t, listener.Addr().String())
+		if _, err := conn.Write([]byte(smallRequest)); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		if _, err := c.Write([]byte(asks)); err != nil {
-			t.Fatal(err)
-		}
-		return c
+		return conn
 	}
-	for range most {
-		ask()
+	for range maxConns {
+		sendRequest()
 	}
-	testkit.Eventually(t, "a full house", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
+	testkit.Eventually(t, "open requests on all connections", func() bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		open := 0
-		for _, k := range g.conns {
-			if k.state == connHandling {
+		for _, c := range l.conns {
+			if c.state == connHandling {
 				open++
 			}
 		}
-		return open == most
+		return open == maxConns
 	})
-	for range 2 * most {
-		c := ask()
-		c.SetReadDeadline(time.Now().Add(2 * time.Second))
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	for range 2 * maxConns {
+		conn := sendRequest()
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 }
 
-// When a connection last sent something is a time of the clock that only advances: a wall clock that is stepped makes no client that is
-// writing a silent one, and none that is silent a writer.
-func TestLastByteIsNoWallTime(t *testing.T) {
-	h, c := pair(t)
+// The time of a connection's last byte is monotonic: a step of the wall clock makes no client that is writing a silent one,
+// and no silent client one that is writing.
+func TestLastByteTimeIsMonotonic(t *testing.T) {
+	server, client := connPair(t)
 	before := time.Now()
-	if _, err := c.Write([]byte(asks)); err != nil {
+	if _, err := client.Write([]byte(smallRequest)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := h.Read(make([]byte, 1)); err != nil {
+	if _, err := server.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	last := lastByteAt(h, before)
+	last := lastByteAt(server, before)
 	if last == last.Round(0) { // which strips the monotonic reading
 		t.Fatalf("%v has no monotonic reading", last)
 	}
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -23,143 +23,155 @@
 	"rampspread/internal/testkit"
 )
 
-// pair is both ends of a connection.
-func pair(t *testing.T) (server *clientConn, client *net.TCPConn) {
+// smallRequest is a complete request.
+const smallRequest = "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n1"
+
+// dial opens a connection that is closed as the test ends.
+func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (server *clientConn, client *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := l.Accept()
+	defer listener.Close()
+	dialed := dial(t, listener.Addr().String())
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newClientConn(s, NewLimiter(nil, nil, new(Lifecycle), nil))
-	t.Cleanup(func() { c.Close(); s.Close() })
-	return h, c.(*net.TCPConn)
+	t.Cleanup(func() { accepted.Close() })
+	return newClientConn(accepted, NewLimiter(nil, nil, new(Lifecycle), nil)), dialed.(*net.TCPConn)
 }
 
-// closeResting closes a connection as a guard does, at the process's end or before, and tells whether it did.
-func closeResting(h *clientConn, ends bool) bool {
-	cause := precondition.ForDrain
-	if ends {
-		cause = precondition.AtShutdown
-	}
-	return h.closeIfAllowed(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
+// newLimitedServer starts a server behind a Limiter; its handler reads the body and answers.
+func newLimitedServer(t *testing.T, lifecycle *Lifecycle, next http.HandlerFunc) (*Limiter, string) {
+	t.Helper()
+	l := NewLimiter(next, semaphore.NewWeighted(1<<20), lifecycle, nil)
+	s := httptest.NewUnstartedServer(nil)
+	l.Attach(s.Config)
+	s.Listener = l.Listen(s.Listener, 64, system.Real())
+	s.Start()
+	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	return l, s.Listener.Addr().String()
+}
+
+// closeIdle closes a connection as a limiter does, and reports whether it did.
+func closeIdle(c *clientConn, cause precondition.Cause) bool {
+	return c.closeIfAllowed(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
+}
+
+// sendBytes sends a part of a request and waits until it is in the socket.
+func sendBytes(t *testing.T, server *clientConn, client net.Conn) {
+	t.Helper()
+	io.WriteString(client, "POST")
+	testkit.Eventually(t, "the bytes", func() bool { readable, _ := server.pollSocket(); return readable })
 }
 
-// A resting connection is closed only while nothing has come on it: bytes that were read and are no whole request yet keep it, and so do
-// bytes that wait in the socket, unless the process ends; what comes after the close is not read.
+// An idle connection is closed only while nothing has come on it: bytes that were read and are no complete request yet
+// protect it, and so do unread bytes in the socket, unless the process ends; what comes after the close is not read.
 func TestCloseCrossesNoRequest(t *testing.T) {
-	come := func(t *testing.T, h *clientConn, c net.Conn) {
-		io.WriteString(c, "POST")
-		testkit.Eventually(t, "the bytes", func() bool { bytes, _ := h.pollSocket(); return bytes })
-	}
-	for over, want := range map[bool]string{false: "POST", true: ""} {
-		t.Run(fmt.Sprintf("bytes wait in the socket, over them %t", over), func(t *testing.T) {
-			h, c := pair(t)
-			come(t, h, c)
-			h.awaitingBytes = true // a Read has begun, and has not come to its system call
-			if closeResting(h, over) != over {
-				t.Fatalf("closed over unread bytes %t", !over)
+	for _, c := range []struct {
+		name       string
+		cause      precondition.Cause
+		wantClosed bool
+		wantRead   string
+	}{
+		{"unread bytes in the socket, drain", precondition.ForDrain, false, "POST"},
+		{"unread bytes in the socket, shutdown", precondition.AtShutdown, true, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server, client := connPair(t)
+			sendBytes(t, server, client)
+			server.awaitingBytes = true // a Read has begun, and has not come to its system call
+			if closed := closeIdle(server, c.cause); closed != c.wantClosed {
+				t.Fatalf("closed over unread bytes %t", closed)
 			}
-			if n, err := h.Read(make([]byte, 8)); n != len(want) || (err == nil) == over {
+			if n, err := server.Read(make([]byte, 8)); n != len(c.wantRead) || (err == nil) == c.wantClosed {
 				t.Fatalf("read %d bytes, %v", n, err)
 			}
 		})
 	}
-	t.Run("half a request is read", func(t *testing.T) {
-		h, c := pair(t)
-		come(t, h, c)
-		h.Read(make([]byte, 8))
-		h.awaitingBytes = true // for the rest
-		if closeResting(h, true) {
-			t.Fatal("closed over half a request")
+	t.Run("a partial request was read", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.Read(make([]byte, 8))
+		server.awaitingBytes = true // for the rest
+		if closeIdle(server, precondition.AtShutdown) {
+			t.Fatal("closed over a partial request")
 		}
-		h.requestComplete()
-		if !closeResting(h, false) {
-			t.Fatal("not closed at rest")
+		server.requestComplete()
+		if !closeIdle(server, precondition.ForDrain) {
+			t.Fatal("not closed while idle")
 		}
 	})
-	t.Run("net/http holds a request that was sent ahead", func(t *testing.T) {
-		h, c := pair(t)
-		come(t, h, c)
-		h.Read(make([]byte, 8))
-		h.requestComplete()
-		if closeResting(h, true) {
+	t.Run("net/http has buffered a request that was sent ahead", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.Read(make([]byte, 8))
+		server.requestComplete()
+		if closeIdle(server, precondition.AtShutdown) {
 			t.Fatal("closed while nobody waits for bytes")
 		}
 	})
-	t.Run("a read is out", func(t *testing.T) {
-		h, c := pair(t)
+	t.Run("a read waits", func(t *testing.T) {
+		server, client := connPair(t)
 		read := make(chan error)
-		go func() { _, err := h.Read(make([]byte, 8)); read <- err }()
-		testkit.Eventually(t, "the close", func() bool { return closeResting(h, false) })
-		io.WriteString(c, "POST")
+		go func() { _, err := server.Read(make([]byte, 8)); read <- err }()
+		testkit.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.ForDrain) })
+		io.WriteString(client, "POST")
 		if err := <-read; err == nil {
 			t.Fatal("read after the close")
 		}
 	})
 	t.Run("the process ends", func(t *testing.T) {
-		h, c := pair(t)
-		come(t, h, c)
-		h.limiter.lifecycle.Closing.Store(true)
-		h.endRequest()
-		if n, err := h.Read(make([]byte, 8)); n != 0 || err == nil {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.limiter.lifecycle.Closing.Store(true)
+		server.endRequest()
+		if n, err := server.Read(make([]byte, 8)); n != 0 || err == nil {
 			t.Fatalf("read %d bytes, %v", n, err)
 		}
 	})
 	t.Run("the client has gone", func(t *testing.T) {
-		h, c := pair(t)
-		come(t, h, c)
-		c.Close()
-		testkit.Eventually(t, "the client's close", func() bool { _, over := h.pollSocket(); return over })
-		h.awaitingBytes = true
-		if !closeResting(h, false) {
-			t.Fatal("kept for a client that has gone")
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		client.Close()
+		testkit.Eventually(t, "the client's close", func() bool { _, hungUp := server.pollSocket(); return hungUp })
+		server.awaitingBytes = true
+		if !closeIdle(server, precondition.ForDrain) {
+			t.Fatal("not closed though its client has gone")
 		}
 	})
 }
 
-// serving is a guarded server; its handler reads the body and answers.
-func serving(t *testing.T, state *Lifecycle, next http.HandlerFunc) (*Limiter, string) {
-	t.Helper()
-	g := NewLimiter(next, semaphore.NewWeighted(1<<20), state, nil)
-	s := httptest.NewUnstartedServer(nil)
-	g.Attach(s.Config)
-	s.Listener = g.Listen(s.Listener, 64, system.Real())
-	s.Start()
-	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return g, s.Listener.Addr().String()
-}
-
-const asks = "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n1"
-
-// A request that comes as its resting connection is closed is answered, or it was not taken at all: over many crossings, each one that
-// reached the handler has its answer.
-func TestClosedAsARequestComes(t *testing.T) {
+// A request that comes as its idle connection is closed is answered, or not accepted at all: over many crossings, each
+// request that reached the handler has its answer.
+func TestRequestDuringCloseIsAnsweredOrNotAccepted(t *testing.T) {
 	const crossings = 300
-	var taken, answered atomic.Int64
-	g, addr := serving(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+	var accepted, answered atomic.Int64
+	l, addr := newLimitedServer(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
 		if _, _, err := ReadBody(w, r); err == nil {
-			taken.Add(1)
+			accepted.Add(1)
 		}
 	})
-	lost := 0
+	unanswered := 0
 	for range crossings {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := bufio.NewReader(c)
-		ask := func() bool {
-			io.WriteString(c, asks)
-			resp, err := http.ReadResponse(r, nil)
+		conn := dial(t, addr)
+		responses := bufio.NewReader(conn)
+		roundTrip := func() bool {
+			io.WriteString(conn, smallRequest)
+			resp, err := http.ReadResponse(responses, nil)
 			if err != nil {
 				return false
 			}
@@ -167,99 +179,99 @@
 			answered.Add(1)
 			return true
 		}
-		if !ask() {
+		if !roundTrip() {
 			t.Fatal("the first request was not answered")
 		}
-		var both sync.WaitGroup
-		both.Go(func() { g.CloseIdle(time.Hour) })
-		if !ask() {
-			lost++
+		var closing sync.WaitGroup
+		closing.Go(func() { l.CloseIdle(time.Hour) })
+		if !roundTrip() {
+			unanswered++
 		}
-		both.Wait()
-		c.Close()
+		closing.Wait()
+		conn.Close()
 	}
-	testkit.Eventually(t, "no open connection", func() bool { return g.ConnectionCount() == 0 })
-	if taken.Load() != answered.Load() {
-		t.Errorf("%d taken, %d answered, %d not taken", taken.Load(), answered.Load(), lost)
+	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
+	if accepted.Load() != answered.Load() {
+		t.Errorf("%d accepted, %d answered, %d not accepted", accepted.Load(), answered.Load(), unanswered)
 	}
 }
 
-// The last answer on a connection reaches a client that has sent more, which nobody reads: a plain close over it would reset the connection.
+// The last answer on a connection reaches a client that has sent more, which nobody reads: a plain close over it would reset
+// the connection.
 func TestLastAnswerArrives(t *testing.T) {
-	var state Lifecycle
-	state.Stopping.Store(true)
-	g, addr := serving(t, &state, func(w http.ResponseWriter, r *http.Request) {
+	var lifecycle Lifecycle
+	lifecycle.Stopping.Store(true)
+	l, addr := newLimitedServer(t, &lifecycle, func(w http.ResponseWriter, r *http.Request) {
 		ReadBody(w, r)
 		io.WriteString(w, "the answer")
 	})
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	io.WriteString(c, asks+strings.Repeat(asks, 1000))
-	got, err := io.ReadAll(c)
+	conn := dial(t, addr)
+	io.WriteString(conn, smallRequest+strings.Repeat(smallRequest, 1000))
+	got, err := io.ReadAll(conn)
 	if text := string(got); err != nil || strings.Count(text, "the answer") != 1 || strings.Count(text, "HTTP/1.1 ") != 1 {
 		t.Errorf("%q, %v", text, err)
 	}
-	testkit.Eventually(t, "no open connection", func() bool { return g.ConnectionCount() == 0 })
+	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
 }
 
-// The count of connections that wait for their last answer comes back to none, also if many ask for more than there may be in the same moment as
-// others end: the drain waits for it.
+// The count of lingering connections returns to zero, also if many ask for more than the limit in the moment in which others
+// end: the drain waits for it.
 func TestLingeringIsCountedOnce(t *testing.T) {
-	g := NewLimiter(nil, nil, new(Lifecycle), nil)
-	g.maxLingering.Store(2)
+	l := NewLimiter(nil, nil, new(Lifecycle), nil)
+	l.maxLingering.Store(2)
 	var all sync.WaitGroup
 	for range 16 {
 		all.Go(func() {
 			for range 50000 {
-				if g.beginLingering() {
-					g.endLingering()
+				if l.beginLingering() {
+					l.endLingering()
 				}
 			}
 		})
 	}
 	all.Wait()
-	if n := g.ConnectionCount(); n != 0 {
+	if n := l.ConnectionCount(); n != 0 {
 		t.Errorf("%d are counted at the end", n)
 	}
 }
 
-// A client has gone once it closes its connection, also if it has sent ahead, half or whole requests, before that, closes its sending side
-// alone, or resets; its request's context ends. net/http itself looks no further than the first byte sent ahead.
+// A client has gone once it closes its connection, also if it has sent ahead, partial or complete requests, before that,
+// closes its sending side alone, or resets; its request's context ends. net/http itself reads no further than the first byte
+// sent ahead.
 func TestClientThatSentAheadHasGone(t *testing.T) {
-	ways := map[string]func(c *net.TCPConn){
+	leaveBy := map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() },
 		"half":   func(c *net.TCPConn) { c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	}
-	for name, ahead := range map[string]string{"nothing": "", "a byte": "P", "half a request": asks[:30], "many": strings.Repeat(asks, 100)} {
-		for way, leave := range ways {
+	sentAhead := map[string]string{
+		"nothing":        "",
+		"a byte":         "P",
+		"half a request": smallRequest[:30],
+		"many":           strings.Repeat(smallRequest, 100),
+	}
+	for name, ahead := range sentAhead {
+		for way, leave := range leaveBy {
 			t.Run(name+" ahead, "+way, func(t *testing.T) {
-				in, out := make(chan bool), make(chan error, 1)
+				entered, contextErr := make(chan bool), make(chan error, 1)
 				var calls atomic.Int64
-				_, addr := serving(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+				_, addr := newLimitedServer(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
 					if _, _, err := ReadBody(w, r); err != nil || calls.Add(1) > 1 {
 						return
 					}
-					in <- true
+					entered <- true
 					select {
 					case <-r.Context().Done():
-						out <- r.Context().Err()
+						contextErr <- r.Context().Err()
 					case <-time.After(10 * time.Second):
-						out <- errors.New("never told")
+						contextErr <- errors.New("the context did not end")
 					}
 				})
-				c, err := net.Dial("tcp", addr)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer c.Close()
-				io.WriteString(c, asks+ahead)
-				<-in
-				leave(c.(*net.TCPConn))
-				if err := <-out; !errors.Is(err, context.Canceled) {
+				conn := dial(t, addr)
+				io.WriteString(conn, smallRequest+ahead)
+				<-entered
+				leave(conn.(*net.TCPConn))
+				if err := <-contextErr; !errors.Is(err, context.Canceled) {
 					t.Error(err)
 				}
 			})
@@ -267,18 +279,20 @@
 	}
 }
 
-// A drain cuts the wait for the rest of a body, and nothing else: a body that has come whole is being answered.
-func TestCutBody(t *testing.T) {
+// A drain aborts the wait for the rest of a body, and nothing else: a complete body is being answered.
+func TestAbortBodyRead(t *testing.T) {
 	for _, waits := range []bool{true, false} {
-		h, client := pair(t)
-		h.mu.Lock()
-		h.partialRequest, h.awaitingBytes = true, waits
-		h.mu.Unlock()
-		h.abortBodyRead()
-		io.WriteString(client, "x")
-		_, err := h.Conn.Read(make([]byte, 1))
-		if cut := errors.Is(err, os.ErrDeadlineExceeded); cut != waits {
-			t.Errorf("waits %t: %v", waits, err)
-		}
+		t.Run(fmt.Sprintf("a read waits %t", waits), func(t *testing.T) {
+			server, client := connPair(t)
+			server.mu.Lock()
+			server.partialRequest, server.awaitingBytes = true, waits
+			server.mu.Unlock()
+			server.abortBodyRead()
+			io.WriteString(client, "x")
+			_, err := server.Conn.Read(make([]byte, 1))
+			if aborted := errors.Is(err, os.ErrDeadlineExceeded); aborted != waits {
+				t.Error(err)
+			}
+		})
 	}
 }
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -13,10 +13,10 @@
 	"rampspread/internal/testkit"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// The answers while an operator drains, or the process ends.
-func TestGoldenGuard(t *testing.T) {
+// The answers during an operator's drain and at the process's end.
+func TestGoldenLimiter(t *testing.T) {
 	next := func(w http.ResponseWriter, r *http.Request) {
 		if _, status, err := connlimit.ReadBody(w, r); err != nil {
 			http.Error(w, err.Error(), status)
@@ -25,17 +25,20 @@
 	var all strings.Builder
 	for _, c := range []struct {
 		name, method, path string
-		set                func(*connlimit.Lifecycle)
+		setUp              func(*connlimit.Lifecycle)
 	}{
 		{"health while serving", http.MethodGet, "/healthz", func(*connlimit.Lifecycle) {}},
-		{"health while draining", http.MethodGet, "/healthz", func(s *connlimit.Lifecycle) { s.Drain.Begin(time.Now()) }},
-		{"health while stopping", http.MethodGet, "/healthz", func(s *connlimit.Lifecycle) { s.Stopping.Store(true) }},
-		{"a call too late before the end", http.MethodPost, "/", func(s *connlimit.Lifecycle) { s.Stopping.Store(true); s.RejectNew.Store(true) }},
-		{"a call long after a drain began", http.MethodPost, "/", func(s *connlimit.Lifecycle) { s.Drain.Begin(time.Now().Add(-time.Hour)) }},
+		{"health while draining", http.MethodGet, "/healthz", func(l *connlimit.Lifecycle) { l.Drain.Begin(time.Now()) }},
+		{"health while stopping", http.MethodGet, "/healthz", func(l *connlimit.Lifecycle) { l.Stopping.Store(true) }},
+		{"a call too late before the end", http.MethodPost, "/", func(l *connlimit.Lifecycle) {
+			l.Stopping.Store(true)
+			l.RejectNew.Store(true)
+		}},
+		{"a call long after a drain began", http.MethodPost, "/", func(l *connlimit.Lifecycle) { l.Drain.Begin(time.Now().Add(-time.Hour)) }},
 	} {
-		state := &connlimit.Lifecycle{}
-		c.set(state)
-		_, server := guarded(t, 1<<20, state, next)
+		lifecycle := &connlimit.Lifecycle{}
+		c.setUp(lifecycle)
+		_, server := newLimitedServer(t, 1<<20, lifecycle, next)
 		body := io.Reader(http.NoBody)
 		if c.method == http.MethodPost {
 			body = strings.NewReader("{}")
--- a/internal/connlimit/refusal_test.go
+++ b/internal/connlimit/rejection_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A connection that there is no room for is sent these bytes and no more.
-func TestGoldenRefusal(t *testing.T) {
+// A connection for which there is no capacity is sent these bytes and no more.
+func TestGoldenRejection(t *testing.T) {
 	const want = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 	if rejection != want {
 		t.Errorf("%q, want %q", rejection, want)
