--- a/internal/connlimit/accept_test.go
+++ b/internal/connlimit/accept_test.go
@@ -15,9 +15,11 @@
 )
 
 // acceptErrors are the errors that accept(2) documents for a connection or a moment, not for the listening socket.
-var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
-	syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
-	syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT}
+var acceptErrors = []syscall.Errno{
+	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
+	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
+	syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT,
+}
 
 // failingListener is a listener whose first accepts fail, once with each of acceptErrors.
 type failingListener struct {
--- a/internal/connlimit/clientconn.go
+++ b/internal/connlimit/clientconn.go
@@ -29,7 +29,7 @@
 	lastRead       atomic.Int64  // ns from acceptedAt to the last read that brought bytes; 0: none has
 	contentLengths contentLengthCounter
 
-	mu              sync.Mutex // held while bytes are taken from the socket, so that no close crosses that
+	mu              sync.Mutex // held while bytes are read from the socket, so that no close crosses that
 	stage           closeStage
 	betweenRequests bool
 	awaitingBytes   bool      // net/http waits for bytes of a request: it has no unparsed ones
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -34,7 +34,9 @@
 			l.Stopping.Store(true)
 			l.RejectNew.Store(true)
 		}},
-		{"a call long after a drain began", http.MethodPost, "/", func(l *connlimit.Lifecycle) { l.Drain.Begin(time.Now().Add(-time.Hour)) }},
+		{"a call long after a drain began", http.MethodPost, "/", func(l *connlimit.Lifecycle) {
+			l.Drain.Begin(time.Now().Add(-time.Hour))
+		}},
 	} {
 		lifecycle := &connlimit.Lifecycle{}
 		c.setUp(lifecycle)
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -4,7 +4,7 @@
 // evicts the least recently active connection without an open request, and rejects new connections if there is none. It
 // bounds the memory of request bodies, rejects requests whose framing is ambiguous (RFC 9112, section 6.1), answers GET
 // /healthz, and closes connections during an operator's drain and at the process's end. The decisions to accept a
-// request and to close a connection are those of package precondition.
+// request and to close a connection are those of package precondition. It counts what never reaches the handler.
 //
 // Files: capacity.go accepts or rejects connections, evict.go selects the connection to evict, drain.go and
 // close_idle.go drain, close.go closes a single connection, conn_state.go has the states of a connection, request.go
--- a/internal/frontend/chunked_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -4,42 +4,32 @@
 	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"rampspread/internal/connlimit"
 	"rampspread/internal/testkit"
 )
 
+// chunkedHead is the header of a request with a chunked body, without the empty line at its end. Its only verb is the id.
 const chunkedHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: %s\r\nX-Qos: frage\r\n" +
 	"X-Expires-In: 30000m\r\nX-Props: " + props + "\r\nTransfer-Encoding: chunked\r\n"
 
-func chunkedServer(t *testing.T) (*testkit.Fleet, *connlimit.Limiter, string) {
-	fleet, front, _ := serve(t, testkit.Read, testkit.Write("a"))
-	g, s := guarded(t, 1<<20, new(connlimit.Lifecycle), front.ServeHTTP)
-	return fleet, g, s.Listener.Addr().String()
-}
-
-func dial(t *testing.T, addr string) *net.TCPConn {
+// newChunkedServer starts a server behind a Limiter, before a fleet of its own.
+func newChunkedServer(t *testing.T) (*testkit.Fleet, *connlimit.Limiter, string) {
 	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return conn.(*net.TCPConn)
+	fleet, handler, _ := serve(t, testkit.Read, testkit.Write("a"))
+	l, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
+	return fleet, l, s.Listener.Addr().String()
 }
 
-// Bodies in chunks are taken on a kept connection beside ones that say their length, with trailers too, and
-// go on to replicas as one body with a length.
-func TestChunkedBodies(t *testing.T) {
-	fleet, g, addr := chunkedServer(t)
+// Chunked bodies are accepted on a persistent connection, mixed with bodies with a Content-Length, with trailers too, and are
+// forwarded to replicas as one body with a length.
+func TestChunkedBodyIsForwardedWithItsLength(t *testing.T) {
+	fleet, l, addr := newChunkedServer(t)
 	conn := dial(t, addr)
-	answers := bufio.NewReader(conn)
+	responses := bufio.NewReader(conn)
 	sized := strings.Replace(chunkedHead, "Transfer-Encoding: chunked", "Content-Length: 9", 1)
 	want := `{"n": 12}`
 	for i, text := range []string{
@@ -49,7 +39,7 @@
 		chunkedHead + "Trailer: X-Sum\r\n\r\n9\r\n" + want + "\r\n0\r\nX-Sum: 1\r\n\r\n",
 	} {
 		fmt.Fprintf(conn, text, fmt.Sprint("id", i))
-		resp, err := http.ReadResponse(answers, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
@@ -57,7 +47,7 @@
 			t.Errorf("request %d: status %d, %q, %v", i, resp.StatusCode, body, err)
 		}
 		if h := fleet.Writer.Header(i); h.Get("Content-Length") != "9" {
-			t.Errorf("request %d went on without its length: %v", i, h)
+			t.Errorf("request %d was forwarded without its length: %v", i, h)
 		}
 	}
 	for i, body := range append(fleet.Reader.Bodies(), fleet.Writer.Bodies()...) {
@@ -65,19 +55,19 @@
 			t.Errorf("body %d: %q", i, body)
 		}
 	}
-	if g.Malformed() != 0 {
-		t.Errorf("%d counted as bad", g.Malformed())
+	if l.Malformed() != 0 {
+		t.Errorf("%d counted as malformed", l.Malformed())
 	}
-	// Behind them, one with both framings is turned away, and its connection ends.
+	// After them, a request with both framings is rejected, and its connection ends.
 	fmt.Fprintf(conn, chunkedHead+"Content-Length: 9\r\n\r\n9\r\n"+want+"\r\n0\r\n\r\n", "both")
-	if resp, err := http.ReadResponse(answers, nil); err != nil || resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("both framings on a kept connection: %v, %v", resp, err)
+	if resp, err := http.ReadResponse(responses, nil); err != nil || resp.StatusCode != 400 || !resp.Close {
+		t.Errorf("both framings on a persistent connection: %v, %v", resp, err)
 	}
 }
 
-// However a chunked request is cut into writes it is taken, and a part of it never is.
-func TestChunkedCuts(t *testing.T) {
-	fleet, _, addr := chunkedServer(t)
+// A chunked request is accepted however it is cut into writes, and a part of it never is.
+func TestChunkedRequestIsAcceptedOnlyWhole(t *testing.T) {
+	fleet, _, addr := newChunkedServer(t)
 	text := fmt.Sprintf(chunkedHead, "whole") + "\r\n4\r\n{\"n\"\r\n2\r\n:1\r\n1\r\n}\r\n0\r\n\r\n"
 	conn := dial(t, addr)
 	conn.SetNoDelay(true)
@@ -98,13 +88,13 @@
 		conn.Close()
 	}
 	if total, _ := fleet.Reader.Calls(); total != 1 {
-		t.Errorf("%d sends, wanted the whole request's only", total)
+		t.Errorf("%d sends, want the whole request's only", total)
 	}
 }
 
-// A chunked body over the limit is turned away as any other, without a send.
-func TestChunkedTooLong(t *testing.T) {
-	fleet, _, addr := chunkedServer(t)
+// A chunked body over the limit is rejected as any other, and not sent to a replica.
+func TestTooLongChunkedBodyIsRejected(t *testing.T) {
+	fleet, _, addr := newChunkedServer(t)
 	conn := dial(t, addr)
 	go func() {
 		fmt.Fprintf(conn, chunkedHead+"\r\n", "long")
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -18,7 +18,8 @@
 
 const props = "prefix=5c0f6e1a2b3d4c59,prompt_len=120,prefix_len=48,max_out=80"
 
-func request(t testing.TB, url string, change func(*http.Request)) *http.Request {
+// request returns a valid request after the mutation; nil: none.
+func request(t testing.TB, url string, mutate func(*http.Request)) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{"stream":true}`))
 	if err != nil {
@@ -28,12 +29,13 @@
 		"X-Expires-In": "30000m", "X-Props": props} {
 		r.Header.Set(name, v)
 	}
-	if change != nil {
-		change(r)
+	if mutate != nil {
+		mutate(r)
 	}
 	return r
 }
 
+// serve starts a server with a Handler and no Limiter, before a fleet with the given scripts. It returns the server's URL.
 func serve(t testing.TB, read, write testkit.Script) (*testkit.Fleet, *frontend.Handler, string) {
 	t.Helper()
 	fleet := testkit.NewFleet(t, read, write)
@@ -41,12 +43,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := frontend.New(fleet.Core, fleet.Settings, classes)
-	s := httptest.NewServer(front)
+	handler := frontend.New(fleet.Core, fleet.Settings, classes)
+	s := httptest.NewServer(handler)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return fleet, front, s.URL
+	return fleet, handler, s.URL
 }
 
+// do sends a request and reads its whole answer. The error is that of reading the body.
 func do(t testing.TB, r *http.Request) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -58,19 +61,19 @@
 	return resp, string(body), err
 }
 
-func TestServedUnchanged(t *testing.T) {
+func TestAnswerIsServedUnchanged(t *testing.T) {
 	fleet, _, url := serve(t, testkit.Read, testkit.Write("alpha", "beta"))
 	resp, body, err := do(t, request(t, url, nil))
 	if err != nil || resp.StatusCode != http.StatusOK || body != testkit.Answer("alpha", "beta") {
 		t.Errorf("status %d, body %q, %v", resp.StatusCode, body, err)
 	}
 	if h := fleet.Writer.Header(0); h.Get("X-Trace-Id") != "9b1f03aa5c7e2d41" {
-		t.Errorf("the writer got %v", h)
+		t.Errorf("the decode replica got %v", h)
 	}
 }
 
-// A broken stream must not look whole: it ends without the last chunk.
-func TestBrokenStream(t *testing.T) {
+// A broken stream must not look complete: it ends without the last chunk.
+func TestBrokenStreamEndsWithoutLastChunk(t *testing.T) {
 	whole := testkit.Answer("alpha", "beta")
 	fleet, _, url := serve(t, testkit.Read, testkit.Read)
 	for n := strings.Index(whole, "\n\n") + 2; n < len(whole); n += 29 {
@@ -82,7 +85,7 @@
 	}
 }
 
-// A client that takes nothing of its answer stalls no other.
+// A client that does not read its answer stalls no other.
 func TestSlowClientStallsNoOther(t *testing.T) {
 	fleet, _, url := serve(t, testkit.Read, testkit.Write(slices.Repeat([]string{strings.Repeat("x", 32<<10)}, 512)...))
 	r := request(t, url, nil)
@@ -104,7 +107,7 @@
 	}
 }
 
-func TestRefusedSaysWhen(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	_, _, url := serve(t, testkit.Status(503, true), testkit.Read)
 	resp, _, _ := do(t, request(t, url, nil))
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); resp.StatusCode != 429 || err != nil || s <= 0 {
@@ -112,7 +115,7 @@
 	}
 }
 
-func TestFilingThatMayHaveRunPromisesNothing(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	fleet, _, url := serve(t, testkit.Read, testkit.Status(500, false))
 	resp, _, _ := do(t, request(t, url, func(r *http.Request) { r.Header.Set("X-Qos", "meldung") }))
 	if total, _ := fleet.Writer.Calls(); resp.StatusCode != http.StatusBadGateway || total != 1 {
@@ -120,34 +123,34 @@
 	}
 }
 
-// An id that another client's open request has is turned away, and free again after that.
-func TestIDOfAnOpenRequest(t *testing.T) {
-	in, let := make(chan bool, 8), make(chan bool, 8)
-	fleet, front, url := serve(t, testkit.Read, func(w http.ResponseWriter, r *http.Request, n int) {
-		in <- true
-		<-let
+// A request with the id of another open request is rejected, and the id is free once that one ends.
+func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
+	entered, finish := make(chan bool, 8), make(chan bool, 8)
+	fleet, handler, url := serve(t, testkit.Read, func(w http.ResponseWriter, r *http.Request, n int) {
+		entered <- true
+		<-finish
 		testkit.Write("a")(w, r, n)
 	})
-	first := make(chan int)
+	firstStatus := make(chan int)
 	go func() {
 		resp, _, _ := do(t, request(t, url, nil))
-		first <- resp.StatusCode
+		firstStatus <- resp.StatusCode
 	}()
-	<-in
+	<-entered
 	resp, _, _ := do(t, request(t, url, nil))
 	total, _ := fleet.Reader.Calls()
-	let <- true
-	let <- true
-	if got := <-first; got != 200 || resp.StatusCode != http.StatusConflict || total != 1 || front.Malformed() != 1 {
-		t.Errorf("first %d, second %d, %d reads, %d bad", got, resp.StatusCode, total, front.Malformed())
+	finish <- true
+	finish <- true
+	if got := <-firstStatus; got != 200 || resp.StatusCode != http.StatusConflict || total != 1 || handler.Malformed() != 1 {
+		t.Errorf("first %d, second %d, %d prefill calls, %d malformed", got, resp.StatusCode, total, handler.Malformed())
 	}
 	if resp, _, _ := do(t, request(t, url, nil)); resp.StatusCode != 200 {
 		t.Errorf("afterwards: status %d", resp.StatusCode)
 	}
 }
 
-func TestBadRequests(t *testing.T) {
-	fleet, front, url := serve(t, testkit.Read, testkit.Write("a"))
+func TestMalformedRequestsAreRejectedAndCounted(t *testing.T) {
+	fleet, handler, url := serve(t, testkit.Read, testkit.Write("a"))
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -175,35 +178,35 @@
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 256<<10+1))), 256<<10+1
 		},
 	}
-	for name, change := range cases {
-		if resp, _, _ := do(t, request(t, url, change)); resp.StatusCode/100 != 4 || resp.StatusCode == 429 {
+	for name, mutate := range cases {
+		if resp, _, _ := do(t, request(t, url, mutate)); resp.StatusCode/100 != 4 || resp.StatusCode == 429 {
 			t.Errorf("%s: status %d", name, resp.StatusCode)
 		}
 	}
-	if total, _ := fleet.Reader.Calls(); total != 0 || front.Malformed() != int64(len(cases)) {
-		t.Errorf("%d sends, %d counted of %d", total, front.Malformed(), len(cases))
+	if total, _ := fleet.Reader.Calls(); total != 0 || handler.Malformed() != int64(len(cases)) {
+		t.Errorf("%d sends, %d counted of %d", total, handler.Malformed(), len(cases))
 	}
 	if resp, _, err := do(t, request(t, url, nil)); resp.StatusCode != 200 || err != nil {
 		t.Errorf("a good request after them: status %d, %v", resp.StatusCode, err)
 	}
 }
 
-// FuzzHead feeds raw request bytes to the front over net/http's parser: every request that is taken is
+// FuzzRequestHeader feeds raw request bytes to the handler through net/http's parser: every request that is accepted is
 // answered, and nothing panics.
-func FuzzHead(f *testing.F) {
+func FuzzRequestHeader(f *testing.F) {
 	valid := "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: frage\r\n" +
 		"X-Expires-In: 4800m\r\nX-Props: " + props + "\r\nContent-Length: 2\r\n\r\n{}"
 	for _, text := range testkit.Broken(2, valid, strings.Replace(valid, "4800m", "4800000u", 1)) {
 		f.Add(text)
 	}
-	_, front, _ := serve(f, testkit.Read, testkit.Write("a"))
+	_, handler, _ := serve(f, testkit.Read, testkit.Write("a"))
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			return
 		}
 		w := httptest.NewRecorder()
-		front.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		if w.Code < 200 || w.Code > 599 {
 			t.Errorf("status %d for %q", w.Code, text)
 		}
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -121,7 +121,7 @@
 	},
 	"a close over a read request": {
 		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
-			"		if cause == precondition.AtShutdown && c.state != connIdle {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
+			"		if cause == precondition.AtShutdown && c.state != connIdle && c.state != connEvicted {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
 	},
 }
 
