--- /dev/null
+++ b/internal/connlimit/accept_test.go
@@ -0,0 +1,68 @@
+package connlimit_test
+
+import (
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sync/semaphore"
+
+	"rampspread/internal/connlimit"
+	"rampspread/internal/system"
+)
+
+// acceptErrors are the errors that accept(2) documents for a connection or a moment, not for the listening socket.
+var acceptErrors = []syscall.Errno{
+	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
+	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
+	syscall.ENETUNREACH, syscall.EINTR, syscall.ETIMEDOUT,
+}
+
+// failingListener is a listener whose first accepts fail, once with each of acceptErrors.
+type failingListener struct {
+	net.Listener
+	accepts atomic.Int64
+}
+
+func (l *failingListener) Accept() (net.Conn, error) {
+	if n := l.accepts.Add(1) - 1; int(n) < len(acceptErrors) {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", acceptErrors[n])}
+	}
+	return l.Listener.Accept()
+}
+
+// The server goes on after an accept that failed: the next client is served.
+func TestServingContinuesAfterAcceptErrors(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	discard := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	limiter := connlimit.NewLimiter(discard, semaphore.NewWeighted(1), new(connlimit.Lifecycle), nil)
+	s := &http.Server{}
+	limiter.Attach(s)
+	ended := make(chan error, 1)
+	go func() {
+		ended <- s.Serve(limiter.Listen(&failingListener{Listener: listener}, maxConns, system.Real()))
+	}()
+	defer s.Close()
+	answered := make(chan error, 1)
+	go func() {
+		resp, err := http.Get("http://" + listener.Addr().String() + "/healthz")
+		if err == nil {
+			resp.Body.Close()
+		}
+		answered <- err
+	}()
+	select {
+	case err := <-ended:
+		t.Fatalf("serving ended with %v", err)
+	case err := <-answered:
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/connlimit/capacity_test.go
@@ -0,0 +1,108 @@
+package connlimit
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+)
+
+// A request that has been read, and that its handler has not seen yet, protects its connection from eviction: a process
+// that was suspended for a moment would otherwise close it with no answer.
+func TestEvictionSparesAConnectionWithAReadRequest(t *testing.T) {
+	server, client := connPair(t)
+	l := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
+	server.limiter = l
+	l.Attach(&http.Server{})
+	tracked := &trackedConn{limiter: l, quietSince: time.Now().Add(-time.Hour)}
+	l.conns = map[net.Conn]*trackedConn{server: tracked}
+	if _, err := client.Write([]byte(smallRequest)); err != nil {
+		t.Fatal(err)
+	}
+	buffer := make([]byte, 4096)
+	n, err := server.Read(buffer)
+	if err != nil || string(buffer[:n]) != smallRequest {
+		t.Fatalf("read %q, %v", buffer[:n], err)
+	}
+	time.Sleep(evictSilentAfter + 10*time.Millisecond) // the process is suspended
+	if l.ensureCapacity(1) || tracked.state == connEvicted {
+		t.Fatal("closed with a request read and no answer given")
+	}
+}
+
+// A limiter whose connections all have open requests still answers new ones: it rejects them. A connection that waited for
+// capacity until its client gave up would be a request without an answer.
+func TestFullLimiterRejectsNewConnections(t *testing.T) {
+	const maxConns = 3
+	finish := make(chan bool)
+	l := NewLimiter(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if _, _, err := ReadBody(w, r); err == nil {
+			<-finish
+		}
+	}), semaphore.NewWeighted(1<<20), new(Lifecycle), nil)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &http.Server{}
+	l.Attach(s)
+	go s.Serve(l.Listen(listener, maxConns, system.Real()))
+	defer s.Close()
+	defer close(finish)
+	sendRequest := func() net.Conn {
+		t.Helper()
+		conn := dial(t, listener.Addr().String())
+		if _, err := conn.Write([]byte(smallRequest)); err != nil {
+			t.Fatal(err)
+		}
+		return conn
+	}
+	for range maxConns {
+		sendRequest()
+	}
+	testkit.Eventually(t, "open requests on all connections", func() bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		open := 0
+		for _, c := range l.conns {
+			if c.state == connHandling {
+				open++
+			}
+		}
+		return open == maxConns
+	})
+	for range 2 * maxConns {
+		conn := sendRequest()
+		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+			t.Fatalf("%v, %v", resp, err)
+		}
+	}
+}
+
+// The time of a connection's last byte is monotonic: a step of the wall clock makes no client that is writing a silent one,
+// and no silent client one that is writing.
+func TestLastByteTimeIsMonotonic(t *testing.T) {
+	server, client := connPair(t)
+	before := time.Now()
+	if _, err := client.Write([]byte(smallRequest)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := server.Read(make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
+	last := lastByteAt(server, before)
+	if last == last.Round(0) { // which strips the monotonic reading
+		t.Fatalf("%v has no monotonic reading", last)
+	}
+	if last.Before(before) || last.After(time.Now()) {
+		t.Errorf("%v is not between %v and now", last, before)
+	}
+}
--- /dev/null
+++ b/internal/connlimit/clientconn_test.go
@@ -0,0 +1,298 @@
+package connlimit
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+
+	"rampspread/internal/precondition"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+)
+
+// smallRequest is a complete request.
+const smallRequest = "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n1"
+
+// dial opens a connection that is closed as the test ends.
+func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (server *clientConn, client *net.TCPConn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	dialed := dial(t, listener.Addr().String())
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return newClientConn(accepted, NewLimiter(nil, nil, new(Lifecycle), nil)), dialed.(*net.TCPConn)
+}
+
+// newLimitedServer starts a server behind a Limiter; its handler reads the body and answers.
+func newLimitedServer(t *testing.T, lifecycle *Lifecycle, next http.HandlerFunc) (*Limiter, string) {
+	t.Helper()
+	l := NewLimiter(next, semaphore.NewWeighted(1<<20), lifecycle, nil)
+	s := httptest.NewUnstartedServer(nil)
+	l.Attach(s.Config)
+	s.Listener = l.Listen(s.Listener, 64, system.Real())
+	s.Start()
+	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	return l, s.Listener.Addr().String()
+}
+
+// closeIdle closes a connection as a limiter does, and reports whether it did.
+func closeIdle(c *clientConn, cause precondition.Cause) bool {
+	return c.closeIfAllowed(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
+}
+
+// sendBytes sends a part of a request and waits until it is in the socket.
+func sendBytes(t *testing.T, server *clientConn, client net.Conn) {
+	t.Helper()
+	io.WriteString(client, "POST")
+	testkit.Eventually(t, "the bytes", func() bool { readable, _ := server.pollSocket(); return readable })
+}
+
+// An idle connection is closed only while nothing has come on it: bytes that were read and are no complete request yet
+// protect it, and so do unread bytes in the socket, unless the process ends; what comes after the close is not read.
+func TestCloseCrossesNoRequest(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		cause      precondition.Cause
+		wantClosed bool
+		wantRead   string
+	}{
+		{"unread bytes in the socket, drain", precondition.ForDrain, false, "POST"},
+		{"unread bytes in the socket, shutdown", precondition.AtShutdown, true, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server, client := connPair(t)
+			sendBytes(t, server, client)
+			server.awaitingBytes = true // a Read has begun, and has not come to its system call
+			if closed := closeIdle(server, c.cause); closed != c.wantClosed {
+				t.Fatalf("closed over unread bytes %t", closed)
+			}
+			if n, err := server.Read(make([]byte, 8)); n != len(c.wantRead) || (err == nil) == c.wantClosed {
+				t.Fatalf("read %d bytes, %v", n, err)
+			}
+		})
+	}
+	t.Run("a partial request was read", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.Read(make([]byte, 8))
+		server.awaitingBytes = true // for the rest
+		if closeIdle(server, precondition.AtShutdown) {
+			t.Fatal("closed over a partial request")
+		}
+		server.requestComplete()
+		if !closeIdle(server, precondition.ForDrain) {
+			t.Fatal("not closed while idle")
+		}
+	})
+	t.Run("net/http has buffered a request that was sent ahead", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.Read(make([]byte, 8))
+		server.requestComplete()
+		if closeIdle(server, precondition.AtShutdown) {
+			t.Fatal("closed while nobody waits for bytes")
+		}
+	})
+	t.Run("a read waits", func(t *testing.T) {
+		server, client := connPair(t)
+		read := make(chan error)
+		go func() { _, err := server.Read(make([]byte, 8)); read <- err }()
+		testkit.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.ForDrain) })
+		io.WriteString(client, "POST")
+		if err := <-read; err == nil {
+			t.Fatal("read after the close")
+		}
+	})
+	t.Run("the process ends", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		server.limiter.lifecycle.Closing.Store(true)
+		server.endRequest()
+		if n, err := server.Read(make([]byte, 8)); n != 0 || err == nil {
+			t.Fatalf("read %d bytes, %v", n, err)
+		}
+	})
+	t.Run("the client has gone", func(t *testing.T) {
+		server, client := connPair(t)
+		sendBytes(t, server, client)
+		client.Close()
+		testkit.Eventually(t, "the client's close", func() bool { _, hungUp := server.pollSocket(); return hungUp })
+		server.awaitingBytes = true
+		if !closeIdle(server, precondition.ForDrain) {
+			t.Fatal("not closed though its client has gone")
+		}
+	})
+}
+
+// A request that comes as its idle connection is closed is answered, or not accepted at all: over many crossings, each
+// request that reached the handler has its answer.
+func TestRequestDuringCloseIsAnsweredOrNotAccepted(t *testing.T) {
+	const crossings = 300
+	var accepted, answered atomic.Int64
+	l, addr := newLimitedServer(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+		if _, _, err := ReadBody(w, r); err == nil {
+			accepted.Add(1)
+		}
+	})
+	unanswered := 0
+	for range crossings {
+		conn := dial(t, addr)
+		responses := bufio.NewReader(conn)
+		roundTrip := func() bool {
+			io.WriteString(conn, smallRequest)
+			resp, err := http.ReadResponse(responses, nil)
+			if err != nil {
+				return false
+			}
+			resp.Body.Close()
+			answered.Add(1)
+			return true
+		}
+		if !roundTrip() {
+			t.Fatal("the first request was not answered")
+		}
+		var closing sync.WaitGroup
+		closing.Go(func() { l.CloseIdle(time.Hour) })
+		if !roundTrip() {
+			unanswered++
+		}
+		closing.Wait()
+		conn.Close()
+	}
+	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
+	if accepted.Load() != answered.Load() {
+		t.Errorf("%d accepted, %d answered, %d not accepted", accepted.Load(), answered.Load(), unanswered)
+	}
+}
+
+// The last answer on a connection reaches a client that has sent more, which nobody reads: a plain close over it would reset
+// the connection.
+func TestLastAnswerArrives(t *testing.T) {
+	var lifecycle Lifecycle
+	lifecycle.Stopping.Store(true)
+	l, addr := newLimitedServer(t, &lifecycle, func(w http.ResponseWriter, r *http.Request) {
+		ReadBody(w, r)
+		io.WriteString(w, "the answer")
+	})
+	conn := dial(t, addr)
+	io.WriteString(conn, smallRequest+strings.Repeat(smallRequest, 1000))
+	got, err := io.ReadAll(conn)
+	if text := string(got); err != nil || strings.Count(text, "the answer") != 1 || strings.Count(text, "HTTP/1.1 ") != 1 {
+		t.Errorf("%q, %v", text, err)
+	}
+	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
+}
+
+// The count of lingering connections returns to zero, also if many ask for more than the limit in the moment in which others
+// end: the drain waits for it.
+func TestLingeringIsCountedOnce(t *testing.T) {
+	l := NewLimiter(nil, nil, new(Lifecycle), nil)
+	l.maxLingering.Store(2)
+	var all sync.WaitGroup
+	for range 16 {
+		all.Go(func() {
+			for range 50000 {
+				if l.beginLingering() {
+					l.endLingering()
+				}
+			}
+		})
+	}
+	all.Wait()
+	if n := l.ConnectionCount(); n != 0 {
+		t.Errorf("%d are counted at the end", n)
+	}
+}
+
+// A client has gone once it closes its connection, also if it has sent ahead, partial or complete requests, before that,
+// closes its sending side alone, or resets; its request's context ends. net/http itself reads no further than the first byte
+// sent ahead.
+func TestClientThatSentAheadHasGone(t *testing.T) {
+	leaveBy := map[string]func(*net.TCPConn){
+		"closes": func(c *net.TCPConn) { c.Close() },
+		"half":   func(c *net.TCPConn) { c.CloseWrite() },
+		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	}
+	sentAhead := map[string]string{
+		"nothing":        "",
+		"a byte":         "P",
+		"half a request": smallRequest[:30],
+		"many":           strings.Repeat(smallRequest, 100),
+	}
+	for name, ahead := range sentAhead {
+		for way, leave := range leaveBy {
+			t.Run(name+" ahead, "+way, func(t *testing.T) {
+				entered, contextErr := make(chan bool), make(chan error, 1)
+				var calls atomic.Int64
+				_, addr := newLimitedServer(t, new(Lifecycle), func(w http.ResponseWriter, r *http.Request) {
+					if _, _, err := ReadBody(w, r); err != nil || calls.Add(1) > 1 {
+						return
+					}
+					entered <- true
+					select {
+					case <-r.Context().Done():
+						contextErr <- r.Context().Err()
+					case <-time.After(10 * time.Second):
+						contextErr <- errors.New("the context did not end")
+					}
+				})
+				conn := dial(t, addr)
+				io.WriteString(conn, smallRequest+ahead)
+				<-entered
+				leave(conn.(*net.TCPConn))
+				if err := <-contextErr; !errors.Is(err, context.Canceled) {
+					t.Error(err)
+				}
+			})
+		}
+	}
+}
+
+// A drain aborts the wait for the rest of a body, and nothing else: a complete body is being answered.
+func TestAbortBodyRead(t *testing.T) {
+	for _, waits := range []bool{true, false} {
+		t.Run(fmt.Sprintf("a read waits %t", waits), func(t *testing.T) {
+			server, client := connPair(t)
+			server.mu.Lock()
+			server.partialRequest, server.awaitingBytes = true, waits
+			server.mu.Unlock()
+			server.abortBodyRead()
+			io.WriteString(client, "x")
+			_, err := server.Conn.Read(make([]byte, 1))
+			if aborted := errors.Is(err, os.ErrDeadlineExceeded); aborted != waits {
+				t.Error(err)
+			}
+		})
+	}
+}
