--- /dev/null
+++ b/internal/upstream/body.go
@@ -0,0 +1,50 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"sync"
+)
+
+var errAborted = errors.New("attempt aborted")
+
+// requestBody passes a call's bytes to the Transport. It decides whether the last byte may have been written when an
+// attempt is aborted: after the abort no byte is passed on, so an attempt whose last byte was not passed on never ran.
+//
+// net/http doesn't know the type and has no GetBody for it, so the Transport cannot rewind the body and never resends a
+// call by itself.
+type requestBody struct {
+	mu       sync.Mutex
+	unread   []byte
+	consumed bool // the last byte was passed on
+	aborted  bool
+}
+
+// Read implements io.Reader.
+func (b *requestBody) Read(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	switch {
+	case b.consumed: // net/http reads once more behind the last byte: an error then would say that it was not written
+		return 0, io.EOF
+	case b.aborted:
+		return 0, errAborted
+	}
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
+	if len(b.unread) == 0 {
+		b.consumed = true
+		return n, io.EOF
+	}
+	return n, nil
+}
+
+// Close implements io.Closer.
+func (b *requestBody) Close() error { return nil }
+
+// abort lets no further byte be passed on.
+func (b *requestBody) abort() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.aborted = true
+}
--- /dev/null
+++ b/internal/upstream/body_test.go
@@ -0,0 +1,23 @@
+package upstream
+
+import (
+	"io"
+	"testing"
+)
+
+// An attempt that is aborted after its last byte was passed on has not failed in writing: net/http reads the body once
+// more then, and must see its end.
+func TestBodyAbortedAfterItsLastByteStillEndsWithEOF(t *testing.T) {
+	b := &requestBody{unread: []byte("ab")}
+	if n, err := b.Read(make([]byte, 9)); n != 2 || err != io.EOF {
+		t.Fatalf("%d bytes, %v", n, err)
+	}
+	b.aborted = true
+	if n, err := b.Read(make([]byte, 9)); n != 0 || err != io.EOF {
+		t.Errorf("behind its end: %d bytes, %v", n, err)
+	}
+	b = &requestBody{unread: []byte("ab"), aborted: true}
+	if n, err := b.Read(make([]byte, 9)); n != 0 || err != errAborted {
+		t.Errorf("aborted before: %d bytes, %v", n, err)
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -186,8 +186,8 @@
 			} else {
 				up = <-ev.rejected
 			}
-			if took := (<-ev.ended).Sub(up); took < upstream.CloseFor {
-				t.Errorf("its end was told %v after it was given up, want %v or more", took, upstream.CloseFor)
+			if took := (<-ev.ended).Sub(up); took < upstream.CloseDelay {
+				t.Errorf("its end was told %v after it was given up, want %v or more", took, upstream.CloseDelay)
 			}
 		})
 	}
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -13,62 +13,64 @@
 	"rampspread/internal/system"
 )
 
+// After a local failure the dialer waits for minDialBackoff, then for twice as long each time, up to maxDialBackoff.
 const (
-	localFirst = time.Millisecond      // after a local failure, until the next try: doubled each time,
-	localMost  = 20 * time.Millisecond // up to this
+	minDialBackoff = time.Millisecond
+	maxDialBackoff = 20 * time.Millisecond
 )
 
-// errLocal says that this machine kept a connection from being made: it tells nothing of the replica.
-var errLocal = errors.New("no connection can be made from this machine")
+// errLocalFailure says that this machine kept a connection from being made. It says nothing about the replica.
+var errLocalFailure = errors.New("no connection can be made from this machine")
 
 var (
-	// localErrors are those of connect(2) and socket(2) that have their cause on this machine: no descriptors, memory or ports.
-	localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
+	// localErrnos are errors of connect(2) and socket(2) whose cause is on this machine: no descriptors, memory or ports.
+	localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 		syscall.EAGAIN, syscall.EINTR}
-	// routeErrors pass too, but where they last they may be of the way to this one replica: others are better then.
-	routeErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES}
+	// routeErrnos pass too, but where they last the cause may be the route to this one replica: others are better then.
+	routeErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES}
 )
 
-// isOneOf tells whether an error is a system call's, of these.
+// isOneOf reports whether an error wraps one of these system call errors.
 func isOneOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// dialer makes connections to replicas. Local failures, which pass, are tried again for as long as a connection may take.
+// dialer makes connections to replicas. It retries after local failures, which pass, within the limit for a connection.
 type dialer struct {
-	timeout time.Duration // for one connection, with all tries
-	machine system.System
-	failed  *atomic.Int64 // local failures
+	timeout       time.Duration // for one connection, with all retries
+	machine       system.System
+	localFailures *atomic.Int64
 }
 
+// dial makes a connection. The error wraps errLocalFailure if this machine's own limits were the cause to the end.
 func (d *dialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
-	for pause := localFirst; ; pause = min(2*pause, localMost) {
-		c, err := d.once(ctx, network, addr)
+	for backoff := minDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
+		conn, err := d.dialOnce(ctx, network, addr)
 		if err == nil {
-			return c, nil
+			return conn, nil
 		}
-		local := isOneOf(err, localErrors)
-		if !local && !isOneOf(err, routeErrors) {
+		local := isOneOf(err, localErrnos)
+		if !local && !isOneOf(err, routeErrnos) {
 			return nil, err
 		}
-		d.failed.Add(1)
-		timer := time.NewTimer(pause)
+		d.localFailures.Add(1)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			if local {
-				err = fmt.Errorf("%w: %w", errLocal, err)
+				err = fmt.Errorf("%w: %w", errLocalFailure, err)
 			}
 			return nil, err
 		}
 	}
 }
 
-func (d *dialer) once(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *dialer) dialOnce(ctx context.Context, network, addr string) (net.Conn, error) {
 	if err := d.machine.Before(system.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
--- /dev/null
+++ b/internal/upstream/loadpoll.go
@@ -0,0 +1,48 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/routing"
+)
+
+const (
+	loadPath = "/load"
+	// leaseHeader names to a replica the lease of the fleet under which it is polled.
+	leaseHeader = "X-Duty"
+)
+
+// PollLoad implements dispatch.Upstream.
+func (c *Client) PollLoad(target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport)) {
+	c.PollLoadFor("", target, timeout, done)
+}
+
+// PollLoadFor is PollLoad on behalf of the fleet, under the named lease. It calls done once, from another goroutine,
+// with nil if the replica gave no load report within the timeout.
+func (c *Client) PollLoadFor(lease string, target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport)) {
+	go func() {
+		report, err := c.fetchLoad(lease, target, timeout)
+		if err != nil {
+			slog.Warn("load_poll_failed", "server", target.Name, "err", err)
+		}
+		done(report)
+	}()
+}
+
+func (c *Client) fetchLoad(lease string, target dispatch.Target, timeout time.Duration) (*routing.LoadReport, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	resp, data, err := c.shortCall(ctx, http.MethodGet, target, loadPath, lease)
+	if err != nil {
+		return nil, fmt.Errorf("load: %w", err)
+	}
+	if resp.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("load: %w", statusError(resp.StatusCode))
+	}
+	return c.parseLoadReport(string(data)), nil
+}
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -12,107 +12,118 @@
 )
 
 const (
-	releaseTry  = 100 * time.Millisecond // for one replica to take a release
-	releaseNext = 20 * time.Millisecond  // without an answer, until the next is asked beside it
-	// releaseFor is for how long a release that no replica has taken is tried: what is held is then let go late rather than never.
-	releaseFor = 2 * time.Second
-	// releaseAhead is for how long a call waits for its own release, which takes longer only where several replicas are silent.
-	releaseAhead = 50 * time.Millisecond
-	// releaseRound is the least time between two calls of one release at the same replica.
-	releaseRound = 300 * time.Millisecond
+	roomsPath = "/bootstrap/rooms/" // followed by the call's ID
+
+	// releaseTimeout is the limit for one replica to confirm a release.
+	releaseTimeout = 100 * time.Millisecond
+	// releaseHedgeDelay is how long a release waits without an answer until it is also sent through the next replica.
+	releaseHedgeDelay = 20 * time.Millisecond
+	// releaseGiveUp is for how long a release that no replica confirms is repeated: the state is then released late
+	// rather than never.
+	releaseGiveUp = 2 * time.Second
+	// maxReleaseWait is for how long a call waits for its own release, which takes longer only where several replicas
+	// are silent.
+	maxReleaseWait = 50 * time.Millisecond
+	// releaseRepeatInterval is the least time between two calls of one release to the same replica.
+	releaseRepeatInterval = 300 * time.Millisecond
 )
 
-// Release implements core.Servers. What is held must be let go in time, and this side does not know which replicas its calls reach:
-// only an answer tells. A replica that does not answer at once is not waited for, and the next is asked beside it; where none has
-// answered, all are asked again. A release that comes twice does no more than one.
-func (p *Client) Release(call dispatch.Call, through []dispatch.Target) {
-	p.releasing.Add(1)
-	over := make(chan struct{})
-	p.releases.Store(call.ID, over)
+// Release implements dispatch.Upstream. The state must be released in time, and this side does not know which replicas
+// its calls reach: only an answer says so. So the release is hedged: a replica that does not answer at once is not
+// waited for, and the next one gets the same call; where none has answered, all get it again. A release is idempotent.
+func (c *Client) Release(call dispatch.Call, through []dispatch.Target) {
+	c.pendingReleases.Add(1)
+	done := make(chan struct{})
+	c.releaseDone.Store(call.ID, done)
 	go func() {
-		defer p.releasing.Add(-1)
-		defer p.releases.CompareAndDelete(call.ID, over)
-		defer close(over)
-		p.releaseThrough(call.ID, through)
+		defer c.pendingReleases.Add(-1)
+		defer c.releaseDone.CompareAndDelete(call.ID, done)
+		defer close(done)
+		c.releaseThrough(call.ID, through)
 	}()
 }
 
-// awaitRelease returns once no release for a call is on its way any more, but no later than releaseAhead: one that arrives while the call
-// is being read would let go of what it reads.
-func (p *Client) awaitRelease(ctx context.Context, id string) {
-	over, ok := p.releases.Load(id)
+// awaitRelease returns once no release of a call is in flight any more, but no later than maxReleaseWait: a release that
+// arrives during the call's prefill would release the state that the prefill makes.
+func (c *Client) awaitRelease(ctx context.Context, callID string) {
+	done, ok := c.releaseDone.Load(callID)
 	if !ok {
 		return
 	}
-	timer := time.NewTimer(releaseAhead)
+	timer := time.NewTimer(maxReleaseWait)
 	defer timer.Stop()
 	select {
-	case <-over.(chan struct{}):
+	case <-done.(chan struct{}):
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// PendingReleases is how many releases no replica has taken yet.
-func (p *Client) PendingReleases() int64 { return p.releasing.Load() }
+// PendingReleases returns how many releases no replica has confirmed yet and are still being sent.
+func (c *Client) PendingReleases() int64 { return c.pendingReleases.Load() }
 
-func (p *Client) releaseThrough(id string, through []dispatch.Target) {
+// releaseThrough sends a release through one replica after the other until one confirms it or releaseGiveUp has passed.
+func (c *Client) releaseThrough(callID string, through []dispatch.Target) {
 	if len(through) == 0 {
-		slog.Warn("release_failed", "id", id, "asked", 0)
+		slog.Warn("release_failed", "id", callID, "attempts", 0)
 		return
 	}
-	taken := make(chan struct{}, 1)
-	over := time.NewTimer(releaseFor)
-	defer over.Stop()
-	for asked := 0; ; asked++ {
-		failed := make(chan struct{})
-		to := through[asked%len(through)]
-		go func() {
-			if err := p.release(id, to); err != nil {
-				slog.Info("release_not_taken", "id", id, "err", err)
-				close(failed)
-				return
-			}
-			select {
-			case taken <- struct{}{}:
-			default: // another one has, too
-			}
-		}()
-		next := time.After(releasePause(asked, len(through)))
-		early := failed
-		if asked >= len(through) {
-			early = nil // those that refuse at once are not asked all the time
+	confirmed := make(chan struct{}, 1)
+	giveUp := time.NewTimer(releaseGiveUp)
+	defer giveUp.Stop()
+	for sent := 0; ; sent++ {
+		failed := c.releaseAsync(callID, through[sent%len(through)], confirmed)
+		if sent >= len(through) {
+			failed = nil // a replica that refuses at once must not be called all the time
 		}
 		select {
-		case <-taken:
+		case <-confirmed:
 			return
-		case <-next:
-		case <-early:
-		case <-over.C:
-			slog.Warn("release_failed", "id", id, "asked", asked+1)
+		case <-time.After(releaseInterval(sent, len(through))):
+		case <-failed:
+		case <-giveUp.C:
+			slog.Warn("release_failed", "id", callID, "attempts", sent+1)
 			return
 		}
 	}
 }
 
-// releasePause is the time from one call of a release to the next, by how many came before it.
-func releasePause(asked, targets int) time.Duration {
-	if asked < targets {
-		return releaseNext
+// releaseAsync sends a release to one replica in a goroutine of its own. A confirmation goes to confirmed, unless there
+// is one already; the returned channel is closed if there is none.
+func (c *Client) releaseAsync(callID string, target dispatch.Target, confirmed chan<- struct{}) (failed chan struct{}) {
+	failed = make(chan struct{})
+	go func() {
+		if err := c.release(callID, target); err != nil {
+			slog.Info("release_attempt_failed", "id", callID, "err", err)
+			close(failed)
+			return
+		}
+		select {
+		case confirmed <- struct{}{}:
+		default:
+		}
+	}()
+	return failed
+}
+
+// releaseInterval is the time from one call of a release to the next, where sent calls came before it.
+func releaseInterval(sent, targets int) time.Duration {
+	if sent < targets {
+		return releaseHedgeDelay
 	}
-	return max(releaseNext, releaseRound/time.Duration(targets))
+	return max(releaseHedgeDelay, releaseRepeatInterval/time.Duration(targets))
 }
 
-// release makes one call; an error says that nobody knows whether it arrived.
-func (p *Client) release(id string, to dispatch.Target) error {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTry)
+// release makes one call. After an error nobody knows whether the release arrived.
+func (c *Client) release(callID string, target dispatch.Target) error {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	resp, _, err := p.short(ctx, http.MethodDelete, to, roomsPath+url.PathEscape(id), "")
+	resp, _, err := c.shortCall(ctx, http.MethodDelete, target, roomsPath+url.PathEscape(callID), "")
 	if err != nil {
-		return fmt.Errorf("release through %s: %w", to.Name, err)
+		return fmt.Errorf("release through %s: %w", target.Name, err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("release through %s: status %d", to.Name, resp.StatusCode)
+		return fmt.Errorf("release through %s: %w", target.Name, statusError(resp.StatusCode))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,65 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"net/url"
+
+	"rampspread/internal/dispatch"
+)
+
+const (
+	userAgent    = "rampspread"
+	maxShortBody = 64 << 10 // bytes of a response that is no stream
+)
+
+// statusError says that a replica answered with a status that does not carry out the call.
+type statusError int
+
+// Error implements error.
+func (status statusError) Error() string { return fmt.Sprintf("status %d", int(status)) }
+
+// newRequest returns a request without a body for a replica. The target is a path with an optional query.
+func newRequest(ctx context.Context, method, addr, target string) (*http.Request, error) {
+	u, err := url.ParseRequestURI(target)
+	if err != nil {
+		return nil, fmt.Errorf("target: %w", err)
+	}
+	u.Scheme, u.Host = "http", addr
+	req, err := http.NewRequestWithContext(ctx, method, u.String(), nil)
+	if err != nil {
+		return nil, fmt.Errorf("request: %w", err)
+	}
+	req.Header.Set("User-Agent", userAgent)
+	return req, nil
+}
+
+// shortCall makes a call without a body and reads its short response. A lease names the fleet's lease under which the
+// call is made; it is empty where the call is made for this process alone.
+func (c *Client) shortCall(ctx context.Context, method string, target dispatch.Target, path, lease string) (*http.Response, []byte, error) {
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) { prepareConn(info, nil) },
+	})
+	req, err := newRequest(ctx, method, target.Addr, path)
+	if err != nil {
+		return nil, nil, err
+	}
+	if lease != "" {
+		req.Header.Set(leaseHeader, lease)
+	}
+	resp, err := c.transport.RoundTrip(req)
+	if err != nil {
+		return nil, nil, err
+	}
+	data, err := readShortBody(resp.Body)
+	return resp, data, err
+}
+
+// readShortBody reads a short body to its end, so that the connection can be used again.
+func readShortBody(body io.ReadCloser) ([]byte, error) {
+	defer body.Close()
+	return io.ReadAll(io.LimitReader(body, maxShortBody))
+}
