--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -23,10 +23,17 @@
 
 // attempt is one call of a request at one replica. It implements dispatch.Attempt.
 //
-// Its life: it waits for a release of the same call (awaitRelease), then makes one exchange, or several while used
-// connections turn out to be closed before the last byte was written (see exchange for the states of each). A response
-// with status 200 becomes a stream, which ends with its last event or is broken; any other response is short and ends
-// the attempt when it was read. Each attempt calls AttemptObserver.Ended exactly once.
+// Its lifecycle:
+//
+//	waiting for a release of the same call    awaitRelease
+//	waiting for a connection                  requestState waitingForConn
+//	writing, then written or writeFailed      requestState
+//	reading the head                          responseState readingHead
+//	streaming (status 200)                    stream
+//	ended                                     AttemptObserver.Ended, which is called exactly once
+//
+// While used connections turn out to be closed before the last byte was written, the attempt goes back to waiting for a
+// connection with a new exchange. A response with another status than 200 is short; the attempt ends when it was read.
 type attempt struct {
 	client      *Client
 	spec        dispatch.AttemptSpec
@@ -147,8 +154,8 @@
 	return a.refused
 }
 
-// fail reports an attempt that got no response head. One that this side kept from beginning, or that this machine could
-// not connect, says nothing about the replica.
+// fail reports an attempt that got no response head. One that this side prevented from beginning, or that this machine
+// could not connect, says nothing about the replica.
 func (a *attempt) fail(x *exchange, err error, observer dispatch.AttemptObserver) {
 	if x.firstByteWritten() {
 		a.abandon()
--- /dev/null
+++ b/internal/upstream/attempt_test.go
@@ -0,0 +1,285 @@
+package upstream_test
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/frontend"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+	"rampspread/routing"
+)
+
+// Each kind of response has its outcome, and each attempt makes exactly one call.
+func TestResponseDeterminesTheOutcome(t *testing.T) {
+	drop := func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) }
+	for name, c := range map[string]struct {
+		script testkit.Script
+		want   routing.Outcome
+	}{
+		"prefill done":      {testkit.Read, routing.PrefillDone},
+		"500":               {testkit.Status(500, false), routing.Errored},
+		"503 queue full":    {testkit.Status(503, true), routing.QueueFull},
+		"504 queue full":    {testkit.Status(504, true), routing.QueueFull},
+		"503 without proof": {testkit.Status(503, false), routing.Errored},
+		"410 state missing": {testkit.Status(410, true), routing.StateMissing},
+		"410 without proof": {testkit.Status(410, false), routing.Errored},
+		"400 unknown":       {testkit.Status(400, false), routing.Errored},
+		"dropped":           {drop, routing.ConnectionReset},
+		"no event":          {testkit.Cut(0, "a"), routing.ConnectionReset},
+	} {
+		r := testkit.NewReplica(t, c.script)
+		from := time.Now()
+		_, obs := send(t, r.Addr)
+		if o := <-obs.ended; o.Outcome != c.want {
+			t.Errorf("%s: outcome %d, want %d", name, o.Outcome, c.want)
+		}
+		if total, _ := r.Calls(); total != 1 {
+			t.Errorf("%s: %d calls", name, total)
+		}
+		took := time.Since(from)
+		h := r.Header(0)
+		if h.Get("X-Trace-Id") != call.ID || h.Get("Accept-Encoding") != "" {
+			t.Errorf("%s: head %v", name, h)
+		}
+		// What remained when the head was written: the whole limit but for the time since the call.
+		const limit = 5 * time.Second
+		if remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In")); err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
+			t.Errorf("%s: head %v after %v", name, h, took)
+		}
+	}
+}
+
+// An attempt that gets no connection never ran.
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	_, obs := send(t, testkit.NoOne(t))
+	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
+		t.Errorf("outcome %d", o.Outcome)
+	}
+}
+
+// A connection that the replica closed while it was idle must not make the Transport send a call again by itself: a call
+// that was written to it may have run.
+func TestTransportNeverResendsACall(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	calls := make(chan int, 8)
+	go func() {
+		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
+			go func() {
+				defer conn.Close()
+				r := bufio.NewReader(conn)
+				for n := 0; ; n++ {
+					req, err := http.ReadRequest(r)
+					if err != nil {
+						return
+					}
+					io.Copy(io.Discard, req.Body)
+					calls <- n
+					if n > 0 {
+						return // it came on a used connection: closed with no answer
+					}
+					io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}")
+				}
+			}()
+		}
+	}()
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	defer client.Close()
+	for _, want := range []routing.Outcome{routing.PrefillDone, routing.ConnectionReset} {
+		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+		if o := <-obs.ended; o.Outcome != want {
+			t.Fatalf("outcome %d, want %d", o.Outcome, want)
+		}
+	}
+	if a, b := <-calls, <-calls; a != 0 || b != 1 || len(calls) != 0 {
+		t.Errorf("calls %d, %d and %d more", a, b, len(calls))
+	}
+}
+
+// The end of an aborted attempt is reported only when its connection is closed: an attempt elsewhere before that would
+// overlap with it, which must never happen to an idempotent request with a key.
+func TestAbortedAttemptEndsAfterItsConnectionWasClosed(t *testing.T) {
+	closed := make(chan struct{})
+	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		testkit.Silent(w, r, n)
+		close(closed)
+	})
+	a, obs := send(t, r.Addr)
+	testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
+	a.Abort()
+	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
+		t.Errorf("outcome %d", o.Outcome)
+	}
+	<-closed
+}
+
+// rejectingObserver rejects the stream of an attempt, and notes when, and when the attempt's end is reported.
+type rejectingObserver struct{ rejected, ended chan time.Time }
+
+func (o rejectingObserver) FirstToken(dispatch.Stream) bool {
+	o.rejected <- time.Now()
+	return false
+}
+
+func (o rejectingObserver) Ended(dispatch.AttemptResult) { o.ended <- time.Now() }
+
+// The end of an attempt that is given up is reported once its close has had time to reach the replica, since another
+// attempt goes out right then: the fault-injection bench, with three runs on a core, counted such an attempt as one that
+// overlapped with the first.
+func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
+	for name, script := range map[string]testkit.Script{"no answer": testkit.Silent, "a rejected stream": testkit.Write("a")} {
+		t.Run(name, func(t *testing.T) {
+			r := testkit.NewReplica(t, script)
+			client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+			obs := rejectingObserver{make(chan time.Time, 1), make(chan time.Time, 1)}
+			defer client.Close()
+			a := client.Send(dispatch.AttemptSpec{Call: dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
+				Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, obs)
+			var givenUp time.Time
+			if name == "no answer" {
+				testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
+				givenUp = time.Now()
+				a.Abort()
+			} else {
+				givenUp = <-obs.rejected
+			}
+			if took := (<-obs.ended).Sub(givenUp); took < upstream.CloseDelay {
+				t.Errorf("its end was reported %v after it was given up, want %v or more", took, upstream.CloseDelay)
+			}
+		})
+	}
+}
+
+// An attempt that is aborted before the last byte of its call was written never ran. The body is more than any socket
+// buffer holds, and nobody reads it.
+func TestAbortBeforeTheLastByteIsConnectFailed(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	defer client.Close()
+	big := call
+	big.Body = make([]byte, 64<<20)
+	a := client.Send(dispatch.AttemptSpec{Call: big, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	a.Abort()
+	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
+		t.Errorf("outcome %d", o.Outcome)
+	}
+}
+
+// An attempt that still waits for a connection when its replica begins to drain must not be written to it: a send counts
+// from its first byte. One whose first byte was written goes on.
+func TestWithdrawEndsOnlyAnUnwrittenAttempt(t *testing.T) {
+	begun, answer := make(chan bool, 4), make(chan bool)
+	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		begun <- true
+		<-answer
+		testkit.Read(w, r, n)
+	})
+	client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
+	defer client.Close()
+	first, second := newObserver(), newObserver()
+	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	written := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
+	<-begun
+	waiting := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
+	waiting.Withdraw()
+	if o := <-second.ended; o.Outcome != routing.NotSent { // it says nothing of the replica, unlike a failed connect
+		t.Errorf("an attempt without a connection ended with %d", o.Outcome)
+	}
+	written.Withdraw()
+	close(answer)
+	if o := <-first.ended; o.Outcome != routing.PrefillDone {
+		t.Errorf("an attempt that was written ended with %d", o.Outcome)
+	}
+	if total, _ := r.Calls(); total != 1 {
+		t.Errorf("%d calls arrived", total)
+	}
+}
+
+// The time limit in an attempt's head is what remains when the head is written, not when the attempt was decided on: the
+// wait for a connection may take most of it, on the first connection and on one that replaces a stale one.
+func TestExpiryHeaderIsTheRemainingTimeWhenTheHeadIsWritten(t *testing.T) {
+	begun, answer := make(chan bool, 4), make(chan bool, 4)
+	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		begun <- true
+		<-answer
+		testkit.Read(w, r, n)
+	})
+	client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
+	defer client.Close()
+	first, second := newObserver(), newObserver()
+	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
+	<-begun
+	const limit, wait = 5 * time.Second, 400 * time.Millisecond
+	from := time.Now()
+	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: limit}, second)
+	time.Sleep(wait) // that the time passes is what is tested
+	answer <- true
+	<-first.ended
+	<-begun
+	arrived := time.Since(from)
+	answer <- true
+	<-second.ended
+	expiry, err := frontend.ParseExpiry(r.Header(1).Get("X-Expires-In"))
+	if err != nil || expiry > limit-wait || expiry < limit-arrived-5*time.Millisecond {
+		t.Errorf("after a wait of %v the head said %v of %v (%v)", wait, expiry, limit, err)
+	}
+}
+
+// An attempt that had to wait for its connection is not begun if by then its client has gone, its replicas drop no
+// repeats any more, or its time is over. Nothing reaches the replica, and nothing is held against it.
+func TestAttemptIsNotBegunIfItsPreconditionsFailedWhileWaiting(t *testing.T) {
+	gone := func() bool { return true }
+	for name, expire := range map[string]func(*dispatch.AttemptSpec){
+		"the client has gone":      func(o *dispatch.AttemptSpec) { o.ClientGone = gone },
+		"the dedup window is over": func(o *dispatch.AttemptSpec) { o.Retry, o.DedupWindow = true, 300*time.Millisecond },
+		"the time is over":         func(o *dispatch.AttemptSpec) { o.Timeout = 100 * time.Millisecond },
+	} {
+		t.Run(name, func(t *testing.T) {
+			begun, answer := make(chan bool, 4), make(chan bool)
+			r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+				begun <- true
+				<-answer
+				testkit.Read(w, r, n)
+			})
+			client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
+			defer client.Close()
+			first, second := newObserver(), newObserver()
+			spec := dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}
+			client.Send(spec, first)
+			<-begun
+			expire(&spec)
+			client.Send(spec, second)
+			time.Sleep(200 * time.Millisecond) // that the time passes is what is tested
+			close(answer)
+			if o := <-first.ended; o.Outcome != routing.PrefillDone {
+				t.Errorf("the first ended with %d", o.Outcome)
+			}
+			if o := <-second.ended; o.Outcome != routing.NotSent {
+				t.Errorf("ended with %d", o.Outcome)
+			}
+			if n, _ := r.Calls(); n != 1 {
+				t.Errorf("%d calls arrived", n)
+			}
+		})
+	}
+}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -97,7 +97,7 @@
 // Malformed returns how many responses, events and load reports could not be understood.
 func (c *Client) Malformed() int64 { return c.malformed.Load() }
 
-// LocalFailures returns how often this machine, and no replica, kept a connection from being made.
+// LocalFailures returns how often this machine, and no replica, prevented a connection.
 func (c *Client) LocalFailures() int64 { return c.localFailures.Load() }
 
 // Close closes idle connections. Calls in flight go on.
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -19,7 +19,7 @@
 	maxDialBackoff = 20 * time.Millisecond
 )
 
-// errLocalFailure says that this machine kept a connection from being made. It says nothing about the replica.
+// errLocalFailure says that this machine prevented a connection. It says nothing about the replica.
 var errLocalFailure = errors.New("no connection can be made from this machine")
 
 var (
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,7 +18,7 @@
 	headTimeout = 300 * time.Millisecond
 	// maxInformational is how many heads with a status of 1xx may come before the response.
 	maxInformational = 8
-	// newConnIdleTime stands for the idle time of a connection that had not been used before, or that there is none.
+	// newConnIdleTime is the idle time recorded for a connection that had not been used before, or where there is none.
 	newConnIdleTime time.Duration = -1
 )
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -13,6 +13,9 @@
 // CloseDelay is closeDelay, for the tests from outside.
 const CloseDelay time.Duration = closeDelay
 
+// MaxEventSize is maxEventSize, for the tests from outside.
+const MaxEventSize = maxEventSize
+
 // After an attempt was withdrawn no first byte of it is written, also not on another connection after one that was
 // stale; an exchange that has begun goes on.
 func TestWithdrawnAttemptWritesNoFirstByte(t *testing.T) {
--- /dev/null
+++ b/internal/upstream/fuzz_test.go
@@ -0,0 +1,60 @@
+package upstream_test
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+	"rampspread/routing"
+)
+
+// FuzzResponse feeds a replica's bytes to the client: whatever comes, there is one end and no panic.
+func FuzzResponse(f *testing.F) {
+	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+	for _, text := range testkit.Broken(1, head+"Connection: close\r\n\r\n"+testkit.Answer("a"),
+		"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":3}",
+		"HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\r\nContent-Length: 0\r\n\r\n",
+		head+"Connection: close\r\n\r\n: Endpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\n\n") {
+		f.Add(text)
+	}
+	settings := testkit.Settings(f)
+	f.Fuzz(func(t *testing.T, text string) {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Skip(err)
+		}
+		defer l.Close()
+		go func() {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			defer conn.Close()
+			if req, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				io.Copy(io.Discard, req.Body)
+				io.Copy(conn, strings.NewReader(text))
+			}
+		}()
+		client, obs := upstream.New(settings, 8, 8, system.Real()), newObserver()
+		defer client.Close()
+		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+		select {
+		case s := <-obs.first:
+			_, err := io.ReadAll(s)
+			s.Close()
+			if o := <-obs.ended; (o.Outcome == routing.Served) != (err == nil) || errors.Is(err, io.EOF) {
+				t.Errorf("outcome %d after %v", o.Outcome, err)
+			}
+		case <-obs.ended:
+		}
+	})
+}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -23,7 +23,7 @@
 
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
-// recorder is a replica that answers each request alike, and hands on its bytes as they came.
+// recorder is a replica that answers each request alike, and passes on its bytes as they came.
 func recorder(t *testing.T, answer string) (to dispatch.Target, requests <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", testkit.Net()+"1:0")
@@ -51,47 +51,47 @@
 	return dispatch.Target{Name: "replica-1", Addr: l.Addr().String()}, out
 }
 
-// The bytes of each kind of request that replicas are sent.
+// The bytes of each kind of request that replicas are sent. The headings in the golden file stay as they were written.
 func TestGoldenRequests(t *testing.T) {
-	const loads = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
-	const taken = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
-	const read = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
-	pool := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer pool.Close()
+	const loadReport = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
+	const released = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
+	const prefillDone = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
+	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+	defer client.Close()
 	var all strings.Builder
 	record := func(name string, to dispatch.Target, request string) {
 		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
 		fmt.Fprintf(&all, "# %s\n%s\n\n", name, strings.ReplaceAll(request, "\r\n", "\n"))
 	}
 
-	to, requests := recorder(t, read)
-	ev := newEvents()
+	to, requests := recorder(t, prefillDone)
+	obs := newObserver()
 	withType := call
 	withType.ContentType = "application/json"
-	pool.Send(dispatch.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, ev)
+	client.Send(dispatch.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, obs)
 	record("a call", to, <-requests)
-	if o := <-ev.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 3 {
+	if o := <-obs.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 3 {
 		t.Errorf("%+v", o)
 	}
 
-	to, requests = recorder(t, taken)
-	pool.Release(dispatch.Call{ID: "id-2"}, []dispatch.Target{to})
+	to, requests = recorder(t, released)
+	client.Release(dispatch.Call{ID: "id-2"}, []dispatch.Target{to})
 	record("a release", to, <-requests)
-	testkit.Eventually(t, "the release", func() bool { return pool.PendingReleases() == 0 })
+	testkit.Eventually(t, "the release", func() bool { return client.PendingReleases() == 0 })
 
-	to, requests = recorder(t, loads)
-	for _, duty := range []string{"", "duty-1 7"} {
-		told := make(chan *routing.LoadReport, 1)
-		pool.PollLoadFor(duty, to, 5*time.Second, func(l *routing.LoadReport) { told <- l })
-		record("a probe, duty "+fmt.Sprintf("%q", duty), to, <-requests)
-		if l := <-told; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
+	to, requests = recorder(t, loadReport)
+	for _, lease := range []string{"", "duty-1 7"} {
+		reports := make(chan *routing.LoadReport, 1)
+		client.PollLoadFor(lease, to, 5*time.Second, func(l *routing.LoadReport) { reports <- l })
+		record("a probe, duty "+fmt.Sprintf("%q", lease), to, <-requests)
+		if l := <-reports; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
 			t.Errorf("load %+v", l)
 		}
 	}
 	testkit.CheckGolden(t, *update, "requests.golden", all.String())
 }
 
-// What a replica's answer says: its status, its proof that nothing ran, and its load report.
+// What a replica's response says: its status, its proof that nothing ran, and its load report.
 func TestGoldenOutcomes(t *testing.T) {
 	report := &routing.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
 	for head, want := range map[string]dispatch.AttemptResult{
@@ -104,8 +104,8 @@
 	} {
 		to, _ := recorder(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
 			"Content-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}")
-		_, ev := send(t, to.Addr)
-		got := <-ev.ended
+		_, obs := send(t, to.Addr)
+		got := <-obs.ended
 		if got.Load == nil || *got.Load != *want.Load {
 			t.Errorf("%q: load %+v", head, got.Load)
 		}
--- /dev/null
+++ b/internal/upstream/helpers_test.go
@@ -0,0 +1,78 @@
+package upstream_test
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+)
+
+// observer implements dispatch.AttemptObserver and records what is reported.
+type observer struct {
+	ended  chan dispatch.AttemptResult
+	first  chan dispatch.Stream
+	reject bool
+}
+
+func newObserver() *observer {
+	return &observer{ended: make(chan dispatch.AttemptResult, 4), first: make(chan dispatch.Stream, 4)}
+}
+
+func (o *observer) FirstToken(s dispatch.Stream) bool {
+	if o.reject {
+		return false
+	}
+	o.first <- s
+	return true
+}
+
+func (o *observer) Ended(result dispatch.AttemptResult) { o.ended <- result }
+
+// call is the call that tests make.
+var call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
+
+// send makes an attempt of call at a replica, over a client of its own.
+func send(t *testing.T, addr string) (dispatch.Attempt, *observer) {
+	t.Helper()
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	t.Cleanup(client.Close)
+	return client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: 5 * time.Second}, obs), obs
+}
+
+// rawReplica starts a replica that answers each call on a connection with the next of the responses, byte for byte, and
+// then leaves the connection open.
+func rawReplica(t *testing.T, responses ...string) (addr string, calls *atomic.Int64) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	calls = new(atomic.Int64)
+	go func() {
+		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
+			t.Cleanup(func() { conn.Close() })
+			go func() {
+				r := bufio.NewReader(conn)
+				for _, response := range responses {
+					req, err := http.ReadRequest(r)
+					if err != nil {
+						return
+					}
+					io.Copy(io.Discard, req.Body)
+					calls.Add(1)
+					io.WriteString(conn, response)
+				}
+			}()
+		}
+	}()
+	return l.Addr().String(), calls
+}
--- /dev/null
+++ b/internal/upstream/release_test.go
@@ -0,0 +1,114 @@
+package upstream_test
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+	"rampspread/routing"
+)
+
+// silentTargets returns count replicas that accept calls and never answer.
+func silentTargets(t *testing.T, count int) (through []dispatch.Target) {
+	t.Helper()
+	for i := range count {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { l.Close() })
+		through = append(through, dispatch.Target{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
+	}
+	return through
+}
+
+// A release arrives in time though the first four replicas accept the call and never answer, as at a process that has
+// just started and does not know which of them answer.
+func TestReleaseIsHedgedPastSilentReplicas(t *testing.T) {
+	through := silentTargets(t, 4)
+	live := testkit.NewReplica(t, testkit.Read)
+	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+	defer client.Close()
+	start := time.Now()
+	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
+	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
+	if took := time.Since(start); took > 300*time.Millisecond {
+		t.Errorf("it took %v", took)
+	}
+}
+
+// A release arrives in time, and while it still counts, though all replicas but the last of many are silent.
+func TestReleaseReachesTheLastOfManyReplicas(t *testing.T) {
+	through := silentTargets(t, 10)
+	live := testkit.NewReplica(t, testkit.Read)
+	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+	defer client.Close()
+	start := time.Now()
+	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
+	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
+	if took := time.Since(start); took > 600*time.Millisecond {
+		t.Errorf("it took %v", took)
+	}
+}
+
+// A release that no replica confirms is repeated for a while, at a bounded rate, and then ends.
+func TestUnconfirmedReleaseIsRepeatedAtABoundedRateThenEnds(t *testing.T) {
+	var calls atomic.Int64
+	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		calls.Add(1)
+		w.WriteHeader(http.StatusNotFound)
+	}))
+	defer refusing.Close()
+	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+	defer client.Close()
+	start := time.Now()
+	client.Release(call, []dispatch.Target{{Name: "dead", Addr: testkit.NoOne(t)}, {Name: "refusing", Addr: refusing.Listener.Addr().String()}})
+	client.Release(call, nil)
+	testkit.Eventually(t, "its end", func() bool { return client.PendingReleases() == 0 })
+	if n, took := calls.Load(), time.Since(start); n < 3 || n > 20 || took < time.Second {
+		t.Errorf("%d calls in %v", n, took)
+	}
+}
+
+// A release goes on to the next replica until a live one has confirmed it.
+func TestReleaseGoesOnAfterADeadReplica(t *testing.T) {
+	dead := testkit.NoOne(t)
+	live := testkit.NewReplica(t, testkit.Read)
+	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+	defer client.Close()
+	client.Release(call, []dispatch.Target{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
+	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
+}
+
+// A call that is sent just after its release waits until that has been confirmed: a release that arrives during a prefill
+// would release what the prefill makes.
+func TestCallWaitsForItsRelease(t *testing.T) {
+	arrived := make(chan string, 16) // a release may be made more than once
+	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodDelete {
+			time.Sleep(20 * time.Millisecond) // the release takes this long to arrive
+		}
+		arrived <- r.Method
+		testkit.Read(w, r, 0)
+	}))
+	defer replica.Close()
+	target := dispatch.Target{Name: "r", Addr: replica.Listener.Addr().String()}
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	defer client.Close()
+	client.Release(call, []dispatch.Target{target})
+	client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, obs)
+	if o := <-obs.ended; o.Outcome != routing.PrefillDone {
+		t.Errorf("outcome %d", o.Outcome)
+	}
+	if first := <-arrived; first != http.MethodDelete {
+		t.Errorf("%s arrived before the release", first)
+	}
+}
--- /dev/null
+++ b/internal/upstream/reuse_test.go
@@ -0,0 +1,66 @@
+package upstream_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+	"rampspread/routing"
+)
+
+// A duplicate response that comes some milliseconds behind the first is never taken for the response to the next call on
+// that connection, which here would be sent again though it runs.
+func TestLateDuplicateResponseIsNotTheNextResponse(t *testing.T) {
+	for _, late := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
+		const refusal = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+		r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+			if n > 0 {
+				testkit.Read(w, r, n)
+				return
+			}
+			conn, _, err := http.NewResponseController(w).Hijack()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			io.WriteString(conn, refusal)
+			time.Sleep(late)
+			io.WriteString(conn, refusal)
+			io.Copy(io.Discard, conn) // it runs the next call, and does not answer it yet
+			conn.Close()
+		})
+		client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+		to := dispatch.Target{Name: "s", Addr: r.Addr}
+		for n, want := range []routing.Outcome{routing.QueueFull, routing.PrefillDone} {
+			obs := newObserver()
+			client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, obs)
+			if o := <-obs.ended; o.Outcome != want {
+				t.Errorf("%v late: call %d ended with %d, want %d", late, n, o.Outcome, want)
+			}
+		}
+		client.Close()
+	}
+}
+
+// A second response right behind the first is not taken for that to the next call: each call gets its own.
+func TestBytesBehindAResponseAreNotTheNextResponse(t *testing.T) {
+	prefillDone := "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":%d}"
+	addr, calls := rawReplica(t, fmt.Sprintf(prefillDone, 1)+fmt.Sprintf(prefillDone, 2), fmt.Sprintf(prefillDone, 3))
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	defer client.Close()
+	for n := range 200 {
+		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: time.Second}, obs)
+		if o := <-obs.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 1 {
+			t.Fatalf("call %d: %+v", n, o)
+		}
+	}
+	if calls.Load() != 200 {
+		t.Errorf("%d calls arrived", calls.Load())
+	}
+}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -21,7 +21,7 @@
 // may send noise, or a chunk whose size is wrong or that never ends, and a client must not take part of that for its
 // answer.
 //
-// Read and Close are called from one goroutine at a time; only silenceTimer runs beside them, and cancels the attempt.
+// Read and Close are called from one goroutine at a time; only silenceTimer runs concurrently, and cancels the attempt.
 type stream struct {
 	attempt      *attempt
 	body         io.ReadCloser
--- /dev/null
+++ b/internal/upstream/stream_test.go
@@ -0,0 +1,142 @@
+package upstream_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/system"
+	"rampspread/internal/testkit"
+	"rampspread/internal/upstream"
+	"rampspread/routing"
+)
+
+// A whole stream is passed on byte for byte, and its end reported once.
+func TestWholeStreamIsPassedOnUnchanged(t *testing.T) {
+	r := testkit.NewReplica(t, testkit.Write("alpha", "beta"))
+	_, obs := send(t, r.Addr)
+	s := <-obs.first
+	got, err := io.ReadAll(s)
+	if err != nil || string(got) != testkit.Answer("alpha", "beta") {
+		t.Errorf("read %q, %v", got, err)
+	}
+	s.Close()
+	if o := <-obs.ended; o.Outcome != routing.Served || o.CachedTokens != 4 || len(obs.ended) > 0 {
+		t.Errorf("ended %+v and %d more", o, len(obs.ended))
+	}
+}
+
+// Wherever a stream is cut, its whole events are passed on unchanged, and the end is an error, never io.EOF. Without a
+// whole event there is no stream at all: the attempt may have run, and that is all that is known.
+func TestCutStreamPassesOnItsWholeEvents(t *testing.T) {
+	whole := testkit.Answer("alpha", "beta")
+	for n := 1; n < len(whole); n += 7 {
+		r := testkit.NewReplica(t, testkit.Cut(n, "alpha", "beta"))
+		_, obs := send(t, r.Addr)
+		checkEnd(t, obs, whole[:n], routing.ConnectionReset)
+	}
+}
+
+// checkEnd takes an attempt to its end: it passed on the whole events of the text and nothing else.
+func checkEnd(t *testing.T, obs *observer, text string, want routing.Outcome) {
+	t.Helper()
+	if want := testkit.Whole(text); want != "" {
+		s := <-obs.first
+		got, err := io.ReadAll(s)
+		s.Close()
+		if err == nil || string(got) != want {
+			t.Errorf("%q: read %q, %v", text, got, err)
+		}
+	}
+	o := <-obs.ended
+	brokeBeforeFirstEvent := o.Outcome == routing.ConnectionReset && testkit.Whole(text) == ""
+	if o.Outcome != want || o.StreamStarted != brokeBeforeFirstEvent || len(obs.ended)+len(obs.first) > 0 {
+		t.Errorf("%q: ended %+v, and %d more", text, o, len(obs.ended)+len(obs.first))
+	}
+}
+
+// A malformed stream ends the attempt, though its connection stays open: before the first event nothing is passed on,
+// later whole events only.
+func TestMalformedStreamEndsTheAttempt(t *testing.T) {
+	one := testkit.Whole(testkit.Answer("alpha")[:100])
+	for name, c := range map[string]struct{ received, passed string }{
+		"noise":                   {"\x03\x80\x91\n\xffnoise\n\n", ""},
+		"noise without a line":    {"\x03\x80\x91\xffnoise", ""},
+		"an invalid head":         {"HTTP/1.1 2x0 OK\r\n\r\n", ""},
+		"a head without end":      {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Pad: aaaa", ""},
+		"a large head":            {"HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("a", 64<<10), ""},
+		"1xx without end":         {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 99), ""},
+		"a head alone":            {testkit.Chunks(""), ""},
+		"noise for an event":      {testkit.Chunks("\x03\x80\n\n"), ""},
+		"half an event":           {testkit.Chunks(one[:40]), ""},
+		"an invalid chunk size":   {testkit.Chunks(one) + "zz\r\n" + one, one},
+		"a chunk size too small":  {testkit.Chunks(one) + "8\r\n" + one + "\r\n", one},
+		"a chunk size too large":  {testkit.Chunks(one) + fmt.Sprintf("%x\r\n%s\r\n", len(one)+9, one) + testkit.Chunks(one), one + one},
+		"a chunk of 3 GB":         {testkit.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", upstream.MaxEventSize+1), one},
+		"a chunk of 3 GB, slowly": {testkit.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", 99), one},
+		"an early end":            {testkit.Chunks(one) + "0\r\n\r\n", one},
+		"half a short response":   {"HTTP/1.1 503 Busy\r\nContent-Length: 9\r\n\r\nb", ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			_, obs := send(t, testkit.NewReplica(t, testkit.Raw(c.received)).Addr)
+			want := routing.ConnectionReset
+			if name == "half a short response" {
+				want = routing.Errored
+			}
+			checkEnd(t, obs, c.passed, want)
+		})
+	}
+}
+
+// 1xx heads before a response, and load reports that cannot be parsed, do no harm.
+func TestInformationalHeadsAndMalformedLoadReportsAreHarmless(t *testing.T) {
+	text := testkit.Answer("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
+	addr, _ := rawReplica(t, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+
+		strings.Replace(testkit.Chunks(text), "\r\n", "\r\nEndpoint-Load-Metrics: \xff%%\r\n", 1)+"0\r\n\r\n")
+	_, obs := send(t, addr)
+	s := <-obs.first
+	got, err := io.ReadAll(s)
+	s.Close()
+	if o := <-obs.ended; err != nil || string(got) != text || o.Outcome != routing.Served || o.CachedTokens != 4 || o.Load != nil {
+		t.Errorf("read %q, %v, ended %+v", got, err, o)
+	}
+}
+
+// A replica that falls silent in midstream leaves its connection open: the stream is given up all the same.
+func TestSilentStreamIsGivenUp(t *testing.T) {
+	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		io.WriteString(w, "data: {}\n\n")
+		http.NewResponseController(w).Flush()
+		testkit.Silent(w, r, n)
+	})
+	_, obs := send(t, r.Addr)
+	s := <-obs.first
+	got, err := io.ReadAll(s)
+	s.Close()
+	if o := <-obs.ended; err == nil || string(got) != "data: {}\n\n" || o.Outcome != routing.ConnectionReset {
+		t.Errorf("read %q, %v, outcome %d", got, err, o.Outcome)
+	}
+}
+
+// The response to a rejected stream is closed, so that the replica notices.
+func TestRejectedStreamIsCutOffAtTheReplica(t *testing.T) {
+	gone := make(chan struct{})
+	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		testkit.Write("a")(w, r, n)
+		<-r.Context().Done()
+		close(gone)
+	})
+	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
+	defer client.Close()
+	obs.reject = true
+	client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: time.Second}, obs)
+	<-gone
+	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
+		t.Errorf("outcome %d", o.Outcome)
+	}
+}
