--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// toldWithin is when a change counts as told after discovery had it and could be reached, and spare what has to be left of that: the
-// time in which it binds.
 const (
-	toldWithin = 6 * time.Second
-	spare      = 500 * time.Millisecond
+	// notifiedWithin is when a change counts as notified after discovery had it and could be reached.
+	notifiedWithin = 6 * time.Second
+	// bindsWithin is what has to remain of that: the time in which the change binds.
+	bindsWithin = 500 * time.Millisecond
 )
 
-// A discovery takes so many calls in a tenth of a second, and none in time once it is asked for far more. It loses
-// all dispatchers at once: they must all be back soon, without asking much more often than they need. The two large
-// fleets have to be back in what toldWithin leaves; a discovery that serves them at all serves twice their even rate, and jams
-// at four times that.
-func TestBackoffSpreadsTheFleet(t *testing.T) {
+// A discovery serves a number of calls in a tenth of a second, and none in time once it gets far more. It loses all
+// dispatchers at once: they must all be back soon, without many more calls than they need. The two large fleets have to
+// be back in what remains of notifiedWithin; a discovery that serves them at all serves twice their even rate, and is
+// overloaded at four times that.
+func TestBackoffBringsTheWholeFleetBackWithoutOverload(t *testing.T) {
 	for _, c := range []struct {
-		fleet, serves, jams int // the last two in a tick
-		within              time.Duration
+		fleet              int
+		capacity, overload int // calls in a tick
+		within             time.Duration
 	}{
 		{4, 2, 8, time.Second},
 		{80, 2, 8, 20 * time.Second},
-		{400, 40, 80, toldWithin - spare - quiet},
-		{1024, 103, 206, toldWithin - spare - quiet},
+		{400, 40, 80, notifiedWithin - bindsWithin - silenceTimeout},
+		{1024, 103, 206, notifiedWithin - bindsWithin - silenceTimeout},
 	} {
 		const tick = 100 * time.Millisecond
-		due, pauses := make([]time.Duration, c.fleet), make([]*backoff, c.fleet)
-		for i := range pauses {
-			pauses[i] = newBackoff(uint64(i), func() float64 { return float64(c.fleet) })
-			due[i] = pauses[i].next()
+		due, backoffs := make([]time.Duration, c.fleet), make([]*backoff, c.fleet)
+		for i := range backoffs {
+			backoffs[i] = newBackoff(uint64(i), func() float64 { return float64(c.fleet) })
+			due[i] = backoffs[i].next()
 		}
 		back, calls := 0, 0
 		for now := time.Duration(0); now < c.within; now += tick {
-			var asking []int
+			var calling []int
 			for i, at := range due {
 				if at >= now && at < now+tick {
-					asking = append(asking, i)
+					calling = append(calling, i)
 				}
 			}
-			calls += len(asking)
-			for n, i := range asking {
-				if n < c.serves && len(asking) <= c.jams {
+			calls += len(calling)
+			for n, i := range calling {
+				if n < c.capacity && len(calling) <= c.overload {
 					due[i] = -1
 					back++
 				} else {
-					due[i] = now + tick + pauses[i].next() // a call is answered, or not, by the tick's end
+					due[i] = now + tick + backoffs[i].next() // a call is answered, or not, by the tick's end
 				}
 			}
 		}
@@ -56,11 +57,12 @@
 	}
 }
 
-// A discovery that comes back is not asked in step: of a fleet whose calls all failed in the same moment, and failed so often that all
-// spans are at their longest, no tenth of a second brings more than twice its even part of the calls and some for chance.
-func TestBackoffNeverInStep(t *testing.T) {
+// A discovery that comes back does not get its calls in step: of a fleet whose calls all failed in the same moment, and
+// failed so often that all spans are at their longest, no tenth of a second brings more than twice its even part of the
+// calls and some for chance.
+func TestBackoffsOfAFleetAreNotInStep(t *testing.T) {
 	for _, fleet := range []int{80, 350, 1024} {
-		ticks := make([]int, mostPause/(100*time.Millisecond))
+		ticks := make([]int, maxBackoff/(100*time.Millisecond))
 		for i := range fleet {
 			b := newBackoff(uint64(i), func() float64 { return float64(fleet) })
 			for range 8 {
@@ -76,60 +78,62 @@
 	}
 }
 
-func TestBackoffGrowsAndIsReset(t *testing.T) {
+// The span grows with failures in a row, up to its bound, and is the shortest again after a reset.
+func TestBackoffGrowsWithFailuresAndIsReset(t *testing.T) {
 	b := newBackoff(7, func() float64 { return 4 })
 	longest := time.Duration(0)
 	for range 200 {
 		p := b.next()
-		if p < 0 || p >= 4*eachMost {
-			t.Fatalf("pause %v", p)
+		if p < 0 || p >= 4*maxSpanPerDispatcher {
+			t.Fatalf("backoff %v", p)
 		}
 		longest = max(longest, p)
 	}
-	if longest < 3*eachMost {
-		t.Errorf("longest pause %v", longest)
+	if longest < 3*maxSpanPerDispatcher {
+		t.Errorf("longest backoff %v", longest)
 	}
 	b.reset()
 	for range 50 {
-		if p := b.next(); p >= 4*eachFirst {
-			t.Errorf("pause %v after a reset", p)
+		if p := b.next(); p >= 4*minSpanPerDispatcher {
+			t.Errorf("backoff %v after a reset", p)
 		}
 		b.reset()
 	}
 }
 
-// The pauses follow the dispatchers that are there: when most of them are gone, those that are left need not wait for all.
-func TestBackoffFollowsTheFleet(t *testing.T) {
-	many := 300.0
-	b := newBackoff(1, func() float64 { return many })
-	longest := func() (most time.Duration) {
+// The backoffs follow the present size of the fleet: when most dispatchers are gone, the others need not wait for all.
+func TestBackoffFollowsTheFleetSize(t *testing.T) {
+	size := 300.0
+	b := newBackoff(1, func() float64 { return size })
+	longestOf100 := func() (longest time.Duration) {
 		for range 100 {
 			b.reset()
-			most = max(most, b.next())
+			longest = max(longest, b.next())
 		}
-		return most
+		return longest
 	}
-	if all := longest(); all < mostPause*9/10 || all >= mostPause {
-		t.Errorf("longest pause of 300 %v", all)
+	if all := longestOf100(); all < maxBackoff*9/10 || all >= maxBackoff {
+		t.Errorf("longest backoff of 300 %v", all)
 	}
-	many = 10
-	if left := longest(); left >= 10*eachFirst {
-		t.Errorf("longest pause of the 10 that are left %v", left)
+	size = 10
+	if shrunk := longestOf100(); shrunk >= 10*minSpanPerDispatcher {
+		t.Errorf("longest backoff of the remaining 10 %v", shrunk)
 	}
 }
 
-// What a call that was given up missed counts as told 6 s after discovery had it and could be reached, however often calls have
-// failed and however large the fleet is: a call of the longest kind and any pause behind it leave a second for the one that brings the
-// change, and the time in which it binds. Where an agent answers at no cost, all pauses are short.
-func TestEachPauseEndsInTime(t *testing.T) {
+// A change that a failed call missed counts as notified 6 s after discovery had it and could be reached, however often
+// calls have failed and however large the fleet is: after a call of the longest kind and any backoff behind it, a second
+// remains for the call that brings the change, and the time in which it binds. Where an agent answers at no cost, all
+// backoffs are short.
+func TestBackoffAllowsForNotificationInTime(t *testing.T) {
 	for _, fleet := range []float64{4, 80, 160, 161, 350, 1024, 1 << 20} {
 		b := newBackoff(3, func() float64 { return fleet })
 		for n := range 500 {
 			if n%25 == 0 {
 				b.reset()
 			}
-			if p := b.next(); max(quiet, fetchWait)+p > toldWithin-spare-time.Second {
-				t.Fatalf("fleet of %v, failure %d: a call may take %v, and a pause of %v follows", fleet, b.fails, quiet, p)
+			if p := b.next(); max(silenceTimeout, listTimeout)+p > notifiedWithin-bindsWithin-time.Second {
+				t.Fatalf("fleet of %v, failure %d: a call may take %v, and a backoff of %v follows", fleet, b.failures, silenceTimeout, p)
 			}
 		}
 	}
@@ -137,7 +141,7 @@
 	b.agent = 50 * time.Millisecond
 	for range 20 {
 		if p := b.next(); p != b.agent {
-			t.Fatalf("pause %v at an agent", p)
+			t.Fatalf("backoff %v at an agent", p)
 		}
 	}
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -18,21 +19,24 @@
 	"rampspread/routing"
 )
 
+// entry is one entry of a list in discovery's form.
 func entry(id, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:9000","zone":"wien","machineType":"prefill","cell":3,`+
 		`"lifecycle":%q,"weight":1.0,"startedAtMs":1700000000000}`, id, state)
 }
 
+// list is a list in discovery's form: whole if reset is set, else changes.
 func list(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, generation, reset, strings.Join(entries, ","))
 }
 
+// update is what a Watcher passed on.
 type update struct {
 	full    bool
 	entries []dispatch.Endpoint
 }
 
-// agent is a stand-in for discovery: each watch gets the next of its scripts and then ends.
+// agent is a fake discovery: each watch gets the next of its scripts and then ends.
 type agent struct {
 	mu      sync.Mutex
 	whole   string
@@ -56,10 +60,11 @@
 	io.WriteString(w, text)
 }
 
-func TestWatch(t *testing.T) {
+// The list is followed by the changes of the watch, which goes on from its version unless a change could not be read.
+func TestWatchGoesOnByVersionOrFetchesTheWholeList(t *testing.T) {
 	a := &agent{whole: list(41, true, entry("s1", "ready"), entry("s2", "ready")), watches: []string{
 		"\n" + list(42, false, entry("s1", "draining")) + "\n\n" + list(43, false, entry("s1", "gone")) + "\n",
-		"{cut\n" + list(44, false, entry("s3", "ready")) + "\n", // after a line that cannot be read all is taken anew
+		"{cut\n" + list(44, false, entry("s3", "ready")) + "\n", // after a line that cannot be read the whole list is fetched
 		list(50, true, entry("s4", "ready")) + "\n",
 	}}
 	s := httptest.NewServer(a)
@@ -68,7 +73,7 @@
 	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
 	})
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	defer func() { stop(); <-done }()
@@ -92,16 +97,16 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// The watch that ended goes on by index; only after the line that could not be read all is taken.
+	// The watch that ended goes on by index; only after the line that could not be read the whole list is fetched.
 	want := []string{"", "stream=1&index=41", "stream=1&index=43", "", "stream=1&index=41"}
 	if !slices.Equal(a.queries[:min(len(want), len(a.queries))], want) || w.Malformed() != 1 {
 		t.Errorf("queries %q, %d bad", a.queries, w.Malformed())
 	}
 }
 
-// A dispatcher that starts with a list watches on from its version: all of a fleet starting at once must not ask
-// discovery for the whole list.
-func TestWatchBeginsAfterTheKnownList(t *testing.T) {
+// A dispatcher that starts with a list watches from its version: a whole fleet starting at once must not fetch the whole
+// list from discovery.
+func TestWatchBeginsAfterTheInitialList(t *testing.T) {
 	a := &agent{watches: []string{list(42, false, entry("s1", "gone")) + "\n"}}
 	s := httptest.NewServer(a)
 	defer s.Close()
@@ -112,7 +117,7 @@
 		updates <- update{full, e}
 	})
 	w.UseInitialList(discovery.List{Generation: 41, Instances: []json.RawMessage{json.RawMessage(entry("s1", "ready"))}})
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	defer func() { stop(); <-done }()
@@ -129,7 +134,8 @@
 	}
 }
 
-func TestBadEntriesAreSkipped(t *testing.T) {
+// Entries that cannot be read are counted and skipped, and do not affect the others.
+func TestMalformedEntriesAreSkippedAndCounted(t *testing.T) {
 	var got []dispatch.Endpoint
 	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	var l discovery.List
@@ -145,8 +151,8 @@
 	}
 }
 
-// A server that is leaving gets nothing more, whatever else its entry says that makes no sense.
-func TestLeavingBindsInABadEntry(t *testing.T) {
+// A replica that is leaving gets nothing more, whatever else in its entry makes no sense.
+func TestLeavingBindsInAMalformedEntry(t *testing.T) {
 	good := entry("s1", "draining")
 	for _, text := range []string{
 		strings.Replace(good, "wien", "linz", 1), strings.Replace(good, "prefill", "m9", 1), strings.Replace(good, ":9000", "", 1),
@@ -155,15 +161,21 @@
 	} {
 		var got []dispatch.Endpoint
 		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
-		whole := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
-		if len(got) != 1 || got[0].Name != "s1" || got[0].State != routing.Gone || whole || w.Malformed() != 1 {
-			t.Errorf("%s: taken as %+v, whole %t, %d bad", text, got, whole, w.Malformed())
+		err := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
+		if len(got) != 1 || got[0].Name != "s1" || got[0].State != routing.Gone || !rejectedOne(err) || w.Malformed() != 1 {
+			t.Errorf("%s: taken as %+v, %v, %d bad", text, got, err, w.Malformed())
 		}
 	}
 }
 
-// A whole list in which a server's entry makes no sense leaves that server as it was known; one that it does not name is gone.
-func TestKnownStaysBesideABadEntry(t *testing.T) {
+// rejectedOne reports whether an error says that one entry was rejected.
+func rejectedOne(err error) bool {
+	var rejected *discovery.RejectedEntriesError
+	return errors.As(err, &rejected) && rejected.Rejected == 1
+}
+
+// A whole list in which a replica's entry makes no sense leaves that replica as it was; one that it does not name is gone.
+func TestReplicaWithAMalformedEntryStaysAsItWas(t *testing.T) {
 	var got []dispatch.Endpoint
 	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	raw := func(texts ...string) (out []json.RawMessage) {
@@ -181,6 +193,7 @@
 	}
 }
 
+// FuzzList checks that each entry of a list is passed on or counted as malformed, or both where it is leaving.
 func FuzzList(f *testing.F) {
 	for _, text := range testkit.Broken(3, list(7, false, entry("s1", "ready"), entry("s2", "gone"))) {
 		f.Add(text)
@@ -194,20 +207,20 @@
 		n := 0
 		w := discovery.New("", settings, 1, func(_ bool, e []dispatch.Endpoint) { n = len(e) })
 		w.Apply(l, false)
-		// What is leaving is taken even from a bad entry.
+		// A replica that is leaving is passed on even from a malformed entry.
 		if bad := int(w.Malformed()); n > len(l.Instances) || bad > len(l.Instances) || n+bad < len(l.Instances) {
 			t.Errorf("%d taken and %d bad of %d", n, bad, len(l.Instances))
 		}
 	})
 }
 
-// A dispatcher that starts with a list of no replica asks for the whole one, since a watch from that list's version
-// may stay without a word; with a replica on its list it only watches.
-func TestEmptyKnownListIsNone(t *testing.T) {
-	for _, c := range []struct{ discovery, known, want string }{
+// A dispatcher that starts with a list of no replica fetches the whole list, since a watch from that list's version may
+// never send anything; with a replica on its list it only watches.
+func TestEmptyInitialListIsNotWatchedFrom(t *testing.T) {
+	for _, c := range []struct{ discovery, initial, want string }{
 		{"ask", list(3, true), ""},
 		{"ask", list(3, true, entry("s1", "ready")), "stream=1&index=3"},
-		// An agent's list counts as told from the first moment on, and costs nothing.
+		// An agent's list counts as notified from the first moment on, and costs nothing.
 		{"push", list(3, true, entry("s1", "ready")), ""},
 	} {
 		settings := testkit.Settings(t)
@@ -216,11 +229,11 @@
 		s := httptest.NewServer(a)
 		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []dispatch.Endpoint) {})
 		var l discovery.List
-		if err := json.Unmarshal([]byte(c.known), &l); err != nil {
+		if err := json.Unmarshal([]byte(c.initial), &l); err != nil {
 			t.Fatal(err)
 		}
 		w.UseInitialList(l)
-		ctx, stop := context.WithCancel(context.Background())
+		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
 		testkit.Eventually(t, "the first call", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.queries) > 0 })
@@ -228,7 +241,7 @@
 		<-done
 		s.Close()
 		if a.queries[0] != c.want {
-			t.Errorf("%s with %s: the first call was %q", c.discovery, c.known, a.queries[0])
+			t.Errorf("%s with %s: the first call was %q", c.discovery, c.initial, a.queries[0])
 		}
 	}
 }
--- a/internal/discovery/large_test.go
+++ b/internal/discovery/large_test.go
@@ -15,11 +15,11 @@
 	"rampspread/internal/testkit"
 )
 
-// largest is the most replicas that the operators' gate has, and space for what is drawn longer than usual.
+// largest is the most replicas in the operators' acceptance gate, and some more because its entries may be longer than usual.
 const largest = 3200
 
-// A list of the most replicas is taken whole when it comes indented, with long names and figures, by a call and on a watch.
-func TestLargestListIndented(t *testing.T) {
+// The largest list is read whole when it comes indented, with long names and figures, by a call and on a watch.
+func TestLargestListIsReadWholeWhenIndented(t *testing.T) {
 	var entries []string
 	for i := range largest {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%016x-%04d","hostPort":"127.123.123.123:%d","zone":"wien","machineType":"prefill","cell":%d,`+
@@ -49,7 +49,7 @@
 				w.Apply(discovery.List{Generation: 1, Instances: []json.RawMessage{[]byte(entry("s1", "ready"))}}, true)
 				<-got
 			}
-			ctx, stop := context.WithCancel(context.Background())
+			ctx, stop := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { defer close(done); w.Run(ctx) }()
 			defer func() { stop(); <-done }()
