--- /dev/null
+++ b/internal/discovery/ndjson_test.go
@@ -0,0 +1,77 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"testing/iotest"
+
+	"rampspread/internal/testkit"
+)
+
+// Objects come on a line each or indented, in pieces, with empty lines between them; what makes no sense gives another
+// error than what was cut off.
+func TestObjectReaderReadsObjectsHoweverTheyAreCut(t *testing.T) {
+	const text = "\n\n{\"generation\":1}\n\r\n{\n  \"generation\": 2,\n  \"reset\": true\n}\n\n{\"generation\":3}{\"generation\":4}\n"
+	for name, source := range map[string]io.Reader{
+		"at once": strings.NewReader(text), "byte by byte": iotest.OneByteReader(strings.NewReader(text)),
+		"in halves": iotest.HalfReader(strings.NewReader(text)),
+	} {
+		progress := 0
+		r := newObjectReader(source, func() { progress++ })
+		for want := uint64(1); want <= 4; want++ {
+			var got List
+			if err := r.next(&got); err != nil || got.Generation != want || got.Reset != (want == 2) {
+				t.Fatalf("%s: object %d: %+v, %v", name, want, got, err)
+			}
+		}
+		if err := r.next(&List{}); !errors.Is(err, io.EOF) || errors.Is(err, errMalformed) {
+			t.Errorf("%s: the end is %v", name, err)
+		}
+		if progress < 4 {
+			t.Errorf("%s: progress reported %d times", name, progress)
+		}
+	}
+	for text, malformed := range map[string]bool{
+		`{"generation":1`:        false, // cut off
+		`{"generation":"x"}`:     true,
+		`{cut`:                   true,
+		"]":                      true,
+		strings.Repeat("[", 2e6): true, // without end
+		`{"instances":["` + strings.Repeat("a", maxListSize) + `"]}`: true,
+	} {
+		if err := newObjectReader(strings.NewReader(text), func() {}).next(&List{}); err == nil || errors.Is(err, errMalformed) != malformed {
+			t.Errorf("%.40q: %v", text, err)
+		}
+	}
+	// Empty lines do not count towards the size of the object behind them, however many there are.
+	r := newObjectReader(io.MultiReader(strings.NewReader(strings.Repeat("\n", 2*maxListSize)), strings.NewReader(`{"generation":7}`)), func() {})
+	var got List
+	if err := r.next(&got); err != nil || got.Generation != 7 {
+		t.Errorf("behind many empty lines: %+v, %v", got, err)
+	}
+}
+
+// FuzzObjectReader checks that the same objects come out of the bytes however these are cut.
+func FuzzObjectReader(f *testing.F) {
+	for _, text := range testkit.Broken(5, fmt.Sprintf(listFormat, 1, true, "ready")+"\n\n"+fmt.Sprintf(listFormat, 2, false, "gone"), "{\n \"generation\": 3\n}\n") {
+		f.Add(text)
+	}
+	f.Fuzz(func(t *testing.T, text string) {
+		generations := func(source io.Reader) (all []uint64) {
+			r := newObjectReader(source, func() {})
+			for {
+				var got List
+				if r.next(&got) != nil {
+					return all
+				}
+				all = append(all, got.Generation)
+			}
+		}
+		if a, b := generations(strings.NewReader(text)), generations(iotest.OneByteReader(strings.NewReader(text))); fmt.Sprint(a) != fmt.Sprint(b) {
+			t.Errorf("%v at once, %v byte by byte", a, b)
+		}
+	})
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -52,7 +52,9 @@
 
 // New returns a Watcher of the discovery at an address (host:port). It passes each update to apply: the whole list if
 // full is set, else changes to it. The seed draws the backoffs.
-func New(addr string, settings *config.Settings, seed uint64, apply func(full bool, entries []dispatch.Endpoint)) *Watcher {
+func New(
+	addr string, settings *config.Settings, seed uint64, apply func(full bool, entries []dispatch.Endpoint),
+) *Watcher {
 	w := &Watcher{
 		settings:       settings,
 		apply:          apply,
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -91,7 +91,8 @@
 	resp, err := x.roundTrip()
 	for n := 0; n < maxStaleConns && err != nil && x.connWasStale(); n++ {
 		// The last byte was not written, so it is the same attempt, and the replica is not to blame.
-		slog.Info("attempt_reconnected", "id", a.spec.Call.ID, "server", a.spec.Target.Name, "idle", x.connIdleTime(), "err", err)
+		slog.Info("attempt_reconnected", "id", a.spec.Call.ID, "server", a.spec.Target.Name,
+			"idle", x.connIdleTime(), "err", err)
 		next := a.nextExchange()
 		if next == nil {
 			break
@@ -163,11 +164,12 @@
 		a.cancel()
 	}
 	outcome, refusal := x.failureOutcome(), a.refusal()
-	if outcome == routing.ConnectFailed && !x.firstByteWritten() && (refusal != precondition.Allowed || errors.Is(err, errLocalFailure)) {
+	ownFailure := refusal != precondition.Allowed || errors.Is(err, errLocalFailure)
+	if outcome == routing.ConnectFailed && !x.firstByteWritten() && ownFailure {
 		outcome = routing.NotSent
 	}
-	slog.Info("attempt_failed", "id", a.spec.Call.ID, "server", a.spec.Target.Name, "outcome", outcome, "reason", refusal.String(),
-		"idle", x.connIdleTime(), "err", err)
+	slog.Info("attempt_failed", "id", a.spec.Call.ID, "server", a.spec.Target.Name, "outcome", outcome,
+		"reason", refusal.String(), "idle", x.connIdleTime(), "err", err)
 	observer.Ended(dispatch.AttemptResult{Outcome: outcome, StreamStarted: x.responseBegan()})
 }
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -50,7 +50,8 @@
 		}
 		// What remained when the head was written: the whole limit but for the time since the call.
 		const limit = 5 * time.Second
-		if remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In")); err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
+		remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In"))
+		if err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
 			t.Errorf("%s: head %v after %v", name, h, took)
 		}
 	}
@@ -93,10 +94,9 @@
 			}()
 		}
 	}()
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
+	client, obs := newClient(t, 8), newObserver()
 	for _, want := range []routing.Outcome{routing.PrefillDone, routing.ConnectionReset} {
-		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+		client.Send(specFor(l.Addr().String(), time.Second), obs)
 		if o := <-obs.ended; o.Outcome != want {
 			t.Fatalf("outcome %d, want %d", o.Outcome, want)
 		}
@@ -143,8 +143,9 @@
 			client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
 			obs := rejectingObserver{make(chan time.Time, 1), make(chan time.Time, 1)}
 			defer client.Close()
-			a := client.Send(dispatch.AttemptSpec{Call: dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")},
-				Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, obs)
+			spec := specFor(r.Addr, 5*time.Second)
+			spec.Call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")}
+			a := client.Send(spec, obs)
 			var givenUp time.Time
 			if name == "no answer" {
 				testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
@@ -168,11 +169,10 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
-	big := call
-	big.Body = make([]byte, 64<<20)
-	a := client.Send(dispatch.AttemptSpec{Call: big, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+	client, obs := newClient(t, 8), newObserver()
+	spec := specFor(l.Addr().String(), time.Second)
+	spec.Call.Body = make([]byte, 64<<20)
+	a := client.Send(spec, obs)
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -193,8 +193,7 @@
 		<-answer
 		testkit.Read(w, r, n)
 	})
-	client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
-	defer client.Close()
+	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 	first, second := newObserver(), newObserver()
 	to := dispatch.Target{Name: "s", Addr: r.Addr}
 	written := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
@@ -223,8 +222,7 @@
 		<-answer
 		testkit.Read(w, r, n)
 	})
-	client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
-	defer client.Close()
+	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 	first, second := newObserver(), newObserver()
 	to := dispatch.Target{Name: "s", Addr: r.Addr}
 	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
@@ -261,10 +259,9 @@
 				<-answer
 				testkit.Read(w, r, n)
 			})
-			client := upstream.New(testkit.Settings(t), 1, 1, system.Real()) // one connection: the second attempt waits for the first one's
-			defer client.Close()
+			client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 			first, second := newObserver(), newObserver()
-			spec := dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}
+			spec := specFor(r.Addr, 5*time.Second)
 			client.Send(spec, first)
 			<-begun
 			expire(&spec)
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -24,8 +24,10 @@
 
 var (
 	// localErrnos are errors of connect(2) and socket(2) whose cause is on this machine: no descriptors, memory or ports.
-	localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
-		syscall.EAGAIN, syscall.EINTR}
+	localErrnos = []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR,
+	}
 	// routeErrnos pass too, but where they last the cause may be the route to this one replica: others are better then.
 	routeErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES}
 )
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -10,7 +10,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/internal/dispatch"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 	"rampspread/internal/upstream"
@@ -43,7 +42,7 @@
 	client, obs := upstream.New(settings, 8, 8, system.Real()), newObserver()
 	defer client.Close()
 	from := time.Now()
-	client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: 2 * time.Minute}, obs)
+	client.Send(specFor(addr, 2*time.Minute), obs)
 	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
@@ -55,8 +54,7 @@
 // A moment in which this process has no descriptor left is no fault of the replica's, and costs the attempt a moment.
 func TestDescriptorExhaustionIsNoFaultOfTheReplica(t *testing.T) {
 	r := testkit.NewReplica(t, testkit.Read)
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
+	client, obs := newClient(t, 8), newObserver()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -66,7 +64,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: 5 * time.Second}, obs)
+	client.Send(specFor(r.Addr, 5*time.Second), obs)
 	time.Sleep(30 * time.Millisecond)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -85,7 +85,8 @@
 			x.gotConn(info)
 			// The wait for a connection may have taken most of the time that remained when the attempt was made. The
 			// Transport calls this from RoundTrip, before it writes the head.
-			req.Header.Set("X-Expires-In", strconv.FormatInt(max(time.Until(a.deadline).Milliseconds(), 1), 10)+"m")
+			remaining := max(time.Until(a.deadline).Milliseconds(), 1)
+			req.Header.Set(expiryHeader, strconv.FormatInt(remaining, 10)+"m")
 		},
 		WroteRequest:         func(info httptrace.WroteRequestInfo) { x.requestWritten(info.Err) },
 		GotFirstResponseByte: x.headBegan,
@@ -96,7 +97,7 @@
 		return nil, err
 	}
 	req.Body, req.ContentLength = x.body, int64(len(call.Body))
-	req.Header.Set("X-Trace-Id", call.ID)
+	req.Header.Set(traceHeader, call.ID)
 	if call.ContentType != "" {
 		req.Header.Set("Content-Type", call.ContentType)
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -10,7 +10,6 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/dispatch"
 	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 	"rampspread/internal/upstream"
@@ -46,7 +45,7 @@
 		}()
 		client, obs := upstream.New(settings, 8, 8, system.Real()), newObserver()
 		defer client.Close()
-		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: l.Addr().String()}, Timeout: time.Second}, obs)
+		client.Send(specFor(l.Addr().String(), time.Second), obs)
 		select {
 		case s := <-obs.first:
 			_, err := io.ReadAll(s)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -13,9 +13,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
 	"rampspread/internal/testkit"
-	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
 
@@ -56,8 +54,7 @@
 	const loadReport = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
 	const released = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
 	const prefillDone = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	var all strings.Builder
 	record := func(name string, to dispatch.Target, request string) {
 		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -39,12 +39,24 @@
 // call is the call that tests make.
 var call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
 
+// newClient returns a client of at most conns connections to a replica.
+func newClient(t *testing.T, conns int) *upstream.Client {
+	t.Helper()
+	client := upstream.New(testkit.Settings(t), conns, conns, system.Real())
+	t.Cleanup(client.Close)
+	return client
+}
+
+// specFor describes an attempt of call at a replica.
+func specFor(addr string, timeout time.Duration) dispatch.AttemptSpec {
+	return dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: timeout}
+}
+
 // send makes an attempt of call at a replica, over a client of its own.
 func send(t *testing.T, addr string) (dispatch.Attempt, *observer) {
 	t.Helper()
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	t.Cleanup(client.Close)
-	return client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: 5 * time.Second}, obs), obs
+	obs := newObserver()
+	return newClient(t, 8).Send(specFor(addr, 5*time.Second), obs), obs
 }
 
 // rawReplica starts a replica that answers each call on a connection with the next of the responses, byte for byte, and
--- a/internal/upstream/loadpoll.go
+++ b/internal/upstream/loadpoll.go
@@ -11,11 +11,7 @@
 	"rampspread/routing"
 )
 
-const (
-	loadPath = "/load"
-	// leaseHeader names to a replica the lease of the fleet under which it is polled.
-	leaseHeader = "X-Duty"
-)
+const loadPath = "/load"
 
 // PollLoad implements dispatch.Upstream.
 func (c *Client) PollLoad(target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport)) {
@@ -24,7 +20,9 @@
 
 // PollLoadFor is PollLoad on behalf of the fleet, under the named lease. It calls done once, from another goroutine,
 // with nil if the replica gave no load report within the timeout.
-func (c *Client) PollLoadFor(lease string, target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport)) {
+func (c *Client) PollLoadFor(
+	lease string, target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport),
+) {
 	go func() {
 		report, err := c.fetchLoad(lease, target, timeout)
 		if err != nil {
--- a/internal/upstream/loadpoll_test.go
+++ b/internal/upstream/loadpoll_test.go
@@ -9,9 +9,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
 	"rampspread/internal/testkit"
-	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
 
@@ -19,8 +17,7 @@
 // give nil, in time, and none of them gives a report of an empty queue.
 func TestPollLoadReportsOnlyWhatCanBeParsed(t *testing.T) {
 	dead := testkit.NoOne(t)
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	for answer, want := range map[string]*routing.LoadReport{
 		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5},
 		"TEXT util=much":                  nil,
@@ -64,11 +61,11 @@
 		io.WriteString(w, "TEXT util=0.5, queue=1, x0=0.2")
 	}))
 	defer s.Close()
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	for _, lease := range []string{"", "probe/r 7"} {
 		reports := make(chan *routing.LoadReport, 1)
-		client.PollLoadFor(lease, dispatch.Target{Name: "r", Addr: s.Listener.Addr().String()}, time.Second, func(l *routing.LoadReport) { reports <- l })
+		target := dispatch.Target{Name: "r", Addr: s.Listener.Addr().String()}
+		client.PollLoadFor(lease, target, time.Second, func(l *routing.LoadReport) { reports <- l })
 		if got, l := <-leases, <-reports; got != lease || l == nil || l.QueuedRequests != 1 {
 			t.Errorf("lease %q, report %+v; want %q", got, l, lease)
 		}
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -10,9 +10,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
 	"rampspread/internal/testkit"
-	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
 
@@ -35,8 +33,7 @@
 func TestReleaseIsHedgedPastSilentReplicas(t *testing.T) {
 	through := silentTargets(t, 4)
 	live := testkit.NewReplica(t, testkit.Read)
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	start := time.Now()
 	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
@@ -49,8 +46,7 @@
 func TestReleaseReachesTheLastOfManyReplicas(t *testing.T) {
 	through := silentTargets(t, 10)
 	live := testkit.NewReplica(t, testkit.Read)
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	start := time.Now()
 	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
@@ -67,10 +63,12 @@
 		w.WriteHeader(http.StatusNotFound)
 	}))
 	defer refusing.Close()
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, []dispatch.Target{{Name: "dead", Addr: testkit.NoOne(t)}, {Name: "refusing", Addr: refusing.Listener.Addr().String()}})
+	client.Release(call, []dispatch.Target{
+		{Name: "dead", Addr: testkit.NoOne(t)},
+		{Name: "refusing", Addr: refusing.Listener.Addr().String()},
+	})
 	client.Release(call, nil)
 	testkit.Eventually(t, "its end", func() bool { return client.PendingReleases() == 0 })
 	if n, took := calls.Load(), time.Since(start); n < 3 || n > 20 || took < time.Second {
@@ -82,8 +80,7 @@
 func TestReleaseGoesOnAfterADeadReplica(t *testing.T) {
 	dead := testkit.NoOne(t)
 	live := testkit.NewReplica(t, testkit.Read)
-	client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-	defer client.Close()
+	client := newClient(t, 8)
 	client.Release(call, []dispatch.Target{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
 	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 }
@@ -101,8 +98,7 @@
 	}))
 	defer replica.Close()
 	target := dispatch.Target{Name: "r", Addr: replica.Listener.Addr().String()}
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
+	client, obs := newClient(t, 8), newObserver()
 	client.Release(call, []dispatch.Target{target})
 	client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, obs)
 	if o := <-obs.ended; o.Outcome != routing.PrefillDone {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -11,6 +11,13 @@
 	"rampspread/internal/dispatch"
 )
 
+// Headers of requests.
+const (
+	traceHeader  = "X-Trace-Id"   // the call's ID
+	expiryHeader = "X-Expires-In" // the time that remains for the call: milliseconds with the unit m, as in grpc-timeout
+	leaseHeader  = "X-Duty"       // the lease of the fleet under which a replica is polled
+)
+
 const (
 	userAgent    = "rampspread"
 	maxShortBody = 64 << 10 // bytes of a response that is no stream
@@ -39,7 +46,9 @@
 
 // shortCall makes a call without a body and reads its short response. A lease names the fleet's lease under which the
 // call is made; it is empty where the call is made for this process alone.
-func (c *Client) shortCall(ctx context.Context, method string, target dispatch.Target, path, lease string) (*http.Response, []byte, error) {
+func (c *Client) shortCall(
+	ctx context.Context, method string, target dispatch.Target, path, lease string,
+) (*http.Response, []byte, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { prepareConn(info, nil) },
 	})
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -52,10 +52,9 @@
 func TestBytesBehindAResponseAreNotTheNextResponse(t *testing.T) {
 	prefillDone := "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":%d}"
 	addr, calls := rawReplica(t, fmt.Sprintf(prefillDone, 1)+fmt.Sprintf(prefillDone, 2), fmt.Sprintf(prefillDone, 3))
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
+	client, obs := newClient(t, 8), newObserver()
 	for n := range 200 {
-		client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: time.Second}, obs)
+		client.Send(specFor(addr, time.Second), obs)
 		if o := <-obs.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 1 {
 			t.Fatalf("call %d: %+v", n, o)
 		}
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -8,8 +8,6 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
 	"rampspread/internal/testkit"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
@@ -131,10 +129,9 @@
 		<-r.Context().Done()
 		close(gone)
 	})
-	client, obs := upstream.New(testkit.Settings(t), 8, 8, system.Real()), newObserver()
-	defer client.Close()
+	client, obs := newClient(t, 8), newObserver()
 	obs.reject = true
-	client.Send(dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: r.Addr}, Timeout: time.Second}, obs)
+	client.Send(specFor(r.Addr, time.Second), obs)
 	<-gone
 	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
