--- a/internal/chatapi/config.go
+++ b/internal/chatapi/config.go
@@ -11,27 +11,31 @@
 	"rampspread/internal/config"
 )
 
-// Config is the chat front's own file, such as deploy/chat.json.
+// Config is the chat frontend's own configuration file, such as deploy/chat.json.
 type Config struct {
+	// Listen is the host and port to serve on.
 	Listen string `json:"Listen"`
-	// Models maps the model that a client names to a class of the settings; "*" to "*" offers each class under its own name.
+	// Models maps the model that a client names to a class of the settings; "*" to "*" offers each class under its own
+	// name.
 	Models map[string]string `json:"Models"`
-	// MaxTokens is asked for where a client names no limit.
+	// MaxTokens is the limit of output tokens for a request without one.
 	MaxTokens int `json:"max_tokens"`
-	// Idempotency bounds the table of idempotency keys.
+	// Idempotency bounds the table of idempotency keys: their number, and how many seconds each is retained.
 	Idempotency struct {
 		Entries int     `json:"Entries"`
 		KeepS   float64 `json:"keep_s"`
 	} `json:"Filings"`
 }
 
-// all, as a model and as its class, stands for each class of the settings.
-const all = "*"
+// wildcard, as a model and as its class, stands for each class of the settings.
+const wildcard = "*"
 
-// ParseConfig decodes and checks the file's text against the settings.
-func ParseConfig(text []byte, settings *config.Settings) (*Config, error) {
+const maxRetentionSeconds = 1e7
+
+// ParseConfig decodes the file's contents and validates them against the settings.
+func ParseConfig(contents []byte, settings *config.Settings) (*Config, error) {
 	var c Config
-	if err := json.Unmarshal(text, &c); err != nil {
+	if err := json.Unmarshal(contents, &c); err != nil {
 		return nil, fmt.Errorf("chat: %w", err)
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
@@ -40,8 +44,8 @@
 	if len(c.Models) == 0 {
 		return nil, errors.New("chat: no models")
 	}
-	if c.Models[all] == all {
-		delete(c.Models, all)
+	if c.Models[wildcard] == wildcard {
+		delete(c.Models, wildcard)
 		for _, class := range settings.Classes {
 			if _, ok := c.Models[class.Name]; !ok {
 				c.Models[class.Name] = class.Name
@@ -53,27 +57,28 @@
 			return nil, fmt.Errorf("chat: model %q: no class %q", model, class)
 		}
 	}
-	if c.MaxTokens <= 0 || c.Idempotency.Entries <= 0 || !(c.Idempotency.KeepS > 0 && c.Idempotency.KeepS < 1e7) {
+	if c.MaxTokens <= 0 || c.Idempotency.Entries <= 0 || !(c.Idempotency.KeepS > 0 && c.Idempotency.KeepS < maxRetentionSeconds) {
 		return nil, errors.New("chat: max_tokens, filings.entries and filings.keep_s must be over 0")
 	}
 	return &c, nil
 }
 
-// Retention is how long a filing is remembered.
+// Retention is how long an idempotency key is remembered.
 func (c *Config) Retention() time.Duration {
 	return time.Duration(c.Idempotency.KeepS * float64(time.Second))
 }
 
-func classIndex(s *config.Settings, name string) int {
-	for i, c := range s.Classes {
-		if c.Name == name {
+// classIndex is the index of the class with a name in the settings; -1 if there is none.
+func classIndex(settings *config.Settings, name string) int {
+	for i, class := range settings.Classes {
+		if class.Name == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// modelNames are the models in order, for the list of models.
+// modelNames are the models' names in alphabetical order.
 func (c *Config) modelNames() []string {
 	names := make([]string, 0, len(c.Models))
 	for name := range c.Models {
--- a/internal/chatapi/decodeerror.go
+++ b/internal/chatapi/decodeerror.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Type names in the error texts that clients are sent for a request of the wrong type. They were the names of Go types once, and stay
-// as clients know them, whatever the types are called now.
+// Type names in the error texts that clients receive for a value of the wrong type. They used to be the names of Go
+// types, and stay as clients know them, whatever the types are called now.
 const (
 	requestTypeName       = "ask"
 	messageTypeName       = "message"
@@ -23,8 +23,8 @@
 	streamOptionsField = "stream_options"
 )
 
-// decodeError is the error that clients are sent for one of encoding/json's, whose own text for a value of the wrong type holds
-// names of Go types.
+// decodeError returns the error that clients receive for an error of encoding/json, whose own text for a value of the
+// wrong type contains names of Go types.
 func decodeError(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
@@ -37,7 +37,7 @@
 		mismatch.Value, enclosingTypeName(mismatch.Field), mismatch.Field, fieldTypeName(mismatch))
 }
 
-// enclosingTypeName names the type that holds a field; that of the stream options has no name.
+// enclosingTypeName names the type that holds a field; the type of the stream options has none.
 func enclosingTypeName(field string) string {
 	switch {
 	case strings.HasPrefix(field, messagesField+"."):
--- a/internal/chatapi/idempotency.go
+++ b/internal/chatapi/idempotency.go
@@ -1,92 +1,98 @@
 package chatapi
 
 import (
-	"crypto/sha256"
-	"slices"
-	"sync"
-	"time"
-)
-
-// filings remembers idempotency keys, so that a filing whose first try may have run is never run again.
-// A key is forgotten when its first try surely never ran, or after its time; a full table takes no new
-// filing, since forgetting one early could run it twice. It lives in one process: a restart, or another
-// dispatcher, knows nothing of it, unless a Ledger does.
-type filings struct {
-	mu      sync.Mutex
-	most    int
-	keep    time.Duration
-	now     func() time.Time
-	entries map[string]*filing
-	order   []*filing // by age, for expiry
-}
-
-// filing is one key's first try.
-type filing struct {
-	key    string
-	digest [sha256.Size]byte
-	at     time.Time
-	done   bool
-	answer *completion // the whole answer, if it is known
-}
+	"context"
+	"net/http"
 
-// verdict is what a key means for a request.
-type verdict uint8
+	"rampspread/internal/fleet/idempotency"
+)
 
 const (
-	fresh      verdict = iota // run it; settle or release must follow
-	inProgress                // the first try is out
-	answered                  // the first try's answer is known
-	mayHaveRun                // it ended, and what it did is not known
-	otherBody                 // the key stands for another request
-	tableFull
-	unreachable // the ledger has no majority
+	maxKeyLength = 255 // characters of an Idempotency-Key
+	// keyRetrySeconds is the Retry-After of a request whose key cannot be decided on yet.
+	keyRetrySeconds = 1.0
 )
 
-func newFilings(most int, keep time.Duration, now func() time.Time) *filings {
-	return &filings{most: most, keep: keep, now: now, entries: map[string]*filing{}}
+// claim is the decision on the key of a request.
+type claim struct {
+	result     claimResult
+	completion *chatCompletion     // for claimAnswered
+	attempt    idempotency.Attempt // for claimGranted, if there is a store
 }
 
-// claim looks a key up, and takes it for this request if it is new.
-func (f *filings) claim(key string, body []byte) (verdict, *completion) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now, digest := f.now(), sha256.Sum256(body)
-	for len(f.order) > 0 && f.order[0].done && now.Sub(f.order[0].at) >= f.keep {
-		delete(f.entries, f.order[0].key)
-		f.order = f.order[1:]
+// completeOnce handles a request that must not run twice: its key decides whether it runs or is answered from its first
+// attempt.
+func (h *Handler) completeOnce(w http.ResponseWriter, r *http.Request, x *exchange) {
+	x.dispatchRequest.RunToCompletion = true
+	key := r.Header.Get("Idempotency-Key")
+	if key == "" || len(key) > maxKeyLength {
+		h.reject(w, invalidRequest(http.StatusBadRequest, "idempotency_key_missing",
+			"a filing must carry an Idempotency-Key of at most 255 characters"))
+		return
 	}
-	e := f.entries[key]
-	switch {
-	case e == nil && len(f.entries) >= f.most:
-		return tableFull, nil
-	case e == nil:
-		e = &filing{key: key, digest: digest, at: now}
-		f.entries[key] = e
-		f.order = append(f.order, e)
-		return fresh, nil
-	case e.digest != digest:
-		return otherBody, nil
-	case !e.done:
-		return inProgress, nil
-	case e.answer != nil:
-		return answered, e.answer
+	switch decision := h.claimKey(x, key); decision.result {
+	case claimGranted:
+		h.runFirstAttempt(r.Context(), w, x, key, decision.attempt)
+	case claimAnswered:
+		w.Header().Set("Idempotent-Replayed", "true")
+		replay(w, x, decision.completion)
+	case claimInProgress:
+		setRetryAfter(w, keyRetrySeconds)
+		h.reject(w, invalidRequest(http.StatusConflict, "filing_in_progress", "the first try of this filing is still out"))
+	case claimMayHaveRun:
+		// Clients that retry automatically are asked not to: no retry can ever run.
+		w.Header().Set("X-Should-Retry", "false")
+		h.reject(w, invalidRequest(http.StatusConflict, "filing_may_have_run",
+			"the first try of this filing may have run; it is not run again"))
+	case claimKeyReused:
+		h.reject(w, invalidRequest(http.StatusUnprocessableEntity, "idempotency_key_reused",
+			"this Idempotency-Key stands for another request"))
+	case claimUnavailable:
+		setRetryAfter(w, keyRetrySeconds)
+		writeError(w, &apiError{status: http.StatusServiceUnavailable, Type: serverErrorType, Code: "filings_unavailable",
+			Message: "who may run a filing cannot be asked now; nothing was run"})
+	default: // claimTableFull
+		setRetryAfter(w, keyRetrySeconds)
+		h.reject(w, &apiError{status: http.StatusServiceUnavailable, Type: serverErrorType, Code: "filings_full",
+			Message: "too many filings are remembered; nothing was run"})
 	}
-	return mayHaveRun, nil
 }
 
-// settle ends a first try that may have run; the answer is nil if it is not known whole.
-func (f *filings) settle(key string, answer *completion) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if e := f.entries[key]; e != nil {
-		e.done, e.answer = true, answer
+// claimKey decides on a key by this process's table, and on a key that is new to it by the peer processes and the
+// store.
+func (h *Handler) claimKey(x *exchange, key string) claim {
+	result, completion := h.keys.claim(key, x.dispatchRequest.Call.Body)
+	if result == claimGranted {
+		return h.claimShared(x, key)
 	}
+	return claim{result: result, completion: completion}
+}
+
+// runFirstAttempt runs the first attempt of a key. If the client disconnects, a request that was sent to a decode
+// replica goes on to its end, so that a retry can be answered; no further attempt begins.
+func (h *Handler) runFirstAttempt(
+	client context.Context, w http.ResponseWriter, x *exchange, key string, attempt idempotency.Attempt,
+) {
+	result := runResult{mayHaveRun: true} // also if what follows panics
+	defer func() { h.recordResult(key, attempt, result) }()
+	result = h.complete(client, w, x)
 }
 
-// release forgets a first try that surely never ran.
-func (f *filings) release(key string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.entries, key)
-	f.order = slices.DeleteFunc(f.order, func(e *filing) bool { return e.key == key })
+// replay answers a retry with the answer of its key's first attempt.
+func replay(w http.ResponseWriter, x *exchange, completion *chatCompletion) {
+	if !x.request.Stream {
+		writeJSON(w, http.StatusOK, completion)
+		return
+	}
+	first := *x
+	first.id, first.created = completion.ID, completion.Created
+	out := newEventWriter(w, &first)
+	out.begin()
+	choice := completion.Choices[0]
+	out.writeChunk(&chatCompletionChunk{Choices: []chunkChoice{{Delta: delta{Content: choice.Message.Content}}}})
+	out.writeChunk(&chatCompletionChunk{Choices: []chunkChoice{{FinishReason: choice.FinishReason}}})
+	if x.request.StreamOptions.IncludeUsage && completion.Usage != nil {
+		out.writeChunk(&chatCompletionChunk{Choices: []chunkChoice{}, Usage: completion.Usage})
+	}
+	out.end()
 }
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -9,100 +11,124 @@
 	"rampspread/internal/state/inflight"
 )
 
-// IdempotencyStore says who may run a filing, over all dispatchers and over this one's restarts. Its methods may be called from any goroutine;
-// only Claim waits, for less than a second.
-type IdempotencyStore interface {
-	// Claim asks whether the first try of a key may run; ends is how long it lasts at the most.
-	Claim(key string, body []byte, ends time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
-	// Settle notes how a try ended; nil: it may have run, and its answer is not known.
-	Settle(key string, try idempotency.Attempt, answer []byte)
-	// Withdraw notes that a try never ran.
-	Withdraw(key string, try idempotency.Attempt)
-}
+// MaxStoredAnswer is the largest answer, in bytes, that is given to the IdempotencyStore.
+const MaxStoredAnswer = 60 << 10
 
-// streamMost is how long beyond its deadline an answer's stream goes on at the most, for the ledger to take a try as ended.
-const streamMost = time.Minute
+// maxStreamAfterDeadline is how long an answer's stream may go on after its deadline, before the store takes the
+// attempt as ended.
+const maxStreamAfterDeadline = time.Minute
 
-// UseIdempotencyStore makes filings go by a ledger besides this process's own table; before the front serves.
-func (f *Handler) UseIdempotencyStore(l IdempotencyStore) { f.ledger = l }
+var errNoChoices = errors.New("no choices")
 
-// UsePeerTable shares what filings were taken with other processes of this name on this machine; before the front serves.
-func (f *Handler) UsePeerTable(t *inflight.Table) { f.beside = t }
+// IdempotencyStore decides which request may run for a key, over all dispatchers and over this one's restarts. Its
+// methods may be called from any goroutine; only Claim waits, for less than a second.
+type IdempotencyStore interface {
+	// Claim requests to run the first attempt of a key, which takes at most maxDuration. If the vote is VoteAnswered,
+	// the bytes are the stored answer.
+	Claim(key string, body []byte, maxDuration time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
+	// Settle records how an attempt ended; a nil answer: it may have run, and its answer is not known.
+	Settle(key string, attempt idempotency.Attempt, answer []byte)
+	// Withdraw records that an attempt never ran.
+	Withdraw(key string, attempt idempotency.Attempt)
+}
 
-// granted asks the other processes of this name, and the ledger, about a key that is new to this process's table. Where it is not
-// fresh, the table learns what they know, or forgets the key.
-func (f *Handler) granted(j *job, key string) (verdict, *completion, idempotency.Attempt) {
-	switch f.beside.Acquire(inflight.IdempotencyKey, key) {
+// claimShared claims a key that is new to this process's table from the peer processes and then from the store. Unless
+// it is granted, the table records what they know of the key, or forgets it.
+func (h *Handler) claimShared(x *exchange, key string) claim {
+	switch h.peers.Acquire(inflight.IdempotencyKey, key) {
 	case inflight.HeldByOther:
-		f.filings.release(key)
-		return inProgress, nil, idempotency.Attempt{}
+		return h.releaseClaim(key, claimInProgress)
 	case inflight.MayHaveRun:
-		f.filings.settle(key, nil)
-		return mayHaveRun, nil, idempotency.Attempt{}
+		return h.settleClaim(key, nil)
 	case inflight.Unknown:
-		f.filings.release(key)
-		return unreachable, nil, idempotency.Attempt{}
+		return h.releaseClaim(key, claimUnavailable)
 	}
-	if f.ledger == nil {
-		return fresh, nil, idempotency.Attempt{}
+	if h.store == nil {
+		return claim{result: claimGranted}
 	}
-	out, why, answer, try := f.ledger.Claim(key, j.req.Call.Body, time.Until(j.req.Deadline)+streamMost)
-	v := unreachable
-	switch {
-	case out == idempotency.Granted:
-		return fresh, nil, try
+	maxDuration := time.Until(x.dispatchRequest.Deadline) + maxStreamAfterDeadline
+	outcome, vote, stored, attempt := h.store.Claim(key, x.dispatchRequest.Call.Body, maxDuration)
+	if outcome == idempotency.Granted {
+		return claim{result: claimGranted, attempt: attempt}
 	}
-	f.beside.Release(inflight.IdempotencyKey, key)
-	switch {
-	case out == idempotency.Rejected && why == idempotency.VoteAnswered:
-		known := new(completion)
-		if err := json.Unmarshal(answer, known); err == nil && len(known.Choices) > 0 {
-			f.filings.settle(key, known)
-			return answered, known, try
+	h.peers.Release(inflight.IdempotencyKey, key)
+	if outcome != idempotency.Rejected {
+		return h.releaseClaim(key, claimUnavailable)
+	}
+	switch vote {
+	case idempotency.VoteAnswered:
+		completion, err := decodeStoredAnswer(stored)
+		if err != nil {
+			slog.Warn("stored_answer_invalid", "id", x.dispatchRequest.Call.ID, "err", err)
 		}
-		slog.Warn("ledger_answer", "id", j.req.Call.ID)
-		f.filings.settle(key, nil)
-		return mayHaveRun, nil, try
-	case out == idempotency.Rejected && why == idempotency.VoteMayHaveRun:
-		f.filings.settle(key, nil)
-		return mayHaveRun, nil, try
-	case out == idempotency.Rejected && why == idempotency.VoteInFlight:
-		v = inProgress
-	case out == idempotency.Rejected && why == idempotency.VoteKeyReused:
-		v = otherBody
+		return h.settleClaim(key, completion)
+	case idempotency.VoteMayHaveRun:
+		return h.settleClaim(key, nil)
+	case idempotency.VoteInFlight:
+		return h.releaseClaim(key, claimInProgress)
+	case idempotency.VoteKeyReused:
+		return h.releaseClaim(key, claimKeyReused)
+	}
+	return h.releaseClaim(key, claimUnavailable)
+}
+
+// releaseClaim makes the table forget a key that was not granted.
+func (h *Handler) releaseClaim(key string, result claimResult) claim {
+	h.keys.release(key)
+	return claim{result: result}
+}
+
+// settleClaim makes the table record that the first attempt of a key has ended elsewhere; the completion is nil if its
+// answer is not known.
+func (h *Handler) settleClaim(key string, completion *chatCompletion) claim {
+	h.keys.settle(key, completion)
+	if completion == nil {
+		return claim{result: claimMayHaveRun}
 	}
-	f.filings.release(key)
-	return v, nil, try
+	return claim{result: claimAnswered, completion: completion}
 }
 
-// note tells the table and the ledger how a first try ended.
-func (f *Handler) note(key string, try idempotency.Attempt, answer *completion, ran bool) {
-	if !ran {
-		f.filings.release(key)
-		f.beside.Release(inflight.IdempotencyKey, key)
-		if f.ledger != nil {
-			f.ledger.Withdraw(key, try)
+// recordResult records in the table, with the peers and in the store how a first attempt ended.
+func (h *Handler) recordResult(key string, attempt idempotency.Attempt, result runResult) {
+	if !result.mayHaveRun {
+		h.keys.release(key)
+		h.peers.Release(inflight.IdempotencyKey, key)
+		if h.store != nil {
+			h.store.Withdraw(key, attempt)
 		}
 		return
 	}
-	f.filings.settle(key, answer)
-	f.beside.MarkMayHaveRun(key)
-	if f.ledger == nil {
-		return
+	h.keys.settle(key, result.completion)
+	h.peers.MarkMayHaveRun(key)
+	if h.store != nil {
+		h.store.Settle(key, attempt, encodeStoredAnswer(result.completion))
 	}
-	var text []byte
-	if answer != nil {
-		var err error
-		if text, err = json.Marshal(answer); err != nil {
-			slog.Warn("encode_failed", "err", err)
-			text = nil
-		}
+}
+
+// encodeStoredAnswer returns what the store is given for an answer; nil if the answer is not known or is too large.
+func encodeStoredAnswer(completion *chatCompletion) []byte {
+	if completion == nil {
+		return nil
 	}
-	if len(text) > MaxStoredAnswer {
-		text = nil
+	encoded, err := json.Marshal(completion)
+	if err != nil {
+		slog.Warn("encode_failed", "err", err)
+		return nil
 	}
-	f.ledger.Settle(key, try, text)
+	if len(encoded) > MaxStoredAnswer {
+		return nil
+	}
+	return encoded
 }
 
-// MaxStoredAnswer is the most bytes of an answer that the ledger is given.
-const MaxStoredAnswer = 60 << 10
+// decodeStoredAnswer returns a stored answer; it may have been written by another version of the program.
+func decodeStoredAnswer(stored []byte) (*chatCompletion, error) {
+	completion := new(chatCompletion)
+	if err := json.Unmarshal(stored, completion); err != nil {
+		return nil, fmt.Errorf("decode stored answer: %w", err)
+	}
+	if len(completion.Choices) == 0 {
+		return nil, errNoChoices
+	}
+	return completion, nil
+}
--- a/internal/chatapi/left_test.go
+++ b/internal/chatapi/left_test.go
@@ -11,8 +11,8 @@
 	"rampspread/internal/testkit"
 )
 
-// A filing whose client leaves during the read is not sent to a writer any more; what was sent is read to its end. Nothing has run, so
-// its key is free: the client's repeat runs.
+// A filing whose client leaves during the read is not sent to a writer any more; what was sent is read to its end.
+// Nothing has run, so its key is free: the client's repeat runs.
 func TestFilingWhoseClientLeft(t *testing.T) {
 	begun, let := make(chan bool, 1), make(chan bool)
 	s := serve(t, func(w http.ResponseWriter, r *http.Request, n int) {
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -12,16 +12,16 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-// memory is a Ledger that keeps what it is given.
-type memory struct{ answer []byte }
+// memoryStore is an IdempotencyStore that returns the answer that it was given last.
+type memoryStore struct{ answer []byte }
 
-func (m *memory) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
+func (m *memoryStore) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
 	return idempotency.Rejected, idempotency.VoteAnswered, m.answer, idempotency.Attempt{}
 }
-func (m *memory) Settle(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
-func (m *memory) Withdraw(string, idempotency.Attempt)                  {}
+func (m *memoryStore) Settle(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
+func (m *memoryStore) Withdraw(string, idempotency.Attempt)                  {}
 
-// A filing's answer is kept in the fleet and on disk, and read by programs of other versions.
+// The answer of an idempotent request is stored in the fleet and on disk, and read by other versions of the program.
 func TestGoldenStoredAnswer(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored.golden")
 	if err != nil {
@@ -29,55 +29,55 @@
 	}
 	stored := strings.TrimSuffix(string(text), "\n")
 	finish := "finish-1"
-	want := &completion{ID: "id-1", Object: "object-1", Created: 2, Model: "model-1",
-		Choices: []choice{{Index: 3, Message: reply{Role: "role-1", Content: "content-1"}, FinishReason: &finish}},
+	want := &chatCompletion{ID: "id-1", Object: "object-1", Created: 2, Model: "model-1",
+		Choices: []choice{{Index: 3, Message: assistantMessage{Role: "role-1", Content: "content-1"}, FinishReason: &finish}},
 		Usage:   &usage{PromptTokens: 4, CompletionTokens: 5, TotalTokens: 6}}
-	want.Usage.Details.CachedTokens = 7
+	want.Usage.PromptTokensDetails.CachedTokens = 7
 
-	ledger := &memory{}
-	f := &Handler{filings: newFilings(8, time.Hour, time.Now), ledger: ledger}
-	f.note("key", idempotency.Attempt{}, want, true)
-	if string(ledger.answer) != stored {
-		t.Errorf("stored %s, want %s", ledger.answer, stored)
+	store := &memoryStore{}
+	h := &Handler{keys: newKeyTable(8, time.Hour, time.Now), store: store}
+	h.recordResult("key", idempotency.Attempt{}, runResult{mayHaveRun: true, completion: want})
+	if string(store.answer) != stored {
+		t.Errorf("stored %s, want %s", store.answer, stored)
 	}
-	ledger.answer = []byte(stored)
-	if v, got, _ := f.granted(&job{}, "key"); v != answered || !reflect.DeepEqual(got, want) {
-		t.Errorf("verdict %d, read %+v, want %+v", v, got, want)
+	store.answer = []byte(stored)
+	if got := h.claimShared(&exchange{}, "key"); got.result != claimAnswered || !reflect.DeepEqual(got.completion, want) {
+		t.Errorf("result %d, read %+v, want %+v", got.result, got.completion, want)
 	}
 }
 
-// A request with each field that is used, and one server's event.
+// A request with each field that is used, and one event of a server.
 func TestGoldenRead(t *testing.T) {
-	a, _, err := parse([]byte(`{"model":"model-1","messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
+	got, _, err := parseRequest([]byte(`{"model":"model-1","messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
 		"stream":true,"n":1,"max_tokens":2,"max_completion_tokens":3,"prompt_cache_key":"key-1","stream_options":{"include_usage":true}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	one, two, three := 1, 2, 3
-	want := &ask{Model: "model-1", Messages: []message{{Role: "system", Content: "content-1"}, {Role: "user", Content: "content-2"}}, Stream: true,
+	want := &chatCompletionRequest{Model: "model-1", Messages: []message{{Role: "system", Content: "content-1"}, {Role: "user", Content: "content-2"}}, Stream: true,
 		N: &one, MaxTokens: &two, MaxCompletionTokens: &three, PromptCacheKey: "key-1"}
 	want.StreamOptions.IncludeUsage = true
-	if !reflect.DeepEqual(a, want) {
-		t.Errorf("read %+v, want %+v", a, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
 	}
 
 	const event = `{"id":"id-1","object":"object-1","created":2,"model":"model-1","choices":[{"index":3,"delta":{"role":"role-1","content":"content-1"},` +
 		`"finish_reason":"finish-1"}],"usage":{"prompt_tokens":4,"completion_tokens":5,"total_tokens":6,"prompt_tokens_details":{"cached_tokens":7}}}`
 	finish := "finish-1"
-	wantChunk := chunk{ID: "id-1", Object: "object-1", Created: 2, Model: "model-1",
+	wantChunk := chatCompletionChunk{ID: "id-1", Object: "object-1", Created: 2, Model: "model-1",
 		Choices: []chunkChoice{{Index: 3, Delta: delta{Role: "role-1", Content: "content-1"}, FinishReason: &finish}},
 		Usage:   &usage{PromptTokens: 4, CompletionTokens: 5, TotalTokens: 6}}
-	wantChunk.Usage.Details.CachedTokens = 7
-	var got chunk
-	if err := json.Unmarshal([]byte(event), &got); err != nil || !reflect.DeepEqual(got, wantChunk) {
-		t.Errorf("read %+v, %v, want %+v", got, err, wantChunk)
+	wantChunk.Usage.PromptTokensDetails.CachedTokens = 7
+	var gotChunk chatCompletionChunk
+	if err := json.Unmarshal([]byte(event), &gotChunk); err != nil || !reflect.DeepEqual(gotChunk, wantChunk) {
+		t.Errorf("read %+v, %v, want %+v", gotChunk, err, wantChunk)
 	}
 	if text, err := json.Marshal(wantChunk); err != nil || string(text) != event {
 		t.Errorf("wrote %s, %v, want %s", text, err, event)
 	}
 }
 
-// The front's own file, with each key.
+// The configuration file, with each key.
 func TestGoldenConfig(t *testing.T) {
 	settings, err := config.ParseSettings([]byte(`{"classes":[{"name":"class-1"}]}`))
 	if err != nil {
