--- a/internal/chatapi/completion.go
+++ b/internal/chatapi/completion.go
@@ -143,6 +143,7 @@
 
 // completion returns the whole answer to a request.
 func (a *accumulator) completion(x *exchange) *chatCompletion {
+	message := assistantMessage{Role: assistantRole, Content: a.content.String()}
 	return &chatCompletion{ID: x.id, Object: completionObject, Created: x.created, Model: x.request.Model, Usage: a.usage,
-		Choices: []choice{{Message: assistantMessage{Role: assistantRole, Content: a.content.String()}, FinishReason: a.finishReason}}}
+		Choices: []choice{{Message: message, FinishReason: a.finishReason}}}
 }
--- a/internal/chatapi/config.go
+++ b/internal/chatapi/config.go
@@ -57,7 +57,8 @@
 			return nil, fmt.Errorf("chat: model %q: no class %q", model, class)
 		}
 	}
-	if c.MaxTokens <= 0 || c.Idempotency.Entries <= 0 || !(c.Idempotency.KeepS > 0 && c.Idempotency.KeepS < maxRetentionSeconds) {
+	validRetention := c.Idempotency.KeepS > 0 && c.Idempotency.KeepS < maxRetentionSeconds
+	if c.MaxTokens <= 0 || c.Idempotency.Entries <= 0 || !validRetention {
 		return nil, errors.New("chat: max_tokens, filings.entries and filings.keep_s must be over 0")
 	}
 	return &c, nil
--- a/internal/chatapi/errors.go
+++ b/internal/chatapi/errors.go
@@ -56,8 +56,8 @@
 	w.Write(e.body())
 }
 
-// writeFailure answers a request that may have run. The client of a request with a key is told that its automatic retry
-// is of no use.
+// writeFailure answers a request that may have run. A header tells the client of a request with a key that an automatic
+// retry is of no use.
 func writeFailure(w http.ResponseWriter, x *exchange, e *apiError) {
 	if x.requiresKey {
 		w.Header().Set("X-Should-Retry", "false")
--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -47,7 +47,9 @@
 
 // New returns a Handler that sends its requests through the dispatcher; now is the clock by which idempotency keys
 // expire. It fails if the settings cannot configure a router.
-func New(dispatcher *dispatch.Dispatcher, settings *config.Settings, config *Config, now func() time.Time) (*Handler, error) {
+func New(
+	dispatcher *dispatch.Dispatcher, settings *config.Settings, config *Config, now func() time.Time,
+) (*Handler, error) {
 	router, err := settings.Router()
 	if err != nil {
 		return nil, fmt.Errorf("chat: %w", err)
--- a/internal/chatapi/idempotency.go
+++ b/internal/chatapi/idempotency.go
@@ -40,7 +40,7 @@
 		setRetryAfter(w, keyRetrySeconds)
 		h.reject(w, invalidRequest(http.StatusConflict, "filing_in_progress", "the first try of this filing is still out"))
 	case claimMayHaveRun:
-		// Clients that retry automatically are asked not to: no retry can ever run.
+		// Clients that retry automatically must not do so here: no retry can ever run.
 		w.Header().Set("X-Should-Retry", "false")
 		h.reject(w, invalidRequest(http.StatusConflict, "filing_may_have_run",
 			"the first try of this filing may have run; it is not run again"))
--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -40,7 +40,7 @@
 	claimMayHaveRun                     // the first attempt ended, and it is not known what it did
 	claimKeyReused                      // the key was used with another request body
 	claimTableFull                      // the table cannot remember another key
-	claimUnavailable                    // the store has no majority, or the peers could not be asked
+	claimUnavailable                    // the store has no majority, or the peers did not answer
 )
 
 func newKeyTable(capacity int, retention time.Duration, now func() time.Time) *keyTable {
--- a/internal/chatapi/request.go
+++ b/internal/chatapi/request.go
@@ -143,7 +143,9 @@
 // setRoutingInputs sets what the dispatcher decides by. A session is identified by its cache key, or else by how the
 // conversation begins, since each turn's prompt begins with the previous turn's. Its first message is a shared prefix
 // if it is an instruction.
-func (r *chatCompletionRequest) setRoutingInputs(to *dispatch.Request, defaultMaxTokens int, hashKey func(string) routing.Key) {
+func (r *chatCompletionRequest) setRoutingInputs(
+	to *dispatch.Request, defaultMaxTokens int, hashKey func(string) routing.Key,
+) {
 	promptCharacters := 0
 	for _, m := range r.Messages {
 		promptCharacters += utf8.RuneCountInString(string(m.Content))
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -48,21 +48,26 @@
 
 // A request with each field that is used, and one event of a server.
 func TestGoldenRead(t *testing.T) {
-	got, _, err := parseRequest([]byte(`{"model":"model-1","messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
-		"stream":true,"n":1,"max_tokens":2,"max_completion_tokens":3,"prompt_cache_key":"key-1","stream_options":{"include_usage":true}}`))
+	got, _, err := parseRequest([]byte(`{"model":"model-1",
+		"messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
+		"stream":true,"n":1,"max_tokens":2,"max_completion_tokens":3,
+		"prompt_cache_key":"key-1","stream_options":{"include_usage":true}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	one, two, three := 1, 2, 3
-	want := &chatCompletionRequest{Model: "model-1", Messages: []message{{Role: "system", Content: "content-1"}, {Role: "user", Content: "content-2"}}, Stream: true,
+	want := &chatCompletionRequest{Model: "model-1", Stream: true,
+		Messages: []message{{Role: "system", Content: "content-1"}, {Role: "user", Content: "content-2"}},
 		N: &one, MaxTokens: &two, MaxCompletionTokens: &three, PromptCacheKey: "key-1"}
 	want.StreamOptions.IncludeUsage = true
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
 
-	const event = `{"id":"id-1","object":"object-1","created":2,"model":"model-1","choices":[{"index":3,"delta":{"role":"role-1","content":"content-1"},` +
-		`"finish_reason":"finish-1"}],"usage":{"prompt_tokens":4,"completion_tokens":5,"total_tokens":6,"prompt_tokens_details":{"cached_tokens":7}}}`
+	const event = `{"id":"id-1","object":"object-1","created":2,"model":"model-1",` +
+		`"choices":[{"index":3,"delta":{"role":"role-1","content":"content-1"},` +
+		`"finish_reason":"finish-1"}],"usage":{"prompt_tokens":4,"completion_tokens":5,"total_tokens":6,` +
+		`"prompt_tokens_details":{"cached_tokens":7}}}`
 	finish := "finish-1"
 	wantChunk := chatCompletionChunk{ID: "id-1", Object: "object-1", Created: 2, Model: "model-1",
 		Choices: []chunkChoice{{Index: 3, Delta: delta{Role: "role-1", Content: "content-1"}, FinishReason: &finish}},
@@ -83,7 +88,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ParseConfig([]byte(`{"listen":"127.0.0.1:1","models":{"model-1":"class-1"},"max_tokens":2,"filings":{"entries":3,"keep_s":4.5}}`), settings)
+	got, err := ParseConfig([]byte(`{"listen":"127.0.0.1:1","models":{"model-1":"class-1"},
+		"max_tokens":2,"filings":{"entries":3,"keep_s":4.5}}`), settings)
 	if err != nil {
 		t.Fatal(err)
 	}
