--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,5 +1,8 @@
-// Package accept keeps servers accepting. accept(2) fails for the sake of one connection, or of a moment without descriptors, memory
-// or buffers, and net/http and gRPC end their serving on many of these errors.
+// Package accept keeps servers accepting. accept(2) also fails because of a single connection, or while descriptors,
+// memory or buffers are short, and net/http and gRPC stop serving on many of these errors. A Listener retries with
+// exponential backoff, as net/http does for temporary errors, until the listening socket itself is closed or unusable.
+//
+// A Listener owns no goroutine: one goroutine calls Accept and Waited; Failed may be called from any.
 package accept
 
 import (
@@ -15,70 +18,73 @@
 )
 
 const (
-	firstPause = time.Millisecond      // after a failure, until the next accept: doubled each time,
-	mostPause  = 50 * time.Millisecond // up to this
-	// fromBacklog is for how long an accept takes at the most that found its connection waiting.
-	fromBacklog = time.Millisecond
+	// After a failure the next accept waits for the backoff, which doubles with each failure up to its maximum.
+	initialBackoff = time.Millisecond
+	maxBackoff     = 50 * time.Millisecond
+	// maxBacklogAccept is the longest duration of an accept that found its connection waiting in the backlog.
+	maxBacklogAccept = time.Millisecond
 )
 
-// broken are the errors that say that the listening socket itself is of no use: no later accept can succeed.
-var broken = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+// unusableSocket are the errors that say that the listening socket itself is unusable: no later accept can succeed.
+var unusableSocket = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// Listener is a net.Listener whose Accept returns an error only once it is closed or broken.
+// Listener is a net.Listener whose Accept returns an error only once it is closed or unusable.
 type Listener struct {
 	net.Listener
-	machine system.System
-	failed  atomic.Int64
+	machine  system.System
+	failures atomic.Int64
 
-	failing time.Time // since when accepts had failed before the connections that are accepted now; zero: they had not
+	// failingSince is when accepts began to fail before the connections that are accepted now; zero: they did not.
+	failingSince time.Time
 }
 
-// New returns a Listener that accepts what l does.
-func New(l net.Listener, machine system.System) *Listener {
-	return &Listener{Listener: l, machine: machine}
+// New returns a Listener that accepts the connections of inner.
+func New(inner net.Listener, machine system.System) *Listener {
+	return &Listener{Listener: inner, machine: machine}
 }
 
-// Failed is how many accepts failed.
-func (l *Listener) Failed() int64 { return l.failed.Load() }
+// Failed is the number of accepts that failed.
+func (l *Listener) Failed() int64 { return l.failures.Load() }
 
-// Accept implements net.Listener. One goroutine accepts at a time.
+// Accept implements net.Listener. Only one goroutine may accept at a time.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := firstPause; ; pause = min(2*pause, mostPause) {
-		begun := time.Now()
-		c, err := l.once()
-		if err == nil && time.Since(begun) > fromBacklog {
-			l.failing = time.Time{} // nobody waited
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		started := time.Now()
+		conn, err := l.acceptOnce()
+		if err == nil && time.Since(started) > maxBacklogAccept {
+			l.failingSince = time.Time{} // no connection was waiting
 		}
-		if err == nil || over(err) {
-			return c, err // net/http and gRPC tell errors apart by their type
+		if err == nil || isPermanent(err) {
+			return conn, err // not wrapped: net/http and gRPC tell errors apart by their type
 		}
-		if l.failing.IsZero() {
-			l.failing = begun
+		if l.failingSince.IsZero() {
+			l.failingSince = started
 		}
-		if l.failed.Add(1) == 1 || pause == mostPause {
-			slog.Warn("accept_failed", "addr", l.Addr().String(), "failures", l.failed.Load(), "pause", pause, "err", err)
+		if l.failures.Add(1) == 1 || backoff == maxBackoff {
+			slog.Warn("accept_failed", "addr", l.Addr().String(), "failures", l.failures.Load(), "backoff", backoff, "err", err)
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
 
-// Waited is how long the connection that was accepted last may have waited for accepts to succeed. The goroutine that accepts asks.
+// Waited is how long the connection that was accepted last may have waited while accepts failed. Only the goroutine
+// that accepts may call it.
 func (l *Listener) Waited() time.Duration {
-	if l.failing.IsZero() {
+	if l.failingSince.IsZero() {
 		return 0
 	}
-	return time.Since(l.failing)
+	return time.Since(l.failingSince)
 }
 
-func (l *Listener) once() (net.Conn, error) {
+func (l *Listener) acceptOnce() (net.Conn, error) {
 	if err := l.machine.Before(system.Accept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.Addr().Network(), Addr: l.Addr(), Err: err}
 	}
 	return l.Listener.Accept()
 }
 
-// over tells whether no later accept can succeed.
-func over(err error) bool {
+// isPermanent reports whether no later accept can succeed.
+func isPermanent(err error) bool {
 	var errno syscall.Errno
-	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(broken, errno)
+	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(unusableSocket, errno)
 }
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -58,7 +58,7 @@
 	one, two, three := 1, 2, 3
 	want := &chatCompletionRequest{Model: "model-1", Stream: true,
 		Messages: []message{{Role: "system", Content: "content-1"}, {Role: "user", Content: "content-2"}},
-		N: &one, MaxTokens: &two, MaxCompletionTokens: &three, PromptCacheKey: "key-1"}
+		N:        &one, MaxTokens: &two, MaxCompletionTokens: &three, PromptCacheKey: "key-1"}
 	want.StreamOptions.IncludeUsage = true
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -21,7 +21,7 @@
 ProxyPass / balancer://prefill/
 `
 
-const jkText = `ports=9100
+const modJKText = `ports=9100
 worker.list=prefill, jkstatus
 worker.list=alone
 worker.prefill.type=lb
@@ -39,46 +39,58 @@
 worker.alone.host=10.1.0.9
 `
 
-func TestParse(t *testing.T) {
-	for text, want := range map[string][]importer.Member{
-		apacheText: {
+func TestParseReadsMembersOfEachFormat(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		want []importer.Member
+	}{
+		"apache": {apacheText, []importer.Member{
 			{Name: "prefill/r1", Balancer: "prefill", Addr: "10.1.0.1:9000", Weight: 2.5},
 			{Name: "prefill/10.1.0.2:9000", Balancer: "prefill", Addr: "10.1.0.2:9000", Weight: 1, Draining: true},
 			{Name: "decode-a/[::1]:80", Balancer: "decode-a", Addr: "[::1]:80", Weight: 1},
-		},
-		jkText: {
+		}},
+		"mod_jk": {modJKText, []importer.Member{
 			{Name: "alone", Balancer: "alone", Addr: "10.1.0.9:8009", Weight: 1},
 			{Name: "a", Balancer: "prefill", Addr: "10.1.0.1:9100", Weight: 3},
 			{Name: "b", Balancer: "prefill", Addr: "10.1.0.2:9100", Weight: 1, Draining: true},
-		},
+		}},
 	} {
-		if got, err := importer.Parse(strings.NewReader(text)); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("got %+v, %v", got, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			got, err := importer.Parse(strings.NewReader(c.text))
+			if err != nil || !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got %+v, %v", got, err)
+			}
+		})
 	}
 }
 
-func TestBadFiles(t *testing.T) {
-	for text, want := range map[string]string{
-		"": "no member", "BalancerMember http://a:1": "without a balancer", "BalancerMember balancer://b": "an address",
-		"BalancerMember balancer://b ftp://a":                                            "no host or port",
-		"BalancerMember balancer://b http://a:1 loadfactor=0":                            "line 1",
-		"BalancerMember balancer://b http://a:1 \\":                                      "nothing follows",
-		"BalancerMember balancer://b http://a:1\nBalancerMember balancer://b http://a:1": "twice",
-		"worker.list":                                                  "no property",
-		"worker.list=a\nworker.a.port=http":                            "port",
-		"worker.list=a\nworker.a.lbfactor=-1":                          "lbfactor",
-		"worker.list=a\nworker.a.type=lb":                              "no member",
-		"worker.list=a\nworker.a.reference=worker.a\n worker.a.port=0": "port",
+func TestParseRejectsInvalidFiles(t *testing.T) {
+	for _, c := range []struct{ name, text, wantError string }{
+		{"empty", "", "no member"},
+		{"apache member without a balancer", "BalancerMember http://a:1", "without a balancer"},
+		{"apache member without an address", "BalancerMember balancer://b", "an address"},
+		{"apache scheme without a port", "BalancerMember balancer://b ftp://a", "no host or port"},
+		{"apache load factor out of range", "BalancerMember balancer://b http://a:1 loadfactor=0", "line 1"},
+		{"last line continued", "BalancerMember balancer://b http://a:1 \\", "nothing follows"},
+		{"member named twice", "BalancerMember balancer://b http://a:1\nBalancerMember balancer://b http://a:1", "twice"},
+		{"mod_jk line without a property", "worker.list", "no property"},
+		{"mod_jk port is no number", "worker.list=a\nworker.a.port=http", "port"},
+		{"mod_jk factor is negative", "worker.list=a\nworker.a.lbfactor=-1", "lbfactor"},
+		{"mod_jk balancer without members", "worker.list=a\nworker.a.type=lb", "no member"},
+		{"mod_jk circular reference", "worker.list=a\nworker.a.reference=worker.a\n worker.a.port=0", "port"},
 	} {
-		if got, err := importer.Parse(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %+v, %v", text, got, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got, err := importer.Parse(strings.NewReader(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.wantError) {
+				t.Errorf("%q: got %+v, %v", c.text, got, err)
+			}
+		})
 	}
 }
 
+// Every file either fails or has members, each with an address, a weight and a name.
 func FuzzParse(f *testing.F) {
-	for _, text := range testkit.Broken(6, apacheText, jkText) {
+	for _, text := range testkit.Broken(6, apacheText, modJKText) {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
