--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,6 @@
-// Package cli is what the project's command lines share.
+// Package cli holds what the project's command lines share: the conventions of their flags and commands, the format of
+// their log, and the strict decoding of operators' files. It has no state; its functions may be called from any
+// goroutine.
 package cli
 
 import (
@@ -9,23 +11,23 @@
 	"github.com/spf13/cobra"
 )
 
-// Words lets a long flag stand behind one dash, as it did before the command lines had cobra: deploy files and
-// operators' scripts say -config. So there are no flags of one letter but -h.
+// Words rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used cobra:
+// deploy files and operators' scripts say -config. So -h is the only flag of one letter.
 func Words(args []string) []string {
-	out := []string{} // not nil, for which cobra would take the process's own
-	for i, a := range args {
-		if a == "--" {
-			return append(out, args[i:]...)
+	rewritten := []string{} // not nil, for which cobra would take the process's own arguments
+	for i, arg := range args {
+		if arg == "--" {
+			return append(rewritten, args[i:]...)
 		}
-		if len(a) > 2 && a[0] == '-' && a[1] != '-' {
-			a = "-" + a
+		if len(arg) > 2 && arg[0] == '-' && arg[1] != '-' {
+			arg = "-" + arg
 		}
-		out = append(out, a)
+		rewritten = append(rewritten, arg)
 	}
-	return out
+	return rewritten
 }
 
-// Root is a program's command: errors are printed by its caller, in one line, and there is no help behind them.
+// Root returns a program's root command. Its caller prints an error in one line, without the usage text after it.
 func Root(name, short string, out io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
@@ -34,7 +36,7 @@
 	return root
 }
 
-// NoWords refuses words behind a sub-command's flags.
+// NoWords is a cobra.PositionalArgs that rejects positional arguments.
 func NoWords(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected %q", args[0])
@@ -42,12 +44,14 @@
 	return nil
 }
 
-// LogHandler writes one line of key=value for each event; the event's name stands under the key event.
+// LogHandler writes one line of key=value for each event; the value of the key event is the event's name.
 func LogHandler(out io.Writer) slog.Handler {
-	return slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-		if len(groups) == 0 && a.Key == slog.MessageKey {
-			a.Key = "event"
-		}
-		return a
-	}})
+	return slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: nameMessageEvent})
+}
+
+func nameMessageEvent(groups []string, attr slog.Attr) slog.Attr {
+	if len(groups) == 0 && attr.Key == slog.MessageKey {
+		attr.Key = "event"
+	}
+	return attr
 }
--- a/internal/cli/strict.go
+++ b/internal/cli/strict.go
@@ -7,14 +7,14 @@
 	"fmt"
 )
 
-// Strict reads an operators' file: one JSON object, in which every word must be known.
-func Strict(text []byte, into any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+// Strict decodes an operators' file into a value: one JSON object, in which every key must be known.
+func Strict(contents []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(contents))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return fmt.Errorf("not the form of this file: %w", err)
 	}
-	if d.More() {
+	if decoder.More() {
 		return errors.New("more than one object")
 	}
 	return nil
--- a/internal/protofield/protofield.go
+++ b/internal/protofield/protofield.go
@@ -1,17 +1,20 @@
-// Package protofield reads and writes protobuf messages field by field, for those that are too small to be worth generated code.
+// Package protofield reads and writes protobuf messages field by field, for messages that are too small to justify
+// generated code. The encoding is that of https://protobuf.dev/programming-guides/encoding. It has no state; its
+// functions may be called from any goroutine.
 package protofield
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// Field is one field of a message. Value is set for varints and 64-bit numbers, Bytes for what has a length.
+// Field is one field of a message. Value is set for varints and 64-bit numbers, Bytes for length-delimited values.
 type Field struct {
 	Number protowire.Number
 	Kind   protowire.Type
 	Value  uint64
-	Bytes  []byte // of the message that was read, not a copy
+	Bytes  []byte // shares the memory of the message that was read
 }
 
-// Next reads the first field of a message and returns the rest. A field that cannot be read whole is an error.
+// Next reads the first field of a message and returns the rest of the message. A field that cannot be read completely is
+// an error. Fields of other wire types are skipped: they have neither Value nor Bytes.
 func Next(b []byte) (f Field, rest []byte, err error) {
 	var n int
 	if f.Number, f.Kind, n = protowire.ConsumeTag(b); n < 0 {
@@ -34,12 +37,12 @@
 	return f, b[n:], nil
 }
 
-// Varint appends a number.
-func Varint(b []byte, field protowire.Number, v uint64) []byte {
-	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
+// Varint appends a field with an unsigned number to a message.
+func Varint(b []byte, field protowire.Number, value uint64) []byte {
+	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), value)
 }
 
-// Bytes appends what has a length.
-func Bytes(b []byte, field protowire.Number, v []byte) []byte {
-	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), v)
+// Bytes appends a length-delimited field to a message.
+func Bytes(b []byte, field protowire.Number, value []byte) []byte {
+	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
--- a/internal/protofield/protofield_test.go
+++ b/internal/protofield/protofield_test.go
@@ -7,27 +7,34 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Fields come back as they were written, in order; a message that is cut anywhere within one is an error there.
-func TestNext(t *testing.T) {
-	b := Bytes(Varint(nil, 3, 1<<60), 4, []byte("text"))
-	b = protowire.AppendFixed64(protowire.AppendTag(b, 5, protowire.Fixed64Type), 7)
-	b = protowire.AppendFixed32(protowire.AppendTag(b, 6, protowire.Fixed32Type), 8)
-	want := []Field{{3, protowire.VarintType, 1 << 60, nil}, {4, protowire.BytesType, 0, []byte("text")}, {5, protowire.Fixed64Type, 7, nil}, {6, protowire.Fixed32Type, 0, nil}}
-	ends := map[int]bool{}
-	for rest, i := b, 0; len(rest) > 0; i++ {
-		ends[len(b)-len(rest)] = true
-		f, next, err := Next(rest)
-		if w := want[i]; err != nil || f.Number != w.Number || f.Kind != w.Kind || f.Value != w.Value || !bytes.Equal(f.Bytes, w.Bytes) {
-			t.Fatalf("field %d is %+v, %v", i, f, err)
+// Fields are read as they were written, in order; a message that is cut within a field fails at that field.
+func TestNextReadsWrittenFieldsAndRejectsCutOnes(t *testing.T) {
+	message := Bytes(Varint(nil, 3, 1<<60), 4, []byte("text"))
+	message = protowire.AppendFixed64(protowire.AppendTag(message, 5, protowire.Fixed64Type), 7)
+	message = protowire.AppendFixed32(protowire.AppendTag(message, 6, protowire.Fixed32Type), 8)
+	wants := []Field{
+		{3, protowire.VarintType, 1 << 60, nil},
+		{4, protowire.BytesType, 0, []byte("text")},
+		{5, protowire.Fixed64Type, 7, nil},
+		{6, protowire.Fixed32Type, 0, nil},
+	}
+	boundaries := map[int]bool{} // offsets at which a field starts
+	for rest, i := message, 0; len(rest) > 0; i++ {
+		boundaries[len(message)-len(rest)] = true
+		got, next, err := Next(rest)
+		want := wants[i]
+		if err != nil || got.Number != want.Number || got.Kind != want.Kind || got.Value != want.Value ||
+			!bytes.Equal(got.Bytes, want.Bytes) {
+			t.Fatalf("field %d is %+v, %v", i, got, err)
 		}
 		rest = next
 	}
-	for cut := range b {
+	for cut := range message {
 		var err error
-		for rest := b[:cut]; len(rest) > 0 && err == nil; {
+		for rest := message[:cut]; len(rest) > 0 && err == nil; {
 			_, rest, err = Next(rest)
 		}
-		if (err == nil) != ends[cut] {
+		if (err == nil) != boundaries[cut] {
 			t.Errorf("cut at %d: %v", cut, err)
 		}
 	}
