--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,5 +1,9 @@
-// Package xds hands the list of servers that this dispatcher goes by to other
-// proxies: a cluster for each kind of server, with its endpoints, over xDS.
+// Package xds gives this dispatcher's endpoint list to other proxies over Envoy's xDS protocol
+// (https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol): one cluster for each kind of endpoint, state of
+// the world, on the aggregated stream or on one stream for each type. Streams and versions are go-control-plane's.
+//
+// A Server owns a copy of the endpoint list, the version of its last snapshot, and a gRPC server. Its methods may be
+// called from any goroutine.
 package xds
 
 import (
@@ -33,15 +37,20 @@
 )
 
 const (
-	everyone       = "all" // all proxies see one list
+	allNodes       = "all" // the key of the one snapshot, which all proxies receive
 	connectTimeout = 250 * time.Millisecond
-	mostStreams    = 1024 // on one connection
+	maxStreams     = 1024 // on one connection
+	// weightScale makes whole numbers of an endpoint list's weights, which are shares: xDS keeps two decimal places.
+	weightScale = 100
+	minWeight   = 1
+	maxWeight   = 1e6
 )
 
-type oneNode struct{}
+// sharedNodeHash is a cache.NodeHash that gives all proxies one snapshot.
+type sharedNodeHash struct{}
 
 // ID implements cache.NodeHash.
-func (oneNode) ID(*corev3.Node) string { return everyone }
+func (sharedNodeHash) ID(*corev3.Node) string { return allNodes }
 
 // Server is an xDS server for clusters and endpoints.
 type Server struct {
@@ -49,108 +58,123 @@
 	cache    cache.SnapshotCache
 	grpc     *grpc.Server
 
-	mu      sync.Mutex
-	version uint64
-	list    map[string]dispatch.Endpoint
+	mu        sync.Mutex
+	version   uint64
+	endpoints map[string]dispatch.Endpoint
 }
 
-// New returns a Server that knows no list yet.
+// New returns a Server without endpoints; proxies receive nothing before the first Publish.
 func New(settings *config.Settings) *Server {
-	s := &Server{settings: settings, cache: cache.NewSnapshotCache(true, oneNode{}, nil),
-		grpc: grpc.NewServer(grpc.MaxConcurrentStreams(mostStreams)), list: map[string]dispatch.Endpoint{}}
-	x := server.NewServer(context.Background(), s.cache, nil)
-	discoverysvc.RegisterAggregatedDiscoveryServiceServer(s.grpc, x)
-	clustersvc.RegisterClusterDiscoveryServiceServer(s.grpc, x)
-	endpointsvc.RegisterEndpointDiscoveryServiceServer(s.grpc, x)
+	s := &Server{settings: settings, cache: cache.NewSnapshotCache(true, sharedNodeHash{}, nil),
+		grpc: grpc.NewServer(grpc.MaxConcurrentStreams(maxStreams)), endpoints: map[string]dispatch.Endpoint{}}
+	discovery := server.NewServer(context.Background(), s.cache, nil)
+	discoverysvc.RegisterAggregatedDiscoveryServiceServer(s.grpc, discovery)
+	clustersvc.RegisterClusterDiscoveryServiceServer(s.grpc, discovery)
+	endpointsvc.RegisterEndpointDiscoveryServiceServer(s.grpc, discovery)
 	return s
 }
 
-// Serve answers proxies until Stop.
-func (s *Server) Serve(l net.Listener) error {
-	if err := s.grpc.Serve(l); err != nil {
+// Serve accepts proxies until Stop, after which it returns nil.
+func (s *Server) Serve(listener net.Listener) error {
+	if err := s.grpc.Serve(listener); err != nil {
 		return fmt.Errorf("xds: %w", err)
 	}
 	return nil
 }
 
-// Stop ends all streams.
+// Stop closes the listener and ends all streams.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// Publish applies a list, or changes to it, and hands it to all proxies.
-func (s *Server) Publish(full bool, entries []dispatch.Endpoint) {
+// Publish applies a full endpoint list, or changes to it, and sends the result to all proxies.
+func (s *Server) Publish(full bool, endpoints []dispatch.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	dispatch.ApplyUpdate(s.list, full, entries)
+	dispatch.ApplyUpdate(s.endpoints, full, endpoints)
 	s.version++
 	snapshot, err := s.snapshot()
 	if err == nil {
-		err = s.cache.SetSnapshot(context.Background(), everyone, snapshot)
+		err = s.cache.SetSnapshot(context.Background(), allNodes, snapshot)
 	}
 	if err != nil {
 		slog.Warn("xds_failed", "err", err)
 	}
 }
 
-// snapshot makes a cluster for each kind, with one group of endpoints for each zone.
+// snapshot makes a cluster and its endpoints for each kind; s.mu must be held.
 func (s *Server) snapshot() (*cache.Snapshot, error) {
 	byKind := map[int][]dispatch.Endpoint{}
-	for _, e := range s.list {
-		byKind[e.Kind] = append(byKind[e.Kind], e)
+	for _, endpoint := range s.endpoints {
+		byKind[endpoint.Kind] = append(byKind[endpoint.Kind], endpoint)
 	}
-	var clusters, endpoints []types.Resource
+	var clusters, assignments []types.Resource
 	for kind, name := range s.settings.Kinds {
-		clusters = append(clusters, &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(connectTimeout),
-			ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-			EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: &corev3.ConfigSource{
-				ResourceApiVersion:    corev3.ApiVersion_V3,
-				ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}})
-		list := byKind[kind]
-		slices.SortFunc(list, func(a, b dispatch.Endpoint) int {
-			return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
-		})
-		load := &endpointv3.ClusterLoadAssignment{ClusterName: name}
-		for i, e := range list {
-			if i == 0 || list[i-1].Zone != e.Zone {
-				load.Endpoints = append(load.Endpoints, &endpointv3.LocalityLbEndpoints{
-					Locality:            &corev3.Locality{Zone: s.settings.ZoneName(e.Zone)},
-					LoadBalancingWeight: wrapperspb.UInt32(1)})
-			}
-			endpoint, err := lbEndpoint(e)
-			if err != nil {
-				return nil, err
-			}
-			zone := load.Endpoints[len(load.Endpoints)-1]
-			zone.LbEndpoints = append(zone.LbEndpoints, endpoint)
+		assignment, err := s.loadAssignment(name, byKind[kind])
+		if err != nil {
+			return nil, err
 		}
-		endpoints = append(endpoints, load)
+		clusters = append(clusters, edsCluster(name))
+		assignments = append(assignments, assignment)
 	}
 	snapshot, err := cache.NewSnapshot(strconv.FormatUint(s.version, 10), map[resource.Type][]types.Resource{
-		resource.ClusterType: clusters, resource.EndpointType: endpoints})
+		resource.ClusterType: clusters, resource.EndpointType: assignments})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	return snapshot, nil
 }
 
-func lbEndpoint(e dispatch.Endpoint) (*endpointv3.LbEndpoint, error) {
-	host, port, err := net.SplitHostPort(e.Addr)
+// edsCluster is a cluster whose endpoints come on the same stream.
+func edsCluster(name string) *clusterv3.Cluster {
+	return &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(connectTimeout),
+		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
+		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{EdsConfig: &corev3.ConfigSource{
+			ResourceApiVersion:    corev3.ApiVersion_V3,
+			ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
+}
+
+// loadAssignment lists the endpoints of a cluster, by name and in one locality for each zone. It sorts its argument.
+func (s *Server) loadAssignment(cluster string, endpoints []dispatch.Endpoint) (*endpointv3.ClusterLoadAssignment, error) {
+	slices.SortFunc(endpoints, func(a, b dispatch.Endpoint) int {
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
+	})
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
+	for i, endpoint := range endpoints {
+		if i == 0 || endpoints[i-1].Zone != endpoint.Zone {
+			assignment.Endpoints = append(assignment.Endpoints, &endpointv3.LocalityLbEndpoints{
+				Locality:            &corev3.Locality{Zone: s.settings.ZoneName(endpoint.Zone)},
+				LoadBalancingWeight: wrapperspb.UInt32(1)})
+		}
+		converted, err := lbEndpoint(endpoint)
+		if err != nil {
+			return nil, err
+		}
+		locality := assignment.Endpoints[len(assignment.Endpoints)-1]
+		locality.LbEndpoints = append(locality.LbEndpoints, converted)
+	}
+	return assignment, nil
+}
+
+// lbEndpoint converts an endpoint. It fails if the address is not a host and a numeric port.
+func lbEndpoint(endpoint dispatch.Endpoint) (*endpointv3.LbEndpoint, error) {
+	host, port, err := net.SplitHostPort(endpoint.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
+		return nil, fmt.Errorf("endpoint %s: %w", endpoint.Name, err)
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
+		return nil, fmt.Errorf("endpoint %s: %w", endpoint.Name, err)
 	}
 	health := corev3.HealthStatus_HEALTHY
-	if e.State == routing.Draining {
+	if endpoint.State == routing.Draining {
 		health = corev3.HealthStatus_DRAINING
 	}
 	return &endpointv3.LbEndpoint{
 		HealthStatus: health,
-		// The list's weights are shares; whole numbers carry them to two places.
-		LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(e.Weight*100, 1), 1e6))),
-		HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Hostname: e.Name,
+		LoadBalancingWeight: wrapperspb.UInt32(
+			uint32(min(max(endpoint.Weight*weightScale, minWeight), maxWeight))),
+		HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Hostname: endpoint.Name,
 			Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-				Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}}},
+				Address:       host,
+				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(portNumber)}}}}}},
 	}, nil
 }
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -16,85 +16,105 @@
 	"rampspread/routing"
 )
 
-// A proxy's stream gets the clusters and their endpoints, and each change of the list after that.
-func TestProxySeesTheList(t *testing.T) {
-	s := xds.New(testkit.Settings(t))
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// proxy is a client of the aggregated discovery stream.
+type proxy struct {
+	stream discoverysvc.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+}
+
+// connectProxy opens a stream to a server that runs until the test ends.
+func connectProxy(t *testing.T, server *xds.Server) proxy {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error)
-	go func() { done <- s.Serve(l) }()
-	defer func() {
-		s.Stop()
+	go func() { done <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		server.Stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-	}()
-	entry := func(name string, kind int, state routing.EndpointState) dispatch.Endpoint {
-		return dispatch.Endpoint{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
-	}
-	s.Publish(true, []dispatch.Endpoint{entry("r", 0, routing.Ready), entry("w1", 1, routing.Ready), entry("w2", 1, routing.Ready)})
-
-	conn, err := grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	})
+	conn, err := grpc.NewClient(listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	stream, err := discoverysvc.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := func(r *discoverysvc.DiscoveryRequest) *discoverysvc.DiscoveryResponse {
-		t.Helper()
-		if r != nil {
-			if err := stream.Send(r); err != nil {
-				t.Fatal(err)
-			}
-		}
-		got, err := stream.Recv()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return got
+	return proxy{stream}
+}
+
+func (p proxy) send(t *testing.T, request *discoverysvc.DiscoveryRequest) {
+	t.Helper()
+	if err := p.stream.Send(request); err != nil {
+		t.Fatal(err)
 	}
-	if got := ask(&discoverysvc.DiscoveryRequest{TypeUrl: resource.ClusterType}); len(got.Resources) != 2 {
-		t.Errorf("%d clusters", len(got.Resources))
+}
+
+func (p proxy) receive(t *testing.T) *discoverysvc.DiscoveryResponse {
+	t.Helper()
+	response, err := p.stream.Recv()
+	if err != nil {
+		t.Fatal(err)
 	}
-	// health maps the writers' names to their health.
-	health := func(got *discoverysvc.DiscoveryResponse) map[string]string {
-		t.Helper()
-		out := map[string]string{}
-		for _, raw := range got.Resources {
-			var load endpointv3.ClusterLoadAssignment
-			if err := raw.UnmarshalTo(&load); err != nil {
-				t.Fatal(err)
-			}
-			for _, zone := range load.Endpoints {
-				for _, e := range zone.LbEndpoints {
-					out[e.GetEndpoint().Hostname] = e.HealthStatus.String()
-					if zone.Locality.Zone != "wien" || e.LoadBalancingWeight.Value != 150 ||
-						e.GetEndpoint().Address.GetSocketAddress().GetPortValue() != 9000 {
-						t.Errorf("endpoint %v in %v", e, zone.Locality)
-					}
+	return response
+}
+
+// healthByName checks the endpoints of a response and returns their health by name.
+func healthByName(t *testing.T, response *discoverysvc.DiscoveryResponse) map[string]string {
+	t.Helper()
+	health := map[string]string{}
+	for _, raw := range response.Resources {
+		var assignment endpointv3.ClusterLoadAssignment
+		if err := raw.UnmarshalTo(&assignment); err != nil {
+			t.Fatal(err)
+		}
+		for _, zone := range assignment.Endpoints {
+			for _, endpoint := range zone.LbEndpoints {
+				health[endpoint.GetEndpoint().Hostname] = endpoint.HealthStatus.String()
+				if zone.Locality.Zone != "wien" || endpoint.LoadBalancingWeight.Value != 150 ||
+					endpoint.GetEndpoint().Address.GetSocketAddress().GetPortValue() != 9000 {
+					t.Errorf("endpoint %v in %v", endpoint, zone.Locality)
 				}
 			}
 		}
-		return out
 	}
-	names := []string{"decode-a", "prefill"}
-	got := ask(&discoverysvc.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: names})
-	if h := health(got); len(h) != 3 || h["w1"] != "HEALTHY" {
-		t.Errorf("endpoints %v", h)
+	return health
+}
+
+// A proxy's stream receives the clusters and their endpoints, and after that each change of the endpoint list.
+func TestProxyReceivesEndpointsAndTheirChanges(t *testing.T) {
+	server := xds.New(testkit.Settings(t))
+	endpoint := func(name string, kind int, state routing.EndpointState) dispatch.Endpoint {
+		return dispatch.Endpoint{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
 	}
-	if err := stream.Send(&discoverysvc.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: names,
-		VersionInfo: got.VersionInfo, ResponseNonce: got.Nonce}); err != nil {
-		t.Fatal(err)
+	server.Publish(true, []dispatch.Endpoint{
+		endpoint("prefill-1", 0, routing.Ready), endpoint("decode-1", 1, routing.Ready), endpoint("decode-2", 1, routing.Ready)})
+	proxy := connectProxy(t, server)
+
+	proxy.send(t, &discoverysvc.DiscoveryRequest{TypeUrl: resource.ClusterType})
+	if response := proxy.receive(t); len(response.Resources) != 2 {
+		t.Errorf("%d clusters", len(response.Resources))
+	}
+	clusters := []string{"decode-a", "prefill"}
+	proxy.send(t, &discoverysvc.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: clusters})
+	response := proxy.receive(t)
+	if health := healthByName(t, response); len(health) != 3 || health["decode-1"] != "HEALTHY" {
+		t.Errorf("endpoints %v", health)
 	}
-	s.Publish(false, []dispatch.Endpoint{entry("w1", 1, routing.Draining), entry("w2", 1, routing.Gone)})
-	for got = ask(nil); got.TypeUrl != resource.EndpointType; got = ask(nil) {
+	proxy.send(t, &discoverysvc.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: clusters,
+		VersionInfo: response.VersionInfo, ResponseNonce: response.Nonce})
+
+	server.Publish(false, []dispatch.Endpoint{
+		endpoint("decode-1", 1, routing.Draining), endpoint("decode-2", 1, routing.Gone)})
+	for response = proxy.receive(t); response.TypeUrl != resource.EndpointType; response = proxy.receive(t) {
 	}
-	if h := health(got); len(h) != 2 || h["w1"] != "DRAINING" || h["r"] != "HEALTHY" {
-		t.Errorf("endpoints after the change %v", h)
+	if health := healthByName(t, response); len(health) != 2 || health["decode-1"] != "DRAINING" ||
+		health["prefill-1"] != "HEALTHY" {
+		t.Errorf("endpoints after the change %v", health)
 	}
 }
