--- a/internal/simcodec/codec_test.go
+++ b/internal/simcodec/frame_test.go
@@ -10,17 +10,32 @@
 	"testing"
 )
 
-// frame joins hand-written hexadecimal.
-func frame(t testing.TB, parts ...string) []byte {
+// fromHex decodes hexadecimal parts with spaces.
+func fromHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
+	decoded, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return decoded
 }
 
-var handEvents = []struct {
+// batchFrame is a batch of one record, at the clock 8412.25 and with the number 12.
+func batchFrame(t testing.TB, record []byte) []byte {
+	t.Helper()
+	length := hex.EncodeToString([]byte{0, 0, 0, byte(12 + len(record))})
+	return append(fromHex(t, "00000001", length, "40c06e2000000000 0000000c"), record...)
+}
+
+// replyFrame is the reply of one record to the batch with the number 12.
+func replyFrame(t testing.TB, record []byte) []byte {
+	t.Helper()
+	length := hex.EncodeToString([]byte{0, 0, 0, byte(8 + len(record))})
+	return append(fromHex(t, length, "00000001 0000000c"), record...)
+}
+
+// handwrittenEvents and handwrittenActions are records written by hand from the protocol's page, one of each code.
+var handwrittenEvents = []struct {
 	hex  string
 	want any
 }{
@@ -41,7 +56,7 @@
 	{"1b 0000000a 0003 0000000000000007", ClientGone{3, 7}},
 }
 
-var handActions = []struct {
+var handwrittenActions = []struct {
 	hex  string
 	want any
 }{
@@ -62,51 +77,47 @@
 	{"1e 00000016 0003 0000000000000007 00000009 4054000000000000", Send{3, 7, 9, 80}},
 }
 
-func TestEventsRoundTrip(t *testing.T) {
-	if len(handEvents) != len(eventTypes) {
-		t.Fatalf("%d events by hand, %d codes", len(handEvents), len(eventTypes))
+func TestEachEventRoundTrips(t *testing.T) {
+	if len(handwrittenEvents) != len(eventTypes) {
+		t.Fatalf("%d handwritten events, %d codes", len(handwrittenEvents), len(eventTypes))
 	}
-	for _, c := range handEvents {
-		rec := frame(t, c.hex)
-		head := frame(t, "00000001", hex.EncodeToString([]byte{0, 0, 0, byte(12 + len(rec))}),
-			"40c06e2000000000 0000000c")
-		in := append(head, rec...)
-		b, err := ReadBatch(bytes.NewReader(in))
+	for _, c := range handwrittenEvents {
+		encoded := batchFrame(t, fromHex(t, c.hex))
+		batch, err := ReadBatch(bytes.NewReader(encoded))
 		if err != nil {
 			t.Fatalf("%T: %v", c.want, err)
 		}
-		if b.Now != 8412.25 || b.Number != 12 || !reflect.DeepEqual(b.Events, []any{c.want}) {
-			t.Errorf("decoded %+v, want %+v", b, c.want)
+		if batch.Now != 8412.25 || batch.Number != 12 || !reflect.DeepEqual(batch.Events, []any{c.want}) {
+			t.Errorf("decoded %+v, want %+v", batch, c.want)
 		}
-		out, err := AppendBatch(nil, *b)
-		if err != nil || !bytes.Equal(out, in) {
-			t.Errorf("%T: encoded %x (%v), want %x", c.want, out, err, in)
+		out, err := AppendBatch(nil, *batch)
+		if err != nil || !bytes.Equal(out, encoded) {
+			t.Errorf("%T: encoded %x (%v), want %x", c.want, out, err, encoded)
 		}
 	}
 }
 
-func TestActionsRoundTrip(t *testing.T) {
-	if len(handActions) != len(actionTypes) {
-		t.Fatalf("%d actions by hand, %d codes", len(handActions), len(actionTypes))
+func TestEachActionRoundTrips(t *testing.T) {
+	if len(handwrittenActions) != len(actionTypes) {
+		t.Fatalf("%d handwritten actions, %d codes", len(handwrittenActions), len(actionTypes))
 	}
-	for _, c := range handActions {
-		rec := frame(t, c.hex)
-		in := append(frame(t, hex.EncodeToString([]byte{0, 0, 0, byte(8 + len(rec))}), "00000001 0000000c"), rec...)
-		r, err := ReadReply(bytes.NewReader(in))
+	for _, c := range handwrittenActions {
+		encoded := replyFrame(t, fromHex(t, c.hex))
+		reply, err := ReadReply(bytes.NewReader(encoded))
 		if err != nil {
 			t.Fatalf("%T: %v", c.want, err)
 		}
-		if r.Number != 12 || !reflect.DeepEqual(r.Actions, []any{c.want}) {
-			t.Errorf("decoded %+v, want %+v", r, c.want)
+		if reply.Number != 12 || !reflect.DeepEqual(reply.Actions, []any{c.want}) {
+			t.Errorf("decoded %+v, want %+v", reply, c.want)
 		}
-		out, err := AppendReply(nil, *r)
-		if err != nil || !bytes.Equal(out, in) {
-			t.Errorf("%T: encoded %x (%v), want %x", c.want, out, err, in)
+		out, err := AppendReply(nil, *reply)
+		if err != nil || !bytes.Equal(out, encoded) {
+			t.Errorf("%T: encoded %x (%v), want %x", c.want, out, err, encoded)
 		}
 	}
 }
 
-var badBatches = map[string]string{
+var invalidBatches = map[string]string{
 	"cut header":          "000000",
 	"cut body":            "00000000 0000000c 40c06e",
 	"oversized":           "00000000 ffffffff",
@@ -118,14 +129,14 @@
 	"length under fields": "00000001 00000012 40c06e2000000000 00000001 1a 00000001 00",
 	"unknown code":        "00000001 00000013 40c06e2000000000 00000001 63 00000002 0003",
 	"count over length":   "00000001 00000017 40c06e2000000000 00000001 13 00000006 0001 ffffffff",
-	"bytes left over":     "00000000 0000000d 40c06e2000000000 00000001 00",
+	"bytes after records": "00000000 0000000d 40c06e2000000000 00000001 00",
 }
 
-func TestBadBatches(t *testing.T) {
-	for name, text := range badBatches {
-		b, err := ReadBatch(bytes.NewReader(frame(t, text)))
-		if err == nil || errors.Is(err, io.EOF) || b != nil {
-			t.Errorf("%s: got %v, %v", name, b, err)
+func TestReadBatchRejectsInvalidFrames(t *testing.T) {
+	for name, encoded := range invalidBatches {
+		batch, err := ReadBatch(bytes.NewReader(fromHex(t, encoded)))
+		if err == nil || errors.Is(err, io.EOF) || batch != nil {
+			t.Errorf("%s: got %v, %v", name, batch, err)
 		}
 	}
 	if _, err := ReadBatch(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
@@ -133,23 +144,22 @@
 	}
 }
 
+// A batch that can be read is written as the same bytes.
 func FuzzReadBatch(f *testing.F) {
-	for _, text := range badBatches {
-		f.Add(frame(f, text))
+	for _, encoded := range invalidBatches {
+		f.Add(fromHex(f, encoded))
 	}
-	for _, c := range handEvents {
-		rec := frame(f, c.hex)
-		f.Add(append(frame(f, "00000001", hex.EncodeToString([]byte{0, 0, 0, byte(12 + len(rec))}),
-			"40c06e2000000000 0000000c"), rec...))
+	for _, c := range handwrittenEvents {
+		f.Add(batchFrame(f, fromHex(f, c.hex)))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b, err := ReadBatch(bytes.NewReader(in))
+		batch, err := ReadBatch(bytes.NewReader(in))
 		if err != nil {
 			return
 		}
-		out, err := AppendBatch(nil, *b)
+		out, err := AppendBatch(nil, *batch)
 		if err != nil || !bytes.HasPrefix(in, out) {
-			t.Fatalf("%x was read as %+v and written as %x (%v)", in, b, out, err)
+			t.Fatalf("%x was read as %+v and written as %x (%v)", in, batch, out, err)
 		}
 	})
 }
--- a/internal/simcodec/golden_test.go
+++ b/internal/simcodec/golden_test.go
@@ -9,18 +9,20 @@
 	"testing"
 )
 
-// goldenEvents and goldenActions hold each record once, by the names of its fields, each with a value of its own: what a field
-// is called and where it stands on the wire belong together. The bytes are in testdata.
+// goldenEvents and goldenActions hold each record once, by the names of its fields, each field with a value of its own,
+// so that a field's name is tied to its place on the wire. The bytes are in testdata.
 var goldenEvents = []any{
 	Init{Router: 0x101, Seed: 0x102, Conf: []byte("{}")},
-	Directory{Bank: 0x201, Records: []Entry{{Zone: 0x11, Condition: 0x12, Bay: 0x213, PowerHint: 1.5, LastStartMs: 2.5, Worker: 0x214, Shape: 0x15}}},
+	Directory{Bank: 0x201, Records: []Entry{
+		{Zone: 0x11, Condition: 0x12, Bay: 0x213, PowerHint: 1.5, LastStartMs: 2.5, Worker: 0x214, Shape: 0x15}}},
 	Fleet{Router: 0x301, Form: 0x32, Gen: 0x303, Bank: 0x304},
-	Order{Router: 0x401, OpID: 0x402, Priority: 0x403, Team: 0x404, Talk: 0x405, ExpiresInMs: 4.5, EstimateMs: 5.5, SharedPrefix: 0x406,
-		InputLen: 6.5, NPrefix: 7.5, MaxOut: 8.5, Attrs: 0x47},
+	Order{Router: 0x401, OpID: 0x402, Priority: 0x403, Team: 0x404, Talk: 0x405, ExpiresInMs: 4.5, EstimateMs: 5.5,
+		SharedPrefix: 0x406, InputLen: 6.5, NPrefix: 7.5, MaxOut: 8.5, Attrs: 0x47},
 	Detach{Router: 0x501},
 	ClientGone{Router: 0x601, OpID: 0x602},
 	Accepted{Router: 0x701, OpID: 0x702, Hop: 0x703, Worker: 0x704, DelaySeenMs: 9.5},
-	Response{Router: 0x801, OpID: 0x802, DelaySeenMs: 10.5, RC: 0x83, Detail: 0x804, Final: 0x85, Hop: 0x806, Worker: 0x807, Load: []float32{11.5, 12.5}},
+	Response{Router: 0x801, OpID: 0x802, DelaySeenMs: 10.5, RC: 0x83, Detail: 0x804, Final: 0x85, Hop: 0x806,
+		Worker: 0x807, Load: []float32{11.5, 12.5}},
 	Pong{Router: 0x901, Worker: 0x902, RC: 0x93, DelaySeenMs: 13.5, Load: []float32{14.5, 15.5}},
 	Reminder{Router: 0xa01, Ref: 0xa02},
 	NeighbourSays{Router: 0xb01, Who: 0xb02, Contents: []byte("hi")},
@@ -52,23 +54,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
+	decoded, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return decoded
 }
 
 func TestGoldenBatch(t *testing.T) {
 	if len(goldenEvents) != len(eventTypes) {
 		t.Fatalf("%d events, %d codes", len(goldenEvents), len(eventTypes))
 	}
-	want, text := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, goldenBytes(t, "batch.hex")
-	if got, err := ReadBatch(bytes.NewReader(text)); err != nil || !reflect.DeepEqual(*got, want) {
+	want, encoded := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, goldenBytes(t, "batch.hex")
+	if got, err := ReadBatch(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
-	if got, err := AppendBatch(nil, want); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("wrote %x, %v, want %x", got, err, text)
+	if got, err := AppendBatch(nil, want); err != nil || !bytes.Equal(got, encoded) {
+		t.Errorf("wrote %x, %v, want %x", got, err, encoded)
 	}
 }
 
@@ -76,11 +78,11 @@
 	if len(goldenActions) != len(actionTypes) {
 		t.Fatalf("%d actions, %d codes", len(goldenActions), len(actionTypes))
 	}
-	want, text := Reply{Number: 19, Actions: goldenActions}, goldenBytes(t, "reply.hex")
-	if got, err := ReadReply(bytes.NewReader(text)); err != nil || !reflect.DeepEqual(*got, want) {
+	want, encoded := Reply{Number: 19, Actions: goldenActions}, goldenBytes(t, "reply.hex")
+	if got, err := ReadReply(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
-	if got, err := AppendReply(nil, want); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("wrote %x, %v, want %x", got, err, text)
+	if got, err := AppendReply(nil, want); err != nil || !bytes.Equal(got, encoded) {
+		t.Errorf("wrote %x, %v, want %x", got, err, encoded)
 	}
 }
--- a/internal/simcodec/messages.go
+++ b/internal/simcodec/messages.go
@@ -2,27 +2,28 @@
 
 import "reflect"
 
-// Events, in the order of their fields on the wire.
+// Events, with their fields in the order of the wire. Times are in milliseconds; Router is the instance concerned, OpID
+// the request, Worker the replica, Hop the index of the attempt.
 type (
-	// Init starts an instance.
+	// Init starts an instance: Conf is the settings in JSON.
 	Init struct {
 		Router uint16
 		Seed   uint64
 		Conf   []byte `count:"4"`
 	}
-	// Directory is a numbered list of workers.
+	// Directory is a list of replicas, numbered by Bank and shared by all instances of the process.
 	Directory struct {
 		Bank    uint16
 		Records []Entry `count:"4"`
 	}
-	// Fleet applies a Directory to an instance.
+	// Fleet applies a Directory to an instance; Form says whether it is a delta, a full or cached list, or failed.
 	Fleet struct {
 		Router uint16
 		Form   uint8
 		Gen    uint64
 		Bank   uint16
 	}
-	// Order is a client's request.
+	// Order is a client's request. Priority is its class, Team its tenant, Talk its session.
 	Order struct {
 		Router       uint16
 		OpID         uint64
@@ -39,12 +40,12 @@
 	}
 	// Detach says that an instance was killed.
 	Detach struct{ Router uint16 }
-	// ClientGone says that a client left.
+	// ClientGone says that a client has disconnected.
 	ClientGone struct {
 		Router uint16
 		OpID   uint64
 	}
-	// Accepted says that a stream started.
+	// Accepted says that a streamed answer has started.
 	Accepted struct {
 		Router      uint16
 		OpID        uint64
@@ -52,7 +53,7 @@
 		Worker      uint32
 		DelaySeenMs float64
 	}
-	// Response is the end of an attempt.
+	// Response is the end of an attempt. RC is its outcome; Final is set if the request has ended.
 	Response struct {
 		Router      uint16
 		OpID        uint64
@@ -72,18 +73,18 @@
 		DelaySeenMs float64
 		Load        []float32 `count:"1"`
 	}
-	// Reminder is a due timer.
+	// Reminder is a timer that has fired.
 	Reminder struct {
 		Router uint16
 		Ref    uint64
 	}
-	// NeighbourSays is a sibling's message.
+	// NeighbourSays is a message of a peer instance.
 	NeighbourSays struct {
 		Router   uint16
 		Who      uint32
 		Contents []byte `count:"2"`
 	}
-	// SeatNews answers a PrePair.
+	// SeatNews answers a PrePair: whether the place is reserved.
 	SeatNews struct {
 		Router uint16
 		OpID   uint64
@@ -94,16 +95,16 @@
 	}
 )
 
-// Actions, in the order of their fields on the wire.
+// Actions, with their fields in the order of the wire. Times are in milliseconds.
 type (
-	// Send makes an attempt.
+	// Send starts an attempt, whose timeout is PatienceMs.
 	Send struct {
 		Router     uint16
 		OpID       uint64
 		Worker     uint32
 		PatienceMs float64
 	}
-	// Schedule asks for a Reminder.
+	// Schedule sets a timer, which fires as a Reminder.
 	Schedule struct {
 		Router uint16
 		SpanMs float64
@@ -114,31 +115,31 @@
 		Router uint16
 		OpID   uint64
 	}
-	// BroadcastTo sends bytes to siblings.
+	// BroadcastTo sends bytes to peer instances.
 	BroadcastTo struct {
 		Router      uint16
 		NeighbourID uint32
 		Contents    []byte `count:"2"`
 	}
-	// PrePair holds a place at a writer.
+	// PrePair reserves a place at a decode replica.
 	PrePair struct {
 		Router uint16
 		OpID   uint64
 		Worker uint32
 	}
-	// GetList asks discovery for the whole list.
+	// GetList requests the full endpoint list from discovery.
 	GetList struct{ Router uint16 }
-	// Die declares the decision code failed.
+	// Die declares that the decision code has failed.
 	Die struct {
 		Router  uint16
 		Message []byte `count:"2"`
 	}
-	// Poll probes a worker.
+	// Poll requests a load report of a replica, which comes as a Pong.
 	Poll struct {
 		Router uint16
 		Worker uint32
 	}
-	// DropState lets go of what is held for a request.
+	// DropState releases the state and the place that are reserved for a request.
 	DropState struct {
 		Router uint16
 		OpID   uint64
@@ -153,17 +154,17 @@
 		Router  uint16
 		Message []byte `count:"2"`
 	}
-	// Release shuts idle connections.
+	// Release closes idle connections to a replica.
 	Release struct {
 		Router uint16
 		Worker uint32
 	}
-	// Bounce ends a running stream in good order.
+	// Bounce ends a running stream in an orderly way, so that it can resume elsewhere.
 	Bounce struct {
 		Router uint16
 		OpID   uint64
 	}
-	// Refuse is the final answer 'rejected'.
+	// Refuse is the final answer 'rejected'; StayAwayMs is its Retry-After.
 	Refuse struct {
 		Router     uint16
 		OpID       uint64
@@ -177,6 +178,7 @@
 	}
 )
 
+// eventTypes and actionTypes are the types by their codes on the wire. The two spaces of codes are independent.
 var eventTypes = map[uint8]reflect.Type{
 	16: reflect.TypeFor[Fleet](), 17: reflect.TypeFor[SeatNews](), 18: reflect.TypeFor[Pong](),
 	19: reflect.TypeFor[Directory](), 20: reflect.TypeFor[Init](), 21: reflect.TypeFor[Reminder](),
@@ -202,7 +204,8 @@
 	return codes
 }
 
-// Entry is one worker of a Directory.
+// Entry is one replica of a Directory. Condition is its lifecycle state, Bay its cell, Shape its kind of machine,
+// PowerHint its weight.
 type Entry struct {
 	Zone        uint8
 	Condition   uint8
