--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs many independent routers of package decide on the
-// simulator's wire. It translates and decides nothing.
+// Command simhost is the adapter between the simulator and package routing: it runs many independent routers in one
+// process, reads batches of events from standard input and writes one reply of actions for each to standard output. It
+// translates and makes no decisions. It runs on one goroutine.
 package main
 
 import (
@@ -10,6 +11,8 @@
 	"os"
 )
 
+const inputBufferBytes = 64 << 10
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -17,11 +20,11 @@
 	}
 }
 
-// serve answers batches until the end of input.
+// serve answers batches until the end of the input.
 func serve(in io.Reader, out io.Writer) error {
-	reader, h := bufio.NewReaderSize(in, 1<<16), newHost()
+	reader, h := bufio.NewReaderSize(in, inputBufferBytes), newHost()
 	for {
-		frame, err := h.next(reader)
+		frame, err := h.answerNext(reader)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- /dev/null
+++ b/cmd/simhost/translate.go
@@ -0,0 +1,172 @@
+package main
+
+import (
+	"fmt"
+
+	"rampspread/internal/config"
+	"rampspread/internal/simcodec"
+	"rampspread/routing"
+)
+
+// Forms of a Fleet event.
+const (
+	formDelta  = 0 // changed entries only
+	formFull   = 1
+	formCached = 2 // the full list as the instance knew it last, possibly outdated
+	formFailed = 3 // discovery failed; there is no list
+)
+
+// Conditions of a directory's entries. Any other one is taken as gone.
+const (
+	conditionReady    = 1
+	conditionDraining = 2
+)
+
+// Outcomes of an attempt, the RC of a Response.
+const (
+	outcomeServed          = 0
+	outcomeErrored         = 1
+	outcomeFull            = 2
+	outcomeTimedOut        = 3
+	outcomeConnectFailed   = 4
+	outcomeConnectionReset = 5
+	outcomeCancelled       = 6
+	outcomeNotSent         = 7
+	outcomePrefillDone     = 202
+)
+
+// detailNoState is the detail of outcomeFull that says that there was no prefill state to fetch.
+const detailNoState = 1
+
+// maxTokens bounds counts of tokens, so that they fit an int.
+const maxTokens = 1e9
+
+var endpointStates = map[uint8]routing.EndpointState{
+	conditionReady:    routing.Ready,
+	conditionDraining: routing.Draining,
+}
+
+// translateEvent translates an event of one instance; the result is nil for an event that the router does not use.
+func (h *host) translateEvent(target *instance, event any) (routing.Event, error) {
+	switch e := event.(type) {
+	case simcodec.Fleet:
+		return h.endpointUpdate(e)
+	case simcodec.Order:
+		return requestArrived(e), nil
+	case simcodec.ClientGone:
+		return routing.ClientGone{Request: routing.RequestID(e.OpID)}, nil
+	case simcodec.Accepted:
+		return routing.FirstToken{
+			Request: routing.RequestID(e.OpID), Attempt: int(e.Hop),
+			Endpoint: routing.EndpointID(e.Worker), Elapsed: config.FromMS(e.DelaySeenMs),
+		}, nil
+	case simcodec.Response:
+		return attemptEnded(target.settings, e)
+	case simcodec.Reminder:
+		return routing.TimerFired{ID: routing.TimerID(e.Ref)}, nil
+	}
+	return nil, nil
+}
+
+func (h *host) endpointUpdate(e simcodec.Fleet) (routing.Event, error) {
+	if e.Form == formFailed {
+		return nil, nil
+	}
+	if e.Form > formFailed {
+		return nil, fmt.Errorf("unknown list form %d", e.Form)
+	}
+	list, ok := h.banks[e.Bank]
+	if !ok {
+		return nil, fmt.Errorf("unknown list number %d", e.Bank)
+	}
+	return routing.EndpointUpdate{Full: e.Form != formDelta, Endpoints: list}, nil
+}
+
+func requestArrived(e simcodec.Order) routing.Event {
+	return routing.RequestArrived{
+		Request: routing.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
+		Session: routing.Key(e.Talk), SharedPrefix: routing.Key(e.SharedPrefix),
+		PromptTokens: tokenCount(e.InputLen), SharedPrefixTokens: tokenCount(e.NPrefix),
+		MaxOutputTokens: tokenCount(e.MaxOut), TimeLeft: config.FromMS(e.ExpiresInMs),
+	}
+}
+
+func attemptEnded(settings *config.Settings, e simcodec.Response) (routing.Event, error) {
+	result, err := translateOutcome(e.RC, e.Detail)
+	if err != nil {
+		return nil, err
+	}
+	return routing.AttemptEnded{
+		Request: routing.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: routing.EndpointID(e.Worker),
+		Outcome: result, Elapsed: config.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
+		Load: settings.LoadReport(e.Load),
+	}, nil
+}
+
+func endpoints(entries []simcodec.Entry) []routing.Endpoint {
+	translated := make([]routing.Endpoint, len(entries))
+	for i, entry := range entries {
+		translated[i] = routing.Endpoint{
+			ID: routing.EndpointID(entry.Worker), Zone: int(entry.Zone), Cell: int(entry.Bay), Kind: int(entry.Shape),
+			State: endpointStates[entry.Condition], Weight: float64(entry.PowerHint),
+			Started: config.FromMS(entry.LastStartMs),
+		}
+	}
+	return translated
+}
+
+// translateOutcome translates an attempt's outcome and its detail.
+func translateOutcome(code uint8, detail uint32) (routing.Outcome, error) {
+	switch code {
+	case outcomeServed:
+		return routing.Served, nil
+	case outcomeErrored:
+		return routing.Errored, nil
+	case outcomeFull:
+		if detail == detailNoState {
+			return routing.StateMissing, nil
+		}
+		return routing.QueueFull, nil
+	case outcomeTimedOut:
+		return routing.TimedOut, nil
+	case outcomeConnectFailed:
+		return routing.ConnectFailed, nil
+	case outcomeConnectionReset:
+		return routing.ConnectionReset, nil
+	case outcomeCancelled:
+		return routing.Cancelled, nil
+	case outcomeNotSent:
+		return routing.NotSent, nil
+	case outcomePrefillDone:
+		return routing.PrefillDone, nil
+	}
+	return 0, fmt.Errorf("unknown outcome %d", code)
+}
+
+// translateAction translates an action of one instance. An action that the protocol has no record for declares the
+// instance failed.
+func translateAction(id uint16, action routing.Action) any {
+	switch a := action.(type) {
+	case routing.Send:
+		return simcodec.Send{Router: id, OpID: uint64(a.Request), Worker: uint32(a.Endpoint), PatienceMs: config.ToMS(a.Timeout)}
+	case routing.Release:
+		return simcodec.DropState{Router: id, OpID: uint64(a.Request)}
+	case routing.Reject:
+		return simcodec.Refuse{Router: id, OpID: uint64(a.Request), StayAwayMs: config.ToMS(a.RetryAfter)}
+	case routing.Fail:
+		return simcodec.Surrender{Router: id, OpID: uint64(a.Request)}
+	case routing.Cancel:
+		return simcodec.Retract{Router: id, OpID: uint64(a.Request), Hop: uint16(a.Attempt)}
+	case routing.SetTimer:
+		return simcodec.Schedule{Router: id, SpanMs: config.ToMS(a.After), Ref: uint64(a.Timer)}
+	}
+	return simcodec.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", action)}
+}
+
+// tokenCount is a number of tokens from the wire; 0 for one that is not positive.
+func tokenCount(tokens float32) int {
+	if !(tokens > 0) {
+		return 0
+	}
+	return int(min(float64(tokens), maxTokens))
+}
