--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy is a stand-in for discovery, one reader and one writer, to try rampspread with on one
-// machine: see the README beside it.
+// Command toy is a stand-in for discovery, one prefill replica and one decode replica, to try rampspread on one machine:
+// see the README in the folder above. A request's prefill state is kept in memory until it is decoded or released; the
+// servers may handle any number of requests at once.
 package main
 
 import (
@@ -15,49 +16,59 @@
 	"time"
 )
 
+const (
+	// listVersion is the one version of the endpoint list.
+	listVersion = "1"
+	// watchKeepalive is the interval between the empty lines of a watch.
+	watchKeepalive = 2 * time.Second
+
+	traceHeader = "X-Trace-Id"
+	statePath   = "/bootstrap/rooms/"
+)
+
 func main() {
 	discovery := flag.String("discovery", "127.0.0.1:8500", "the `address` of discovery")
-	reader := flag.String("reader", "127.0.0.1:9101", "the `address` of the reader")
-	writer := flag.String("writer", "127.0.0.1:9102", "the `address` of the writer")
+	prefill := flag.String("reader", "127.0.0.1:9101", "the `address` of the reader")
+	decode := flag.String("writer", "127.0.0.1:9102", "the `address` of the writer")
 	flag.Parse()
-	fleet := newToy(*reader, *writer)
-	for addr, h := range map[string]http.HandlerFunc{*reader: fleet.read, *writer: fleet.write} {
-		go func() { log.Fatal(http.ListenAndServe(addr, h)) }()
+	t := newToy(*prefill, *decode)
+	for addr, handler := range map[string]http.HandlerFunc{*prefill: t.prefill, *decode: t.decode} {
+		go func() { log.Fatal(http.ListenAndServe(addr, handler)) }()
 	}
-	log.Printf("event=toy discovery=%s reader=%s writer=%s", *discovery, *reader, *writer)
-	if err := http.ListenAndServe(*discovery, http.HandlerFunc(fleet.list)); err != nil {
+	log.Printf("event=toy discovery=%s reader=%s writer=%s", *discovery, *prefill, *decode)
+	if err := http.ListenAndServe(*discovery, http.HandlerFunc(t.serveDiscovery)); err != nil {
 		fmt.Fprintln(os.Stderr, "toy:", err)
 		os.Exit(1)
 	}
 }
 
-// toy keeps the states that were read and not yet written.
+// toy is the fleet: its endpoint list, and the prefill states that are not yet decoded.
 type toy struct {
-	text  string // of the list
-	mu    sync.Mutex
-	state map[string]bool
-}
+	endpointList string // in discovery's JSON
 
-// version is the one version of the list.
-const version = "1"
+	mu     sync.Mutex
+	states map[string]bool // by request
+}
 
-func newToy(reader, writer string) *toy {
+func newToy(prefillAddr, decodeAddr string) *toy {
 	entry := func(id, addr, kind string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"wien-nord","machineType":%q,"cell":0,`+
 			`"lifecycle":"ready","weight":1.0,"startedAtMs":0}`, id, addr, kind)
 	}
-	return &toy{state: map[string]bool{}, text: fmt.Sprintf(`{"generation":`+version+`,"reset":true,"instances":[%s,%s]}`,
-		entry("reader", reader, "prefill"), entry("writer", writer, "decode-a"))}
+	list := fmt.Sprintf(`{"generation":`+listVersion+`,"reset":true,"instances":[%s,%s]}`,
+		entry("reader", prefillAddr, "prefill"), entry("writer", decodeAddr, "decode-a"))
+	return &toy{endpointList: list, states: map[string]bool{}}
 }
 
-// list is discovery: the whole list, or a watch. A watch from another version than the list's brings the whole list
-// first, as the protocol has it; nothing changes after that, so empty lines follow.
-func (t *toy) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	if q.Get("stream") == "" || q.Get("index") != version {
-		io.WriteString(w, t.text+"\n")
+// serveDiscovery answers with the full endpoint list, or as a watch. A watch from another version than the list's brings
+// the full list first, as the protocol requires; since nothing changes afterwards, only empty lines follow.
+func (t *toy) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	watch := query.Get("stream") != ""
+	if !watch || query.Get("index") != listVersion {
+		io.WriteString(w, t.endpointList+"\n")
 	}
-	if q.Get("stream") == "" {
+	if !watch {
 		return
 	}
 	for r.Context().Err() == nil {
@@ -66,71 +77,80 @@
 			return
 		}
 		select {
-		case <-time.After(2 * time.Second):
+		case <-time.After(watchKeepalive):
 		case <-r.Context().Done():
 		}
 	}
 }
 
-// released takes the call that lets a state go.
-func (t *toy) released(w http.ResponseWriter, r *http.Request) bool {
-	id, ok := strings.CutPrefix(r.URL.Path, "/bootstrap/rooms/")
-	if !ok || r.Method != http.MethodDelete {
-		return false
-	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.state, id)
-	w.WriteHeader(http.StatusNoContent)
-	return true
-}
-
-func (t *toy) read(w http.ResponseWriter, r *http.Request) {
-	if t.released(w, r) {
+// prefill is the prefill replica: it stores a request's state.
+func (t *toy) prefill(w http.ResponseWriter, r *http.Request) {
+	if t.release(w, r) {
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	t.mu.Lock()
-	t.state[r.Header.Get("X-Trace-Id")] = true
+	t.states[r.Header.Get(traceHeader)] = true
 	t.mu.Unlock()
 	w.WriteHeader(http.StatusAccepted)
 	io.WriteString(w, `{"cached_tokens":0}`)
 }
 
-// write answers with the words of the last message.
-func (t *toy) write(w http.ResponseWriter, r *http.Request) {
-	if t.released(w, r) {
+// decode is the decode replica: it takes a request's state and streams the words of its last message.
+func (t *toy) decode(w http.ResponseWriter, r *http.Request) {
+	if t.release(w, r) {
 		return
 	}
-	var ask struct{ Messages []struct{ Content any } }
-	if json.NewDecoder(r.Body).Decode(&ask) != nil || len(ask.Messages) == 0 {
+	var request struct{ Messages []struct{ Content any } }
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Messages) == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	id := r.Header.Get("X-Trace-Id")
-	t.mu.Lock()
-	held := t.state[id]
-	delete(t.state, id)
-	t.mu.Unlock()
-	if !held {
+	if !t.takeState(r.Header.Get(traceHeader)) {
 		w.Header().Set("X-Never-Ran", "1")
 		w.WriteHeader(http.StatusGone)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	words := strings.Fields(fmt.Sprint("You wrote: ", ask.Messages[len(ask.Messages)-1].Content))
+	lastMessage := request.Messages[len(request.Messages)-1]
+	writeStream(w, strings.Fields(fmt.Sprint("You wrote: ", lastMessage.Content)))
+}
+
+// release handles the call that releases a state; it reports whether the request was one.
+func (t *toy) release(w http.ResponseWriter, r *http.Request) bool {
+	id, ok := strings.CutPrefix(r.URL.Path, statePath)
+	if !ok || r.Method != http.MethodDelete {
+		return false
+	}
+	t.takeState(id)
+	w.WriteHeader(http.StatusNoContent)
+	return true
+}
+
+// takeState removes a request's state and reports whether it was stored.
+func (t *toy) takeState(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	stored := t.states[id]
+	delete(t.states, id)
+	return stored
+}
+
+// writeStream writes words as a stream of chat completion chunks, the last with the usage. It stops if the client is gone.
+func writeStream(w http.ResponseWriter, words []string) {
 	for i, word := range words {
-		finish := "null"
+		finishReason := "null"
 		if i == len(words)-1 {
-			finish = `"stop"`
+			finishReason = `"stop"`
 		}
 		content, err := json.Marshal(word + " ")
 		if err != nil {
 			return // a string always marshals
 		}
-		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%s},\"finish_reason\":%s}]}\n\n", content, finish)
+		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%s},\"finish_reason\":%s}]}\n\n",
+			content, finishReason)
 		if http.NewResponseController(w).Flush() != nil {
 			return
 		}
--- a/example/toy/main_test.go
+++ b/example/toy/main_test.go
@@ -8,35 +8,37 @@
 	"testing"
 )
 
-// The toy keeps the platform's order: what was not read cannot be written.
-func TestToy(t *testing.T) {
+// Only a request that has been through prefill can be decoded, once, unless its state is released.
+func TestDecodeNeedsStateOfPrefill(t *testing.T) {
 	fleet := newToy("127.0.0.1:1", "127.0.0.1:2")
-	do := func(h http.HandlerFunc, method, path string) (int, string) {
+	call := func(handler http.HandlerFunc, method, path string) (int, string) {
 		r := httptest.NewRequest(method, path, strings.NewReader(`{"messages":[{"role":"user","content":"plot 7"}]}`))
-		r.Header.Set("X-Trace-Id", "a1")
+		r.Header.Set(traceHeader, "a1")
 		w := httptest.NewRecorder()
-		h(w, r)
-		text, _ := io.ReadAll(w.Result().Body)
-		return w.Code, string(text)
+		handler(w, r)
+		body, _ := io.ReadAll(w.Result().Body)
+		return w.Code, string(body)
 	}
-	const path, room = "/v1/chat/completions", "/bootstrap/rooms/a1"
-	for i, c := range []struct {
-		h      http.HandlerFunc
-		method string
-		path   string
-		status int
-		text   string
+	const completions, state = "/v1/chat/completions", statePath + "a1"
+	for i, step := range []struct {
+		name       string
+		handler    http.HandlerFunc
+		method     string
+		path       string
+		wantStatus int
+		wantBody   string
 	}{
-		{fleet.list, "GET", "/v1/servers", 200, `"hostPort":"127.0.0.1:2"`},
-		{fleet.write, "POST", path, 410, ""},
-		{fleet.read, "POST", path, 202, "cached_tokens"},
-		{fleet.write, "POST", path, 200, `"content":"7 "},"finish_reason":"stop"`},
-		{fleet.read, "POST", path, 202, ""},
-		{fleet.write, "DELETE", room, 204, ""},
-		{fleet.write, "POST", path, 410, ""},
+		{"list of endpoints", fleet.serveDiscovery, "GET", "/v1/servers", 200, `"hostPort":"127.0.0.1:2"`},
+		{"decode without prefill", fleet.decode, "POST", completions, 410, ""},
+		{"prefill", fleet.prefill, "POST", completions, 202, "cached_tokens"},
+		{"decode", fleet.decode, "POST", completions, 200, `"content":"7 "},"finish_reason":"stop"`},
+		{"prefill again", fleet.prefill, "POST", completions, 202, ""},
+		{"release", fleet.decode, "DELETE", state, 204, ""},
+		{"decode after release", fleet.decode, "POST", completions, 410, ""},
 	} {
-		if status, text := do(c.h, c.method, c.path); status != c.status || !strings.Contains(text, c.text) {
-			t.Errorf("step %d: status %d, %q", i, status, text)
+		status, body := call(step.handler, step.method, step.path)
+		if status != step.wantStatus || !strings.Contains(body, step.wantBody) {
+			t.Errorf("step %d, %s: status %d, %q", i, step.name, status, body)
 		}
 	}
 }
