--- a/internal/chatapi/exchange.go
+++ b/internal/chatapi/exchange.go
@@ -20,6 +20,8 @@
 	// deadlineGrowth is how many times faster than its latency objective a class's deadline grows with the length of
 	// the prompt.
 	deadlineGrowth = 2
+	// objectiveTokens is the number of prompt tokens that routing.Class.TTFTObjectivePer1K is for.
+	objectiveTokens = 1000
 
 	requestIDBytes = 8
 )
@@ -70,9 +72,9 @@
 	return x, nil
 }
 
-// classTimeout is the time that a class allows for a prompt of so many tokens: its hard limit, extended for a long
+// classTimeout is the time that a class allows for a prompt of the given length: its hard limit, extended for a long
 // prompt by twice what its latency objective grows.
 func (h *Handler) classTimeout(class, promptTokens int) time.Duration {
 	return config.FromMS(h.settings.Classes[class].HardLimitMs) +
-		time.Duration(deadlineGrowth*float64(h.classes[class].TTFTObjectivePer1K)*float64(promptTokens)/1000)
+		time.Duration(deadlineGrowth*float64(h.classes[class].TTFTObjectivePer1K)*float64(promptTokens)/objectiveTokens)
 }
--- a/internal/importer/apache.go
+++ b/internal/importer/apache.go
@@ -22,15 +22,15 @@
 	var members []Member
 	section := "" // the balancer whose <Proxy> section is open
 	for _, line := range lines {
-		words := strings.Fields(line.text)
-		directive := strings.ToLower(words[0])
+		tokens := strings.Fields(line.text)
+		directive := strings.ToLower(tokens[0])
 		switch {
-		case directive == "<proxy" && len(words) > 1:
-			section, _ = balancerName(strings.TrimSuffix(words[1], ">"))
+		case directive == "<proxy" && len(tokens) > 1:
+			section, _ = balancerName(strings.TrimSuffix(tokens[1], ">"))
 		case directive == "</proxy>":
 			section = ""
 		case directive == "balancermember":
-			member, err := parseBalancerMember(section, words[1:])
+			member, err := parseBalancerMember(section, tokens[1:])
 			if err != nil {
 				return nil, fmt.Errorf("line %d: %w", line.number, err)
 			}
@@ -42,8 +42,8 @@
 	return members, nil
 }
 
-func balancerName(word string) (string, bool) {
-	name, ok := strings.CutPrefix(strings.Trim(word, `"`), "balancer://")
+func balancerName(argument string) (string, bool) {
+	name, ok := strings.CutPrefix(strings.Trim(argument, `"`), "balancer://")
 	return strings.TrimSuffix(name, "/"), ok
 }
 
@@ -83,8 +83,8 @@
 }
 
 // memberAddr is the host and port of a member's URL.
-func memberAddr(word string) (string, error) {
-	u, err := url.Parse(strings.Trim(word, `"`))
+func memberAddr(argument string) (string, error) {
+	u, err := url.Parse(strings.Trim(argument, `"`))
 	if err != nil {
 		return "", fmt.Errorf("member: %w", err)
 	}
@@ -93,7 +93,7 @@
 		port = defaultPorts[u.Scheme]
 	}
 	if u.Hostname() == "" || port == "" {
-		return "", fmt.Errorf("member %q has no host or port", word)
+		return "", fmt.Errorf("member %q has no host or port", argument)
 	}
 	return net.JoinHostPort(u.Hostname(), port), nil
 }
