--- a/internal/rig/handover_test.go
+++ b/internal/rig/handover_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-var handedOver = regexp.MustCompile(`event=handover texts=(\d+) servers=(\d+)`)
+var handedOver = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
 
 // Processes that are restarted in order, and ones that are killed, begin with what their earlier lives learnt; no rule breaks by it.
 func TestHandover(t *testing.T) {
