--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -16,7 +16,7 @@
 
 var (
 	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
-	identifier = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*)(?:\.[A-Z]\w*)?$`)
+	identifier = regexp.MustCompile(`^([a-z]\w*)\.([A-Z]\w*(?:\.[A-Z]\w*)?)$`)
 )
 
 // sourceFolders lists the folders of the repository that hold Go sources besides tests, relative to its root.
@@ -93,8 +93,8 @@
 	}
 }
 
-// exportedNames returns the package-level exported names of the packages in folders, by package name.
-func exportedNames(t *testing.T, folders []string) map[string][]string {
+// namesByPackage returns the names that the packages in folders declare, by package name: see declaredNames.
+func namesByPackage(t *testing.T, folders []string) map[string][]string {
 	t.Helper()
 	names := map[string][]string{}
 	for _, folder := range folders {
@@ -116,68 +116,94 @@
 	return names
 }
 
+// declaredNames returns the package-level names of a file, and methods and members of its types as Type.Member.
 func declaredNames(file *ast.File) []string {
 	var names []string
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
-			if d.Recv == nil {
-				names = append(names, d.Name.Name)
+			name := d.Name.Name
+			if d.Recv != nil {
+				name = receiverName(d) + "." + name
 			}
+			names = append(names, name)
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
-				switch s := spec.(type) {
-				case *ast.TypeSpec:
-					names = append(names, s.Name.Name)
-				case *ast.ValueSpec:
-					for _, name := range s.Names {
-						names = append(names, name.Name)
-					}
-				}
+				names = append(names, specNames(spec)...)
 			}
 		}
 	}
 	return names
 }
 
-func TestArchitectureNamesIdentifiersThatExist(t *testing.T) {
-	names := exportedNames(t, sourceFolders(t))
-	for _, span := range codeSpans(architecture(t)) {
-		parts := identifier.FindStringSubmatch(span)
-		if parts == nil || names[parts[1]] == nil {
-			continue
+// receiverName returns the name of a method's type, without pointer and type parameters.
+func receiverName(method *ast.FuncDecl) string {
+	receiver := method.Recv.List[0].Type
+	if pointer, ok := receiver.(*ast.StarExpr); ok {
+		receiver = pointer.X
+	}
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
+		receiver = generic.X
+	}
+	if name, ok := receiver.(*ast.Ident); ok {
+		return name.Name
+	}
+	return ""
+}
+
+func specNames(spec ast.Spec) []string {
+	var names []string
+	switch s := spec.(type) {
+	case *ast.TypeSpec:
+		names = append(names, s.Name.Name)
+		for _, member := range memberNames(s.Type) {
+			names = append(names, s.Name.Name+"."+member)
 		}
-		if !slices.Contains(names[parts[1]], parts[2]) {
-			t.Errorf("%s: package %s has no %s", span, parts[1], parts[2])
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			names = append(names, name.Name)
 		}
 	}
+	return names
 }
 
-// linkTarget is a link to another page in Markdown, or a page that is named in a code span.
-var linkTarget = regexp.MustCompile("\\]\\(([^)#:]+\\.md)\\)|`((?:docs/)?[\\w/-]+\\.md)`")
-
-func TestPagesLinkToPagesThatExist(t *testing.T) {
-	pages, err := filepath.Glob("*.md")
-	if err != nil {
-		t.Fatal(err)
+// memberNames returns the names of a struct's fields or an interface's methods.
+func memberNames(definition ast.Expr) []string {
+	var fields *ast.FieldList
+	switch t := definition.(type) {
+	case *ast.StructType:
+		fields = t.Fields
+	case *ast.InterfaceType:
+		fields = t.Methods
+	default:
+		return nil
 	}
-	for _, page := range append(pages, "../README.md", "../CONTRIBUTING.md", "../OPEN.md") {
-		text, err := os.ReadFile(page)
-		if err != nil {
-			t.Fatal(err)
+	var names []string
+	for _, field := range fields.List {
+		for _, name := range field.Names {
+			names = append(names, name.Name)
 		}
-		for _, match := range linkTarget.FindAllStringSubmatch(string(text), -1) {
-			target := match[1] + match[2]
-			beside := filepath.Join(filepath.Dir(page), target)
-			fromRoot := filepath.Join("..", target)
-			if !exists(beside) && !exists(fromRoot) {
-				t.Errorf("%s links to %s, which is not there", page, target)
-			}
+	}
+	return names
+}
+
+// foreignPackages are the packages outside the repository whose identifiers pages name.
+var foreignPackages = []string{"http"}
+
+// checkIdentifiers reports each package-qualified identifier of a page that no package of the repository declares.
+func checkIdentifiers(t *testing.T, page, text string, names map[string][]string) {
+	t.Helper()
+	for _, span := range codeSpans(text) {
+		parts := identifier.FindStringSubmatch(span)
+		if parts == nil || slices.Contains(foreignPackages, parts[1]) {
+			continue
+		}
+		if !slices.Contains(names[parts[1]], parts[2]) {
+			t.Errorf("%s: %s: package %s has no %s", page, span, parts[1], parts[2])
 		}
 	}
 }
 
-func exists(path string) bool {
-	_, err := os.Stat(path)
-	return err == nil
+func TestArchitectureNamesIdentifiersThatExist(t *testing.T) {
+	checkIdentifiers(t, "ARCHITECTURE.md", architecture(t), namesByPackage(t, sourceFolders(t)))
 }
