--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -98,14 +98,7 @@
 	t.Helper()
 	names := map[string][]string{}
 	for _, folder := range folders {
-		files, err := filepath.Glob(filepath.Join("..", folder, "*.go"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, path := range files {
-			if strings.HasSuffix(path, "_test.go") {
-				continue
-			}
+		for _, path := range sourceFiles(t, folder) {
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 			if err != nil {
 				t.Fatal(err)
@@ -116,6 +109,16 @@
 	return names
 }
 
+// sourceFiles lists the Go files of a folder of the repository besides tests.
+func sourceFiles(t *testing.T, folder string) []string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join("..", folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(files, func(path string) bool { return strings.HasSuffix(path, "_test.go") })
+}
+
 // declaredNames returns the package-level names of a file, and methods and members of its types as Type.Member.
 func declaredNames(file *ast.File) []string {
 	var names []string
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -84,6 +84,31 @@
 	}
 }
 
+var (
+	loggedEvent   = regexp.MustCompile(`\bevent=(\w+)`)
+	stringLiteral = regexp.MustCompile(`"(\w+)"`)
+)
+
+// TestPagesNameLogEventsThatExist checks that each event=NAME of a page is a string in the sources: the message of a log
+// record is its event.
+func TestPagesNameLogEventsThatExist(t *testing.T) {
+	literals := map[string]bool{}
+	for _, folder := range sourceFolders(t) {
+		for _, path := range sourceFiles(t, folder) {
+			for _, match := range stringLiteral.FindAllStringSubmatch(readPage(t, path), -1) {
+				literals[match[1]] = true
+			}
+		}
+	}
+	for _, page := range currentPages(t) {
+		for _, match := range loggedEvent.FindAllStringSubmatch(readPage(t, page), -1) {
+			if !literals[match[1]] {
+				t.Errorf("%s names event=%s, which nothing logs", page, match[1])
+			}
+		}
+	}
+}
+
 // sourcePath is a code span that names a folder or a Go file of the repository by its path.
 var sourcePath = regexp.MustCompile(`^(?:(?:internal|cmd|example)/[\w/-]+(?:\.go)?|\w+/\w+\.go)$`)
 
