--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Request makes one call at a program's ops address and returns what follows SUCCESS. An answer of FAILURE is an error with
-// the answer's words.
-func Request(addr, call string, wait time.Duration) (string, error) {
-	conn, err := net.DialTimeout("tcp", addr, wait)
+// Request makes one call at a process's admin address and returns the text that follows SUCCESS. An answer of FAILURE is an error
+// whose text is the whole answer. The timeout holds for the connect, and then again for the call.
+func Request(addr, call string, timeout time.Duration) (string, error) {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(wait))
+	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := fmt.Fprintln(conn, call); err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
-	answer, err := bufio.NewReader(conn).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		return "", fmt.Errorf("call: %w", err)
 	}
-	answer = strings.TrimSpace(answer)
-	text, ok := strings.CutPrefix(answer, "SUCCESS")
+	line = strings.TrimSpace(line)
+	text, ok := strings.CutPrefix(line, string(Success))
 	if !ok {
-		return "", errors.New(answer)
+		return "", errors.New(line)
 	}
 	return strings.TrimSpace(text), nil
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,3 @@
-// Package admin is the operators' line protocol on a second address: each connection carries one line, the
-// name of a call, and gets one line back, starting with SUCCESS or FAILURE, before it is closed.
 package admin
 
 import (
@@ -16,26 +14,28 @@
 )
 
 const (
-	// A caller waits 1 s for its answer, however busy the program is; one that has not sent its line by then
-	// is not waited for, so that slow or stuck callers hold no one else up.
-	lineWait  = time.Second
-	writeWait = time.Second
-	maxLine   = 256
-	// Open calls at a time. One more is answered FAILURE at once rather than queued behind those that stall.
-	mostOpen = 64
+	// readTimeout and writeTimeout bound each half of a call: a caller waits 1 s for its answer, however busy the process is. One
+	// that has not sent its line by then is closed, so that slow or stuck callers hold up nobody else.
+	readTimeout  = time.Second
+	writeTimeout = time.Second
+	maxLineBytes = 256
+	// maxOpenCalls is how many calls may be open at a time. One more is answered FAILURE at once instead of queueing behind those
+	// that stall.
+	maxOpenCalls = 64
+	// The pause after a failed accept doubles from the first bound to the second.
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = time.Second
+	// maxNameBytes is how much of an unknown call's name is logged and echoed.
+	maxNameBytes = 40
 )
 
-// Handler carries out one operator's call. It must not block: it reads and sets the program's atomics, never
-// waits for the core. ok picks the first word of the answer; the text follows it.
-type Handler func() (ok bool, text string)
-
-// Server answers the calls it was given by name.
+// Server answers the calls that it was given by name. Its methods are safe for use by several goroutines.
 type Server struct {
-	calls  map[string]Handler
-	log    *slog.Logger
-	open   atomic.Int64
-	bad    atomic.Int64
-	served atomic.Int64
+	calls     map[string]Handler
+	log       *slog.Logger
+	open      atomic.Int64
+	malformed atomic.Int64
+	served    atomic.Int64
 
 	mu        sync.Mutex
 	listeners []net.Listener
@@ -43,59 +43,73 @@
 	closed    bool
 }
 
-// New returns a Server for the calls; log takes a line for each call.
+// New returns a Server for the calls; each answered call is logged to log.
 func New(calls map[string]Handler, log *slog.Logger) *Server {
 	return &Server{calls: calls, log: log, conns: map[net.Conn]struct{}{}}
 }
 
-// Bad is how many connections sent no whole line, or one with no known call.
-func (s *Server) Bad() int64 { return s.bad.Load() }
+// Malformed returns how many connections sent no whole line, or one that names no known call.
+func (s *Server) Malformed() int64 { return s.malformed.Load() }
 
-// Served is how many calls were answered.
+// Served returns how many calls were answered by their handler.
 func (s *Server) Served() int64 { return s.served.Load() }
 
-// Serve answers calls on l until Close; each connection has a goroutine of its own.
+// Serve answers calls on l until Close; each connection has a goroutine of its own. Its error is that of closing l, where the server
+// was closed before.
 func (s *Server) Serve(l net.Listener) error {
-	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
+	if !s.register(l) {
 		return l.Close()
 	}
-	s.listeners = append(s.listeners, l)
-	s.mu.Unlock()
-	var delay time.Duration
+	var backoff time.Duration
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			if s.isClosed() {
 				return nil
 			}
-			// Out of descriptors, say: wait and try again, as net/http does. The calls are not worth the
-			// program's life.
-			delay = min(max(2*delay, 5*time.Millisecond), time.Second)
-			s.log.Warn("ops_accept_failed", "err", err, "pause", delay)
-			time.Sleep(delay)
+			// The process may be out of descriptors: back off and accept again, as net/http does. A failure of the calls
+			// must not end the process.
+			backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
+			s.log.Warn("admin_accept_failed", "err", err, "backoff", backoff)
+			time.Sleep(backoff)
 			continue
 		}
-		delay = 0
-		if s.open.Add(1) > mostOpen || !s.track(c) {
-			s.open.Add(-1)
-			s.bad.Add(1)
-			c.SetWriteDeadline(time.Now().Add(writeWait))
-			fmt.Fprintln(c, "FAILURE busy: too many open calls")
-			c.Close()
+		backoff = 0
+		if s.open.Add(1) > maxOpenCalls || !s.track(c) {
+			s.rejectBusy(c)
 			continue
 		}
-		go s.answer(c)
+		go s.handle(c)
 	}
 }
 
+// register adds a listener for Close; false if the server is closed already.
+func (s *Server) register(l net.Listener) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return false
+	}
+	s.listeners = append(s.listeners, l)
+	return true
+}
+
+// rejectBusy answers a connection over the limit, or one that came as the server closed.
+func (s *Server) rejectBusy(c net.Conn) {
+	s.open.Add(-1)
+	s.malformed.Add(1)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	fmt.Fprintln(c, "FAILURE busy: too many open calls")
+	c.Close()
+}
+
 func (s *Server) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
+// track adds a connection for Close; false if the server is closed already.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +120,15 @@
 	return true
 }
 
-// Close stops the listeners and ends open calls.
+func (s *Server) untrack(c net.Conn) {
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.mu.Unlock()
+	c.Close()
+	s.open.Add(-1)
+}
+
+// Close closes the listeners and the connections of open calls. It may be called again.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,65 +144,66 @@
 	}
 }
 
-func (s *Server) answer(c net.Conn) {
-	defer func() {
-		s.mu.Lock()
-		delete(s.conns, c)
-		s.mu.Unlock()
-		c.Close()
-		s.open.Add(-1)
-	}()
-	c.SetReadDeadline(time.Now().Add(lineWait))
-	name, err := readLine(bufio.NewReaderSize(c, maxLine))
-	var ok bool
-	var text string
-	switch call, known := s.calls[name]; {
-	case errors.Is(err, errLong):
-		s.bad.Add(1)
-		ok, text = false, "line too long"
-	case errors.Is(err, errCut):
-		// A call without its line's end may be cut anywhere, "drain-off" to "drain-o" as well as before its end:
-		// nothing is done, and whoever still reads is told.
-		s.bad.Add(1)
-		ok, text = false, "cut call: no whole line within 1 s"
+// handle reads one call and writes its answer.
+func (s *Server) handle(c net.Conn) {
+	defer s.untrack(c)
+	c.SetReadDeadline(time.Now().Add(readTimeout))
+	name, err := readLine(bufio.NewReaderSize(c, maxLineBytes))
+	answer, owed := s.answer(name, err)
+	if !owed {
+		return
+	}
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	fmt.Fprintf(c, "%s %s\n", answer.Outcome, answer.Text)
+	s.log.Info("admin_call", "call", clip(name), "outcome", answer.Outcome, "text", answer.Text)
+}
+
+// answer carries out the call that a line names; err is what reading the line returned. owed is false where the caller sent nothing
+// and waits no longer.
+func (s *Server) answer(name string, err error) (answer Answer, owed bool) {
+	call, known := s.calls[name]
+	switch {
+	case errors.Is(err, errLineTooLong):
+		s.malformed.Add(1)
+		return Fail("line too long"), true
+	case errors.Is(err, errLineCut):
+		// A call without its newline may be cut anywhere, "drain-off" to "drain-o" as well as just before the newline: nothing is
+		// done, and a caller that still reads gets a failure.
+		s.malformed.Add(1)
+		return Fail("cut call: no whole line within 1 s"), true
 	case err != nil:
-		s.bad.Add(1)
-		return // nobody said anything, and nobody waits any more
+		s.malformed.Add(1)
+		return Answer{}, false
 	case !known:
-		s.bad.Add(1)
-		ok, text = false, fmt.Sprintf("unknown call %q: there are %s", clip(name), s.names())
-	default:
-		ok, text = call()
-		s.served.Add(1)
+		s.malformed.Add(1)
+		return Fail(fmt.Sprintf("unknown call %q: there are %s", clip(name), s.names())), true
 	}
-	word := "FAILURE"
-	if ok {
-		word = "SUCCESS"
-	}
-	c.SetWriteDeadline(time.Now().Add(writeWait))
-	fmt.Fprintf(c, "%s %s\n", word, text)
-	s.log.Info("ops_call", "call", clip(name), "answer", word, "text", text)
+	answer = call()
+	s.served.Add(1)
+	return answer, true
 }
 
-var errLong = errors.New("line too long")
+var (
+	errLineTooLong = errors.New("line too long")
+	// errLineCut is a line that ended, or stopped, before its newline.
+	errLineCut = errors.New("cut call")
+)
 
-// readLine reads one whole line, without its end.
+// readLine reads one whole line and returns it without white space around it.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return "", errLong
+		return "", errLineTooLong
 	case err != nil && len(line) > 0:
-		return "", errCut
+		return "", errLineCut
 	case err != nil:
 		return "", fmt.Errorf("ops: read: %w", err)
 	}
 	return strings.TrimSpace(string(line)), nil
 }
 
-// errCut is a line that ended, or stopped, before its end.
-var errCut = errors.New("cut call")
-
+// names lists the known calls.
 func (s *Server) names() string {
 	var names []string
 	for name := range s.calls {
@@ -190,9 +213,9 @@
 	return strings.Join(names, ", ")
 }
 
-func clip(s string) string {
-	if len(s) > 40 {
-		return s[:40]
+func clip(name string) string {
+	if len(name) > maxNameBytes {
+		return name[:maxNameBytes]
 	}
-	return s
+	return name
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/admin"
 )
 
-func serve(t *testing.T, calls map[string]admin.Handler) (*admin.Server, string) {
+func startServer(t *testing.T, calls map[string]admin.Handler) (*admin.Server, string) {
 	t.Helper()
 	s := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,13 +41,18 @@
 	return answer
 }
 
-// Each call is answered by its first word; unknown ones and bad lines fail and are counted.
-func TestCallsAreAnswered(t *testing.T) {
-	var on atomic.Bool
-	s, addr := serve(t, map[string]admin.Handler{
-		"drain-on":  func() (bool, string) { on.Store(true); return true, "draining" },
-		"check":     func() (bool, string) { return !on.Load(), "" },
-		"drain-off": func() (bool, string) { on.Store(false); return true, "serving" },
+// A call is answered with its handler's outcome; unknown calls and malformed lines fail and are counted.
+func TestServerAnswersCallsAndRejectsMalformedLines(t *testing.T) {
+	var draining atomic.Bool
+	s, addr := startServer(t, map[string]admin.Handler{
+		"drain-on": func() admin.Answer { draining.Store(true); return admin.OK("draining") },
+		"check": func() admin.Answer {
+			if draining.Load() {
+				return admin.Fail("")
+			}
+			return admin.OK("")
+		},
+		"drain-off": func() admin.Answer { draining.Store(false); return admin.OK("serving") },
 	})
 	for _, c := range []struct{ line, want string }{
 		{"check\n", "SUCCESS"}, {"drain-on\r\n", "SUCCESS draining"}, {"check\n", "FAILURE"},
@@ -60,22 +65,22 @@
 	if call(t, addr, "drain-off\n") != "SUCCESS serving\n" {
 		t.Fatal("drain-off")
 	}
-	for _, cut := range []string{"drain-o", "drain-on"} { // cut before its end, or just at it, and the caller waits
+	for _, cut := range []string{"drain-o", "drain-on"} { // cut within its name, or just before the newline, and the caller waits
 		if got := call(t, addr, cut); got != "FAILURE cut call: no whole line within 1 s\n" {
 			t.Errorf("%q: %q", cut, got)
 		}
 	}
-	if on.Load() || call(t, addr, "check\n") != "SUCCESS \n" {
-		t.Error("a cut call was carried out or changed something")
+	if draining.Load() || call(t, addr, "check\n") != "SUCCESS \n" {
+		t.Error("a cut call was carried out")
 	}
-	if s.Served() != 5 || s.Bad() != 4 {
-		t.Errorf("served %d, bad %d", s.Served(), s.Bad())
+	if s.Served() != 5 || s.Malformed() != 4 {
+		t.Errorf("served %d, malformed %d", s.Served(), s.Malformed())
 	}
 }
 
-// Callers that connect and say nothing, or half a line, hold up nobody else, and are let go in time.
-func TestStalledCallersHoldNobodyUp(t *testing.T) {
-	_, addr := serve(t, map[string]admin.Handler{"check": func() (bool, string) { return true, "serving" }})
+// Callers that connect and send nothing, or half a line, delay no other caller, and are closed in time.
+func TestStalledCallersDelayNoOther(t *testing.T) {
+	_, addr := startServer(t, map[string]admin.Handler{"check": func() admin.Answer { return admin.OK("serving") }})
 	var stalled []net.Conn
 	for i := range 20 {
 		c, err := net.Dial("tcp", addr)
@@ -95,7 +100,7 @@
 	for i, c := range stalled {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		got, err := io.ReadAll(c)
-		want := "" // one that said nothing is let go
+		want := "" // one that sent nothing is closed without an answer
 		if i%2 == 0 {
 			want = "FAILURE cut call: no whole line within 1 s\n"
 		}
--- a/internal/app/fleet.go
+++ b/internal/app/fleet.go
@@ -50,22 +50,22 @@
 func (l listOf) Refresh()                                 { l.p.watch.Refresh() }
 
 // shown answers an operators' call with one line of JSON.
-func shown(v any) (bool, string) {
+func shown(v any) admin.Answer {
 	text, err := json.Marshal(v)
 	if err != nil {
-		return false, err.Error()
+		return admin.Fail(err.Error())
 	}
-	return true, string(text)
+	return admin.OK(string(text))
 }
 
 // dutiesCall is the operators' call that shows who does what, as one line of JSON.
-func (p *program) dutiesCall() (bool, string) {
+func (p *program) dutiesCall() admin.Answer {
 	if p.fleet == nil {
-		return false, "no fleet: the program was started without -fleet"
+		return admin.Fail("no fleet: the program was started without -fleet")
 	}
 	s, ok := p.fleet.TasksStatus()
 	if !ok {
-		return false, "nothing is done in turn: the fleet's file names no voters"
+		return admin.Fail("nothing is done in turn: the fleet's file names no voters")
 	}
 	return shown(s)
 }
@@ -115,21 +115,21 @@
 }
 
 // subsetCall is the operators' call that shows what this member keeps to, as one line of JSON.
-func (p *program) subsetCall() (bool, string) {
+func (p *program) subsetCall() admin.Answer {
 	if p.keeper == nil {
-		return false, "no subset: the fleet's file has no subset_readers"
+		return admin.Fail("no subset: the fleet's file has no subset_readers")
 	}
 	return shown(p.keeper.Status())
 }
 
 // sharesCall is the operators' call that shows this member's part of the budgets, as one line of JSON.
-func (p *program) sharesCall() (bool, string) {
+func (p *program) sharesCall() admin.Answer {
 	if p.fleet == nil {
-		return false, "no fleet: the program was started without -fleet"
+		return admin.Fail("no fleet: the program was started without -fleet")
 	}
 	s, ok := p.fleet.QuotaStatus()
 	if !ok {
-		return false, "nothing is shared: the fleet's file has no budgets"
+		return admin.Fail("nothing is shared: the fleet's file has no budgets")
 	}
 	return shown(s)
 }
@@ -149,30 +149,30 @@
 }
 
 // versionsCall is the operators' call that shows who acts on what, as one line of JSON.
-func (p *program) versionsCall() (bool, string) {
+func (p *program) versionsCall() admin.Answer {
 	if p.fleet == nil {
-		return false, "no fleet: the program was started without -fleet"
+		return admin.Fail("no fleet: the program was started without -fleet")
 	}
 	return shown(p.fleet.VersionSkewStatus())
 }
 
 // handCall is an operators' call that says by hand how this member stands.
-func (p *program) handCall(call string) func() (bool, string) {
-	return func() (bool, string) {
+func (p *program) handCall(call string) func() admin.Answer {
+	return func() admin.Answer {
 		if p.fleet == nil {
-			return false, "no fleet: the program was started without -fleet"
+			return admin.Fail("no fleet: the program was started without -fleet")
 		}
 		if err := p.fleet.OverrideVersionSkew(call); err != nil {
-			return false, err.Error()
+			return admin.Fail(err.Error())
 		}
-		return true, call
+		return admin.OK(call)
 	}
 }
 
 // listsCall is the operators' call that shows what others' newer lists hold this member back from, as one line of JSON.
-func (p *program) listsCall() (bool, string) {
+func (p *program) listsCall() admin.Answer {
 	if p.lists == nil {
-		return false, "its own list is all: the fleet's file has no ends"
+		return admin.Fail("its own list is all: the fleet's file has no ends")
 	}
 	return shown(p.lists.Status())
 }
@@ -208,9 +208,9 @@
 }
 
 // members is the operators' call that shows who is in the fleet, as one line of JSON.
-func (p *program) members() (bool, string) {
+func (p *program) members() admin.Answer {
 	if p.fleet == nil {
-		return false, "no fleet: the program was started without -fleet"
+		return admin.Fail("no fleet: the program was started without -fleet")
 	}
 	return shown(p.fleet.Status())
 }
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -192,7 +192,7 @@
 func TestGoldenFleetTables(t *testing.T) {
 	calls := map[string]admin.Handler{}
 	for name, text := range goldenAnswers {
-		calls[name] = func() (bool, string) { return true, text }
+		calls[name] = func() admin.Answer { return admin.OK(text) }
 	}
 	s := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	l, err := net.Listen("tcp", testkit.Net()+"1:0")
--- a/internal/app/hold.go
+++ b/internal/app/hold.go
@@ -5,34 +5,36 @@
 import (
 	"log/slog"
 	"time"
+
+	"rampspread/internal/admin"
 )
 
 // drainLogged is how long after the begin of a drain the connections that are still there are logged.
 const drainLogged = 4 * time.Second
 
 // check is the operators' call that asks whether this process takes clients.
-func (p *program) check() (bool, string) {
+func (p *program) check() admin.Answer {
 	switch {
 	case p.state.Stopping.Load():
-		return false, "stopping"
+		return admin.Fail("stopping")
 	case !p.ready.Load():
-		return false, "starting"
+		return admin.Fail("starting")
 	case p.state.Drain.Active():
-		return true, "serving, drained"
+		return admin.OK("serving, drained")
 	}
-	return true, "serving"
+	return admin.OK("serving")
 }
 
 // drainOn sends clients away: GET /healthz says no, each answer is the last on its connection, and
 // connections without an open request are closed as they come to be idle or quiet.
-func (p *program) drainOn() (bool, string) {
+func (p *program) drainOn() admin.Answer {
 	now := time.Now()
 	if !p.state.Drain.Begin(now) {
-		return true, "draining already"
+		return admin.OK("draining already")
 	}
 	slog.Info("drain_on")
 	go p.sendAway(now)
-	return true, "draining"
+	return admin.OK("draining")
 }
 
 // sendAway closes connections as they come to be idle or quiet, for as long as the drain lasts.
@@ -60,13 +62,13 @@
 }
 
 // drainOff takes clients again at once.
-func (p *program) drainOff() (bool, string) {
+func (p *program) drainOff() admin.Answer {
 	if p.state.Stopping.Load() {
-		return false, "stopping: SIGTERM came"
+		return admin.Fail("stopping: SIGTERM came")
 	}
 	if !p.state.Drain.End() {
-		return true, "serving already"
+		return admin.OK("serving already")
 	}
 	slog.Info("drain_off")
-	return true, "serving"
+	return admin.OK("serving")
 }
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -10,6 +10,7 @@
 
 	"github.com/spf13/cobra"
 
+	"rampspread/internal/admin"
 	"rampspread/internal/chatapi"
 	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/fleet/idempotencyquorum"
@@ -72,9 +73,9 @@
 }
 
 // filingsCall is the operators' call that shows who may run filings, as one line of JSON.
-func (p *program) filingsCall() (bool, string) {
+func (p *program) filingsCall() admin.Answer {
 	if p.claims == nil {
-		return false, "no ledger: the fleet's file has no filings, and the program was started without -state"
+		return admin.Fail("no ledger: the fleet's file has no filings, and the program was started without -state")
 	}
 	return shown(p.claims.Status())
 }
