--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// readTimeout and writeTimeout bound each half of a call: a caller waits 1 s for its answer, however busy the process is. One
-	// that has not sent its line by then is closed, so that slow or stuck callers hold up nobody else.
+	// readTimeout and writeTimeout bound each half of a call: a caller waits 1 s for its answer, however busy the
+	// process is. One that has not sent its line by then is closed, so that slow or stuck callers hold up nobody else.
 	readTimeout  = time.Second
 	writeTimeout = time.Second
 	maxLineBytes = 256
-	// maxOpenCalls is how many calls may be open at a time. One more is answered FAILURE at once instead of queueing behind those
-	// that stall.
+	// maxOpenCalls is how many calls may be open at a time. One more is answered FAILURE at once instead of queueing
+	// behind those that stall.
 	maxOpenCalls = 64
 	// The pause after a failed accept doubles from the first bound to the second.
 	minAcceptBackoff = 5 * time.Millisecond
@@ -54,8 +54,8 @@
 // Served returns how many calls were answered by their handler.
 func (s *Server) Served() int64 { return s.served.Load() }
 
-// Serve answers calls on l until Close; each connection has a goroutine of its own. Its error is that of closing l, where the server
-// was closed before.
+// Serve answers calls on l until Close; each connection has a goroutine of its own. Its error is that of closing l,
+// where the server was closed before.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.register(l) {
 		return l.Close()
@@ -67,8 +67,8 @@
 			if s.isClosed() {
 				return nil
 			}
-			// The process may be out of descriptors: back off and accept again, as net/http does. A failure of the calls
-			// must not end the process.
+			// The process may be out of descriptors: back off and accept again, as net/http does. A failure of the
+			// calls must not end the process.
 			backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
 			s.log.Warn("admin_accept_failed", "err", err, "backoff", backoff)
 			time.Sleep(backoff)
@@ -158,8 +158,8 @@
 	s.log.Info("admin_call", "call", clip(name), "outcome", answer.Outcome, "text", answer.Text)
 }
 
-// answer carries out the call that a line names; err is what reading the line returned. owed is false where the caller sent nothing
-// and waits no longer.
+// answer carries out the call that a line names; err is what reading the line returned. owed is false where the caller
+// sent nothing and waits no longer.
 func (s *Server) answer(name string, err error) (answer Answer, owed bool) {
 	call, known := s.calls[name]
 	switch {
@@ -167,8 +167,8 @@
 		s.malformed.Add(1)
 		return Fail("line too long"), true
 	case errors.Is(err, errLineCut):
-		// A call without its newline may be cut anywhere, "drain-off" to "drain-o" as well as just before the newline: nothing is
-		// done, and a caller that still reads gets a failure.
+		// A call without its newline may be cut anywhere, "drain-off" to "drain-o" as well as just before the newline:
+		// nothing is done, and a caller that still reads gets a failure.
 		s.malformed.Add(1)
 		return Fail("cut call: no whole line within 1 s"), true
 	case err != nil:
--- /dev/null
+++ b/internal/app/application.go
@@ -0,0 +1,315 @@
+package app
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"time"
+
+	"golang.org/x/net/netutil"
+	"golang.org/x/sync/semaphore"
+
+	"rampspread/internal/accept"
+	"rampspread/internal/admin"
+	"rampspread/internal/chatapi"
+	"rampspread/internal/config"
+	"rampspread/internal/discovery"
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet/endpointfilter"
+	"rampspread/internal/frontend"
+	"rampspread/internal/precondition"
+	"rampspread/internal/state/statetransfer"
+	"rampspread/internal/system"
+	"rampspread/internal/upstream"
+	"rampspread/internal/xds"
+)
+
+// application is one running dispatcher: the parts and how they are wired.
+type application struct {
+	machine    system.System
+	inputs     inputs
+	options    options
+	limits     resourceLimits
+	seed       uint64 // of random numbers
+	violations precondition.ViolationCounter
+	failed     chan error // errors that end the process
+
+	background background
+	settings   activeSettings
+	upstream   *upstream.Client
+	dispatcher *dispatch.Dispatcher
+	fleet      fleetRuntime
+	xds        *xds.Server // nil without one
+	watcher    *discovery.Watcher
+	stores     stores
+	listeners  listeners
+	front      *frontend.Handler
+	chat       *chatapi.Handler // nil without one
+	drain      operatorDrain
+	reloader   reloader
+	admin      *admin.Server
+}
+
+// maxPendingFailures is how many parts may report a failure before the first is acted on.
+const maxPendingFailures = 4
+
+// newApplication wires the parts. It starts nothing, opens nothing and reads no file.
+func newApplication(machine system.System, in inputs, o options, limits resourceLimits) (*application, error) {
+	cfg := in.config
+	seed, err := cfg.SeedNumber()
+	if err != nil {
+		return nil, err
+	}
+	classes, err := cfg.Settings.ClassTable()
+	if err != nil {
+		return nil, err
+	}
+	router := classes.Config
+	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.Probing, budgetsOf(in.fleet)
+	a := &application{
+		machine: machine, inputs: in, options: o, limits: limits, seed: seed, failed: make(chan error, maxPendingFailures),
+	}
+	a.background.init()
+	a.upstream = upstream.New(&cfg.Settings, limits.upstreamConnections(), limits.upstreamConnections(), machine)
+	if a.dispatcher, err = dispatch.New(router, seed, a.upstream, machine, &a.violations); err != nil {
+		return nil, err
+	}
+	a.settings.set(&cfg.Settings)
+	a.fleet.init(in, router, a.upstream, a.dispatcher)
+	if o.xdsAddress != "" {
+		a.xds = xds.New(&cfg.Settings)
+	}
+	a.stores.endpointCache = a.newEndpointCache()
+	a.watcher = discovery.New(cfg.Discovery, &cfg.Settings, seed, a.newEndpointConsumer())
+	a.watcher.SetFleetSize(a.fleet.effectiveSize(&cfg.Settings))
+	a.fleet.watcher = a.watcher
+	a.front = frontend.New(a.dispatcher, &cfg.Settings, classes)
+	a.stores.transfer = statetransfer.Exchange{
+		Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: a.settings.fingerprint(),
+	}
+	a.listeners.machine, a.listeners.violations = machine, &a.violations
+	a.listeners.bodies = semaphore.NewWeighted(limits.bodyBytes())
+	a.drain = operatorDrain{&a.listeners}
+	a.reloader = reloader{
+		path: o.configPath, classes: classes, settings: &a.settings,
+		dispatcher: a.dispatcher, front: a.front, watcher: a.watcher,
+	}
+	return a, nil
+}
+
+// components is the one list of what is started, in this order. The shutdown stops it in the reverse order.
+//
+// The goroutines between "background goroutines" and "discovery confirmed" end when the dispatcher is stopped, which
+// cancels their context, and are waited for last but the xDS server.
+func (a *application) components(ctx context.Context, reloads <-chan os.Signal) []component {
+	return []component{
+		{"xDS server", a.startXDS, a.stopXDS},
+		{"idempotency store", a.openIdempotency, nil},
+		{"in-flight table", a.openInFlight, nil},
+		{"background goroutines", nil, a.background.wait},
+		{"connections to replicas", nil, a.upstream.Close},
+		{"dispatcher", a.startDispatcher, a.background.cancel},
+		{"initial endpoint list", a.useInitialList, nil},
+		{"endpoint cache", a.startEndpointCache, nil},
+		{"fencing token floor", a.startTokenFloor, nil},
+		{"discovery watcher", a.startWatcher, nil},
+		{"subset controller", a.startSubset, nil},
+		{"idempotency coordinator", a.startIdempotency, nil},
+		{"state transfer", a.startTransfer, nil},
+		{"in-flight table's publisher", a.startInFlight, nil},
+		{"configuration reloads", func() error { return a.startReloader(reloads) }, nil},
+		{"discovery confirmed", func() error { return a.awaitDiscovery(ctx) }, nil},
+		{"peer processes", func() error { return a.awaitPeers(ctx) }, nil},
+		{"client listener", a.openClientListener, nil}, // drainClients closes the listeners
+		{"chat listener", a.openChatListener, nil},
+		{"fleet membership", a.joinFleet, a.fleet.close},
+		{"admin calls", a.startAdmin, a.stopAdmin},
+	}
+}
+
+// endpointConsumer takes a full endpoint list, or changes to one.
+type endpointConsumer func(full bool, entries []dispatch.Endpoint)
+
+// then returns a consumer that passes each update to both.
+func (c endpointConsumer) then(next endpointConsumer) endpointConsumer {
+	return func(full bool, entries []dispatch.Endpoint) {
+		c(full, entries)
+		next(full, entries)
+	}
+}
+
+// newEndpointConsumer returns what discovery's updates go to: the endpoint filter, if there is one, in front of all
+// parts that act on the list, and the cache, which stores the list as discovery sent it.
+func (a *application) newEndpointConsumer() endpointConsumer {
+	consumer := endpointConsumer(a.dispatcher.UpdateEndpoints)
+	if a.fleet.tasks != nil {
+		consumer = consumer.then(a.fleet.tasks.UpdateEndpoints)
+	}
+	if a.fleet.subset != nil {
+		consumer = consumer.then(a.fleet.subset.UpdateEndpoints)
+	}
+	if a.xds != nil {
+		consumer = consumer.then(a.xds.Publish)
+	}
+	if a.fleet.config != nil && a.fleet.config.EndpointFilter {
+		a.fleet.filter = endpointfilter.New(consumer, endpointLists{&a.fleet}.Version, time.Now)
+		consumer = a.fleet.filter.UpdateOwn
+	}
+	if cache := a.stores.endpointCache; cache != nil {
+		consumer = consumer.then(func(bool, []dispatch.Endpoint) { cache.MarkDirty() })
+	}
+	return consumer
+}
+
+func (a *application) startXDS() error {
+	if a.xds == nil {
+		return nil
+	}
+	socket, err := net.Listen("tcp", a.options.xdsAddress)
+	if err != nil {
+		return fmt.Errorf("xds: %w", err)
+	}
+	go func() {
+		limited := netutil.LimitListener(accept.New(socket, a.machine), a.limits.xdsConnections())
+		if err := a.xds.Serve(limited); err != nil {
+			a.failed <- err
+		}
+	}()
+	return nil
+}
+
+func (a *application) stopXDS() {
+	if a.xds != nil {
+		a.xds.Stop()
+	}
+}
+
+func (a *application) startDispatcher() error {
+	a.background.start(a.dispatcher.Run)
+	return nil
+}
+
+func (a *application) startEndpointCache() error {
+	if a.stores.endpointCache != nil {
+		a.background.start(a.stores.endpointCache.Run)
+	}
+	return nil
+}
+
+func (a *application) startWatcher() error {
+	a.background.start(a.watcher.Run)
+	return nil
+}
+
+func (a *application) startSubset() error {
+	if a.fleet.subset != nil {
+		a.background.start(a.fleet.subset.Run)
+	}
+	return nil
+}
+
+func (a *application) startIdempotency() error {
+	if a.stores.idempotency != nil {
+		a.background.start(a.stores.idempotency.Run)
+	}
+	return nil
+}
+
+func (a *application) startTransfer() error {
+	if a.options.handover != "" {
+		a.background.start(a.transferState)
+	}
+	return nil
+}
+
+func (a *application) startInFlight() error {
+	if a.stores.inFlight != nil {
+		a.background.start(a.stores.inFlight.Run)
+	}
+	return nil
+}
+
+func (a *application) startReloader(reloads <-chan os.Signal) error {
+	a.background.start(func(ctx context.Context) { a.reloader.run(ctx, reloads) })
+	return nil
+}
+
+// maxDiscoveryWait bounds the wait for discovery's list at the start: 9 in 10 starts must serve within 6 s, on a busy
+// machine too.
+const maxDiscoveryWait = 2 * time.Second
+
+// awaitDiscovery waits until an agent that pushes endpoints has confirmed the list. The list of the start may be old,
+// and what the agent has counts as notified from the first moment on. It answers at once; one that is silent is waited
+// for no longer than a change may take to bind, nor than a restart may take.
+func (a *application) awaitDiscovery(ctx context.Context) error {
+	settings := &a.inputs.config.Settings
+	if !settings.PushesEndpoints() {
+		return nil
+	}
+	select {
+	case <-a.watcher.Confirmed():
+	case <-time.After(min(settings.DrainDeadline(), maxDiscoveryWait)):
+	case <-ctx.Done():
+	}
+	return nil
+}
+
+// awaitPeers waits until the processes of this name that were running have published what they have in flight.
+func (a *application) awaitPeers(ctx context.Context) error {
+	a.stores.inFlight.WaitForPeers(ctx)
+	return nil
+}
+
+func (a *application) openClientListener() error {
+	return a.listeners.open(a.inputs.config.Listen, a.front, a.limits.clientConnections(a.inputs.chat), a.failed)
+}
+
+// openChatListener opens the chat front's listener, if it has one. From then on the process counts as ready.
+func (a *application) openChatListener() error {
+	if a.inputs.chat != nil {
+		chat, err := chatapi.New(a.dispatcher, &a.inputs.config.Settings, a.inputs.chat, time.Now)
+		if err != nil {
+			return err
+		}
+		a.chat = chat
+		if a.stores.idempotency != nil {
+			a.chat.UseIdempotencyStore(a.stores.idempotency)
+		}
+		a.chat.UsePeerTable(a.stores.inFlight)
+		if err := a.listeners.open(a.inputs.chat.Listen, a.chat, a.limits.chatConnections(), a.failed); err != nil {
+			return err
+		}
+	}
+	a.listeners.ready.Store(true)
+	return nil
+}
+
+// startAdmin takes operators' calls, if the configuration has an address for them.
+func (a *application) startAdmin() error {
+	if a.inputs.config.Admin == "" {
+		return nil
+	}
+	calls := adminCalls{&a.listeners, a.drain, &a.fleet, a.stores.idempotency}
+	server := admin.New(calls.handlers(), slog.Default())
+	socket, err := net.Listen("tcp", a.inputs.config.Admin)
+	if err != nil {
+		return fmt.Errorf("ops: %w", err)
+	}
+	a.admin = server
+	go server.Serve(socket)
+	return nil
+}
+
+func (a *application) stopAdmin() {
+	if a.admin != nil {
+		a.admin.Close()
+	}
+}
+
+// logServing logs that the start is complete.
+func (a *application) logServing(cfg *config.Config) {
+	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "chat", a.chat != nil, "ops", cfg.Admin,
+		"pushed", cfg.Settings.PushesEndpoints())
+}
--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -1,36 +1,164 @@
 package app
 
-// The counters that the program prints.
-
 import (
-	"context"
 	"fmt"
 	"runtime"
 	"slices"
 	"strings"
+
+	"rampspread/internal/fleet"
 )
 
-// counters is one line of what was taken in, sent and answered.
-func (p *program) counters(ctx context.Context) string {
-	n := p.core.Counters(ctx)
-	bad, skipped := p.front.Malformed(), p.pool.Malformed()
-	shed, closed, away, kept, accepts := int64(0), int64(0), int64(0), int64(0), int64(0)
-	for _, g := range p.guards {
-		bad, shed, closed = bad+g.Malformed(), shed+g.Rejected(), closed+g.Evicted()
-		away, kept, accepts = away+g.Drained(), kept+g.CloseDeferred(), accepts+g.AcceptFailures()
-	}
-	if p.chat != nil {
-		bad, skipped = bad+p.chat.Malformed(), skipped+p.chat.SkippedEvents()
-	}
-	var outcomes []string
-	for name, count := range n.Outcomes {
-		outcomes = append(outcomes, fmt.Sprintf(" outcome_%s=%d", name, count))
-	}
-	slices.Sort(outcomes)
-	return fmt.Sprintf("event=counters taken=%d open=%d servers=%d sent=%d probed=%d heard=%d released=%d released_no_word=%d served=%d broken=%d refused=%d failed=%d "+
-		"overdue=%d left=%d bad_requests=%d shed=%d closed_for_room=%d sent_away=%d kept_open=%d "+
-		"accept_failures=%d connect_failures_here=%d bad_answers=%d bad_entries=%d beside_failed=%d goroutines=%d violations=%d%s", n.Accepted, n.Open, n.Endpoints, n.Attempts, n.LoadPolls, n.PeerLoadReports, n.Releases, n.ExpiredReservations,
-		n.Served, n.BrokenStreams, n.Rejected, n.Failed, n.DeadlineForced, n.ClientGone, bad, shed, closed, away, kept,
-		accepts, p.pool.LocalFailures(), skipped, p.watch.Malformed(), p.beside.Failed(), runtime.NumGoroutine(), p.audit.Total(),
-		p.audit.String()+strings.Join(outcomes, "")+p.fleetCounters())
+// counter is one name and value of the counters' line.
+type counter struct{ name, value string }
+
+// count is a counter of an integer.
+func count[N int | int64 | uint64](name string, n N) counter { return counter{name, fmt.Sprint(n)} }
+
+// decimal is a counter with so many digits behind the point.
+func decimal(name string, value float64, digits int) counter {
+	return counter{name, fmt.Sprintf("%.*f", digits, value)}
+}
+
+// writeCounters appends counters, each behind a space.
+func writeCounters(line *strings.Builder, counters []counter) {
+	for _, c := range counters {
+		line.WriteString(" " + c.name + "=" + c.value)
+	}
+}
+
+// countersLine is one line with all counters of the process. Programs read its keys: they must stay.
+func (a *application) countersLine() string {
+	var line strings.Builder
+	line.WriteString("event=counters")
+	requests, outcomes := a.requestCounters()
+	writeCounters(&line, requests)
+	writeCounters(&line, a.connectionCounters())
+	writeCounters(&line, []counter{
+		count("bad_entries", a.watcher.Malformed()),
+		count("beside_failed", a.stores.inFlight.Failed()),
+		count("goroutines", runtime.NumGoroutine()),
+		count("violations", a.violations.Total()),
+	})
+	line.WriteString(a.violations.String())
+	writeCounters(&line, outcomes)
+	writeCounters(&line, a.fleet.counters())
+	return line.String()
+}
+
+// requestCounters are the dispatcher's counters, and those of the outcomes of attempts, by name.
+func (a *application) requestCounters() (requests, outcomes []counter) {
+	n := a.dispatcher.Counters(a.background.ctx)
+	for name, attempts := range n.Outcomes {
+		outcomes = append(outcomes, count("outcome_"+name, attempts))
+	}
+	slices.SortFunc(outcomes, func(a, b counter) int { return strings.Compare(a.name+"="+a.value, b.name+"="+b.value) })
+	return []counter{
+		count("taken", n.Accepted),
+		count("open", n.Open),
+		count("servers", n.Endpoints),
+		count("sent", n.Attempts),
+		count("probed", n.LoadPolls),
+		count("heard", n.PeerLoadReports),
+		count("released", n.Releases),
+		count("released_no_word", n.ExpiredReservations),
+		count("served", n.Served),
+		count("broken", n.BrokenStreams),
+		count("refused", n.Rejected),
+		count("failed", n.Failed),
+		count("overdue", n.DeadlineForced),
+		count("left", n.ClientGone),
+	}, outcomes
+}
+
+// connectionCounters are the counters of the fronts and of the connections to replicas.
+func (a *application) connectionCounters() []counter {
+	limited := a.listeners.counts()
+	badRequests, badAnswers := a.front.Malformed()+limited.malformed, a.upstream.Malformed()
+	if a.chat != nil {
+		badRequests, badAnswers = badRequests+a.chat.Malformed(), badAnswers+a.chat.SkippedEvents()
+	}
+	return []counter{
+		count("bad_requests", badRequests),
+		count("shed", limited.rejected),
+		count("closed_for_room", limited.evicted),
+		count("sent_away", limited.drained),
+		count("kept_open", limited.closeDeferred),
+		count("accept_failures", limited.acceptFailures),
+		count("connect_failures_here", a.upstream.LocalFailures()),
+		count("bad_answers", badAnswers),
+	}
+}
+
+// counters are the fleet's part of the counters' line; none without a fleet.
+func (f *fleetRuntime) counters() (counters []counter) {
+	node := f.node.Load()
+	if node == nil {
+		return nil
+	}
+	status := node.Status()
+	if tasks, ok := node.TasksStatus(); ok {
+		counters = append(counters, f.taskCounters(tasks)...)
+	}
+	if quota, ok := node.QuotaStatus(); ok {
+		counters = append(counters,
+			decimal("share_part", quota.Fraction, 6),
+			decimal("share_demand", quota.Demand, 2),
+			decimal("share_lent", quota.Outstanding, 6),
+			count("share_offers", quota.Shares),
+			count("share_dropped", quota.Dropped))
+	}
+	if f.subset != nil {
+		subset := f.subset.Status()
+		counters = append(counters, count("subset", len(subset.Subset)), count("subset_times", subset.Updates))
+	}
+	if bootstrap, ok := node.BootstrapStatus(); ok {
+		counters = append(counters,
+			count("beliefs_taken", bootstrap.Received),
+			count("beliefs_given", bootstrap.Sent),
+			count("beliefs_busy", bootstrap.Declined),
+			count("beliefs_bad", bootstrap.Malformed))
+	}
+	if f.filter != nil {
+		filter := f.filter.Status()
+		counters = append(counters,
+			count("lists_told", filter.PeerLists),
+			count("lists_held_back", filter.Suppressed),
+			count("lists_refused", filter.Rejected))
+	}
+	return append(counters, membershipCounters(status)...)
+}
+
+func (f *fleetRuntime) taskCounters(status fleet.TasksStatus) []counter {
+	held := 0
+	for _, task := range status.Tasks {
+		if task.Held {
+			held++
+		}
+	}
+	return []counter{
+		count("duties", len(status.Tasks)),
+		count("duties_held", held),
+		count("duty_acts", status.Executions),
+		count("duty_late", status.LateResults),
+		count("duty_bytes", status.Bytes),
+		count("lists_renewed", f.tasks.Refreshed()),
+	}
+}
+
+func membershipCounters(status fleet.Status) []counter {
+	states := map[string]int{}
+	for _, member := range status.Members {
+		states[member.State]++
+	}
+	return []counter{
+		count("fleet_view", status.ViewVersion),
+		count("fleet_alive", states["alive"]),
+		count("fleet_suspect", states["suspect"]),
+		count("fleet_unreachable", states["unreachable"]),
+		count("fleet_left", states["left"]),
+		count("fleet_conflicts", len(status.Conflicts)),
+		count("fleet_bad", status.Malformed),
+		count("fleet_stale", status.Stale),
+	}
 }
--- /dev/null
+++ b/internal/app/endpoint_cache.go
@@ -0,0 +1,87 @@
+package app
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+
+	"rampspread/internal/discovery"
+	"rampspread/internal/state/atomicfile"
+	"rampspread/internal/state/endpointcache"
+	"rampspread/internal/system"
+)
+
+// newEndpointCache returns what saves the endpoint list that this process acts on, for its next start; nil without a
+// state folder.
+func (a *application) newEndpointCache() *atomicfile.Saver {
+	if a.inputs.stateDir == "" {
+		return nil
+	}
+	return atomicfile.NewSaver("list", a.saveEndpoints)
+}
+
+func (a *application) saveEndpoints() error {
+	list, err := a.watcher.CurrentList()
+	if err != nil {
+		return err
+	}
+	entries, err := json.Marshal(list.Instances)
+	if err != nil {
+		return fmt.Errorf("list: %w", err)
+	}
+	return endpointcache.Save(a.machine, a.inputs.stateDir, endpointcache.Cached{
+		Owner: a.endpointCacheOwner(), SavedAt: system.Now(a.machine), Version: list.Generation, Entries: entries,
+	})
+}
+
+// endpointCacheOwner says whose endpoint list the process stores, and of which discovery: its address may have moved.
+func (a *application) endpointCacheOwner() endpointcache.Owner {
+	identity := a.inputs.identity()
+	return endpointcache.Owner{Fleet: identity.Fleet, Name: identity.Name, Discovery: a.watcher.Address()}
+}
+
+// useInitialList passes the endpoint list of the start to the watcher.
+func (a *application) useInitialList() error {
+	list, err := a.initialList()
+	if err != nil {
+		return err
+	}
+	if len(list.Instances) > 0 {
+		a.watcher.UseInitialList(list)
+	}
+	return nil
+}
+
+// initialList is the endpoint list of the configuration, or a newer one that an earlier incarnation has cached. A cache
+// that is unusable is logged and counts as none.
+func (a *application) initialList() (list discovery.List, err error) {
+	if known := a.inputs.config.Known; len(known) > 0 {
+		if err := json.Unmarshal(known, &list); err != nil {
+			return list, fmt.Errorf("config: known: %w", err)
+		}
+	}
+	if a.inputs.stateDir == "" {
+		return list, nil
+	}
+	cached, err := a.loadEndpointCache()
+	switch {
+	case errors.Is(err, fs.ErrNotExist):
+	case err != nil:
+		slog.Warn("endpoint_cache_refused", "err", err)
+	case cached.Generation > list.Generation:
+		slog.Info("endpoint_cache_loaded", "version", cached.Generation, "entries", len(cached.Instances))
+		return cached, nil
+	}
+	return list, nil
+}
+
+func (a *application) loadEndpointCache() (discovery.List, error) {
+	cached, err := endpointcache.Load(a.inputs.stateDir, a.endpointCacheOwner(), system.Now(a.machine))
+	list := discovery.List{Generation: cached.Version, Reset: true}
+	if err == nil {
+		err = json.Unmarshal(cached.Entries, &list.Instances)
+	}
+	return list, err
+}
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -36,7 +36,7 @@
 		}
 		return err != nil
 	})
-	if took := time.Since(from); took > lameDuck+lastCall+time.Second {
+	if took := time.Since(from); took > lameDuckTime+listenerCloseDelay+time.Second {
 		t.Errorf("the listener closed %v after SIGTERM: %s", took, out.String())
 	}
 }
--- /dev/null
+++ b/internal/app/fleet_join.go
@@ -0,0 +1,96 @@
+package app
+
+import (
+	"context"
+	"log/slog"
+
+	"rampspread/internal/dispatch"
+	"rampspread/internal/fleet"
+	"rampspread/internal/state/statetransfer"
+	"rampspread/internal/system"
+)
+
+// maxPeerPrefixes bounds the prefix cache entries in a snapshot for another member, which gets the newest.
+const maxPeerPrefixes = 3000
+
+// joinFleet makes the process a member of its fleet, if it has one.
+func (a *application) joinFleet() error {
+	if a.fleet.config == nil {
+		return nil
+	}
+	node, err := fleet.Start(a.fleet.config, a.fleetSelf(), func(err error) { a.failed <- err })
+	if err != nil {
+		return err
+	}
+	a.fleet.node.Store(node)
+	return nil
+}
+
+// fleetSelf is what the process brings into its fleet.
+func (a *application) fleetSelf() fleet.Self {
+	cfg := a.inputs.config
+	self := fleet.Self{
+		Machine: a.machine, Name: cfg.Name, Zone: cfg.Settings.ZoneName(cfg.Settings.Az), Version: version, Seed: a.seed,
+		Tasks: a.fleet.tasks,
+		Quota: a.dispatcher,
+		Facts: a.fleetFacts,
+
+		VersionSkew:  versionSkewActions{&a.fleet, a.drain},
+		LearnedState: learnedState{a.machine, a.fleet.config.Fleet, &a.settings, a.dispatcher},
+	}
+	if a.stores.idempotency != nil {
+		self.HandleIdempotency = a.stores.idempotency.HandleMessage
+	}
+	if a.fleet.filter != nil {
+		self.EndpointFilter = a.fleet.filter
+	}
+	if a.stores.tokenFloor != nil {
+		self.TokenFloor, self.ObserveToken = a.stores.tokenFloor.Floor(), a.stores.tokenFloor.Observe
+	}
+	return self
+}
+
+// fleetFacts is what the process's heartbeats say of it.
+func (a *application) fleetFacts() fleet.Facts {
+	return fleet.Facts{
+		Settings: a.settings.fingerprint(),
+		List:     a.watcher.Version(),
+		Serving:  a.listeners.ready.Load() && !a.listeners.lifecycle.Stopping.Load(),
+	}
+}
+
+// learnedState gives other members of the fleet a snapshot of what this process has learned, and restores theirs.
+type learnedState struct {
+	machine    system.System
+	fleet      string // name
+	settings   *activeSettings
+	dispatcher *dispatch.Dispatcher
+}
+
+// exchange encodes snapshots as the fleet's, under the settings in force.
+func (l learnedState) exchange() statetransfer.Exchange {
+	return statetransfer.Exchange{Machine: l.machine, Name: l.fleet, Settings: l.settings.fingerprint()}
+}
+
+// Tell implements fleet.LearnedState.
+func (l learnedState) Tell(ctx context.Context) ([]byte, bool) {
+	snapshot, ok := l.dispatcher.Snapshot(ctx, maxPeerPrefixes)
+	if !ok {
+		return nil, false
+	}
+	encoded, err := l.exchange().Encode(snapshot)
+	if err != nil {
+		slog.Warn("snapshot_encode_failed", "err", err)
+	}
+	return encoded, err == nil
+}
+
+// Learn implements fleet.LearnedState.
+func (l learnedState) Learn(encoded []byte) error {
+	snapshot, err := l.exchange().Decode(encoded)
+	if err != nil {
+		return err
+	}
+	l.dispatcher.RestoreFromPeer(snapshot)
+	return nil
+}
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -80,7 +80,7 @@
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("LB_CONFIG", "from-the-environment")
 	var out bytes.Buffer
-	describe(&out, commands(system.Real(), signals{}, io.Discard), "")
+	describe(&out, newRootCommand(system.Real(), signals{}, io.Discard), "")
 	testkit.CheckGolden(t, *update, "commands.golden", out.String())
 }
 
--- /dev/null
+++ b/internal/app/listeners.go
@@ -0,0 +1,115 @@
+package app
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+
+	"rampspread/internal/frontend"
+	"rampspread/internal/precondition"
+	"rampspread/internal/system"
+)
+
+// listeners owns the client-facing listeners, with the limiter and the HTTP server of each, and the lifecycle state
+// that they share. The slices grow only during the start, before any goroutine but those of the servers reads them.
+type listeners struct {
+	machine    system.System
+	bodies     *semaphore.Weighted // bounds the request bodies in memory, in bytes
+	violations *precondition.ViolationCounter
+	lifecycle  frontend.Lifecycle
+	ready      atomic.Bool // all client listeners accept connections
+	limiters   []*frontend.Limiter
+	servers    []*http.Server
+	sockets    []net.Listener
+}
+
+// open starts a front on its address, with a bound on its connections. A server that fails later reports on failed.
+func (l *listeners) open(addr string, front http.Handler, maxConnections int, failed chan<- error) error {
+	socket, _, err := frontend.Listen(context.Background(), addr)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{}
+	limiter := frontend.NewLimiter(front, l.bodies, &l.lifecycle, l.violations)
+	limiter.Attach(server)
+	l.limiters, l.servers, l.sockets = append(l.limiters, limiter), append(l.servers, server), append(l.sockets, socket)
+	limited := limiter.Listen(socket, maxConnections, l.machine)
+	go func() {
+		if err := server.Serve(limited); !errors.Is(err, net.ErrClosed) {
+			failed <- err
+		}
+	}()
+	return nil
+}
+
+// busy tells whether a request is being answered.
+func (l *listeners) busy() bool { return slices.ContainsFunc(l.limiters, (*frontend.Limiter).Busy) }
+
+// closeIdle closes connections without an open request that have been quiet for so long, and returns how many are open
+// after that.
+func (l *listeners) closeIdle(quiet time.Duration) (open int) {
+	for _, limiter := range l.limiters {
+		limiter.CloseIdle(quiet)
+		open += limiter.ConnectionCount()
+	}
+	return open
+}
+
+// closeSockets stops accepting.
+func (l *listeners) closeSockets() error {
+	var errs []error
+	for _, socket := range l.sockets {
+		if err := socket.Close(); err != nil {
+			errs = append(errs, fmt.Errorf("shutdown: %w", err))
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// closeServers closes the servers with all that is still open.
+func (l *listeners) closeServers() {
+	for _, server := range l.servers {
+		server.Close()
+	}
+}
+
+// drainConnections closes connections that an operator's drain lets it close by now.
+func (l *listeners) drainConnections() {
+	for _, limiter := range l.limiters {
+		limiter.DrainConnections()
+	}
+}
+
+// logOpenConnections logs the client connections that a drain has not closed yet.
+func (l *listeners) logOpenConnections() {
+	for _, limiter := range l.limiters {
+		for _, connection := range limiter.OpenConnections() {
+			slog.Info("drain_open_connection", "connection", connection)
+		}
+	}
+}
+
+// limiterCounts are the sums of the limiters' counters.
+type limiterCounts struct {
+	malformed, rejected, evicted, drained, closeDeferred, acceptFailures int64
+}
+
+func (l *listeners) counts() (sum limiterCounts) {
+	for _, limiter := range l.limiters {
+		sum.malformed += limiter.Malformed()
+		sum.rejected += limiter.Rejected()
+		sum.evicted += limiter.Evicted()
+		sum.drained += limiter.Drained()
+		sum.closeDeferred += limiter.CloseDeferred()
+		sum.acceptFailures += limiter.AcceptFailures()
+	}
+	return sum
+}
--- a/internal/app/main.go
+++ b/internal/app/main.go
@@ -1,4 +1,9 @@
-// Package app is the dispatcher's program: its command line, and how its parts are put together and taken apart.
+// Package app is the dispatcher process: its command line, how its parts are wired, started and stopped, configuration
+// reloads, the graceful shutdown and the operators' calls.
+//
+// application owns the parts; its components method is the one list of what is started in which order, and the shutdown
+// is that list read backwards. Each part guards its own state: dispatch.Dispatcher runs in one goroutine, and the rest
+// of this package shares only atomics and what the start has set before any other goroutine reads it.
 package app
 
 import (
@@ -16,13 +21,14 @@
 
 const version = "0.1.0"
 
-// Main carries out the process's command line on a machine and returns its exit code.
+// Main carries out the process's command line on a machine and returns its exit code: 0, or 1 after an error, which is
+// one line on stderr.
 func Main(machine system.System) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	on := signals{print: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(on.print, syscall.SIGUSR1)
-	signal.Notify(on.reload, syscall.SIGHUP) // caught until the program ends: by default it would end it
+	signal.Notify(on.reload, syscall.SIGHUP) // caught until the process ends: by default it would end it
 	slog.SetDefault(slog.New(cli.LogHandler(os.Stderr)))
 	if err := run(ctx, machine, os.Args[1:], on, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "rampspread:", err)
@@ -31,12 +37,13 @@
 	return 0
 }
 
-// signals are what a running program can be asked for.
+// signals are the signals that a running process acts on besides those that end it: print its counters, reload its
+// configuration.
 type signals struct{ print, reload chan os.Signal }
 
 // run carries out one sub-command; without one it serves.
 func run(ctx context.Context, machine system.System, args []string, on signals, out io.Writer) error {
-	root := commands(machine, on, out)
+	root := newRootCommand(machine, on, out)
 	root.SetArgs(cli.Words(args))
 	return root.ExecuteContext(ctx)
 }
--- a/internal/app/rare_test.go
+++ b/internal/app/rare_test.go
@@ -97,7 +97,7 @@
 	if got, err := io.ReadAll(restsFrom); err != nil || len(got) > 0 {
 		t.Errorf("the resting connection ended with %q, %v", got, err)
 	}
-	time.Sleep(tooLate) // more than that since SIGTERM: the time itself is what is tested
+	time.Sleep(rejectNewAfter) // more than that since SIGTERM: the time itself is what is tested
 	io.WriteString(half, text[60:])
 	if resp, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
 		t.Errorf("a request that came too late: %v, %v", resp, err)
--- /dev/null
+++ b/internal/app/stores.go
@@ -0,0 +1,132 @@
+package app
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"time"
+
+	"rampspread/internal/chatapi"
+	"rampspread/internal/fleet/idempotencyquorum"
+	"rampspread/internal/state"
+	"rampspread/internal/state/atomicfile"
+	"rampspread/internal/state/fencing"
+	"rampspread/internal/state/inflight"
+	"rampspread/internal/state/statetransfer"
+	"rampspread/routing"
+)
+
+// stores owns what outlives the process, or is shared with other processes of its name on its machine.
+type stores struct {
+	idempotency   *idempotencyquorum.Coordinator // nil: the chat front's own table is all
+	inFlight      *inflight.Table                // nil: no peer process is looked for
+	endpointCache *atomicfile.Saver              // nil without a state folder
+	tokenFloor    *fencing.TokenFloor            // of the fleet's leases; nil: none outlives the process
+	transfer      statetransfer.Exchange         // with no folder: nothing is transferred
+}
+
+// openIdempotency opens the store of idempotency records.
+func (a *application) openIdempotency() (err error) {
+	a.stores.idempotency, err = newIdempotencyCoordinator(a.inputs, a.fleet.sendIdempotency, a.machine.Wall())
+	return err
+}
+
+// newIdempotencyCoordinator sets up who decides whether an idempotent request may run: the fleet's voters where its
+// file says so, this process alone where it has a state; nil where the chat front's own table is all. now is the wall
+// clock's time.
+func newIdempotencyCoordinator(in inputs, send func(to string, message []byte, large bool),
+	now time.Time) (*idempotencyquorum.Coordinator, error) {
+	cfg := idempotencyquorum.Config{Name: in.config.Name, Incarnation: uint64(now.UnixNano()), Send: send}
+	cfg.Limits.MaxAnswerBytes = chatapi.MaxStoredAnswer
+	switch {
+	case in.fleet != nil && in.fleet.Idempotency != nil:
+		file := in.fleet.Idempotency
+		cfg.Replicas, cfg.Secret = in.fleet.Voters, in.fleet.Secret()
+		cfg.Limits.Retention, cfg.Limits.Entries = file.Keep(), file.Entries
+		if !in.fleet.IsVoter(cfg.Name) {
+			return idempotencyquorum.New(cfg), nil
+		}
+	case in.stateDir != "" && in.chat != nil:
+		cfg.Replicas, cfg.Secret = []string{cfg.Name}, []byte(cfg.Name)
+		cfg.Limits.Retention, cfg.Limits.Entries = in.chat.Retention(), in.chat.Idempotency.Entries
+	default:
+		return nil, nil
+	}
+	// The state is opened here for the errors that only a start may report; one that another process has locked is
+	// waited for later.
+	store, err := openState(in, now)
+	if err != nil && !errors.Is(err, state.ErrLocked) {
+		return nil, err
+	}
+	cfg.Open = func() (*state.Store, error) {
+		if opened := store; opened != nil {
+			store = nil
+			return opened, nil
+		}
+		return state.Open(in.stateDir, in.identity())
+	}
+	return idempotencyquorum.New(cfg), nil
+}
+
+// openState opens the state folder. One that is corrupt is set aside first, and replaced by an empty one.
+func openState(in inputs, now time.Time) (*state.Store, error) {
+	store, err := state.Open(in.stateDir, in.identity())
+	if !errors.Is(err, state.ErrCorrupt) {
+		return store, err
+	}
+	backup, backupErr := state.SetAside(in.stateDir, now)
+	if backupErr != nil {
+		return nil, errors.Join(err, backupErr)
+	}
+	slog.Warn("state_refused", "err", err, "set_aside", backup)
+	return state.Open(in.stateDir, in.identity())
+}
+
+// openInFlight shares what is in flight with other processes of this name on this machine, where they have a folder in
+// common. A failure is logged: the process then serves without it.
+func (a *application) openInFlight() error {
+	if a.options.handover == "" {
+		return nil
+	}
+	var retention time.Duration
+	if a.inputs.chat != nil {
+		retention = a.inputs.chat.Retention()
+	}
+	table, err := inflight.Start(a.machine, a.options.handover, a.inputs.config.Name, retention)
+	if err != nil {
+		slog.Warn("in_flight_table_failed", "err", err)
+	}
+	a.stores.inFlight = table
+	a.front.UsePeerTable(table)
+	return nil
+}
+
+// startTokenFloor opens the highest fencing token that this member has seen, where it has a state and a fleet.
+func (a *application) startTokenFloor() error {
+	if a.inputs.stateDir == "" || a.inputs.fleet == nil {
+		return nil
+	}
+	a.stores.tokenFloor = fencing.Open(a.machine, a.inputs.stateDir, fencing.Owner(a.inputs.identity()))
+	a.background.start(a.stores.tokenFloor.Run)
+	return nil
+}
+
+// transferState starts from what another process of this name has learned, and then serves what this one learns to
+// those that request it, until the context ends.
+func (a *application) transferState(ctx context.Context) {
+	a.stores.transfer.Request(ctx, a.dispatcher.Restore)
+	a.stores.transfer.Serve(ctx, func() (routing.Snapshot, bool) {
+		return a.dispatcher.Snapshot(ctx, statetransfer.MaxPrefixes)
+	})
+}
+
+// writeSnapshot writes what this process has learned for the one that runs next.
+func (a *application) writeSnapshot() {
+	snapshot, ok := a.dispatcher.Snapshot(a.background.ctx, statetransfer.MaxPrefixes)
+	if !ok {
+		return
+	}
+	if err := a.stores.transfer.Write(snapshot); err != nil {
+		slog.Warn("handover_write_failed", "err", err)
+	}
+}
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -117,7 +117,7 @@
 		{"internal/frontend/drain.go", "return d.lasted(now) < drainTakes", "return true"},
 		{"internal/frontend/conn.go", "!h.fresh && h.guard.state.Drain.Active()", "false"},
 		{"internal/frontend/limiter.go", "	if held || g.state.Stopping.Load() {", "	if g.state.Stopping.Load() {"},
-		{"internal/app/hold.go", "			g.DrainConnections()\n", "			_ = g\n"},
+		{"internal/app/listeners.go", "		limiter.DrainConnections()\n", "		_ = limiter\n"},
 	},
 	"a close over a read request": {
 		{"internal/frontend/limiter.go", "		if k.closed || !k.idle && now.Sub(k.since) < quiet {\n			continue\n		}",
