--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	router := classes.Config
-	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.Probing, budgetsOf(in.fleet)
+	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.LoadPolling, budgetsOf(in.fleet)
 	a := &application{
 		machine: machine, inputs: in, options: o, limits: limits, seed: seed, failed: make(chan error, maxPendingFailures),
 	}
@@ -101,8 +101,8 @@
 
 // components is the one list of what is started, in this order. The shutdown stops it in the reverse order.
 //
-// The goroutines between "background goroutines" and "discovery confirmed" end when the dispatcher is stopped, which
-// cancels their context, and are waited for last but the xDS server.
+// The background goroutines share one context, which stopping the dispatcher cancels. They are waited for once the
+// connections to replicas are closed.
 func (a *application) components(ctx context.Context, reloads <-chan os.Signal) []component {
 	return []component{
 		{"xDS server", a.startXDS, a.stopXDS},
--- a/internal/app/fleet_join.go
+++ b/internal/app/fleet_join.go
@@ -30,7 +30,7 @@
 func (a *application) fleetSelf() fleet.Self {
 	cfg := a.inputs.config
 	self := fleet.Self{
-		Machine: a.machine, Name: cfg.Name, Zone: cfg.Settings.ZoneName(cfg.Settings.Az), Version: version, Seed: a.seed,
+		Machine: a.machine, Name: cfg.Name, Zone: cfg.Settings.ZoneName(cfg.Settings.ZoneIndex), Version: version, Seed: a.seed,
 		Tasks: a.fleet.tasks,
 		Quota: a.dispatcher,
 		Facts: a.fleetFacts,
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -35,7 +35,7 @@
 		return
 	}
 	var poller leasedtasks.LoadPoller
-	if in.config.Settings.Limits.Probing {
+	if in.config.Settings.Limits.LoadPolling {
 		poller = client
 	}
 	f.tasks = leasedtasks.New(poller, endpointLists{f}, dispatcher.ApplyPeerLoads, time.Now)
--- a/internal/app/golden_fingerprint_test.go
+++ b/internal/app/golden_fingerprint_test.go
@@ -32,7 +32,7 @@
 	if got, want := fingerprint(&s), uint64(0x49220bfbe282f610); got != want {
 		t.Errorf("got %#x, want %#x", got, want)
 	}
-	s.Az = 0
+	s.ZoneIndex = 0
 	if got, want := fingerprint(&s), uint64(0x49220bfbe282f610); got != want {
 		t.Errorf("in another zone: got %#x, want %#x", got, want)
 	}
@@ -85,7 +85,7 @@
 			t.Errorf("%s: digest %#016x, want %#016x", name, got, c.want)
 		}
 		other := *c.settings
-		other.Az = 7
+		other.ZoneIndex = 7
 		if got := fingerprint(&other); got != c.want {
 			t.Errorf("%s, another zone: digest %#016x, want %#016x", name, got, c.want)
 		}
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -56,7 +56,7 @@
 		next, err = r.classes.Reconfigure(&cfg.Settings)
 	}
 	if err == nil {
-		next.Config.CanPollLoad = cfg.Settings.Limits.Probing
+		next.Config.CanPollLoad = cfg.Settings.Limits.LoadPolling
 		err = r.dispatcher.Reconfigure(ctx, next.Config)
 	}
 	if err != nil {
@@ -94,7 +94,7 @@
 // does not count: each zone has its own.
 func fingerprint(settings *config.Settings) uint64 {
 	common := *settings
-	common.Az = 0
+	common.ZoneIndex = 0
 	encoded, err := json.Marshal(common)
 	if err != nil {
 		return 0 // what was read from JSON always marshals
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config holds the configuration of a dispatcher and the settings of its deployment: their types, how they are read and
-// checked, and their translation for the router. It is the only place that knows the keys of these files.
+// Package config holds the configuration of a dispatcher and the settings of its deployment: their types, how they are
+// read and checked, and their translation for the router. It is the only place that knows the keys of these files. Its
+// values are not changed after they are read, and so may be shared between goroutines.
 package config
 
 import (
@@ -10,23 +11,26 @@
 	"strconv"
 )
 
-// Config is what a dispatcher is told when it starts.
+// Config is the configuration file of one dispatcher.
 type Config struct {
-	Name      string `json:"Name"`
-	Listen    string `json:"Listen"`
-	Discovery string `json:"Discovery"`
-	Admin     string `json:"Ops"` // where operators call; none: nowhere
-	Seed      string `json:"Seed"`
-	Limits    struct {
-		Cores    float64 `json:"Cores"`
-		MemoryMB int     `json:"memory_mb"`
-		Sockets  int     `json:"Sockets"`
-	} `json:"Limits"`
-	Known    json.RawMessage `json:"Known"` // in discovery's form
-	Settings Settings        `json:"Settings"`
+	Name      string          `json:"Name"`
+	Listen    string          `json:"Listen"`
+	Discovery string          `json:"Discovery"`
+	Admin     string          `json:"Ops"` // address of the operators' calls; none: there are none
+	Seed      string          `json:"Seed"`
+	Limits    ResourceLimits  `json:"Limits"`
+	Known     json.RawMessage `json:"Known"` // the endpoint list of the start, in discovery's form
+	Settings  Settings        `json:"Settings"`
 }
 
-// ParseConfig decodes and checks a dispatcher's configuration.
+// ResourceLimits is what the platform lets the process use; 0: the process's default.
+type ResourceLimits struct {
+	Cores    float64 `json:"Cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"Sockets"`
+}
+
+// ParseConfig decodes a dispatcher's configuration. It does not check it: see Validate.
 func ParseConfig(text []byte) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -57,13 +61,13 @@
 	if err := router.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	if len(c.Settings.Kinds) != len(c.Settings.FamilyInfo.DutyByKind) {
+	if len(c.Settings.Kinds) != len(c.Settings.FamilyInfo.RoleByKind) {
 		return errors.New("config: settings: needs a duty for each kind")
 	}
 	return nil
 }
 
-// SeedNumber is the seed for random numbers.
+// SeedNumber returns the seed of random numbers, which the file has in hex; 0 without one.
 func (c *Config) SeedNumber() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
--- /dev/null
+++ b/internal/config/router.go
@@ -0,0 +1,81 @@
+package config
+
+import (
+	"fmt"
+
+	"rampspread/routing"
+)
+
+// The settings' names for what package routing has types for.
+var (
+	idempotencyByName = map[string]routing.Idempotency{
+		"retryable": routing.Idempotent,
+		"dedup":     routing.IdempotentByKey,
+		"fragile":   routing.NonIdempotent,
+	}
+	dedupScopeByName = map[string]routing.DedupScope{
+		"":     routing.ScopeAll,
+		"all":  routing.ScopeAll,
+		"zone": routing.ScopeZone,
+		"cell": routing.ScopeCell,
+	}
+	roleByName = map[string]routing.Role{
+		"read":  routing.Prefill,
+		"write": routing.Decode,
+		"both":  routing.Combined,
+	}
+)
+
+// Router translates the settings for a routing.Router; what is absent has the meaning that the wire protocol gives it.
+func (s *Settings) Router() (routing.Config, error) {
+	cfg := routing.Config{
+		Zone: s.ZoneIndex, Routers: s.Balancers, MaxAttempts: s.Limits.MaxAttempts,
+		ReservationTTL:   FromMS(s.FamilyInfo.ReleaseWithinMs),
+		SlowStartInitial: s.Rules.SlowStartInitial, SlowStartDuration: FromMS(s.Rules.SlowStartMs),
+		OverloadMultiple: s.Rules.OverloadMultiple,
+		CanCancel:        s.Limits.CanCancel,
+		DecodeCanPrefill: s.FamilyInfo.DecodeCanPrefill,
+	}
+	if s.Limits.RetryAfter {
+		cfg.MaxRetryAfter = FromMS(s.Limits.MaxRetryAfterMs)
+	}
+	for i := range s.Classes {
+		class, err := s.class(i)
+		if err != nil {
+			return cfg, err
+		}
+		cfg.Classes = append(cfg.Classes, class)
+	}
+	for i, name := range s.FamilyInfo.RoleByKind {
+		role, ok := roleByName[name]
+		if !ok {
+			return cfg, fmt.Errorf("kind %d: unknown duty %q", i, name)
+		}
+		cfg.Kinds = append(cfg.Kinds, routing.Kind{Role: role})
+	}
+	for _, tenant := range s.Parties {
+		cfg.TenantQuotas = append(cfg.TenantQuotas, tenant.QuotaPerS)
+	}
+	return cfg, nil
+}
+
+// class translates the class of an index.
+func (s *Settings) class(index int) (routing.Class, error) {
+	c := s.Classes[index]
+	idempotency, ok := idempotencyByName[c.Idempotency]
+	scope, known := dedupScopeByName[c.DedupScope]
+	if !ok || !known {
+		return routing.Class{}, fmt.Errorf("class %d: unknown effect %q or group %q", index, c.Idempotency, c.DedupScope)
+	}
+	class := routing.Class{
+		TTFTObjective: FromMS(c.TTFTObjectiveMs),
+		Weight:        c.Weight,
+		Idempotency:   idempotency,
+		DedupScope:    scope,
+		DedupWindow:   FromMS(c.DedupWindowMs),
+	}
+	if per1K := s.FamilyInfo.TTFTObjectiveUsPer1KTokens; index < len(per1K) {
+		class.TTFTObjectivePer1K = FromMS(per1K[index] / 1000) // from µs
+	}
+	return class, nil
+}
