--- a/internal/app/admin_test.go
+++ b/internal/app/admin_test.go
@@ -23,7 +23,7 @@
 	config := writeFile(t, "config.json", configText(listen, discovery, list))
 	t.Setenv("LB_CONFIG", config)
 	t.Setenv("LB_OPS", adminAddress)
-	ctx, terminate := context.WithCancel(context.Background())
+	ctx, terminate := context.WithCancel(t.Context())
 	defer terminate()
 	reload, out, ended := make(chan os.Signal), &syncBuffer{}, make(chan error, 1)
 	defer slog.SetDefault(slog.Default())
--- a/internal/app/connections_test.go
+++ b/internal/app/connections_test.go
@@ -65,7 +65,8 @@
 	}
 	time.Sleep(rejectNewAfter) // more than that since SIGTERM: the time itself is what is tested
 	io.WriteString(partial, text[60:])
-	if resp, err := http.ReadResponse(bufio.NewReader(partial), nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
+	if resp, err := http.ReadResponse(bufio.NewReader(partial), nil); err != nil || resp.StatusCode != 503 ||
+		resp.Header.Get("Retry-After") == "" || !resp.Close {
 		t.Errorf("a request that came too late: %v, %v", resp, err)
 	}
 	close(finish)
@@ -88,7 +89,8 @@
 // Idle clients that use up the descriptors while discovery is down leave enough for discovery, replicas and other
 // clients.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	oldPrefill, prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	oldPrefill, prefill := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Read)
+	decode := testkit.NewReplica(t, testkit.Write("alpha"))
 	var down atomic.Bool
 	list := endpointList(oldPrefill.Addr, decode.Addr)
 	var moved atomic.Pointer[string]
@@ -246,7 +248,7 @@
 	}
 	testkit.Eventually(t, "the first prefill", func() bool { return open.Load() == 1 })
 	c.Close()
-	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
+	ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
 	defer stop()
 	<-ctx.Done() // in which a second one would be forwarded
 	if n := open.Load(); n != 1 {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -21,8 +21,8 @@
 
 // drainFixture is a process that an operator is about to drain.
 type drainFixture struct {
-	listen, ops  string
-	finishStream chan bool // ends a stream that has started
+	listen, admin string
+	finishStream  chan bool // ends a stream that has started
 }
 
 // firstDrainAddress is the last part of the first loopback address of this test's processes, which no other test uses.
@@ -33,8 +33,8 @@
 func startDrainFixture(t *testing.T, number int) *drainFixture {
 	t.Helper()
 	host := fmt.Sprintf("%s%d", testkit.Net(), firstDrainAddress+number)
-	d := &drainFixture{listen: host + ":9000", ops: host + ":9600", finishStream: make(chan bool, 8)}
-	end := make(chan struct{})
+	d := &drainFixture{listen: host + ":9000", admin: host + ":9600", finishStream: make(chan bool, 8)}
+	finishAll := make(chan struct{})
 	prefill := testkit.NewReplica(t, testkit.Read)
 	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		text := testkit.Answer("one", "two")
@@ -44,20 +44,20 @@
 		http.NewResponseController(w).Flush()
 		select {
 		case <-d.finishStream:
-		case <-end:
+		case <-finishAll:
 		}
 		io.WriteString(w, text[first:])
 	})
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
-	config := strings.Replace(configText(d.listen, discovery, list), `"listen"`, fmt.Sprintf(`"ops":%q,"listen"`, d.ops), 1)
-	ctx, term := context.WithCancel(context.Background())
+	config := strings.Replace(configText(d.listen, discovery, list), `"listen"`, fmt.Sprintf(`"ops":%q,"listen"`, d.admin), 1)
+	ctx, terminate := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	args := []string{"serve", "-config", writeFile(t, "config.json", config)}
 	go func() { ended <- run(ctx, system.Real(), args, signals{print: make(chan os.Signal)}, new(syncBuffer)) }()
 	t.Cleanup(func() {
-		close(end)
-		term()
+		close(finishAll)
+		terminate()
 		if err := <-ended; err != nil {
 			t.Errorf("ended with %v", err)
 		}
@@ -74,45 +74,56 @@
 	return string(got), !ok || !timeout.Timeout()
 }
 
-// drainCase is a client of a process whose drain starts at a time. client returns the connection that must be closed at
-// the deadline; answer is the prefix of what must have come on it.
+// drainClient is what a client of a drained process can use.
+type drainClient struct {
+	process   *drainFixture
+	start     time.Time // of the drain
+	streaming net.Conn  // its first request is being answered
+	answers   *bufio.Reader
+}
+
+// connectAfter waits until so long after the start of the drain, and connects.
+func (c drainClient) connectAfter(t *testing.T, delay time.Duration) net.Conn {
+	t.Helper()
+	time.Sleep(time.Until(c.start.Add(delay)))
+	return dial(t, c.process.listen)
+}
+
+// drainCase is a client of a process that an operator drains. client returns the connection that must be closed at the
+// deadline; answer is the prefix of what must have come on it.
 type drainCase struct {
 	answer string
-	client func(t *testing.T, d *drainFixture, from time.Time, streaming net.Conn, answers *bufio.Reader) net.Conn
+	client func(t *testing.T, c drainClient) net.Conn
 }
 
 var drainCases = map[string]drainCase{
-	"sends again as a stream ends": {"", func(t *testing.T, d *drainFixture, from time.Time, c net.Conn, answers *bufio.Reader) net.Conn {
-		resp, err := http.ReadResponse(answers, nil)
+	"sends again as a stream ends": {"", func(t *testing.T, c drainClient) net.Conn {
+		resp, err := http.ReadResponse(c.answers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Until(from.Add(2500 * time.Millisecond)))
-		d.finishStream <- true
+		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond)))
+		c.process.finishStream <- true
 		io.Copy(io.Discard, resp.Body)
-		io.WriteString(c, requestText("again", "{}"))
-		return c
+		io.WriteString(c.streaming, requestText("again", "{}"))
+		return c.streaming
 	}},
-	"sends late": {"HTTP/1.1 503 ", func(t *testing.T, d *drainFixture, from time.Time, _ net.Conn, _ *bufio.Reader) net.Conn {
-		time.Sleep(time.Until(from.Add(2100 * time.Millisecond)))
-		late := dial(t, d.listen)
+	"sends late": {"HTTP/1.1 503 ", func(t *testing.T, c drainClient) net.Conn {
+		late := c.connectAfter(t, 2100*time.Millisecond)
 		io.WriteString(late, requestText("late", "{}"))
 		return late
 	}},
-	"connects late and is silent": {"", func(t *testing.T, d *drainFixture, from time.Time, _ net.Conn, _ *bufio.Reader) net.Conn {
-		time.Sleep(time.Until(from.Add(2200 * time.Millisecond)))
-		return dial(t, d.listen)
+	"connects late and is silent": {"", func(t *testing.T, c drainClient) net.Conn {
+		return c.connectAfter(t, 2200*time.Millisecond)
 	}},
-	"stops in a body": {"HTTP/1.1 503 ", func(t *testing.T, d *drainFixture, from time.Time, _ net.Conn, _ *bufio.Reader) net.Conn {
-		time.Sleep(time.Until(from.Add(1800 * time.Millisecond)))
-		late := dial(t, d.listen)
+	"stops in a body": {"HTTP/1.1 503 ", func(t *testing.T, c drainClient) net.Conn {
+		late := c.connectAfter(t, 1800*time.Millisecond)
 		text := requestText("half", "{}")
 		io.WriteString(late, text[:len(text)-1])
 		return late
 	}},
-	"sends a head byte by byte": {"HTTP/1.1 503 ", func(t *testing.T, d *drainFixture, from time.Time, _ net.Conn, _ *bufio.Reader) net.Conn {
-		time.Sleep(time.Until(from.Add(2300 * time.Millisecond)))
-		late := dial(t, d.listen)
+	"sends a head byte by byte": {"HTTP/1.1 503 ", func(t *testing.T, c drainClient) net.Conn {
+		late := c.connectAfter(t, 2300*time.Millisecond)
 		go func() {
 			for _, b := range []byte(requestText("bytes", "{}")) {
 				if _, err := late.Write([]byte{b}); err != nil {
@@ -132,24 +143,24 @@
 	for name, c := range drainCases {
 		number++
 		t.Run(name, func(t *testing.T) {
-			own := number
+			fixture := number
 			t.Parallel()
-			d := startDrainFixture(t, own)
+			d := startDrainFixture(t, fixture)
 			streaming := dial(t, d.listen)
 			io.WriteString(streaming, requestText("first", "{}"))
 			answers := bufio.NewReader(streaming)
 			if _, err := answers.Peek(1); err != nil { // the head is sent, and does not announce a close
 				t.Fatal(err)
 			}
-			from := time.Now()
-			if got := call(t, d.ops, "drain-on"); got != "SUCCESS draining" {
+			start := time.Now()
+			if got := call(t, d.admin, "drain-on"); got != "SUCCESS draining" {
 				t.Fatal(got)
 			}
-			connection := c.client(t, d, from, streaming, answers)
-			time.Sleep(time.Until(from.Add(drainDeadline)))
+			connection := c.client(t, drainClient{d, start, streaming, answers})
+			time.Sleep(time.Until(start.Add(drainDeadline)))
 			text, closed := readUntilClosed(connection)
 			if !closed {
-				t.Errorf("open %v after the start of the drain", time.Since(from))
+				t.Errorf("open %v after the start of the drain", time.Since(start))
 			}
 			if !strings.HasPrefix(text, c.answer) || c.answer == "" && text != "" {
 				t.Errorf("it got %q, want %q", text, c.answer)
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -85,10 +85,10 @@
 	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
-	listen, opsAddr := freeAddr(t), freeAddr(t)
+	listen, adminAddress := freeAddr(t), freeAddr(t)
 	t.Setenv("LB_CONFIG", writeFile(t, "config.json", configText(listen, discovery, list)))
-	t.Setenv("LB_OPS", opsAddr)
-	ctx, term := context.WithCancel(t.Context())
+	t.Setenv("LB_OPS", adminAddress)
+	ctx, terminate := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
 		ended <- run(ctx, system.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: make(chan os.Signal)}, &syncBuffer{})
@@ -109,11 +109,11 @@
 		{"dance", `FAILURE unknown call "dance": there are ` + names},
 		{strings.Repeat("x", 300), "FAILURE line too long"},
 	} {
-		if got := rawCall(t, opsAddr, c.call); got != c.want+"\n" {
+		if got := rawCall(t, adminAddress, c.call); got != c.want+"\n" {
 			t.Errorf("%.20s: %q, want %q", c.call, got, c.want)
 		}
 	}
-	term()
+	terminate()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -143,7 +142,7 @@
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	var out bytes.Buffer
-	if err := run(context.Background(), system.Real(), []string{"call", "-at", addr, line}, signals{}, &out); err != nil {
+	if err := run(t.Context(), system.Real(), []string{"call", "-at", addr, line}, signals{}, &out); err != nil {
 		return err.Error()
 	}
 	return strings.TrimSpace(out.String())
@@ -161,11 +160,11 @@
 }
 
 // startAdminProcess starts the program as a process with an admin address, and kills it at the end of the test.
-func startAdminProcess(t *testing.T, config, ops string, args ...string) (*exec.Cmd, *syncBuffer) {
+func startAdminProcess(t *testing.T, config, adminAddress string, args ...string) (*exec.Cmd, *syncBuffer) {
 	t.Helper()
 	out := &syncBuffer{}
 	p := exec.Command(os.Args[0], append([]string{"serve"}, args...)...)
-	p.Env = append(os.Environ(), "RAMPSPREAD_TEST_PROGRAM=1", "LB_CONFIG="+config, "LB_OPS="+ops)
+	p.Env = append(os.Environ(), "RAMPSPREAD_TEST_PROGRAM=1", "LB_CONFIG="+config, "LB_OPS="+adminAddress)
 	p.Stdout, p.Stderr = out, out
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -175,15 +174,15 @@
 }
 
 // awaitServing waits until a process answers on its admin address that it serves.
-func awaitServing(t *testing.T, ops string) {
+func awaitServing(t *testing.T, adminAddress string) {
 	t.Helper()
 	testkit.Eventually(t, "the process to answer that it serves", func() bool {
-		c, err := net.Dial("tcp", ops)
+		c, err := net.Dial("tcp", adminAddress)
 		if err != nil {
 			return false
 		}
 		c.Close()
-		return call(t, ops, "check") == "SUCCESS serving"
+		return call(t, adminAddress, "check") == "SUCCESS serving"
 	})
 }
 
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -55,7 +55,7 @@
 		{"check -config " + writeFile(t, "class.json", strings.Replace(configText("a:1", "b:2", "{}"), "fragile", "x", 1)), "!unknown effect"},
 	} {
 		var out bytes.Buffer
-		err := run(context.Background(), system.Real(), strings.Fields(c.args), signals{}, &out)
+		err := run(t.Context(), system.Real(), strings.Fields(c.args), signals{}, &out)
 		if want, bad := strings.CutPrefix(c.want, "!"); bad {
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%q: error %v, want %q", c.args, err, want)
@@ -142,7 +142,7 @@
 	listen, chatListen, xdsListen := freeAddr(t), freeAddr(t), freeAddr(t)
 	t.Setenv("LB_CONFIG", writeFile(t, "config.json", configText(listen, discovery, list)))
 	chat := writeFile(t, "chat.json", fmt.Sprintf(chatText, chatListen))
-	ctx, terminate := context.WithCancel(context.Background())
+	ctx, terminate := context.WithCancel(t.Context())
 	defer terminate()
 	printCounters, out, ended := make(chan os.Signal), &syncBuffer{}, make(chan error, 1)
 	go func() {
@@ -212,9 +212,10 @@
 			}
 			io.WriteString(w, known)
 		}))
-		text := strings.Replace(configText(listen, agent.Listener.Addr().String(), known), `"rules":{`, `"rules":{"stopSendingWithinMs":`+c.drainDeadlineMs+`,`, 1)
+		text := strings.Replace(configText(listen, agent.Listener.Addr().String(), known),
+			`"rules":{`, `"rules":{"stopSendingWithinMs":`+c.drainDeadlineMs+`,`, 1)
 		t.Setenv("LB_CONFIG", writeFile(t, "config.json", text))
-		ctx, terminate := context.WithCancel(context.Background())
+		ctx, terminate := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- run(ctx, system.Real(), []string{"serve"}, signals{}, io.Discard) }()
 		awaitReady(t, listen)
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -38,16 +38,18 @@
 	defer close(finish)
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
-	listen, chatAt, folder := freeAddr(t), freeAddr(t), t.TempDir()
+	listen, chatAddress, folder := freeAddr(t), freeAddr(t), t.TempDir()
 	config := writeFile(t, "config.json", configText(listen, discovery, list))
-	chatFile := writeFile(t, "chat.json", fmt.Sprintf(`{"listen":%q,"models":{"meldung":"meldung"},"max_tokens":9,"filings":{"entries":9,"keep_s":60}}`, chatAt))
-	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}} // each request on a connection of its own, to either process
+	chatFile := writeFile(t, "chat.json", fmt.Sprintf(`{"listen":%q,"models":{"meldung":"meldung"},"max_tokens":9,`+
+		`"filings":{"entries":9,"keep_s":60}}`, chatAddress))
+	// Each request goes on a connection of its own, to either process.
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	send := func(at, body string, header map[string]string) (int, string) {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+at+"/v1/chat/completions", strings.NewReader(body))
 		for name, v := range header {
 			r.Header.Set(name, v)
 		}
-		resp, err := fresh.Do(r)
+		resp, err := client.Do(r)
 		if err != nil {
 			return 0, err.Error()
 		}
@@ -56,10 +58,12 @@
 		return resp.StatusCode, string(text)
 	}
 	sendSameID := func() (int, string) {
-		return send(listen, "{}", map[string]string{"X-Trace-Id": "held", "X-Qos": "frage", "X-Expires-In": "60000m", "X-Props": "prompt_len=8"})
+		return send(listen, "{}", map[string]string{
+			"X-Trace-Id": "held", "X-Qos": "frage", "X-Expires-In": "60000m", "X-Props": "prompt_len=8",
+		})
 	}
 	sendSameKey := func() (int, string) {
-		return send(chatAt, `{"model":"meldung","messages":[{"role":"user","content":"hello"}]}`,
+		return send(chatAddress, `{"model":"meldung","messages":[{"role":"user","content":"hello"}]}`,
 			map[string]string{"Content-Type": "application/json", "Idempotency-Key": "k1"})
 	}
 
@@ -129,9 +133,9 @@
 // startReplaceable starts a process that shares a folder with others of its name, and returns once it serves.
 func startReplaceable(t *testing.T, config, folder string, args ...string) *exec.Cmd {
 	t.Helper()
-	ops := freeAddr(t)
-	p, _ := startAdminProcess(t, config, ops, append([]string{"-handover", folder}, args...)...)
-	awaitServing(t, ops)
+	adminAddress := freeAddr(t)
+	p, _ := startAdminProcess(t, config, adminAddress, append([]string{"-handover", folder}, args...)...)
+	awaitServing(t, adminAddress)
 	return p
 }
 
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -87,11 +87,11 @@
 	decode := testkit.NewReplica(t, testkit.Silent)
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
-	listen, folder, ops := freeAddr(t), t.TempDir(), freeAddr(t)
+	listen, folder, adminAddress := freeAddr(t), t.TempDir(), freeAddr(t)
 	text := configText(listen, discovery, list)
 	config := writeFile(t, "config.json", text)
-	old, out := startAdminProcess(t, config, ops, "-handover", folder)
-	awaitServing(t, ops)
+	old, out := startAdminProcess(t, config, adminAddress, "-handover", folder)
+	awaitServing(t, adminAddress)
 	shorter := strings.NewReplacer(`"hardLimitMs":5000`, `"hardLimitMs":1000`, `"hardLimitMs":15000`, `"hardLimitMs":1000`,
 		`"promiseMs":1200`, `"promiseMs":500`, `"promiseMs":3000`, `"promiseMs":500`).Replace(text)
 	if err := os.WriteFile(config, []byte(shorter), 0o600); err != nil {
