--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -117,7 +117,7 @@
 		{"internal/connlimit/drain.go", "return d.elapsed(now) < drainAcceptFor", "return true"},
 		{"internal/connlimit/clientconn.go", "!c.partialRequest && c.limiter.lifecycle.Drain.Active()", "false"},
 		{"internal/connlimit/limiter.go", "	if draining || l.lifecycle.Stopping.Load() {", "	if l.lifecycle.Stopping.Load() {"},
-		{"internal/app/hold.go", "			g.DrainConnections()\n", "			_ = g\n"},
+		{"internal/app/listeners.go", "		limiter.DrainConnections()\n", "		_ = limiter\n"},
 	},
 	"a close over a read request": {
 		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
