--- /dev/null
+++ b/internal/rig/history/golden_test.go
@@ -0,0 +1,268 @@
+package history_test
+
+import (
+	"cmp"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"rampspread/internal/rig/history"
+	"rampspread/internal/rig/history/historytest"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// leastRecordings is how many recordings there are: three scenarios and three soaks.
+const leastRecordings = 6
+
+// The checker judges each recording as it did when the recording was made: the same count by rule and the same breaches, in full. The
+// recordings are in testdata/recordings, the judgements in testdata/judgements.
+func TestGoldenJudgements(t *testing.T) {
+	paths, err := filepath.Glob(filepath.Join("testdata", "recordings", "*.jsonl.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(paths) < leastRecordings {
+		t.Fatalf("%d recordings, want at least %d", len(paths), leastRecordings)
+	}
+	for _, path := range paths {
+		name := strings.TrimSuffix(filepath.Base(path), ".jsonl.gz")
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			r, err := historytest.Read(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(r.Events) == 0 {
+				t.Fatal("no events")
+			}
+			var out strings.Builder
+			for _, v := range judgedVariants {
+				v.judge(t, &out, r)
+			}
+			checkLines(t, filepath.Join("testdata", "judgements", name+".jsonl"), out.String())
+		})
+	}
+}
+
+// checkLines compares a text with a file and shows the first line that differs, since both are long.
+func checkLines(t *testing.T, path, got string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		g, w := lineAt(gotLines, i), lineAt(wantLines, i)
+		if g != w {
+			t.Errorf("%s: %d lines, want %d; first at line %d: got\n%s\nwant\n%s", path, len(gotLines), len(wantLines), i+1, g, w)
+			return
+		}
+	}
+}
+
+// lineAt is one of lines, or a text that says that there is none.
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return "(no line)"
+}
+
+// variant is a form in which a recording is judged. A history of the program as it is breaks hardly a rule by its own figures; the other
+// forms break many, and show each rule and each exemption at work.
+type variant struct {
+	name   string
+	rules  func(*historytest.Recording) history.Rules
+	events func([]history.Event) []history.Event
+}
+
+var judgedVariants = []variant{
+	{"as recorded", recordedRules, unchanged},
+	{"without exemptions", recordedRules, withoutExemptions},
+	{"tight rules", tightRules, unchanged},
+	{"tight rules, without exemptions", tightRules, withoutExemptions},
+	{"keyed classes", keyedRules, unchanged},
+	{"late ends", recordedRules, lateEnds},
+	{"damaged", recordedRules, damaged},
+	{"damaged, without exemptions", recordedRules, func(events []history.Event) []history.Event { return withoutExemptions(damaged(events)) }},
+}
+
+func unchanged(events []history.Event) []history.Event { return slices.Clone(events) }
+
+func recordedRules(r *historytest.Recording) history.Rules { return r.Play.Rules.Checker() }
+
+// tightRules allow less than the program is bound to, and let no class run twice.
+func tightRules(r *historytest.Recording) history.Rules {
+	rules := r.Play.Rules.Checker()
+	rules.Slack = -300 * time.Millisecond
+	rules.AnswerSlack = -700 * time.Millisecond
+	rules.DrainWithin = 350 * time.Millisecond
+	rules.ReleaseAfter = 310 * time.Millisecond
+	rules.FallMultiple /= 8
+	rules.Chance = !rules.Chance
+	rules.Unsafe = classesOf(r.Events)
+	rules.Keyed = nil
+	return rules
+}
+
+// keyedRules hold each class to drop its repeats at one replica, for a short time.
+func keyedRules(r *historytest.Recording) history.Rules {
+	rules := r.Play.Rules.Checker()
+	rules.Unsafe, rules.Keyed = nil, map[string]history.Keyed{}
+	for _, class := range classesOf(r.Events) {
+		rules.Keyed[class] = history.Keyed{Window: 20 * time.Millisecond, Alike: func(a, b string) bool { return a == b }}
+	}
+	rules.Slack = 0
+	return rules
+}
+
+// classesOf are the classes of the requests that came at replicas, by name.
+func classesOf(events []history.Event) []string {
+	classes := map[string]bool{}
+	for _, e := range events {
+		if e.Kind == history.Came {
+			classes[e.Class] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(classes))
+}
+
+// withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a fault.
+func withoutExemptions(events []history.Event) []history.Event {
+	events = slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind == history.Down })
+	for i := range events {
+		events[i].Sound = true
+	}
+	return events
+}
+
+// lateEnds moves the ends of some attempts back, so that an attempt is still out as its request's next one comes.
+func lateEnds(events []history.Event) []history.Event {
+	events = slices.Clone(events)
+	for i, e := range events {
+		if e.Kind == history.Ended && i%3 == 0 {
+			events[i].At += 400 * time.Millisecond
+		}
+	}
+	return events
+}
+
+// damaged turns one event in some tens into another kind, in turn, and so breaks rules that no play breaks.
+func damaged(events []history.Event) []history.Event {
+	const oneIn = 29
+	kinds := []history.Kind{history.Extra, history.Foreign, history.Quit, history.Dropped, history.Waited, history.HeldOpen, history.Closed,
+		history.Answered, history.Told, history.Listed, history.Held, history.Freed, history.Ended, history.Began, history.Came, history.Down,
+		history.Cold}
+	events = slices.Clone(events)
+	for i := oneIn; i < len(events); i += oneIn {
+		e := &events[i]
+		e.Kind = kinds[i/oneIn%len(kinds)]
+		e.Lasted = cmp.Or(e.Lasted, 4*time.Second)
+		switch e.Kind {
+		case history.Answered:
+			e.Status, e.Lag = 200, time.Second
+			if i%2 == 0 {
+				e.Status = 429
+			}
+		case history.Told, history.Listed:
+			e.Version = uint64(i)
+		case history.Came:
+			e.Told = 20 * time.Second
+		case history.Cold:
+			e.Weight, e.Until = 0.05, e.At+5*time.Second
+		case history.Down:
+			e.Until = e.At + 300*time.Millisecond
+			e.Class = []string{history.DownKilled, history.DownEnded, history.DownPaused}[i%3]
+		}
+	}
+	return events
+}
+
+// Lines of the judgements, by keys that are fixed here.
+type (
+	countLine struct {
+		Variant string         `json:"variant"`
+		Check   string         `json:"check"`
+		Counts  map[string]int `json:"counts"`
+	}
+	breachLine struct {
+		Rule    string        `json:"rule"`
+		At      time.Duration `json:"at_ns"`
+		Request string        `json:"request,omitempty"`
+		Replica string        `json:"replica,omitempty"`
+		Text    string        `json:"text"`
+		Line    string        `json:"line,omitempty"` // all of it in one line, as a report has it
+	}
+	staleLine struct {
+		Stale      string        `json:"stale"` // the request
+		At         time.Duration `json:"at_ns"`
+		Dispatcher int           `json:"dispatcher"`
+		Replica    string        `json:"replica"`
+	}
+)
+
+func (v variant) judge(t *testing.T, out *strings.Builder, r *historytest.Recording) {
+	t.Helper()
+	rules, events := v.rules(r), v.events(r.Events)
+	given := slices.Clone(events)
+	breaches := history.Check(events, rules)
+	if !slices.IsSortedFunc(breaches, func(a, b history.Breach) int { return cmp.Compare(a.At, b.At) }) {
+		t.Errorf("%s: the breaches are not in the order of their times", v.name)
+	}
+	slices.SortFunc(breaches, func(a, b history.Breach) int { // breaches of one time are in no order
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Replica, b.Replica),
+			cmp.Compare(a.Text, b.Text))
+	})
+	v.write(t, out, "rules", breaches)
+	v.write(t, out, "strict rules", history.CheckStrict(events, rules))
+	stale := history.Stale(events, rules.DrainWithin)
+	writeLine(t, out, countLine{v.name, "stale", map[string]int{"stale": len(stale)}})
+	for _, e := range stale {
+		writeLine(t, out, staleLine{e.Request, e.At, e.Dispatcher, e.Replica})
+	}
+	if !slices.Equal(given, events) {
+		t.Errorf("%s: the checker has changed the events that it was given", v.name)
+	}
+}
+
+func (v variant) write(t *testing.T, out *strings.Builder, check string, breaches []history.Breach) {
+	t.Helper()
+	counts := map[string]int{}
+	for _, b := range breaches {
+		counts[b.Rule]++
+	}
+	writeLine(t, out, countLine{v.name, check, counts})
+	for i, b := range breaches {
+		line := breachLine{Rule: b.Rule, At: b.At, Request: b.Request, Replica: b.Replica, Text: b.Text}
+		if i == 0 {
+			line.Line = fmt.Sprint(b)
+		}
+		writeLine(t, out, line)
+	}
+}
+
+func writeLine(t *testing.T, out *strings.Builder, line any) {
+	t.Helper()
+	text, err := json.Marshal(line)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(out, "%s\n", text)
+}
