--- a/internal/rig/clients.go
+++ b/internal/rig/clients.go
@@ -281,7 +281,7 @@
 			}
 			return outcome{status: "unreachable"}
 		}
-		e := history.Event{Kind: history.Asked, Request: id, Group: s.group, Class: s.class.name, Dispatcher: d, Until: h.Now() + patience}
+		e := history.Event{Kind: history.RequestSent, Request: id, Group: s.group, Class: s.class.name, Dispatcher: d, Until: h.Now() + patience}
 		h.Add(e)
 		k.SetReadDeadline(time.Now().Add(patience + overtime))
 		if leaves {
@@ -300,13 +300,13 @@
 			// A close between requests may cross one that the dispatcher has not read: it goes once more on a new
 			// connection, unless the process is known to have ended.
 			if k.used && !fresh && !isTimeout(err) && c.run.procs[d].upSince(asked) {
-				h.Add(history.Event{Kind: history.Dropped, Request: id, Dispatcher: d, Sound: k.Link().Sound(asked.Add(-time.Second))})
+				h.Add(history.Event{Kind: history.ConnectionDropped, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
 				if d = c.run.front.pick(s.zone); d < 0 {
 					return outcome{status: "unreachable"}
 				}
 				continue
 			}
-			h.Add(history.Event{Kind: history.Quit, Request: id, Dispatcher: d, Sound: k.Link().Sound(asked.Add(-time.Second)) && c.run.procs[d].upSince(asked)})
+			h.Add(history.Event{Kind: history.ClientGaveUp, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second)) && c.run.procs[d].upSince(asked)})
 			return outcome{status: "unanswered"}
 		}
 		return c.follow(k, resp, s, id, start, asked, out)
@@ -322,14 +322,14 @@
 func (c *clients) follow(k *conn, resp *http.Response, s *spec, id string, start, asked time.Time, out *result) outcome {
 	h := c.run.history
 	defer resp.Body.Close()
-	event := history.Event{Kind: history.Answered, Request: id, Group: s.group, Class: s.class.name, Dispatcher: k.dispatcher,
+	event := history.Event{Kind: history.ResponseReceived, Request: id, Group: s.group, Class: s.class.name, Dispatcher: k.dispatcher,
 		Status: resp.StatusCode}
 	finish := func(whole bool) {
-		event.Lasted = time.Since(asked)
-		event.Whole, event.Sound = whole, k.Link().Sound(asked.Add(-time.Second))
+		event.Elapsed = time.Since(asked)
+		event.Complete, event.LinkHealthy = whole, k.Link().Sound(asked.Add(-time.Second))
 		h.Add(event)
 		if n := k.r.Buffered(); whole && n > 0 {
-			h.Add(history.Event{Kind: history.Extra, Request: id, Dispatcher: k.dispatcher})
+			h.Add(history.Event{Kind: history.ExtraBytesReceived, Request: id, Dispatcher: k.dispatcher})
 		}
 		if whole && !resp.Close && k.r.Buffered() == 0 {
 			k.SetReadDeadline(time.Time{})
@@ -358,11 +358,11 @@
 		if strings.Contains(line, `"content":`) {
 			if last = time.Now(); tokens == 0 {
 				first = last
-				h.Add(history.Event{Kind: history.First, Request: id, Dispatcher: k.dispatcher, Sound: k.Link().Sound(asked.Add(-time.Second))})
+				h.Add(history.Event{Kind: history.FirstEventReceived, Request: id, Dispatcher: k.dispatcher, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
 			}
-			event.Lag = max(event.Lag, c.run.cluster.lag(id, tokens))
+			event.MaxEventDelay = max(event.MaxEventDelay, c.run.cluster.lag(id, tokens))
 			if !strings.Contains(line, mark(id, tokens)) {
-				h.Add(history.Event{Kind: history.Foreign, Request: id, Dispatcher: k.dispatcher})
+				h.Add(history.Event{Kind: history.ForeignResponseReceived, Request: id, Dispatcher: k.dispatcher})
 			}
 			tokens += eventTokens
 		}
@@ -371,7 +371,7 @@
 	err := lines.Err()
 	finish(err == nil)
 	if err == nil && !done {
-		h.Add(history.Event{Kind: history.Foreign, Request: id, Dispatcher: k.dispatcher})
+		h.Add(history.Event{Kind: history.ForeignResponseReceived, Request: id, Dispatcher: k.dispatcher})
 	}
 	if err != nil || !done {
 		return outcome{status: "broken"}
--- a/internal/rig/cluster.go
+++ b/internal/rig/cluster.go
@@ -124,7 +124,7 @@
 	}
 	delete(c.states, id)
 	s.drop.Stop()
-	c.history.Add(history.Event{Kind: history.Freed, Request: id, Replica: s.reader.name, Dispatcher: -1, Sound: sound})
+	c.history.Add(history.Event{Kind: history.StateReleased, Request: id, Replica: s.reader.name, Dispatcher: -1, LinkHealthy: sound})
 	return s
 }
 
@@ -157,7 +157,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.states[id] = &state{reader: r, tokens: tokens, drop: time.AfterFunc(heldMost, func() { c.take(id, true) })}
-	c.history.Add(history.Event{Kind: history.Held, Request: id, Replica: r.name, Dispatcher: dispatcher})
+	c.history.Add(history.Event{Kind: history.StateReserved, Request: id, Replica: r.name, Dispatcher: dispatcher})
 }
 
 // heldAt is how many tokens of states wait at a reader.
--- a/internal/rig/demo.go
+++ b/internal/rig/demo.go
@@ -23,7 +23,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	r := &Run{scenario: &Scenario{Name: "demo", Zones: 3, Readers: 3, Writers: 3}, options: o, history: history.NewRecorder(),
-		rules: history.Rules{FallMultiple: 2.5, FallSpan: seconds(2), ColdFrom: 0.34}, anyone: true}
+		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: seconds(2), InitialCapacity: 0.34}, anyone: true}
 	dir, err := os.MkdirTemp("", "fleetrig-")
 	if err != nil {
 		return nil, fmt.Errorf("demo: %w", err)
--- a/internal/rig/deployment.go
+++ b/internal/rig/deployment.go
@@ -117,15 +117,15 @@
 // rules are the figures that the checker holds the dispatchers to.
 func (d *deployment) rules(replicas func(name string) *replica) history.Rules {
 	r := history.Rules{AnswerSlack: 58 * time.Millisecond, DrainWithin: d.binds + 50*time.Millisecond, ReleaseAfter: d.release + 300*time.Millisecond,
-		FallMultiple: 2.5, FallSpan: 2 * time.Second, ColdFrom: 0.34, Slack: 150 * time.Millisecond, Keyed: map[string]history.Keyed{}}
-	r.Longest = d.longest()
+		OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second, InitialCapacity: 0.34, Slack: 150 * time.Millisecond, Deduplicated: map[string]history.Deduplication{}}
+	r.LongestDeadline = d.longest()
 	for _, c := range d.classes {
 		switch c.effect {
 		case "fragile":
-			r.Unsafe = append(r.Unsafe, c.name)
+			r.NonIdempotent = append(r.NonIdempotent, c.name)
 		case "dedup":
-			r.Keyed[c.name] = history.Keyed{Window: c.window, All: c.group == "all",
-				Alike: func(a, b string) bool { return d.alike(c, replicas(a), replicas(b)) }}
+			r.Deduplicated[c.name] = history.Deduplication{Window: c.window, AllReplicas: c.group == "all",
+				SameDomain: func(a, b string) bool { return d.alike(c, replicas(a), replicas(b)) }}
 		}
 	}
 	return r
@@ -176,8 +176,8 @@
 			"localRead": false, "releaseWithinMs": p.release.Milliseconds(), "tokenAimMs": tokens, "resume": false},
 		"limits": map[string]any{"cancelling": true, "connIdleMs": 15000, "connectTimeoutMs": p.connect.Milliseconds(), "maxRetryAfterMs": 500,
 			"mostHeld": 20000, "mostTries": r.procs[d].tries, "probing": p.probes, "retryAfter": p.retry, "secondCopies": true},
-		"rules": map[string]any{"answerSlackMs": 8, "coldFrom": r.rules.ColdFrom, "coldMs": warmAfter.Milliseconds(),
-			"fallMultiple": r.rules.FallMultiple, "stopSendingWithinMs": p.binds.Milliseconds(), "tipAfterMs": r.rules.FallSpan.Milliseconds()},
+		"rules": map[string]any{"answerSlackMs": 8, "coldFrom": r.rules.InitialCapacity, "coldMs": warmAfter.Milliseconds(),
+			"fallMultiple": r.rules.OverloadMultiple, "stopSendingWithinMs": p.binds.Milliseconds(), "tipAfterMs": r.rules.OverloadWindow.Milliseconds()},
 		"telemetry": telemetry,
 	}
 }
--- a/internal/rig/deployments_test.go
+++ b/internal/rig/deployments_test.go
@@ -46,7 +46,7 @@
 				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Asked, r.ByStatus)
 			}
 			plan := drawDeployment(day.Zones, seed)
-			if n := count(r.events, history.Probe); !plan.probes && n > 0 {
+			if n := count(r.events, history.LoadPolled); !plan.probes && n > 0 {
 				t.Errorf("%d probes where the settings allow none", n)
 			}
 			mutants(t, r.events, plan)
@@ -78,7 +78,7 @@
 	rules := plan.rules(func(string) *replica { return &replica{} })
 	rng := rand.New(rand.NewPCG(uint64(len(events)), 1))
 	blamed := func(d int) bool {
-		return slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.Down && e.Dispatcher == d })
+		return slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ProcessDown && e.Dispatcher == d })
 	}
 	find := func(what string, ok func(e history.Event) bool) (history.Event, bool) {
 		var at []history.Event
@@ -94,34 +94,34 @@
 		return at[rng.IntN(len(at))], true
 	}
 	later := func(e history.Event, d time.Duration, kind history.Kind) history.Event {
-		e.At, e.Sent, e.Kind, e.Sound = e.At+d, 0, kind, true
+		e.At, e.SentAt, e.Kind, e.LinkHealthy = e.At+d, 0, kind, true
 		return e
 	}
 	long := time.Minute // after all that can excuse it
 	for rule, mutate := range map[string]func() ([]history.Event, bool){
-		history.Drains: func() ([]history.Event, bool) {
-			told, ok := find("a send to a leaving server", func(e history.Event) bool { return e.Kind == history.Told })
-			gone := later(told, long, history.Told)
-			return []history.Event{gone, later(gone, rules.DrainWithin+rules.Slack+1, history.Came)}, ok
+		history.RuleOrderlyDrain: func() ([]history.Event, bool) {
+			told, ok := find("a send to a leaving server", func(e history.Event) bool { return e.Kind == history.EndpointWithdrawn })
+			gone := later(told, long, history.EndpointWithdrawn)
+			return []history.Event{gone, later(gone, rules.DrainWithin+rules.Slack+1, history.AttemptArrived)}, ok
 		},
-		history.NoSecond: func() ([]history.Event, bool) {
+		history.RuleSingleExecution: func() ([]history.Event, bool) {
 			ran, ok := find("a second run", func(e history.Event) bool {
-				return e.Kind == history.Began && slices.Contains(rules.Unsafe, e.Class)
+				return e.Kind == history.ExecutionStarted && slices.Contains(rules.NonIdempotent, e.Class)
 			})
-			return []history.Event{later(ran, long, history.Began)}, ok
+			return []history.Event{later(ran, long, history.ExecutionStarted)}, ok
 		},
-		history.OneAnswer: func() ([]history.Event, bool) {
-			asked, ok := find("a lost answer", func(e history.Event) bool { return e.Kind == history.Asked && !blamed(e.Dispatcher) })
-			lost := later(asked, long, history.Asked)
+		history.RuleSingleResponse: func() ([]history.Event, bool) {
+			asked, ok := find("a lost answer", func(e history.Event) bool { return e.Kind == history.RequestSent && !blamed(e.Dispatcher) })
+			lost := later(asked, long, history.RequestSent)
 			lost.Request, lost.Until = "lost", lost.At+time.Second
-			return []history.Event{lost, later(lost, 2*time.Second, history.Quit)}, ok
+			return []history.Event{lost, later(lost, 2*time.Second, history.ClientGaveUp)}, ok
 		},
-		history.Pinned: func() ([]history.Event, bool) {
-			held, ok := find("a state held too long", func(e history.Event) bool { return e.Kind == history.Held && !blamed(e.Dispatcher) })
+		history.RuleReservationRelease: func() ([]history.Event, bool) {
+			held, ok := find("a state held too long", func(e history.Event) bool { return e.Kind == history.StateReserved && !blamed(e.Dispatcher) })
 			held.Request = "pinned"
-			came := later(held, long, history.Came)
-			return []history.Event{came, later(came, 1, history.Held), later(came, 2, history.Ended),
-				later(came, 3+rules.ReleaseAfter+rules.Slack, history.Freed)}, ok
+			came := later(held, long, history.AttemptArrived)
+			return []history.Event{came, later(came, 1, history.StateReserved), later(came, 2, history.AttemptEnded),
+				later(came, 3+rules.ReleaseAfter+rules.Slack, history.StateReleased)}, ok
 		},
 	} {
 		added, ok := mutate()
@@ -129,7 +129,7 @@
 			continue
 		}
 		got := history.Check(append(slices.Clone(events), added...), rules)
-		if !slices.ContainsFunc(got, func(b history.Breach) bool { return b.Rule == rule && b.At >= added[0].At }) {
+		if !slices.ContainsFunc(got, func(b history.Violation) bool { return b.Rule == rule && b.At >= added[0].At }) {
 			t.Errorf("the checker does not see a breach of %s", rule)
 		}
 	}
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		if e.state == "ready" { // whoever has not heard of what came before does no wrong from now on
-			d.history.Add(history.Event{Kind: history.Listed, Replica: e.replica.name, Dispatcher: i, Version: e.version})
+			d.history.Add(history.Event{Kind: history.EndpointReady, Replica: e.replica.name, Dispatcher: i, Version: e.version})
 			continue
 		}
 		due := time.Duration(0)
@@ -130,7 +130,7 @@
 		if at, ok := d.moved[i]; ok {
 			due = max(due, d.moveGrace-time.Since(at))
 		}
-		told := history.Event{Kind: history.Told, Replica: e.replica.name, Dispatcher: i, Version: e.version}
+		told := history.Event{Kind: history.EndpointWithdrawn, Replica: e.replica.name, Dispatcher: i, Version: e.version}
 		if due <= 0 {
 			d.history.Add(told)
 			continue
@@ -249,9 +249,9 @@
 // tell writes a list to a dispatcher and notes what it was told.
 func (d *discovery) tell(w io.Writer, l list, dispatcher int) error {
 	for _, in := range l.Instances {
-		kind := history.Listed
+		kind := history.EndpointReady
 		if in.Lifecycle != "ready" {
-			kind = history.Told
+			kind = history.EndpointWithdrawn
 		}
 		d.history.Add(history.Event{Kind: kind, Replica: in.ID, Dispatcher: dispatcher, Version: l.Generation})
 	}
@@ -275,7 +275,7 @@
 func (d *discovery) answer(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	var version uint64
 	watch := r.URL.Query().Get("stream") != ""
-	d.history.Add(history.Event{Kind: history.Called, Dispatcher: dispatcher})
+	d.history.Add(history.Event{Kind: history.DiscoveryRequested, Dispatcher: dispatcher})
 	if _, err := fmt.Sscan(r.URL.Query().Get("index"), &version); watch && err != nil && !errors.Is(err, io.EOF) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/internal/rig/drain.go
+++ b/internal/rig/drain.go
@@ -26,8 +26,8 @@
 		return
 	}
 	for _, why := range r.asking.outlasting(d, begun) {
-		r.history.Add(history.Event{Kind: history.HeldOpen, Dispatcher: d, Lasted: time.Since(begun), Class: why,
-			Sound: r.links.clients[d].Sound(begun) && r.procs[d].upSince(begun)})
+		r.history.Add(history.Event{Kind: history.ConnectionLingers, Dispatcher: d, Elapsed: time.Since(begun), Class: why,
+			LinkHealthy: r.links.clients[d].Sound(begun) && r.procs[d].upSince(begun)})
 	}
 	sleep(ctx, seconds(f.For)-time.Since(begun))
 	if _, err := admin.Request(r.addrs.ops(d), "drain-off", opsWait); err != nil {
--- a/internal/rig/filings.go
+++ b/internal/rig/filings.go
@@ -154,7 +154,7 @@
 	defer f.mu.Unlock()
 	ran := map[string]int{}
 	for _, e := range events {
-		if e.Kind == history.Began && strings.Contains(e.Group, "key-") {
+		if e.Kind == history.ExecutionStarted && strings.Contains(e.Group, "key-") {
 			ran[e.Group]++
 		}
 	}
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -149,7 +149,7 @@
 			for i, m := range s.Members {
 				if last[m.Name] != m.State && i != d {
 					last[m.Name] = m.State
-					r.history.Add(history.Event{Kind: history.View, Dispatcher: d, Replica: r.names[i], Request: m.State})
+					r.history.Add(history.Event{Kind: history.MembershipView, Dispatcher: d, Replica: r.names[i], Request: m.State})
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 		byName[n] = i
 	}
 	for _, e := range events {
-		if e.Kind == history.Down {
+		if e.Kind == history.ProcessDown {
 			downs[names[e.Dispatcher]] = append(downs[names[e.Dispatcher]], e)
 		}
 	}
@@ -183,7 +183,7 @@
 		return nil
 	}
 	for _, e := range events {
-		if e.Kind != history.View || e.Request == "alive" || e.Request == "joining" || e.Request == "unknown" {
+		if e.Kind != history.MembershipView || e.Request == "alive" || e.Request == "joining" || e.Request == "unknown" {
 			continue
 		}
 		const settle = 3 * time.Second // after a process is back, what was said of its last life may still come
@@ -218,7 +218,7 @@
 	for _, e := range events {
 		switch {
 		case e.At > end:
-		case e.Kind == history.Probe && e.Class == dutyProbe:
+		case e.Kind == history.LoadPolled && e.Class == dutyProbe:
 			all++
 			look(e.Replica, e.At)
 			away[e.Replica] = false
@@ -226,7 +226,7 @@
 				doubled++
 			}
 			most[e.Replica] = max(most[e.Replica], e.Weight)
-		case e.Kind == history.Told || e.Kind == history.Cold:
+		case e.Kind == history.EndpointWithdrawn || e.Kind == history.ReplicaStarted:
 			away[e.Replica] = true // until its first probe again
 		}
 	}
--- a/internal/rig/history/check.go
+++ b/internal/rig/history/check.go
@@ -10,30 +10,30 @@
 
 // Rules are the figures that the checker holds a history to; the platform's settings have them.
 type Rules struct {
-	AnswerSlack  time.Duration    // beyond a client's deadline
-	DrainWithin  time.Duration    // from the news of a drain to the last new request's first byte
-	ReleaseAfter time.Duration    // what is held, counted from the end of the last attempt
-	FallMultiple float64          // a cold replica bears so many times its present capacity,
-	FallSpan     time.Duration    // over any such span
-	ColdFrom     float64          // the part of its capacity that it starts with
-	Longest      time.Duration    // deadline of any class
-	Unsafe       []string         // classes that must not run twice
-	Keyed        map[string]Keyed // classes whose repeats some replicas drop, by name
+	AnswerSlack      time.Duration            // beyond a client's deadline
+	DrainWithin      time.Duration            // from the news of a drain to the last new request's first byte
+	ReleaseAfter     time.Duration            // what is held, counted from the end of the last attempt
+	OverloadMultiple float64                  // a cold replica bears so many times its present capacity,
+	OverloadWindow   time.Duration            // over any such span
+	InitialCapacity  float64                  // the part of its capacity that it starts with
+	LongestDeadline  time.Duration            // deadline of any class
+	NonIdempotent    []string                 // classes that must not run twice
+	Deduplicated     map[string]Deduplication // classes whose repeats some replicas drop, by name
 	// Slack is added to each time: the processes share the machine with the rig.
 	Slack time.Duration
-	// Chance lets a cold replica get as much more than its budget as chance gives, by the operators' figures. Without, one request more.
-	Chance bool
+	// RandomArrivals lets a cold replica get as much more than its budget as chance gives, by the operators' figures. Without, one request more.
+	RandomArrivals bool
 }
 
-// Keyed says where a class may run again.
-type Keyed struct {
-	Window time.Duration          // from the send of the first attempt that may have run
-	Alike  func(a, b string) bool // the replicas drop each other's repeats
-	All    bool                   // all do: then a refusal is harmless
+// Deduplication says where a class may run again.
+type Deduplication struct {
+	Window      time.Duration          // from the send of the first attempt that may have run
+	SameDomain  func(a, b string) bool // the replicas drop each other's repeats
+	AllReplicas bool                   // all do: then a refusal is harmless
 }
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
 	Request string        `json:"request,omitempty"`
@@ -42,28 +42,28 @@
 }
 
 // String is the breach in one line.
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("rule=%s at=%v request=%s replica=%s %s", b.Rule, b.At.Round(time.Millisecond), b.Request, b.Replica, b.Text)
 }
 
 // The names of the rules.
 const (
-	OneAnswer = "one_answer"
-	NoSecond  = "no_second_run"
-	Drains    = "drains"
-	ColdRule  = "cold"
-	Pinned    = "pinned"
+	RuleSingleResponse     = "one_answer"
+	RuleSingleExecution    = "no_second_run"
+	RuleOrderlyDrain       = "drains"
+	RuleSlowStart          = "cold"
+	RuleReservationRelease = "pinned"
 )
 
 // Check is every breach in a history, by time.
-func Check(events []Event, r Rules) []Breach {
+func Check(events []Event, r Rules) []Violation {
 	c := newChecker(events, r)
 	c.answers()
 	c.runs()
 	c.drains()
 	c.cold()
 	c.pinned()
-	slices.SortStableFunc(c.out, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.out, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return c.out
 }
 
@@ -82,7 +82,7 @@
 func downs(events []Event) map[int][]Event {
 	out := map[int][]Event{}
 	for _, e := range events {
-		if e.Kind == Down {
+		if e.Kind == ProcessDown {
 			out[e.Dispatcher] = append(out[e.Dispatcher], e)
 		}
 	}
@@ -93,11 +93,11 @@
 	rules  Rules
 	events []Event
 	down   map[int][]Event
-	out    []Breach
+	out    []Violation
 }
 
 func (c *checker) breach(rule string, e Event, format string, args ...any) {
-	c.out = append(c.out, Breach{rule, e.At, e.Request, e.Replica, fmt.Sprintf(format, args...)})
+	c.out = append(c.out, Violation{rule, e.At, e.Request, e.Replica, fmt.Sprintf(format, args...)})
 }
 
 // blameless tells whether a process was down or paused at any time of a span.
@@ -116,29 +116,29 @@
 	done := map[string]bool{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Asked:
+		case RequestSent:
 			open[e.Request] = e
-		case First, Answered:
-			if done[e.Request] && e.Kind == Answered {
-				c.breach(OneAnswer, e, "a second final answer")
+		case FirstEventReceived, ResponseReceived:
+			if done[e.Request] && e.Kind == ResponseReceived {
+				c.breach(RuleSingleResponse, e, "a second final answer")
 			}
 			asked, ok := open[e.Request]
 			late := asked.Until + c.rules.AnswerSlack + c.rules.Slack
-			if ok && e.At > late && e.Sound && !c.blameless(asked.Dispatcher, asked.At, e.At) {
-				c.breach(OneAnswer, e, "answered %v after the deadline", e.At-asked.Until)
+			if ok && e.At > late && e.LinkHealthy && !c.blameless(asked.Dispatcher, asked.At, e.At) {
+				c.breach(RuleSingleResponse, e, "answered %v after the deadline", e.At-asked.Until)
 			}
 			delete(open, e.Request)
-			done[e.Request] = done[e.Request] || e.Kind == Answered
-		case Extra:
-			c.breach(OneAnswer, e, "bytes behind the final answer")
-		case Foreign:
-			c.breach(OneAnswer, e, "served with what no replica made for it")
-		case Quit:
+			done[e.Request] = done[e.Request] || e.Kind == ResponseReceived
+		case ExtraBytesReceived:
+			c.breach(RuleSingleResponse, e, "bytes behind the final answer")
+		case ForeignResponseReceived:
+			c.breach(RuleSingleResponse, e, "served with what no replica made for it")
+		case ClientGaveUp:
 			asked, ok := open[e.Request]
 			delete(open, e.Request)
 			// A client that quits before its deadline lost its connection; one that quits after it was kept waiting.
-			if ok && e.Sound && !c.blameless(asked.Dispatcher, asked.At, max(e.At, asked.Until)) {
-				c.breach(OneAnswer, e, "no final answer by dispatcher %d", asked.Dispatcher)
+			if ok && e.LinkHealthy && !c.blameless(asked.Dispatcher, asked.At, max(e.At, asked.Until)) {
+				c.breach(RuleSingleResponse, e, "no final answer by dispatcher %d", asked.Dispatcher)
 			}
 		}
 	}
@@ -149,25 +149,25 @@
 	began := map[string]Event{}
 	tried := map[string]time.Duration{} // when the attempts came, by request and replica
 	for _, e := range c.events {
-		if e.Kind == Came {
+		if e.Kind == AttemptArrived {
 			tried[e.Request+" "+e.Replica] = e.At
 		}
-		if k, ok := c.rules.Keyed[e.Class]; ok {
+		if k, ok := c.rules.Deduplicated[e.Class]; ok {
 			c.keyed(k, e, began, tried)
 		}
-		if !slices.Contains(c.rules.Unsafe, e.Class) {
+		if !slices.Contains(c.rules.NonIdempotent, e.Class) {
 			continue
 		}
 		switch e.Kind {
-		case Began:
+		case ExecutionStarted:
 			if first, ok := began[e.Group]; ok {
-				c.breach(NoSecond, e, "group %s ran at %s %v before", e.Group, first.Replica, e.At-first.At)
+				c.breach(RuleSingleExecution, e, "group %s ran at %s %v before", e.Group, first.Replica, e.At-first.At)
 			} else {
 				began[e.Group] = e
 			}
-		case Answered:
+		case ResponseReceived:
 			if first, ok := began[e.Group]; ok && (e.Status == 429 || e.Status == 503) {
-				c.breach(NoSecond, e, "refused with %d after it began at %s", e.Status, first.Replica)
+				c.breach(RuleSingleExecution, e, "refused with %d after it began at %s", e.Status, first.Replica)
 			}
 		}
 	}
@@ -175,18 +175,18 @@
 
 // keyed: what some replicas drop repeats of runs again only at one of these, sent within the window, and is refused after it
 // may have run only where all do.
-func (c *checker) keyed(k Keyed, e Event, began map[string]Event, tried map[string]time.Duration) {
+func (c *checker) keyed(k Deduplication, e Event, began map[string]Event, tried map[string]time.Duration) {
 	first, ok := began[e.Request]
 	switch {
-	case e.Kind == Began && !ok:
-		e.Sent = tried[e.Request+" "+e.Replica]
+	case e.Kind == ExecutionStarted && !ok:
+		e.SentAt = tried[e.Request+" "+e.Replica]
 		began[e.Request] = e
-	case e.Kind == Began && !k.Alike(first.Replica, e.Replica):
-		c.breach(NoSecond, e, "ran at %s %v before, which does not drop its repeats", first.Replica, e.At-first.At)
-	case e.Kind == Began && tried[e.Request+" "+e.Replica] > first.Sent+k.Window+c.rules.Slack:
-		c.breach(NoSecond, e, "sent again %v after it was sent to %s, which drops repeats for %v", tried[e.Request+" "+e.Replica]-first.Sent, first.Replica, k.Window)
-	case e.Kind == Answered && ok && !k.All && (e.Status == 429 || e.Status == 503):
-		c.breach(NoSecond, e, "refused with %d after it began at %s", e.Status, first.Replica)
+	case e.Kind == ExecutionStarted && !k.SameDomain(first.Replica, e.Replica):
+		c.breach(RuleSingleExecution, e, "ran at %s %v before, which does not drop its repeats", first.Replica, e.At-first.At)
+	case e.Kind == ExecutionStarted && tried[e.Request+" "+e.Replica] > first.SentAt+k.Window+c.rules.Slack:
+		c.breach(RuleSingleExecution, e, "sent again %v after it was sent to %s, which drops repeats for %v", tried[e.Request+" "+e.Replica]-first.SentAt, first.Replica, k.Window)
+	case e.Kind == ResponseReceived && ok && !k.AllReplicas && (e.Status == 429 || e.Status == 503):
+		c.breach(RuleSingleExecution, e, "refused with %d after it began at %s", e.Status, first.Replica)
 	}
 }
 
@@ -201,13 +201,13 @@
 	for _, e := range c.events {
 		p := pair{e.Dispatcher, e.Replica}
 		switch e.Kind {
-		case Told:
+		case EndpointWithdrawn:
 			if _, ok := told[p]; !ok {
 				told[p] = e.At
 			}
-		case Listed:
+		case EndpointReady:
 			delete(told, p)
-		case Came:
+		case AttemptArrived:
 			since, ok := told[p]
 			if !ok {
 				continue
@@ -219,14 +219,14 @@
 				}
 			}
 			if at > since+c.rules.DrainWithin+c.rules.Slack {
-				c.breach(Drains, e, "%v after dispatcher %d knew", at-since, e.Dispatcher)
+				c.breach(RuleOrderlyDrain, e, "%v after dispatcher %d knew", at-since, e.Dispatcher)
 			}
 		}
 	}
 }
 
-// Budget is what a cold replica bears: over any span its multiple of what it can do at the span's end.
-type Budget struct {
+// SlowStartBudget is what a cold replica bears: over any span its multiple of what it can do at the span's end.
+type SlowStartBudget struct {
 	Rules Rules
 	Start Event // its Cold event
 	came  []Event
@@ -234,22 +234,22 @@
 
 // Add takes what came at a replica and tells whether it went past the budget. One request more is chance:
 // budgets are counted in whole requests.
-func (b *Budget) Add(e Event) (sum, allowed float64, over bool) {
+func (b *SlowStartBudget) Add(e Event) (sum, allowed float64, over bool) {
 	if e.At > b.Start.Until {
 		return 0, 0, false
 	}
 	b.came = append(b.came, e)
-	for i := len(b.came) - 1; i >= 0 && b.came[i].At > e.At-b.Rules.FallSpan; i-- {
+	for i := len(b.came) - 1; i >= 0 && b.came[i].At > e.At-b.Rules.OverloadWindow; i-- {
 		sum += b.came[i].Weight
 	}
-	allowed = b.Rules.FallMultiple * b.Start.Weight * b.Rules.Grown(b.Start, e.At) * b.Rules.FallSpan.Seconds()
+	allowed = b.Rules.OverloadMultiple * b.Start.Weight * b.Rules.CapacityFraction(b.Start, e.At) * b.Rules.OverloadWindow.Seconds()
 	return sum, allowed, sum > allowed+b.Rules.chance(allowed/e.Weight)*e.Weight
 }
 
 // chance is how many requests more than its budget of n a cold replica may get.
 func (r Rules) chance(n float64) float64 {
 	switch {
-	case !r.Chance:
+	case !r.RandomArrivals:
 		return 1
 	case n < fewRequests:
 		return 3*math.Sqrt(n) + 3
@@ -260,28 +260,28 @@
 // fewRequests is a budget under which chance is given more room.
 const fewRequests = 30
 
-// Grown is the part of its warm capacity that a replica has at a time.
-func (r Rules) Grown(start Event, at time.Duration) float64 {
+// CapacityFraction is the part of its warm capacity that a replica has at a time.
+func (r Rules) CapacityFraction(start Event, at time.Duration) float64 {
 	if at >= start.Until {
 		return 1
 	}
-	return r.ColdFrom + (1-r.ColdFrom)*float64(at-start.At)/float64(start.Until-start.At)
+	return r.InitialCapacity + (1-r.InitialCapacity)*float64(at-start.At)/float64(start.Until-start.At)
 }
 
 // cold: no cold replica gets more, over all dispatchers, than it bears.
 func (c *checker) cold() {
-	starts := map[string]*Budget{}
+	starts := map[string]*SlowStartBudget{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Cold:
-			starts[e.Replica] = &Budget{Rules: c.rules, Start: e}
-		case Came:
+		case ReplicaStarted:
+			starts[e.Replica] = &SlowStartBudget{Rules: c.rules, Start: e}
+		case AttemptArrived:
 			b := starts[e.Replica]
 			if b == nil {
 				continue
 			}
 			if sum, allowed, over := b.Add(e); over {
-				c.breach(ColdRule, e, "%.1f within %v, %.1f allowed", sum, c.rules.FallSpan, allowed)
+				c.breach(RuleSlowStart, e, "%.1f within %v, %.1f allowed", sum, c.rules.OverloadWindow, allowed)
 				delete(starts, e.Replica)
 			}
 		}
--- a/internal/rig/history/golden_test.go
+++ b/internal/rig/history/golden_test.go
@@ -115,19 +115,19 @@
 	rules.AnswerSlack = -700 * time.Millisecond
 	rules.DrainWithin = 350 * time.Millisecond
 	rules.ReleaseAfter = 310 * time.Millisecond
-	rules.FallMultiple /= 8
-	rules.Chance = !rules.Chance
-	rules.Unsafe = classesOf(r.Events)
-	rules.Keyed = nil
+	rules.OverloadMultiple /= 8
+	rules.RandomArrivals = !rules.RandomArrivals
+	rules.NonIdempotent = classesOf(r.Events)
+	rules.Deduplicated = nil
 	return rules
 }
 
 // keyedRules hold each class to drop its repeats at one replica, for a short time.
 func keyedRules(r *historytest.Recording) history.Rules {
 	rules := r.Play.Rules.Checker()
-	rules.Unsafe, rules.Keyed = nil, map[string]history.Keyed{}
+	rules.NonIdempotent, rules.Deduplicated = nil, map[string]history.Deduplication{}
 	for _, class := range classesOf(r.Events) {
-		rules.Keyed[class] = history.Keyed{Window: 20 * time.Millisecond, Alike: func(a, b string) bool { return a == b }}
+		rules.Deduplicated[class] = history.Deduplication{Window: 20 * time.Millisecond, SameDomain: func(a, b string) bool { return a == b }}
 	}
 	rules.Slack = 0
 	return rules
@@ -137,7 +137,7 @@
 func classesOf(events []history.Event) []string {
 	classes := map[string]bool{}
 	for _, e := range events {
-		if e.Kind == history.Came {
+		if e.Kind == history.AttemptArrived {
 			classes[e.Class] = true
 		}
 	}
@@ -146,9 +146,9 @@
 
 // withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a fault.
 func withoutExemptions(events []history.Event) []history.Event {
-	events = slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind == history.Down })
+	events = slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind == history.ProcessDown })
 	for i := range events {
-		events[i].Sound = true
+		events[i].LinkHealthy = true
 	}
 	return events
 }
@@ -157,7 +157,7 @@
 func lateEnds(events []history.Event) []history.Event {
 	events = slices.Clone(events)
 	for i, e := range events {
-		if e.Kind == history.Ended && i%3 == 0 {
+		if e.Kind == history.AttemptEnded && i%3 == 0 {
 			events[i].At += 400 * time.Millisecond
 		}
 	}
@@ -167,27 +167,27 @@
 // damaged turns one event in some tens into another kind, in turn, and so breaks rules that no play breaks.
 func damaged(events []history.Event) []history.Event {
 	const oneIn = 29
-	kinds := []history.Kind{history.Extra, history.Foreign, history.Quit, history.Dropped, history.Waited, history.HeldOpen, history.Closed,
-		history.Answered, history.Told, history.Listed, history.Held, history.Freed, history.Ended, history.Began, history.Came, history.Down,
-		history.Cold}
+	kinds := []history.Kind{history.ExtraBytesReceived, history.ForeignResponseReceived, history.ClientGaveUp, history.ConnectionDropped, history.PartialRequestEnded, history.ConnectionLingers, history.ClientClosed,
+		history.ResponseReceived, history.EndpointWithdrawn, history.EndpointReady, history.StateReserved, history.StateReleased, history.AttemptEnded, history.ExecutionStarted, history.AttemptArrived, history.ProcessDown,
+		history.ReplicaStarted}
 	events = slices.Clone(events)
 	for i := oneIn; i < len(events); i += oneIn {
 		e := &events[i]
 		e.Kind = kinds[i/oneIn%len(kinds)]
-		e.Lasted = cmp.Or(e.Lasted, 4*time.Second)
+		e.Elapsed = cmp.Or(e.Elapsed, 4*time.Second)
 		switch e.Kind {
-		case history.Answered:
-			e.Status, e.Lag = 200, time.Second
+		case history.ResponseReceived:
+			e.Status, e.MaxEventDelay = 200, time.Second
 			if i%2 == 0 {
 				e.Status = 429
 			}
-		case history.Told, history.Listed:
+		case history.EndpointWithdrawn, history.EndpointReady:
 			e.Version = uint64(i)
-		case history.Came:
-			e.Told = 20 * time.Second
-		case history.Cold:
+		case history.AttemptArrived:
+			e.AnnouncedTimeout = 20 * time.Second
+		case history.ReplicaStarted:
 			e.Weight, e.Until = 0.05, e.At+5*time.Second
-		case history.Down:
+		case history.ProcessDown:
 			e.Until = e.At + 300*time.Millisecond
 			e.Class = []string{history.DownKilled, history.DownEnded, history.DownPaused}[i%3]
 		}
@@ -223,16 +223,16 @@
 	rules, events := v.rules(r), v.events(r.Events)
 	given := slices.Clone(events)
 	breaches := history.Check(events, rules)
-	if !slices.IsSortedFunc(breaches, func(a, b history.Breach) int { return cmp.Compare(a.At, b.At) }) {
+	if !slices.IsSortedFunc(breaches, func(a, b history.Violation) int { return cmp.Compare(a.At, b.At) }) {
 		t.Errorf("%s: the breaches are not in the order of their times", v.name)
 	}
-	slices.SortFunc(breaches, func(a, b history.Breach) int { // breaches of one time are in no order
+	slices.SortFunc(breaches, func(a, b history.Violation) int { // breaches of one time are in no order
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Replica, b.Replica),
 			cmp.Compare(a.Text, b.Text))
 	})
 	v.write(t, out, "rules", breaches)
 	v.write(t, out, "strict rules", history.CheckStrict(events, rules))
-	stale := history.Stale(events, rules.DrainWithin)
+	stale := history.StaleAttempts(events, rules.DrainWithin)
 	writeLine(t, out, countLine{v.name, "stale", map[string]int{"stale": len(stale)}})
 	for _, e := range stale {
 		writeLine(t, out, staleLine{e.Request, e.At, e.Dispatcher, e.Replica})
@@ -242,7 +242,7 @@
 	}
 }
 
-func (v variant) write(t *testing.T, out *strings.Builder, check string, breaches []history.Breach) {
+func (v variant) write(t *testing.T, out *strings.Builder, check string, breaches []history.Violation) {
 	t.Helper()
 	counts := map[string]int{}
 	for _, b := range breaches {
--- a/internal/rig/history/held.go
+++ b/internal/rig/history/held.go
@@ -38,8 +38,8 @@
 func byLastByte(events []Event) []Event {
 	events = slices.Clone(events)
 	for i, e := range events {
-		if e.Kind == Came {
-			events[i].At = max(e.At, e.Last)
+		if e.Kind == AttemptArrived {
+			events[i].At = max(e.At, e.LastByteAt)
 		}
 	}
 	return sorted(events)
@@ -48,21 +48,21 @@
 func (k *holdChecker) take(e Event) {
 	h := k.held[e.Request]
 	switch e.Kind {
-	case Asked:
+	case RequestSent:
 		k.asked[e.Request] = e
-	case Came:
+	case AttemptArrived:
 		if h != nil {
 			k.judge(h, e.At)
 		}
 		k.out[e.Request]++
-	case Ended:
+	case AttemptEnded:
 		k.out[e.Request]--
 		if h != nil {
 			h.since = k.known(e)
 		}
-	case Held:
+	case StateReserved:
 		k.held[e.Request] = &hold{Event: e, since: e.At}
-	case Freed:
+	case StateReleased:
 		if h != nil {
 			k.judge(h, e.At)
 			delete(k.held, e.Request)
@@ -73,12 +73,12 @@
 // known is when a dispatcher knows at the latest that an attempt has ended. Where a fault may keep that from it, the attempt is out for it
 // until its client's time is over ("while no attempt of a request is outstanding": the outcome has not been delivered).
 func (k *holdChecker) known(e Event) time.Duration {
-	if e.Sound {
+	if e.LinkHealthy {
 		return e.At
 	}
 	asked, ok := k.asked[e.Request]
 	if !ok { // the id is its dispatcher's own, as on the chat front
-		return e.At + k.rules.Longest
+		return e.At + k.rules.LongestDeadline
 	}
 	return max(e.At, asked.Until)
 }
@@ -102,6 +102,6 @@
 	limit := k.rules.ReleaseAfter + k.rules.Slack
 	if k.out[h.Request] == 0 && at > since+limit {
 		e := Event{At: at, Request: h.Request, Replica: h.Replica, Dispatcher: h.Dispatcher}
-		k.breach(Pinned, e, "held for %v with no attempt out", at-since)
+		k.breach(RuleReservationRelease, e, "held for %v with no attempt out", at-since)
 	}
 }
--- a/internal/rig/history/history.go
+++ b/internal/rig/history/history.go
@@ -16,37 +16,37 @@
 // The kinds of event, by who saw them.
 const (
 	// Clients.
-	Asked    Kind = "asked"    // the last byte of a request went to a dispatcher; Until is the client's deadline
-	Answered Kind = "answered" // by a dispatcher, with Status; Whole: an answer with all its events; at the stream's end
-	First    Kind = "first"    // the first event of a stream came
-	Extra    Kind = "extra"    // bytes came behind a final answer
-	Foreign  Kind = "foreign"  // an answer with what no replica made for the request
-	Closed   Kind = "closed"   // the client closed its connection, or its half of it, of its own accord
-	Waited   Kind = "waited"   // a client that stopped in the middle of a request had its error or the close, after Lasted
-	Dropped  Kind = "dropped"  // a used connection broke without an answer, and the client sends the request once more
-	Quit     Kind = "quit"     // the client gave up, or its connection broke without an answer
+	RequestSent             Kind = "asked"    // the last byte of a request went to a dispatcher; Until is the client's deadline
+	ResponseReceived        Kind = "answered" // by a dispatcher, with Status; Whole: an answer with all its events; at the stream's end
+	FirstEventReceived      Kind = "first"    // the first event of a stream came
+	ExtraBytesReceived      Kind = "extra"    // bytes came behind a final answer
+	ForeignResponseReceived Kind = "foreign"  // an answer with what no replica made for the request
+	ClientClosed            Kind = "closed"   // the client closed its connection, or its half of it, of its own accord
+	PartialRequestEnded     Kind = "waited"   // a client that stopped in the middle of a request had its error or the close, after Lasted
+	ConnectionDropped       Kind = "dropped"  // a used connection broke without an answer, and the client sends the request once more
+	ClientGaveUp            Kind = "quit"     // the client gave up, or its connection broke without an answer
 	// Replicas.
-	Came  Kind = "came"  // a request for work came, with its work as Weight; Sent is when its sender had sent it
-	Began Kind = "began" // an attempt at a writer runs
-	Ended Kind = "ended" // an attempt that came is over
-	Held  Kind = "held"  // a read state waits at a reader
-	Freed Kind = "freed" // it was fetched, released or lost
-	Fell  Kind = "fell"  // a cold replica fell over
-	Cold  Kind = "cold"  // a replica started; it is warm at Until and has Weight as its warm capacity a second
-	Probe Kind = "probe" // a replica was asked for its load
+	AttemptArrived    Kind = "came"  // a request for work came, with its work as Weight; Sent is when its sender had sent it
+	ExecutionStarted  Kind = "began" // an attempt at a writer runs
+	AttemptEnded      Kind = "ended" // an attempt that came is over
+	StateReserved     Kind = "held"  // a read state waits at a reader
+	StateReleased     Kind = "freed" // it was fetched, released or lost
+	ReplicaOverloaded Kind = "fell"  // a cold replica fell over
+	ReplicaStarted    Kind = "cold"  // a replica started; it is warm at Until and has Weight as its warm capacity a second
+	LoadPolled        Kind = "probe" // a replica was asked for its load
 	// Discovery.
-	Called Kind = "called" // a dispatcher asked for the list, or to follow it
-	Told   Kind = "told"   // a dispatcher was told that a replica drains or is gone
-	Listed Kind = "listed" // a dispatcher was told that a replica is ready
+	DiscoveryRequested Kind = "called" // a dispatcher asked for the list, or to follow it
+	EndpointWithdrawn  Kind = "told"   // a dispatcher was told that a replica drains or is gone
+	EndpointReady      Kind = "listed" // a dispatcher was told that a replica is ready
 	// Views: Dispatcher shows that it holds the member Replica to be in the state Request.
-	View Kind = "view"
+	MembershipView Kind = "view"
 	// Health: Dispatcher begins (Whole) or ends to say no to new clients; Old: it is told an old list from At on, until Until.
-	Shut Kind = "shut"
-	Old  Kind = "old"
+	AdmissionChanged Kind = "shut"
+	StaleListServed  Kind = "old"
 	// Faults of a process: from At on it is not to blame for what it does not do, until Until (0: for good).
-	Down Kind = "down"
-	// HeldOpen: so long after an operator's drain a connection of a client was there that should have ended.
-	HeldOpen Kind = "held_open"
+	ProcessDown Kind = "down"
+	// ConnectionLingers: so long after an operator's drain a connection of a client was there that should have ended.
+	ConnectionLingers Kind = "held_open"
 )
 
 // The classes of Down: why a process was down.
@@ -58,24 +58,24 @@
 
 // Event is one thing that a stand-in saw. Which fields hold depends on the kind.
 type Event struct {
-	At         time.Duration `json:"at"` // since the run began
-	Kind       Kind          `json:"kind"`
-	Request    string        `json:"request,omitempty"` // its id, new for each try
-	Group      string        `json:"group,omitempty"`   // the first try's id, which its repeats share
-	Class      string        `json:"class,omitempty"`
-	Dispatcher int           `json:"dispatcher"` // from 0; -1: none
-	Replica    string        `json:"replica,omitempty"`
-	Status     int           `json:"status,omitempty"`
-	Whole      bool          `json:"whole,omitempty"`
-	Weight     float64       `json:"weight,omitempty"`
-	Until      time.Duration `json:"until,omitempty"`
-	Sent       time.Duration `json:"sent,omitempty"`    // 0: at At
-	Last       time.Duration `json:"last,omitempty"`    // in Came: when its last byte came; 0: at At
-	Sound      bool          `json:"sound,omitempty"`   // the link was without a fault all the while
-	Version    uint64        `json:"version,omitempty"` // of the list, in what discovery told
-	Told       time.Duration `json:"told,omitempty"`    // in Came: the time that the attempt says is left
-	Lasted     time.Duration `json:"lasted,omitempty"`  // in Answered and Waited: since it was asked, or stopped
-	Lag        time.Duration `json:"lag,omitempty"`     // in Answered: the longest that an event was on its way
+	At               time.Duration `json:"at"` // since the run began
+	Kind             Kind          `json:"kind"`
+	Request          string        `json:"request,omitempty"` // its id, new for each try
+	Group            string        `json:"group,omitempty"`   // the first try's id, which its repeats share
+	Class            string        `json:"class,omitempty"`
+	Dispatcher       int           `json:"dispatcher"` // from 0; -1: none
+	Replica          string        `json:"replica,omitempty"`
+	Status           int           `json:"status,omitempty"`
+	Complete         bool          `json:"whole,omitempty"`
+	Weight           float64       `json:"weight,omitempty"`
+	Until            time.Duration `json:"until,omitempty"`
+	SentAt           time.Duration `json:"sent,omitempty"`    // 0: at At
+	LastByteAt       time.Duration `json:"last,omitempty"`    // in Came: when its last byte came; 0: at At
+	LinkHealthy      bool          `json:"sound,omitempty"`   // the link was without a fault all the while
+	Version          uint64        `json:"version,omitempty"` // of the list, in what discovery told
+	AnnouncedTimeout time.Duration `json:"told,omitempty"`    // in Came: the time that the attempt says is left
+	Elapsed          time.Duration `json:"lasted,omitempty"`  // in Answered and Waited: since it was asked, or stopped
+	MaxEventDelay    time.Duration `json:"lag,omitempty"`     // in Answered: the longest that an event was on its way
 }
 
 // Recorder takes events from any goroutine.
--- a/internal/rig/history/historytest/historytest.go
+++ b/internal/rig/history/historytest/historytest.go
@@ -59,33 +59,33 @@
 
 // Checker is the form that the checker takes.
 func (r Rules) Checker() history.Rules {
-	out := history.Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, FallMultiple: r.FallMultiple,
-		FallSpan: r.FallSpan, ColdFrom: r.ColdFrom, Longest: r.Longest, Unsafe: r.Unsafe, Slack: r.Slack, Chance: r.Chance,
-		Keyed: map[string]history.Keyed{}}
+	out := history.Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, OverloadMultiple: r.FallMultiple,
+		OverloadWindow: r.FallSpan, InitialCapacity: r.ColdFrom, LongestDeadline: r.Longest, NonIdempotent: r.Unsafe, Slack: r.Slack, RandomArrivals: r.Chance,
+		Deduplicated: map[string]history.Deduplication{}}
 	for class, k := range r.Keyed {
-		out.Keyed[class] = history.Keyed{Window: k.Window, All: k.All,
-			Alike: func(a, b string) bool { return k.Domains[a] == k.Domains[b] }}
+		out.Deduplicated[class] = history.Deduplication{Window: k.Window, AllReplicas: k.All,
+			SameDomain: func(a, b string) bool { return k.Domains[a] == k.Domains[b] }}
 	}
 	return out
 }
 
 // Stored is the stored form of rules over the named replicas.
 func Stored(r history.Rules, replicas []string) Rules {
-	out := Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, FallMultiple: r.FallMultiple,
-		FallSpan: r.FallSpan, ColdFrom: r.ColdFrom, Longest: r.Longest, Unsafe: r.Unsafe, Slack: r.Slack, Chance: r.Chance,
+	out := Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, FallMultiple: r.OverloadMultiple,
+		FallSpan: r.OverloadWindow, ColdFrom: r.InitialCapacity, Longest: r.LongestDeadline, Unsafe: r.NonIdempotent, Slack: r.Slack, Chance: r.RandomArrivals,
 		Keyed: map[string]Keyed{}}
-	for class, k := range r.Keyed {
+	for class, k := range r.Deduplicated {
 		domains := map[string]string{}
 		for _, name := range replicas {
 			domains[name] = name
 			for _, earlier := range replicas {
-				if k.Alike(earlier, name) {
+				if k.SameDomain(earlier, name) {
 					domains[name] = earlier
 					break
 				}
 			}
 		}
-		out.Keyed[class] = Keyed{Window: k.Window, All: k.All, Domains: domains}
+		out.Keyed[class] = Keyed{Window: k.Window, All: k.AllReplicas, Domains: domains}
 	}
 	return out
 }
--- a/internal/rig/history/strict.go
+++ b/internal/rig/history/strict.go
@@ -7,13 +7,13 @@
 
 // The names of the stricter rules, which the soak judges by besides the others.
 const (
-	AfterClose = "after_close"
-	ToldTime   = "told_time"
-	SecondCopy = "second_copy"
-	DropsRead  = "drops_read"
-	HeldBack   = "held_back"
-	BadClient  = "bad_client"
-	DrainLasts = "drain_lasts"
+	RuleNoAttemptAfterClose = "after_close"
+	RuleAnnouncedTimeout    = "told_time"
+	RuleNoParallelAttempts  = "second_copy"
+	RuleNoDroppedRequest    = "drops_read"
+	RuleEventDelay          = "held_back"
+	RulePartialRequest      = "bad_client"
+	RuleDrainEnds           = "drain_lasts"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 // CheckStrict is every breach of the stricter rules in a history.
-func CheckStrict(events []Event, r Rules) []Breach {
+func CheckStrict(events []Event, r Rules) []Violation {
 	c := newChecker(events, r)
 	c.afterClose()
 	c.toldTime()
@@ -40,8 +40,8 @@
 
 // sentAt is when the bytes of an attempt came to the replica's machine.
 func sentAt(e Event) time.Duration {
-	if e.Sent > 0 {
-		return e.Sent
+	if e.SentAt > 0 {
+		return e.SentAt
 	}
 	return e.At
 }
@@ -58,15 +58,15 @@
 	closed := map[string]Event{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Closed:
+		case ClientClosed:
 			if _, ok := closed[e.Request]; !ok {
 				closed[e.Request] = e
 			}
-		case Came:
+		case AttemptArrived:
 			left, ok := closed[e.Request]
 			late := sentAt(e) - left.At
-			if ok && left.Sound && late > closeGrace+c.rules.Slack && !c.justWoke(e.Dispatcher, sentAt(e)) {
-				c.breach(AfterClose, e, "begun %v after the client's close", late)
+			if ok && left.LinkHealthy && late > closeGrace+c.rules.Slack && !c.justWoke(e.Dispatcher, sentAt(e)) {
+				c.breach(RuleNoAttemptAfterClose, e, "begun %v after the client's close", late)
 			}
 		}
 	}
@@ -85,13 +85,13 @@
 	asked := map[string]Event{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Asked:
+		case RequestSent:
 			asked[e.Request] = e
-		case Came:
+		case AttemptArrived:
 			a, ok := asked[e.Request]
 			left := a.Until - sentAt(e)
-			if ok && e.Told > max(left, 0)+toldSlack+c.rules.Slack && !c.stopped(e.Dispatcher, a.At, sentAt(e)) {
-				c.breach(ToldTime, e, "told %v of %v", e.Told, left)
+			if ok && e.AnnouncedTimeout > max(left, 0)+toldSlack+c.rules.Slack && !c.stopped(e.Dispatcher, a.At, sentAt(e)) {
+				c.breach(RuleAnnouncedTimeout, e, "told %v of %v", e.AnnouncedTimeout, left)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	out := map[string][]*attempt{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Came:
+		case AttemptArrived:
 			this := &attempt{came: e}
 			for _, other := range out[e.Request] {
 				switch {
@@ -118,13 +118,13 @@
 				}
 			}
 			out[e.Request] = append(out[e.Request], this)
-		case Ended:
+		case AttemptEnded:
 			for _, a := range out[e.Request] {
 				if a.came.Replica != e.Replica || a.end > 0 {
 					continue
 				}
-				if next := -a.end; a.end < 0 && e.At-next > c.rules.Slack && a.came.Sound && e.Sound {
-					c.breach(SecondCopy, a.came, "still out %v after the next attempt came", e.At-next)
+				if next := -a.end; a.end < 0 && e.At-next > c.rules.Slack && a.came.LinkHealthy && e.LinkHealthy {
+					c.breach(RuleNoParallelAttempts, a.came, "still out %v after the next attempt came", e.At-next)
 				}
 				a.end = e.At
 				break
@@ -138,13 +138,13 @@
 	came := map[string]time.Duration{}
 	for _, e := range c.events {
 		switch e.Kind {
-		case Came:
+		case AttemptArrived:
 			if _, ok := came[e.Request]; !ok {
 				came[e.Request] = e.At
 			}
-		case Dropped:
-			if at, ok := came[e.Request]; ok && e.Sound && !c.blameless(e.Dispatcher, at, e.At) {
-				c.breach(DropsRead, e, "closed without an answer %v after it was sent on", e.At-at)
+		case ConnectionDropped:
+			if at, ok := came[e.Request]; ok && e.LinkHealthy && !c.blameless(e.Dispatcher, at, e.At) {
+				c.breach(RuleNoDroppedRequest, e, "closed without an answer %v after it was sent on", e.At-at)
 			}
 		}
 	}
@@ -155,24 +155,24 @@
 	streams, late := 0, 0
 	var last Event
 	for _, e := range c.events {
-		if e.Kind != Answered || e.Status != 200 || !e.Sound || c.blameless(e.Dispatcher, e.At-e.Lasted, e.At) {
+		if e.Kind != ResponseReceived || e.Status != 200 || !e.LinkHealthy || c.blameless(e.Dispatcher, e.At-e.Elapsed, e.At) {
 			continue
 		}
-		if streams++; e.Lag > maxLag+c.rules.Slack {
+		if streams++; e.MaxEventDelay > maxLag+c.rules.Slack {
 			late++
 			last = e
 		}
 	}
 	if streams >= holdBackMin && late*holdBackOne > streams {
-		c.breach(HeldBack, last, "%d of %d streams have an event held back, this one for %v", late, streams, last.Lag)
+		c.breach(RuleEventDelay, last, "%d of %d streams have an event held back, this one for %v", late, streams, last.MaxEventDelay)
 	}
 }
 
 // heldOpen: four seconds after an operator's drain no connection of a client rests, or has a request of the last two seconds.
 func (c *checker) heldOpen() {
 	for _, e := range c.events {
-		if e.Kind == HeldOpen && e.Sound && !c.blameless(e.Dispatcher, e.At-e.Lasted, e.At) {
-			c.breach(DrainLasts, e, "a connection is held %v after the drain: %s", e.Lasted, e.Class)
+		if e.Kind == ConnectionLingers && e.LinkHealthy && !c.blameless(e.Dispatcher, e.At-e.Elapsed, e.At) {
+			c.breach(RuleDrainEnds, e, "a connection is held %v after the drain: %s", e.Elapsed, e.Class)
 		}
 	}
 }
@@ -183,8 +183,8 @@
 // badClients: a client that stops in the middle of a request has its error or its connection's close in time.
 func (c *checker) badClients() {
 	for _, e := range c.events {
-		if e.Kind == Waited && e.Sound && e.Lasted > badWait+c.rules.Slack && !c.blameless(e.Dispatcher, e.At-e.Lasted, e.At) {
-			c.breach(BadClient, e, "half a request had no error and no close for %v", e.Lasted)
+		if e.Kind == PartialRequestEnded && e.LinkHealthy && e.Elapsed > badWait+c.rules.Slack && !c.blameless(e.Dispatcher, e.At-e.Elapsed, e.At) {
+			c.breach(RulePartialRequest, e, "half a request had no error and no close for %v", e.Elapsed)
 		}
 	}
 }
--- a/internal/rig/misbehave.go
+++ b/internal/rig/misbehave.go
@@ -37,7 +37,7 @@
 // goAway ends a client's connection in some way, and notes for which requests it does so.
 func (r *Run) goAway(c *fault.Conn, how leaving, dispatcher int, asked time.Time, ids ...string) {
 	for _, id := range ids {
-		r.history.Add(history.Event{Kind: history.Closed, Request: id, Dispatcher: dispatcher, Sound: c.Link().Sound(asked.Add(-time.Second))})
+		r.history.Add(history.Event{Kind: history.ClientClosed, Request: id, Dispatcher: dispatcher, LinkHealthy: c.Link().Sound(asked.Add(-time.Second))})
 	}
 	switch half, ok := c.Conn.(interface{ CloseWrite() error }); {
 	case how == resets:
@@ -110,8 +110,8 @@
 	stopped := time.Now()
 	c.SetReadDeadline(stopped.Add(halfWait))
 	c.Read(make([]byte, 1))
-	r.history.Add(history.Event{Kind: history.Waited, Dispatcher: d, Lasted: time.Since(stopped),
-		Sound: c.Link().Sound(stopped.Add(-time.Second)) && r.procs[d].upSince(stopped)})
+	r.history.Add(history.Event{Kind: history.PartialRequestEnded, Dispatcher: d, Elapsed: time.Since(stopped),
+		LinkHealthy: c.Link().Sound(stopped.Add(-time.Second)) && r.procs[d].upSince(stopped)})
 }
 
 // pipelines lets clients send many requests at once on a connection, and leave at some time, until the context ends.
--- a/internal/rig/newest_test.go
+++ b/internal/rig/newest_test.go
@@ -22,7 +22,7 @@
 			}
 			sent := 0
 			for _, b := range r.breaches {
-				if b.Rule == history.Drains {
+				if b.Rule == history.RuleOrderlyDrain {
 					sent++
 				} else {
 					t.Error(b)
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -124,7 +124,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down > 0 {
-		p.run.history.Add(history.Event{At: p.down, Kind: history.Down, Class: p.why, Dispatcher: p.index, Until: p.run.history.Now()})
+		p.run.history.Add(history.Event{At: p.down, Kind: history.ProcessDown, Class: p.why, Dispatcher: p.index, Until: p.run.history.Now()})
 	}
 	p.down, p.since = 0, time.Now()
 }
@@ -232,7 +232,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down > 0 { // for good
-		p.run.history.Add(history.Event{At: p.down, Kind: history.Down, Class: p.why, Dispatcher: p.index})
+		p.run.history.Add(history.Event{At: p.down, Kind: history.ProcessDown, Class: p.why, Dispatcher: p.index})
 	}
 	text, _ := os.ReadFile(filepath.Join(p.run.dir, fmt.Sprintf("n%d.log", p.index)))
 	p.counts = lastCounters(text)
--- a/internal/rig/recording_test.go
+++ b/internal/rig/recording_test.go
@@ -89,7 +89,7 @@
 	}
 	c := newCluster(nil, plan.rules(nil), s, o.Seed)
 	rules := plan.rules(c.named)
-	rules.Chance = o.Strict
+	rules.RandomArrivals = o.Strict
 	var replicas []string
 	for _, r := range c.replicas {
 		replicas = append(replicas, r.name)
--- a/internal/rig/replica.go
+++ b/internal/rig/replica.go
@@ -52,7 +52,7 @@
 	dead    bool
 	life    context.Context // ends when it dies
 	end     context.CancelFunc
-	cold    *history.Budget // nil: warm since long
+	cold    *history.SlowStartBudget // nil: warm since long
 	slow    float64
 	hung    chan struct{} // closed once it answers again; nil: it does
 	spoils  float64       // the part of its calls that it answers with what makes no sense
@@ -94,12 +94,12 @@
 // revive starts it again, cold.
 func (r *replica) revive() {
 	now := r.cluster.history.Now()
-	start := history.Event{At: now, Kind: history.Cold, Replica: r.name, Until: now + warmAfter, Weight: 1, Dispatcher: -1}
+	start := history.Event{At: now, Kind: history.ReplicaStarted, Replica: r.name, Until: now + warmAfter, Weight: 1, Dispatcher: -1}
 	r.cluster.history.Add(start)
 	r.mu.Lock()
 	r.dead = false
 	r.life, r.end = context.WithCancel(context.Background())
-	r.cold = &history.Budget{Rules: r.cluster.rules, Start: start}
+	r.cold = &history.SlowStartBudget{Rules: r.cluster.rules, Start: start}
 	r.mu.Unlock()
 	for _, l := range r.listeners {
 		l.SetDown(false)
@@ -157,7 +157,7 @@
 func (r *replica) speed() float64 {
 	part := r.weightOnList() / r.slow
 	if r.cold != nil {
-		part *= r.cluster.rules.Grown(r.cold.Start, r.cluster.history.Now())
+		part *= r.cluster.rules.CapacityFraction(r.cold.Start, r.cluster.history.Now())
 	}
 	return part
 }
@@ -214,7 +214,7 @@
 		return
 	}
 	if q.Method == http.MethodGet && (q.URL.Path == "/load" || q.URL.Path == "/healthz") {
-		e := history.Event{Kind: history.Probe, Replica: r.name, Dispatcher: dispatcher}
+		e := history.Event{Kind: history.LoadPolled, Replica: r.name, Dispatcher: dispatcher}
 		if _, number, ok := strings.Cut(q.Header.Get("X-Duty"), " "); ok {
 			e.Class = dutyProbe
 			e.Weight, _ = strconv.ParseFloat(number, 64)
@@ -240,18 +240,18 @@
 		s = r.cluster.stranger(q, body)
 	}
 	if s == nil || string(body) != s.body {
-		h.Add(history.Event{Kind: history.Foreign, Request: id, Replica: r.name, Dispatcher: dispatcher})
+		h.Add(history.Event{Kind: history.ForeignResponseReceived, Request: id, Replica: r.name, Dispatcher: dispatcher})
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	began := time.Now()
-	event := history.Event{At: came, Last: h.Now(), Kind: history.Came, Request: id, Group: s.group, Class: s.class.name, Replica: r.name,
-		Dispatcher: dispatcher, Sound: link.Sound(began.Add(-time.Second)), Weight: r.weight(s)}
+	event := history.Event{At: came, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: id, Group: s.group, Class: s.class.name, Replica: r.name,
+		Dispatcher: dispatcher, LinkHealthy: link.Sound(began.Add(-time.Second)), Weight: r.weight(s)}
 	if told, err := told(q.Header.Get("X-Expires-In")); err == nil {
-		event.Told = told
+		event.AnnouncedTimeout = told
 	}
 	if c, ok := q.Context().Value(connKey{}).(*fault.Conn); ok {
-		event.Sent = max(min(h.At(c.Sent()), came), 1)
+		event.SentAt = max(min(h.At(c.Sent()), came), 1)
 	}
 	h.Add(event)
 	r.mu.Lock()
@@ -261,10 +261,10 @@
 	}
 	r.mu.Unlock()
 	defer func() {
-		h.Add(history.Event{Kind: history.Ended, Request: id, Replica: r.name, Dispatcher: dispatcher, Sound: link.Sound(began)})
+		h.Add(history.Event{Kind: history.AttemptEnded, Request: id, Replica: r.name, Dispatcher: dispatcher, LinkHealthy: link.Sound(began)})
 	}()
 	if over {
-		h.Add(history.Event{Kind: history.Fell, Replica: r.name, Dispatcher: -1})
+		h.Add(history.Event{Kind: history.ReplicaOverloaded, Replica: r.name, Dispatcher: -1})
 		r.kill()
 		return
 	}
@@ -392,7 +392,7 @@
 		neverRan(w, http.StatusGone)
 		return
 	}
-	r.cluster.history.Add(history.Event{Kind: history.Began, Request: id, Group: s.group, Class: s.class.name,
+	r.cluster.history.Add(history.Event{Kind: history.ExecutionStarted, Request: id, Group: s.group, Class: s.class.name,
 		Replica: r.name, Dispatcher: dispatcher})
 	if fails {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/rig/report.go
+++ b/internal/rig/report.go
@@ -65,7 +65,7 @@
 	// StaleActs is the work sent to replicas that a newer list, told to any dispatcher, had ended for longer than staleWithin.
 	StaleActs int `json:"stale_acts"`
 
-	breaches []history.Breach
+	breaches []history.Violation
 	events   []history.Event
 	spans    [][2]float64 // of the faults, in seconds of the day
 }
@@ -133,9 +133,9 @@
 	probes := 0
 	for _, e := range events {
 		switch e.Kind {
-		case history.Probe:
+		case history.LoadPolled:
 			probes++
-		case history.Fell:
+		case history.ReplicaOverloaded:
 			out.Fell++
 		}
 	}
@@ -159,7 +159,7 @@
 		s := straggling(events)
 		out.Straggling = &s
 	}
-	out.StaleActs = len(history.Stale(events, staleWithin))
+	out.StaleActs = len(history.StaleAttempts(events, staleWithin))
 	out.spans = r.spans
 	return out
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -114,7 +114,7 @@
 
 func downs(r *Report) (n int) {
 	for _, e := range r.events {
-		if e.Kind == history.Down && e.Until > 0 {
+		if e.Kind == history.ProcessDown && e.Until > 0 {
 			n++
 		}
 	}
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -137,7 +137,7 @@
 		r.deployment = drawDeployment(s.Zones, o.Deployment)
 	}
 	r.rules = r.deployment.rules(func(name string) *replica { return r.cluster.named(name) })
-	r.rules.Chance = o.Strict
+	r.rules.RandomArrivals = o.Strict
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetrig-")
 		if err != nil {
@@ -397,7 +397,7 @@
 			for d, p := range r.procs {
 				if !slices.Contains(targets, d) {
 					p.retune(triesOther)
-					r.history.Add(history.Event{At: from, Kind: history.Old, Class: oldSettings, Dispatcher: d, Until: r.history.Now()})
+					r.history.Add(history.Event{At: from, Kind: history.StaleListServed, Class: oldSettings, Dispatcher: d, Until: r.history.Now()})
 				}
 			}
 		})
@@ -534,7 +534,7 @@
 		r.discovery.freeze(t, true)
 		f.after(ctx, func() {
 			r.discovery.freeze(t, false)
-			r.history.Add(history.Event{At: from, Kind: history.Old, Dispatcher: t, Until: r.history.Now()})
+			r.history.Add(history.Event{At: from, Kind: history.StaleListServed, Dispatcher: t, Until: r.history.Now()})
 		})
 	case "links-silent", "conns-silent", "conns-late":
 		r.spoilLinks(ctx, f, t)
--- a/internal/rig/shares_test.go
+++ b/internal/rig/shares_test.go
@@ -176,7 +176,7 @@
 	}
 	to := map[int]map[string]bool{}
 	for _, e := range r.events {
-		if e.Kind == history.Came && e.At > 4*time.Second { // until then each knew of too few others
+		if e.Kind == history.AttemptArrived && e.At > 4*time.Second { // until then each knew of too few others
 			if to[e.Dispatcher] == nil {
 				to[e.Dispatcher] = map[string]bool{}
 			}
--- a/internal/rig/stragglers.go
+++ b/internal/rig/stragglers.go
@@ -38,9 +38,9 @@
 			resp.Body.Close()
 			switch now := resp.StatusCode != http.StatusOK; {
 			case now && !shut:
-				r.history.Add(history.Event{Kind: history.Shut, Dispatcher: d, Whole: true})
+				r.history.Add(history.Event{Kind: history.AdmissionChanged, Dispatcher: d, Complete: true})
 			case !now && shut:
-				r.history.Add(history.Event{At: no, Kind: history.Shut, Dispatcher: d})
+				r.history.Add(history.Event{At: no, Kind: history.AdmissionChanged, Dispatcher: d})
 			}
 			if shut = resp.StatusCode != http.StatusOK; shut {
 				no = asked
@@ -58,7 +58,7 @@
 func straggling(events []history.Event) (out Straggling) {
 	old := map[int]history.Event{}
 	for _, e := range events {
-		if e.Kind == history.Old {
+		if e.Kind == history.StaleListServed {
 			old[e.Dispatcher] = e
 		}
 	}
@@ -66,28 +66,28 @@
 	shut, asked := map[int]time.Duration{}, map[string]time.Duration{}
 	for _, e := range events {
 		switch e.Kind {
-		case history.Told, history.Listed:
+		case history.EndpointWithdrawn, history.EndpointReady:
 			for d, o := range old {
 				if o.Class != oldSettings && missed[d] == 0 && d != e.Dispatcher && e.At > o.At && e.At < o.Until {
 					missed[d] = e.At
 				}
 			}
-		case history.Shut:
+		case history.AdmissionChanged:
 			o, was := old[e.Dispatcher]
 			switch {
-			case e.Whole && (!was || e.At < o.At):
+			case e.Complete && (!was || e.At < o.At):
 				out.Wrong++
-			case e.Whole:
+			case e.Complete:
 				out.SeenS = append(out.SeenS, (e.At - max(missed[e.Dispatcher], o.At)).Seconds())
 			case was:
 				out.LevelS = append(out.LevelS, (e.At - o.Until).Seconds())
 			}
-			if delete(shut, e.Dispatcher); e.Whole {
+			if delete(shut, e.Dispatcher); e.Complete {
 				shut[e.Dispatcher] = e.At
 			}
-		case history.Asked:
+		case history.RequestSent:
 			asked[e.Request] = e.At
-		case history.Came:
+		case history.AttemptArrived:
 			if at, is := shut[e.Dispatcher]; is && e.At > at+shutSettle && asked[e.Request] > at+shutSettle {
 				out.Acts++
 			}
--- a/internal/rig/stragglers_test.go
+++ b/internal/rig/stragglers_test.go
@@ -13,10 +13,10 @@
 // was shut out wrongly, and work for what came to it long after is an act.
 func TestStraggling(t *testing.T) {
 	const s = time.Second
-	events := []history.Event{{At: 1 * s, Kind: history.Old, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.Old, Class: oldSettings, Dispatcher: 1, Until: 9 * s},
-		{At: 3 * s, Kind: history.Told, Dispatcher: 2}, {At: 5 * s, Kind: history.Shut, Dispatcher: 0, Whole: true}, {At: 6 * s, Kind: history.Shut, Dispatcher: 1, Whole: true},
-		{At: 6 * s, Kind: history.Shut, Dispatcher: 2, Whole: true}, {At: 6 * s, Kind: history.Asked, Request: "a", Dispatcher: 0}, {At: 7 * s, Kind: history.Came, Request: "a", Dispatcher: 0},
-		{At: 7 * s, Kind: history.Asked, Request: "b", Dispatcher: 0}, {At: 8 * s, Kind: history.Came, Request: "b", Dispatcher: 0}, {At: 11 * s, Kind: history.Shut, Dispatcher: 0}}
+	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: oldSettings, Dispatcher: 1, Until: 9 * s},
+		{At: 3 * s, Kind: history.EndpointWithdrawn, Dispatcher: 2}, {At: 5 * s, Kind: history.AdmissionChanged, Dispatcher: 0, Complete: true}, {At: 6 * s, Kind: history.AdmissionChanged, Dispatcher: 1, Complete: true},
+		{At: 6 * s, Kind: history.AdmissionChanged, Dispatcher: 2, Complete: true}, {At: 6 * s, Kind: history.RequestSent, Request: "a", Dispatcher: 0}, {At: 7 * s, Kind: history.AttemptArrived, Request: "a", Dispatcher: 0},
+		{At: 7 * s, Kind: history.RequestSent, Request: "b", Dispatcher: 0}, {At: 8 * s, Kind: history.AttemptArrived, Request: "b", Dispatcher: 0}, {At: 11 * s, Kind: history.AdmissionChanged, Dispatcher: 0}}
 	if got := straggling(events); !slices.Equal(got.SeenS, []float64{2, 5}) || !slices.Equal(got.LevelS, []float64{2}) || got.Wrong != 1 || got.Acts != 1 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/rig/sums.go
+++ b/internal/rig/sums.go
@@ -116,7 +116,7 @@
 	work := map[bool]*series{false: {}, true: {}}
 	for _, e := range events {
 		switch e.Kind {
-		case history.Came:
+		case history.AttemptArrived:
 			r := byName[e.Replica]
 			s := step{e.Request, r.writer}
 			if came[s]++; came[s] > 1 {
@@ -128,14 +128,14 @@
 			}
 			load[e.Replica] += e.Weight
 			work[r.writer].add(e.At, e.Weight)
-		case history.Probe:
+		case history.LoadPolled:
 			if e.Class != dutyProbe {
 				if own[e.Replica] == nil {
 					own[e.Replica] = &series{}
 				}
 				own[e.Replica].add(e.At, 1)
 			}
-		case history.Called:
+		case history.DiscoveryRequested:
 			if e.At > base { // all start at once
 				lists.add(e.At, 1)
 			}
@@ -193,13 +193,13 @@
 func (out *Sums) cold(events []history.Event, rules history.Rules, byName map[string]*replica, work map[bool]*series, roles map[bool]float64) {
 	var used []float64
 	for _, start := range events {
-		if start.Kind != history.Cold {
+		if start.Kind != history.ReplicaStarted {
 			continue
 		}
-		r, b := byName[start.Replica], &history.Budget{Rules: rules, Start: start}
+		r, b := byName[start.Replica], &history.SlowStartBudget{Rules: rules, Start: start}
 		got, may := 0.0, 0.0
 		for _, e := range events {
-			if e.Kind == history.Came && e.Replica == start.Replica && e.At >= start.At && e.At <= start.Until {
+			if e.Kind == history.AttemptArrived && e.Replica == start.Replica && e.At >= start.At && e.At <= start.Until {
 				got += e.Weight
 				sum, allowed, _ := b.Add(e)
 				out.ColdMost = max(out.ColdMost, sum/allowed)
@@ -208,7 +208,7 @@
 		w := work[r.writer]
 		for i, at := range w.at { // of all that came meanwhile, its even part by what it may have of that
 			if at >= start.At && at <= start.Until {
-				may += w.weight[i] * r.weightOnList() / roles[r.writer] * min(coldAim*rules.FallMultiple*rules.Grown(start, at), 1)
+				may += w.weight[i] * r.weightOnList() / roles[r.writer] * min(coldAim*rules.OverloadMultiple*rules.CapacityFraction(start, at), 1)
 			}
 		}
 		if may > 0 {
