--- /dev/null
+++ b/internal/rig/history/execution.go
@@ -0,0 +1,76 @@
+package history
+
+import (
+	"slices"
+	"time"
+)
+
+// checkExecutions judges RuleSingleExecution for the classes that must not run twice: a group of requests is executed
+// at most once, and not refused once it may have run ("a further SEND or a REFUSE is permitted only when every prior
+// attempt has an outcome establishing that it was never executed").
+func (c *checker) checkExecutions() {
+	executed := map[string]Event{} // the first execution, by group
+	for _, e := range c.events {
+		if !slices.Contains(c.rules.NonIdempotent, e.Class) {
+			continue
+		}
+		first, ok := executed[e.Group]
+		switch {
+		case e.Kind == ExecutionStarted && ok:
+			c.report(RuleSingleExecution, e, "group %s ran at %s %v before", e.Group, first.Replica, e.At-first.At)
+		case e.Kind == ExecutionStarted:
+			executed[e.Group] = e
+		case e.Kind == ResponseReceived && ok && e.refused():
+			c.report(RuleSingleExecution, e, "refused with %d after it began at %s", e.Status, first.Replica)
+		}
+	}
+}
+
+// attemptKey names the attempts at a request that go to one replica.
+type attemptKey struct{ request, replica string }
+
+func keyOf(e Event) attemptKey { return attemptKey{e.Request, e.Replica} }
+
+// execution is the first execution of a request.
+type execution struct {
+	Event
+	arrivedAt time.Duration // its attempt, at the replica
+}
+
+// checkDeduplicatedExecutions judges RuleSingleExecution for the classes whose repeats some replicas drop:
+// "subsequent sends shall be directed only to replicas within the same group as its replica ... and within
+// classes[].windowMs of its send; a REFUSE is permitted only if the group is all".
+func (c *checker) checkDeduplicatedExecutions() {
+	executed := map[string]execution{} // the first, by request
+	arrivals := map[attemptKey]time.Duration{}
+	for _, e := range c.events {
+		if e.Kind == AttemptArrived {
+			arrivals[keyOf(e)] = e.At
+		}
+		class, ok := c.rules.Deduplicated[e.Class]
+		if !ok {
+			continue
+		}
+		first, ran := executed[e.Request]
+		switch {
+		case e.Kind == ExecutionStarted && !ran:
+			executed[e.Request] = execution{e, arrivals[keyOf(e)]}
+		case e.Kind == ExecutionStarted:
+			c.checkRepeat(class, first, e, arrivals[keyOf(e)])
+		case e.Kind == ResponseReceived && ran && !class.AllReplicas && e.refused():
+			c.report(RuleSingleExecution, e, "refused with %d after it began at %s", e.Status, first.Replica)
+		}
+	}
+}
+
+// checkRepeat reports a further execution where its replica does not drop it as a repeat.
+func (c *checker) checkRepeat(class Deduplication, first execution, e Event, arrivedAt time.Duration) {
+	switch {
+	case !class.SameDomain(first.Replica, e.Replica):
+		c.report(RuleSingleExecution, e, "ran at %s %v before, which does not drop its repeats",
+			first.Replica, e.At-first.At)
+	case arrivedAt > first.arrivedAt+class.Window+c.rules.Slack:
+		c.report(RuleSingleExecution, e, "sent again %v after it was sent to %s, which drops repeats for %v",
+			arrivedAt-first.arrivedAt, first.Replica, class.Window)
+	}
+}
--- a/internal/rig/history/golden_test.go
+++ b/internal/rig/history/golden_test.go
@@ -22,8 +22,8 @@
 // leastRecordings is how many recordings there are: three scenarios and three soaks.
 const leastRecordings = 6
 
-// The checker judges each recording as it did when the recording was made: the same count by rule and the same breaches, in full. The
-// recordings are in testdata/recordings, the judgements in testdata/judgements.
+// The checker judges each recording as it did when the recording was made: the same count by rule and the same
+// breaches, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
 func TestGoldenJudgements(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "recordings", "*.jsonl.gz"))
 	if err != nil {
@@ -85,8 +85,8 @@
 	return "(no line)"
 }
 
-// variant is a form in which a recording is judged. A history of the program as it is breaks hardly a rule by its own figures; the other
-// forms break many, and show each rule and each exemption at work.
+// variant is a form in which a recording is judged. A history of the program as it is breaks hardly a rule by its own
+// figures; the other forms break many, and show each rule and each exemption at work.
 type variant struct {
 	name   string
 	rules  func(*historytest.Recording) history.Rules
@@ -144,7 +144,8 @@
 	return slices.Sorted(maps.Keys(classes))
 }
 
-// withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a fault.
+// withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a
+// fault.
 func withoutExemptions(events []history.Event) []history.Event {
 	events = slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind == history.ProcessDown })
 	for i := range events {
--- a/internal/rig/history/historytest/historytest.go
+++ b/internal/rig/history/historytest/historytest.go
@@ -1,8 +1,10 @@
-// Package historytest reads and writes recordings: histories of plays of the fault-injection test bench, together with the rules that
-// they were judged by. Golden tests hold the checker's judgements to recordings that were made once and are never made anew.
+// Package historytest reads and writes recordings: histories of plays of the fault-injection test bench, together
+// with the rules that they were judged by. Golden tests hold the checker's judgements to recordings that were made
+// once and are never made anew.
 //
-// A recording is one gzip file of JSON lines. The first line has the play and its rules, by keys that are fixed here; each other line is
-// one event, in the stored form of a history. The package is for tests only. Its functions share no state.
+// A recording is one gzip file of JSON lines. The first line has the play and its rules, by keys that are fixed here;
+// each other line is one event, in the stored form of a history. The package is for tests only. Its functions share
+// no state.
 package historytest
 
 import (
@@ -12,6 +14,7 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"time"
 
 	"rampspread/internal/rig/history"
@@ -37,55 +40,75 @@
 
 // Rules are the checker's rules in a stored form.
 type Rules struct {
-	AnswerSlack  time.Duration    `json:"answer_slack_ns"`
-	DrainWithin  time.Duration    `json:"drain_within_ns"`
-	ReleaseAfter time.Duration    `json:"release_after_ns"`
-	FallMultiple float64          `json:"fall_multiple"`
-	FallSpan     time.Duration    `json:"fall_span_ns"`
-	ColdFrom     float64          `json:"cold_from"`
-	Longest      time.Duration    `json:"longest_deadline_ns"`
-	Unsafe       []string         `json:"unsafe_classes"`
-	Keyed        map[string]Keyed `json:"keyed_classes"`
-	Slack        time.Duration    `json:"slack_ns"`
-	Chance       bool             `json:"chance"`
+	AnswerSlack      time.Duration            `json:"answer_slack_ns"`
+	DrainWithin      time.Duration            `json:"drain_within_ns"`
+	ReleaseAfter     time.Duration            `json:"release_after_ns"`
+	OverloadMultiple float64                  `json:"fall_multiple"`
+	OverloadWindow   time.Duration            `json:"fall_span_ns"`
+	InitialCapacity  float64                  `json:"cold_from"`
+	LongestDeadline  time.Duration            `json:"longest_deadline_ns"`
+	NonIdempotent    []string                 `json:"unsafe_classes"`
+	Deduplicated     map[string]Deduplication `json:"keyed_classes"`
+	Slack            time.Duration            `json:"slack_ns"`
+	RandomArrivals   bool                     `json:"chance"`
 }
 
-// Keyed is the stored form of a class whose repeats some replicas drop.
-type Keyed struct {
-	Window  time.Duration     `json:"window_ns"`
-	All     bool              `json:"all_replicas"`
-	Domains map[string]string `json:"domains"` // by replica: those of one domain drop each other's repeats
+// Deduplication is the stored form of a class whose repeats some replicas drop.
+type Deduplication struct {
+	Window      time.Duration     `json:"window_ns"`
+	AllReplicas bool              `json:"all_replicas"`
+	Domains     map[string]string `json:"domains"` // by replica: those of one domain drop each other's repeats
 }
 
 // Checker is the form that the checker takes.
 func (r Rules) Checker() history.Rules {
-	out := history.Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, OverloadMultiple: r.FallMultiple,
-		OverloadWindow: r.FallSpan, InitialCapacity: r.ColdFrom, LongestDeadline: r.Longest, NonIdempotent: r.Unsafe, Slack: r.Slack, RandomArrivals: r.Chance,
-		Deduplicated: map[string]history.Deduplication{}}
-	for class, k := range r.Keyed {
-		out.Deduplicated[class] = history.Deduplication{Window: k.Window, AllReplicas: k.All,
-			SameDomain: func(a, b string) bool { return k.Domains[a] == k.Domains[b] }}
+	out := history.Rules{
+		AnswerSlack:      r.AnswerSlack,
+		DrainWithin:      r.DrainWithin,
+		ReleaseAfter:     r.ReleaseAfter,
+		OverloadMultiple: r.OverloadMultiple,
+		OverloadWindow:   r.OverloadWindow,
+		InitialCapacity:  r.InitialCapacity,
+		LongestDeadline:  r.LongestDeadline,
+		NonIdempotent:    r.NonIdempotent,
+		Deduplicated:     map[string]history.Deduplication{},
+		Slack:            r.Slack,
+		RandomArrivals:   r.RandomArrivals,
+	}
+	for class, d := range r.Deduplicated {
+		out.Deduplicated[class] = history.Deduplication{Window: d.Window, AllReplicas: d.AllReplicas,
+			SameDomain: func(a, b string) bool { return d.Domains[a] == d.Domains[b] }}
 	}
 	return out
 }
 
 // Stored is the stored form of rules over the named replicas.
 func Stored(r history.Rules, replicas []string) Rules {
-	out := Rules{AnswerSlack: r.AnswerSlack, DrainWithin: r.DrainWithin, ReleaseAfter: r.ReleaseAfter, FallMultiple: r.OverloadMultiple,
-		FallSpan: r.OverloadWindow, ColdFrom: r.InitialCapacity, Longest: r.LongestDeadline, Unsafe: r.NonIdempotent, Slack: r.Slack, Chance: r.RandomArrivals,
-		Keyed: map[string]Keyed{}}
-	for class, k := range r.Deduplicated {
-		domains := map[string]string{}
-		for _, name := range replicas {
-			domains[name] = name
-			for _, earlier := range replicas {
-				if k.SameDomain(earlier, name) {
-					domains[name] = earlier
-					break
-				}
-			}
-		}
-		out.Keyed[class] = Keyed{Window: k.Window, All: k.AllReplicas, Domains: domains}
+	out := Rules{
+		AnswerSlack:      r.AnswerSlack,
+		DrainWithin:      r.DrainWithin,
+		ReleaseAfter:     r.ReleaseAfter,
+		OverloadMultiple: r.OverloadMultiple,
+		OverloadWindow:   r.OverloadWindow,
+		InitialCapacity:  r.InitialCapacity,
+		LongestDeadline:  r.LongestDeadline,
+		NonIdempotent:    r.NonIdempotent,
+		Deduplicated:     map[string]Deduplication{},
+		Slack:            r.Slack,
+		RandomArrivals:   r.RandomArrivals,
+	}
+	for class, d := range r.Deduplicated {
+		out.Deduplicated[class] = Deduplication{d.Window, d.AllReplicas, domains(d, replicas)}
+	}
+	return out
+}
+
+// domains names each replica's deduplication domain by the domain's first replica.
+func domains(d history.Deduplication, replicas []string) map[string]string {
+	out := map[string]string{}
+	for _, name := range replicas {
+		first := slices.IndexFunc(replicas, func(other string) bool { return other == name || d.SameDomain(other, name) })
+		out[name] = replicas[first]
 	}
 	return out
 }
--- /dev/null
+++ b/internal/rig/history/response.go
@@ -0,0 +1,50 @@
+package history
+
+// checkResponses judges RuleSingleResponse: each request that a live dispatcher accepted gets one final response in
+// time, made for it by a replica, and nothing besides. "Once a stream has commenced, no deadline applies", so a
+// stream's first event counts as in time.
+func (c *checker) checkResponses() {
+	pending, answered := map[string]Event{}, map[string]bool{}
+	for _, e := range c.events {
+		switch e.Kind {
+		case RequestSent:
+			pending[e.Request] = e
+		case FirstEventReceived, ResponseReceived:
+			final := e.Kind == ResponseReceived
+			if final && answered[e.Request] {
+				c.report(RuleSingleResponse, e, "a second final answer")
+			}
+			if sent, ok := pending[e.Request]; ok {
+				c.checkResponseInTime(sent, e)
+			}
+			delete(pending, e.Request)
+			answered[e.Request] = answered[e.Request] || final
+		case ExtraBytesReceived:
+			c.report(RuleSingleResponse, e, "bytes behind the final answer")
+		case ForeignResponseReceived:
+			c.report(RuleSingleResponse, e, "served with what no replica made for it")
+		case ClientGaveUp:
+			if sent, ok := pending[e.Request]; ok {
+				c.checkGivenUp(sent, e)
+			}
+			delete(pending, e.Request)
+		}
+	}
+}
+
+// checkResponseInTime reports a response that came after its client's deadline. A fault on the client's link may have
+// held it back, and a process that was down could not send it.
+func (c *checker) checkResponseInTime(sent, response Event) {
+	latest := sent.Until + c.rules.AnswerSlack + c.rules.Slack
+	if response.At > latest && response.LinkHealthy && !c.wasDown(sent.Dispatcher, sent.At, response.At) {
+		c.report(RuleSingleResponse, response, "answered %v after the deadline", response.At-sent.Until)
+	}
+}
+
+// checkGivenUp reports a request that its client gave up: one that did so before its deadline lost its connection,
+// and one that did so after it was kept waiting.
+func (c *checker) checkGivenUp(sent, givenUp Event) {
+	if givenUp.LinkHealthy && !c.wasDown(sent.Dispatcher, sent.At, max(givenUp.At, sent.Until)) {
+		c.report(RuleSingleResponse, givenUp, "no final answer by dispatcher %d", sent.Dispatcher)
+	}
+}
--- a/internal/rig/history/stale.go
+++ b/internal/rig/history/stale.go
@@ -1,47 +1,51 @@
 package history
 
-import (
-	"cmp"
-	"slices"
-	"time"
-)
+import "time"
 
-// StaleAttempts is the work that dispatchers sent to replicas that a list newer than any before, told to any dispatcher, had ended for longer
-// than within. Who told it, and whether the sender could have known, is the caller's to judge: a process that was stopped counts
-// from its wake, one that was started anew from its start.
-func StaleAttempts(events []Event, within time.Duration) (out []Event) {
-	events = slices.Clone(events)
-	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	type status struct {
-		version uint64
-		ended   time.Duration // 0: it has not
+// endpointStatus is what the newest list so far, sent to any dispatcher, says of a replica.
+type endpointStatus struct {
+	version     uint64
+	withdrawnAt time.Duration // 0: it is ready
+}
+
+// after is the status once another list was sent. An older list changes nothing; of two answers of one version the
+// withdrawal holds.
+func (s endpointStatus) after(e Event) endpointStatus {
+	ready := e.Kind == EndpointReady
+	if e.Version < s.version || e.Version == s.version && ready {
+		return s
 	}
-	replicas, down := map[string]status{}, downs(events)
-	for _, e := range events {
-		s := replicas[e.Replica]
+	s.version = e.Version
+	switch {
+	case ready:
+		s.withdrawnAt = 0
+	case s.withdrawnAt == 0:
+		s.withdrawnAt = max(e.At, 1)
+	}
+	return s
+}
+
+// StaleAttempts are the attempts that dispatchers sent to replicas that a list newer than any before, sent to any
+// dispatcher, had withdrawn for longer than within. Who was sent it, and whether the sender could have known, is the
+// caller's to judge: a process that was paused counts from when it resumed, one that was restarted from its start.
+func StaleAttempts(events []Event, within time.Duration) (stale []Event) {
+	endpoints, downtimes := map[string]endpointStatus{}, downtimes(events)
+	for _, e := range sortedByTime(events) {
 		switch e.Kind {
 		case EndpointWithdrawn, EndpointReady:
-			if e.Version < s.version || e.Version == s.version && e.Kind == EndpointReady {
-				continue
-			}
-			if e.Kind == EndpointReady {
-				s.ended = 0
-			} else if s.ended == 0 {
-				s.ended = max(e.At, 1)
-			}
-			s.version = e.Version
-			replicas[e.Replica] = s
+			endpoints[e.Replica] = endpoints[e.Replica].after(e)
 		case AttemptArrived:
-			since := s.ended
-			for _, d := range down[e.Dispatcher] {
+			withdrawnAt := endpoints[e.Replica].withdrawnAt
+			since := withdrawnAt
+			for _, d := range downtimes[e.Dispatcher] {
 				if d.At <= e.At {
 					since = max(since, d.Until)
 				}
 			}
-			if s.ended > 0 && e.At > since+within {
-				out = append(out, e)
+			if withdrawnAt > 0 && e.At > since+within {
+				stale = append(stale, e)
 			}
 		}
 	}
-	return out
+	return stale
 }
--- a/internal/rig/recording_test.go
+++ b/internal/rig/recording_test.go
@@ -15,9 +15,10 @@
 // recordingsEnv names the folder that TestRecordHistories writes to. Without it the test is skipped.
 const recordingsEnv = "RAMPSPREAD_RECORDINGS"
 
-// TestRecordHistories plays scenarios, soaks and soaks of the program's mutants one after the other, and keeps their histories for the golden
-// test of package history. Those in its testdata were made once; a checker that is changed is judged by them, so they aren't made anew.
-// The judgements of the play itself are logged and nothing more: a mutant may break rules, and need not within one seed.
+// TestRecordHistories plays scenarios, soaks and soaks of the program's mutants one after the other, and keeps their
+// histories for the golden test of package history. Those in its testdata were made once; a checker that is changed
+// is judged by them, so they aren't made anew. The judgements of the play itself are logged and nothing more: a
+// mutant may break rules, and need not within one seed.
 func TestRecordHistories(t *testing.T) {
 	dir := os.Getenv(recordingsEnv)
 	if dir == "" {
@@ -51,10 +52,12 @@
 	}
 }
 
-// recordedSeeds draw soaks with a fleet, with replicas that start and drain, and with a drawn deployment whose repeats some replicas drop.
+// recordedSeeds draw soaks with a fleet, with replicas that start and drain, and with a drawn deployment whose
+// repeats some replicas drop.
 var recordedSeeds = []uint64{3, 7, 22}
 
-// mutantSeeds draw soaks with the faults that may show a mutant. The first history that breaks a rule is kept, or else the last.
+// mutantSeeds draw soaks with the faults that may show a mutant. The first history that breaks a rule is kept, or
+// else the last.
 var mutantSeeds = map[string][]uint64{
 	"an attempt after the client's close":         {11, 29, 25},
 	"a resend of what may have run":               {8, 19, 30},
