--- a/internal/rig/history/check_test.go
+++ b/internal/rig/history/check_test.go
@@ -10,11 +10,11 @@
 const ms = time.Millisecond
 
 var rules = history.Rules{AnswerSlack: 58 * ms, DrainWithin: 550 * ms, ReleaseAfter: 650 * ms, OverloadMultiple: 2.5,
-	OverloadWindow: 2 * time.Second, InitialCapacity: 0.34, NonIdempotent: []string{"meldung"}}
+	OverloadWindow: 2 * time.Second, InitialCapacity: 0.34, NonIdempotent: []string{"filing"}}
 
-// ev shortens the tables: an event of dispatcher 0 on a sound link.
-func ev(at time.Duration, kind history.Kind, change func(*history.Event)) history.Event {
-	e := history.Event{At: at, Kind: kind, Request: "a", Group: "g", Class: "meldung", Replica: "r", LinkHealthy: true}
+// event is an event of dispatcher 0 on a healthy link, with the fields that change sets.
+func event(at time.Duration, kind history.Kind, change func(*history.Event)) history.Event {
+	e := history.Event{At: at, Kind: kind, Request: "a", Group: "g", Class: "filing", Replica: "r", LinkHealthy: true}
 	if change != nil {
 		change(&e)
 	}
@@ -29,89 +29,228 @@
 	return func(e *history.Event) { e.Weight, e.Until = w, d }
 }
 
-func down(why string, until time.Duration) func(*history.Event) {
+func downBecause(why string, until time.Duration) func(*history.Event) {
 	return func(e *history.Event) { e.Class, e.Until = why, until }
 }
 
-func unsound(e *history.Event) { e.LinkHealthy = false }
+func linkFaulty(e *history.Event) { e.LinkHealthy = false }
 
-// For each rule, histories that keep it just so and ones that break it just so.
-func TestEachRule(t *testing.T) {
-	asked := ev(100*ms, history.RequestSent, until(1100*ms))
-	paused := ev(50*ms, history.ProcessDown, until(1000*ms))
-	cold := ev(0, history.ReplicaStarted, weight(10, 13*time.Second)) // 3.4 a second at first: 17 in the first 2 s
+// Each rule has histories that just keep it and histories that just break it.
+func TestCheckReportsEachRuleAtItsLimit(t *testing.T) {
+	request := event(100*ms, history.RequestSent, until(1100*ms))
+	pause := event(50*ms, history.ProcessDown, until(1000*ms))
+	start := event(0, history.ReplicaStarted, weight(10, 13*time.Second)) // 3.4 a second at first: 17 in the first 2 s
 	burst := func(n int) []history.Event {
-		out := []history.Event{cold}
+		out := []history.Event{start}
 		for i := range n {
-			out = append(out, ev(time.Duration(i+1)*ms, history.AttemptArrived, weight(1, 0)))
+			out = append(out, event(time.Duration(i+1)*ms, history.AttemptArrived, weight(1, 0)))
 		}
 		return out
 	}
 	for _, c := range []struct {
 		name   string
-		rule   string // broken; "": none
+		rule   string // that is broken; "": none
 		events []history.Event
 	}{
-		{"in time", "", []history.Event{asked, ev(1158*ms, history.ResponseReceived, status(502))}},
-		{"too late", history.RuleSingleResponse, []history.Event{asked, ev(1159*ms, history.ResponseReceived, status(502))}},
-		{"too late over a cut", "", []history.Event{asked, ev(1159*ms, history.ResponseReceived, unsound)}},
-		{"too late, and it was paused", "", []history.Event{paused, asked, ev(1159*ms, history.ResponseReceived, nil)}},
-		{"a stream may last", "", []history.Event{asked, ev(900*ms, history.FirstEventReceived, nil), ev(9*time.Second, history.ResponseReceived, status(200))}},
-		{"answered twice", history.RuleSingleResponse, []history.Event{asked, ev(200*ms, history.ResponseReceived, nil), ev(201*ms, history.ResponseReceived, nil)}},
-		{"bytes behind it", history.RuleSingleResponse, []history.Event{asked, ev(200*ms, history.ResponseReceived, nil), ev(201*ms, history.ExtraBytesReceived, nil)}},
-		{"another's answer", history.RuleSingleResponse, []history.Event{asked, ev(200*ms, history.ForeignResponseReceived, nil)}},
-		{"never answered", history.RuleSingleResponse, []history.Event{asked, ev(1300*ms, history.ClientGaveUp, nil)}},
-		{"never answered by one that was killed", "", []history.Event{asked, ev(300*ms, history.ProcessDown, nil), ev(1300*ms, history.ClientGaveUp, nil)}},
-		{"killed, but back by then", history.RuleSingleResponse, []history.Event{ev(50*ms, history.ProcessDown, until(90*ms)), asked, ev(1300*ms, history.ClientGaveUp, nil)}},
+		{"in time", "", []history.Event{request, event(1158*ms, history.ResponseReceived, status(502))}},
+		{"too late", history.RuleSingleResponse, []history.Event{
+			request,
+			event(1159*ms, history.ResponseReceived, status(502)),
+		}},
+		{"too late over a faulty link", "", []history.Event{request, event(1159*ms, history.ResponseReceived, linkFaulty)}},
+		{"too late while the process was paused", "", []history.Event{
+			pause,
+			request,
+			event(1159*ms, history.ResponseReceived, nil),
+		}},
+		{"a stream outlasts the deadline", "", []history.Event{
+			request,
+			event(900*ms, history.FirstEventReceived, nil),
+			event(9*time.Second, history.ResponseReceived, status(200)),
+		}},
+		{"answered twice", history.RuleSingleResponse, []history.Event{
+			request,
+			event(200*ms, history.ResponseReceived, nil),
+			event(201*ms, history.ResponseReceived, nil),
+		}},
+		{"bytes behind the final response", history.RuleSingleResponse, []history.Event{
+			request,
+			event(200*ms, history.ResponseReceived, nil),
+			event(201*ms, history.ExtraBytesReceived, nil),
+		}},
+		{"a foreign response", history.RuleSingleResponse, []history.Event{
+			request,
+			event(200*ms, history.ForeignResponseReceived, nil),
+		}},
+		{"never answered", history.RuleSingleResponse, []history.Event{request, event(1300*ms, history.ClientGaveUp, nil)}},
+		{"never answered by a killed process", "", []history.Event{
+			request,
+			event(300*ms, history.ProcessDown, nil),
+			event(1300*ms, history.ClientGaveUp, nil),
+		}},
+		{"killed and restarted before the request", history.RuleSingleResponse, []history.Event{
+			event(50*ms, history.ProcessDown, until(90*ms)),
+			request,
+			event(1300*ms, history.ClientGaveUp, nil),
+		}},
 
-		{"runs once", "", []history.Event{ev(1*ms, history.ExecutionStarted, nil), ev(2*ms, history.ResponseReceived, status(502))}},
-		{"runs twice", history.RuleSingleExecution, []history.Event{ev(1*ms, history.ExecutionStarted, nil),
-			ev(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Request, e.Replica = "b", "s" })}},
-		{"another group runs", "", []history.Event{ev(1*ms, history.ExecutionStarted, nil), ev(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Group = "h" })}},
-		{"a question runs twice", "", []history.Event{ev(1*ms, history.ExecutionStarted, func(e *history.Event) { e.Class = "frage" }),
-			ev(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Class = "frage" })}},
-		{"refused after it ran", history.RuleSingleExecution, []history.Event{ev(1*ms, history.ExecutionStarted, nil), ev(2*ms, history.ResponseReceived, status(429))}},
-		{"refused before it ran", "", []history.Event{ev(1*ms, history.ResponseReceived, status(429)), ev(2*ms, history.ExecutionStarted, nil)}},
+		{"executed once", "", []history.Event{
+			event(1*ms, history.ExecutionStarted, nil),
+			event(2*ms, history.ResponseReceived, status(502)),
+		}},
+		{"executed twice", history.RuleSingleExecution, []history.Event{
+			event(1*ms, history.ExecutionStarted, nil),
+			event(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Request, e.Replica = "b", "s" }),
+		}},
+		{"another group is executed", "", []history.Event{
+			event(1*ms, history.ExecutionStarted, nil),
+			event(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Group = "h" }),
+		}},
+		{"an idempotent class is executed twice", "", []history.Event{
+			event(1*ms, history.ExecutionStarted, func(e *history.Event) { e.Class = "question" }),
+			event(2*ms, history.ExecutionStarted, func(e *history.Event) { e.Class = "question" }),
+		}},
+		{"refused after its execution", history.RuleSingleExecution, []history.Event{
+			event(1*ms, history.ExecutionStarted, nil),
+			event(2*ms, history.ResponseReceived, status(429)),
+		}},
+		{"refused before its execution", "", []history.Event{
+			event(1*ms, history.ResponseReceived, status(429)),
+			event(2*ms, history.ExecutionStarted, nil),
+		}},
 
-		{"the last before a drain binds", "", []history.Event{ev(0, history.EndpointWithdrawn, nil), ev(550*ms, history.AttemptArrived, nil)}},
-		{"after a drain", history.RuleOrderlyDrain, []history.Event{ev(0, history.EndpointWithdrawn, nil), ev(551*ms, history.AttemptArrived, nil)}},
-		{"after a drain, told twice", history.RuleOrderlyDrain, []history.Event{ev(0, history.EndpointWithdrawn, nil), ev(500*ms, history.EndpointWithdrawn, nil), ev(551*ms, history.AttemptArrived, nil)}},
-		{"another one's drain", "", []history.Event{ev(0, history.EndpointWithdrawn, func(e *history.Event) { e.Dispatcher = 1 }), ev(551*ms, history.AttemptArrived, nil)}},
-		{"ready again", "", []history.Event{ev(0, history.EndpointWithdrawn, nil), ev(300*ms, history.EndpointReady, nil), ev(900*ms, history.AttemptArrived, nil)}},
-		{"told while it was paused", "", []history.Event{paused, ev(100*ms, history.EndpointWithdrawn, nil), ev(1550*ms, history.AttemptArrived, nil)}},
-		{"told while it was paused, long ago", history.RuleOrderlyDrain, []history.Event{paused, ev(100*ms, history.EndpointWithdrawn, nil), ev(1551*ms, history.AttemptArrived, nil)}},
+		{"at the limit after a withdrawal", "", []history.Event{
+			event(0, history.EndpointWithdrawn, nil),
+			event(550*ms, history.AttemptArrived, nil),
+		}},
+		{"past the limit after a withdrawal", history.RuleOrderlyDrain, []history.Event{
+			event(0, history.EndpointWithdrawn, nil),
+			event(551*ms, history.AttemptArrived, nil),
+		}},
+		{"past the limit, withdrawn twice", history.RuleOrderlyDrain, []history.Event{
+			event(0, history.EndpointWithdrawn, nil),
+			event(500*ms, history.EndpointWithdrawn, nil),
+			event(551*ms, history.AttemptArrived, nil),
+		}},
+		{"withdrawn for another dispatcher", "", []history.Event{
+			event(0, history.EndpointWithdrawn, func(e *history.Event) { e.Dispatcher = 1 }),
+			event(551*ms, history.AttemptArrived, nil),
+		}},
+		{"ready again", "", []history.Event{
+			event(0, history.EndpointWithdrawn, nil),
+			event(300*ms, history.EndpointReady, nil),
+			event(900*ms, history.AttemptArrived, nil),
+		}},
+		{"withdrawn during a pause, at the limit after it", "", []history.Event{
+			pause,
+			event(100*ms, history.EndpointWithdrawn, nil),
+			event(1550*ms, history.AttemptArrived, nil),
+		}},
+		{"withdrawn during a pause, past the limit after it", history.RuleOrderlyDrain, []history.Event{
+			pause,
+			event(100*ms, history.EndpointWithdrawn, nil),
+			event(1551*ms, history.AttemptArrived, nil),
+		}},
 
-		{"a cold one's budget", "", burst(18)},
-		{"a cold one pushed over", history.RuleSlowStart, burst(20)},
-		{"a warm one", "", append([]history.Event{ev(0, history.ReplicaStarted, weight(10, 1))}, burst(20)[1:]...)},
+		{"a cold replica within its budget", "", burst(18)},
+		{"a cold replica over its budget", history.RuleSlowStart, burst(20)},
+		{"a warm replica", "", append([]history.Event{event(0, history.ReplicaStarted, weight(10, 1))}, burst(20)[1:]...)},
 
-		{"held in time", "", []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil), ev(653*ms, history.StateReleased, nil)}},
-		{"held too long", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil), ev(654*ms, history.StateReleased, nil)}},
-		{"held while a send waits", "", []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(5*ms, history.AttemptArrived, nil), ev(900*ms, history.StateReleased, nil)}},
-		{"the send was held back by a cut", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(900*ms, history.AttemptArrived, func(e *history.Event) { e.SentAt = 500 * ms }), ev(901*ms, history.StateReleased, nil)}},
-		{"its last byte was held back by a cut", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(500*ms, history.AttemptArrived, func(e *history.Event) { e.LastByteAt = 900 * ms }), ev(901*ms, history.StateReleased, nil)}},
-		{"an attempt over a cut excuses no later one", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, unsound), ev(2*ms, history.AttemptEnded, unsound),
-			ev(3*ms, history.AttemptArrived, nil), ev(4*ms, history.StateReserved, nil), ev(5*ms, history.AttemptEnded, nil), ev(656*ms, history.StateReleased, unsound)}},
-		{"the read's end could not come back", "", []history.Event{asked, ev(101*ms, history.AttemptArrived, nil), ev(102*ms, history.StateReserved, nil),
-			ev(103*ms, history.AttemptEnded, unsound), ev(1750*ms, history.StateReleased, nil)}},
-		{"the read's end could not come back, and its client's time was over", history.RuleReservationRelease, []history.Event{asked, ev(101*ms, history.AttemptArrived, nil),
-			ev(102*ms, history.StateReserved, nil), ev(103*ms, history.AttemptEnded, unsound), ev(1751*ms, history.StateReleased, nil)}},
-		{"paused meanwhile", "", []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(4*ms, history.ProcessDown, down(history.DownPaused, 500*ms)), ev(1150*ms, history.StateReleased, nil)}},
-		{"paused meanwhile, long ago", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(4*ms, history.ProcessDown, down(history.DownPaused, 500*ms)), ev(1151*ms, history.StateReleased, nil)}},
-		{"never let go by one that ended by itself", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil),
-			ev(3*ms, history.AttemptEnded, nil), ev(4*ms, history.ProcessDown, down(history.DownEnded, 0)), ev(9000*ms, history.LoadPolled, nil)}},
-		{"never let go", history.RuleReservationRelease, []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil), ev(9000*ms, history.LoadPolled, nil)}},
-		{"never let go by one that died", "", []history.Event{ev(1*ms, history.AttemptArrived, nil), ev(2*ms, history.StateReserved, nil), ev(3*ms, history.AttemptEnded, nil),
-			ev(4*ms, history.ProcessDown, nil), ev(9000*ms, history.LoadPolled, nil)}},
+		{"released in time", "", []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(653*ms, history.StateReleased, nil),
+		}},
+		{"released too late", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(654*ms, history.StateReleased, nil),
+		}},
+		{"reserved while an attempt is outstanding", "", []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(5*ms, history.AttemptArrived, nil),
+			event(900*ms, history.StateReleased, nil),
+		}},
+		{"an attempt delayed by a faulty link", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(900*ms, history.AttemptArrived, func(e *history.Event) { e.SentAt = 500 * ms }),
+			event(901*ms, history.StateReleased, nil),
+		}},
+		{"an attempt whose last byte was delayed by a faulty link", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(500*ms, history.AttemptArrived, func(e *history.Event) { e.LastByteAt = 900 * ms }),
+			event(901*ms, history.StateReleased, nil),
+		}},
+		{"an attempt over a faulty link exempts no later one", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, linkFaulty),
+			event(2*ms, history.AttemptEnded, linkFaulty),
+			event(3*ms, history.AttemptArrived, nil),
+			event(4*ms, history.StateReserved, nil),
+			event(5*ms, history.AttemptEnded, nil),
+			event(656*ms, history.StateReleased, linkFaulty),
+		}},
+		{"the prefill's end could not be delivered", "", []history.Event{
+			request,
+			event(101*ms, history.AttemptArrived, nil),
+			event(102*ms, history.StateReserved, nil),
+			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(1750*ms, history.StateReleased, nil),
+		}},
+		{"the prefill's end could not be delivered, past the client's deadline", history.RuleReservationRelease, []history.Event{
+			request,
+			event(101*ms, history.AttemptArrived, nil),
+			event(102*ms, history.StateReserved, nil),
+			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(1751*ms, history.StateReleased, nil),
+		}},
+		{"paused meanwhile, at the limit after it", "", []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(1150*ms, history.StateReleased, nil),
+		}},
+		{"paused meanwhile, past the limit after it", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(1151*ms, history.StateReleased, nil),
+		}},
+		{"never released by a process that ended by itself", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(4*ms, history.ProcessDown, downBecause(history.DownEnded, 0)),
+			event(9000*ms, history.LoadPolled, nil),
+		}},
+		{"never released", history.RuleReservationRelease, []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(9000*ms, history.LoadPolled, nil),
+		}},
+		{"never released by a killed process", "", []history.Event{
+			event(1*ms, history.AttemptArrived, nil),
+			event(2*ms, history.StateReserved, nil),
+			event(3*ms, history.AttemptEnded, nil),
+			event(4*ms, history.ProcessDown, nil),
+			event(9000*ms, history.LoadPolled, nil),
+		}},
 	} {
-		got := history.Check(c.events, rules)
-		if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule) {
-			t.Errorf("%s: %v, want %q", c.name, got, c.rule)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got := history.Check(c.events, rules)
+			if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule) {
+				t.Errorf("%v, want %q", got, c.rule)
+			}
+		})
 	}
 }
--- a/internal/rig/history/golden_test.go
+++ b/internal/rig/history/golden_test.go
@@ -23,7 +23,7 @@
 const leastRecordings = 6
 
 // The checker judges each recording as it did when the recording was made: the same count by rule and the same
-// breaches, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
+// violations, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
 func TestGoldenJudgements(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "recordings", "*.jsonl.gz"))
 	if err != nil {
@@ -71,7 +71,8 @@
 	for i := range max(len(gotLines), len(wantLines)) {
 		g, w := lineAt(gotLines, i), lineAt(wantLines, i)
 		if g != w {
-			t.Errorf("%s: %d lines, want %d; first at line %d: got\n%s\nwant\n%s", path, len(gotLines), len(wantLines), i+1, g, w)
+			t.Errorf("%s: %d lines, want %d; first at line %d: got\n%s\nwant\n%s", path,
+				len(gotLines), len(wantLines), i+1, g, w)
 			return
 		}
 	}
@@ -98,10 +99,10 @@
 	{"without exemptions", recordedRules, withoutExemptions},
 	{"tight rules", tightRules, unchanged},
 	{"tight rules, without exemptions", tightRules, withoutExemptions},
-	{"keyed classes", keyedRules, unchanged},
+	{"keyed classes", deduplicatedRules, unchanged},
 	{"late ends", recordedRules, lateEnds},
 	{"damaged", recordedRules, damaged},
-	{"damaged, without exemptions", recordedRules, func(events []history.Event) []history.Event { return withoutExemptions(damaged(events)) }},
+	{"damaged, without exemptions", recordedRules, damagedWithoutExemptions},
 }
 
 func unchanged(events []history.Event) []history.Event { return slices.Clone(events) }
@@ -122,12 +123,15 @@
 	return rules
 }
 
-// keyedRules hold each class to drop its repeats at one replica, for a short time.
-func keyedRules(r *historytest.Recording) history.Rules {
+// deduplicatedRules let each class drop its repeats at one replica, for a short time.
+func deduplicatedRules(r *historytest.Recording) history.Rules {
 	rules := r.Play.Rules.Checker()
 	rules.NonIdempotent, rules.Deduplicated = nil, map[string]history.Deduplication{}
 	for _, class := range classesOf(r.Events) {
-		rules.Deduplicated[class] = history.Deduplication{Window: 20 * time.Millisecond, SameDomain: func(a, b string) bool { return a == b }}
+		rules.Deduplicated[class] = history.Deduplication{
+			Window:     20 * time.Millisecond,
+			SameDomain: func(a, b string) bool { return a == b },
+		}
 	}
 	rules.Slack = 0
 	return rules
@@ -147,7 +151,8 @@
 // withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a
 // fault.
 func withoutExemptions(events []history.Event) []history.Event {
-	events = slices.DeleteFunc(slices.Clone(events), func(e history.Event) bool { return e.Kind == history.ProcessDown })
+	events = slices.Clone(events)
+	events = slices.DeleteFunc(events, func(e history.Event) bool { return e.Kind == history.ProcessDown })
 	for i := range events {
 		events[i].LinkHealthy = true
 	}
@@ -168,9 +173,12 @@
 // damaged turns one event in some tens into another kind, in turn, and so breaks rules that no play breaks.
 func damaged(events []history.Event) []history.Event {
 	const oneIn = 29
-	kinds := []history.Kind{history.ExtraBytesReceived, history.ForeignResponseReceived, history.ClientGaveUp, history.ConnectionDropped, history.PartialRequestEnded, history.ConnectionLingers, history.ClientClosed,
-		history.ResponseReceived, history.EndpointWithdrawn, history.EndpointReady, history.StateReserved, history.StateReleased, history.AttemptEnded, history.ExecutionStarted, history.AttemptArrived, history.ProcessDown,
-		history.ReplicaStarted}
+	kinds := []history.Kind{
+		history.ExtraBytesReceived, history.ForeignResponseReceived, history.ClientGaveUp, history.ConnectionDropped,
+		history.PartialRequestEnded, history.ConnectionLingers, history.ClientClosed, history.ResponseReceived,
+		history.EndpointWithdrawn, history.EndpointReady, history.StateReserved, history.StateReleased, history.AttemptEnded,
+		history.ExecutionStarted, history.AttemptArrived, history.ProcessDown, history.ReplicaStarted,
+	}
 	events = slices.Clone(events)
 	for i := oneIn; i < len(events); i += oneIn {
 		e := &events[i]
@@ -196,6 +204,10 @@
 	return events
 }
 
+func damagedWithoutExemptions(events []history.Event) []history.Event {
+	return withoutExemptions(damaged(events))
+}
+
 // Lines of the judgements, by keys that are fixed here.
 type (
 	countLine struct {
@@ -203,7 +215,7 @@
 		Check   string         `json:"check"`
 		Counts  map[string]int `json:"counts"`
 	}
-	breachLine struct {
+	violationLine struct {
 		Rule    string        `json:"rule"`
 		At      time.Duration `json:"at_ns"`
 		Request string        `json:"request,omitempty"`
@@ -223,15 +235,15 @@
 	t.Helper()
 	rules, events := v.rules(r), v.events(r.Events)
 	given := slices.Clone(events)
-	breaches := history.Check(events, rules)
-	if !slices.IsSortedFunc(breaches, func(a, b history.Violation) int { return cmp.Compare(a.At, b.At) }) {
-		t.Errorf("%s: the breaches are not in the order of their times", v.name)
+	violations := history.Check(events, rules)
+	if !slices.IsSortedFunc(violations, func(a, b history.Violation) int { return cmp.Compare(a.At, b.At) }) {
+		t.Errorf("%s: the violations are not in the order of their times", v.name)
 	}
-	slices.SortFunc(breaches, func(a, b history.Violation) int { // breaches of one time are in no order
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request), cmp.Compare(a.Replica, b.Replica),
-			cmp.Compare(a.Text, b.Text))
+	slices.SortFunc(violations, func(a, b history.Violation) int { // violations of one time are in no order
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request),
+			cmp.Compare(a.Replica, b.Replica), cmp.Compare(a.Text, b.Text))
 	})
-	v.write(t, out, "rules", breaches)
+	v.write(t, out, "rules", violations)
 	v.write(t, out, "strict rules", history.CheckStrict(events, rules))
 	stale := history.StaleAttempts(events, rules.DrainWithin)
 	writeLine(t, out, countLine{v.name, "stale", map[string]int{"stale": len(stale)}})
@@ -243,15 +255,15 @@
 	}
 }
 
-func (v variant) write(t *testing.T, out *strings.Builder, check string, breaches []history.Violation) {
+func (v variant) write(t *testing.T, out *strings.Builder, check string, violations []history.Violation) {
 	t.Helper()
 	counts := map[string]int{}
-	for _, b := range breaches {
+	for _, b := range violations {
 		counts[b.Rule]++
 	}
 	writeLine(t, out, countLine{v.name, check, counts})
-	for i, b := range breaches {
-		line := breachLine{Rule: b.Rule, At: b.At, Request: b.Request, Replica: b.Replica, Text: b.Text}
+	for i, b := range violations {
+		line := violationLine{Rule: b.Rule, At: b.At, Request: b.Request, Replica: b.Replica, Text: b.Text}
 		if i == 0 {
 			line.Line = fmt.Sprint(b)
 		}
--- a/internal/rig/history/stale_test.go
+++ b/internal/rig/history/stale_test.go
@@ -7,29 +7,39 @@
 	"rampspread/internal/rig/history"
 )
 
-// Work is stale from some time after a newer list ended its replica, whoever was told it; an older list does not bring it
-// back, a newer one does, and one that was away counts from its return.
-func TestStale(t *testing.T) {
+// An attempt is stale from some time after a newer list withdrew its replica, whichever dispatcher was sent it. An older
+// list does not make the replica ready, a newer one does, and a process that was paused counts from when it resumed.
+func TestStaleAttemptsCountFromTheNewestList(t *testing.T) {
 	version := func(v uint64, dispatcher int) func(*history.Event) {
 		return func(e *history.Event) { e.Version, e.Dispatcher = v, dispatcher }
 	}
-	told := ev(time.Second, history.EndpointWithdrawn, version(5, 1))
-	came := func(at time.Duration) history.Event { return ev(at, history.AttemptArrived, nil) }
+	withdrawn := event(time.Second, history.EndpointWithdrawn, version(5, 1))
+	arrival := func(at time.Duration) history.Event { return event(at, history.AttemptArrived, nil) }
 	for _, c := range []struct {
 		name   string
 		events []history.Event
 		want   int
 	}{
-		{"within", []history.Event{told, came(1400 * ms)}, 0},
-		{"behind", []history.Event{told, came(1600 * ms)}, 1},
-		{"told anew", []history.Event{told, ev(1500*ms, history.EndpointWithdrawn, version(6, 2)), came(1600 * ms)}, 1},
-		{"an older list", []history.Event{told, ev(1200*ms, history.EndpointReady, version(4, 0)), came(1600 * ms)}, 1},
-		{"a newer list", []history.Event{told, ev(1200*ms, history.EndpointReady, version(6, 1)), came(1600 * ms)}, 0},
-		{"away until", []history.Event{told, ev(1100*ms, history.ProcessDown, until(1500*ms)), came(1600 * ms)}, 0},
-		{"back for long", []history.Event{told, ev(1100*ms, history.ProcessDown, until(1500*ms)), came(2100 * ms)}, 1},
+		{"within the limit", []history.Event{withdrawn, arrival(1400 * ms)}, 0},
+		{"past the limit", []history.Event{withdrawn, arrival(1600 * ms)}, 1},
+		{"withdrawn again", []history.Event{
+			withdrawn,
+			event(1500*ms, history.EndpointWithdrawn, version(6, 2)),
+			arrival(1600 * ms),
+		}, 1},
+		{"an older list", []history.Event{withdrawn, event(1200*ms, history.EndpointReady, version(4, 0)), arrival(1600 * ms)}, 1},
+		{"a newer list", []history.Event{withdrawn, event(1200*ms, history.EndpointReady, version(6, 1)), arrival(1600 * ms)}, 0},
+		{"just resumed", []history.Event{withdrawn, event(1100*ms, history.ProcessDown, until(1500*ms)), arrival(1600 * ms)}, 0},
+		{"resumed long ago", []history.Event{
+			withdrawn,
+			event(1100*ms, history.ProcessDown, until(1500*ms)),
+			arrival(2100 * ms),
+		}, 1},
 	} {
-		if got := len(history.StaleAttempts(c.events, 500*ms)); got != c.want {
-			t.Errorf("%s: %d", c.name, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := len(history.StaleAttempts(c.events, 500*ms)); got != c.want {
+				t.Errorf("%d, want %d", got, c.want)
+			}
+		})
 	}
 }
