--- a/internal/rig/history/event.go
+++ b/internal/rig/history/event.go
@@ -11,8 +11,8 @@
 type Event struct {
 	At               time.Duration `json:"at"`
 	Kind             Kind          `json:"kind"`
-	Request          string        `json:"request,omitempty"` // its ID, new for each of a client's tries
-	Group            string        `json:"group,omitempty"`   // the ID of the first try, which its retries share
+	Request          string        `json:"request,omitempty"` // its ID, new for each retry
+	Group            string        `json:"group,omitempty"`   // the ID of the first request, which its retries share
 	Class            string        `json:"class,omitempty"`   // of the request; in ProcessDown and ConnectionLingers: why
 	Dispatcher       int           `json:"dispatcher"`        // from 0; -1: none
 	Replica          string        `json:"replica,omitempty"`
--- a/internal/rig/history/golden_test.go
+++ b/internal/rig/history/golden_test.go
@@ -19,8 +19,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// leastRecordings is how many recordings there are: three scenarios and three soaks.
-const leastRecordings = 6
+// leastRecordings is how many recordings there are: three scenarios, three soaks and one soak with each mutant of the program.
+const leastRecordings = 12
 
 // The checker judges each recording as it did when the recording was made: the same count by rule and the same
 // violations, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
--- a/internal/rig/history/response.go
+++ b/internal/rig/history/response.go
@@ -42,7 +42,7 @@
 }
 
 // checkGivenUp reports a request that its client gave up: one that did so before its deadline lost its connection,
-// and one that did so after it was kept waiting.
+// and one that did so after it waited in vain.
 func (c *checker) checkGivenUp(sent, givenUp Event) {
 	if givenUp.LinkHealthy && !c.wasDown(sent.Dispatcher, sent.At, max(givenUp.At, sent.Until)) {
 		c.report(RuleSingleResponse, givenUp, "no final answer by dispatcher %d", sent.Dispatcher)
