--- a/internal/rig/history/stale_test.go
+++ b/internal/rig/history/stale_test.go
@@ -27,6 +27,16 @@
 			event(1500*ms, history.EndpointWithdrawn, version(6, 2)),
 			arrival(1600 * ms),
 		}, 1},
+		{"ready and withdrawn by one version", []history.Event{
+			event(500*ms, history.EndpointReady, version(5, 0)),
+			withdrawn,
+			arrival(1600 * ms),
+		}, 1},
+		{"withdrawn and ready by one version", []history.Event{
+			withdrawn,
+			event(1200*ms, history.EndpointReady, version(5, 0)),
+			arrival(1600 * ms),
+		}, 1},
 		{"an older list", []history.Event{withdrawn, event(1200*ms, history.EndpointReady, version(4, 0)), arrival(1600 * ms)}, 1},
 		{"a newer list", []history.Event{withdrawn, event(1200*ms, history.EndpointReady, version(6, 1)), arrival(1600 * ms)}, 0},
 		{"just resumed", []history.Event{withdrawn, event(1100*ms, history.ProcessDown, until(1500*ms)), arrival(1600 * ms)}, 0},
