--- a/cmd/fleetrig/golden_test.go
+++ b/cmd/fleetrig/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -32,7 +32,7 @@
 	var out bytes.Buffer
 	describe(&out, commands(io.Discard, io.Discard), "")
 	text := strings.ReplaceAll(out.String(), filepath.Dir(beside()), "FOLDER") // the binaries beside this one
-	testkit.CheckGolden(t, *update, "commands.golden", text)
+	testutil.CheckGolden(t, *update, "commands.golden", text)
 }
 
 // The names of the built-in scenarios and the kinds of fault, which journals and scripts name.
@@ -52,5 +52,5 @@
 		t.Fatal(err)
 	}
 	text := fmt.Sprintf("%s\n%s\n", strings.Join(names, "\n"), soak.Flag("faults").Usage)
-	testkit.CheckGolden(t, *update, "list.golden", text)
+	testutil.CheckGolden(t, *update, "list.golden", text)
 }
--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -23,7 +23,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	root := commands(os.Stdout, os.Stderr)
-	root.SetArgs(cli.Words(os.Args[1:]))
+	root.SetArgs(cli.NormalizeArgs(os.Args[1:]))
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "fleetrig:", err)
 		os.Exit(1)
@@ -34,7 +34,7 @@
 var errBad = errors.New("a rule broke or a process crashed")
 
 func commands(out, logs io.Writer) *cobra.Command {
-	root := cli.Root("fleetrig", "Run a fleet of the program with faults between its processes", out)
+	root := cli.NewRootCommand("fleetrig", "Run a fleet of the program with faults between its processes", out)
 	root.AddCommand(runCommand(out, logs), soakCommand(out, logs), listCommand(out), demoCommand(out, logs))
 	return root
 }
@@ -112,7 +112,7 @@
 }
 
 func listCommand(out io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.NoWords, RunE: func(*cobra.Command, []string) error {
+	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
 		all, err := rig.Scenarios()
 		if err != nil {
 			return err
@@ -127,7 +127,7 @@
 func demoCommand(out, logs io.Writer) *cobra.Command {
 	var o rig.Options
 	c := &cobra.Command{Use: "demo", Short: "Start a whole fleet with the chat front and print how to ask it; SIGINT or SIGTERM ends it",
-		Args: cli.NoWords, RunE: func(c *cobra.Command, _ []string) error {
+		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
 			o.Log = logTo(logs)
 			d, err := rig.StartDemo(c.Context(), o)
 			if err != nil {
--- a/cmd/fleetrig/soak.go
+++ b/cmd/fleetrig/soak.go
@@ -19,7 +19,7 @@
 	var o rig.SoakOptions
 	var faults string
 	c := &cobra.Command{Use: "soak", Short: "Play overlapping faults drawn from a seed; the last line printed is one JSON object",
-		Args: cli.NoWords, RunE: func(c *cobra.Command, _ []string) error {
+		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if faults != "" {
 				o.Faults = strings.Split(faults, ",")
 			}
--- a/cmd/rampspread-faults/main.go
+++ b/cmd/rampspread-faults/main.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"rampspread/internal/app"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
-func main() { os.Exit(app.Main(system.NewFaulty(os.Getenv("RAMPSPREAD_FAULTS")))) }
+func main() { os.Exit(app.Main(hostos.NewFaulty(os.Getenv("RAMPSPREAD_FAULTS")))) }
--- a/cmd/rampspread/main.go
+++ b/cmd/rampspread/main.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"rampspread/internal/app"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
-func main() { os.Exit(app.Main(system.Real())) }
+func main() { os.Exit(app.Main(hostos.Real())) }
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -87,7 +87,7 @@
 		Request: routing.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
 		Session: routing.Key(e.Talk), SharedPrefix: routing.Key(e.SharedPrefix),
 		PromptTokens: tokenCount(e.InputLen), SharedPrefixTokens: tokenCount(e.NPrefix),
-		MaxOutputTokens: tokenCount(e.MaxOut), TimeLeft: config.FromMS(e.ExpiresInMs),
+		MaxOutputTokens: tokenCount(e.MaxOut), RemainingTime: config.FromMS(e.ExpiresInMs),
 	}
 }
 
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 const (
@@ -31,7 +31,7 @@
 // Listener is a net.Listener whose Accept returns an error only once it is closed or unusable.
 type Listener struct {
 	net.Listener
-	machine  system.System
+	machine  hostos.System
 	failures atomic.Int64
 
 	// failingSince is when accepts began to fail before the connections that are accepted now; zero: they did not.
@@ -39,12 +39,12 @@
 }
 
 // New returns a Listener that accepts the connections of inner.
-func New(inner net.Listener, machine system.System) *Listener {
+func New(inner net.Listener, machine hostos.System) *Listener {
 	return &Listener{Listener: inner, machine: machine}
 }
 
-// Failed is the number of accepts that failed.
-func (l *Listener) Failed() int64 { return l.failures.Load() }
+// Failures is the number of accepts that failed.
+func (l *Listener) Failures() int64 { return l.failures.Load() }
 
 // Accept implements net.Listener. Only one goroutine may accept at a time.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Waited is how long the connection that was accepted last may have waited while accepts failed. Only the goroutine
+// AcceptDelay is how long the connection that was accepted last may have waited while accepts failed. Only the goroutine
 // that accepts may call it.
-func (l *Listener) Waited() time.Duration {
+func (l *Listener) AcceptDelay() time.Duration {
 	if l.failingSince.IsZero() {
 		return 0
 	}
@@ -77,7 +77,7 @@
 }
 
 func (l *Listener) acceptOnce() (net.Conn, error) {
-	if err := l.machine.Before(system.Accept); err != nil {
+	if err := l.machine.Before(hostos.Accept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.Addr().Network(), Addr: l.Addr(), Err: err}
 	}
 	return l.Listener.Accept()
--- a/internal/app/admin_test.go
+++ b/internal/app/admin_test.go
@@ -9,14 +9,14 @@
 	"testing"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // The operators' calls on LB_OPS: check, and a drain that healthz shows and that drain-off ends. SIGHUP applies changed
 // classes; an invalid file changes nothing, not even discovery's address.
 func TestAdminCallsAndSettingsReload(t *testing.T) {
-	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, adminAddress := freeAddr(t), freeAddr(t)
@@ -29,7 +29,7 @@
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(cli.LogHandler(out))) // this test reads the process's events
 	go func() {
-		ended <- run(ctx, system.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: reload}, out)
+		ended <- run(ctx, hostos.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: reload}, out)
 	}()
 	awaitReady(t, listen)
 	for _, c := range []struct{ call, want string }{
@@ -67,7 +67,7 @@
 		}
 		n := strings.Count(out.String(), "event=reload")
 		reload <- os.Interrupt
-		testkit.Eventually(t, "the reload", func() bool { return strings.Count(out.String(), "event=reload") > n })
+		testutil.Eventually(t, "the reload", func() bool { return strings.Count(out.String(), "event=reload") > n })
 	}
 	added := strings.Replace(configText(listen, discovery, list), `{"name":"frage"`,
 		`{"name":"neu","effect":"retryable","importance":1,"promiseMs":900,"hardLimitMs":4000},{"name":"frage"`, 1)
--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -19,16 +19,16 @@
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet/endpointfilter"
 	"rampspread/internal/frontend"
+	"rampspread/internal/hostos"
 	"rampspread/internal/precondition"
 	"rampspread/internal/state/statetransfer"
-	"rampspread/internal/system"
 	"rampspread/internal/upstream"
 	"rampspread/internal/xds"
 )
 
 // application is one running dispatcher: the parts and how they are wired.
 type application struct {
-	machine    system.System
+	machine    hostos.System
 	inputs     inputs
 	options    options
 	limits     resourceLimits
@@ -56,7 +56,7 @@
 const maxPendingFailures = 4
 
 // newApplication wires the parts. It starts nothing, opens nothing and reads no file.
-func newApplication(machine system.System, in inputs, o options, limits resourceLimits) (*application, error) {
+func newApplication(machine hostos.System, in inputs, o options, limits resourceLimits) (*application, error) {
 	cfg := in.config
 	seed, err := cfg.SeedNumber()
 	if err != nil {
@@ -79,13 +79,13 @@
 	a.settings.set(&cfg.Settings)
 	a.fleet.init(in, router, a.upstream, a.dispatcher)
 	if o.xdsAddress != "" {
-		a.xds = xds.New(&cfg.Settings)
+		a.xds = xds.NewServer(&cfg.Settings)
 	}
 	a.stores.endpointCache = a.newEndpointCache()
 	a.watcher = discovery.New(cfg.Discovery, &cfg.Settings, seed, a.newEndpointConsumer())
 	a.watcher.SetFleetSize(a.fleet.effectiveSize(&cfg.Settings))
 	a.fleet.watcher = a.watcher
-	a.front = frontend.New(a.dispatcher, &cfg.Settings, classes)
+	a.front = frontend.NewHandler(a.dispatcher, &cfg.Settings, classes)
 	a.stores.transfer = statetransfer.Exchange{
 		Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: a.settings.fingerprint(),
 	}
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -9,7 +9,7 @@
 
 	"rampspread/internal/admin"
 	"rampspread/internal/cli"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // callTimeout is how long an operator's call may take; a process answers within 1 s.
@@ -19,8 +19,8 @@
 const defaultAdminAddress = "127.0.0.1:9600"
 
 // newRootCommand returns the command line. Without a sub-command it is the same as serve.
-func newRootCommand(machine system.System, on signals, out io.Writer) *cobra.Command {
-	root := cli.Root("rampspread", "A control service for LLM traffic", out)
+func newRootCommand(machine hostos.System, on signals, out io.Writer) *cobra.Command {
+	root := cli.NewRootCommand("rampspread", "A control service for LLM traffic", out)
 	serving := serveCommand(machine, on, out)
 	root.Args, root.RunE = func(_ *cobra.Command, args []string) error {
 		if len(args) > 0 {
@@ -34,10 +34,10 @@
 	return root
 }
 
-func serveCommand(machine system.System, on signals, out io.Writer) *cobra.Command {
+func serveCommand(machine hostos.System, on signals, out io.Writer) *cobra.Command {
 	var files inputFiles
 	var o options
-	c := &cobra.Command{Use: "serve", Short: "Run one dispatcher", Args: cli.NoWords,
+	c := &cobra.Command{Use: "serve", Short: "Run one dispatcher", Args: cli.RejectArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			in, err := files.load()
 			if err != nil {
@@ -56,7 +56,7 @@
 
 func checkCommand(out io.Writer) *cobra.Command {
 	var files inputFiles
-	c := &cobra.Command{Use: "check", Short: "Check the files and end", Args: cli.NoWords,
+	c := &cobra.Command{Use: "check", Short: "Check the files and end", Args: cli.RejectArgs,
 		RunE: func(*cobra.Command, []string) error {
 			in, err := files.load()
 			if err != nil {
@@ -74,7 +74,7 @@
 func importCommand(out io.Writer) *cobra.Command {
 	var o importOptions
 	c := &cobra.Command{Use: "import", Short: "Turn an Apache balancer or mod_jk worker file into discovery's list",
-		Args: cli.NoWords, RunE: func(*cobra.Command, []string) error { return importList(o, out) }}
+		Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error { return importList(o, out) }}
 	c.Flags().StringVar(&o.from, "from", "", "the Apache balancer or mod_jk worker `file`")
 	c.Flags().StringVar(&o.zone, "zone", "", "the `zone` of all members")
 	c.Flags().IntVar(&o.port, "port", 0, "the `port` of all members; 0: as in the file")
@@ -98,6 +98,6 @@
 }
 
 func versionCommand(out io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the program's version", Args: cli.NoWords,
+	return &cobra.Command{Use: "version", Short: "Print the program's version", Args: cli.RejectArgs,
 		Run: func(*cobra.Command, []string) { fmt.Fprintln(out, "rampspread", version) }}
 }
--- a/internal/app/connections_test.go
+++ b/internal/app/connections_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // Where SIGTERM and SIGKILL are 3.7 s apart, requests on open connections more than 0.7 s after SIGTERM must not be
@@ -21,18 +21,18 @@
 // more, an idle one is closed, and what had started is finished.
 func TestLateRequestsAfterSIGTERMAreRejected(t *testing.T) {
 	started, finish := make(chan bool, 1), make(chan bool)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if r.Header.Get("X-Trace-Id") == "streams" {
 			w.Header().Set("Content-Type", "text/event-stream")
-			io.WriteString(w, strings.SplitAfter(testkit.Answer("a"), "\n\n")[0])
+			io.WriteString(w, strings.SplitAfter(testutil.Answer("a"), "\n\n")[0])
 			http.NewResponseController(w).Flush()
 			started <- true
 			<-finish
-			io.WriteString(w, strings.SplitAfterN(testkit.Answer("a"), "\n\n", 2)[1])
+			io.WriteString(w, strings.SplitAfterN(testutil.Answer("a"), "\n\n", 2)[1])
 			return
 		}
-		testkit.Write("alpha")(w, r, n)
+		testutil.ServeDecode("alpha")(w, r, n)
 	})
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
@@ -71,7 +71,7 @@
 	}
 	close(finish)
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || string(body) != testkit.Answer("a") {
+	if err != nil || string(body) != testutil.Answer("a") {
 		t.Errorf("the stream ended with %q, %v", body, err)
 	}
 	io.WriteString(streaming, requestText("after", "{}"))
@@ -89,8 +89,8 @@
 // Idle clients that use up the descriptors while discovery is down leave enough for discovery, replicas and other
 // clients.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	oldPrefill, prefill := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, testkit.Write("alpha"))
+	oldPrefill, prefill := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	var down atomic.Bool
 	list := endpointList(oldPrefill.Addr, decode.Addr)
 	var moved atomic.Pointer[string]
@@ -120,9 +120,9 @@
 	fresh := endpointList(prefill.Addr, decode.Addr)
 	moved.Store(&fresh)
 	down.Store(false)
-	testkit.Eventually(t, "a prefill at the new replica", func() bool {
+	testutil.Eventually(t, "a prefill at the new replica", func() bool {
 		status, body := postRequest(t, listen, "request", "{}")
-		if status != 200 || body != testkit.Answer("alpha") {
+		if status != 200 || body != testutil.Answer("alpha") {
 			t.Errorf("status %d, %q", status, body)
 		}
 		n, _ := prefill.Calls()
@@ -164,10 +164,10 @@
 func TestStreamForwardsEachEventAtOnce(t *testing.T) {
 	const events = 20
 	received := make(chan bool)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if r.Header.Get("X-Trace-Id") != "fast" {
-			testkit.Write(strings.Repeat("x", 8<<10), strings.Repeat("y", 60<<10))(w, r, n)
+			testutil.ServeDecode(strings.Repeat("x", 8<<10), strings.Repeat("y", 60<<10))(w, r, n)
 			return
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -212,7 +212,7 @@
 // is open when it disconnects are not forwarded.
 func TestPipelinedRequestsOnOneConnection(t *testing.T) {
 	const requests = 300
-	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen := freeAddr(t)
@@ -230,7 +230,7 @@
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("answer %d: %v, %v", i, resp, err)
 		}
-		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != testkit.Answer("alpha") {
+		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != testutil.Answer("alpha") {
 			t.Fatalf("answer %d: %q, %v", i, body, err)
 		}
 	}
@@ -246,7 +246,7 @@
 			t.Fatal(err)
 		}
 	}
-	testkit.Eventually(t, "the first prefill", func() bool { return open.Load() == 1 })
+	testutil.Eventually(t, "the first prefill", func() bool { return open.Load() == 1 })
 	c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
 	defer stop()
--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -36,7 +36,7 @@
 	writeCounters(&line, a.connectionCounters())
 	writeCounters(&line, []counter{
 		count("bad_entries", a.watcher.Malformed()),
-		count("beside_failed", a.stores.inFlight.Failed()),
+		count("beside_failed", a.stores.inFlight.Failures()),
 		count("goroutines", runtime.NumGoroutine()),
 		count("violations", a.violations.Total()),
 	})
@@ -105,7 +105,7 @@
 			decimal("share_part", quota.Fraction, 6),
 			decimal("share_demand", quota.Demand, 2),
 			decimal("share_lent", quota.Outstanding, 6),
-			count("share_offers", quota.Shares),
+			count("share_offers", quota.SharesApplied),
 			count("share_dropped", quota.Dropped))
 	}
 	if f.subset != nil {
@@ -141,7 +141,7 @@
 		count("duties_held", held),
 		count("duty_acts", status.Executions),
 		count("duty_late", status.LateResults),
-		count("duty_bytes", status.Bytes),
+		count("duty_bytes", status.BytesSent),
 		count("lists_renewed", f.tasks.Refreshed()),
 	}
 }
--- a/internal/app/deployment_names_test.go
+++ b/internal/app/deployment_names_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"rampspread/internal/frontend"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // deploymentNames are the names by which the deploymentNames that the project has met call themselves, their classes,
@@ -33,7 +33,7 @@
 			switch {
 			case err != nil:
 				return err
-			case name == filepath.Join("deploy", "sites"), name == filepath.Join("internal", "testkit"):
+			case name == filepath.Join("deploy", "sites"), name == filepath.Join("internal", "testutil"):
 				return fs.SkipDir
 			case d.IsDir(), strings.HasSuffix(name, "_test.go"):
 				return nil
@@ -68,7 +68,7 @@
 // The process takes all names and values from its settings: with others it serves each class under its new name on both
 // fronts, rejects the old names, and gives replicas no later deadline than the client's.
 func TestServesDeploymentWithOtherNames(t *testing.T) {
-	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := fmt.Sprintf(`{"generation":5,"reset":true,"instances":[`+
 		`{"instanceId":"q-1","hostPort":%q,"zone":"attic","machineType":"lens","cell":8,"lifecycle":"ready","weight":2.5},`+
 		`{"instanceId":"q-2","hostPort":%q,"zone":"attic","machineType":"pen","cell":8,"lifecycle":"ready","weight":0.5}]}`, prefill.Addr, decode.Addr)
@@ -102,7 +102,7 @@
 		return resp.StatusCode, string(body)
 	}
 	for i, class := range []string{"sketch", "inventory", "gossip"} {
-		if status, body := post(class, []string{"north-wing", "garden", ""}[i]); status != 200 || body != testkit.Answer("alpha") {
+		if status, body := post(class, []string{"north-wing", "garden", ""}[i]); status != 200 || body != testutil.Answer("alpha") {
 			t.Errorf("%s: status %d, %q", class, status, body)
 		}
 		if expiry, err := frontend.ParseExpiry(decode.Header(i).Get("X-Expires-In")); err != nil || expiry > 1700*time.Millisecond {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // drainDeadline is how long after the start of an operator's drain its clients' connections must be closed.
@@ -32,12 +32,12 @@
 // event and waits.
 func startDrainFixture(t *testing.T, number int) *drainFixture {
 	t.Helper()
-	host := fmt.Sprintf("%s%d", testkit.Net(), firstDrainAddress+number)
+	host := fmt.Sprintf("%s%d", testutil.Net(), firstDrainAddress+number)
 	d := &drainFixture{listen: host + ":9000", admin: host + ":9600", finishStream: make(chan bool, 8)}
 	finishAll := make(chan struct{})
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		text := testkit.Answer("one", "two")
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		text := testutil.Answer("one", "two")
 		first := strings.Index(text, "\n\n") + 2
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, text[:first])
@@ -54,7 +54,7 @@
 	ctx, terminate := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	args := []string{"serve", "-config", writeFile(t, "config.json", config)}
-	go func() { ended <- run(ctx, system.Real(), args, signals{print: make(chan os.Signal)}, new(syncBuffer)) }()
+	go func() { ended <- run(ctx, hostos.Real(), args, signals{print: make(chan os.Signal)}, new(syncBuffer)) }()
 	t.Cleanup(func() {
 		close(finishAll)
 		terminate()
--- a/internal/app/endpoint_cache.go
+++ b/internal/app/endpoint_cache.go
@@ -8,9 +8,9 @@
 	"log/slog"
 
 	"rampspread/internal/discovery"
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/atomicfile"
 	"rampspread/internal/state/endpointcache"
-	"rampspread/internal/system"
 )
 
 // newEndpointCache returns what saves the endpoint list that this process acts on, for its next start; nil without a
@@ -32,7 +32,7 @@
 		return fmt.Errorf("list: %w", err)
 	}
 	return endpointcache.Save(a.machine, a.inputs.stateDir, endpointcache.Cached{
-		Owner: a.endpointCacheOwner(), SavedAt: system.Now(a.machine), Version: list.Generation, Entries: entries,
+		Owner: a.endpointCacheOwner(), SavedAt: hostos.Now(a.machine), Version: list.Generation, Entries: entries,
 	})
 }
 
@@ -78,7 +78,7 @@
 }
 
 func (a *application) loadEndpointCache() (discovery.List, error) {
-	cached, err := endpointcache.Load(a.inputs.stateDir, a.endpointCacheOwner(), system.Now(a.machine))
+	cached, err := endpointcache.Load(a.inputs.stateDir, a.endpointCacheOwner(), hostos.Now(a.machine))
 	list := discovery.List{Generation: cached.Version, Reset: true}
 	if err == nil {
 		err = json.Unmarshal(cached.Entries, &list.Instances)
--- a/internal/app/fleet_commands.go
+++ b/internal/app/fleet_commands.go
@@ -33,7 +33,7 @@
 func statusCommand[T any](out io.Writer, call, short string, render func(io.Writer, T) error) *cobra.Command {
 	var address string
 	var asJSON bool
-	c := &cobra.Command{Use: call, Short: short, Args: cli.NoWords, RunE: func(*cobra.Command, []string) error {
+	c := &cobra.Command{Use: call, Short: short, Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
 		text, err := admin.Request(address, call, callTimeout)
 		if err != nil {
 			return err
@@ -56,7 +56,7 @@
 // actionCommand is a command that makes an operator's call which changes something at a member.
 func actionCommand(out io.Writer, call, short string) *cobra.Command {
 	var address string
-	c := &cobra.Command{Use: call, Short: short, Args: cli.NoWords, RunE: func(*cobra.Command, []string) error {
+	c := &cobra.Command{Use: call, Short: short, Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
 		text, err := admin.Request(address, call, callTimeout)
 		if err != nil {
 			return err
--- a/internal/app/fleet_join.go
+++ b/internal/app/fleet_join.go
@@ -6,8 +6,8 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/statetransfer"
-	"rampspread/internal/system"
 )
 
 // maxPeerPrefixes bounds the prefix cache entries in a snapshot for another member, which gets the newest.
@@ -27,13 +27,13 @@
 }
 
 // fleetSelf is what the process brings into its fleet.
-func (a *application) fleetSelf() fleet.Self {
+func (a *application) fleetSelf() fleet.Options {
 	cfg := a.inputs.config
-	self := fleet.Self{
+	self := fleet.Options{
 		Machine: a.machine, Name: cfg.Name, Zone: cfg.Settings.ZoneName(cfg.Settings.ZoneIndex), Version: version, Seed: a.seed,
-		Tasks: a.fleet.tasks,
-		Quota: a.dispatcher,
-		Facts: a.fleetFacts,
+		Tasks:      a.fleet.tasks,
+		Quota:      a.dispatcher,
+		LocalState: a.fleetFacts,
 
 		VersionSkew:  versionSkewActions{&a.fleet, a.drain},
 		LearnedState: learnedState{a.machine, a.fleet.config.Fleet, &a.settings, a.dispatcher},
@@ -51,17 +51,17 @@
 }
 
 // fleetFacts is what the process's heartbeats say of it.
-func (a *application) fleetFacts() fleet.Facts {
-	return fleet.Facts{
-		Settings: a.settings.fingerprint(),
-		List:     a.watcher.Version(),
-		Serving:  a.listeners.ready.Load() && !a.listeners.lifecycle.Stopping.Load(),
+func (a *application) fleetFacts() fleet.LocalState {
+	return fleet.LocalState{
+		SettingsDigest: a.settings.fingerprint(),
+		ListVersion:    a.watcher.Version(),
+		Serving:        a.listeners.ready.Load() && !a.listeners.lifecycle.Stopping.Load(),
 	}
 }
 
 // learnedState gives other members of the fleet a snapshot of what this process has learned, and restores theirs.
 type learnedState struct {
-	machine    system.System
+	machine    hostos.System
 	fleet      string // name
 	settings   *activeSettings
 	dispatcher *dispatch.Dispatcher
@@ -72,8 +72,8 @@
 	return statetransfer.Exchange{Machine: l.machine, Name: l.fleet, Settings: l.settings.fingerprint()}
 }
 
-// Tell implements fleet.LearnedState.
-func (l learnedState) Tell(ctx context.Context) ([]byte, bool) {
+// Snapshot implements fleet.LearnedState.
+func (l learnedState) Snapshot(ctx context.Context) ([]byte, bool) {
 	snapshot, ok := l.dispatcher.Snapshot(ctx, maxPeerPrefixes)
 	if !ok {
 		return nil, false
@@ -85,8 +85,8 @@
 	return encoded, err == nil
 }
 
-// Learn implements fleet.LearnedState.
-func (l learnedState) Learn(encoded []byte) error {
+// Restore implements fleet.LearnedState.
+func (l learnedState) Restore(encoded []byte) error {
 	snapshot, err := l.exchange().Decode(encoded)
 	if err != nil {
 		return err
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -39,7 +39,7 @@
 		poller = client
 	}
 	f.tasks = leasedtasks.New(poller, endpointLists{f}, dispatcher.ApplyPeerLoads, time.Now)
-	if f.config.SubsetReaders > 0 {
+	if f.config.MinSubsetPrefillReplicas > 0 {
 		f.subset = f.newSubsetController(in.config, router, dispatcher)
 	}
 }
@@ -51,7 +51,7 @@
 	for _, kind := range router.Kinds {
 		roles = append(roles, kind.Role)
 	}
-	return subsetter.New(f.config.Subset(), cfg.Name, cfg.Settings.Zone, roles, f.view, dispatcher.SetSubset)
+	return subsetter.NewController(f.config.SubsetLimits(), cfg.Name, cfg.Settings.Zone, roles, f.view, dispatcher.SetSubset)
 }
 
 // view is the fleet as the subset controller needs it; empty until this process has joined.
@@ -74,7 +74,7 @@
 func (f *fleetRuntime) effectiveSize(settings *config.Settings) func() float64 {
 	return func() float64 {
 		if f.config == nil || f.config.Budgets == nil {
-			return float64(settings.Balancers)
+			return float64(settings.Dispatchers)
 		}
 		fraction := f.config.MinFraction()
 		if node := f.node.Load(); node != nil {
@@ -130,12 +130,12 @@
 	drain operatorDrain
 }
 
-// Refresh implements fleet.VersionSkewActions.
-func (v versionSkewActions) Refresh() { v.fleet.watcher.Refresh() }
+// RefreshEndpoints implements fleet.VersionSkewActions.
+func (v versionSkewActions) RefreshEndpoints() { v.fleet.watcher.Refresh() }
 
-// Out implements fleet.VersionSkewActions: it fences this process, or takes that back. Fencing is a drain. A drain that
+// SetFenced implements fleet.VersionSkewActions: it fences this process, or takes that back. Fencing is a drain. A drain that
 // an operator began stays until an operator ends it.
-func (v versionSkewActions) Out(out bool) { //revive:disable-line:flag-parameter the interface is the fleet's
+func (v versionSkewActions) SetFenced(out bool) { //revive:disable-line:flag-parameter the interface is the fleet's
 	if out {
 		v.fleet.fenced.Store(!v.drain.active())
 		v.drain.begin()
--- a/internal/app/fleet_tables.go
+++ b/internal/app/fleet_tables.go
@@ -37,7 +37,7 @@
 		fmt.Fprintln(out, "as", status.Self, "sees it, which sees too few members to judge")
 	default:
 		fmt.Fprintf(out, "as %s sees it; most have list %d and settings %s; frozen %t\n",
-			status.Self, status.List, status.Settings, status.Frozen)
+			status.Self, status.MajorityListVersion, status.MajoritySettings, status.Frozen)
 	}
 	if status.Fault != "" {
 		fmt.Fprintln(out, "nobody more is shut out:", status.Fault)
@@ -63,7 +63,7 @@
 		return fmt.Errorf("duties: %w", err)
 	}
 	fmt.Fprintf(out, "as %s sees it; voters %s; %d acts, %d results of ended leases, %d bytes sent\n",
-		status.Self, strings.Join(status.Voters, " "), status.Executions, status.LateResults, status.Bytes)
+		status.Self, strings.Join(status.Voters, " "), status.Executions, status.LateResults, status.BytesSent)
 	if status.Recovering {
 		fmt.Fprintln(out, "this voter does not vote yet: an earlier life of it may have granted what still runs")
 	}
@@ -143,7 +143,7 @@
 		stores = "yes"
 	}
 	fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.1fms\t%d\t%d\t%d\t%d\t%d\n", status.Self, stores, status.Keys, status.Granted,
-		status.GrantMS, status.Rejected, status.NoMajority, status.Dropped, status.Errors, status.Bad)
+		status.GrantMS, status.Rejected, status.NoQuorum, status.Dropped, status.StoreErrors, status.Malformed)
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("filings: %w", err)
 	}
--- a/internal/app/golden_fingerprint_test.go
+++ b/internal/app/golden_fingerprint_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"rampspread/internal/config"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // goldenSettings has every field set, in the order in which they are written.
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual, err := config.ParseSettings([]byte(testkit.SettingsText))
+	usual, err := config.ParseSettings([]byte(testutil.SettingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -21,9 +21,9 @@
 
 	"rampspread/internal/admin"
 	"rampspread/internal/fleet/idempotency"
+	"rampspread/internal/hostos"
 	"rampspread/internal/state"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -45,8 +45,8 @@
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("LB_CONFIG", "from-the-environment")
 	var out bytes.Buffer
-	describe(&out, newRootCommand(system.Real(), signals{}, io.Discard), "")
-	testkit.CheckGolden(t, *update, "commands.golden", out.String())
+	describe(&out, newRootCommand(hostos.Real(), signals{}, io.Discard), "")
+	testutil.CheckGolden(t, *update, "commands.golden", out.String())
 }
 
 // A valid command line exits with 0, any error with 1 and one line on stderr.
@@ -82,7 +82,7 @@
 		alone = "FAILURE no fleet: the program was started without -fleet"
 		names = "check, drain-off, drain-on, duties, filings, freeze, judge, let-in, lists, members, shares, shut-out, subset, versions"
 	)
-	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, adminAddress := freeAddr(t), freeAddr(t)
@@ -91,7 +91,7 @@
 	ctx, terminate := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- run(ctx, system.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: make(chan os.Signal)}, &syncBuffer{})
+		ended <- run(ctx, hostos.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: make(chan os.Signal)}, &syncBuffer{})
 	}()
 	awaitReady(t, listen)
 	for _, c := range []struct{ call, want string }{
@@ -160,7 +160,7 @@
 		calls[name] = func() admin.Answer { return admin.OK(text) }
 	}
 	s := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	l, err := net.Listen("tcp", testkit.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.Net()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	var all strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(goldenAnswers)) {
 		var out bytes.Buffer
-		if err := run(t.Context(), system.Real(), []string{"fleet", name, "-at", l.Addr().String()}, signals{}, &out); err != nil {
+		if err := run(t.Context(), hostos.Real(), []string{"fleet", name, "-at", l.Addr().String()}, signals{}, &out); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		fmt.Fprintf(&all, "$ rampspread fleet %s\n%s\n", name, out.String())
@@ -177,12 +177,12 @@
 			continue
 		}
 		out.Reset()
-		if err := run(t.Context(), system.Real(), []string{"fleet", name, "-json", "-at", l.Addr().String()}, signals{}, &out); err != nil ||
+		if err := run(t.Context(), hostos.Real(), []string{"fleet", name, "-json", "-at", l.Addr().String()}, signals{}, &out); err != nil ||
 			out.String() != goldenAnswers[name]+"\n" {
 			t.Errorf("%s -json: %q, %v", name, out.String(), err)
 		}
 	}
-	testkit.CheckGolden(t, *update, "fleet.golden", all.String())
+	testutil.CheckGolden(t, *update, "fleet.golden", all.String())
 }
 
 // The state commands print a stored state with a record in each state.
@@ -192,7 +192,7 @@
 	command := func(args ...string) {
 		t.Helper()
 		var out bytes.Buffer
-		err := run(t.Context(), system.Real(), append([]string{"state"}, args...), signals{}, &out)
+		err := run(t.Context(), hostos.Real(), append([]string{"state"}, args...), signals{}, &out)
 		text := fmt.Sprintf("$ rampspread state %s\n%s", strings.Join(args, " "), out.String())
 		if err != nil {
 			text += fmt.Sprintln("error:", err)
@@ -208,7 +208,7 @@
 	}
 	for i, at := range []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered} {
 		n := byte(i + 1)
-		record := idempotency.Record{Attempt: idempotency.Attempt{Name: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
+		record := idempotency.Record{Attempt: idempotency.Attempt{Member: fmt.Sprint("member-", n), Incarnation: 10 + uint64(n), Seq: 20 + uint64(n)},
 			Digest: idempotency.Digest{n}, State: at, WrittenAt: time.Duration(n) * time.Minute, AttemptDeadline: time.Duration(n) * time.Hour}
 		if at == idempotency.Answered {
 			record.Answer = []byte("{...}")
@@ -223,7 +223,7 @@
 	command("check", dir, "-name", "name-1", "-of", "fleet-1")
 	command("show", dir)
 	command("check", dir, "-name", "name-2", "-of", "fleet-1")
-	testkit.CheckGolden(t, *update, "state.golden", all.String())
+	testutil.CheckGolden(t, *update, "state.golden", all.String())
 }
 
 // The output of check and import.
@@ -235,10 +235,10 @@
 	for _, args := range [][]string{{"version"}, {"check", "-config", config}, {"import", "-from", members, "-zone", "zone-a"},
 		{"import", "-from", members, "-zone", "zone-a", "-port", "9100"}} {
 		var out bytes.Buffer
-		if err := run(t.Context(), system.Real(), args, signals{}, &out); err != nil {
+		if err := run(t.Context(), hostos.Real(), args, signals{}, &out); err != nil {
 			t.Errorf("%q: %v", args, err)
 		}
 		fmt.Fprintf(&all, "$ rampspread %s\n%s", args[0], strings.ReplaceAll(out.String(), config, "CONFIG"))
 	}
-	testkit.CheckGolden(t, *update, "files.golden", all.String())
+	testutil.CheckGolden(t, *update, "files.golden", all.String())
 }
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // syncBuffer is a buffer that is safe for concurrent use.
@@ -41,7 +41,7 @@
 // freeAddr returns an address on which nobody listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", testkit.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.Net()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 func configText(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		listen, discovery, known, testkit.SettingsText)
+		listen, discovery, known, testutil.SettingsText)
 }
 
 // chatText configures a chat front; its parameter is the address.
@@ -96,7 +96,7 @@
 // awaitReady waits until a process serves.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
-	testkit.Eventually(t, "the program to be ready", func() bool {
+	testutil.Eventually(t, "the program to be ready", func() bool {
 		resp, err := http.Get("http://" + listen + "/healthz")
 		if err != nil {
 			return false
@@ -133,7 +133,7 @@
 // TestMain lets a test start the program itself, as a process that receives signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAMPSPREAD_TEST_PROGRAM") != "" {
-		os.Exit(Main(system.NewFaulty(os.Getenv("RAMPSPREAD_TEST_FAULTS"))))
+		os.Exit(Main(hostos.NewFaulty(os.Getenv("RAMPSPREAD_TEST_FAULTS"))))
 	}
 	os.Exit(m.Run())
 }
@@ -142,7 +142,7 @@
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	var out bytes.Buffer
-	if err := run(t.Context(), system.Real(), []string{"call", "-at", addr, line}, signals{}, &out); err != nil {
+	if err := run(t.Context(), hostos.Real(), []string{"call", "-at", addr, line}, signals{}, &out); err != nil {
 		return err.Error()
 	}
 	return strings.TrimSpace(out.String())
@@ -176,7 +176,7 @@
 // awaitServing waits until a process answers on its admin address that it serves.
 func awaitServing(t *testing.T, adminAddress string) {
 	t.Helper()
-	testkit.Eventually(t, "the process to answer that it serves", func() bool {
+	testutil.Eventually(t, "the process to answer that it serves", func() bool {
 		c, err := net.Dial("tcp", adminAddress)
 		if err != nil {
 			return false
--- a/internal/app/hung_disk_test.go
+++ b/internal/app/hung_disk_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // A disk that hangs at SIGTERM delays no part of the shutdown: the listener closes in time, and the snapshot for the
@@ -16,20 +16,20 @@
 func TestHungDiskDelaysNoDrain(t *testing.T) {
 	faults := filepath.Join(t.TempDir(), "faults.json")
 	t.Setenv("RAMPSPREAD_TEST_FAULTS", faults)
-	prefill, decode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("alpha"))
+	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen := freeAddr(t)
 	program, out := startProcess(t, "", writeFile(t, "config.json", configText(listen, discovery, list)), "-handover", t.TempDir())
 	awaitReady(t, listen)
-	hangs := system.Faults{Fails: map[system.Op]system.Failure{system.Write: {Every: 1, DelayMS: 5000}}}
+	hangs := hostos.Faults{Fails: map[hostos.Op]hostos.Failure{hostos.Write: {Every: 1, DelayMS: 5000}}}
 	if err := hangs.Set(faults); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // for the file to be read
 	program.Process.Signal(syscall.SIGTERM)
 	from := time.Now()
-	testkit.Eventually(t, "the listener's close", func() bool {
+	testutil.Eventually(t, "the listener's close", func() bool {
 		c, err := net.Dial("tcp", listen)
 		if err == nil {
 			c.Close()
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -14,14 +14,14 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/connlimit"
+	"rampspread/internal/hostos"
 	"rampspread/internal/precondition"
-	"rampspread/internal/system"
 )
 
 // listeners owns the client-facing listeners, with the limiter and the HTTP server of each, and the lifecycle state
 // that they share. The slices grow only during the start, before any goroutine but those of the servers reads them.
 type listeners struct {
-	machine    system.System
+	machine    hostos.System
 	bodies     *semaphore.Weighted // bounds the request bodies in memory, in bytes
 	violations *precondition.ViolationCounter
 	lifecycle  connlimit.Lifecycle
--- a/internal/app/main.go
+++ b/internal/app/main.go
@@ -16,14 +16,14 @@
 	"syscall"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 const version = "0.1.0"
 
 // Main carries out the process's command line on a machine and returns its exit code: 0, or 1 after an error, which is
 // one line on stderr.
-func Main(machine system.System) int {
+func Main(machine hostos.System) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	on := signals{print: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -42,8 +42,8 @@
 type signals struct{ print, reload chan os.Signal }
 
 // run carries out one sub-command; without one it serves.
-func run(ctx context.Context, machine system.System, args []string, on signals, out io.Writer) error {
+func run(ctx context.Context, machine hostos.System, args []string, on signals, out io.Writer) error {
 	root := newRootCommand(machine, on, out)
-	root.SetArgs(cli.Words(args))
+	root.SetArgs(cli.NormalizeArgs(args))
 	return root.ExecuteContext(ctx)
 }
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 func TestCommandLine(t *testing.T) {
@@ -55,7 +55,7 @@
 		{"check -config " + writeFile(t, "class.json", strings.Replace(configText("a:1", "b:2", "{}"), "fragile", "x", 1)), "!unknown effect"},
 	} {
 		var out bytes.Buffer
-		err := run(t.Context(), system.Real(), strings.Fields(c.args), signals{}, &out)
+		err := run(t.Context(), hostos.Real(), strings.Fields(c.args), signals{}, &out)
 		if want, bad := strings.CutPrefix(c.want, "!"); bad {
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%q: error %v, want %q", c.args, err, want)
@@ -71,12 +71,12 @@
 func TestReloadMovesDiscoveryWhileRequestsAreOpen(t *testing.T) {
 	finish := make(chan bool)
 	var inFlight atomic.Int64
-	oldDecode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	oldDecode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		inFlight.Add(1)
 		<-finish
-		testkit.Write("old")(w, r, n)
+		testutil.ServeDecode("old")(w, r, n)
 	})
-	prefill, newDecode := testkit.NewReplica(t, testkit.Read), testkit.NewReplica(t, testkit.Write("new"))
+	prefill, newDecode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("new"))
 	oldList := endpointList(prefill.Addr, oldDecode.Addr)
 	first, _ := newDiscoveryAgent(t, oldList)
 	second, moved := newDiscoveryAgent(t, endpointList(prefill.Addr, newDecode.Addr))
@@ -94,7 +94,7 @@
 	answers := make(chan string, 2)
 	go func() { _, text := postRequest(t, listen, "a1", `{}`); answers <- text }()
 	go func() { _, text := postRequest(t, chatListen, "", chatBody); answers <- text }()
-	testkit.Eventually(t, "both requests to be in flight", func() bool { return inFlight.Load() == 2 })
+	testutil.Eventually(t, "both requests to be in flight", func() bool { return inFlight.Load() == 2 })
 	reload := func(text, event string, seen func() bool) {
 		t.Helper()
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -103,11 +103,11 @@
 		if err := program.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, event, func() bool { return strings.Contains(out.String(), event) && seen() })
+		testutil.Eventually(t, event, func() bool { return strings.Contains(out.String(), event) && seen() })
 	}
 	reload("{", "event=reload_failed", func() bool { return true })
 	reload(configText(listen, second, "{}"), "event=reloaded discovery="+second, func() bool { return moved.Load() == 1 })
-	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testkit.Answer("new") {
+	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.Answer("new") {
 		t.Errorf("after the move: status %d, %q", status, text)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
@@ -129,13 +129,13 @@
 // and those that still come.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	started, finish := make(chan bool, 8), make(chan bool)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 { // the second is open until the process drains
 			started <- true
 			<-finish
 		}
-		testkit.Write("alpha")(w, r, n)
+		testutil.ServeDecode("alpha")(w, r, n)
 	})
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
@@ -146,15 +146,15 @@
 	defer terminate()
 	printCounters, out, ended := make(chan os.Signal), &syncBuffer{}, make(chan error, 1)
 	go func() {
-		ended <- run(ctx, system.Real(), []string{"serve", "-chat", chat, "-xds", xdsListen}, signals{print: printCounters}, out)
+		ended <- run(ctx, hostos.Real(), []string{"serve", "-chat", chat, "-xds", xdsListen}, signals{print: printCounters}, out)
 	}()
 	awaitReady(t, listen)
 	send := func() (int, string) { return postRequest(t, listen, "a1", `{}`) }
-	if status, text := send(); status != 200 || text != testkit.Answer("alpha") {
+	if status, text := send(); status != 200 || text != testutil.Answer("alpha") {
 		t.Fatalf("status %d, %q", status, text)
 	}
 	printCounters <- os.Interrupt
-	testkit.Eventually(t, "the counters", func() bool { return strings.Contains(out.String(), "taken=1 open=0 servers=2 sent=2") })
+	testutil.Eventually(t, "the counters", func() bool { return strings.Contains(out.String(), "taken=1 open=0 servers=2 sent=2") })
 
 	slowStatus := make(chan int)
 	go func() { status, _ := send(); slowStatus <- status }()
@@ -181,7 +181,7 @@
 
 // Without a path there is no chat front.
 func TestLoadChatWithoutPathReturnsNone(t *testing.T) {
-	cfg, err := loadChat("", testkit.Settings(t))
+	cfg, err := loadChat("", testutil.Settings(t))
 	if cfg != nil || err != nil {
 		t.Errorf("got %v, %v", cfg, err)
 	}
@@ -217,7 +217,7 @@
 		t.Setenv("LB_CONFIG", writeFile(t, "config.json", text))
 		ctx, terminate := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- run(ctx, system.Real(), []string{"serve"}, signals{}, io.Discard) }()
+		go func() { ended <- run(ctx, hostos.Real(), []string{"serve"}, signals{}, io.Discard) }()
 		awaitReady(t, listen)
 		if c.silent {
 			agent.CloseClientConnections()
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A process that starts while another of its name runs knows which request ids and idempotency keys are in flight
@@ -20,8 +20,8 @@
 func TestReplacementRejectsWhatIsInFlightAtItsPeer(t *testing.T) {
 	finish, idempotentRuns := make(chan bool), atomic.Int64{}
 	started := make(chan bool, 2)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if strings.Contains(r.Header.Get("Content-Type"), "json") {
 			idempotentRuns.Add(1)
 		}
@@ -33,7 +33,7 @@
 				return
 			}
 		}
-		testkit.Write("alpha")(w, r, n)
+		testutil.ServeDecode("alpha")(w, r, n)
 	})
 	defer close(finish)
 	list := endpointList(prefill.Addr, decode.Addr)
@@ -83,7 +83,7 @@
 	}
 	old.Process.Kill()
 	old.Wait()
-	testkit.Eventually(t, "the id to be free", func() bool { status, _ := sendSameID(); return status == http.StatusOK })
+	testutil.Eventually(t, "the id to be free", func() bool { status, _ := sendSameID(); return status == http.StatusOK })
 	if status, text := sendSameKey(); status != http.StatusConflict || !strings.Contains(text, "filing_may_have_run") {
 		t.Errorf("an idempotency key that the killed process had in flight: status %d, %s", status, text)
 	}
@@ -96,8 +96,8 @@
 // have reserved for it: replicas count the two as one, and nobody else could release it.
 func TestReplacedProcessReleasesBeforeItIsKilled(t *testing.T) {
 	started := make(chan bool, 1)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		started <- true
 		<-r.Context().Done()
 	})
@@ -124,7 +124,7 @@
 		t.Fatal("it would be killed before it had answered")
 	}
 	// The second one is for what the end of a prefill in that moment may have reserved.
-	testkit.Eventually(t, "both releases", func() bool { return prefill.Releases("held")+decode.Releases("held") > 1 })
+	testutil.Eventually(t, "both releases", func() bool { return prefill.Releases("held")+decode.Releases("held") > 1 })
 	if took := time.Since(terminated); took > grace {
 		t.Errorf("it released after %v", took)
 	}
@@ -143,13 +143,13 @@
 // after SIGTERM to the first every request is answered by one of the two, with none lost.
 func TestReplacementTakesOverWithoutLoss(t *testing.T) {
 	started, finish := make(chan bool, 1), make(chan bool)
-	prefill := testkit.NewReplica(t, testkit.Read)
-	decode := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, testutil.ServePrefill)
+	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 0 { // the first is open across SIGTERM, and must still be answered
 			started <- true
 			<-finish
 		}
-		testkit.Write("alpha")(w, r, n)
+		testutil.ServeDecode("alpha")(w, r, n)
 	})
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	for i := range 40 { // across the first one's last accept and its end
-		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testkit.Answer("alpha") {
+		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.Answer("alpha") {
 			t.Errorf("request %d: status %d, %q", i, status, text)
 		}
 		time.Sleep(25 * time.Millisecond)
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -6,7 +6,7 @@
 	"io"
 	"os"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // options are what the command line sets of a dispatcher, apart from the content of its files.
@@ -17,7 +17,7 @@
 }
 
 // serve runs one dispatcher, from its start until its graceful shutdown, which the end of ctx begins.
-func serve(ctx context.Context, machine system.System, in inputs, o options, on signals, out io.Writer) error {
+func serve(ctx context.Context, machine hostos.System, in inputs, o options, on signals, out io.Writer) error {
 	limits := limitsOf(in.config)
 	limits.apply()
 	a, err := newApplication(machine, in, o, limits)
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A process that stops just after a client has disconnected waits until a replica has taken the release: those that it
@@ -30,7 +30,7 @@
 			}
 			return
 		}
-		testkit.Read(w, r, 0)
+		testutil.ServePrefill(w, r, 0)
 		prefillDone <- true
 	}))
 	defer prefill.Close()
@@ -43,7 +43,7 @@
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		testkit.Silent(w, r, 0)
+		testutil.Silent(w, r, 0)
 	}))
 	defer decode.Close()
 	defer decode.CloseClientConnections()
@@ -80,11 +80,11 @@
 // abandons what is unanswered, and releases it, before the earlier time at which it may be killed.
 func TestReplacedProcessAbandonsBySettingsInForce(t *testing.T) {
 	prefillDone := make(chan bool, 1)
-	prefill := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		testkit.Read(w, r, n)
+	prefill := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		testutil.ServePrefill(w, r, n)
 		prefillDone <- true
 	})
-	decode := testkit.NewReplica(t, testkit.Silent)
+	decode := testutil.NewReplica(t, testutil.Silent)
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, folder, adminAddress := freeAddr(t), t.TempDir(), freeAddr(t)
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	old.Process.Signal(syscall.SIGHUP)
-	testkit.Eventually(t, "the reload", func() bool { return strings.Contains(out.String(), "event=reloaded") })
+	testutil.Eventually(t, "the reload", func() bool { return strings.Contains(out.String(), "event=reloaded") })
 	client := dial(t, listen)
 	io.WriteString(client, requestText("open", "{}"))
 	<-prefillDone
--- a/internal/app/state_commands.go
+++ b/internal/app/state_commands.go
@@ -57,7 +57,7 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "KEY\tSTATE\tBY\tAT\tANSWER")
 	read, err := readRecords(dir, owner, func(key idempotency.Key, record idempotency.Record) {
-		fmt.Fprintf(table, "%x\t%s\t%s\t%s\t%d bytes\n", key[:], record.State, record.Attempt.Name,
+		fmt.Fprintf(table, "%x\t%s\t%s\t%s\t%d bytes\n", key[:], record.State, record.Attempt.Member,
 			record.WrittenAt.Round(time.Second), len(record.Answer))
 	})
 	if err != nil {
--- a/internal/app/state_golden_test.go
+++ b/internal/app/state_golden_test.go
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	for key, record := range map[idempotency.Key]idempotency.Record{
-		{1, 15: 2}: {Attempt: idempotency.Attempt{Name: "n2", Incarnation: 3, Seq: 4}, State: idempotency.Answered, WrittenAt: 90061*time.Second + 1, Answer: []byte("answer")},
-		{5, 15: 6}: {Attempt: idempotency.Attempt{Name: "member-three", Incarnation: 7, Seq: 8}, State: idempotency.InFlight, WrittenAt: 1501 * time.Millisecond},
-		{9, 15: 0}: {Attempt: idempotency.Attempt{Name: "n4", Incarnation: 10, Seq: 11}, State: idempotency.MayHaveRun, WrittenAt: time.Minute},
+		{1, 15: 2}: {Attempt: idempotency.Attempt{Member: "n2", Incarnation: 3, Seq: 4}, State: idempotency.Answered, WrittenAt: 90061*time.Second + 1, Answer: []byte("answer")},
+		{5, 15: 6}: {Attempt: idempotency.Attempt{Member: "member-three", Incarnation: 7, Seq: 8}, State: idempotency.InFlight, WrittenAt: 1501 * time.Millisecond},
+		{9, 15: 0}: {Attempt: idempotency.Attempt{Member: "n4", Incarnation: 10, Seq: 11}, State: idempotency.MayHaveRun, WrittenAt: time.Minute},
 	} {
 		if err := s.Put(key, record); err != nil {
 			t.Fatal(err)
--- a/internal/app/stopped_process_test.go
+++ b/internal/app/stopped_process_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A process that was stopped (SIGSTOP) learns all at once that its prefills have ended and that their clients have
@@ -19,12 +19,12 @@
 	const clientCount = 30
 	finish := make(chan bool)
 	var prefilling atomic.Int64
-	prefill := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	prefill := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		prefilling.Add(1)
 		<-finish
-		testkit.Read(w, r, n)
+		testutil.ServePrefill(w, r, n)
 	})
-	decode := testkit.NewReplica(t, testkit.Write("alpha"))
+	decode := testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen := freeAddr(t)
@@ -36,7 +36,7 @@
 		io.WriteString(c, requestText(fmt.Sprintf("gone-%d", i), "{}"))
 		clients = append(clients, c)
 	}
-	testkit.Eventually(t, "all prefills", func() bool { return prefilling.Load() == clientCount })
+	testutil.Eventually(t, "all prefills", func() bool { return prefilling.Load() == clientCount })
 	program.Process.Signal(syscall.SIGSTOP)
 	for _, c := range clients {
 		c.Close()
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -37,12 +37,12 @@
 func newIdempotencyCoordinator(in inputs, send func(to string, message []byte, large bool),
 	now time.Time) (*idempotencyquorum.Coordinator, error) {
 	cfg := idempotencyquorum.Config{Name: in.config.Name, Incarnation: uint64(now.UnixNano()), Send: send}
-	cfg.Limits.MaxAnswerBytes = chatapi.MaxStoredAnswer
+	cfg.Limits.MaxAnswerBytes = chatapi.MaxStoredAnswerBytes
 	switch {
 	case in.fleet != nil && in.fleet.Idempotency != nil:
 		file := in.fleet.Idempotency
 		cfg.Replicas, cfg.Secret = in.fleet.Voters, in.fleet.Secret()
-		cfg.Limits.Retention, cfg.Limits.Entries = file.Keep(), file.Entries
+		cfg.Limits.Retention, cfg.Limits.Entries = file.Retention(), file.Entries
 		if !in.fleet.IsVoter(cfg.Name) {
 			return idempotencyquorum.New(cfg), nil
 		}
@@ -74,7 +74,7 @@
 	if !errors.Is(err, state.ErrCorrupt) {
 		return store, err
 	}
-	backup, backupErr := state.SetAside(in.stateDir, now)
+	backup, backupErr := state.Quarantine(in.stateDir, now)
 	if backupErr != nil {
 		return nil, errors.Join(err, backupErr)
 	}
--- a/internal/chatapi/completion.go
+++ b/internal/chatapi/completion.go
@@ -39,7 +39,7 @@
 		writeError(w, &apiError{status: http.StatusTooManyRequests, Type: rateLimitErrorType, Code: "rate_limit_exceeded",
 			Message: "the service is busy; nothing was run"})
 		return runResult{}
-	case dispatch.ClientGone:
+	case dispatch.ClientDisconnected:
 		if x.requiresKey { // it has not run, and its key is free again
 			writeError(w, &apiError{status: http.StatusServiceUnavailable, Type: serverErrorType, Code: "client_gone",
 				Message: "nothing was run"})
--- a/internal/chatapi/disconnect_test.go
+++ b/internal/chatapi/disconnect_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // countFinalAnswers counts the final answers in what a client read for one request: a whole answer, an error, or the
@@ -26,8 +26,8 @@
 // whole, and no request with a key runs twice however often its client retries it.
 func TestStreamsCutByServerGetOneFinalAnswer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 11))
-	s := startService(t, testkit.Read, testkit.Read)
-	whole := testkit.Answer("Parcel ", "7 ", "is yours")
+	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
+	whole := testutil.Answer("Parcel ", "7 ", "is yours")
 	for i := range 60 {
 		n := rng.IntN(len(whole) + 40)
 		cut, model := n < len(whole), []string{"frage", "meldung"}[rng.IntN(2)]
@@ -35,7 +35,7 @@
 		if !cut {
 			n = -1
 		}
-		s.Writer.Follow(testkit.Cut(n, "Parcel ", "7 ", "is yours"))
+		s.Decode.Follow(testutil.Cut(n, "Parcel ", "7 ", "is yours"))
 		for attempt := range 3 {
 			resp, text, err := s.post(t, requestBody(model, stream, fmt.Sprint("cut ", i)), "Idempotency-Key", fmt.Sprint("cut ", i))
 			if got := countFinalAnswers(resp.StatusCode, stream, text); got != 1 {
@@ -55,17 +55,17 @@
 // Corrupt streams leave their connections open: here too each request gets exactly one final answer, in time, and no
 // request with a key runs twice.
 func TestCorruptStreamsGetOneFinalAnswer(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Read)
-	wholeEvent := testkit.Whole(testkit.Answer("Parcel")[:100])
+	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
+	wholeEvent := testutil.CompleteEvents(testutil.Answer("Parcel")[:100])
 	for name, corrupt := range map[string]string{
 		"noise":               "\x03\x80\x91\n\xffnoise\n\n",
 		"a head without end":  "HTTP/1.1 200 OK\r\nX-Pad: aaaa",
-		"noise for an event":  testkit.Chunks("\x03\x80\n\n"),
-		"a bad size":          testkit.Chunks(wholeEvent) + "zz\r\n",
-		"a chunk without end": testkit.Chunks(wholeEvent) + "b2d05e00\r\n" + strings.Repeat("x", 99),
+		"noise for an event":  testutil.Chunks("\x03\x80\n\n"),
+		"a bad size":          testutil.Chunks(wholeEvent) + "zz\r\n",
+		"a chunk without end": testutil.Chunks(wholeEvent) + "b2d05e00\r\n" + strings.Repeat("x", 99),
 	} {
 		for _, stream := range []bool{true, false} {
-			s.Writer.Follow(testkit.Raw(corrupt))
+			s.Decode.Follow(testutil.Raw(corrupt))
 			for attempt, wantConflict := range []bool{false, true} { // a retry never runs
 				start := time.Now()
 				key := fmt.Sprint(name, stream)
@@ -86,7 +86,7 @@
 func (s *testService) checkKeyedRequestsRanOnce(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
-	for _, text := range s.Writer.Bodies() {
+	for _, text := range s.Decode.Bodies() {
 		if strings.Contains(text, `"model":"meldung"`) {
 			runs[text]++
 		}
@@ -105,7 +105,7 @@
 // cut off is not answered twice, and no request with a key runs twice.
 func TestRetryAfterClientCutGetsOneFinalAnswer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(12, 12))
-	s := startService(t, testkit.Read, testkit.Write("Parcel ", "7 ", "is yours"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7 ", "is yours"))
 	addr := strings.TrimPrefix(s.url, "http://")
 	for i := range 60 {
 		model, stream := []string{"frage", "meldung"}[rng.IntN(2)], rng.IntN(2) == 0
@@ -125,7 +125,7 @@
 		}
 		conn.Close()
 		finalAnswers := 0
-		testkit.Eventually(t, "the retry's answer", func() bool {
+		testutil.Eventually(t, "the retry's answer", func() bool {
 			resp, got, _ := s.post(t, text, "Idempotency-Key", key)
 			if finalAnswers = countFinalAnswers(resp.StatusCode, stream, got); resp.StatusCode == 409 && strings.Contains(got, "in_progress") {
 				return false // the first attempt is still in flight
@@ -140,5 +140,5 @@
 		}
 	}
 	s.checkKeyedRequestsRanOnce(t)
-	testkit.Eventually(t, "all requests to end", func() bool { return s.Core.Counters(t.Context()).Open == 0 })
+	testutil.Eventually(t, "all requests to end", func() bool { return s.Dispatcher.Counters(t.Context()).Open == 0 })
 }
--- a/internal/chatapi/exchange.go
+++ b/internal/chatapi/exchange.go
@@ -56,7 +56,7 @@
 	requestID := hex.EncodeToString(random)
 	x := &exchange{request: request, id: "chatcmpl-" + requestID, created: arrivedAt.Unix(),
 		requiresKey: h.classes[class].Idempotency != routing.Idempotent}
-	x.dispatchRequest = dispatch.Request{Class: class, Call: dispatch.Call{ID: requestID, Method: http.MethodPost,
+	x.dispatchRequest = dispatch.Request{Class: class, Call: dispatch.UpstreamCall{ID: requestID, Method: http.MethodPost,
 		Target: completionsPath, ContentType: "application/json", Body: upstreamBody}}
 	x.dispatchRequest.ClientGone = connlimit.ClientGoneFunc(r)
 	request.setRoutingInputs(&x.dispatchRequest, h.config.MaxTokens, frontend.HashKey)
@@ -76,6 +76,6 @@
 // classTimeout is the time that a class allows for a prompt of the given length: its hard limit, extended for a long
 // prompt by twice what its latency objective grows.
 func (h *Handler) classTimeout(class, promptTokens int) time.Duration {
-	return config.FromMS(h.settings.Classes[class].HardLimitMs) +
+	return config.FromMS(h.settings.Classes[class].DeadlineMs) +
 		time.Duration(deadlineGrowth*float64(h.classes[class].TTFTObjectivePer1K)*float64(promptTokens)/objectiveTokens)
 }
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden files")
@@ -23,7 +23,7 @@
 
 // dump formats an answer for a golden file, with what differs between runs replaced.
 func dump(name string, resp *http.Response, text string) string {
-	out := testkit.DumpResponse(resp, text)
+	out := testutil.DumpResponse(resp, text)
 	out = created.ReplaceAllString(randomID.ReplaceAllString(out, "ID"), `"created":NOW`)
 	if resp.StatusCode == http.StatusTooManyRequests { // the time is random
 		out = retryAfter.ReplaceAllString(out, "$1: WAIT")
@@ -34,7 +34,7 @@
 // Whole answers, streams and the list of models as clients receive them, and the request that is forwarded to the
 // servers.
 func TestGoldenAnswers(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("Parcel ", "7"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7"))
 	var all strings.Builder
 	noUsage := strings.Replace(requestBody("frage", true, "Whose?"), `"include_usage":true`, `"include_usage":false`, 1)
 	for _, c := range []struct{ name, body, key string }{
@@ -69,8 +69,8 @@
 		}
 		all.WriteString(dump("GET "+path, resp, string(text)))
 	}
-	all.WriteString("# the body that a server gets\n" + s.Writer.Bodies()[0] + "\n")
-	testkit.CheckGolden(t, *update, "answers.golden", all.String())
+	all.WriteString("# the body that a server gets\n" + s.Decode.Bodies()[0] + "\n")
+	testutil.CheckGolden(t, *update, "answers.golden", all.String())
 }
 
 // Each answer to a request that is not run or that fails.
@@ -80,7 +80,7 @@
 	var all strings.Builder
 	for _, c := range []struct {
 		name            string
-		prefill, decode testkit.Script
+		prefill, decode testutil.Script
 		body            string
 		headers         []string
 	}{
@@ -109,39 +109,39 @@
 		{name: "too large", body: strings.Repeat(" ", 256<<10) + good},
 		{name: "empty"},
 		{name: "filing without a key", body: keyed},
-		{name: "refused", prefill: testkit.Status(503, true), body: good},
-		{name: "failed filing", decode: testkit.Status(500, false), body: keyed, headers: key},
-		{name: "silent filing", decode: testkit.Silent, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
-		{name: "broken plain", decode: testkit.Cut(150, "a", "b"), body: good},
-		{name: "broken filing", decode: testkit.Cut(150, "a", "b"), body: keyed, headers: key},
-		{name: "broken stream", decode: testkit.Cut(150, "a", "b"), body: requestBody("frage", true, "x")},
+		{name: "refused", prefill: testutil.Status(503, true), body: good},
+		{name: "failed filing", decode: testutil.Status(500, false), body: keyed, headers: key},
+		{name: "silent filing", decode: testutil.Silent, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
+		{name: "broken plain", decode: testutil.Cut(150, "a", "b"), body: good},
+		{name: "broken filing", decode: testutil.Cut(150, "a", "b"), body: keyed, headers: key},
+		{name: "broken stream", decode: testutil.Cut(150, "a", "b"), body: requestBody("frage", true, "x")},
 	} {
-		s := startService(t, scriptOr(c.prefill, testkit.Read), scriptOr(c.decode, testkit.Write("a")))
+		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
 		resp, text, _ := s.post(t, c.body, c.headers...) // the error of a stream that breaks off
 		all.WriteString(dump(c.name, resp, text))
 	}
-	testkit.CheckGolden(t, *update, "errors.golden", all.String())
+	testutil.CheckGolden(t, *update, "errors.golden", all.String())
 }
 
 // The answers to a retry whose first attempt has no known answer, and to one key more than the table holds.
 func TestGoldenIdempotencyKeys(t *testing.T) {
 	var all strings.Builder
 	release := make(chan struct{})
-	s := startService(t, testkit.Read, func(w http.ResponseWriter, r *http.Request, n int) {
+	s := startService(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		<-release
-		testkit.Write("Noted")(w, r, n)
+		testutil.ServeDecode("Noted")(w, r, n)
 	})
 	request, done := requestBody("meldung", false, "x"), make(chan int)
 	go func() {
 		resp, _, _ := s.post(t, request, "Idempotency-Key", "k")
 		done <- resp.StatusCode
 	}()
-	testkit.Eventually(t, "the first attempt", func() bool { n, _ := s.Writer.Calls(); return n == 1 })
+	testutil.Eventually(t, "the first attempt", func() bool { n, _ := s.Decode.Calls(); return n == 1 })
 	resp, text, _ := s.post(t, request, "Idempotency-Key", "k")
 	all.WriteString(dump("in progress", resp, text))
 	close(release)
 	<-done
-	s.Writer.Follow(testkit.Status(500, false))
+	s.Decode.Follow(testutil.Status(500, false))
 	s.post(t, request, "Idempotency-Key", "k2")
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "k2")
 	all.WriteString(dump("may have run", resp, text))
@@ -150,5 +150,5 @@
 	}
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "one more")
 	all.WriteString(dump("full", resp, text))
-	testkit.CheckGolden(t, *update, "filings.golden", all.String())
+	testutil.CheckGolden(t, *update, "filings.golden", all.String())
 }
--- a/internal/chatapi/handler_test.go
+++ b/internal/chatapi/handler_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"rampspread/internal/chatapi"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 const configJSON = `{"listen":"127.0.0.1:0","models":{"frage":"frage","meldung":"meldung"},"max_tokens":100,
@@ -20,7 +20,7 @@
 
 // testService is a Handler on a server of its own, in front of a fleet of one prefill and one decode replica.
 type testService struct {
-	*testkit.Fleet
+	*testutil.Fleet
 	handler *chatapi.Handler
 	url     string
 
@@ -42,14 +42,14 @@
 }
 
 // startService starts a service whose replicas follow the scripts.
-func startService(t testing.TB, prefill, decode testkit.Script) *testService {
+func startService(t testing.TB, prefill, decode testutil.Script) *testService {
 	t.Helper()
-	s := &testService{Fleet: testkit.NewFleet(t, prefill, decode), now: time.Unix(1e9, 0)}
+	s := &testService{Fleet: testutil.NewFleet(t, prefill, decode), now: time.Unix(1e9, 0)}
 	config, err := chatapi.ParseConfig([]byte(configJSON), s.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.handler, err = chatapi.New(s.Core, s.Settings, config, s.clock); err != nil {
+	if s.handler, err = chatapi.New(s.Dispatcher, s.Settings, config, s.clock); err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(s.handler)
@@ -86,7 +86,7 @@
 }
 
 func TestAnswerWithoutStreamIsOneCompletion(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("Parcel ", "7"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7"))
 	resp, text, err := s.post(t, requestBody("frage", false, "Whose?"))
 	var got struct {
 		ID, Object, Model string
@@ -104,13 +104,13 @@
 		got.Choices[0].FinishReason != "stop" || got.Usage.Total != 11 {
 		t.Errorf("status %d, %s, %v", resp.StatusCode, text, err)
 	}
-	if s.Writer.Bodies()[0] == "" || !strings.Contains(s.Writer.Bodies()[0], `"stream":true`) {
-		t.Errorf("the decode replica received %q", s.Writer.Bodies())
+	if s.Decode.Bodies()[0] == "" || !strings.Contains(s.Decode.Bodies()[0], `"stream":true`) {
+		t.Errorf("the decode replica received %q", s.Decode.Bodies())
 	}
 }
 
 func TestStreamedAnswerIsChunksUpToDone(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("Parcel ", "7"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7"))
 	for _, usage := range []bool{true, false} {
 		request := requestBody("frage", true, "Whose?")
 		if !usage {
@@ -147,7 +147,7 @@
 }
 
 // scriptOr returns the script, or the default if there is none.
-func scriptOr(script, defaultScript testkit.Script) testkit.Script {
+func scriptOr(script, defaultScript testutil.Script) testutil.Script {
 	if script == nil {
 		return defaultScript
 	}
@@ -158,7 +158,7 @@
 	good, key := requestBody("frage", true, "x"), "Idempotency-Key"
 	const nesting = 20000
 	for name, c := range map[string]struct {
-		prefill, decode testkit.Script
+		prefill, decode testutil.Script
 		body            string
 		headers         []string
 		status          int
@@ -176,14 +176,14 @@
 		"too large":              {body: strings.Repeat(" ", 256<<10) + good, status: 413, code: "invalid_body"},
 		"empty":                  {status: 400, code: "invalid_body"},
 		"no idempotency key":     {body: requestBody("meldung", true, "x"), status: 400, code: "idempotency_key_missing"},
-		"rejected by the server": {prefill: testkit.Status(503, true), body: good, status: 429, code: "rate_limit_exceeded"},
-		"keyed request failed": {decode: testkit.Status(500, false), body: requestBody("meldung", true, "x"), headers: []string{key, "k"},
+		"rejected by the server": {prefill: testutil.Status(503, true), body: good, status: 429, code: "rate_limit_exceeded"},
+		"keyed request failed": {decode: testutil.Status(500, false), body: requestBody("meldung", true, "x"), headers: []string{key, "k"},
 			status: 502, code: "upstream_failed"},
-		"keyed request unanswered": {decode: testkit.Silent, body: requestBody("meldung", false, "x"),
+		"keyed request unanswered": {decode: testutil.Silent, body: requestBody("meldung", false, "x"),
 			headers: []string{key, "k", "X-Expires-In", "900m"}, status: 504, code: "timeout"},
-		"broken stream, not streamed on": {decode: testkit.Cut(150, "a", "b"), body: requestBody("frage", false, "x"), status: 502, code: "stream_broken"},
+		"broken stream, not streamed on": {decode: testutil.Cut(150, "a", "b"), body: requestBody("frage", false, "x"), status: 502, code: "stream_broken"},
 	} {
-		s := startService(t, scriptOr(c.prefill, testkit.Read), scriptOr(c.decode, testkit.Write("a")))
+		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
 		resp, text, err := s.post(t, c.body, c.headers...)
 		var got struct {
 			Error struct{ Message, Type, Code string }
@@ -195,7 +195,7 @@
 		if c.status == 429 && (resp.Header.Get("Retry-After") == "" || resp.Header.Get("Retry-After") == "0") {
 			t.Errorf("%s: Retry-After %q", name, resp.Header.Get("Retry-After"))
 		}
-		calls, _ := s.Reader.Calls()
+		calls, _ := s.Prefill.Calls()
 		if c.prefill == nil && c.decode == nil && (calls != 0 || s.handler.Malformed() != 1) {
 			t.Errorf("%s: %d calls, %d counted as malformed", name, calls, s.handler.Malformed())
 		}
@@ -203,7 +203,7 @@
 }
 
 func TestOtherResourcesAreServedByPath(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("a"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	for path, want := range map[string]int{"/healthz": 200, "/v1/models": 200, "/v1/chat/completions": 405, "/x": 404} {
 		resp, err := http.Get(s.url + path)
 		if err != nil {
@@ -218,7 +218,7 @@
 
 // Each change makes the file invalid.
 func TestParseConfigRejectsInvalidFile(t *testing.T) {
-	settings := testkit.Settings(t)
+	settings := testutil.Settings(t)
 	for _, change := range [][2]string{{`{"listen"`, `{"x"`}, {`"meldung"}`, `"note"}`}, {":100", ":0"}, {"64", "0"},
 		{"3600", "-1"}, {`{"frage":"frage","meldung":"meldung"}`, "{}"}, {"}}", "}"}} {
 		if _, err := chatapi.ParseConfig([]byte(strings.Replace(configJSON, change[0], change[1], 1)), settings); err == nil {
@@ -230,14 +230,14 @@
 // FuzzCreateCompletion feeds the handler requests and servers' streams: every request gets one final answer, and
 // nothing panics except to abort a stream that broke.
 func FuzzCreateCompletion(f *testing.F) {
-	requests := testkit.Broken(4, requestBody("frage", true, "x"), requestBody("frage", false, "y"))
-	streams := testkit.Broken(5, testkit.Answer("a", "b"), testkit.Answer("c"))
+	requests := testutil.CorruptedSeeds(4, requestBody("frage", true, "x"), requestBody("frage", false, "y"))
+	streams := testutil.CorruptedSeeds(5, testutil.Answer("a", "b"), testutil.Answer("c"))
 	for i, request := range requests {
 		f.Add(request, streams[i%len(streams)])
 	}
 	var mu sync.Mutex
 	answer := ""
-	s := startService(f, testkit.Read, func(w http.ResponseWriter, _ *http.Request, _ int) {
+	s := startService(f, testutil.ServePrefill, func(w http.ResponseWriter, _ *http.Request, _ int) {
 		mu.Lock()
 		defer mu.Unlock()
 		io.WriteString(w, answer)
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -11,8 +11,8 @@
 	"rampspread/internal/state/inflight"
 )
 
-// MaxStoredAnswer is the largest answer, in bytes, that is given to the IdempotencyStore.
-const MaxStoredAnswer = 60 << 10
+// MaxStoredAnswerBytes is the largest answer, in bytes, that is given to the IdempotencyStore.
+const MaxStoredAnswerBytes = 60 << 10
 
 // maxStreamAfterDeadline is how long an answer's stream may go on after its deadline, before the store takes the
 // attempt as ended.
@@ -115,7 +115,7 @@
 		slog.Warn("encode_failed", "err", err)
 		return nil
 	}
-	if len(encoded) > MaxStoredAnswer {
+	if len(encoded) > MaxStoredAnswerBytes {
 		return nil
 	}
 	return encoded
--- a/internal/chatapi/idempotency_test.go
+++ b/internal/chatapi/idempotency_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 func TestRetryOfKeyIsAnsweredFromFirstAttempt(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("Noted"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Noted"))
 	request := requestBody("meldung", false, "The border is wrong.")
 	postStatus := func(body, key string) int {
 		t.Helper()
@@ -32,24 +32,24 @@
 	if got := postStatus(requestBody("meldung", false, "Another."), "k1"); got != 422 {
 		t.Errorf("another request with the key: status %d", got)
 	}
-	if total, _ := s.Writer.Calls(); total != 1 {
+	if total, _ := s.Decode.Calls(); total != 1 {
 		t.Errorf("%d runs", total)
 	}
 	// A first attempt that certainly never ran releases the key.
-	s.Reader.Follow(testkit.Status(503, true))
+	s.Prefill.Follow(testutil.Status(503, true))
 	if got := postStatus(request, "k2"); got != 429 {
 		t.Errorf("rejected: status %d", got)
 	}
-	s.Reader.Follow(testkit.Read)
+	s.Prefill.Follow(testutil.ServePrefill)
 	if got := postStatus(request, "k2"); got != 200 {
 		t.Errorf("after a rejection: status %d", got)
 	}
 	// One that may have run holds the key until it expires.
-	s.Writer.Follow(testkit.Cut(100, "Noted"))
+	s.Decode.Follow(testutil.Cut(100, "Noted"))
 	if got := postStatus(request, "k3"); got != 502 {
 		t.Errorf("broken: status %d", got)
 	}
-	s.Writer.Follow(testkit.Write("Noted"))
+	s.Decode.Follow(testutil.ServeDecode("Noted"))
 	resp, _, _ = s.post(t, request, "Idempotency-Key", "k3")
 	if resp.StatusCode != 409 || resp.Header.Get("X-Should-Retry") != "false" {
 		t.Errorf("after a break: status %d", resp.StatusCode)
@@ -61,7 +61,7 @@
 }
 
 func TestFullKeyTableRejectsNewKeys(t *testing.T) {
-	s := startService(t, testkit.Read, testkit.Write("Noted"))
+	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Noted"))
 	for i := range 65 {
 		resp, _, _ := s.post(t, requestBody("meldung", false, "x"), "Idempotency-Key", fmt.Sprint(i))
 		if want := map[bool]int{true: 200, false: 503}[i < 64]; resp.StatusCode != want {
@@ -72,16 +72,16 @@
 
 func TestRetryDuringFirstAttemptIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	s := startService(t, testkit.Read, func(w http.ResponseWriter, r *http.Request, n int) {
+	s := startService(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		<-release
-		testkit.Write("Noted")(w, r, n)
+		testutil.ServeDecode("Noted")(w, r, n)
 	})
 	request, done := requestBody("meldung", false, "x"), make(chan int)
 	go func() {
 		resp, _, _ := s.post(t, request, "Idempotency-Key", "k")
 		done <- resp.StatusCode
 	}()
-	testkit.Eventually(t, "the first attempt", func() bool { n, _ := s.Writer.Calls(); return n == 1 })
+	testutil.Eventually(t, "the first attempt", func() bool { n, _ := s.Decode.Calls(); return n == 1 })
 	resp, _, _ := s.post(t, request, "Idempotency-Key", "k")
 	close(release)
 	if first := <-done; first != 200 || resp.StatusCode != 409 || resp.Header.Get("Retry-After") == "" {
@@ -98,8 +98,8 @@
 			begun <- true
 			<-release
 		}
-		testkit.Read(w, r, n)
-	}, testkit.Write("alpha"))
+		testutil.ServePrefill(w, r, n)
+	}, testutil.ServeDecode("alpha"))
 	body := requestBody("meldung", false, "a correction")
 	ctx, disconnect := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/v1/chat/completions", strings.NewReader(body))
@@ -117,14 +117,14 @@
 	time.Sleep(150 * time.Millisecond) // over the 0.1 s in which an attempt may still begin
 	close(release)
 	time.Sleep(200 * time.Millisecond) // in which a call of the decode replica would have come
-	if n, _ := s.Writer.Calls(); n != 0 {
+	if n, _ := s.Decode.Calls(); n != 0 {
 		t.Fatalf("%d calls of the decode replica for a client that had gone", n)
 	}
 	resp, got, err := s.post(t, body, "Idempotency-Key", "k")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(got, "alpha") {
 		t.Errorf("the retry: %v, %q, %v", resp.StatusCode, got, err)
 	}
-	if n, _ := s.Writer.Calls(); n != 1 {
+	if n, _ := s.Decode.Calls(); n != 1 {
 		t.Errorf("%d calls of the decode replica in all", n)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,9 +11,9 @@
 	"github.com/spf13/cobra"
 )
 
-// Words rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used cobra:
+// NormalizeArgs rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used cobra:
 // deploy files and operators' scripts say -config. So -h is the only flag of one letter.
-func Words(args []string) []string {
+func NormalizeArgs(args []string) []string {
 	rewritten := []string{} // not nil, for which cobra would take the process's own arguments
 	for i, arg := range args {
 		if arg == "--" {
@@ -27,8 +27,8 @@
 	return rewritten
 }
 
-// Root returns a program's root command. Its caller prints an error in one line, without the usage text after it.
-func Root(name, short string, out io.Writer) *cobra.Command {
+// NewRootCommand returns a program's root command. Its caller prints an error in one line, without the usage text after it.
+func NewRootCommand(name, short string, out io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
 	root.SetOut(out)
@@ -36,8 +36,8 @@
 	return root
 }
 
-// NoWords is a cobra.PositionalArgs that rejects positional arguments.
-func NoWords(_ *cobra.Command, args []string) error {
+// RejectArgs is a cobra.PositionalArgs that rejects positional arguments.
+func RejectArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected %q", args[0])
 	}
--- a/internal/cli/strict.go
+++ b/internal/cli/strict.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// Strict decodes an operators' file into a value: one JSON object, in which every key must be known.
-func Strict(contents []byte, into any) error {
+// DecodeStrict decodes an operators' file into a value: one JSON object, in which every key must be known.
+func DecodeStrict(contents []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(contents))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,7 +61,7 @@
 	if err := router.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	if len(c.Settings.Kinds) != len(c.Settings.FamilyInfo.RoleByKind) {
+	if len(c.Settings.Kinds) != len(c.Settings.ModelFamily.RoleByKind) {
 		return errors.New("config: settings: needs a duty for each kind")
 	}
 	return nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -28,19 +28,19 @@
 		Seed: "8c1f30d27a5be964", Known: json.RawMessage(`{"generation":7,"reset":true,"instances":[]}`)}
 	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = 1.5, 192, 1024
 	s := &c.Settings
-	s.ZoneIndex, s.Balancers, s.Discovery = 1, 2, "ask"
+	s.ZoneIndex, s.Dispatchers, s.Discovery = 1, 2, "ask"
 	s.Classes = sized(s.Classes, 3)
 	for i, name := range []string{"class-a", "class-b", "class-c"} {
 		class, n := &s.Classes[i], float64(i)
 		class.Name, class.Weight = name, 3.5+n
-		class.TTFTObjectiveMs, class.HardLimitMs, class.DedupWindowMs = 41+n, 51+n, 61+n
+		class.TTFTObjectiveMs, class.DeadlineMs, class.DedupWindowMs = 41+n, 51+n, 61+n
 		class.Idempotency = []string{"retryable", "dedup", "fragile"}[i]
 		class.DedupScope = []string{"zone", "cell", "all"}[i]
 	}
-	s.FamilyInfo.TTFTObjectiveUsPer1KTokens = []float64{71, 72, 73}
-	s.FamilyInfo.RoleByKind = []string{"read", "write", "both"}
-	s.FamilyInfo.DecodeCanPrefill = true
-	s.FamilyInfo.ReleaseWithinMs = 81
+	s.ModelFamily.TTFTObjectiveUsPer1KTokens = []float64{71, 72, 73}
+	s.ModelFamily.RoleByKind = []string{"read", "write", "both"}
+	s.ModelFamily.DecodeCanPrefill = true
+	s.ModelFamily.ReservationTTLMs = 81
 	s.Kinds = []string{"kind-a", "kind-b", "kind-c"}
 	s.Limits.CanCancel = true
 	s.Limits.ConnIdleMs = 91
@@ -50,9 +50,9 @@
 	s.Limits.LoadPolling = true
 	s.Limits.MaxAttempts = 95
 	s.Limits.RetryAfter = true
-	s.Parties = sized(s.Parties, 2)
-	s.Parties[0].Name, s.Parties[0].QuotaPerS = "party-a", 101
-	s.Parties[1].Name, s.Parties[1].QuotaPerS = "party-b", 102
+	s.Tenants = sized(s.Tenants, 2)
+	s.Tenants[0].Name, s.Tenants[0].QuotaPerS = "party-a", 101
+	s.Tenants[1].Name, s.Tenants[1].QuotaPerS = "party-b", 102
 	s.Rules.AnswerSlackMs = 111
 	s.Rules.SlowStartInitial = 0.125
 	s.Rules.SlowStartMs = 112
@@ -95,15 +95,15 @@
 		Classes: []routing.Class{
 			{
 				TTFTObjective: 41 * ms, TTFTObjectivePer1K: 71 * us, Weight: 3.5,
-				Idempotency: routing.Idempotent, DedupScope: routing.ScopeZone, DedupWindow: 61 * ms,
+				Idempotency: routing.Idempotent, DedupScope: routing.DedupScopeZone, DedupWindow: 61 * ms,
 			},
 			{
 				TTFTObjective: 42 * ms, TTFTObjectivePer1K: 72 * us, Weight: 4.5,
-				Idempotency: routing.IdempotentByKey, DedupScope: routing.ScopeCell, DedupWindow: 62 * ms,
+				Idempotency: routing.IdempotentByKey, DedupScope: routing.DedupScopeCell, DedupWindow: 62 * ms,
 			},
 			{
 				TTFTObjective: 43 * ms, TTFTObjectivePer1K: 73 * us, Weight: 5.5,
-				Idempotency: routing.NonIdempotent, DedupScope: routing.ScopeAll, DedupWindow: 63 * ms,
+				Idempotency: routing.NonIdempotent, DedupScope: routing.DedupScopeAll, DedupWindow: 63 * ms,
 			},
 		},
 	}
@@ -137,7 +137,7 @@
 		`{"limits":{"cancelling":true}}`:    func(s *Settings) *bool { return &s.Limits.CanCancel },
 		`{"limits":{"probing":true}}`:       func(s *Settings) *bool { return &s.Limits.LoadPolling },
 		`{"limits":{"retryAfter":true}}`:    func(s *Settings) *bool { return &s.Limits.RetryAfter },
-		`{"familyInfo":{"localRead":true}}`: func(s *Settings) *bool { return &s.FamilyInfo.DecodeCanPrefill },
+		`{"familyInfo":{"localRead":true}}`: func(s *Settings) *bool { return &s.ModelFamily.DecodeCanPrefill },
 	} {
 		var s Settings
 		*want(&s) = true
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -14,10 +14,10 @@
 		"fragile":   routing.NonIdempotent,
 	}
 	dedupScopeByName = map[string]routing.DedupScope{
-		"":     routing.ScopeAll,
-		"all":  routing.ScopeAll,
-		"zone": routing.ScopeZone,
-		"cell": routing.ScopeCell,
+		"":     routing.DedupScopeAll,
+		"all":  routing.DedupScopeAll,
+		"zone": routing.DedupScopeZone,
+		"cell": routing.DedupScopeCell,
 	}
 	roleByName = map[string]routing.Role{
 		"read":  routing.Prefill,
@@ -29,12 +29,12 @@
 // Router translates the settings for a routing.Router; what is absent has the meaning that the wire protocol gives it.
 func (s *Settings) Router() (routing.Config, error) {
 	cfg := routing.Config{
-		Zone: s.ZoneIndex, Routers: s.Balancers, MaxAttempts: s.Limits.MaxAttempts,
-		ReservationTTL:   FromMS(s.FamilyInfo.ReleaseWithinMs),
+		Zone: s.ZoneIndex, Routers: s.Dispatchers, MaxAttempts: s.Limits.MaxAttempts,
+		ReservationTTL:   FromMS(s.ModelFamily.ReservationTTLMs),
 		SlowStartInitial: s.Rules.SlowStartInitial, SlowStartDuration: FromMS(s.Rules.SlowStartMs),
 		OverloadMultiple: s.Rules.OverloadMultiple,
 		CanCancel:        s.Limits.CanCancel,
-		DecodeCanPrefill: s.FamilyInfo.DecodeCanPrefill,
+		DecodeCanPrefill: s.ModelFamily.DecodeCanPrefill,
 	}
 	if s.Limits.RetryAfter {
 		cfg.MaxRetryAfter = FromMS(s.Limits.MaxRetryAfterMs)
@@ -46,14 +46,14 @@
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	for i, name := range s.FamilyInfo.RoleByKind {
+	for i, name := range s.ModelFamily.RoleByKind {
 		role, ok := roleByName[name]
 		if !ok {
 			return cfg, fmt.Errorf("kind %d: unknown duty %q", i, name)
 		}
 		cfg.Kinds = append(cfg.Kinds, routing.Kind{Role: role})
 	}
-	for _, tenant := range s.Parties {
+	for _, tenant := range s.Tenants {
 		cfg.TenantQuotas = append(cfg.TenantQuotas, tenant.QuotaPerS)
 	}
 	return cfg, nil
@@ -74,7 +74,7 @@
 		DedupScope:    scope,
 		DedupWindow:   FromMS(c.DedupWindowMs),
 	}
-	if per1K := s.FamilyInfo.TTFTObjectiveUsPer1KTokens; index < len(per1K) {
+	if per1K := s.ModelFamily.TTFTObjectiveUsPer1KTokens; index < len(per1K) {
 		class.TTFTObjectivePer1K = FromMS(per1K[index] / 1000) // from µs
 	}
 	return class, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,17 +17,17 @@
 // Members of a fleet compare digests of this type's JSON, also between versions of the program: the tags, and the order
 // of the fields, must stay as they are, whatever the fields are called.
 type Settings struct {
-	ZoneIndex  int               `json:"Az"`        // of the dispatcher's own zone, in Zones
-	Balancers  int               `json:"Balancers"` // dispatchers of the deployment
-	Classes    []ClassSettings   `json:"Classes"`
-	Discovery  string            `json:"Discovery"` // how endpoint lists come: see PushesEndpoints
-	FamilyInfo FamilySettings    `json:"FamilyInfo"`
-	Kinds      []string          `json:"Kinds"` // names of the replicas' machine types
-	Limits     LimitSettings     `json:"Limits"`
-	Parties    []TenantSettings  `json:"Parties"`
-	Rules      RuleSettings      `json:"Rules"`
-	Telemetry  TelemetrySettings `json:"Telemetry"`
-	Zones      []string          `json:"Zones"` // none: the deployment has no zones
+	ZoneIndex   int               `json:"Az"`        // of the dispatcher's own zone, in Zones
+	Dispatchers int               `json:"Balancers"` // dispatchers of the deployment
+	Classes     []ClassSettings   `json:"Classes"`
+	Discovery   string            `json:"Discovery"` // how endpoint lists come: see PushesEndpoints
+	ModelFamily FamilySettings    `json:"FamilyInfo"`
+	Kinds       []string          `json:"Kinds"` // names of the replicas' machine types
+	Limits      LimitSettings     `json:"Limits"`
+	Tenants     []TenantSettings  `json:"Parties"`
+	Rules       RuleSettings      `json:"Rules"`
+	Telemetry   TelemetrySettings `json:"Telemetry"`
+	Zones       []string          `json:"Zones"` // none: the deployment has no zones
 }
 
 // ClassSettings are the rules of one class of requests.
@@ -37,7 +37,7 @@
 	DedupScope      string  `json:"Group"`       // of dedup: zone, cell or all; none: all
 	Weight          float64 `json:"Importance"`  // of one request, relative to other classes
 	TTFTObjectiveMs float64 `json:"PromiseMs"`   // time to first token that is aimed at
-	HardLimitMs     float64 `json:"HardLimitMs"` // deadline
+	DeadlineMs      float64 `json:"HardLimitMs"` // deadline
 	DedupWindowMs   float64 `json:"WindowMs"`
 }
 
@@ -46,7 +46,7 @@
 	TTFTObjectiveUsPer1KTokens []float64 `json:"AimUsPer1000PromptTokens"` // by class, µs on top of its objective
 	RoleByKind                 []string  `json:"DutyByKind"`               // by Kinds: read, write or both
 	DecodeCanPrefill           bool      `json:"LocalRead"`
-	ReleaseWithinMs            float64   `json:"ReleaseWithinMs"` // for which a replica keeps a reservation
+	ReservationTTLMs           float64   `json:"ReleaseWithinMs"` // for which a replica keeps a reservation
 }
 
 // LimitSettings bound what a dispatcher may do.
@@ -112,7 +112,7 @@
 func (s *Settings) ShutdownGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, FromMS(c.HardLimitMs))
+		longest = max(longest, FromMS(c.DeadlineMs))
 	}
 	return min(longest, maxGraceDeadline) + graceReserve
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -16,7 +16,7 @@
 	if s.Limits.MaxAttempts <= 0 {
 		return errors.New("settings: limits: mostTries must be over 0")
 	}
-	if len(s.Kinds) == 0 || len(s.Kinds) != len(s.FamilyInfo.RoleByKind) {
+	if len(s.Kinds) == 0 || len(s.Kinds) != len(s.ModelFamily.RoleByKind) {
 		return errors.New("settings: needs kinds, and a duty for each kind")
 	}
 	router, err := s.Router()
@@ -38,7 +38,7 @@
 		switch {
 		case c.Name == "" || seen[c.Name]:
 			return fmt.Errorf("settings: class %d: no name, or one that another has", i)
-		case !(c.HardLimitMs > 0) || !(c.TTFTObjectiveMs > 0): // NaN is not over 0 either
+		case !(c.DeadlineMs > 0) || !(c.TTFTObjectiveMs > 0): // NaN is not over 0 either
 			return fmt.Errorf("settings: class %q: deadline and aim must be over 0", c.Name)
 		}
 		seen[c.Name] = true
--- a/internal/connlimit/accept_test.go
+++ b/internal/connlimit/accept_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // acceptErrors are the errors that accept(2) documents for a connection or a moment, not for the listening socket.
@@ -46,7 +46,7 @@
 	limiter.Attach(s)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- s.Serve(limiter.Listen(&failingListener{Listener: listener}, maxConns, system.Real()))
+		ended <- s.Serve(limiter.Listen(&failingListener{Listener: listener}, maxConns, hostos.Real()))
 	}()
 	defer s.Close()
 	answered := make(chan error, 1)
--- a/internal/connlimit/capacity.go
+++ b/internal/connlimit/capacity.go
@@ -39,7 +39,7 @@
 			return nil, err // http.Server tells errors apart by their type: the listener is closed, or broken
 		}
 		client := newClientConn(accepted, l.limiter)
-		client.backlogWait = l.limiter.acceptListener.Waited()
+		client.backlogWait = l.limiter.acceptListener.AcceptDelay()
 		if l.waitForCapacity() {
 			return client, nil
 		}
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // A request that has been read, and that its handler has not seen yet, protects its connection from eviction: a process
@@ -52,7 +52,7 @@
 	}
 	s := &http.Server{}
 	l.Attach(s)
-	go s.Serve(l.Listen(listener, maxConns, system.Real()))
+	go s.Serve(l.Listen(listener, maxConns, hostos.Real()))
 	defer s.Close()
 	defer close(finish)
 	sendRequest := func() net.Conn {
@@ -66,7 +66,7 @@
 	for range maxConns {
 		sendRequest()
 	}
-	testkit.Eventually(t, "open requests on all connections", func() bool {
+	testutil.Eventually(t, "open requests on all connections", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		open := 0
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -18,9 +18,9 @@
 
 	"golang.org/x/sync/semaphore"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/precondition"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // smallRequest is a complete request.
@@ -60,7 +60,7 @@
 	l := NewLimiter(next, semaphore.NewWeighted(1<<20), lifecycle, nil)
 	s := httptest.NewUnstartedServer(nil)
 	l.Attach(s.Config)
-	s.Listener = l.Listen(s.Listener, 64, system.Real())
+	s.Listener = l.Listen(s.Listener, 64, hostos.Real())
 	s.Start()
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return l, s.Listener.Addr().String()
@@ -75,7 +75,7 @@
 func sendBytes(t *testing.T, server *clientConn, client net.Conn) {
 	t.Helper()
 	io.WriteString(client, "POST")
-	testkit.Eventually(t, "the bytes", func() bool { readable, _ := server.pollSocket(); return readable })
+	testutil.Eventually(t, "the bytes", func() bool { readable, _ := server.pollSocket(); return readable })
 }
 
 // An idle connection is closed only while nothing has come on it: bytes that were read and are no complete request yet
@@ -128,7 +128,7 @@
 		server, client := connPair(t)
 		read := make(chan error)
 		go func() { _, err := server.Read(make([]byte, 8)); read <- err }()
-		testkit.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.ForDrain) })
+		testutil.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.ForDrain) })
 		io.WriteString(client, "POST")
 		if err := <-read; err == nil {
 			t.Fatal("read after the close")
@@ -147,7 +147,7 @@
 		server, client := connPair(t)
 		sendBytes(t, server, client)
 		client.Close()
-		testkit.Eventually(t, "the client's close", func() bool { _, hungUp := server.pollSocket(); return hungUp })
+		testutil.Eventually(t, "the client's close", func() bool { _, hungUp := server.pollSocket(); return hungUp })
 		server.awaitingBytes = true
 		if !closeIdle(server, precondition.ForDrain) {
 			t.Fatal("not closed though its client has gone")
@@ -190,7 +190,7 @@
 		closing.Wait()
 		conn.Close()
 	}
-	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
+	testutil.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
 	if accepted.Load() != answered.Load() {
 		t.Errorf("%d accepted, %d answered, %d not accepted", accepted.Load(), answered.Load(), unanswered)
 	}
@@ -211,7 +211,7 @@
 	if text := string(got); err != nil || strings.Count(text, "the answer") != 1 || strings.Count(text, "HTTP/1.1 ") != 1 {
 		t.Errorf("%q, %v", text, err)
 	}
-	testkit.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
+	testutil.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
 }
 
 // The count of lingering connections returns to zero, also if many ask for more than the limit in the moment in which others
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -50,7 +50,7 @@
 		c.client.abortBodyRead()
 		return false
 	}
-	facts.RequestOpen = c.state == connHandling || inHandler
+	facts.RequestInProgress = c.state == connHandling || inHandler
 	facts.PartialRequest = c.state != connIdle && !inHandler && facts.Cause == precondition.ForDrain
 	c.closeDeferred = closeIfAllowed(netConn, facts)
 	if c.closeDeferred != precondition.Allowed {
--- a/internal/connlimit/counters.go
+++ b/internal/connlimit/counters.go
@@ -22,7 +22,7 @@
 	if l.acceptListener == nil {
 		return 0
 	}
-	return l.acceptListener.Failed()
+	return l.acceptListener.Failures()
 }
 
 // ConnectionCount is how many connections there are, including those that only wait for their last answer to arrive.
--- a/internal/connlimit/framing_test.go
+++ b/internal/connlimit/framing_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A request that is hidden in a body is never read as a request: with both framings, with none that can be trusted, or with
@@ -34,6 +34,6 @@
 		if !strings.HasPrefix(string(got), "HTTP/1.1 "+want) || strings.Count(string(got), "HTTP/1.1 ") != 1 {
 			t.Errorf("%q: answered %q", head, got)
 		}
-		testkit.Eventually(t, "the count", func() bool { return l.Malformed() == 1 })
+		testutil.Eventually(t, "the count", func() bool { return l.Malformed() == 1 })
 	}
 }
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden files")
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		fmt.Fprintf(&all, "# %s\n%sclose: %t\n\n", c.name, testkit.DumpResponse(resp, string(text)), resp.Close)
+		fmt.Fprintf(&all, "# %s\n%sclose: %t\n\n", c.name, testutil.DumpResponse(resp, string(text)), resp.Close)
 	}
-	testkit.CheckGolden(t, *update, "guard.golden", all.String())
+	testutil.CheckGolden(t, *update, "guard.golden", all.String())
 }
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -26,8 +26,8 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/accept"
+	"rampspread/internal/hostos"
 	"rampspread/internal/precondition"
-	"rampspread/internal/system"
 )
 
 const (
@@ -89,7 +89,7 @@
 }
 
 // Listen bounds the connections that a listener accepts to maxConns. An accept that fails does not end the listening.
-func (l *Limiter) Listen(listener net.Listener, maxConns int, machine system.System) net.Listener {
+func (l *Limiter) Listen(listener net.Listener, maxConns int, machine hostos.System) net.Listener {
 	l.maxLingering.Store(int64(max(maxConns/lingeringFraction, 1)))
 	l.acceptListener = accept.New(listener, machine)
 	return &limitedListener{Listener: l.acceptListener, limiter: l, maxConns: maxConns}
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 const maxConns = 4
@@ -27,7 +27,7 @@
 	l := connlimit.NewLimiter(next, semaphore.NewWeighted(bodyMemory), lifecycle, nil)
 	s := httptest.NewUnstartedServer(nil)
 	l.Attach(s.Config)
-	s.Listener = l.Listen(s.Listener, maxConns, system.Real())
+	s.Listener = l.Listen(s.Listener, maxConns, hostos.Real())
 	s.Start()
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return l, s
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	testkit.Eventually(t, "three counted headers", func() bool { return l.Malformed() == 3 })
+	testutil.Eventually(t, "three counted headers", func() bool { return l.Malformed() == 3 })
 }
 
 // Bodies in memory are bounded: what exceeds the bound is rejected, with nothing run. A body that is only promised by its
--- a/internal/discovery/large_test.go
+++ b/internal/discovery/large_test.go
@@ -12,7 +12,7 @@
 
 	"rampspread/internal/discovery"
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // largest is the most replicas in the operators' acceptance gate, and some more because its entries may be longer than usual.
@@ -44,7 +44,7 @@
 			}))
 			defer func() { s.CloseClientConnections(); s.Close() }()
 			got := make(chan int, 64)
-			w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got <- len(e) })
+			w := discovery.New(s.Listener.Addr().String(), testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got <- len(e) })
 			if mode == "watch" {
 				w.Apply(discovery.List{Generation: 1, Instances: []json.RawMessage{[]byte(entry("s1", "ready"))}}, true)
 				<-got
--- a/internal/discovery/ndjson_test.go
+++ b/internal/discovery/ndjson_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/iotest"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // Objects come on a line each or indented, in pieces, with empty lines between them; what makes no sense gives another
@@ -56,7 +56,7 @@
 
 // FuzzObjectReader checks that the same objects come out of the bytes however these are cut.
 func FuzzObjectReader(f *testing.F) {
-	for _, text := range testkit.Broken(5, fmt.Sprintf(listFormat, 1, true, "ready")+"\n\n"+fmt.Sprintf(listFormat, 2, false, "gone"), "{\n \"generation\": 3\n}\n") {
+	for _, text := range testutil.CorruptedSeeds(5, fmt.Sprintf(listFormat, 1, true, "ready")+"\n\n"+fmt.Sprintf(listFormat, 2, false, "gone"), "{\n \"generation\": 3\n}\n") {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -25,8 +25,8 @@
 // over a minute without their bound. It returns a function for the state of s1.
 func startWatcher(t *testing.T, addr, discovery string) (*Watcher, func() routing.EndpointState) {
 	t.Helper()
-	settings := testkit.Settings(t)
-	settings.Discovery, settings.Balancers = discovery, 1024
+	settings := testutil.Settings(t)
+	settings.Discovery, settings.Dispatchers = discovery, 1024
 	var state atomic.Int64
 	state.Store(int64(routing.Gone))
 	w := New(addr, settings, 9, func(_ bool, entries []dispatch.Endpoint) {
@@ -47,7 +47,7 @@
 func eventuallySoon(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	from := time.Now()
-	testkit.Eventually(t, what, ok)
+	testutil.Eventually(t, what, ok)
 	if took := time.Since(from); took > 3*time.Second {
 		t.Errorf("%s took %v", what, took)
 	}
@@ -98,9 +98,9 @@
 // An agent that is unreachable, or accepts a call and never answers, is called again and again: what it has at its return
 // counts at once.
 func TestUnreachableAgentIsRetriedUntilItReturns(t *testing.T) {
-	addr := testkit.NoOne(t)
+	addr := testutil.NoOne(t)
 	w, state := startWatcher(t, addr, "push")
-	testkit.Eventually(t, "five attempts", func() bool { return w.attempts.Load() >= 5 })
+	testutil.Eventually(t, "five attempts", func() bool { return w.attempts.Load() >= 5 })
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
 	w, _ := startWatcher(t, s.Listener.Addr().String(), "ask")
-	testkit.Eventually(t, "the first attempt", func() bool { return w.attempts.Load() == 1 })
+	testutil.Eventually(t, "the first attempt", func() bool { return w.attempts.Load() == 1 })
 	time.Sleep(100 * time.Millisecond) // an agent would have been called again by now
 	if n := w.attempts.Load(); n != 1 {
 		t.Errorf("%d attempts in the first 100 ms", n)
@@ -167,8 +167,8 @@
 			ctx, stop := context.WithCancel(t.Context())
 			var done sync.WaitGroup
 			for i := range notified {
-				settings := testkit.Settings(t)
-				settings.Discovery, settings.Balancers = "ask", 1024
+				settings := testutil.Settings(t)
+				settings.Discovery, settings.Dispatchers = "ask", 1024
 				w := New(s.Listener.Addr().String(), settings, uint64(i), func(_ bool, entries []dispatch.Endpoint) {
 					if entries[0].State == routing.Draining {
 						notified[i].CompareAndSwap(0, time.Now().UnixNano())
@@ -177,11 +177,11 @@
 				done.Go(func() { w.Run(ctx) })
 			}
 			defer func() { stop(); s.CloseClientConnections(); done.Wait() }()
-			testkit.Eventually(t, "two calls each", func() bool { return calls.Load() >= 2*dispatchers })
+			testutil.Eventually(t, "two calls each", func() bool { return calls.Load() >= 2*dispatchers })
 			reachable.Store(true)
 			from := time.Now()
 			for i := range notified {
-				testkit.Eventually(t, "the drain", func() bool { return notified[i].Load() != 0 })
+				testutil.Eventually(t, "the drain", func() bool { return notified[i].Load() != 0 })
 				if took := time.Unix(0, notified[i].Load()).Sub(from); took > notifiedWithin-bindsWithin {
 					t.Errorf("dispatcher %d was notified after %v", i, took)
 				}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -60,7 +60,7 @@
 		apply:          apply,
 		address:        newAddress(addr),
 		endpoints:      newEndpointTable(settings),
-		backoff:        newBackoff(seed, func() float64 { return float64(settings.Balancers) }),
+		backoff:        newBackoff(seed, func() float64 { return float64(settings.Dispatchers) }),
 		silenceTimeout: silenceTimeout,
 		confirmed:      make(chan struct{}),
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 
 	"rampspread/internal/discovery"
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -70,7 +70,7 @@
 	s := httptest.NewServer(a)
 	defer s.Close()
 	updates := make(chan update, 64)
-	w := discovery.New(s.Listener.Addr().String(), testkit.Settings(t), 1, func(full bool, e []dispatch.Endpoint) {
+	w := discovery.New(s.Listener.Addr().String(), testutil.Settings(t), 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
 	})
 	ctx, stop := context.WithCancel(t.Context())
@@ -111,7 +111,7 @@
 	s := httptest.NewServer(a)
 	defer s.Close()
 	updates := make(chan update, 64)
-	settings := testkit.Settings(t)
+	settings := testutil.Settings(t)
 	settings.Discovery = "ask"
 	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
@@ -137,7 +137,7 @@
 // Entries that cannot be read are counted and skipped, and do not affect the others.
 func TestMalformedEntriesAreSkippedAndCounted(t *testing.T) {
 	var got []dispatch.Endpoint
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
+	w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	var l discovery.List
 	good := entry("s1", "ready")
 	text := list(1, true, `7`, `{"instanceId":4}`, entry("s2", "asleep"), strings.Replace(good, "wien", "linz", 1),
@@ -160,7 +160,7 @@
 		strings.Replace(entry("s1", "gone"), `"cell":3`, `"cell":"x"`, 1),
 	} {
 		var got []dispatch.Endpoint
-		w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
+		w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 		err := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
 		if len(got) != 1 || got[0].Name != "s1" || got[0].State != routing.Gone || !rejectedOne(err) || w.Malformed() != 1 {
 			t.Errorf("%s: taken as %+v, %v, %d bad", text, got, err, w.Malformed())
@@ -177,7 +177,7 @@
 // A whole list in which a replica's entry makes no sense leaves that replica as it was; one that it does not name is gone.
 func TestReplicaWithAMalformedEntryStaysAsItWas(t *testing.T) {
 	var got []dispatch.Endpoint
-	w := discovery.New("", testkit.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
+	w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	raw := func(texts ...string) (out []json.RawMessage) {
 		for _, text := range texts {
 			out = append(out, json.RawMessage(text))
@@ -195,10 +195,10 @@
 
 // FuzzList checks that each entry of a list is passed on or counted as malformed, or both where it is leaving.
 func FuzzList(f *testing.F) {
-	for _, text := range testkit.Broken(3, list(7, false, entry("s1", "ready"), entry("s2", "gone"))) {
+	for _, text := range testutil.CorruptedSeeds(3, list(7, false, entry("s1", "ready"), entry("s2", "gone"))) {
 		f.Add(text)
 	}
-	settings := testkit.Settings(f)
+	settings := testutil.Settings(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		var l discovery.List
 		if json.Unmarshal([]byte(text), &l) != nil {
@@ -223,7 +223,7 @@
 		// An agent's list counts as notified from the first moment on, and costs nothing.
 		{"push", list(3, true, entry("s1", "ready")), ""},
 	} {
-		settings := testkit.Settings(t)
+		settings := testutil.Settings(t)
 		settings.Discovery = c.discovery
 		a := &agent{whole: list(41, true, entry("s1", "ready"))}
 		s := httptest.NewServer(a)
@@ -236,7 +236,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
-		testkit.Eventually(t, "the first call", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.queries) > 0 })
+		testutil.Eventually(t, "the first call", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.queries) > 0 })
 		stop()
 		<-done
 		s.Close()
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -13,9 +13,9 @@
 	Send(spec AttemptSpec, observer AttemptObserver) Attempt
 	// PollLoad polls an endpoint's load and calls onReport once, from any goroutine. The report is nil if the endpoint
 	// gave none within the limit.
-	PollLoad(endpoint Target, limit time.Duration, onReport func(*routing.LoadReport))
+	PollLoad(endpoint EndpointAddress, limit time.Duration, onReport func(*routing.LoadReport))
 	// Release releases what is reserved for the call's request, through the first of the targets that answers.
-	Release(call Call, through []Target)
+	Release(call UpstreamCall, through []EndpointAddress)
 }
 
 // Attempt is one call in flight at an endpoint.
@@ -39,14 +39,14 @@
 
 // AttemptSpec is one attempt to be made.
 type AttemptSpec struct {
-	Call    Call
-	Target  Target
+	Call    UpstreamCall
+	Target  EndpointAddress
 	Timeout time.Duration // of the whole attempt
 	// ClientGone checks whether the client has disconnected. It does not wait; nil: that cannot be checked.
 	ClientGone func() bool
-	// Retry says that the request may have been executed and that the endpoints discard repeats of it. They do so for
-	// DedupWindow from now; without Retry the window has no meaning.
-	Retry       bool
+	// MayHaveRun says that the request may have been executed and that the endpoints discard repeats of it. They do so for
+	// DedupWindow from now; without MayHaveRun the window has no meaning.
+	MayHaveRun  bool
 	DedupWindow time.Duration
 }
 
@@ -58,15 +58,15 @@
 	Load          *routing.LoadReport // nil: the answer had none
 }
 
-// Target is the address of a listed endpoint.
-type Target struct {
+// EndpointAddress is the address of a listed endpoint.
+type EndpointAddress struct {
 	ID   routing.EndpointID
 	Name string
 	Addr string // host:port
 }
 
-// Call is what is forwarded to the endpoints for one request, unchanged.
-type Call struct {
+// UpstreamCall is what is forwarded to the endpoints for one request, unchanged.
+type UpstreamCall struct {
 	ID          string // the request's, also in logs
 	Method      string
 	Target      string // the HTTP request target
@@ -76,7 +76,7 @@
 
 // Request is what a frontend has accepted from a client.
 type Request struct {
-	Call               Call
+	Call               UpstreamCall
 	Class              int // index into the configuration's classes
 	Tenant             int // index into the configuration's tenant quotas
 	Session            routing.Key
@@ -101,12 +101,12 @@
 	Failed   AnswerKind = iota // promises nothing: the request may have been executed
 	Rejected                   // promises that a retry is harmless
 	Served                     // Stream holds the answer
-	// ClientGone says that the client disconnected first. For a RunToCompletion request it also says that the request
+	// ClientDisconnected says that the client disconnected first. For a RunToCompletion request it also says that the request
 	// was not executed: one that may have been is Failed.
-	ClientGone
+	ClientDisconnected
 )
 
-var kindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientGone: "client_gone"}
+var kindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientDisconnected: "client_gone"}
 
 // String is the kind's name in logs.
 func (k AnswerKind) String() string { return kindNames[k] }
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -95,10 +95,10 @@
 	d.counters.Attempts++
 	a.upstreamAttempt = d.upstream.Send(AttemptSpec{
 		Call:        q.Call,
-		Target:      endpoint.Target,
+		Target:      endpoint.EndpointAddress,
 		Timeout:     timeout,
 		ClientGone:  q.ClientGone,
-		Retry:       facts.Executes && q.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
+		MayHaveRun:  facts.Executes && q.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
 		DedupWindow: facts.DedupWindow,
 	}, a)
 	a.timeoutTimer = time.AfterFunc(timeout, func() { d.post(func() { d.abortAttempt(a, routing.TimedOut) }) })
@@ -130,9 +130,9 @@
 		return 0, false
 	}
 	switch class.DedupScope {
-	case routing.ScopeZone:
+	case routing.DedupScopeZone:
 		inScope = a.endpoint.zone == execution.endpoint.zone
-	case routing.ScopeCell:
+	case routing.DedupScopeCell:
 		inScope = a.endpoint.cell == execution.endpoint.cell
 	default:
 		inScope = true
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -28,8 +28,8 @@
 	"sync/atomic"
 	"time"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/precondition"
-	"rampspread/internal/system"
 	"rampspread/routing"
 )
 
@@ -45,7 +45,7 @@
 	router     *routing.Router
 	config     routing.Config // in force
 	upstream   Upstream
-	system     system.System
+	system     hostos.System
 	violations *precondition.ViolationCounter
 
 	startedAt   time.Time
@@ -71,7 +71,7 @@
 // New returns a Dispatcher that Run must drive. seed seeds the Router's random draws; violations may be nil. It fails
 // if the Router refuses the configuration.
 func New(
-	cfg routing.Config, seed uint64, upstream Upstream, machine system.System, violations *precondition.ViolationCounter,
+	cfg routing.Config, seed uint64, upstream Upstream, machine hostos.System, violations *precondition.ViolationCounter,
 ) (*Dispatcher, error) {
 	router, err := routing.New(cfg, seed)
 	if err != nil {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 	"rampspread/routing"
 )
 
@@ -119,7 +119,7 @@
 	answer := dispatchAsync(client, dispatcher, idempotentClass, time.Minute)
 	attempt := <-upstream.sends
 	disconnect()
-	if a := <-answer; a.Kind != dispatch.ClientGone {
+	if a := <-answer; a.Kind != dispatch.ClientDisconnected {
 		t.Fatalf("answer %+v", a)
 	}
 	<-upstream.aborts
@@ -141,7 +141,7 @@
 		"second decode":  outcomes(routing.PrefillDone, routing.ConnectFailed),
 	} {
 		t.Run(name, func(t *testing.T) {
-			upstream, dispatcher := startDispatcherWith(t, system.Real(), func(c *routing.Config) { c.CanCancel = false })
+			upstream, dispatcher := startDispatcherWith(t, hostos.Real(), func(c *routing.Config) { c.CanCancel = false })
 			client, disconnect := context.WithCancel(t.Context())
 			answer := dispatchAsync(client, dispatcher, idempotentClass, time.Minute)
 			attempt := <-upstream.sends
@@ -150,7 +150,7 @@
 				attempt = <-upstream.sends
 			}
 			disconnect()
-			if a := <-answer; a.Kind != dispatch.ClientGone {
+			if a := <-answer; a.Kind != dispatch.ClientDisconnected {
 				t.Fatalf("answer %+v", a)
 			}
 			from := <-upstream.withdrawals
@@ -229,7 +229,7 @@
 	if n := dispatcher.Counters(t.Context()); n.PeerLoadReports != 1 {
 		t.Errorf("counters %+v", n)
 	}
-	notRunning, err := dispatch.New(routerConfig(t), 1, newFakeUpstream(), system.Real(), nil)
+	notRunning, err := dispatch.New(routerConfig(t), 1, newFakeUpstream(), hostos.Real(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -10,7 +10,7 @@
 
 // endpointRecord is what the dispatcher knows of one listed endpoint.
 type endpointRecord struct {
-	Target
+	EndpointAddress
 	state        routing.EndpointState
 	zone, cell   int
 	prefillOnly  bool          // an attempt here does not execute the request
@@ -73,7 +73,7 @@
 	for d.endpoints[id] != nil {
 		id++
 	}
-	record := &endpointRecord{Target: Target{ID: id, Name: name}}
+	record := &endpointRecord{EndpointAddress: EndpointAddress{ID: id, Name: name}}
 	d.endpoints[id], d.endpointsByName[name] = record, record
 	return record
 }
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -53,7 +53,7 @@
 		runtime.AddCleanup(&body[0], func(int) { collected <- true }, 0)
 		answer := make(chan dispatch.Answer)
 		request := dispatch.Request{
-			Call: dispatch.Call{ID: "x", Body: body}, PromptTokens: 100, Deadline: time.Now().Add(time.Hour),
+			Call: dispatch.UpstreamCall{ID: "x", Body: body}, PromptTokens: 100, Deadline: time.Now().Add(time.Hour),
 		}
 		go func() { answer <- dispatcher.Dispatch(t.Context(), request) }()
 		upstream.finishPrefill()
@@ -62,7 +62,7 @@
 		<-answer
 		decode.end(routing.Served)
 	}()
-	testkit.Eventually(t, "the request's body to be collected", func() bool {
+	testutil.Eventually(t, "the request's body to be collected", func() bool {
 		runtime.GC()
 		return len(collected) == 1
 	})
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -68,5 +68,5 @@
 		return
 	}
 	d.counters.LoadPolls++
-	d.upstream.PollLoad(endpoint.Target, loadPollTimeout, onReport)
+	d.upstream.PollLoad(endpoint.EndpointAddress, loadPollTimeout, onReport)
 }
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
-// The kinds and classes of testkit.Settings.
+// The kinds and classes of testutil.Settings.
 const (
 	prefillKind = 0
 	decodeKind  = 1
@@ -53,10 +53,12 @@
 }
 
 // Release implements dispatch.Upstream.
-func (u *fakeUpstream) Release(call dispatch.Call, _ []dispatch.Target) { u.releases <- call.ID }
+func (u *fakeUpstream) Release(call dispatch.UpstreamCall, _ []dispatch.EndpointAddress) {
+	u.releases <- call.ID
+}
 
 // PollLoad implements dispatch.Upstream: no endpoint answers.
-func (u *fakeUpstream) PollLoad(_ dispatch.Target, _ time.Duration, onReport func(*routing.LoadReport)) {
+func (u *fakeUpstream) PollLoad(_ dispatch.EndpointAddress, _ time.Duration, onReport func(*routing.LoadReport)) {
 	go onReport(nil)
 }
 
@@ -82,12 +84,12 @@
 // startDispatcher runs a dispatcher with the endpoints r1 and r2 (prefill), w1 and w2 (decode).
 func startDispatcher(t *testing.T) (*fakeUpstream, *dispatch.Dispatcher) {
 	t.Helper()
-	return startDispatcherWith(t, system.Real(), func(*routing.Config) {})
+	return startDispatcherWith(t, hostos.Real(), func(*routing.Config) {})
 }
 
 // startDispatcherWith is startDispatcher on a machine, with changes to the configuration.
 func startDispatcherWith(
-	t *testing.T, machine system.System, change func(*routing.Config),
+	t *testing.T, machine hostos.System, change func(*routing.Config),
 ) (*fakeUpstream, *dispatch.Dispatcher) {
 	t.Helper()
 	upstream := newFakeUpstream()
@@ -110,7 +112,7 @@
 
 func routerConfig(t *testing.T) routing.Config {
 	t.Helper()
-	config, err := testkit.Settings(t).Router()
+	config, err := testutil.Settings(t).Router()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +125,7 @@
 ) <-chan dispatch.Answer {
 	answer := make(chan dispatch.Answer, 2)
 	request := dispatch.Request{
-		Call: dispatch.Call{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(timeout),
+		Call: dispatch.UpstreamCall{ID: "x"}, Class: class, PromptTokens: 100, Deadline: time.Now().Add(timeout),
 	}
 	go func() { answer <- dispatcher.Dispatch(client, request) }()
 	return answer
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -37,7 +37,7 @@
 func (d *Dispatcher) SetQuotaShare(fraction float64, duration time.Duration, applied func()) bool {
 	receivedAt := time.Now()
 	return d.tryPost(func() {
-		d.handleEvent(routing.QuotaShare{Fraction: fraction, Duration: duration - time.Since(receivedAt)})
+		d.handleEvent(routing.QuotaShare{Fraction: fraction, ValidFor: duration - time.Since(receivedAt)})
 		applied()
 	})
 }
--- a/internal/dispatch/releases.go
+++ b/internal/dispatch/releases.go
@@ -76,9 +76,9 @@
 		slog.Info("released", "id", q.Call.ID, "reason", reason, "attempts", len(q.attempts),
 			"server", q.lastEndpointName())
 	}
-	var through []Target
+	var through []EndpointAddress
 	for _, record := range interleaveByZoneAndRole(d.mostRecentlyResponsive(maxReleaseTargets)) {
-		through = append(through, record.Target)
+		through = append(through, record.EndpointAddress)
 	}
 	d.upstream.Release(q.Call, through)
 }
--- a/internal/dispatch/releases_test.go
+++ b/internal/dispatch/releases_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // maxReservationTime is how long a reservation may last while no attempt has reached a running replica: 300 ms by the
@@ -34,8 +34,8 @@
 	return endpoint
 }
 
-func chatCall(id string) dispatch.Call {
-	return dispatch.Call{ID: id, Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}
+func chatCall(id string) dispatch.UpstreamCall {
+	return dispatch.UpstreamCall{ID: id, Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}
 }
 
 // A prefill's reservation is released in time though a decode for it is in flight, if that decode never reaches a
@@ -45,16 +45,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			prefilled := make(chan time.Time, 8)
-			fleet := testkit.NewFleet(t, testkit.ReadAt(prefilled), testkit.Silent)
-			fleet.Core.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "w", decodeKind)})
+			fleet := testutil.NewFleet(t, testutil.ServePrefillAt(prefilled), testutil.Silent)
+			fleet.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "w", decodeKind)})
 			client, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
-			go fleet.Core.Dispatch(client, dispatch.Request{
+			go fleet.Dispatcher.Dispatch(client, dispatch.Request{
 				Call: chatCall("reserved"), Class: class, PromptTokens: 100, Deadline: time.Now().Add(5 * time.Second),
 			})
 			reservedAt := <-prefilled
-			testkit.Eventually(t, "the release", func() bool {
-				return fleet.Reader.Releases("reserved") > 0 || time.Since(reservedAt) > 2*maxReservationTime
+			testutil.Eventually(t, "the release", func() bool {
+				return fleet.Prefill.Releases("reserved") > 0 || time.Since(reservedAt) > 2*maxReservationTime
 			})
 			if took := time.Since(reservedAt); took > maxReservationTime {
 				t.Errorf("still reserved %v after the prefill", took)
@@ -67,22 +67,22 @@
 // not reach the replica either, and the prefill may succeed long after it.
 func TestLostPrefillIsReleasedAgain(t *testing.T) {
 	t.Parallel()
-	fleet := testkit.NewFleet(t, testkit.Read, testkit.Silent)
-	fleet.Core.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "r", prefillKind)})
-	fleet.Core.Dispatch(t.Context(), dispatch.Request{
+	fleet := testutil.NewFleet(t, testutil.ServePrefill, testutil.Silent)
+	fleet.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "r", prefillKind)})
+	fleet.Dispatcher.Dispatch(t.Context(), dispatch.Request{
 		Call: chatCall("lost"), PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond),
 	})
 	answeredAt := time.Now()
 	const late = time.Second // after the answer
 	releasesBefore := 0
-	testkit.Eventually(t, "a release long after the answer", func() bool {
-		n := fleet.Writer.Releases("lost")
+	testutil.Eventually(t, "a release long after the answer", func() bool {
+		n := fleet.Decode.Releases("lost")
 		if time.Since(answeredAt) < late {
 			releasesBefore = n
 		}
 		return n > releasesBefore || time.Since(answeredAt) > 4*late
 	})
-	if n := fleet.Writer.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
+	if n := fleet.Decode.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
 		t.Errorf("%d releases within %v, %d in all", releasesBefore, late, n)
 	}
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -77,7 +77,7 @@
 	case a := <-answer:
 		return a
 	case <-d.stopped:
-		return Answer{Kind: ClientGone}
+		return Answer{Kind: ClientDisconnected}
 	}
 }
 
@@ -118,7 +118,7 @@
 	d.handleEvent(routing.RequestArrived{
 		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.SharedPrefix,
 		PromptTokens: q.PromptTokens, SharedPrefixTokens: q.SharedPrefixTokens, MaxOutputTokens: q.MaxOutputTokens,
-		TimeLeft: remaining,
+		RemainingTime: remaining,
 	})
 }
 
@@ -169,7 +169,7 @@
 // answerDisconnected gives a request whose client has disconnected its final answer, which for a RunToCompletion
 // request says whether it may have been executed.
 func (d *Dispatcher) answerDisconnected(q *request) {
-	kind := ClientGone
+	kind := ClientDisconnected
 	if q.RunToCompletion && (q.execution.mayHaveRun || q.hasExecutingAttempt()) {
 		kind = Failed
 	}
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -31,7 +31,7 @@
 		{name: "no step", reportedBefore: true, age: moment, want: moment},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			machine := testkit.NewMachine()
+			machine := testutil.NewMachine()
 			testStart := time.Now()
 			_, dispatcher := startDispatcherWith(t, machine, func(*routing.Config) {})
 			started := machine.Wall().Add(-c.age)
--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -26,10 +26,10 @@
 
 // LearnedState is what this process has learned of replicas and prefixes, to be transferred to members that start.
 type LearnedState interface {
-	// Tell returns the encoded state of this process; false: it cannot now.
-	Tell(ctx context.Context) ([]byte, bool)
-	// Learn merges the encoded state of another member; it is an error if the state cannot be decoded.
-	Learn(state []byte) error
+	// Snapshot returns the encoded state of this process; false: it cannot now.
+	Snapshot(ctx context.Context) ([]byte, bool)
+	// Restore merges the encoded state of another member; it is an error if the state cannot be decoded.
+	Restore(state []byte) error
 }
 
 // BootstrapStatus is the transfers of learned state as operators are shown them.
@@ -75,11 +75,11 @@
 		return
 	}
 	self := b.node.self
-	var members []bootstrap.Member
+	var members []bootstrap.Peer
 	for _, m := range b.node.View().ActiveMembers() {
 		if m.Name != self.Name {
 			older := m.Started.Before(b.node.startWall.Add(-donorMinAgeGap))
-			members = append(members, bootstrap.Member{Name: m.Name, Older: older, SameZone: m.Zone == self.Zone})
+			members = append(members, bootstrap.Peer{Name: m.Name, Older: older, SameZone: m.Zone == self.Zone})
 		}
 	}
 	to, ok := b.requester.NextDonor(now, members)
@@ -115,7 +115,7 @@
 func (b *bootstrapper) sendState(to string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
-	state, ok := b.state.Tell(ctx)
+	state, ok := b.state.Snapshot(ctx)
 	if !ok || len(state) > maxLearnedStateBytes {
 		return false
 	}
@@ -140,7 +140,7 @@
 
 // learn merges another member's state, and tells whether it could be decoded.
 func (b *bootstrapper) learn(from string, state []byte) bool {
-	if err := b.state.Learn(state); err != nil {
+	if err := b.state.Restore(state); err != nil {
 		b.malformed.Add(1)
 		slog.Warn("bootstrap_rejected", "from", from, "err", err)
 		return false
--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -41,8 +41,8 @@
 	Burst:              4,
 }
 
-// Member is another member that may be requested from.
-type Member struct {
+// Peer is another member that may be requested from.
+type Peer struct {
 	Name     string
 	Older    bool // it started well before this process
 	SameZone bool // it is in this process' zone, and so knows the same replicas best
--- a/internal/fleet/bootstrap/bootstrap_test.go
+++ b/internal/fleet/bootstrap/bootstrap_test.go
@@ -7,7 +7,7 @@
 
 func drawZero(int64) int64 { return 0 }
 
-var testMembers = []Member{{Name: "new"}, {Name: "old", Older: true}, {Name: "near", Older: true, SameZone: true}}
+var testMembers = []Peer{{Name: "new"}, {Name: "old", Older: true}, {Name: "near", Older: true, SameZone: true}}
 
 // Older and nearer members are requested from first, each once, and again after the retry interval.
 func TestRequesterPrefersOlderAndNearerMembers(t *testing.T) {
--- a/internal/fleet/bootstrap/golden_test.go
+++ b/internal/fleet/bootstrap/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 // The order and the spans of the draws decide, with a seed, whom a process sends requests to and when.
@@ -17,7 +17,7 @@
 		text = fmt.Appendf(text, "draw %d of %d\n", draws, n)
 		return draws * 7 % n
 	})
-	members := []Member{
+	members := []Peer{
 		{Name: "a", Older: true},
 		{Name: "b", Older: true},
 		{Name: "c", SameZone: true},
--- a/internal/fleet/bootstrap/requester.go
+++ b/internal/fleet/bootstrap/requester.go
@@ -39,7 +39,7 @@
 }
 
 // NextDonor returns the member to send a request to now, out of the active members; false means that there is none yet.
-func (r *Requester) NextDonor(now time.Duration, members []Member) (name string, ok bool) {
+func (r *Requester) NextDonor(now time.Duration, members []Peer) (name string, ok bool) {
 	if r.Done(now) || len(members) == 0 {
 		return "", false
 	}
@@ -64,7 +64,7 @@
 }
 
 // bestDonors returns the names of the members of the highest rank that may be requested from now.
-func (r *Requester) bestDonors(now time.Duration, members []Member) []string {
+func (r *Requester) bestDonors(now time.Duration, members []Peer) []string {
 	var best []string
 	highest := -1
 	for _, m := range members {
--- a/internal/fleet/bootstrap/sim_test.go
+++ b/internal/fleet/bootstrap/sim_test.go
@@ -17,7 +17,7 @@
 // simNode is a process that has state to transfer, or requests it.
 type simNode struct {
 	requester *Requester
-	others    []Member
+	others    []Peer
 	donor     Donor
 	hasState  bool
 	requests  []time.Duration // when they were received
@@ -50,7 +50,7 @@
 		n := &simNode{requester: NewRequester(DefaultLimits, 0, s.rng.Int64N), hasState: i < withState}
 		for j := range size {
 			if j != i {
-				n.others = append(n.others, Member{Name: fmt.Sprint(j), Older: j < withState})
+				n.others = append(n.others, Peer{Name: fmt.Sprint(j), Older: j < withState})
 			}
 		}
 		s.nodes = append(s.nodes, n)
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"rampspread/internal/fleet/membership"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A process that starts after its machine's wall clock was set back counts as a later incarnation of its name all the
@@ -18,12 +18,12 @@
 	former := two.info.Incarnation
 	crash(two)
 	awaitState(t, one, "n21", membership.Unreachable)
-	machine := testkit.NewMachine()
+	machine := testutil.NewMachine()
 	machine.Step(-time.Hour)
 	restarted := startNodeOn(t, machine, text, 21, nil)
 	awaitState(t, one, "n21", membership.Alive)
 	awaitState(t, restarted, "n20", membership.Alive)
-	testkit.Eventually(t, "a higher incarnation than the former one", func() bool {
+	testutil.Eventually(t, "a higher incarnation than the former one", func() bool {
 		restarted.mu.Lock()
 		defer restarted.mu.Unlock()
 		return restarted.info.Incarnation > former
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -41,9 +41,9 @@
 	EndpointFilter bool `json:"ends,omitempty"`
 	// VersionSkew lets members that act on something older than most be restricted and fenced; none: nobody is.
 	VersionSkew *VersionSkewConfig `json:"stragglers,omitempty"`
-	// SubsetReaders is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0:
+	// MinSubsetPrefillReplicas is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0:
 	// all.
-	SubsetReaders int `json:"subset_readers,omitempty"`
+	MinSubsetPrefillReplicas int `json:"subset_readers,omitempty"`
 	// Budgets are what all members may do together; none: each dispatcher goes by the settings' count of dispatchers.
 	Budgets *Budgets `json:"budgets,omitempty"`
 
@@ -55,13 +55,13 @@
 
 // IdempotencyConfig bounds the idempotency records of the voters; it is the same at all.
 type IdempotencyConfig struct {
-	KeepS   float64 `json:"keep_s"`  // retention, in seconds
-	Entries int     `json:"entries"` // records at each voter
+	RetentionS float64 `json:"keep_s"`  // retention, in seconds
+	Entries    int     `json:"entries"` // records at each voter
 }
 
-// Keep is how long an idempotency record is retained.
-func (c *IdempotencyConfig) Keep() time.Duration {
-	return time.Duration(c.KeepS * float64(time.Second))
+// Retention is how long an idempotency record is retained.
+func (c *IdempotencyConfig) Retention() time.Duration {
+	return time.Duration(c.RetentionS * float64(time.Second))
 }
 
 // Peer is one name that may be in the fleet, and the address at which others reach it.
@@ -100,7 +100,7 @@
 // Parse reads a file strictly, for the process of that name: unknown keys and values that cannot work are errors.
 func Parse(text []byte, name string) (*Config, error) {
 	var c Config
-	if err := cli.Strict(text, &c); err != nil {
+	if err := cli.DecodeStrict(text, &c); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	c.probeInterval = millisOr(c.ProbeMS, defaultProbeInterval)
@@ -201,7 +201,7 @@
 	if i == nil {
 		return nil
 	}
-	isRetentionValid := i.KeepS >= minRetentionS && i.KeepS < maxRetentionS // false for NaN
+	isRetentionValid := i.RetentionS >= minRetentionS && i.RetentionS < maxRetentionS // false for NaN
 	if !isRetentionValid || i.Entries < 1 || i.Entries > maxRecords {
 		return errors.New("fleet: filings: keep_s is not from 1 to 10000000, or entries not from 1 to 1000000")
 	}
@@ -222,10 +222,10 @@
 }
 
 func (c *Config) checkSubset() error {
-	if c.SubsetReaders == 0 {
+	if c.MinSubsetPrefillReplicas == 0 {
 		return nil
 	}
-	if err := c.Subset().Validate(); err != nil {
+	if err := c.SubsetLimits().Validate(); err != nil {
 		return fmt.Errorf("fleet: subset_readers: %w", err)
 	}
 	return nil
@@ -250,8 +250,10 @@
 	return nil
 }
 
-// Subset bounds the subset of the replicas that a dispatcher uses.
-func (c *Config) Subset() subset.Limits { return subset.Limits{MinPrefillReplicas: c.SubsetReaders} }
+// SubsetLimits bounds the subset of the replicas that a dispatcher uses.
+func (c *Config) SubsetLimits() subset.Limits {
+	return subset.Limits{MinPrefillReplicas: c.MinSubsetPrefillReplicas}
+}
 
 // IsVoter tells whether the member of that name is a voter.
 func (c *Config) IsVoter(name string) bool { return slices.Contains(c.Voters, name) }
--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -84,9 +84,9 @@
 	if d.Version > f.table.Version() {
 		f.peerLists++
 	}
-	rejected := f.table.Rejected()
+	rejected := f.table.Rejections()
 	f.publishChanges("peer_list_applied", f.table.UpdatePeer(f.elapsed(), from, d))
-	if f.table.Rejected() > rejected {
+	if f.table.Rejections() > rejected {
 		slog.Warn("peer_list_rejected", "from", from, "own_version", f.table.Version(), "peer_version", d.Version)
 	}
 }
@@ -145,6 +145,6 @@
 		List:       f.table.Version(),
 		Suppressed: f.table.Suppressed(),
 		PeerLists:  f.peerLists,
-		Rejected:   f.table.Rejected(),
+		Rejected:   f.table.Rejections(),
 	}
 }
--- a/internal/fleet/endpointfilter/filter_test.go
+++ b/internal/fleet/endpointfilter/filter_test.go
@@ -84,7 +84,7 @@
 	b.wantReady(t, "a change that is newer than the peer list", "a", "b", "c", "d", "e")
 	f.UpdatePeer("n1", tombstone.Digest{Version: 9, Ready: hashes("b", "c", "d", "e")})
 	b.wantReady(t, "another newer peer list", "b", "c", "d", "e")
-	b.now = b.now.Add(tombstone.DefaultLimits.PeerReportTTL + time.Second)
+	b.now = b.now.Add(tombstone.DefaultLimits.PeerDigestTTL + time.Second)
 	f.Tick()
 	b.wantReady(t, "after the peer list expired", "a", "b", "c", "d", "e")
 	s := f.Status()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,14 +8,14 @@
 	"testing"
 
 	"rampspread/internal/fleet/membership"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 const testKey = "000102030405060708090a0b0c0d0e0f"
 
 // memberAddress is an address of this test's own: members send from the address that they listen at.
-func memberAddress(host int) string { return fmt.Sprintf("%s%d:7946", testkit.Net(), 1+host) }
+func memberAddress(host int) string { return fmt.Sprintf("%s%d:7946", testutil.Net(), 1+host) }
 
 // hostName is the name of the member of a host.
 func hostName(host int) string { return fmt.Sprint("n", host%100) }
@@ -32,11 +32,11 @@
 // startNode starts the member of that host; nil for failed: a failure is an error of the test.
 func startNode(t *testing.T, text string, host int, failed func(error)) *Node {
 	t.Helper()
-	return startNodeOn(t, system.Real(), text, host, failed)
+	return startNodeOn(t, hostos.Real(), text, host, failed)
 }
 
 // startNodeOn is startNode with a machine whose clock the test sets.
-func startNodeOn(t *testing.T, machine system.System, text string, host int, failed func(error)) *Node {
+func startNodeOn(t *testing.T, machine hostos.System, text string, host int, failed func(error)) *Node {
 	t.Helper()
 	cfg, err := Parse([]byte(text), hostName(host))
 	if err != nil {
@@ -45,8 +45,8 @@
 	if failed == nil {
 		failed = func(err error) { t.Errorf("member %d: %v", host, err) }
 	}
-	n, err := Start(cfg, Self{Machine: machine, Name: hostName(host), Zone: "wien", Version: "1", Seed: uint64(host),
-		Facts: func() Facts { return Facts{Settings: 7, List: 41, Serving: true} }}, failed)
+	n, err := Start(cfg, Options{Machine: machine, Name: hostName(host), Zone: "wien", Version: "1", Seed: uint64(host),
+		LocalState: func() LocalState { return LocalState{SettingsDigest: 7, ListVersion: 41, Serving: true} }}, failed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 func awaitState(t *testing.T, n *Node, name string, want membership.State) {
 	t.Helper()
 	what := fmt.Sprintf("%s as %s at %s", name, want, n.self.Name)
-	testkit.Eventually(t, what, func() bool { return memberState(n, name) == want })
+	testutil.Eventually(t, what, func() bool { return memberState(n, name) == want })
 }
 
 // Members discover each other while the first of the configuration is missing, detect one that crashes and one that
@@ -94,7 +94,7 @@
 		for _, name := range []string{"n11", "n12", "n13"} {
 			awaitState(t, n, name, membership.Alive)
 		}
-		testkit.Eventually(t, "a fresh view", func() bool { return n.View().Fresh(n.Now(), MaxViewAge) })
+		testutil.Eventually(t, "a fresh view", func() bool { return n.View().Fresh(n.Now(), MaxViewAge) })
 	}
 	s := one.Status()
 	if m := s.Members[2]; m.ListVersion != 41 || m.Zone != "wien" || memberState(one, "n10") != membership.Unknown {
@@ -127,7 +127,7 @@
 	one.publish()
 	one.mu.Unlock()
 	two.gossip.Join([]string{memberAddress(20)}) // a push and pull of all state
-	testkit.Eventually(t, "a higher incarnation", func() bool {
+	testutil.Eventually(t, "a higher incarnation", func() bool {
 		return one.Status().Members[1].Incarnation > ahead && memberState(one, "n21") == membership.Alive
 	})
 }
@@ -137,7 +137,7 @@
 	one := startNode(t, configJSON("f", testKey, 30, 31, 32), 30, nil)
 	named := startNode(t, configJSON("g", testKey, 30, 31, 32), 31, nil)
 	keyed := startNode(t, configJSON("f", strings.Repeat("ab", 16), 30, 31, 32), 32, nil)
-	testkit.Eventually(t, "rejected packets", func() bool { return one.Malformed() > 0 })
+	testutil.Eventually(t, "rejected packets", func() bool { return one.Malformed() > 0 })
 	for range 3 {
 		for _, n := range []*Node{named, keyed} {
 			n.gossip.Join([]string{memberAddress(30)})
@@ -163,7 +163,7 @@
 	}
 	first.Leave()
 	first.Close()
-	testkit.Eventually(t, "the second in the first's place", func() bool {
+	testutil.Eventually(t, "the second in the first's place", func() bool {
 		m := one.Status().Members[1]
 		return m.State == "alive" && m.Incarnations == 2
 	})
@@ -200,14 +200,14 @@
 		t.Fatal(err)
 	}
 	defer datagrams.Close()
-	for _, malformed := range testkit.Broken(5, "\xf4\x01fgarbage", string(encodeMemberInfo(two.info, 5))) {
+	for _, malformed := range testutil.CorruptedSeeds(5, "\xf4\x01fgarbage", string(encodeMemberInfo(two.info, 5))) {
 		datagrams.Write([]byte(malformed))
 		if c, err := net.Dial("tcp", memberAddress(50)); err == nil {
 			c.Write([]byte(malformed))
 			c.Close()
 		}
 	}
-	testkit.Eventually(t, "malformed packets to be counted", func() bool { return one.Malformed() > 10 })
+	testutil.Eventually(t, "malformed packets to be counted", func() bool { return one.Malformed() > 10 })
 	before := one.View().Version
 	replayed := heartbeatMessage(membership.MemberInfo{Name: "n51", Incarnation: two.info.Incarnation - 1}, 1)
 	for range 50 {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -15,15 +15,15 @@
 	"rampspread/internal/fleet/membership"
 	"rampspread/internal/fleet/quota"
 	"rampspread/internal/fleet/tombstone"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil/golden"
 )
 
 // The tests of this file freeze what members send to each other and what operators are answered. Members of different
 // versions run side by side during a rolling update, so the bytes must not change.
 
 var goldenInfo = membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001,
-	Started: time.UnixMilli(1700000000123), Version: "1.2.3", Settings: 0x1122334455667788, ListVersion: 41,
+	Started: time.UnixMilli(1700000000123), Version: "1.2.3", SettingsDigest: 0x1122334455667788, ListVersion: 41,
 	HighestToken: 77, Serving: true, Leaving: true}
 
 const goldenSent = 1700000001234
@@ -176,7 +176,7 @@
 }
 
 // offlineNode is a node without a network: messages given to receive reach its components.
-func offlineNode(t *testing.T, self Self) *Node {
+func offlineNode(t *testing.T, self Options) *Node {
 	t.Helper()
 	cfg, err := Parse([]byte(goldenConfig), self.Name)
 	if err != nil {
@@ -197,7 +197,7 @@
 func TestGoldenMessagesReachTheirComponents(t *testing.T) {
 	var idempotency []byte
 	filter := &recordingFilter{}
-	n := offlineNode(t, Self{Name: "n0", HandleIdempotency: func(message []byte) { idempotency = message }})
+	n := offlineNode(t, Options{Name: "n0", HandleIdempotency: func(message []byte) { idempotency = message }})
 	n.add(newEndpointSync(n, filter))
 	receiveGolden := func(file string, kind byte, encoded []byte) {
 		t.Helper()
@@ -228,7 +228,7 @@
 
 // Members exchange the incarnations that they know in memberlist's push and pull.
 func TestGoldenPushPull(t *testing.T) {
-	n := offlineNode(t, Self{Name: "n0"})
+	n := offlineNode(t, Options{Name: "n0"})
 	n.view.Store(&membership.View{Members: []membership.Member{
 		{MemberInfo: membership.MemberInfo{Name: "n0", Incarnation: 6}},
 		{MemberInfo: membership.MemberInfo{Name: "n1", Incarnation: 7}},
@@ -251,13 +251,13 @@
 			Incarnation: 6, Incarnations: 7, Started: "2023-11-14T22:13:20Z", Version: "1.2.3",
 			Settings: "0000000000000008", ListVersion: 9, SkewMS: 10}}})
 	golden.JSON(t, "status-duties.json", TasksStatus{Self: "n1", Voters: []string{"v0", "v1"}, Recovering: true,
-		LastExpired: "list, lease 2", Executions: 3, LateResults: 4, Bytes: 5,
+		LastExpired: "list, lease 2", Executions: 3, LateResults: 4, BytesSent: 5,
 		Tasks: []TaskStatus{{Task: "list", Owner: "n2", Standby: "n3", Held: true, Token: 6, HeldForS: 7.5,
 			RemainingS: 8.5, LastResultS: 9.5}}})
 	golden.JSON(t, "status-shares.json", QuotaStatus{Self: "n1", Fraction: 0.1, MinFraction: 0.2, RemainingS: 0.3,
-		Demand: 0.4, IsVoter: true, Recovering: true, Outstanding: 0.5, Borrowers: 6, Shares: 7, Dropped: 8})
+		Demand: 0.4, IsVoter: true, Recovering: true, Outstanding: 0.5, Borrowers: 6, SharesApplied: 7, Dropped: 8})
 	golden.JSON(t, "status-beliefs.json", BootstrapStatus{Received: 1, Sent: 2, Declined: 3, Malformed: 4})
-	golden.JSON(t, "status-versions.json", VersionSkewStatus{Self: "n1", List: 2, Settings: "0000000000000003",
+	golden.JSON(t, "status-versions.json", VersionSkewStatus{Self: "n1", MajorityListVersion: 2, MajoritySettings: "0000000000000003",
 		Fault: "fault", Enabled: true, InsufficientView: true, Frozen: true,
 		Members: []MemberVersion{{Name: "n4", State: "alive", LastHeartbeatS: 5.5, Program: "1.2.3",
 			Settings: "0000000000000006", ListVersion: 7, HighestToken: 8, SkewState: "behind", Reason: "list",
@@ -266,9 +266,9 @@
 
 // Operators' answers are filled from the view: names of states, hexadecimal fingerprints, times.
 func TestGoldenStatusText(t *testing.T) {
-	n := offlineNode(t, Self{Name: "n0"})
+	n := offlineNode(t, Options{Name: "n0"})
 	info := goldenInfo
-	info.Settings = 0xab // is shown with its leading zeros
+	info.SettingsDigest = 0xab // is shown with its leading zeros
 	n.updateTable(func(table *membership.Table, now time.Duration) {
 		table.Heartbeat(info, now)
 		table.RecordConflict("n1", "10.0.0.9:7946", now)
@@ -316,11 +316,11 @@
 	}
 	want := Config{Fleet: "f", Key: "000102030405060708090a0b0c0d0e0f", Listen: "127.0.0.1:7001",
 		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300,
-		Voters: []string{"n0", "n1", "n2"}, TermMS: 900, Idempotency: &IdempotencyConfig{KeepS: 61, Entries: 62},
+		Voters: []string{"n0", "n1", "n2"}, TermMS: 900, Idempotency: &IdempotencyConfig{RetentionS: 61, Entries: 62},
 		Bootstrap: true, EndpointFilter: true,
-		VersionSkew:   &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3},
-		SubsetReaders: 8,
-		Budgets:       &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
+		VersionSkew:              &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3},
+		MinSubsetPrefillReplicas: 8,
+		Budgets:                  &Budgets{Floor: 0.4, PollsPerReplica: 2.5, RetriesPerRequest: 0.5, RetriesPerSecond: 1.5}}
 	golden.JSON(t, "config.json", want)
 	got.key, got.addressByName, got.probeInterval, got.leaseTerm = nil, nil, 0, 0
 	if !reflect.DeepEqual(*got, want) {
@@ -342,10 +342,10 @@
 // itself draws (the order of first contacts, the delays between rejoins, which missing member it contacts) depends on
 // timers: of it only the seed is compared.
 func TestGoldenDraws(t *testing.T) {
-	n := offlineNode(t, Self{Name: "n0", Seed: 17, Machine: system.Real()})
+	n := offlineNode(t, Options{Name: "n0", Seed: 17, Machine: hostos.Real()})
 	var text []byte
 	b := newBootstrapper(n, nil)
-	members := []bootstrap.Member{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
+	members := []bootstrap.Peer{{Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}}
 	for now, requests := time.Duration(0), 0; requests < 4 && now < time.Minute; now += time.Microsecond {
 		if to, ok := b.requester.NextDonor(now, members); ok {
 			text = fmt.Appendf(text, "warmup: %v asks %s\n", now, to)
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -35,7 +35,7 @@
 
 // Attempt identifies one claim by one incarnation of a member. Another claim on the same key is another attempt.
 type Attempt struct {
-	Name        string // of the claiming member
+	Member      string // of the claiming member
 	Incarnation uint64 // of that member
 	Seq         uint64 // unique within the incarnation
 }
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit/play"
+	"rampspread/internal/testutil/play"
 )
 
 var (
@@ -247,7 +247,7 @@
 		round:    NewRound(len(s.replicas)),
 		deadline: s.now + simRoundDeadline,
 	}
-	a.attempt = Attempt{Name: fmt.Sprint("n", a.member), Incarnation: 1, Seq: s.seq}
+	a.attempt = Attempt{Member: fmt.Sprint("n", a.member), Incarnation: 1, Seq: s.seq}
 	s.attempts = append(s.attempts, a)
 	s.sendClaim(a)
 	if s.rng.IntN(2) == 0 {
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seq++
-	attempt := idempotency.Attempt{Name: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.seq}
+	attempt := idempotency.Attempt{Member: c.cfg.Name, Incarnation: c.cfg.Incarnation, Seq: c.seq}
 	c.rounds[attempt.Seq] = r
 	return r, attempt
 }
@@ -208,7 +208,7 @@
 // countVote counts a replica's vote in the round that it is for.
 func (c *Coordinator) countVote(m message) {
 	// A vote on a claim of an earlier incarnation does not count for this one's claim of the same number.
-	isOwn := m.attempt.Name == c.cfg.Name && m.attempt.Incarnation == c.cfg.Incarnation
+	isOwn := m.attempt.Member == c.cfg.Name && m.attempt.Incarnation == c.cfg.Incarnation
 	if !isOwn || !slices.Contains(c.cfg.Replicas, m.replica) {
 		return
 	}
--- a/internal/fleet/idempotencyquorum/coordinator_test.go
+++ b/internal/fleet/idempotencyquorum/coordinator_test.go
@@ -13,7 +13,7 @@
 
 	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var replicaNames = []string{"n0", "n1", "n2"}
@@ -100,7 +100,7 @@
 	n.mu.Unlock()
 	n.stops[name] = sync.OnceFunc(func() { cancel(); wg.Wait() })
 	if dir != "" {
-		testkit.Eventually(t, name+" to open its store", func() bool { return c.Status().IsReplica })
+		testutil.Eventually(t, name+" to open its store", func() bool { return c.Status().IsReplica })
 	}
 	return c
 }
@@ -155,7 +155,7 @@
 		}
 		granted += grants
 		if grants == 1 {
-			testkit.Eventually(t, "its answer at another member", func() bool {
+			testutil.Eventually(t, "its answer at another member", func() bool {
 				outcome, vote, got, _ := members[4].Claim(key, []byte("body"), time.Minute)
 				return outcome == idempotency.Rejected && vote == idempotency.VoteAnswered && bytes.Equal(got, answer)
 			})
@@ -197,7 +197,7 @@
 		t.Errorf("with one of three: %v after %v", outcome, elapsed)
 	}
 	n.cut()
-	testkit.Eventually(t, "the withdrawn key to be free", func() bool {
+	testutil.Eventually(t, "the withdrawn key to be free", func() bool {
 		outcome, _, _, _ := c.Claim("b", nil, time.Minute)
 		return outcome == idempotency.Granted
 	})
@@ -232,7 +232,7 @@
 		t.Errorf("after the restart: %v, %v", outcome, vote)
 	}
 	second.Settle("a", attempt, []byte("late"))
-	testkit.Eventually(t, "its answer", func() bool {
+	testutil.Eventually(t, "its answer", func() bool {
 		_, vote, _, _ := second.Claim("a", []byte("body"), time.Minute)
 		return vote == idempotency.VoteAnswered
 	})
@@ -242,7 +242,7 @@
 	n := newNetwork(t)
 	c := n.start(t, "n0", initState(t, "n0"), 1, "n0")
 	c.store.Close()
-	if outcome, _, _, _ := c.Claim("a", nil, time.Minute); outcome != idempotency.NoQuorum || c.Status().Errors == 0 {
+	if outcome, _, _, _ := c.Claim("a", nil, time.Minute); outcome != idempotency.NoQuorum || c.Status().StoreErrors == 0 {
 		t.Errorf("%v, %+v", outcome, c.Status())
 	}
 }
--- a/internal/fleet/idempotencyquorum/golden_test.go
+++ b/internal/fleet/idempotencyquorum/golden_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"rampspread/internal/fleet/idempotency"
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 // The tests of this file freeze the messages that members send each other about claims: members of other versions read them.
 
 var (
-	goldenAttempt = idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 3}
+	goldenAttempt = idempotency.Attempt{Member: "n1", Incarnation: 1001, Seq: 3}
 	goldenKey     = idempotency.Key{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}
 	goldenDigest  = idempotency.Digest{31: 32, 0: 21, 1: 22, 2: 23}
 )
@@ -74,7 +74,7 @@
 	var coordinator *Coordinator
 	vote := message{
 		kind:    kindVote,
-		attempt: idempotency.Attempt{Name: "n1", Incarnation: 1001, Seq: 1},
+		attempt: idempotency.Attempt{Member: "n1", Incarnation: 1001, Seq: 1},
 		replica: "k0",
 		vote:    idempotency.VoteGranted,
 	}
@@ -107,10 +107,10 @@
 		Keys:        2,
 		Granted:     3,
 		Rejected:    4,
-		NoMajority:  5,
+		NoQuorum:    5,
 		GrantMS:     6.5,
 		Dropped:     7,
-		Errors:      8,
-		Bad:         9,
+		StoreErrors: 8,
+		Malformed:   9,
 	})
 }
--- a/internal/fleet/idempotencyquorum/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -58,21 +58,21 @@
 }
 
 func (m message) encode() []byte {
-	b := protofield.Varint(nil, fieldKind, uint64(m.kind))
-	b = protofield.Bytes(b, fieldClaimant, []byte(m.attempt.Name))
-	b = protofield.Varint(b, fieldIncarnation, m.attempt.Incarnation)
-	b = protofield.Varint(b, fieldSeq, m.attempt.Seq)
-	b = protofield.Bytes(b, fieldKey, m.key[:])
+	b := protofield.AppendVarint(nil, fieldKind, uint64(m.kind))
+	b = protofield.AppendBytes(b, fieldClaimant, []byte(m.attempt.Member))
+	b = protofield.AppendVarint(b, fieldIncarnation, m.attempt.Incarnation)
+	b = protofield.AppendVarint(b, fieldSeq, m.attempt.Seq)
+	b = protofield.AppendBytes(b, fieldKey, m.key[:])
 	switch m.kind {
 	case kindClaim:
-		b = protofield.Bytes(b, fieldDigest, m.digest[:])
-		b = protofield.Varint(b, fieldMaxDuration, uint64(max(m.maxDuration, 0).Microseconds()))
+		b = protofield.AppendBytes(b, fieldDigest, m.digest[:])
+		b = protofield.AppendVarint(b, fieldMaxDuration, uint64(max(m.maxDuration, 0).Microseconds()))
 	case kindVote:
-		b = protofield.Bytes(b, fieldReplica, []byte(m.replica))
-		b = protofield.Varint(b, fieldVote, uint64(m.vote))
+		b = protofield.AppendBytes(b, fieldReplica, []byte(m.replica))
+		b = protofield.AppendVarint(b, fieldVote, uint64(m.vote))
 	}
 	if m.hasAnswer {
-		b = protofield.Bytes(b, fieldAnswer, m.answer)
+		b = protofield.AppendBytes(b, fieldAnswer, m.answer)
 	}
 	return b
 }
@@ -92,7 +92,7 @@
 			return message{}, fmt.Errorf("idempotency: message: %w", err)
 		}
 		b = rest
-		switch field.Kind {
+		switch field.WireType {
 		case protowire.BytesType:
 			if !d.setBytes(field.Number, field.Bytes) {
 				return message{}, errMalformed
@@ -111,7 +111,7 @@
 func (d *decoder) setBytes(field protowire.Number, value []byte) (ok bool) {
 	switch field {
 	case fieldClaimant:
-		d.attempt.Name = string(value)
+		d.attempt.Member = string(value)
 		return len(value) <= maxNameBytes
 	case fieldReplica:
 		d.replica = string(value)
@@ -155,7 +155,7 @@
 
 // complete reports whether the message has all fields that its kind needs.
 func (d *decoder) complete() bool {
-	if d.attempt.Name == "" || !d.hasKey {
+	if d.attempt.Member == "" || !d.hasKey {
 		return false
 	}
 	switch d.kind {
--- a/internal/fleet/idempotencyquorum/message_test.go
+++ b/internal/fleet/idempotencyquorum/message_test.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"rampspread/internal/fleet/idempotency"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // Valid messages decode to what was encoded; malformed ones are errors, are counted, and change nothing.
 func FuzzDecode(f *testing.F) {
-	attempt, key := idempotency.Attempt{Name: "n1", Incarnation: 5, Seq: 7}, idempotency.Key{1}
+	attempt, key := idempotency.Attempt{Member: "n1", Incarnation: 5, Seq: 7}, idempotency.Key{1}
 	var encoded []string
 	for _, in := range []message{
 		{kind: kindClaim, attempt: attempt, key: key, digest: idempotency.Digest{2}, maxDuration: time.Second},
@@ -27,15 +27,15 @@
 		encoded = append(encoded, string(in.encode()))
 	}
 	c := New(Config{Name: "n0", Replicas: replicaNames})
-	for _, b := range testkit.Broken(4, encoded...) {
+	for _, b := range testutil.CorruptedSeeds(4, encoded...) {
 		f.Add([]byte(b))
 		c.HandleMessage([]byte(b))
 	}
-	if c.Status().Bad == 0 {
+	if c.Status().Malformed == 0 {
 		f.Error("no malformed message was counted")
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if m, err := decode(b); err == nil && (m.attempt.Name == "" || len(m.answer) > maxAnswerBytes) {
+		if m, err := decode(b); err == nil && (m.attempt.Member == "" || len(m.answer) > maxAnswerBytes) {
 			t.Errorf("%x was decoded as %+v", b, m)
 		}
 	})
--- a/internal/fleet/idempotencyquorum/replica.go
+++ b/internal/fleet/idempotencyquorum/replica.go
@@ -113,7 +113,7 @@
 		}
 		return
 	}
-	c.send(m.attempt.Name, message{
+	c.send(m.attempt.Member, message{
 		kind:      kindVote,
 		attempt:   m.attempt,
 		key:       m.key,
--- a/internal/fleet/idempotencyquorum/status.go
+++ b/internal/fleet/idempotencyquorum/status.go
@@ -15,24 +15,24 @@
 	Keys        int      `json:"keys"`             // stored by this replica
 	Granted     int64    `json:"granted"`          // claims
 	Rejected    int64    `json:"refused"`          // claims
-	NoMajority  int64    `json:"no_majority"`      // claims
+	NoQuorum    int64    `json:"no_majority"`      // claims
 	GrantMS     float64  `json:"grant_ms"`         // mean time that a claim waited for its grant
 	Dropped     int64    `json:"dropped"`          // messages that did not fit into this replica's queue
-	Errors      int64    `json:"errors"`           // of the store
-	Bad         int64    `json:"bad"`              // malformed messages
+	StoreErrors int64    `json:"errors"`           // of the store
+	Malformed   int64    `json:"bad"`              // malformed messages
 }
 
 // Status returns the present counts.
 func (c *Coordinator) Status() Status {
 	out := Status{
-		Self:       c.cfg.Name,
-		Replicas:   c.cfg.Replicas,
-		Granted:    c.outcomes[idempotency.Granted].Load(),
-		Rejected:   c.outcomes[idempotency.Rejected].Load(),
-		NoMajority: c.outcomes[idempotency.NoQuorum].Load(),
-		Dropped:    c.dropped.Load(),
-		Errors:     c.errs.Load(),
-		Bad:        c.bad.Load(),
+		Self:        c.cfg.Name,
+		Replicas:    c.cfg.Replicas,
+		Granted:     c.outcomes[idempotency.Granted].Load(),
+		Rejected:    c.outcomes[idempotency.Rejected].Load(),
+		NoQuorum:    c.outcomes[idempotency.NoQuorum].Load(),
+		Dropped:     c.dropped.Load(),
+		StoreErrors: c.errs.Load(),
+		Malformed:   c.bad.Load(),
 	}
 	if out.Granted > 0 {
 		out.GrantMS = float64(c.waited.Load()) / float64(out.Granted) / float64(time.Millisecond)
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 // Members name tasks by their hashes, and each computes the assignment alone, so all versions must compute the same one.
--- a/internal/fleet/leasedtasks/golden_test.go
+++ b/internal/fleet/leasedtasks/golden_test.go
@@ -9,7 +9,7 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 	"rampspread/routing"
 )
 
@@ -20,7 +20,7 @@
 	return &routing.LoadReport{Memory: 0.25, QueuedKiloTokens: 2, QueuedRequests: 3.5, SlotUtilization: 0.75}
 }
 
-func (p *goldenPoller) PollLoadFor(lease string, _ dispatch.Target, _ time.Duration, done func(*routing.LoadReport)) {
+func (p *goldenPoller) PollLoadFor(lease string, _ dispatch.EndpointAddress, _ time.Duration, done func(*routing.LoadReport)) {
 	p.lease = lease
 	done(goldenLoad())
 }
@@ -55,7 +55,7 @@
 		{Task: "probe/s-2", Data: none, Age: 2 * time.Second},
 	})
 	want := []dispatch.PeerLoad{{Name: "s-1", Load: goldenLoad(), Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
-	if !reflect.DeepEqual(applied, want) || tasks.Bad() != 0 {
-		t.Errorf("applied %+v, %d bad", applied, tasks.Bad())
+	if !reflect.DeepEqual(applied, want) || tasks.Malformed() != 0 {
+		t.Errorf("applied %+v, %d bad", applied, tasks.Malformed())
 	}
 }
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -41,7 +41,7 @@
 type LoadPoller interface {
 	// PollLoadFor polls a replica on behalf of the fleet; lease names the task and its fencing token. done is called once,
 	// with nil if no report came within the timeout.
-	PollLoadFor(lease string, to dispatch.Target, timeout time.Duration, done func(*routing.LoadReport))
+	PollLoadFor(lease string, to dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport))
 }
 
 // EndpointLists is this member's own connection to service discovery.
@@ -65,18 +65,18 @@
 	refreshed  atomic.Int64 // requests for the endpoint list after it was found stale
 
 	mu         sync.Mutex
-	targets    map[string]dispatch.Target // the ready replicas, by name
-	staleSince time.Time                  // since when the own list is older than the one found; zero if it is not
+	targets    map[string]dispatch.EndpointAddress // the ready replicas, by name
+	staleSince time.Time                           // since when the own list is older than the one found; zero if it is not
 }
 
 // New returns the tasks. applyLoads passes load reports to the dispatcher; it must not block, and returns false if they were
 // dropped. With a nil poller replicas are not polled.
 func New(poller LoadPoller, lists EndpointLists, applyLoads func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
-	return &Tasks{poller: poller, lists: lists, applyLoads: applyLoads, now: now, targets: map[string]dispatch.Target{}}
+	return &Tasks{poller: poller, lists: lists, applyLoads: applyLoads, now: now, targets: map[string]dispatch.EndpointAddress{}}
 }
 
-// Bad returns how many results could not be decoded.
-func (t *Tasks) Bad() int64 { return t.bad.Load() }
+// Malformed returns how many results could not be decoded.
+func (t *Tasks) Malformed() int64 { return t.bad.Load() }
 
 // Refreshed returns how many times the endpoint list was requested again.
 func (t *Tasks) Refreshed() int64 { return t.refreshed.Load() }
@@ -95,7 +95,7 @@
 	}
 	for _, e := range entries {
 		if e.State == routing.Ready {
-			t.targets[e.Name] = dispatch.Target{Name: e.Name, Addr: e.Addr}
+			t.targets[e.Name] = dispatch.EndpointAddress{Name: e.Name, Addr: e.Addr}
 		} else {
 			delete(t.targets, e.Name)
 		}
--- a/internal/fleet/leasedtasks/leasedtasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -10,7 +10,7 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/fleet"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -31,7 +31,7 @@
 
 var polledLoad = routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}
 
-func (p *fakePoller) PollLoadFor(lease string, to dispatch.Target, _ time.Duration, done func(*routing.LoadReport)) {
+func (p *fakePoller) PollLoadFor(lease string, to dispatch.EndpointAddress, _ time.Duration, done func(*routing.LoadReport)) {
 	p.polls = append(p.polls, lease+" "+to.Addr)
 	if to.Name == "dead" {
 		done(nil)
@@ -101,15 +101,15 @@
 }
 
 func TestMalformedResultsAreCounted(t *testing.T) {
-	for _, b := range testkit.Broken(4, string(encodeLoad(&routing.LoadReport{QueuedRequests: 1}))) {
+	for _, b := range testutil.CorruptedSeeds(4, string(encodeLoad(&routing.LoadReport{QueuedRequests: 1}))) {
 		if load, err := decodeLoad([]byte(b)); err == nil && load != nil && !(load.QueuedRequests <= maxLoadValue) {
 			t.Errorf("%q was decoded as %+v", b, load)
 		}
 	}
 	tasks, _, _ := newPollTasks()
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte("garbage")}, {Task: "list"}})
-	if tasks.Bad() != 2 {
-		t.Errorf("%d counted as bad", tasks.Bad())
+	if tasks.Malformed() != 2 {
+		t.Errorf("%d counted as bad", tasks.Malformed())
 	}
 }
 
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -8,21 +8,21 @@
 	Zone string
 	// Incarnation orders the processes that have used one name: a later process has a higher one, whatever the
 	// clocks say.
-	Incarnation  uint64
-	Started      time.Time // by its own wall clock
-	Version      string    // of the program
-	Settings     uint64    // fingerprint of the settings in force
-	ListVersion  uint64    // version of the endpoint list from discovery that it acts on
-	HighestToken uint64    // the highest fencing token that it knew at its last heartbeat
-	Serving      bool
-	Leaving      bool
+	Incarnation    uint64
+	Started        time.Time // by its own wall clock
+	Version        string    // of the program
+	SettingsDigest uint64    // fingerprint of the settings in force
+	ListVersion    uint64    // version of the endpoint list from discovery that it acts on
+	HighestToken   uint64    // the highest fencing token that it knew at its last heartbeat
+	Serving        bool
+	Leaving        bool
 }
 
 // Member is one configured name as this process sees it.
 type Member struct {
 	MemberInfo
 	State         State
-	Since         time.Duration // when State last changed, or a later incarnation appeared
+	StateSince    time.Duration // when State last changed, or a later incarnation appeared
 	LastHeartbeat time.Duration // when it was last heard from: how certain State is
 	Incarnations  int           // number of incarnations seen of this name
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -64,12 +64,12 @@
 		awaited:         map[string]bool{},
 	}
 	for _, name := range names {
-		t.members[name] = &Member{MemberInfo: MemberInfo{Name: name}, Since: now}
+		t.members[name] = &Member{MemberInfo: MemberInfo{Name: name}, StateSince: now}
 	}
 	t.members[self.Name] = &Member{
 		MemberInfo:    self,
 		State:         stateOf(self),
-		Since:         now,
+		StateSince:    now,
 		LastHeartbeat: now,
 		Incarnations:  1,
 	}
@@ -103,7 +103,7 @@
 // setState moves a member to a state.
 func (t *Table) setState(m *Member, state State, now time.Duration) {
 	if m.State != state {
-		m.State, m.Since = state, now
+		m.State, m.StateSince = state, now
 		t.markChanged()
 	}
 }
@@ -121,7 +121,7 @@
 		return nil
 	case info.Incarnation > m.Incarnation:
 		m.Incarnations++
-		m.Since = now
+		m.StateSince = now
 		t.markChanged()
 	}
 	return m
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		decoder := fieldDecoders[f.Number]
-		if decoder.decode == nil || decoder.kind != f.Kind {
+		if decoder.decode == nil || decoder.kind != f.WireType {
 			continue
 		}
 		if err := decoder.decode(&m, f, now); err != nil {
@@ -122,9 +122,9 @@
 
 // encodeHeader starts a message: its kind byte and the fields that all kinds share.
 func encodeHeader(kind byte, seq uint64, from string, incarnation uint64) []byte {
-	b := protofield.Varint([]byte{kind}, fieldSeq, seq)
+	b := protofield.AppendVarint([]byte{kind}, fieldSeq, seq)
 	b = appendString(b, fieldFrom, from)
-	return protofield.Varint(b, fieldIncarnation, incarnation)
+	return protofield.AppendVarint(b, fieldIncarnation, incarnation)
 }
 
 func decodeSeq(m *peerMessage, f protofield.Field, _ time.Duration) error {
@@ -158,7 +158,7 @@
 	for _, v := range values {
 		packed = protowire.AppendVarint(packed, v)
 	}
-	return protofield.Bytes(b, field, packed)
+	return protofield.AppendBytes(b, field, packed)
 }
 
 // unpackVarints decodes a packed repeated field whose values come in groups of a fixed size.
--- a/internal/fleet/message_bootstrap.go
+++ b/internal/fleet/message_bootstrap.go
@@ -21,7 +21,7 @@
 	if len(state) == 0 {
 		return b
 	}
-	return protofield.Bytes(b, fieldLearnedState, state)
+	return protofield.AppendBytes(b, fieldLearnedState, state)
 }
 
 func decodeLearnedState(m *peerMessage, f protofield.Field, _ time.Duration) error {
--- a/internal/fleet/message_endpoints.go
+++ b/internal/fleet/message_endpoints.go
@@ -25,7 +25,7 @@
 	for _, h := range hashes {
 		encoded = binary.LittleEndian.AppendUint64(encoded, h)
 	}
-	return protofield.Bytes(b, field, encoded)
+	return protofield.AppendBytes(b, field, encoded)
 }
 
 func decodeReady(m *peerMessage, f protofield.Field, _ time.Duration) (err error) {
--- a/internal/fleet/message_lease.go
+++ b/internal/fleet/message_lease.go
@@ -112,7 +112,7 @@
 		if i > 0 && len(packet)+len(encoded)+resultOverheadBytes > maxResultsPacketBytes {
 			return packet, results[i:]
 		}
-		packet = protofield.Bytes(packet, fieldResult, encoded)
+		packet = protofield.AppendBytes(packet, fieldResult, encoded)
 	}
 	return packet, nil
 }
--- a/internal/fleet/message_member.go
+++ b/internal/fleet/message_member.go
@@ -44,7 +44,7 @@
 	b = appendNonZero(b, infoIncarnation, info.Incarnation)
 	b = appendNonZero(b, infoStarted, uint64(info.Started.UnixMilli()))
 	b = appendTruncated(b, infoVersion, info.Version)
-	b = protowire.AppendFixed64(protowire.AppendTag(b, infoSettings, protowire.Fixed64Type), info.Settings)
+	b = protowire.AppendFixed64(protowire.AppendTag(b, infoSettings, protowire.Fixed64Type), info.SettingsDigest)
 	b = appendNonZero(b, infoListVersion, info.ListVersion)
 	flags := uint64(0)
 	if info.Serving {
@@ -62,7 +62,7 @@
 	if v == 0 {
 		return b
 	}
-	return protofield.Varint(b, field, v)
+	return protofield.AppendVarint(b, field, v)
 }
 
 func appendTruncated(b []byte, field protowire.Number, s string) []byte {
@@ -90,7 +90,7 @@
 	infoIncarnation:  {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.info.Incarnation = f.Value }},
 	infoStarted:      {protowire.VarintType, decodeInfoStarted},
 	infoVersion:      {protowire.BytesType, func(m *memberMessage, f protofield.Field) { m.info.Version = string(f.Bytes) }},
-	infoSettings:     {protowire.Fixed64Type, func(m *memberMessage, f protofield.Field) { m.info.Settings = f.Value }},
+	infoSettings:     {protowire.Fixed64Type, func(m *memberMessage, f protofield.Field) { m.info.SettingsDigest = f.Value }},
 	infoListVersion:  {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.info.ListVersion = f.Value }},
 	infoFlags:        {protowire.VarintType, decodeInfoFlags},
 	infoSent:         {protowire.VarintType, decodeInfoSent},
@@ -113,7 +113,7 @@
 		if len(f.Bytes) > maxStringBytes || f.Number >= infoFieldCount {
 			continue
 		}
-		if decoder := infoDecoders[f.Number]; decoder.decode != nil && decoder.kind == f.Kind {
+		if decoder := infoDecoders[f.Number]; decoder.decode != nil && decoder.kind == f.WireType {
 			decoder.decode(&m, f)
 		}
 	}
--- a/internal/fleet/message_quota.go
+++ b/internal/fleet/message_quota.go
@@ -20,9 +20,9 @@
 // encodeQuotaClaim makes the packet of a claim; voters are all that the configuration names, in its order.
 func encodeQuotaClaim(claim quota.Claim, voters []string) []byte {
 	b := encodeHeader(kindQuotaClaim, claim.Seq, claim.From.Name, claim.From.Incarnation)
-	b = protofield.Varint(b, fieldDemand, uint64(claim.Demand*demandUnitsPerRequest))
+	b = protofield.AppendVarint(b, fieldDemand, uint64(claim.Demand*demandUnitsPerRequest))
 	if claim.Leaving {
-		b = protofield.Varint(b, fieldLeaving, 1)
+		b = protofield.AppendVarint(b, fieldLeaving, 1)
 	}
 	var inForce []uint64
 	for i, voter := range voters {
@@ -63,7 +63,7 @@
 // encodeQuotaGrant makes the packet of a grant, for the incarnation that claimed. The fraction is rounded down.
 func encodeQuotaGrant(grant quota.Grant) []byte {
 	b := encodeHeader(kindQuotaGrant, grant.Seq, grant.Voter, grant.To.Incarnation)
-	return protofield.Varint(b, fieldFraction, uint64(grant.Fraction/fractionUnit))
+	return protofield.AppendVarint(b, fieldFraction, uint64(grant.Fraction/fractionUnit))
 }
 
 func decodeFraction(m *peerMessage, f protofield.Field, _ time.Duration) error {
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -12,14 +12,14 @@
 	"rampspread/internal/fleet/membership"
 	"rampspread/internal/fleet/quota"
 	"rampspread/internal/fleet/tombstone"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // A member's info survives the wire, unknown fields of later programs are ignored, and garbage neither panics nor is
 // taken.
 func FuzzDecodeMemberInfo(f *testing.F) {
 	info := membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1",
-		Settings: 7, ListVersion: 41, Serving: true}
+		SettingsDigest: 7, ListVersion: 41, Serving: true}
 	encoded := encodeMemberInfo(info, 5)
 	unknownField := []byte{0xa2, 0x06, 1, 'x'}
 	if got, sent, err := decodeMemberInfo(append(encoded, unknownField...)); err != nil || sent != 5 || got != info {
@@ -30,7 +30,7 @@
 	if n := len(encodeMemberInfo(long, 1<<62)); n > maxMemberInfoBytes {
 		f.Errorf("a message of %d bytes", n)
 	}
-	for _, s := range testkit.Broken(3, string(encoded)) {
+	for _, s := range testutil.CorruptedSeeds(3, string(encoded)) {
 		f.Add([]byte(s))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -130,7 +130,7 @@
 		f.Error("a digest over the bound was decoded")
 	}
 	seeds = []string{string(packets[0][1:]), string(reply[1:]), seeds[0], string(claim[1:]), string(digest[1:])}
-	for _, s := range testkit.Broken(8, seeds...) {
+	for _, s := range testutil.CorruptedSeeds(8, seeds...) {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"rampspread/internal/fleet/membership"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 const (
@@ -37,22 +37,22 @@
 // ErrDuplicateName says that another process of the same name is in the fleet.
 var ErrDuplicateName = errors.New("fleet: the name is in use")
 
-// Facts are what a process reports of itself that changes while it runs.
-type Facts struct {
-	Settings uint64 // fingerprint of the settings in force
-	List     uint64 // version of the endpoint list
-	Serving  bool
+// LocalState are what a process reports of itself that changes while it runs.
+type LocalState struct {
+	SettingsDigest uint64 // fingerprint of the settings in force
+	ListVersion    uint64 // version of the endpoint list
+	Serving        bool
 }
 
-// Self describes this process to its Node. It does not change while the node runs.
-type Self struct {
+// Options describes this process to its Node. It does not change while the node runs.
+type Options struct {
 	// Machine is the clock; nil: the real one.
-	Machine system.System
+	Machine hostos.System
 	Name    string
 	Zone    string
 	Version string // of the program
-	// Facts is called often, from the node's own goroutine; it must not block.
-	Facts func() Facts
+	// LocalState is called often, from the node's own goroutine; it must not block.
+	LocalState func() LocalState
 	// Seed seeds all random draws of the node and its components.
 	Seed uint64
 	// Tasks runs the tasks that one member runs for all; nil: none.
@@ -80,7 +80,7 @@
 // and Close ends its goroutines. Its methods are safe for use by several goroutines.
 type Node struct {
 	cfg       *Config
-	self      Self
+	self      Options
 	start     time.Time // by the monotonic clock; the views' clock counts from here
 	startWall time.Time // by the wall clock
 
@@ -109,9 +109,9 @@
 // process has the address, as when this one is to replace it, the node waits for it without harm to what the process
 // serves. failed is called once, with an ErrDuplicateName, if a member that this process contacts knows a living one
 // of the same name at another address.
-func Start(cfg *Config, self Self, failed func(error)) (*Node, error) {
+func Start(cfg *Config, self Options, failed func(error)) (*Node, error) {
 	if self.Machine == nil {
-		self.Machine = system.Real()
+		self.Machine = hostos.Real()
 	}
 	n := newNode(cfg, self, failed)
 	if addressInUse(cfg.Listen) {
@@ -125,12 +125,12 @@
 	return n, nil
 }
 
-func newNode(cfg *Config, self Self, failed func(error)) *Node {
+func newNode(cfg *Config, self Options, failed func(error)) *Node {
 	n := &Node{cfg: cfg, self: self, start: time.Now(), startWall: self.Machine.Wall(), done: make(chan struct{}),
 		onFailure: failed, rng: rand.New(rand.NewPCG(self.Seed, nodeSeedStream))}
-	facts := self.Facts()
+	facts := self.LocalState()
 	n.info = membership.MemberInfo{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.startWall.UnixMilli()),
-		Started: n.startWall, Version: self.Version, Settings: facts.Settings, ListVersion: facts.List,
+		Started: n.startWall, Version: self.Version, SettingsDigest: facts.SettingsDigest, ListVersion: facts.ListVersion,
 		Serving: facts.Serving}
 	limits := membership.Limits{HeartbeatInterval: heartbeatCycle, SuspectAfter: suspectAfterHeartbeats,
 		MaxTickGap: maxTickGap}
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -41,17 +41,17 @@
 
 // QuotaStatus is this member's share of the budgets as operators are shown it.
 type QuotaStatus struct {
-	Self        string  `json:"self"`
-	Fraction    float64 `json:"part"`  // of the whole, in force now
-	MinFraction float64 `json:"least"` // of the whole, for good
-	RemainingS  float64 `json:"left_s"`
-	Demand      float64 `json:"demand_s"`         // recent requests a second
-	IsVoter     bool    `json:"lends"`            // this member is a voter
-	Recovering  bool    `json:"mute,omitempty"`   // a voter that grants nothing yet
-	Outstanding float64 `json:"lent,omitempty"`   // granted by this voter, of the whole
-	Borrowers   int     `json:"asking,omitempty"` // members that this voter has granted a share
-	Shares      int64   `json:"offers"`           // shares that came into force
-	Dropped     int64   `json:"dropped"`          // shares that the core had no capacity for
+	Self          string  `json:"self"`
+	Fraction      float64 `json:"part"`  // of the whole, in force now
+	MinFraction   float64 `json:"least"` // of the whole, for good
+	RemainingS    float64 `json:"left_s"`
+	Demand        float64 `json:"demand_s"`         // recent requests a second
+	IsVoter       bool    `json:"lends"`            // this member is a voter
+	Recovering    bool    `json:"mute,omitempty"`   // a voter that grants nothing yet
+	Outstanding   float64 `json:"lent,omitempty"`   // granted by this voter, of the whole
+	Borrowers     int     `json:"asking,omitempty"` // members that this voter has granted a share
+	SharesApplied int64   `json:"offers"`           // shares that came into force
+	Dropped       int64   `json:"dropped"`          // shares that the core had no capacity for
 }
 
 // quotaLimits are the times and fractions by which the budgets are shared.
@@ -202,7 +202,7 @@
 	now := q.node.now()
 	s := QuotaStatus{Self: q.node.self.Name, Fraction: q.borrower.Fraction(now), MinFraction: q.limits.MinFraction(),
 		RemainingS: max(q.borrower.Until()-now, 0).Seconds(), Demand: q.demand, IsVoter: q.voter != nil,
-		Shares: q.applied.Load(), Dropped: q.dropped.Load()}
+		SharesApplied: q.applied.Load(), Dropped: q.dropped.Load()}
 	if q.voter != nil {
 		s.Recovering = q.voter.Recovering(now)
 		s.Outstanding, s.Borrowers = q.voter.Outstanding(now)
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit/play"
+	"rampspread/internal/testutil/play"
 )
 
 var (
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"rampspread/internal/fleet/quota"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // fakeQuotaUser acts by shares as a process's core does.
@@ -52,8 +52,8 @@
 		t.Fatal(err)
 	}
 	w.minFraction = cfg.MinFraction()
-	n, err := Start(cfg, Self{Name: hostName(host), Version: "1", Seed: uint64(host), Quota: w,
-		Facts: func() Facts { return Facts{Serving: true} }}, func(err error) { t.Error(err) })
+	n, err := Start(cfg, Options{Name: hostName(host), Version: "1", Seed: uint64(host), Quota: w,
+		LocalState: func() LocalState { return LocalState{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,13 +89,13 @@
 			}
 		}
 	}
-	testkit.Eventually(t, "the whole to be used, by traffic", func() bool {
+	testutil.Eventually(t, "the whole to be used, by traffic", func() bool {
 		load(1)
 		least := min(all[0].fractionInForce(), all[1].fractionInForce(), all[2].fractionInForce())
 		return sum() > 0.98 && all[3].fractionInForce() > 0.5 && least > 0.05
 	})
 	all[1].rejecting.Store(true)
-	testkit.Eventually(t, "one that cannot apply its share to have the minimum", func() bool {
+	testutil.Eventually(t, "one that cannot apply its share to have the minimum", func() bool {
 		load(1)
 		return sum() < 1 && all[1].fractionInForce() == 0.05
 	})
@@ -103,13 +103,13 @@
 		t.Errorf("%+v", s)
 	}
 	all[1].rejecting.Store(false)
-	testkit.Eventually(t, "it to have its share again", func() bool {
+	testutil.Eventually(t, "it to have its share again", func() bool {
 		load(1)
 		sum()
 		return all[1].fractionInForce() > 0.06
 	})
 	nodes[3].Close() // without a leave notice; its share stays in force for its term
-	testkit.Eventually(t, "the others to have its share", func() bool {
+	testutil.Eventually(t, "the others to have its share", func() bool {
 		load(1)
 		return sum() > 0.98 && all[3].fractionInForce() == 0.05 && all[0].fractionInForce() > 0.2
 	})
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -54,9 +54,9 @@
 }
 
 func (n *Node) memberStatus(m membership.Member, now time.Duration) MemberStatus {
-	s := MemberStatus{Name: m.Name, State: m.State.String(), StateForS: (now - m.Since).Seconds(),
+	s := MemberStatus{Name: m.Name, State: m.State.String(), StateForS: (now - m.StateSince).Seconds(),
 		LastHeartbeatS: (now - m.LastHeartbeat).Seconds(), Zone: m.Zone, Incarnation: m.Incarnation,
-		Incarnations: m.Incarnations, Version: m.Version, Settings: formatFingerprint(m.Settings),
+		Incarnations: m.Incarnations, Version: m.Version, Settings: formatFingerprint(m.SettingsDigest),
 		ListVersion: m.ListVersion}
 	if m.Incarnation > 0 {
 		s.Started = m.Started.UTC().Format(time.RFC3339)
--- a/internal/fleet/subset/golden_test.go
+++ b/internal/fleet/subset/golden_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 // Each dispatcher computes the subsets on its own, and they are even only if all versions compute the same.
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -34,8 +34,8 @@
 	Zone int
 }
 
-// LeastPrefillReplicas is the least value of Limits.MinPrefillReplicas: fewer leave too little choice.
-const LeastPrefillReplicas = 4
+// MinPrefillReplicasLimit is the least value of Limits.MinPrefillReplicas: fewer leave too little choice.
+const MinPrefillReplicasLimit = 4
 
 // maxPrefillReplicas is the greatest value of Limits.MinPrefillReplicas, beyond any endpoint list.
 const maxPrefillReplicas = 1 << 16
@@ -49,9 +49,9 @@
 
 // Validate reports a limit that is out of range.
 func (l Limits) Validate() error {
-	if l.MinPrefillReplicas < LeastPrefillReplicas || l.MinPrefillReplicas > maxPrefillReplicas {
+	if l.MinPrefillReplicas < MinPrefillReplicasLimit || l.MinPrefillReplicas > maxPrefillReplicas {
 		return fmt.Errorf("subset: %d readers are not from %d to %d",
-			l.MinPrefillReplicas, LeastPrefillReplicas, maxPrefillReplicas)
+			l.MinPrefillReplicas, MinPrefillReplicasLimit, maxPrefillReplicas)
 	}
 	return nil
 }
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -280,7 +280,7 @@
 }
 
 func TestLimitsOutOfRangeAreInvalid(t *testing.T) {
-	for _, bad := range []int{-1, 0, LeastPrefillReplicas - 1, maxPrefillReplicas + 1} {
+	for _, bad := range []int{-1, 0, MinPrefillReplicasLimit - 1, maxPrefillReplicas + 1} {
 		if (Limits{MinPrefillReplicas: bad}).Validate() == nil {
 			t.Errorf("%d passes", bad)
 		}
--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -67,10 +67,10 @@
 	TookMS    float64  `json:"took_ms"` // to compute the last one
 }
 
-// New returns a Controller that Run must drive. zoneOf returns the number of a zone in the settings, and roles are the
+// NewController returns a Controller that Run must drive. zoneOf returns the number of a zone in the settings, and roles are the
 // settings' roles by kind. setSubset takes the names of a subset, none for all replicas; it must not block, and returns
 // false if the dispatcher could not take them.
-func New(limits subset.Limits, self string, zoneOf func(name string) int, roles []routing.Role,
+func NewController(limits subset.Limits, self string, zoneOf func(name string) int, roles []routing.Role,
 	view func() FleetView, setSubset func(names []string) bool) *Controller {
 	return &Controller{
 		limits:    limits,
@@ -137,7 +137,7 @@
 func (c *Controller) dispatchers(v FleetView) (out []subset.Dispatcher) {
 	for _, m := range v.View.Members {
 		gone := m.State == membership.Unreachable || m.State == membership.Left
-		if m.Active() || gone && v.Now-m.Since < departedMemberGrace {
+		if m.Active() || gone && v.Now-m.StateSince < departedMemberGrace {
 			out = append(out, subset.Dispatcher{Name: m.Name, Zone: c.zoneOf(m.Zone)})
 		}
 	}
--- a/internal/fleet/subsetter/controller_test.go
+++ b/internal/fleet/subsetter/controller_test.go
@@ -21,7 +21,7 @@
 
 func (b *testBench) newController() *Controller {
 	zones := []string{"wien", "linz"}
-	return New(subset.Limits{MinPrefillReplicas: 10}, "n3",
+	return NewController(subset.Limits{MinPrefillReplicas: 10}, "n3",
 		func(zone string) int { return slices.Index(zones, zone) },
 		[]routing.Role{routing.Prefill, routing.Decode},
 		func() FleetView { return b.view },
@@ -85,7 +85,7 @@
 	b.view.TrafficFraction = 0.025
 	expect("a traffic fraction that is as before", 3)
 	b.view.View.Members = members(40)
-	b.view.View.Members[7].State, b.view.View.Members[7].Since = membership.Unreachable, time.Hour-time.Second
+	b.view.View.Members[7].State, b.view.View.Members[7].StateSince = membership.Unreachable, time.Hour-time.Second
 	expect("a member that is gone for a moment", 3)
 	b.view.Now += departedMemberGrace
 	if after := expect("a member that is gone for long", 4); c.Status().Members != 39 || slices.Equal(after, nil) {
--- a/internal/fleet/subsetter/golden_test.go
+++ b/internal/fleet/subsetter/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"rampspread/internal/testkit/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 func TestGoldenStatus(t *testing.T) {
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rampspread/internal/fleet/lease"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // taskLog records which member ran which task under which lease, and who received results.
@@ -91,8 +91,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Start(cfg, Self{Name: name, Version: "1", Seed: uint64(host), Tasks: loggingRunner{c, name},
-		Facts: func() Facts { return Facts{Serving: true} }}, func(err error) { t.Error(err) })
+	n, err := Start(cfg, Options{Name: name, Version: "1", Seed: uint64(host), Tasks: loggingRunner{c, name},
+		LocalState: func() LocalState { return LocalState{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	for _, h := range []int{60, 61, 62, 63} {
 		nodes = append(nodes, startTaskNode(t, c, text, h))
 	}
-	testkit.Eventually(t, "each member to run its part", func() bool {
+	testutil.Eventually(t, "each member to run its part", func() bool {
 		load := map[string]int{}
 		for _, who := range c.latestExecutors() {
 			load[who]++
@@ -120,7 +120,7 @@
 		return len(c.latestExecutors()) == 12 && len(load) == 4 &&
 			load["n60"] <= 3 && load["n61"] <= 3 && load["n62"] <= 3 && load["n63"] <= 3
 	})
-	testkit.Eventually(t, "all to receive the results of all", func() bool {
+	testutil.Eventually(t, "all to receive the results of all", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.results) == 4*12
@@ -129,7 +129,7 @@
 		t.Errorf("%+v", s)
 	}
 	crash(nodes[3])
-	testkit.Eventually(t, "its tasks to be taken over", func() bool {
+	testutil.Eventually(t, "its tasks to be taken over", func() bool {
 		return !slices.Contains(slices.Collect(maps.Values(c.latestExecutors())), "n63")
 	})
 	c.mu.Lock()
@@ -154,7 +154,7 @@
 		}
 		return n
 	}
-	testkit.Eventually(t, "the minority to hold nothing", func() bool { return held() == 0 })
+	testutil.Eventually(t, "the minority to hold nothing", func() bool { return held() == 0 })
 	executions := leasedTasksOf(t, nodes[0]).executions.Load()
 	for range 20 {
 		time.Sleep(componentInterval)
@@ -181,7 +181,7 @@
 	for _, h := range []int{70, 71, 72} {
 		startTaskNode(t, c, text, h)
 	}
-	testkit.Eventually(t, "the task to run", func() bool { return len(c.latestExecutors()) == 1 })
+	testutil.Eventually(t, "the task to run", func() bool { return len(c.latestExecutors()) == 1 })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.executions[0].token; n <= 50 {
--- a/internal/fleet/taskstatus.go
+++ b/internal/fleet/taskstatus.go
@@ -16,7 +16,7 @@
 	LastExpired string       `json:"lapsed,omitempty"` // the lease that expired last here, and why
 	Executions  int64        `json:"acts"`
 	LateResults int64        `json:"late"`  // results of leases that others have followed
-	Bytes       int64        `json:"bytes"` // of results sent
+	BytesSent   int64        `json:"bytes"` // of results sent
 }
 
 // TaskStatus is one task as operators are shown it.
@@ -46,7 +46,7 @@
 	now := t.node.now()
 	s := TasksStatus{Self: t.node.self.Name, Voters: t.node.cfg.Voters,
 		Recovering: t.voter != nil && t.voter.Recovering(now), Executions: t.executions.Load(),
-		LateResults: t.lateResults.Load(), Bytes: t.bytesSent.Load()}
+		LateResults: t.lateResults.Load(), BytesSent: t.bytesSent.Load()}
 	leases := map[lease.Task]lease.Lease{}
 	for _, l := range t.holder.Leases(now) {
 		leases[l.Task] = l
--- a/internal/fleet/tombstone/sim_test.go
+++ b/internal/fleet/tombstone/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit/play"
+	"rampspread/internal/testutil/play"
 	"rampspread/routing"
 )
 
@@ -161,8 +161,8 @@
 	t := s.tables[i]
 	ended, silent := map[string]bool{}, true
 	for _, r := range s.received[i] {
-		silent = silent && s.now-r.at > DefaultLimits.PeerReportTTL
-		if r.version <= t.Version() || s.now-r.at >= DefaultLimits.PeerReportTTL {
+		silent = silent && s.now-r.at > DefaultLimits.PeerDigestTTL
+		if r.version <= t.Version() || s.now-r.at >= DefaultLimits.PeerDigestTTL {
 			continue
 		}
 		for name := range s.versions[t.Version()] {
@@ -214,7 +214,7 @@
 // The same checker catches each fault that is built in.
 func TestCheckerCatchesMutants(t *testing.T) {
 	withoutTTL := DefaultLimits
-	withoutTTL.PeerReportTTL = 1 << 60
+	withoutTTL.PeerDigestTTL = 1 << 60
 	wrongVersion := func(d Digest) Digest {
 		d.Version = 1 << 50
 		return d
@@ -228,7 +228,7 @@
 		{name: "digest without its version", limits: DefaultLimits, corruptDigest: wrongVersion},
 		{name: "draining is not sent", limits: DefaultLimits, corruptDigest: drainingAsReady},
 		{name: "digest without a TTL", limits: withoutTTL},
-		{name: "peers are always ignored", limits: Limits{PeerReportTTL: DefaultLimits.PeerReportTTL}},
+		{name: "peers are always ignored", limits: Limits{PeerDigestTTL: DefaultLimits.PeerDigestTTL}},
 		{name: "one peer's digest undoes another's", limits: DefaultLimits, singlePeerName: true},
 	} {
 		play.Caught(t, m.name, 0, simSeeds, func(seed uint64) string {
--- a/internal/fleet/tombstone/tombstone.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -26,17 +26,17 @@
 
 // Limits bound what is taken from peers.
 type Limits struct {
-	// PeerReportTTL is for how long a peer's digest holds after it was last received. A peer that runs sends it again
+	// PeerDigestTTL is for how long a peer's digest holds after it was last received. A peer that runs sends it again
 	// for as long as this member is behind, so it ends only with its peer, or with discovery's version count, if that
 	// starts over.
-	PeerReportTTL time.Duration
+	PeerDigestTTL time.Duration
 	// MaxSuppressedFraction is the largest fraction of the own list that peers may suppress. Beyond it their digests
 	// are all ignored: they act on another list, or one of them is wrong, and most replicas aren't given up for that.
 	MaxSuppressedFraction float64
 }
 
 // DefaultLimits are the limits that members use.
-var DefaultLimits = Limits{PeerReportTTL: 60 * time.Second, MaxSuppressedFraction: 0.5}
+var DefaultLimits = Limits{PeerDigestTTL: 60 * time.Second, MaxSuppressedFraction: 0.5}
 
 // Endpoint is a replica on a list.
 type Endpoint struct {
@@ -68,8 +68,8 @@
 // Version is that of the own list; 0 means that there is none yet.
 func (t *Table) Version() uint64 { return t.version }
 
-// Rejected counts how many times the peers' digests began to suppress too much and were ignored.
-func (t *Table) Rejected() int { return t.rejected }
+// Rejections counts how many times the peers' digests began to suppress too much and were ignored.
+func (t *Table) Rejections() int { return t.rejected }
 
 // Suppressed is the number of replicas that peers suppress now.
 func (t *Table) Suppressed() (n int) {
@@ -144,7 +144,7 @@
 func (t *Table) Tick(now time.Duration) (changed []string) {
 	return t.update(func() {
 		for peer, report := range t.peers {
-			if now-report.at > t.limits.PeerReportTTL || report.Version <= t.version {
+			if now-report.at > t.limits.PeerDigestTTL || report.Version <= t.version {
 				delete(t.peers, peer)
 			}
 		}
