--- a/internal/fleet/tombstone/tombstone_test.go
+++ b/internal/fleet/tombstone/tombstone_test.go
@@ -67,7 +67,7 @@
 	if table.State("a") != routing.Gone || table.State("c") != routing.Ready {
 		t.Error("its own older list revived a replica")
 	}
-	if changed := table.Tick(DefaultLimits.PeerReportTTL + 1); !slices.Equal(changed, []string{"a", "b"}) {
+	if changed := table.Tick(DefaultLimits.PeerDigestTTL + 1); !slices.Equal(changed, []string{"a", "b"}) {
 		t.Errorf("%v", changed)
 	}
 }
@@ -85,14 +85,14 @@
 func TestPeersSuppressBoundedFractionForBoundedTime(t *testing.T) {
 	table := newTableWithList("abcdefghij")
 	changed := table.UpdatePeer(0, "n1", Digest{Version: math.MaxUint64, Ready: hashes("a")})
-	if len(changed) != 0 || table.Rejected() != 1 || table.Suppressed() != 0 {
+	if len(changed) != 0 || table.Rejections() != 1 || table.Suppressed() != 0 {
 		t.Errorf("%v suppressed by one peer", changed)
 	}
 	table.UpdatePeer(0, "n1", Digest{Version: math.MaxUint64, Draining: nil, Ready: hashes("abcdef")})
 	if table.Suppressed() != 4 {
 		t.Errorf("%d suppressed", table.Suppressed())
 	}
-	if changed := table.Tick(DefaultLimits.PeerReportTTL + 1); len(changed) != 4 || table.Suppressed() != 0 {
+	if changed := table.Tick(DefaultLimits.PeerDigestTTL + 1); len(changed) != 4 || table.Suppressed() != 0 {
 		t.Errorf("%v", changed)
 	}
 	table.UpdatePeer(0, "n1", Digest{Version: 9, Ready: make([]uint64, MaxReplicas+1)})
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -29,22 +29,22 @@
 
 // VersionSkewActions acts on this process's own version skew.
 type VersionSkewActions interface {
-	// Refresh requests the whole endpoint list from discovery.
-	Refresh()
-	// Out fences the process, so that it admits no clients, or lifts the fence. It must not block.
-	Out(fenced bool)
+	// RefreshEndpoints requests the whole endpoint list from discovery.
+	RefreshEndpoints()
+	// SetFenced fences the process, so that it admits no clients, or lifts the fence. It must not block.
+	SetFenced(fenced bool)
 }
 
 // VersionSkewStatus is which versions the members act on, as operators are shown it.
 type VersionSkewStatus struct {
-	Self             string          `json:"self"`
-	List             uint64          `json:"list"`     // the version that most members have had for a while
-	Settings         string          `json:"settings"` // the fingerprint that most members have
-	Fault            string          `json:"fault,omitempty"`
-	Enabled          bool            `json:"judged"` // false: the configuration asks for no detection
-	InsufficientView bool            `json:"blind"`  // this process sees too few members for a detection
-	Frozen           bool            `json:"frozen"`
-	Members          []MemberVersion `json:"members"`
+	Self                string          `json:"self"`
+	MajorityListVersion uint64          `json:"list"`     // the version that most members have had for a while
+	MajoritySettings    string          `json:"settings"` // the fingerprint that most members have
+	Fault               string          `json:"fault,omitempty"`
+	Enabled             bool            `json:"judged"` // false: the configuration asks for no detection
+	InsufficientView    bool            `json:"blind"`  // this process sees too few members for a detection
+	Frozen              bool            `json:"frozen"`
+	Members             []MemberVersion `json:"members"`
 }
 
 // MemberVersion is what one member acts on.
@@ -109,14 +109,14 @@
 		return
 	}
 	slog.Info("version_skew", "state", own.State, "previous", previous, "reason", own.Reason, "list", own.ListVersion,
-		"majority_list", assessment.List, "fault", assessment.Fault)
+		"majority_list", assessment.ListVersion, "fault", assessment.Fault)
 	s.applyTransition(previous, own)
 }
 
 // reports are what the active members report, and whether this process is one of them.
 func (s *skewMonitor) reports(v membership.View) (reports []versionskew.Report, includesSelf bool) {
 	for _, m := range v.ActiveMembers() {
-		report := versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.Settings}
+		report := versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.SettingsDigest}
 		reports = append(reports, report)
 		includesSelf = includesSelf || m.Name == s.node.self.Name
 	}
@@ -126,10 +126,10 @@
 // applyTransition acts on a change of this process's own state.
 func (s *skewMonitor) applyTransition(previous versionskew.State, own versionskew.MemberStatus) {
 	if own.State > versionskew.Current && own.Reason == "list" {
-		s.actions.Refresh()
+		s.actions.RefreshEndpoints()
 	}
 	if fenced := own.State == versionskew.Fenced; fenced != (previous == versionskew.Fenced) {
-		s.actions.Out(fenced)
+		s.actions.SetFenced(fenced)
 	}
 }
 
@@ -196,7 +196,7 @@
 		assessment = s.assessment
 		status.Enabled, status.InsufficientView, status.Frozen = true, s.insufficientView, s.frozen
 		s.mu.Unlock()
-		status.List, status.Settings = assessment.List, formatFingerprint(assessment.Settings)
+		status.MajorityListVersion, status.MajoritySettings = assessment.ListVersion, formatFingerprint(assessment.SettingsDigest)
 		status.Fault = assessment.Fault
 	}
 	for _, m := range v.Members {
@@ -207,7 +207,7 @@
 
 func memberVersion(m membership.Member, assessment versionskew.Assessment, now time.Duration) MemberVersion {
 	version := MemberVersion{Name: m.Name, State: m.State.String(), LastHeartbeatS: (now - m.LastHeartbeat).Seconds(),
-		Program: m.Version, Settings: formatFingerprint(m.Settings), ListVersion: m.ListVersion,
+		Program: m.Version, Settings: formatFingerprint(m.SettingsDigest), ListVersion: m.ListVersion,
 		HighestToken: m.HighestToken, SkewState: "-"}
 	if s, ok := assessment.Members[m.Name]; ok {
 		version.SkewState, version.Reason, version.SkewStateForS = s.State.String(), s.Reason, (now - s.Since).Seconds()
--- a/internal/fleet/versionskew/detector.go
+++ b/internal/fleet/versionskew/detector.go
@@ -57,9 +57,9 @@
 		return d.last
 	}
 	a := Assessment{
-		List:     d.settledList(now, reports),
-		Settings: majoritySettings(reports),
-		Members:  map[string]MemberStatus{},
+		ListVersion:    d.settledList(now, reports),
+		SettingsDigest: majoritySettings(reports),
+		Members:        map[string]MemberStatus{},
 	}
 	reported := map[string]bool{}
 	for _, r := range reports {
@@ -122,9 +122,9 @@
 	m.Report = r
 	reason := ""
 	switch {
-	case r.ListVersion < a.List:
+	case r.ListVersion < a.ListVersion:
 		reason = reasonList
-	case a.Settings != 0 && r.SettingsDigest != a.Settings:
+	case a.SettingsDigest != 0 && r.SettingsDigest != a.SettingsDigest:
 		reason = reasonSettings
 	}
 	lagged, lags := m.Reason != "", reason != ""
@@ -160,7 +160,7 @@
 			due = append(due, m)
 		}
 	}
-	if a.Settings == 0 && len(d.members) > 1 {
+	if a.SettingsDigest == 0 && len(d.members) > 1 {
 		a.Fault = "no settings are most members'"
 	}
 	if len(due) > 0 {
--- a/internal/fleet/versionskew/sim_test.go
+++ b/internal/fleet/versionskew/sim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit/play"
+	"rampspread/internal/testutil/play"
 )
 
 const (
--- a/internal/fleet/versionskew/versionskew.go
+++ b/internal/fleet/versionskew/versionskew.go
@@ -96,8 +96,8 @@
 
 // Assessment is the state of the whole fleet at one time.
 type Assessment struct {
-	List     uint64 // version that a majority has had for Settle
-	Settings uint64 // digest that a majority has; 0: none has one
+	ListVersion    uint64 // version that a majority has had for Settle
+	SettingsDigest uint64 // digest that a majority has; 0: none has one
 	// Fault says, for operators, why no further member is fenced though some have lagged for long; empty if that is
 	// not the case.
 	Fault   string
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -37,15 +37,15 @@
 // refreshInfo brings this process's info up to date, and tells whether the change is to be gossiped. A new endpoint
 // list alone goes with the next heartbeat: discovery changes often, and all members would gossip of it at once.
 func (n *Node) refreshInfo() (gossip bool) {
-	facts := n.self.Facts()
+	facts := n.self.LocalState()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := n.info
-	next.Settings, next.ListVersion, next.Serving = facts.Settings, facts.List, facts.Serving && !next.Leaving
+	next.SettingsDigest, next.ListVersion, next.Serving = facts.SettingsDigest, facts.ListVersion, facts.Serving && !next.Leaving
 	if next == n.info {
 		return false
 	}
-	gossip = next.Settings != n.info.Settings || next.Serving != n.info.Serving
+	gossip = next.SettingsDigest != n.info.SettingsDigest || next.Serving != n.info.Serving
 	n.info = next
 	n.table.UpdateSelf(next, n.now())
 	return gossip
--- a/internal/frontend/chunked_body_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // chunkedHead is the header of a request with a chunked body, without the empty line at its end. Its only verb is the id.
@@ -17,9 +17,9 @@
 	"X-Expires-In: 30000m\r\nX-Props: " + props + "\r\nTransfer-Encoding: chunked\r\n"
 
 // newChunkedServer starts a server behind a Limiter, before a fleet of its own.
-func newChunkedServer(t *testing.T) (*testkit.Fleet, *connlimit.Limiter, string) {
+func newChunkedServer(t *testing.T) (*testutil.Fleet, *connlimit.Limiter, string) {
 	t.Helper()
-	fleet, handler, _ := serve(t, testkit.Read, testkit.Write("a"))
+	fleet, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	l, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
 	return fleet, l, s.Listener.Addr().String()
 }
@@ -43,14 +43,14 @@
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
-		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != testkit.Answer("a") {
+		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != testutil.Answer("a") {
 			t.Errorf("request %d: status %d, %q, %v", i, resp.StatusCode, body, err)
 		}
-		if h := fleet.Writer.Header(i); h.Get("Content-Length") != "9" {
+		if h := fleet.Decode.Header(i); h.Get("Content-Length") != "9" {
 			t.Errorf("request %d was forwarded without its length: %v", i, h)
 		}
 	}
-	for i, body := range append(fleet.Reader.Bodies(), fleet.Writer.Bodies()...) {
+	for i, body := range append(fleet.Prefill.Bodies(), fleet.Decode.Bodies()...) {
 		if body != want {
 			t.Errorf("body %d: %q", i, body)
 		}
@@ -87,7 +87,7 @@
 		}
 		conn.Close()
 	}
-	if total, _ := fleet.Reader.Calls(); total != 1 {
+	if total, _ := fleet.Prefill.Calls(); total != 1 {
 		t.Errorf("%d sends, want the whole request's only", total)
 	}
 }
@@ -108,7 +108,7 @@
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if total, _ := fleet.Reader.Calls(); total != 0 {
+	if total, _ := fleet.Prefill.Calls(); total != 0 {
 		t.Errorf("%d sends", total)
 	}
 }
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -14,8 +14,8 @@
 
 	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // stalledListener is a listener whose accepts fail for a time.
@@ -34,7 +34,7 @@
 // A request that has waited since accepts failed has that much less time remaining, and its replica gets no more than that.
 func TestDeadlineCountsTheTimeInTheBacklog(t *testing.T) {
 	const stall, timeout = 400 * time.Millisecond, time.Second
-	fleet := testkit.NewFleet(t, testkit.Read, testkit.Write("alpha"))
+	fleet := testutil.NewFleet(t, testutil.ServePrefill, testutil.ServeDecode("alpha"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,12 +43,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := frontend.New(fleet.Core, fleet.Settings, classes)
+	handler := frontend.NewHandler(fleet.Dispatcher, fleet.Settings, classes)
 	limiter := connlimit.NewLimiter(handler, semaphore.NewWeighted(1<<20), new(connlimit.Lifecycle), nil)
 	s := &http.Server{}
 	limiter.Attach(s)
 	sentAt := time.Now()
-	go s.Serve(limiter.Listen(&stalledListener{listener, sentAt.Add(stall)}, maxConns, system.Real()))
+	go s.Serve(limiter.Listen(&stalledListener{listener, sentAt.Add(stall)}, maxConns, hostos.Real()))
 	defer s.Close()
 	const slow = 2 // the number of the request whose last bytes come after the stall
 	requestText := func(number int) string {
@@ -61,17 +61,17 @@
 		conn := dial(t, listener.Addr().String())
 		io.WriteString(conn, requestText(i))
 	}
-	testkit.Eventually(t, "both prefill calls", func() bool { n, _ := fleet.Reader.Calls(); return n == 2 })
+	testutil.Eventually(t, "both prefill calls", func() bool { n, _ := fleet.Prefill.Calls(); return n == 2 })
 	for i := range 2 {
-		expiry, err := frontend.ParseExpiry(fleet.Reader.Header(i).Get("X-Expires-In"))
+		expiry, err := frontend.ParseExpiry(fleet.Prefill.Header(i).Get("X-Expires-In"))
 		if err != nil || expiry > timeout-stall+150*time.Millisecond {
 			t.Errorf("call %d expires in %v (%v), %v after it was sent", i, expiry, err, stall)
 		}
 	}
 	time.Sleep(time.Until(sentAt.Add(2 * stall)))
 	io.WriteString(slowConn, requestText(slow)[60:])
-	testkit.Eventually(t, "the third prefill call", func() bool { n, _ := fleet.Reader.Calls(); return n == 3 })
-	expiry, err := frontend.ParseExpiry(fleet.Reader.Header(slow).Get("X-Expires-In"))
+	testutil.Eventually(t, "the third prefill call", func() bool { n, _ := fleet.Prefill.Calls(); return n == 3 })
+	expiry, err := frontend.ParseExpiry(fleet.Prefill.Header(slow).Get("X-Expires-In"))
 	if err != nil || expiry < timeout-stall {
 		t.Errorf("the request whose last byte came late expires in %v (%v)", expiry, err)
 	}
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -12,7 +12,7 @@
 
 	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden files")
@@ -28,12 +28,12 @@
 	var all strings.Builder
 	for _, c := range []struct {
 		name        string
-		read, write testkit.Script
+		read, write testutil.Script
 		mutate      func(*http.Request)
 	}{
 		{name: "served"},
-		{name: "refused", read: testkit.Status(503, true)},
-		{name: "failed", write: testkit.Status(500, false), mutate: set("X-Qos", "meldung")},
+		{name: "refused", read: testutil.Status(503, true)},
+		{name: "failed", write: testutil.Status(500, false), mutate: set("X-Qos", "meldung")},
 		{name: "no id", mutate: set("X-Trace-Id", "")},
 		{name: "no class", mutate: set("X-Qos", "")},
 		{name: "no deadline", mutate: set("X-Expires-In", "")},
@@ -52,7 +52,7 @@
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 256<<10+1))), 256<<10+1
 		}},
 	} {
-		read, write := testkit.Script(testkit.Read), testkit.Write("a")
+		read, write := testutil.Script(testutil.ServePrefill), testutil.ServeDecode("a")
 		if c.read != nil {
 			read = c.read
 		}
@@ -64,13 +64,13 @@
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		dump := testkit.DumpResponse(resp, text)
+		dump := testutil.DumpResponse(resp, text)
 		if resp.StatusCode == http.StatusTooManyRequests { // its time is drawn
 			dump = retryAfter.ReplaceAllString(dump, "Retry-After: WAIT\n")
 		}
 		fmt.Fprintf(&all, "# %s\n%s\n", c.name, dump)
 	}
-	testkit.CheckGolden(t, *update, "answers.golden", all.String())
+	testutil.CheckGolden(t, *update, "answers.golden", all.String())
 }
 
 // A name's key is the same at each dispatcher, of whatever version.
@@ -86,10 +86,10 @@
 func TestGoldenRejections(t *testing.T) {
 	var all strings.Builder
 	entered, finish := make(chan bool, 1), make(chan bool)
-	_, _, url := serve(t, testkit.Read, func(w http.ResponseWriter, r *http.Request, n int) {
+	_, _, url := serve(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		entered <- true
 		<-finish
-		testkit.Write("a")(w, r, n)
+		testutil.ServeDecode("a")(w, r, n)
 	})
 	firstStatus := make(chan int)
 	go func() { resp, _, _ := do(t, request(t, url, nil)); firstStatus <- resp.StatusCode }()
@@ -99,7 +99,7 @@
 	if status := <-firstStatus; err != nil || status != http.StatusOK {
 		t.Errorf("first %d, second %v", status, err)
 	}
-	fmt.Fprintf(&all, "# the id of an open request\n%s\n", testkit.DumpResponse(resp, text))
+	fmt.Fprintf(&all, "# the id of an open request\n%s\n", testutil.DumpResponse(resp, text))
 
 	_, server := newLimitedServer(t, 1, func(w http.ResponseWriter, r *http.Request) {
 		if _, status, err := connlimit.ReadBody(w, r); err != nil {
@@ -109,6 +109,6 @@
 	if resp, text, err = do(t, request(t, server.URL, nil)); err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&all, "# too much in hand\n%s\n", testkit.DumpResponse(resp, text))
-	testkit.CheckGolden(t, *update, "turned-away.golden", all.String())
+	fmt.Fprintf(&all, "# too much in hand\n%s\n", testutil.DumpResponse(resp, text))
+	testutil.CheckGolden(t, *update, "turned-away.golden", all.String())
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -34,8 +34,8 @@
 	idempotent []bool // by class: it may be repeated at will
 }
 
-// New returns a Handler for clients that may name the given classes.
-func New(dispatcher *dispatch.Dispatcher, settings *config.Settings, classes config.Classes) *Handler {
+// NewHandler returns a Handler for clients that may name the given classes.
+func NewHandler(dispatcher *dispatch.Dispatcher, settings *config.Settings, classes config.Classes) *Handler {
 	h := &Handler{dispatcher: dispatcher, settings: settings}
 	h.SetClasses(classes)
 	return h
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/semaphore"
 
 	"rampspread/internal/connlimit"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 const maxConns = 4
@@ -25,7 +25,7 @@
 	l := connlimit.NewLimiter(next, semaphore.NewWeighted(bodyMemory), new(connlimit.Lifecycle), nil)
 	s := httptest.NewUnstartedServer(nil)
 	l.Attach(s.Config)
-	s.Listener = l.Listen(s.Listener, maxConns, system.Real())
+	s.Listener = l.Listen(s.Listener, maxConns, hostos.Real())
 	s.Start()
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return l, s
@@ -45,7 +45,7 @@
 
 // A client that sends a partial header or request is disconnected in time, also where the header alone is malformed.
 func TestPartialRequestIsDisconnected(t *testing.T) {
-	_, handler, _ := serve(t, testkit.Read, testkit.Write("a"))
+	_, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	_, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
 	partials := []string{
 		"",
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -64,7 +64,7 @@
 		return dispatch.Request{}, malformedRequest(status, "body: %w", err)
 	}
 	req.ClientGone = connlimit.ClientGoneFunc(r)
-	req.Call = dispatch.Call{
+	req.Call = dispatch.UpstreamCall{
 		ID:          r.Header.Get(headerRequestID),
 		Method:      r.Method,
 		Target:      r.URL.RequestURI(),
@@ -84,7 +84,7 @@
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Qos missing or unknown")
 	}
 	req := dispatch.Request{Class: class, Session: HashKey(header.Get(headerSession))}
-	for i, tenant := range h.settings.Parties {
+	for i, tenant := range h.settings.Tenants {
 		if tenant.Name == header.Get(headerTenant) {
 			req.Tenant = i
 		}
--- a/internal/system/golden_test.go
+++ b/internal/hostos/golden_test.go
@@ -1,4 +1,4 @@
-package system
+package hostos
 
 import (
 	"encoding/json"
--- a/internal/system/system.go
+++ b/internal/hostos/hostos.go
@@ -1,6 +1,6 @@
-// Package system is the seam between the program and its machine: the wall clock, which may be stepped at any time, and the system
-// calls that can fail. The program uses Real; tests and the soak use a Faulty one.
-package system
+// Package hostos is the host operating system behind an interface, so that tests can make it fail: the wall clock, which may be
+// stepped at any time, and the system calls that can fail. The program uses Real; tests and the soak use a Faulty one.
+package hostos
 
 import (
 	"os"
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"rampspread/internal/importer"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 const apacheText = `# two pools
@@ -90,7 +90,7 @@
 
 // Every file either fails or has members, each with an address, a weight and a name.
 func FuzzParse(f *testing.F) {
-	for _, text := range testkit.Broken(6, apacheText, modJKText) {
+	for _, text := range testutil.CorruptedSeeds(6, apacheText, modJKText) {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -130,11 +130,11 @@
 // FirstByte holds the facts when an attempt's first byte is to be written. Its connection may have been established
 // long after the attempt was allowed.
 type FirstByte struct {
-	Withdrawn   bool
-	ClientGone  bool
-	TimeLeft    time.Duration // until the attempt's timeout
-	Retry       bool          // an earlier attempt may have run, so that DedupWindow counts
-	DedupWindow time.Duration // for how long yet the endpoint discards repeats of what may have run
+	Withdrawn     bool
+	ClientGone    bool
+	RemainingTime time.Duration // until the attempt's timeout
+	MayHaveRun    bool          // an earlier attempt may have run, so that DedupWindow counts
+	DedupWindow   time.Duration // for how long yet the endpoint discards repeats of what may have run
 }
 
 // Check reports whether the byte may be written.
@@ -144,9 +144,9 @@
 		return Withdrawn
 	case b.ClientGone:
 		return ClientDisconnected
-	case b.TimeLeft <= 0:
+	case b.RemainingTime <= 0:
 		return DeadlineExceeded
-	case b.Retry && b.DedupWindow <= MaxStall:
+	case b.MayHaveRun && b.DedupWindow <= MaxStall:
 		return DedupWindowExpired
 	}
 	return Allowed
@@ -165,7 +165,7 @@
 // CloseConnection holds the facts when the dispatcher's side is to close a client's connection.
 type CloseConnection struct {
 	Cause                 Cause
-	RequestOpen           bool          // a request on it is being answered
+	RequestInProgress     bool          // a request on it is being answered
 	AwaitingBytes         bool          // all that was read has been parsed, and makes no complete request
 	PartialRequest        bool          // a part of a request has been read, or none has ever come
 	Idle                  time.Duration // since its last byte
@@ -176,7 +176,7 @@
 // Check reports whether the connection may be closed.
 func (c CloseConnection) Check() Reason {
 	switch {
-	case c.RequestOpen:
+	case c.RequestInProgress:
 		return RequestUnanswered
 	case !c.AwaitingBytes:
 		return RequestArriving
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -77,12 +77,12 @@
 
 func TestFirstByteCheck(t *testing.T) {
 	runChecks(t, []checkCase{
-		{"no fact against it", FirstByte{TimeLeft: 1}, Allowed},
-		{"withdrawn", FirstByte{Withdrawn: true, TimeLeft: 1}, Withdrawn},
-		{"client gone", FirstByte{ClientGone: true, TimeLeft: 1}, ClientDisconnected},
+		{"no fact against it", FirstByte{RemainingTime: 1}, Allowed},
+		{"withdrawn", FirstByte{Withdrawn: true, RemainingTime: 1}, Withdrawn},
+		{"client gone", FirstByte{ClientGone: true, RemainingTime: 1}, ClientDisconnected},
 		{"no time remaining", FirstByte{}, DeadlineExceeded},
-		{"retry at the window's end", FirstByte{TimeLeft: 1, Retry: true, DedupWindow: MaxStall}, DedupWindowExpired},
-		{"retry within the window", FirstByte{TimeLeft: 1, Retry: true, DedupWindow: time.Second}, Allowed},
+		{"retry at the window's end", FirstByte{RemainingTime: 1, MayHaveRun: true, DedupWindow: MaxStall}, DedupWindowExpired},
+		{"retry within the window", FirstByte{RemainingTime: 1, MayHaveRun: true, DedupWindow: time.Second}, Allowed},
 	})
 }
 
@@ -97,7 +97,7 @@
 	}
 	runChecks(t, []checkCase{
 		{"idle", CloseConnection{AwaitingBytes: true}, Allowed},
-		{"request open", CloseConnection{AwaitingBytes: true, RequestOpen: true}, RequestUnanswered},
+		{"request open", CloseConnection{AwaitingBytes: true, RequestInProgress: true}, RequestUnanswered},
 		{"read bytes not parsed", CloseConnection{}, RequestArriving},
 		{"partial request within its timeout", partial(1, 2, ForCapacity), RequestArriving},
 		{"partial request after its timeout", partial(2, 2, ForCapacity), Allowed},
--- a/internal/protofield/protofield.go
+++ b/internal/protofield/protofield.go
@@ -7,21 +7,21 @@
 
 // Field is one field of a message. Value is set for varints and 64-bit numbers, Bytes for length-delimited values.
 type Field struct {
-	Number protowire.Number
-	Kind   protowire.Type
-	Value  uint64
-	Bytes  []byte // shares the memory of the message that was read
+	Number   protowire.Number
+	WireType protowire.Type
+	Value    uint64
+	Bytes    []byte // shares the memory of the message that was read
 }
 
 // Next reads the first field of a message and returns the rest of the message. A field that cannot be read completely is
 // an error. Fields of other wire types are skipped: they have neither Value nor Bytes.
 func Next(b []byte) (f Field, rest []byte, err error) {
 	var n int
-	if f.Number, f.Kind, n = protowire.ConsumeTag(b); n < 0 {
+	if f.Number, f.WireType, n = protowire.ConsumeTag(b); n < 0 {
 		return f, nil, protowire.ParseError(n)
 	}
 	b = b[n:]
-	switch f.Kind {
+	switch f.WireType {
 	case protowire.VarintType:
 		f.Value, n = protowire.ConsumeVarint(b)
 	case protowire.Fixed64Type:
@@ -29,7 +29,7 @@
 	case protowire.BytesType:
 		f.Bytes, n = protowire.ConsumeBytes(b)
 	default:
-		n = protowire.ConsumeFieldValue(f.Number, f.Kind, b)
+		n = protowire.ConsumeFieldValue(f.Number, f.WireType, b)
 	}
 	if n < 0 {
 		return f, nil, protowire.ParseError(n)
@@ -37,12 +37,12 @@
 	return f, b[n:], nil
 }
 
-// Varint appends a field with an unsigned number to a message.
-func Varint(b []byte, field protowire.Number, value uint64) []byte {
+// AppendVarint appends a field with an unsigned number to a message.
+func AppendVarint(b []byte, field protowire.Number, value uint64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), value)
 }
 
-// Bytes appends a length-delimited field to a message.
-func Bytes(b []byte, field protowire.Number, value []byte) []byte {
+// AppendBytes appends a length-delimited field to a message.
+func AppendBytes(b []byte, field protowire.Number, value []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
--- a/internal/protofield/protofield_test.go
+++ b/internal/protofield/protofield_test.go
@@ -9,7 +9,7 @@
 
 // Fields are read as they were written, in order; a message that is cut within a field fails at that field.
 func TestNextReadsWrittenFieldsAndRejectsCutOnes(t *testing.T) {
-	message := Bytes(Varint(nil, 3, 1<<60), 4, []byte("text"))
+	message := AppendBytes(AppendVarint(nil, 3, 1<<60), 4, []byte("text"))
 	message = protowire.AppendFixed64(protowire.AppendTag(message, 5, protowire.Fixed64Type), 7)
 	message = protowire.AppendFixed32(protowire.AppendTag(message, 6, protowire.Fixed32Type), 8)
 	wants := []Field{
@@ -23,7 +23,7 @@
 		boundaries[len(message)-len(rest)] = true
 		got, next, err := Next(rest)
 		want := wants[i]
-		if err != nil || got.Number != want.Number || got.Kind != want.Kind || got.Value != want.Value ||
+		if err != nil || got.Number != want.Number || got.WireType != want.WireType || got.Value != want.Value ||
 			!bytes.Equal(got.Bytes, want.Bytes) {
 			t.Fatalf("field %d is %+v, %v", i, got, err)
 		}
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -38,12 +38,12 @@
 	if !r.options.NoDuties { // the first ones vote
 		f.Voters = r.names[:min(3, (len(r.names)-1)|1)]
 	}
-	f.SubsetReaders, f.Bootstrap, f.EndpointFilter = r.options.Subsets, r.options.Beliefs, r.options.Ends
+	f.MinSubsetPrefillReplicas, f.Bootstrap, f.EndpointFilter = r.options.Subsets, r.options.Beliefs, r.options.Ends
 	if r.options.Stragglers {
 		f.VersionSkew = &fleet.VersionSkewConfig{RestrictS: 2, FenceS: 4, MaxFencedFraction: 0.25}
 	}
 	if r.options.Filings {
-		f.Idempotency = &fleet.IdempotencyConfig{KeepS: filingKeep, Entries: 10_000}
+		f.Idempotency = &fleet.IdempotencyConfig{RetentionS: filingKeep, Entries: 10_000}
 	}
 	if r.options.Budgets {
 		f.Budgets = &budgets
--- a/internal/rig/fleet_test.go
+++ b/internal/rig/fleet_test.go
@@ -19,7 +19,7 @@
 	"rampspread/internal/fleet"
 	"rampspread/internal/rig/fault"
 	"rampspread/internal/rig/history"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // startFleet starts dispatchers that know of each other, without traffic, all at once, and waits until all see all.
@@ -47,7 +47,7 @@
 // sees waits until a dispatcher shows these members in a state.
 func (r *Run) sees(t *testing.T, d int, state string, members ...int) {
 	t.Helper()
-	testkit.Eventually(t, fmt.Sprintf("%v as %s at %d", members, state, d), func() bool {
+	testutil.Eventually(t, fmt.Sprintf("%v as %s at %d", members, state, d), func() bool {
 		s, err := r.Members(d)
 		return err == nil && !slices.ContainsFunc(members, func(m int) bool { return s.Members[m].State != state })
 	})
@@ -89,7 +89,7 @@
 	for _, d := range []int{0, 1, 4} {
 		r.sees(t, d, "alive", 0, 1, 2, 4)
 		// Lives too short to be heard of are not counted, but the last one is the one that all hold.
-		testkit.Eventually(t, "the last life", func() bool { return r.member(t, d, 2).Incarnation == r.member(t, 2, 2).Incarnation })
+		testutil.Eventually(t, "the last life", func() bool { return r.member(t, d, 2).Incarnation == r.member(t, 2, 2).Incarnation })
 		if m := r.member(t, d, 2); m.Incarnations < 2 || m.Incarnations > 6 {
 			t.Errorf("%d lives", m.Incarnations)
 		}
@@ -172,7 +172,7 @@
 	for d := range 3 {
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
-	testkit.Eventually(t, "a fresh view", func() bool { s, err := r.Members(1); return err == nil && s.Fresh })
+	testutil.Eventually(t, "a fresh view", func() bool { s, err := r.Members(1); return err == nil && s.Fresh })
 	if m := r.member(t, 0, 1); m.Incarnations != 1 {
 		t.Errorf("a stopped process came back as %+v", m)
 	}
@@ -189,7 +189,7 @@
 	for d := range 3 {
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
-	testkit.Eventually(t, "the second life", func() bool { return r.member(t, 0, 1).Incarnations == 2 && r.member(t, 2, 1).Incarnations == 2 })
+	testutil.Eventually(t, "the second life", func() bool { return r.member(t, 0, 1).Incarnations == 2 && r.member(t, 2, 1).Incarnations == 2 })
 	var before []fleet.MemberStatus
 	for _, at := range []int{0, 2} {
 		before = append(before, r.member(t, at, 1))
@@ -225,7 +225,7 @@
 	}
 	defer u.Close()
 	was := r.member(t, 0, 1)
-	for _, text := range testkit.Broken(9, "\xf4\x03rigabcdefgh", strings.Repeat("\x00", 300)) {
+	for _, text := range testutil.CorruptedSeeds(9, "\xf4\x03rigabcdefgh", strings.Repeat("\x00", 300)) {
 		io.WriteString(u, text)
 	}
 	// It goes on for as many views of the others as it takes to give one up several times over.
@@ -239,6 +239,6 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the count of garbage", func() bool { s, err := r.Members(1); return err == nil && s.Malformed > 10 })
+	testutil.Eventually(t, "the count of garbage", func() bool { s, err := r.Members(1); return err == nil && s.Malformed > 10 })
 	r.sees(t, 1, "alive", 0, 1, 2)
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/rig/history"
 	stored "rampspread/internal/state"
-	"rampspread/internal/system"
 )
 
 const (
@@ -41,7 +41,7 @@
 
 	life      sync.Mutex // held by what ends, stops or begins a life
 	reloading sync.Mutex // held while its configuration changes
-	faults    system.Faults
+	faults    hostos.Faults
 
 	mu      sync.Mutex
 	leaving time.Time // when SIGTERM was sent to this life; zero: it was not
@@ -373,11 +373,11 @@
 }
 
 // changeFaults changes what its machine does wrong.
-func (p *proc) changeFaults(change func(*system.Faults)) {
+func (p *proc) changeFaults(change func(*hostos.Faults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.Fails == nil {
-		p.faults.Fails = map[system.Op]system.Failure{}
+		p.faults.Fails = map[hostos.Op]hostos.Failure{}
 	}
 	change(&p.faults)
 	if err := p.faults.Set(p.faultsFile()); err != nil {
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"rampspread/internal/fleet/idempotencyquorum"
+	"rampspread/internal/hostos"
 	"rampspread/internal/rig/fault"
 	"rampspread/internal/rig/history"
-	"rampspread/internal/system"
 )
 
 // Options say how a scenario is run.
@@ -490,13 +490,13 @@
 	case "hup-row":
 		r.procs[t].reloadInRow(ctx, f)
 	case "clock-step":
-		r.procs[t].changeFaults(func(s *system.Faults) { s.WallStepMS += int64(f.StepS * 1000) })
-		f.after(ctx, func() { r.procs[t].changeFaults(func(s *system.Faults) { s.WallStepMS -= int64(f.StepS * 1000) }) })
+		r.procs[t].changeFaults(func(s *hostos.Faults) { s.WallStepMS += int64(f.StepS * 1000) })
+		f.after(ctx, func() { r.procs[t].changeFaults(func(s *hostos.Faults) { s.WallStepMS -= int64(f.StepS * 1000) }) })
 	case "calls-fail":
-		r.procs[t].changeFaults(func(s *system.Faults) {
-			s.Fails[f.Call] = system.Failure{Errno: f.Errno, Every: max(f.Calls, 1), DelayMS: int(f.DelayMS)}
+		r.procs[t].changeFaults(func(s *hostos.Faults) {
+			s.Fails[f.Call] = hostos.Failure{Errno: f.Errno, Every: max(f.Calls, 1), DelayMS: int(f.DelayMS)}
 		})
-		f.after(ctx, func() { r.procs[t].changeFaults(func(s *system.Faults) { delete(s.Fails, f.Call) }) })
+		f.after(ctx, func() { r.procs[t].changeFaults(func(s *hostos.Faults) { delete(s.Fails, f.Call) }) })
 	case "clients-half", "clients-pipeline", "clients-idle":
 		r.misbehave(ctx, f, t)
 	case "links", "reset":
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 //go:embed scenarios/*.json
@@ -64,7 +64,7 @@
 	// StepS is how far a wall clock is stepped, in seconds.
 	StepS float64 `json:"step_s"`
 	// Call is the kind of system call that fails with Errno, each Calls-th of them.
-	Call  system.Op `json:"call"`
+	Call  hostos.Op `json:"call"`
 	Errno int       `json:"errno"`
 	Calls int       `json:"calls"`
 }
@@ -116,7 +116,7 @@
 // ParseScenario reads a scenario strictly: unknown words and what cannot be are refused.
 func ParseScenario(text []byte) (*Scenario, error) {
 	var s Scenario
-	if err := cli.Strict(text, &s); err != nil {
+	if err := cli.DecodeStrict(text, &s); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	switch {
--- a/internal/rig/shares_test.go
+++ b/internal/rig/shares_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"rampspread/internal/rig/history"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 var long = flag.Bool("rig.long", false, "play what takes too long for CI too")
@@ -79,18 +79,18 @@
 			return sum > want && sum <= 1.0001
 		}
 	}
-	testkit.Eventually(t, "the whole to be used", all(0.95, 0, 1, 2, 3))
+	testutil.Eventually(t, "the whole to be used", all(0.95, 0, 1, 2, 3))
 	ctx := context.Background()
 	r.procs[3].pause(ctx, 2*time.Second)
 	if s, err := r.Shares(3); err != nil || s.Fraction > s.MinFraction*1.0001 && s.RemainingS <= 0 {
 		t.Errorf("it woke with %+v, %v", s, err)
 	}
-	testkit.Eventually(t, "the whole to be used again", all(0.95, 0, 1, 2, 3))
+	testutil.Eventually(t, "the whole to be used again", all(0.95, 0, 1, 2, 3))
 	r.procs[3].kill()
 	// The dead one's part of the floor is nobody's.
-	testkit.Eventually(t, "the others to have the pool", all(0.95-budgets.Floor/4, 0, 1, 2))
+	testutil.Eventually(t, "the others to have the pool", all(0.95-budgets.Floor/4, 0, 1, 2))
 	r.procs[0].kill() // a voter: a third of the pool goes with it
-	testkit.Eventually(t, "two to have what two voters lend", func() bool {
+	testutil.Eventually(t, "two to have what two voters lend", func() bool {
 		p := r.parts()
 		sum := p[1] + p[2]
 		return sum > 0.55 && sum < 2*budgets.Floor/4+(1-budgets.Floor)*2/3+0.001
@@ -133,7 +133,7 @@
 			return high-low <= 1
 		}
 	}
-	testkit.Eventually(t, "replicas to be shared evenly", even(12))
+	testutil.Eventually(t, "replicas to be shared evenly", even(12))
 	before := map[int][]string{}
 	for d := range r.procs {
 		s, _ := r.Subset(d)
@@ -141,7 +141,7 @@
 	}
 	r.procs[11].kill()
 	r.procs[11].restart(context.Background(), true)
-	testkit.Eventually(t, "the same subsets after a restart", func() bool {
+	testutil.Eventually(t, "the same subsets after a restart", func() bool {
 		for d := range r.procs {
 			if s, err := r.Subset(d); err != nil || !slices.Equal(s.Subset, before[d]) {
 				return false
@@ -155,7 +155,7 @@
 			r.discovery.set(p, "gone", time.Time{})
 		}
 	}
-	testkit.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
+	testutil.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
 		for d := range r.procs {
 			if s, err := r.Subset(d); err != nil || slices.Contains(s.Subset, gone) {
 				return false
--- a/internal/rig/soak.go
+++ b/internal/rig/soak.go
@@ -16,8 +16,8 @@
 	"strings"
 	"syscall"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/rig/history"
-	"rampspread/internal/system"
 )
 
 // SoakOptions say how a soak is run.
@@ -82,7 +82,7 @@
 		return Fault{Do: "replica-spoil", Loss: 0.3, For: between(rng, 0.5, 3), Part: 0.4}
 	},
 	"disk-hangs": func(rng *rand.Rand) Fault {
-		return Fault{Do: "calls-fail", Call: system.Write, Calls: 1, DelayMS: 3000, For: between(rng, 0.5, 3), Part: 0.5}
+		return Fault{Do: "calls-fail", Call: hostos.Write, Calls: 1, DelayMS: 3000, For: between(rng, 0.5, 3), Part: 0.5}
 	},
 	"slow": func(rng *rand.Rand) Fault {
 		return Fault{Do: "replica-slow", Factor: 8, For: between(rng, 0.5, 3), Part: 0.2}
@@ -103,9 +103,9 @@
 	},
 	"idle":         func(rng *rand.Rand) Fault { return Fault{Do: "clients-idle", For: between(rng, 1, 4), Part: 0.3} },
 	"clock":        drawClockStep,
-	"accept-fails": func(rng *rand.Rand) Fault { return drawFailure(rng, system.Accept, acceptErrnos, 0.6) },
+	"accept-fails": func(rng *rand.Rand) Fault { return drawFailure(rng, hostos.Accept, acceptErrnos, 0.6) },
 	"connect-fails": func(rng *rand.Rand) Fault {
-		return drawFailure(rng, system.Connect, connectErrnos, 0.2)
+		return drawFailure(rng, hostos.Connect, connectErrnos, 0.2)
 	},
 	"silent-links": func(rng *rand.Rand) Fault {
 		return Fault{Do: "links-silent", Share: between(rng, 0.1, 0.8), For: between(rng, 0.4, 4), Part: between(rng, 0.3, 1)}
@@ -125,7 +125,7 @@
 		return Fault{Do: "term", For: between(rng, 0.05, 0.3), Part: 1, Every: between(rng, 0.3, 1.5)}
 	},
 	"disk-fails": func(rng *rand.Rand) Fault {
-		return drawFailure(rng, []system.Op{system.Write, system.Sync, system.Rename}[rng.IntN(3)], diskErrnos, 3)
+		return drawFailure(rng, []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename}[rng.IntN(3)], diskErrnos, 3)
 	},
 }
 
@@ -144,7 +144,7 @@
 }
 
 // drawFailure draws calls that fail: all of them for a short time, or each so many-th for up to most seconds.
-func drawFailure(rng *rand.Rand, call system.Op, errnos []syscall.Errno, all float64) Fault {
+func drawFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) Fault {
 	f := Fault{Do: "calls-fail", Call: call, Errno: int(errnos[rng.IntN(len(errnos))]), Calls: 1 + rng.IntN(4), Part: 0.6}
 	f.For = between(rng, 0.05, all)
 	if f.Calls > 1 {
--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // ErrCorrupt reports a file that is cut, damaged, too long or of another kind.
@@ -43,7 +43,7 @@
 
 // Replace writes a temporary file and renames it to path. After an error the whole content has to be written again:
 // what a failed sync was about is no longer known to be on disk, whatever a later sync returns.
-func Replace(machine system.System, path string, content []byte, durability Durability) error {
+func Replace(machine hostos.System, path string, content []byte, durability Durability) error {
 	temporary, err := openTemporary(path)
 	if err != nil {
 		return fmt.Errorf("atomicfile: %w", err)
@@ -83,28 +83,28 @@
 	return content, nil
 }
 
-func write(machine system.System, f *os.File, content []byte, durability Durability) error {
-	if err := machine.Before(system.Write); err != nil {
+func write(machine hostos.System, f *os.File, content []byte, durability Durability) error {
+	if err := machine.Before(hostos.Write); err != nil {
 		return err
 	}
 	if _, err := f.Write(content); err != nil || durability == Unsynced {
 		return err
 	}
-	if err := machine.Before(system.Sync); err != nil {
+	if err := machine.Before(hostos.Sync); err != nil {
 		return err
 	}
 	return f.Sync() // before the renaming: a name that reaches the disk before its content would be a corrupt file
 }
 
-func rename(machine system.System, from, to string) error {
-	if err := machine.Before(system.Rename); err != nil {
+func rename(machine hostos.System, from, to string) error {
+	if err := machine.Before(hostos.Rename); err != nil {
 		return err
 	}
 	return os.Rename(from, to)
 }
 
-func syncDir(machine system.System, dir string) error {
-	if err := machine.Before(system.Sync); err != nil {
+func syncDir(machine hostos.System, dir string) error {
+	if err := machine.Before(hostos.Sync); err != nil {
 		return err
 	}
 	d, err := os.Open(dir)
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"testing"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // A disk that hangs or fails blocks only the Saver, which saves the newest content once the disk recovers.
@@ -30,7 +30,7 @@
 		saver.MarkDirty() // while the disk hangs
 	}
 	close(unblock)
-	testkit.Eventually(t, "the save after two that failed", func() bool { return calls.Load() >= 3 })
+	testutil.Eventually(t, "the save after two that failed", func() bool { return calls.Load() >= 3 })
 	stop()
 	<-done
 }
@@ -43,7 +43,7 @@
 		if i == 0 {
 			durability = Unsynced
 		}
-		if err := Replace(system.Real(), path, Seal("m", []byte(body)), durability); err != nil {
+		if err := Replace(hostos.Real(), path, Seal("m", []byte(body)), durability); err != nil {
 			t.Fatal(err)
 		}
 		sealed, err := Read(path, 100)
@@ -58,7 +58,7 @@
 		t.Errorf("a file that is too long: %v", err)
 	}
 	// Where the new one cannot be written the old one remains, with no temporary file.
-	if err := Replace(system.Real(), filepath.Join(path, "no folder"), nil, Synced); err == nil {
+	if err := Replace(hostos.Real(), filepath.Join(path, "no folder"), nil, Synced); err == nil {
 		t.Error("written below a file")
 	}
 	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
@@ -67,7 +67,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	for _, broken := range testkit.Broken(12, string(Seal("magic\n", []byte("body")))) {
+	for _, broken := range testutil.CorruptedSeeds(12, string(Seal("magic\n", []byte("body")))) {
 		f.Add([]byte(broken))
 	}
 	f.Fuzz(func(t *testing.T, sealed []byte) {
--- a/internal/state/atomicfile/killed_writer_test.go
+++ b/internal/state/atomicfile/killed_writer_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // writerPathVariable makes the test program a process that replaces the file which it names.
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) {
 	if path := os.Getenv(writerPathVariable); path != "" {
 		for {
-			if err := Replace(system.Real(), path, make([]byte, 1<<20), Synced); err != nil {
+			if err := Replace(hostos.Real(), path, make([]byte, 1<<20), Synced); err != nil {
 				os.Exit(1)
 			}
 		}
@@ -36,12 +36,12 @@
 		if err := writer.Start(); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "its first file", func() bool { _, err := os.Stat(path); return err == nil })
+		testutil.Eventually(t, "its first file", func() bool { _, err := os.Stat(path); return err == nil })
 		time.Sleep(20 * time.Millisecond) // into some later write
 		writer.Process.Kill()
 		writer.Wait()
 	}
-	if err := Replace(system.Real(), path, []byte("last"), Synced); err != nil {
+	if err := Replace(hostos.Real(), path, []byte("last"), Synced); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(dir)
--- a/internal/state/atomicfile/system_failure_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -6,16 +6,16 @@
 	"syscall"
 	"testing"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 // While writes, syncs or renames fail the file keeps its content, and the first replacement that succeeds writes all of
 // the next content: it relies on nothing of a write that failed, and nothing of that remains.
 func TestReplaceKeepsOldContentWhileSystemCallsFail(t *testing.T) {
-	for _, op := range []system.Op{system.Write, system.Sync, system.Rename} {
+	for _, op := range []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
-			machine, dir := testkit.NewMachine(), t.TempDir()
+			machine, dir := testutil.NewMachine(), t.TempDir()
 			path := filepath.Join(dir, "file")
 			if err := Replace(machine, path, []byte("first"), Synced); err != nil {
 				t.Fatal(err)
--- a/internal/state/encoding.go
+++ b/internal/state/encoding.go
@@ -34,15 +34,15 @@
 // encodeRecord serializes a record, preceded by its checksum.
 func encodeRecord(record idempotency.Record) []byte {
 	b := make([]byte, checksumBytes, typicalRecordBytes+len(record.Answer))
-	b = protofield.Bytes(b, fieldAttemptName, []byte(record.Attempt.Name))
-	b = protofield.Varint(b, fieldIncarnation, record.Attempt.Incarnation)
-	b = protofield.Varint(b, fieldSeq, record.Attempt.Seq)
-	b = protofield.Bytes(b, fieldDigest, record.Digest[:])
-	b = protofield.Varint(b, fieldState, uint64(record.State))
-	b = protofield.Varint(b, fieldWrittenAt, uint64(record.WrittenAt))
-	b = protofield.Varint(b, fieldAttemptDeadline, uint64(record.AttemptDeadline))
+	b = protofield.AppendBytes(b, fieldAttemptName, []byte(record.Attempt.Member))
+	b = protofield.AppendVarint(b, fieldIncarnation, record.Attempt.Incarnation)
+	b = protofield.AppendVarint(b, fieldSeq, record.Attempt.Seq)
+	b = protofield.AppendBytes(b, fieldDigest, record.Digest[:])
+	b = protofield.AppendVarint(b, fieldState, uint64(record.State))
+	b = protofield.AppendVarint(b, fieldWrittenAt, uint64(record.WrittenAt))
+	b = protofield.AppendVarint(b, fieldAttemptDeadline, uint64(record.AttemptDeadline))
 	if record.Answer != nil {
-		b = protofield.Bytes(b, fieldAnswer, record.Answer)
+		b = protofield.AppendBytes(b, fieldAnswer, record.Answer)
 	}
 	binary.BigEndian.PutUint64(b, xxhash.Sum64(b[checksumBytes:]))
 	return b
@@ -60,14 +60,14 @@
 			return record, fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		b = rest
-		switch field.Kind {
+		switch field.WireType {
 		case protowire.BytesType:
 			setBytesField(&record, field)
 		case protowire.VarintType:
 			setNumberField(&record, field)
 		}
 	}
-	if record.State < idempotency.InFlight || record.State > idempotency.Answered || record.Attempt.Name == "" {
+	if record.State < idempotency.InFlight || record.State > idempotency.Answered || record.Attempt.Member == "" {
 		return record, fmt.Errorf("%w: a record makes no sense", ErrCorrupt)
 	}
 	return record, nil
@@ -76,7 +76,7 @@
 func setBytesField(record *idempotency.Record, field protofield.Field) {
 	switch field.Number {
 	case fieldAttemptName:
-		record.Attempt.Name = string(field.Bytes)
+		record.Attempt.Member = string(field.Bytes)
 	case fieldDigest:
 		if len(field.Bytes) == len(record.Digest) {
 			copy(record.Digest[:], field.Bytes)
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -14,14 +14,14 @@
 	"path/filepath"
 	"time"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/atomicfile"
-	"rampspread/internal/system"
 )
 
 // Cached is a stored list. The tags are the names in the file, which other versions of the program read: they never change.
 type Cached struct {
 	Owner   Owner           `json:"Owner"`
-	SavedAt system.Stamp    `json:"At"`
+	SavedAt hostos.Stamp    `json:"At"`
 	Version uint64          `json:"Version"`
 	Entries json.RawMessage `json:"Entries"` // in the form of service discovery
 }
@@ -49,7 +49,7 @@
 var ErrUnusable = errors.New("endpointcache: unusable list")
 
 // Save replaces the list in a folder, which it creates if needed. The list is on disk when Save returns.
-func Save(machine system.System, dir string, list Cached) error {
+func Save(machine hostos.System, dir string, list Cached) error {
 	body, err := json.Marshal(list)
 	if err != nil {
 		return fmt.Errorf("endpointcache: %w", err)
@@ -69,7 +69,7 @@
 
 // Load reads the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must not
 // use it now.
-func Load(dir string, owner Owner, now system.Stamp) (Cached, error) {
+func Load(dir string, owner Owner, now hostos.Stamp) (Cached, error) {
 	sealed, err := atomicfile.Read(filepath.Join(dir, fileName), maxBytes)
 	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
 		return Cached{}, fmt.Errorf("endpointcache: %w", err)
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -9,29 +9,29 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 var testOwner = Owner{Fleet: "f", Name: "n0", Discovery: "127.0.0.1:8500"}
 
-func testList(at system.Stamp) Cached {
+func testList(at hostos.Stamp) Cached {
 	return Cached{Owner: testOwner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
 }
 
 // A list that is saved replaces the one before, and is loaded by its owner only.
 func TestSavedListIsLoadedByItsOwnerOnly(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	if _, err := Load(dir, testOwner, system.Now(system.Real())); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := Load(dir, testOwner, hostos.Now(hostos.Real())); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("in no folder: %v", err)
 	}
 	for version := range uint64(3) { // each replaces the one before
-		list := testList(system.Now(system.Real()))
+		list := testList(hostos.Now(hostos.Real()))
 		list.Version = version
-		if err := Save(system.Real(), dir, list); err != nil {
+		if err := Save(hostos.Real(), dir, list); err != nil {
 			t.Fatal(err)
 		}
-		got, err := Load(dir, testOwner, system.Now(system.Real()))
+		got, err := Load(dir, testOwner, hostos.Now(hostos.Real()))
 		if err != nil || got.Version != version || string(got.Entries) != string(list.Entries) {
 			t.Errorf("loaded %+v, %v", got, err)
 		}
@@ -41,7 +41,7 @@
 	}
 	others := []Owner{{"g", "n0", testOwner.Discovery}, {"f", "n1", testOwner.Discovery}, {"f", "n0", "127.0.0.1:8501"}}
 	for _, other := range others {
-		_, err := Load(dir, other, system.Now(system.Real()))
+		_, err := Load(dir, other, hostos.Now(hostos.Real()))
 		if !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("of %+v: %v", other, err)
 		}
@@ -51,7 +51,7 @@
 // A file that is cut anywhere, or has any bit flipped, is refused.
 func TestCorruptListIsUnusable(t *testing.T) {
 	dir := t.TempDir()
-	if err := Save(system.Real(), dir, testList(system.Now(system.Real()))); err != nil {
+	if err := Save(hostos.Real(), dir, testList(hostos.Now(hostos.Real()))); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, fileName)
@@ -64,7 +64,7 @@
 		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if list, err := Load(dir, testOwner, system.Now(system.Real())); !errors.Is(err, ErrUnusable) {
+		if list, err := Load(dir, testOwner, hostos.Now(hostos.Real())); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%s: %+v, %v", condition, list, err)
 		}
 	}
@@ -81,22 +81,22 @@
 // The age counts by the machine's boot clock within one boot, and by the wall clock after a reboot.
 func TestListIsUsableByAge(t *testing.T) {
 	hour := int64(time.Hour)
-	saved := system.Stamp{Wall: 100 * hour, Boot: 5 * hour, BootID: "a"}
+	saved := hostos.Stamp{Wall: 100 * hour, Boot: 5 * hour, BootID: "a"}
 	for name, c := range map[string]struct {
-		now      system.Stamp
+		now      hostos.Stamp
 		unusable bool
 	}{
 		"at once":                                 {saved, false},
-		"the wall clock set back an hour":         {system.Stamp{Wall: 99 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
-		"the wall clock set forward":              {system.Stamp{Wall: 900 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
-		"an hour and more later":                  {system.Stamp{Wall: 100 * hour, Boot: 6*hour + 1, BootID: "a"}, true},
-		"after a reboot, soon":                    {system.Stamp{Wall: 100*hour + 1, Boot: 1, BootID: "b"}, false},
-		"after a reboot, late":                    {system.Stamp{Wall: 101*hour + 1, Boot: 1, BootID: "b"}, true},
-		"after a reboot, the wall clock set back": {system.Stamp{Wall: 99 * hour, Boot: 1, BootID: "b"}, true},
-		"no boot clock":                           {system.Stamp{Wall: 100*hour + 1, Boot: 0, BootID: ""}, false},
+		"the wall clock set back an hour":         {hostos.Stamp{Wall: 99 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
+		"the wall clock set forward":              {hostos.Stamp{Wall: 900 * hour, Boot: 5*hour + 1, BootID: "a"}, false},
+		"an hour and more later":                  {hostos.Stamp{Wall: 100 * hour, Boot: 6*hour + 1, BootID: "a"}, true},
+		"after a reboot, soon":                    {hostos.Stamp{Wall: 100*hour + 1, Boot: 1, BootID: "b"}, false},
+		"after a reboot, late":                    {hostos.Stamp{Wall: 101*hour + 1, Boot: 1, BootID: "b"}, true},
+		"after a reboot, the wall clock set back": {hostos.Stamp{Wall: 99 * hour, Boot: 1, BootID: "b"}, true},
+		"no boot clock":                           {hostos.Stamp{Wall: 100*hour + 1, Boot: 0, BootID: ""}, false},
 	} {
 		dir := t.TempDir()
-		if err := Save(system.Real(), dir, testList(saved)); err != nil {
+		if err := Save(hostos.Real(), dir, testList(saved)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Load(dir, testOwner, c.now); errors.Is(err, ErrUnusable) != c.unusable || !c.unusable && err != nil {
@@ -107,7 +107,7 @@
 
 func FuzzLoad(f *testing.F) {
 	dir := f.TempDir()
-	if err := Save(system.Real(), dir, testList(system.Now(system.Real()))); err != nil {
+	if err := Save(hostos.Real(), dir, testList(hostos.Now(hostos.Real()))); err != nil {
 		f.Fatal(err)
 	}
 	path := filepath.Join(dir, fileName)
@@ -115,7 +115,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, broken := range testkit.Broken(11, string(good)) {
+	for _, broken := range testutil.CorruptedSeeds(11, string(good)) {
 		f.Add([]byte(broken))
 	}
 	f.Fuzz(func(t *testing.T, content []byte) {
@@ -123,7 +123,7 @@
 		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if list, err := Load(filepath.Dir(path), testOwner, system.Now(system.Real())); err == nil && list.Owner != testOwner {
+		if list, err := Load(filepath.Dir(path), testOwner, hostos.Now(hostos.Real())); err == nil && list.Owner != testOwner {
 			t.Errorf("loaded %+v", list)
 		}
 	})
--- a/internal/state/endpointcache/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -7,15 +7,15 @@
 	"reflect"
 	"testing"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/internal/golden"
-	"rampspread/internal/system"
 )
 
 const goldenFileName = "newest.list"
 
 var goldenList = Cached{
 	Owner:   Owner{Fleet: "golden-fleet", Name: "golden-name", Discovery: "192.0.2.1:8500"},
-	SavedAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
+	SavedAt: hostos.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
 	Version: 1<<63 + 3,
 	Entries: []byte(`[{"instanceId":"s1","cell":4}]`),
 }
@@ -23,7 +23,7 @@
 // The file that 1ac8dd0 wrote is found and read to the same values, and the same bytes are written.
 func TestGoldenFile(t *testing.T) {
 	written := t.TempDir()
-	if err := Save(system.Real(), written, goldenList); err != nil {
+	if err := Save(hostos.Real(), written, goldenList); err != nil {
 		t.Fatal(err)
 	}
 	current, err := os.ReadFile(filepath.Join(written, goldenFileName))
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -17,13 +17,13 @@
 	"path/filepath"
 	"sync"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/atomicfile"
-	"rampspread/internal/system"
 )
 
 // TokenFloor stores the bound of one process.
 type TokenFloor struct {
-	machine system.System
+	machine hostos.System
 	path    string
 	owner   Owner
 	initial uint64 // the bound that Open read
@@ -63,7 +63,7 @@
 
 // Open reads the bound in a folder, which need not exist. A bound that is corrupt or another owner's is refused with a
 // log line, and counts as none.
-func Open(machine system.System, dir string, owner Owner) *TokenFloor {
+func Open(machine hostos.System, dir string, owner Owner) *TokenFloor {
 	f := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), owner: owner}
 	f.saver = atomicfile.NewSaver("lease numbers", f.save)
 	stored, err := f.read()
--- a/internal/state/fencing/fencing_test.go
+++ b/internal/state/fencing/fencing_test.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 var testOwner = Owner{"f", "n0"}
@@ -16,12 +16,12 @@
 // observeAndStore runs a process that observes a token, until its bound is on the disk.
 func observeAndStore(t *testing.T, dir string, token uint64) {
 	t.Helper()
-	floor := Open(system.Real(), dir, testOwner)
+	floor := Open(hostos.Real(), dir, testOwner)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); floor.Run(ctx) }()
 	floor.Observe(token)
-	testkit.Eventually(t, "the bound on the disk", func() bool {
+	testutil.Eventually(t, "the bound on the disk", func() bool {
 		stored, err := floor.read()
 		return err == nil && stored.Bound > max(token, floor.Floor())
 	})
@@ -32,19 +32,19 @@
 // After any number of restarts the floor is above all tokens that were observed before.
 func TestFloorGrowsOverRestarts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
-	if n := Open(system.Real(), dir, testOwner); n.Floor() != 0 {
+	if n := Open(hostos.Real(), dir, testOwner); n.Floor() != 0 {
 		t.Errorf("the floor of the first process is %d", n.Floor())
 	}
 	previous := uint64(0)
 	for _, token := range []uint64{1, 40_000, 90_000, 3_000_000} {
 		observeAndStore(t, dir, token)
-		n := Open(system.Real(), dir, testOwner)
+		n := Open(hostos.Real(), dir, testOwner)
 		if n.Floor() <= previous || n.Floor() < token {
 			t.Errorf("after %d the floor is %d", token, n.Floor())
 		}
 		previous = n.Floor()
 	}
-	if n := Open(system.Real(), dir, Owner{"f", "n1"}); n.Floor() != 0 {
+	if n := Open(hostos.Real(), dir, Owner{"f", "n1"}); n.Floor() != 0 {
 		t.Errorf("the floor of another member is %d", n.Floor())
 	}
 }
@@ -65,7 +65,7 @@
 			if err := os.WriteFile(path, content, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if n := Open(system.Real(), dir, testOwner); n.Floor() != 0 {
+			if n := Open(hostos.Real(), dir, testOwner); n.Floor() != 0 {
 				t.Fatalf("byte %d of %d corrupt or cut: the floor is %d", i, len(content), n.Floor())
 			}
 		}
--- a/internal/state/fencing/golden_test.go
+++ b/internal/state/fencing/golden_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/internal/golden"
-	"rampspread/internal/system"
 )
 
 const (
@@ -20,7 +20,7 @@
 func TestGoldenFile(t *testing.T) {
 	owner := Owner{Fleet: "golden-fleet", Name: "golden-name"}
 	written := t.TempDir()
-	floor := Open(system.Real(), written, owner)
+	floor := Open(hostos.Real(), written, owner)
 	floor.Observe(goldenObserved)
 	if err := floor.save(); err != nil {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 	if err := os.WriteFile(filepath.Join(existing, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := Open(system.Real(), existing, owner).Floor(); got != goldenBound {
+	if got := Open(hostos.Real(), existing, owner).Floor(); got != goldenBound {
 		t.Errorf("read the bound %d, not %d", got, goldenBound)
 	}
 	for _, other := range []Owner{{Fleet: "other", Name: owner.Name}, {Fleet: owner.Fleet, Name: "other"}} {
-		if got := Open(system.Real(), existing, other).Floor(); got != 0 {
+		if got := Open(hostos.Real(), existing, other).Floor(); got != 0 {
 			t.Errorf("%+v took another's bound %d", other, got)
 		}
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -26,7 +26,7 @@
 	goldenIdentity = Identity{Fleet: "golden-fleet", Name: "golden-name"}
 	goldenRecords  = map[idempotency.Key]idempotency.Record{
 		{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}: {
-			Attempt:         idempotency.Attempt{Name: "n2", Incarnation: 1<<63 + 17, Seq: 18},
+			Attempt:         idempotency.Attempt{Member: "n2", Incarnation: 1<<63 + 17, Seq: 18},
 			Digest:          idempotency.Digest{19, 31: 20},
 			State:           idempotency.Answered,
 			WrittenAt:       21 * time.Second,
@@ -34,14 +34,14 @@
 			Answer:          []byte("golden answer"),
 		},
 		{23, 15: 24}: {
-			Attempt:         idempotency.Attempt{Name: "n3", Incarnation: 25, Seq: 26},
+			Attempt:         idempotency.Attempt{Member: "n3", Incarnation: 25, Seq: 26},
 			Digest:          idempotency.Digest{27, 31: 28},
 			State:           idempotency.InFlight,
 			WrittenAt:       29,
 			AttemptDeadline: 30,
 		},
 		{31, 15: 32}: {
-			Attempt:         idempotency.Attempt{Name: "n4", Incarnation: 33, Seq: 34},
+			Attempt:         idempotency.Attempt{Member: "n4", Incarnation: 33, Seq: 34},
 			Digest:          idempotency.Digest{35, 31: 36},
 			State:           idempotency.MayHaveRun,
 			WrittenAt:       37,
@@ -173,7 +173,7 @@
 	if err := os.WriteFile(filepath.Join(dir, goldenFileName), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := SetAside(dir, time.Unix(1_700_000_000, 5))
+	got, err := Quarantine(dir, time.Unix(1_700_000_000, 5))
 	if want := filepath.Join(dir, "filings.db.bad-1700000000"); err != nil || got != want {
 		t.Errorf("%s, %v", got, err)
 	}
--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 )
 
 // shiftModTimes makes the files in a folder look as if the wall clock had been stepped since they were written.
@@ -46,7 +46,7 @@
 			if got := second.request("acquire key- ran"); got != claimText(MayHaveRun) && time.Since(acquiredAt) < testRetention {
 				t.Errorf("after the step: %s", got)
 			}
-			testkit.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
+			testutil.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
 		})
 	}
 }
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // Processes of different versions that run at the same time read one another's folders. The forms below are those of
@@ -25,7 +25,7 @@
 
 func TestGoldenMarkerContent(t *testing.T) {
 	want := marker{
-		AcquiredAt: system.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
+		AcquiredAt: hostos.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
 		MayHaveRun: true,
 	}
 	var got marker
@@ -40,7 +40,7 @@
 // The form of a marker that is written, and its age when it is read: by the boot clock after the same boot, by the wall
 // clock after another, and by the modification time in the form of the earliest version.
 func TestGoldenMarkerFiles(t *testing.T) {
-	table, err := Start(system.Real(), t.TempDir(), "golden", testRetention)
+	table, err := Start(hostos.Real(), t.TempDir(), "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 			t.Errorf("the file's modification time is wrong: %v", err)
 		}
 	}
-	now := system.Now(system.Real())
+	now := hostos.Now(hostos.Real())
 	sameBoot := fmt.Sprintf(`{"Taken":{"Wall":1,"Boot":%d,"BootID":%q},"Ran":true}`, now.Boot-int64(time.Minute), now.BootID)
 	otherBoot := fmt.Sprintf(`{"Taken":{"Wall":%d,"Boot":1,"BootID":"other"},"Ran":false}`, now.Wall-int64(time.Hour))
 	for _, c := range []struct {
@@ -90,7 +90,7 @@
 
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
-	table, err := Start(system.Real(), dir, "golden", testRetention)
+	table, err := Start(hostos.Real(), dir, "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	if _, err := os.Stat(filepath.Join(table.ownDir, "shown")); err == nil {
 		t.Error("a process without peers has the ready file")
 	}
-	other, err := Start(system.Real(), dir, "golden", testRetention)
+	other, err := Start(hostos.Real(), dir, "golden", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/inflight/marker.go
+++ b/internal/state/inflight/marker.go
@@ -6,13 +6,13 @@
 	"os"
 	"time"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // marker is the content of a name's file. The tags are the names in the file, which processes of other versions read:
 // they never change.
 type marker struct {
-	AcquiredAt system.Stamp `json:"Taken"`
+	AcquiredAt hostos.Stamp `json:"Taken"`
 	MayHaveRun bool         `json:"Ran"` // it has ended, and may have run
 }
 
@@ -28,7 +28,7 @@
 
 // writeMarker publishes that a name was acquired at a time, and whether it has ended since and may have run.
 func (t *Table) writeMarker(path string, acquiredAt time.Time, mayHaveRun bool) error {
-	m := marker{AcquiredAt: system.Now(t.machine), MayHaveRun: mayHaveRun}
+	m := marker{AcquiredAt: hostos.Now(t.machine), MayHaveRun: mayHaveRun}
 	age := int64(time.Since(acquiredAt))
 	m.AcquiredAt.Wall -= age
 	m.AcquiredAt.Boot -= age
@@ -36,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("encode marker: %w", err)
 	}
-	if err := t.machine.Before(system.Write); err != nil {
+	if err := t.machine.Before(hostos.Write); err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, content, fileMode); err != nil {
@@ -59,7 +59,7 @@
 	}
 	var m marker
 	if json.Unmarshal(content, &m) == nil && m.AcquiredAt.Wall != 0 {
-		return markerState{age: m.AcquiredAt.Age(system.Now(t.machine)), mayHaveRun: m.MayHaveRun}, nil
+		return markerState{age: m.AcquiredAt.Age(hostos.Now(t.machine)), mayHaveRun: m.MayHaveRun}, nil
 	}
 	return markerState{age: t.machine.Wall().Sub(info.ModTime()), mayHaveRun: string(content) == legacyEnded}, nil
 }
--- a/internal/state/inflight/table.go
+++ b/internal/state/inflight/table.go
@@ -30,13 +30,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // Table holds what one process has in flight. A nil Table is one of a process that never has peers. It is safe for use
 // by several goroutines.
 type Table struct {
-	machine   system.System
+	machine   hostos.System
 	sharedDir string
 	ownDir    string        // in sharedDir
 	retention time.Duration // of idempotency keys that may have run
@@ -78,7 +78,7 @@
 
 // Start creates this process's folder below dir, under the name that the processes share. Idempotency keys that may
 // have run are remembered for retention.
-func Start(machine system.System, dir, name string, retention time.Duration) (*Table, error) {
+func Start(machine hostos.System, dir, name string, retention time.Duration) (*Table, error) {
 	hash := sha256.Sum256([]byte(name)) // a name may hold characters that a path may not
 	sharedDir := filepath.Join(dir, "rampspread-"+hex.EncodeToString(hash[:sharedDirHashBytes])+".beside")
 	ownName := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(machine.Wall().UnixNano(), startTimeBase)
@@ -290,8 +290,8 @@
 	return t.hasPeers
 }
 
-// Failed returns how many operations on the folder have failed or timed out.
-func (t *Table) Failed() int64 {
+// Failures returns how many operations on the folder have failed or timed out.
+func (t *Table) Failures() int64 {
 	if t == nil {
 		return 0
 	}
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 )
 
 const testRetention = 2 * time.Second
@@ -33,7 +33,7 @@
 }
 
 func runPeerProcess(dir string) int {
-	t, err := Start(system.Real(), dir, "n0", testRetention)
+	t, err := Start(hostos.Real(), dir, "n0", testRetention)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -146,12 +146,12 @@
 		t.Errorf("a name of the second process: %s", got)
 	}
 	first.request("release id- a")
-	testkit.Eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
+	testutil.Eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
 	second.kill() // its names are free then
-	testkit.Eventually(t, "the name of the killed process to be free", func() bool {
+	testutil.Eventually(t, "the name of the killed process to be free", func() bool {
 		return first.request("acquire id- c") == claimText(Acquired)
 	})
-	testkit.Eventually(t, "all markers to be removed", func() bool {
+	testutil.Eventually(t, "all markers to be removed", func() bool {
 		files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*"))
 		return len(files) == 0
 	})
@@ -190,7 +190,7 @@
 					t.Errorf("%s: %s, want %d", name, got, want)
 				}
 			}
-			testkit.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
+			testutil.Eventually(t, "its retention to end", func() bool { return second.request("acquire key- ran") == claimText(Acquired) })
 		})
 	}
 }
@@ -245,7 +245,7 @@
 func TestClaimIsUnknownWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	peer := startProcess(t, dir)
-	table, err := Start(system.Real(), dir, "n0", testRetention)
+	table, err := Start(hostos.Real(), dir, "n0", testRetention)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -256,8 +256,8 @@
 	for range maxPendingLookups { // as if that many hung
 		table.lookups <- struct{}{}
 	}
-	if claim := table.Acquire(Request, "x"); claim != Unknown || table.Failed() == 0 {
-		t.Errorf("claim %d, failed %d", claim, table.Failed())
+	if claim := table.Acquire(Request, "x"); claim != Unknown || table.Failures() == 0 {
+		t.Errorf("claim %d, failed %d", claim, table.Failures())
 	}
 	for range maxPendingLookups {
 		<-table.lookups
@@ -280,7 +280,7 @@
 		t.Errorf("without a folder: claim %d", claim)
 	}
 	peer.end()
-	if _, err := Start(system.Real(), filepath.Join(dir, "none", "\x00"), "n0", testRetention); err == nil {
+	if _, err := Start(hostos.Real(), filepath.Join(dir, "none", "\x00"), "n0", testRetention); err == nil {
 		t.Error("started in a folder that cannot be created")
 	}
 }
--- a/internal/state/internal/golden/golden.go
+++ b/internal/state/internal/golden/golden.go
@@ -1,5 +1,5 @@
 // Package golden reads and writes the golden files of stored formats in testdata: text, and bytes as sparse hex dumps
-// that can be read in review. It differs from internal/testkit/golden, whose dumps hold every byte and no offsets: a
+// that can be read in review. It differs from internal/testutil/golden, whose dumps hold every byte and no offsets: a
 // database file is mostly zero, and its dump is reviewed by offset.
 package golden
 
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -79,8 +79,8 @@
 func goldenSnapshot() routing.Snapshot {
 	return routing.Snapshot{
 		TakenAt:          101,
-		Prefill:          routing.LatencyModel{A: goldenPrefillA, B: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Decode:           routing.LatencyModel{A: goldenDecodeA, B: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		Prefill:          routing.LatencyModel{Normal: goldenPrefillA, Moments: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		Decode:           routing.LatencyModel{Normal: goldenDecodeA, Moments: [3]float64{30.5, 31.5, 32.5}, At: 103},
 		CommonQueueDelay: routing.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
 		EstimateError:    routing.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
 		CacheHitRatio:    routing.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
--- a/internal/state/statetransfer/records.go
+++ b/internal/state/statetransfer/records.go
@@ -97,11 +97,11 @@
 }
 
 func newLatencyModelRecord(m routing.LatencyModel) latencyModelRecord {
-	return latencyModelRecord{A: m.A, B: m.B, At: m.At}
+	return latencyModelRecord{A: m.Normal, B: m.Moments, At: m.At}
 }
 
 func (r latencyModelRecord) latencyModel() routing.LatencyModel {
-	return routing.LatencyModel{A: r.A, B: r.B, At: r.At}
+	return routing.LatencyModel{Normal: r.A, Moments: r.B, At: r.At}
 }
 
 func newDecayedMeanRecord(m routing.DecayedMean) decayedMeanRecord {
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -17,8 +17,8 @@
 	"strings"
 	"time"
 
+	"rampspread/internal/hostos"
 	"rampspread/internal/state/atomicfile"
-	"rampspread/internal/system"
 	"rampspread/routing"
 )
 
@@ -29,7 +29,7 @@
 	// Settings is the fingerprint of the settings: a snapshot that was learned under others is unusable.
 	Settings uint64
 	// Machine is the machine that the process runs on.
-	Machine system.System
+	Machine hostos.System
 }
 
 const (
--- a/internal/state/statetransfer/statetransfer_test.go
+++ b/internal/state/statetransfer/statetransfer_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -27,7 +27,7 @@
 // A snapshot that is written is read whole; one that is corrupt, cut, another member's or of other settings is
 // unusable, and never a panic.
 func TestWrittenSnapshotIsReadAndOthersAreUnusable(t *testing.T) {
-	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
+	exchange := Exchange{Machine: hostos.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
 	if _, err := exchange.Read(); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("before the first write: %v", err)
 	}
@@ -70,7 +70,7 @@
 // A request gets the existing snapshot and then a current one from the process that serves; if none serves it ends
 // after a timeout.
 func TestRequestIsAnsweredOrTimesOut(t *testing.T) {
-	exchange := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n0"}
+	exchange := Exchange{Machine: hostos.Real(), Dir: t.TempDir(), Name: "n0"}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -86,7 +86,7 @@
 	if len(restored) != 2 || restored[0] != time.Second || restored[1] != time.Minute {
 		t.Errorf("restored %v", restored)
 	}
-	alone := Exchange{Machine: system.Real(), Dir: t.TempDir(), Name: "n1"}
+	alone := Exchange{Machine: hostos.Real(), Dir: t.TempDir(), Name: "n1"}
 	start := time.Now()
 	alone.Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
 	if took := time.Since(start); took > answerTimeout+time.Second {
@@ -95,11 +95,11 @@
 	if _, err := os.Stat(alone.path(requestExtension)); err == nil {
 		t.Error("the request was not removed")
 	}
-	testkit.Eventually(t, "the first request to be removed", func() bool {
+	testutil.Eventually(t, "the first request to be removed", func() bool {
 		_, err := os.Stat(exchange.path(requestExtension))
 		return err != nil
 	})
-	withoutDir := Exchange{Machine: system.Real(), Dir: "/dev/null/none", Name: "x"}
+	withoutDir := Exchange{Machine: hostos.Real(), Dir: "/dev/null/none", Name: "x"}
 	withoutDir.Request(ctx, func(routing.Snapshot) { t.Error("a snapshot was restored") })
 }
 
@@ -109,7 +109,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, s := range testkit.Broken(6, string(encoded)) {
+	for _, s := range testutil.CorruptedSeeds(6, string(encoded)) {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(_ *testing.T, b []byte) { exchange.Decode(b) })
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -107,8 +107,8 @@
 	return open(dir, who, historyComplete)
 }
 
-// SetAside renames a state that cannot be read, so that a new one can be created, and returns its new path.
-func SetAside(dir string, now time.Time) (string, error) {
+// Quarantine renames a state that cannot be read, so that a new one can be created, and returns its new path.
+func Quarantine(dir string, now time.Time) (string, error) {
 	renamed := filepath.Join(dir, fmt.Sprintf("%s.bad-%d", fileName, now.Unix()))
 	if err := os.Rename(filepath.Join(dir, fileName), renamed); err != nil {
 		return "", fmt.Errorf("state: %w", err)
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -36,7 +36,7 @@
 	}
 	s := openStore(t, dir)
 	record := idempotency.Record{
-		Attempt:         idempotency.Attempt{Name: "n2", Incarnation: 1 << 60, Seq: 7},
+		Attempt:         idempotency.Attempt{Member: "n2", Incarnation: 1 << 60, Seq: 7},
 		Digest:          idempotency.Digest{1, 2, 3},
 		State:           idempotency.Answered,
 		AttemptDeadline: time.Hour,
@@ -157,7 +157,7 @@
 
 func answeredRecord(i byte) idempotency.Record {
 	return idempotency.Record{
-		Attempt:   idempotency.Attempt{Name: "n2", Seq: uint64(i)},
+		Attempt:   idempotency.Attempt{Member: "n2", Seq: uint64(i)},
 		State:     idempotency.Answered,
 		WrittenAt: time.Duration(i),
 		Answer:    bytes.Repeat([]byte("answer "), 40),
@@ -237,7 +237,7 @@
 	if err := os.WriteFile(file, good[:len(good)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if renamed, err := SetAside(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(renamed, "bad-7") {
+	if renamed, err := Quarantine(dir, time.Unix(7, 0)); err != nil || !strings.HasSuffix(renamed, "bad-7") {
 		t.Errorf("%s, %v", renamed, err)
 	}
 	if ok, _ := openStore(t, dir).Complete(time.Hour); ok {
@@ -293,7 +293,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		record := idempotency.Record{
 			Attempt: idempotency.Attempt{
-				Name:        rapid.StringN(1, 64, 64).Draw(t, "name"),
+				Member:      rapid.StringN(1, 64, 64).Draw(t, "name"),
 				Incarnation: rapid.Uint64().Draw(t, "incarnation"),
 				Seq:         rapid.Uint64().Draw(t, "seq"),
 			},
@@ -316,7 +316,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encodeRecord(idempotency.Record{Attempt: idempotency.Attempt{Name: "n"}, State: idempotency.InFlight}))
+	f.Add(encodeRecord(idempotency.Record{Attempt: idempotency.Attempt{Member: "n"}, State: idempotency.InFlight}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := decodeRecord(b); err == nil && (r.State < idempotency.InFlight || r.State > idempotency.Answered) {
 			t.Errorf("%x was decoded as %+v", b, r)
@@ -349,7 +349,7 @@
 	for b.Loop() {
 		i++
 		record := idempotency.Record{
-			Attempt:   idempotency.Attempt{Name: "n2"},
+			Attempt:   idempotency.Attempt{Member: "n2"},
 			State:     idempotency.InFlight,
 			WrittenAt: time.Duration(i),
 		}
--- a/internal/testkit/golden.go
+++ b/internal/testutil/golden.go
@@ -1,4 +1,4 @@
-package testkit
+package testutil
 
 import (
 	"fmt"
--- a/internal/testkit/testkit.go
+++ b/internal/testutil/testutil.go
@@ -1,6 +1,6 @@
-// Package testkit is the one helper that the project's tests share: stand-in
-// replicas on loopback sockets, a core over them, and seeded broken input.
-package testkit
+// Package testutil holds what the project's tests share: stand-in replicas on loopback sockets, a dispatcher over them, golden files
+// and seeded malformed input.
+package testutil
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"rampspread/internal/config"
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
@@ -46,16 +46,16 @@
 // Script is what a stand-in replica does with a call; n counts its calls from 0.
 type Script func(w http.ResponseWriter, r *http.Request, n int)
 
-// Read is a reader's answer.
-func Read(w http.ResponseWriter, _ *http.Request, _ int) {
+// ServePrefill is a reader's answer.
+func ServePrefill(w http.ResponseWriter, _ *http.Request, _ int) {
 	w.WriteHeader(http.StatusAccepted)
 	io.WriteString(w, `{"cached_tokens":7}`)
 }
 
-// ReadAt is Read, and tells when each answer was written.
-func ReadAt(at chan<- time.Time) Script {
+// ServePrefillAt is Read, and tells when each answer was written.
+func ServePrefillAt(at chan<- time.Time) Script {
 	return func(w http.ResponseWriter, r *http.Request, n int) {
-		Read(w, r, n)
+		ServePrefill(w, r, n)
 		at <- time.Now()
 	}
 }
@@ -72,11 +72,11 @@
 	return b.String()
 }
 
-// Whole is the part of an answer that is whole events.
-func Whole(text string) string { return text[:strings.LastIndex("\n\n"+text, "\n\n")] }
+// CompleteEvents is the part of an answer that is whole events.
+func CompleteEvents(text string) string { return text[:strings.LastIndex("\n\n"+text, "\n\n")] }
 
-// Write streams a whole answer.
-func Write(words ...string) Script { return Cut(-1, words...) }
+// ServeDecode streams a whole answer.
+func ServeDecode(words ...string) Script { return Cut(-1, words...) }
 
 // Cut streams the first n bytes of an answer and then breaks the connection; all of it for n < 0. Each
 // event is flushed, so the client can see all that came before the cut.
@@ -225,31 +225,31 @@
 
 // Fleet is a core over one reader and one writer.
 type Fleet struct {
-	Settings       *config.Settings
-	Core           *dispatch.Dispatcher
-	Pool           *upstream.Client
-	Reader, Writer *Replica
+	Settings        *config.Settings
+	Dispatcher      *dispatch.Dispatcher
+	Upstream        *upstream.Client
+	Prefill, Decode *Replica
 }
 
 // NewFleet starts a fleet that follows the scripts.
 func NewFleet(t testing.TB, read, write Script) *Fleet {
 	t.Helper()
-	f := &Fleet{Settings: Settings(t), Reader: NewReplica(t, read), Writer: NewReplica(t, write)}
-	f.Pool = upstream.New(f.Settings, 8, 8, system.Real())
+	f := &Fleet{Settings: Settings(t), Prefill: NewReplica(t, read), Decode: NewReplica(t, write)}
+	f.Upstream = upstream.New(f.Settings, 8, 8, hostos.Real())
 	cfg, err := f.Settings.Router()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Core, err = dispatch.New(cfg, 1, f.Pool, system.Real(), nil); err != nil {
+	if f.Dispatcher, err = dispatch.New(cfg, 1, f.Upstream, hostos.Real(), nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); f.Core.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-done; f.Pool.Close() })
-	f.Core.UpdateEndpoints(true, []dispatch.Endpoint{
-		{Name: "r", Addr: f.Reader.Addr, Kind: 0, State: routing.Ready, Weight: 1},
-		{Name: "w", Addr: f.Writer.Addr, Kind: 1, State: routing.Ready, Weight: 1},
+	go func() { defer close(done); f.Dispatcher.Run(ctx) }()
+	t.Cleanup(func() { stop(); <-done; f.Upstream.Close() })
+	f.Dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{
+		{Name: "r", Addr: f.Prefill.Addr, Kind: 0, State: routing.Ready, Weight: 1},
+		{Name: "w", Addr: f.Decode.Addr, Kind: 1, State: routing.Ready, Weight: 1},
 	})
 	return f
 }
@@ -258,11 +258,11 @@
 type Machine struct {
 	mu    sync.Mutex
 	step  time.Duration
-	fails map[system.Op]error
+	fails map[hostos.Op]error
 }
 
 // NewMachine returns a sound machine.
-func NewMachine() *Machine { return &Machine{fails: map[system.Op]error{}} }
+func NewMachine() *Machine { return &Machine{fails: map[hostos.Op]error{}} }
 
 // Step steps the wall clock.
 func (m *Machine) Step(by time.Duration) {
@@ -272,7 +272,7 @@
 }
 
 // Fail makes all calls of a kind fail; nil: none.
-func (m *Machine) Fail(op system.Op, err error) {
+func (m *Machine) Fail(op hostos.Op, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fails[op] = err
@@ -286,7 +286,7 @@
 }
 
 // Before implements system.System.
-func (m *Machine) Before(op system.Op) error {
+func (m *Machine) Before(op hostos.Op) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fails[op]
@@ -321,8 +321,8 @@
 	t.Fatalf("never came: %s", what)
 }
 
-// Broken is a seed corpus: the valid messages, random cuts of them, some with a byte changed, and garbage.
-func Broken(seed uint64, valid ...string) []string {
+// CorruptedSeeds is a seed corpus: the valid messages, random cuts of them, some with a byte changed, and garbage.
+func CorruptedSeeds(seed uint64, valid ...string) []string {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	out := append([]string(nil), valid...)
 	for _, text := range valid {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -134,11 +134,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.refused = precondition.FirstByte{
-		Withdrawn:   a.withdrawn,
-		ClientGone:  a.spec.ClientGone != nil && a.spec.ClientGone(),
-		TimeLeft:    a.deadline.Sub(now),
-		Retry:       a.spec.Retry,
-		DedupWindow: a.dedupExpiry.Sub(now),
+		Withdrawn:     a.withdrawn,
+		ClientGone:    a.spec.ClientGone != nil && a.spec.ClientGone(),
+		RemainingTime: a.deadline.Sub(now),
+		MayHaveRun:    a.spec.MayHaveRun,
+		DedupWindow:   a.dedupExpiry.Sub(now),
 	}.Check()
 	a.begun = a.refused == precondition.Allowed
 	return a.begun
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -10,8 +10,8 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/frontend"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
@@ -20,21 +20,21 @@
 func TestResponseDeterminesTheOutcome(t *testing.T) {
 	drop := func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) }
 	for name, c := range map[string]struct {
-		script testkit.Script
+		script testutil.Script
 		want   routing.Outcome
 	}{
-		"prefill done":      {testkit.Read, routing.PrefillDone},
-		"500":               {testkit.Status(500, false), routing.Errored},
-		"503 queue full":    {testkit.Status(503, true), routing.QueueFull},
-		"504 queue full":    {testkit.Status(504, true), routing.QueueFull},
-		"503 without proof": {testkit.Status(503, false), routing.Errored},
-		"410 state missing": {testkit.Status(410, true), routing.StateMissing},
-		"410 without proof": {testkit.Status(410, false), routing.Errored},
-		"400 unknown":       {testkit.Status(400, false), routing.Errored},
+		"prefill done":      {testutil.ServePrefill, routing.PrefillDone},
+		"500":               {testutil.Status(500, false), routing.Errored},
+		"503 queue full":    {testutil.Status(503, true), routing.QueueFull},
+		"504 queue full":    {testutil.Status(504, true), routing.QueueFull},
+		"503 without proof": {testutil.Status(503, false), routing.Errored},
+		"410 state missing": {testutil.Status(410, true), routing.StateMissing},
+		"410 without proof": {testutil.Status(410, false), routing.Errored},
+		"400 unknown":       {testutil.Status(400, false), routing.Errored},
 		"dropped":           {drop, routing.ConnectionReset},
-		"no event":          {testkit.Cut(0, "a"), routing.ConnectionReset},
+		"no event":          {testutil.Cut(0, "a"), routing.ConnectionReset},
 	} {
-		r := testkit.NewReplica(t, c.script)
+		r := testutil.NewReplica(t, c.script)
 		from := time.Now()
 		_, obs := send(t, r.Addr)
 		if o := <-obs.ended; o.Outcome != c.want {
@@ -59,7 +59,7 @@
 
 // An attempt that gets no connection never ran.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	_, obs := send(t, testkit.NoOne(t))
+	_, obs := send(t, testutil.NoOne(t))
 	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
@@ -110,12 +110,12 @@
 // overlap with it, which must never happen to an idempotent request with a key.
 func TestAbortedAttemptEndsAfterItsConnectionWasClosed(t *testing.T) {
 	closed := make(chan struct{})
-	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		testkit.Silent(w, r, n)
+	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		testutil.Silent(w, r, n)
 		close(closed)
 	})
 	a, obs := send(t, r.Addr)
-	testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
+	testutil.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
 	a.Abort()
 	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
@@ -137,18 +137,18 @@
 // attempt goes out right then: the fault-injection bench, with three runs on a core, counted such an attempt as one that
 // overlapped with the first.
 func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
-	for name, script := range map[string]testkit.Script{"no answer": testkit.Silent, "a rejected stream": testkit.Write("a")} {
+	for name, script := range map[string]testutil.Script{"no answer": testutil.Silent, "a rejected stream": testutil.ServeDecode("a")} {
 		t.Run(name, func(t *testing.T) {
-			r := testkit.NewReplica(t, script)
-			client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
+			r := testutil.NewReplica(t, script)
+			client := upstream.New(testutil.Settings(t), 8, 8, hostos.Real())
 			obs := rejectingObserver{make(chan time.Time, 1), make(chan time.Time, 1)}
 			defer client.Close()
 			spec := specFor(r.Addr, 5*time.Second)
-			spec.Call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")}
+			spec.Call = dispatch.UpstreamCall{ID: "id-1", Method: http.MethodPost, Target: "/", Body: []byte("{}")}
 			a := client.Send(spec, obs)
 			var givenUp time.Time
 			if name == "no answer" {
-				testkit.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
+				testutil.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
 				givenUp = time.Now()
 				a.Abort()
 			} else {
@@ -188,14 +188,14 @@
 // from its first byte. One whose first byte was written goes on.
 func TestWithdrawEndsOnlyAnUnwrittenAttempt(t *testing.T) {
 	begun, answer := make(chan bool, 4), make(chan bool)
-	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		begun <- true
 		<-answer
-		testkit.Read(w, r, n)
+		testutil.ServePrefill(w, r, n)
 	})
 	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 	first, second := newObserver(), newObserver()
-	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
 	written := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
 	waiting := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
@@ -217,14 +217,14 @@
 // wait for a connection may take most of it, on the first connection and on one that replaces a stale one.
 func TestExpiryHeaderIsTheRemainingTimeWhenTheHeadIsWritten(t *testing.T) {
 	begun, answer := make(chan bool, 4), make(chan bool, 4)
-	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		begun <- true
 		<-answer
-		testkit.Read(w, r, n)
+		testutil.ServePrefill(w, r, n)
 	})
 	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 	first, second := newObserver(), newObserver()
-	to := dispatch.Target{Name: "s", Addr: r.Addr}
+	to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
 	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
 	<-begun
 	const limit, wait = 5 * time.Second, 400 * time.Millisecond
@@ -249,15 +249,15 @@
 	gone := func() bool { return true }
 	for name, expire := range map[string]func(*dispatch.AttemptSpec){
 		"the client has gone":      func(o *dispatch.AttemptSpec) { o.ClientGone = gone },
-		"the dedup window is over": func(o *dispatch.AttemptSpec) { o.Retry, o.DedupWindow = true, 300*time.Millisecond },
+		"the dedup window is over": func(o *dispatch.AttemptSpec) { o.MayHaveRun, o.DedupWindow = true, 300*time.Millisecond },
 		"the time is over":         func(o *dispatch.AttemptSpec) { o.Timeout = 100 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun, answer := make(chan bool, 4), make(chan bool)
-			r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+			r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 				begun <- true
 				<-answer
-				testkit.Read(w, r, n)
+				testutil.ServePrefill(w, r, n)
 			})
 			client := newClient(t, 1) // one connection: the second attempt waits for the first one's
 			first, second := newObserver(), newObserver()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -25,7 +25,7 @@
 
 	"rampspread/internal/config"
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 const (
@@ -49,7 +49,7 @@
 // New returns a Client that holds at most maxConnsPerReplica connections to any one replica, and maxIdleConns idle ones
 // in all. A call that has to wait for a connection runs late without anybody seeing why, so maxConnsPerReplica should
 // be well above what an ordinary day needs.
-func New(settings *config.Settings, maxConnsPerReplica, maxIdleConns int, machine system.System) *Client {
+func New(settings *config.Settings, maxConnsPerReplica, maxIdleConns int, machine hostos.System) *Client {
 	c := &Client{settings: settings}
 	dialer := &dialer{timeout: dialTimeout(settings), machine: machine, localFailures: &c.localFailures}
 	c.transport = &http.Transport{
@@ -78,7 +78,7 @@
 	if timeout <= 0 {
 		timeout = defaultDialTimeout
 	}
-	if held := config.FromMS(settings.FamilyInfo.ReleaseWithinMs); held > 0 {
+	if held := config.FromMS(settings.ModelFamily.ReservationTTLMs); held > 0 {
 		timeout = min(timeout, held/2)
 	}
 	return timeout
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"rampspread/internal/system"
+	"rampspread/internal/hostos"
 )
 
 // After a local failure the dialer waits for minDialBackoff, then for twice as long each time, up to maxDialBackoff.
@@ -41,7 +41,7 @@
 // dialer makes connections to replicas. It retries after local failures, which pass, within the limit for a connection.
 type dialer struct {
 	timeout       time.Duration // for one connection, with all retries
-	machine       system.System
+	machine       hostos.System
 	localFailures *atomic.Int64
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (d *dialer) dialOnce(ctx context.Context, network, addr string) (net.Conn, error) {
-	if err := d.machine.Before(system.Connect); err != nil {
+	if err := d.machine.Before(hostos.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 	return new(net.Dialer).DialContext(ctx, network, addr)
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
@@ -37,9 +37,9 @@
 			defer c.Close()
 		}
 	}
-	settings := testkit.Settings(t)
-	settings.Limits.ConnectTimeoutMs, settings.FamilyInfo.ReleaseWithinMs = 60_000, 200
-	client, obs := upstream.New(settings, 8, 8, system.Real()), newObserver()
+	settings := testutil.Settings(t)
+	settings.Limits.ConnectTimeoutMs, settings.ModelFamily.ReservationTTLMs = 60_000, 200
+	client, obs := upstream.New(settings, 8, 8, hostos.Real()), newObserver()
 	defer client.Close()
 	from := time.Now()
 	client.Send(specFor(addr, 2*time.Minute), obs)
@@ -53,7 +53,7 @@
 
 // A moment in which this process has no descriptor left is no fault of the replica's, and costs the attempt a moment.
 func TestDescriptorExhaustionIsNoFaultOfTheReplica(t *testing.T) {
-	r := testkit.NewReplica(t, testkit.Read)
+	r := testutil.NewReplica(t, testutil.ServePrefill)
 	client, obs := newClient(t, 8), newObserver()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
@@ -19,13 +19,13 @@
 // FuzzResponse feeds a replica's bytes to the client: whatever comes, there is one end and no panic.
 func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-	for _, text := range testkit.Broken(1, head+"Connection: close\r\n\r\n"+testkit.Answer("a"),
+	for _, text := range testutil.CorruptedSeeds(1, head+"Connection: close\r\n\r\n"+testutil.Answer("a"),
 		"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":3}",
 		"HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\r\nContent-Length: 0\r\n\r\n",
 		head+"Connection: close\r\n\r\n: Endpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\n\n") {
 		f.Add(text)
 	}
-	settings := testkit.Settings(f)
+	settings := testutil.Settings(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -43,7 +43,7 @@
 				io.Copy(conn, strings.NewReader(text))
 			}
 		}()
-		client, obs := upstream.New(settings, 8, 8, system.Real()), newObserver()
+		client, obs := upstream.New(settings, 8, 8, hostos.Real()), newObserver()
 		defer client.Close()
 		client.Send(specFor(l.Addr().String(), time.Second), obs)
 		select {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
@@ -22,9 +22,9 @@
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
 // recorder is a replica that answers each request alike, and passes on its bytes as they came.
-func recorder(t *testing.T, answer string) (to dispatch.Target, requests <-chan string) {
+func recorder(t *testing.T, answer string) (to dispatch.EndpointAddress, requests <-chan string) {
 	t.Helper()
-	l, err := net.Listen("tcp", testkit.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.Net()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 			conn.Close()
 		}
 	}()
-	return dispatch.Target{Name: "replica-1", Addr: l.Addr().String()}, out
+	return dispatch.EndpointAddress{Name: "replica-1", Addr: l.Addr().String()}, out
 }
 
 // The bytes of each kind of request that replicas are sent. The headings in the golden file stay as they were written.
@@ -56,7 +56,7 @@
 	const prefillDone = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
 	client := newClient(t, 8)
 	var all strings.Builder
-	record := func(name string, to dispatch.Target, request string) {
+	record := func(name string, to dispatch.EndpointAddress, request string) {
 		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
 		fmt.Fprintf(&all, "# %s\n%s\n\n", name, strings.ReplaceAll(request, "\r\n", "\n"))
 	}
@@ -72,9 +72,9 @@
 	}
 
 	to, requests = recorder(t, released)
-	client.Release(dispatch.Call{ID: "id-2"}, []dispatch.Target{to})
+	client.Release(dispatch.UpstreamCall{ID: "id-2"}, []dispatch.EndpointAddress{to})
 	record("a release", to, <-requests)
-	testkit.Eventually(t, "the release", func() bool { return client.PendingReleases() == 0 })
+	testutil.Eventually(t, "the release", func() bool { return client.PendingReleases() == 0 })
 
 	to, requests = recorder(t, loadReport)
 	for _, lease := range []string{"", "duty-1 7"} {
@@ -85,7 +85,7 @@
 			t.Errorf("load %+v", l)
 		}
 	}
-	testkit.CheckGolden(t, *update, "requests.golden", all.String())
+	testutil.CheckGolden(t, *update, "requests.golden", all.String())
 }
 
 // What a replica's response says: its status, its proof that nothing ran, and its load report.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 )
 
@@ -37,19 +37,19 @@
 func (o *observer) Ended(result dispatch.AttemptResult) { o.ended <- result }
 
 // call is the call that tests make.
-var call = dispatch.Call{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
+var call = dispatch.UpstreamCall{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
 
 // newClient returns a client of at most conns connections to a replica.
 func newClient(t *testing.T, conns int) *upstream.Client {
 	t.Helper()
-	client := upstream.New(testkit.Settings(t), conns, conns, system.Real())
+	client := upstream.New(testutil.Settings(t), conns, conns, hostos.Real())
 	t.Cleanup(client.Close)
 	return client
 }
 
 // specFor describes an attempt of call at a replica.
 func specFor(addr string, timeout time.Duration) dispatch.AttemptSpec {
-	return dispatch.AttemptSpec{Call: call, Target: dispatch.Target{Name: "s", Addr: addr}, Timeout: timeout}
+	return dispatch.AttemptSpec{Call: call, Target: dispatch.EndpointAddress{Name: "s", Addr: addr}, Timeout: timeout}
 }
 
 // send makes an attempt of call at a replica, over a client of its own.
--- a/internal/upstream/loadpoll.go
+++ b/internal/upstream/loadpoll.go
@@ -14,14 +14,14 @@
 const loadPath = "/load"
 
 // PollLoad implements dispatch.Upstream.
-func (c *Client) PollLoad(target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport)) {
+func (c *Client) PollLoad(target dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport)) {
 	c.PollLoadFor("", target, timeout, done)
 }
 
 // PollLoadFor is PollLoad on behalf of the fleet, under the named lease. It calls done once, from another goroutine,
 // with nil if the replica gave no load report within the timeout.
 func (c *Client) PollLoadFor(
-	lease string, target dispatch.Target, timeout time.Duration, done func(*routing.LoadReport),
+	lease string, target dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport),
 ) {
 	go func() {
 		report, err := c.fetchLoad(lease, target, timeout)
@@ -32,7 +32,7 @@
 	}()
 }
 
-func (c *Client) fetchLoad(lease string, target dispatch.Target, timeout time.Duration) (*routing.LoadReport, error) {
+func (c *Client) fetchLoad(lease string, target dispatch.EndpointAddress, timeout time.Duration) (*routing.LoadReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	resp, data, err := c.shortCall(ctx, http.MethodGet, target, loadPath, lease)
--- a/internal/upstream/loadpoll_test.go
+++ b/internal/upstream/loadpoll_test.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
 // A replica is polled for its load by the protocol's path. A malformed report, an error and a silent or dead replica all
 // give nil, in time, and none of them gives a report of an empty queue.
 func TestPollLoadReportsOnlyWhatCanBeParsed(t *testing.T) {
-	dead := testkit.NoOne(t)
+	dead := testutil.NoOne(t)
 	client := newClient(t, 8)
 	for answer, want := range map[string]*routing.LoadReport{
 		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5},
@@ -37,7 +37,7 @@
 			}
 			io.WriteString(w, answer)
 		}))
-		target, timeout := dispatch.Target{Name: "s", Addr: replica.Listener.Addr().String()}, 5*time.Second
+		target, timeout := dispatch.EndpointAddress{Name: "s", Addr: replica.Listener.Addr().String()}, 5*time.Second
 		switch answer {
 		case "dead":
 			target.Addr = dead
@@ -64,7 +64,7 @@
 	client := newClient(t, 8)
 	for _, lease := range []string{"", "probe/r 7"} {
 		reports := make(chan *routing.LoadReport, 1)
-		target := dispatch.Target{Name: "r", Addr: s.Listener.Addr().String()}
+		target := dispatch.EndpointAddress{Name: "r", Addr: s.Listener.Addr().String()}
 		client.PollLoadFor(lease, target, time.Second, func(l *routing.LoadReport) { reports <- l })
 		if got, l := <-leases, <-reports; got != lease || l == nil || l.QueuedRequests != 1 {
 			t.Errorf("lease %q, report %+v; want %q", got, l, lease)
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -31,7 +31,7 @@
 // Release implements dispatch.Upstream. The state must be released in time, and this side does not know which replicas
 // its calls reach: only an answer says so. So the release is hedged: a replica that does not answer at once is not
 // waited for, and the next one gets the same call; where none has answered, all get it again. A release is idempotent.
-func (c *Client) Release(call dispatch.Call, through []dispatch.Target) {
+func (c *Client) Release(call dispatch.UpstreamCall, through []dispatch.EndpointAddress) {
 	c.pendingReleases.Add(1)
 	done := make(chan struct{})
 	c.releaseDone.Store(call.ID, done)
@@ -63,7 +63,7 @@
 func (c *Client) PendingReleases() int64 { return c.pendingReleases.Load() }
 
 // releaseThrough sends a release through one replica after the other until one confirms it or releaseGiveUp has passed.
-func (c *Client) releaseThrough(callID string, through []dispatch.Target) {
+func (c *Client) releaseThrough(callID string, through []dispatch.EndpointAddress) {
 	if len(through) == 0 {
 		slog.Warn("release_failed", "id", callID, "attempts", 0)
 		return
@@ -90,7 +90,7 @@
 
 // releaseAsync sends a release to one replica in a goroutine of its own. A confirmation goes to confirmed, unless there
 // is one already; the returned channel is closed if there is none.
-func (c *Client) releaseAsync(callID string, target dispatch.Target, confirmed chan<- struct{}) (failed chan struct{}) {
+func (c *Client) releaseAsync(callID string, target dispatch.EndpointAddress, confirmed chan<- struct{}) (failed chan struct{}) {
 	failed = make(chan struct{})
 	go func() {
 		if err := c.release(callID, target); err != nil {
@@ -115,7 +115,7 @@
 }
 
 // release makes one call. After an error nobody knows whether the release arrived.
-func (c *Client) release(callID string, target dispatch.Target) error {
+func (c *Client) release(callID string, target dispatch.EndpointAddress) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	resp, _, err := c.shortCall(ctx, http.MethodDelete, target, roomsPath+url.PathEscape(callID), "")
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/routing"
 )
 
 // silentTargets returns count replicas that accept calls and never answer.
-func silentTargets(t *testing.T, count int) (through []dispatch.Target) {
+func silentTargets(t *testing.T, count int) (through []dispatch.EndpointAddress) {
 	t.Helper()
 	for i := range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		through = append(through, dispatch.Target{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
+		through = append(through, dispatch.EndpointAddress{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
 	}
 	return through
 }
@@ -32,11 +32,11 @@
 // just started and does not know which of them answer.
 func TestReleaseIsHedgedPastSilentReplicas(t *testing.T) {
 	through := silentTargets(t, 4)
-	live := testkit.NewReplica(t, testkit.Read)
+	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
-	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
+	client.Release(call, append(through, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
+	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 	if took := time.Since(start); took > 300*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
@@ -45,11 +45,11 @@
 // A release arrives in time, and while it still counts, though all replicas but the last of many are silent.
 func TestReleaseReachesTheLastOfManyReplicas(t *testing.T) {
 	through := silentTargets(t, 10)
-	live := testkit.NewReplica(t, testkit.Read)
+	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, append(through, dispatch.Target{Name: "live", Addr: live.Addr}))
-	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
+	client.Release(call, append(through, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
+	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
 	if took := time.Since(start); took > 600*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
@@ -65,12 +65,12 @@
 	defer refusing.Close()
 	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, []dispatch.Target{
-		{Name: "dead", Addr: testkit.NoOne(t)},
+	client.Release(call, []dispatch.EndpointAddress{
+		{Name: "dead", Addr: testutil.NoOne(t)},
 		{Name: "refusing", Addr: refusing.Listener.Addr().String()},
 	})
 	client.Release(call, nil)
-	testkit.Eventually(t, "its end", func() bool { return client.PendingReleases() == 0 })
+	testutil.Eventually(t, "its end", func() bool { return client.PendingReleases() == 0 })
 	if n, took := calls.Load(), time.Since(start); n < 3 || n > 20 || took < time.Second {
 		t.Errorf("%d calls in %v", n, took)
 	}
@@ -78,11 +78,11 @@
 
 // A release goes on to the next replica until a live one has confirmed it.
 func TestReleaseGoesOnAfterADeadReplica(t *testing.T) {
-	dead := testkit.NoOne(t)
-	live := testkit.NewReplica(t, testkit.Read)
+	dead := testutil.NoOne(t)
+	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
-	client.Release(call, []dispatch.Target{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
-	testkit.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
+	client.Release(call, []dispatch.EndpointAddress{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
+	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 }
 
 // A call that is sent just after its release waits until that has been confirmed: a release that arrives during a prefill
@@ -94,12 +94,12 @@
 			time.Sleep(20 * time.Millisecond) // the release takes this long to arrive
 		}
 		arrived <- r.Method
-		testkit.Read(w, r, 0)
+		testutil.ServePrefill(w, r, 0)
 	}))
 	defer replica.Close()
-	target := dispatch.Target{Name: "r", Addr: replica.Listener.Addr().String()}
+	target := dispatch.EndpointAddress{Name: "r", Addr: replica.Listener.Addr().String()}
 	client, obs := newClient(t, 8), newObserver()
-	client.Release(call, []dispatch.Target{target})
+	client.Release(call, []dispatch.EndpointAddress{target})
 	client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, obs)
 	if o := <-obs.ended; o.Outcome != routing.PrefillDone {
 		t.Errorf("outcome %d", o.Outcome)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -47,7 +47,7 @@
 // shortCall makes a call without a body and reads its short response. A lease names the fleet's lease under which the
 // call is made; it is empty where the call is made for this process alone.
 func (c *Client) shortCall(
-	ctx context.Context, method string, target dispatch.Target, path, lease string,
+	ctx context.Context, method string, target dispatch.EndpointAddress, path, lease string,
 ) (*http.Response, []byte, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { prepareConn(info, nil) },
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/system"
-	"rampspread/internal/testkit"
+	"rampspread/internal/hostos"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
@@ -19,9 +19,9 @@
 func TestLateDuplicateResponseIsNotTheNextResponse(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
 		const refusal = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-		r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 			if n > 0 {
-				testkit.Read(w, r, n)
+				testutil.ServePrefill(w, r, n)
 				return
 			}
 			conn, _, err := http.NewResponseController(w).Hijack()
@@ -35,8 +35,8 @@
 			io.Copy(io.Discard, conn) // it runs the next call, and does not answer it yet
 			conn.Close()
 		})
-		client := upstream.New(testkit.Settings(t), 8, 8, system.Real())
-		to := dispatch.Target{Name: "s", Addr: r.Addr}
+		client := upstream.New(testutil.Settings(t), 8, 8, hostos.Real())
+		to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
 		for n, want := range []routing.Outcome{routing.QueueFull, routing.PrefillDone} {
 			obs := newObserver()
 			client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, obs)
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/internal/upstream"
 	"rampspread/routing"
 )
 
 // A whole stream is passed on byte for byte, and its end reported once.
 func TestWholeStreamIsPassedOnUnchanged(t *testing.T) {
-	r := testkit.NewReplica(t, testkit.Write("alpha", "beta"))
+	r := testutil.NewReplica(t, testutil.ServeDecode("alpha", "beta"))
 	_, obs := send(t, r.Addr)
 	s := <-obs.first
 	got, err := io.ReadAll(s)
-	if err != nil || string(got) != testkit.Answer("alpha", "beta") {
+	if err != nil || string(got) != testutil.Answer("alpha", "beta") {
 		t.Errorf("read %q, %v", got, err)
 	}
 	s.Close()
@@ -31,9 +31,9 @@
 // Wherever a stream is cut, its whole events are passed on unchanged, and the end is an error, never io.EOF. Without a
 // whole event there is no stream at all: the attempt may have run, and that is all that is known.
 func TestCutStreamPassesOnItsWholeEvents(t *testing.T) {
-	whole := testkit.Answer("alpha", "beta")
+	whole := testutil.Answer("alpha", "beta")
 	for n := 1; n < len(whole); n += 7 {
-		r := testkit.NewReplica(t, testkit.Cut(n, "alpha", "beta"))
+		r := testutil.NewReplica(t, testutil.Cut(n, "alpha", "beta"))
 		_, obs := send(t, r.Addr)
 		checkEnd(t, obs, whole[:n], routing.ConnectionReset)
 	}
@@ -42,7 +42,7 @@
 // checkEnd takes an attempt to its end: it passed on the whole events of the text and nothing else.
 func checkEnd(t *testing.T, obs *observer, text string, want routing.Outcome) {
 	t.Helper()
-	if want := testkit.Whole(text); want != "" {
+	if want := testutil.CompleteEvents(text); want != "" {
 		s := <-obs.first
 		got, err := io.ReadAll(s)
 		s.Close()
@@ -51,7 +51,7 @@
 		}
 	}
 	o := <-obs.ended
-	brokeBeforeFirstEvent := o.Outcome == routing.ConnectionReset && testkit.Whole(text) == ""
+	brokeBeforeFirstEvent := o.Outcome == routing.ConnectionReset && testutil.CompleteEvents(text) == ""
 	if o.Outcome != want || o.StreamStarted != brokeBeforeFirstEvent || len(obs.ended)+len(obs.first) > 0 {
 		t.Errorf("%q: ended %+v, and %d more", text, o, len(obs.ended)+len(obs.first))
 	}
@@ -60,7 +60,7 @@
 // A malformed stream ends the attempt, though its connection stays open: before the first event nothing is passed on,
 // later whole events only.
 func TestMalformedStreamEndsTheAttempt(t *testing.T) {
-	one := testkit.Whole(testkit.Answer("alpha")[:100])
+	one := testutil.CompleteEvents(testutil.Answer("alpha")[:100])
 	for name, c := range map[string]struct{ received, passed string }{
 		"noise":                   {"\x03\x80\x91\n\xffnoise\n\n", ""},
 		"noise without a line":    {"\x03\x80\x91\xffnoise", ""},
@@ -68,20 +68,20 @@
 		"a head without end":      {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Pad: aaaa", ""},
 		"a large head":            {"HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("a", 64<<10), ""},
 		"1xx without end":         {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 99), ""},
-		"a head alone":            {testkit.Chunks(""), ""},
-		"noise for an event":      {testkit.Chunks("\x03\x80\n\n"), ""},
-		"half an event":           {testkit.Chunks(one[:40]), ""},
-		"an invalid chunk size":   {testkit.Chunks(one) + "zz\r\n" + one, one},
-		"a chunk size too small":  {testkit.Chunks(one) + "8\r\n" + one + "\r\n", one},
-		"a chunk size too large":  {testkit.Chunks(one) + fmt.Sprintf("%x\r\n%s\r\n", len(one)+9, one) + testkit.Chunks(one), one + one},
-		"a chunk of 3 GB":         {testkit.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", upstream.MaxEventSize+1), one},
-		"a chunk of 3 GB, slowly": {testkit.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", 99), one},
-		"an early end":            {testkit.Chunks(one) + "0\r\n\r\n", one},
+		"a head alone":            {testutil.Chunks(""), ""},
+		"noise for an event":      {testutil.Chunks("\x03\x80\n\n"), ""},
+		"half an event":           {testutil.Chunks(one[:40]), ""},
+		"an invalid chunk size":   {testutil.Chunks(one) + "zz\r\n" + one, one},
+		"a chunk size too small":  {testutil.Chunks(one) + "8\r\n" + one + "\r\n", one},
+		"a chunk size too large":  {testutil.Chunks(one) + fmt.Sprintf("%x\r\n%s\r\n", len(one)+9, one) + testutil.Chunks(one), one + one},
+		"a chunk of 3 GB":         {testutil.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", upstream.MaxEventSize+1), one},
+		"a chunk of 3 GB, slowly": {testutil.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", 99), one},
+		"an early end":            {testutil.Chunks(one) + "0\r\n\r\n", one},
 		"half a short response":   {"HTTP/1.1 503 Busy\r\nContent-Length: 9\r\n\r\nb", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, obs := send(t, testkit.NewReplica(t, testkit.Raw(c.received)).Addr)
+			_, obs := send(t, testutil.NewReplica(t, testutil.Raw(c.received)).Addr)
 			want := routing.ConnectionReset
 			if name == "half a short response" {
 				want = routing.Errored
@@ -93,9 +93,9 @@
 
 // 1xx heads before a response, and load reports that cannot be parsed, do no harm.
 func TestInformationalHeadsAndMalformedLoadReportsAreHarmless(t *testing.T) {
-	text := testkit.Answer("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
+	text := testutil.Answer("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
 	addr, _ := rawReplica(t, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+
-		strings.Replace(testkit.Chunks(text), "\r\n", "\r\nEndpoint-Load-Metrics: \xff%%\r\n", 1)+"0\r\n\r\n")
+		strings.Replace(testutil.Chunks(text), "\r\n", "\r\nEndpoint-Load-Metrics: \xff%%\r\n", 1)+"0\r\n\r\n")
 	_, obs := send(t, addr)
 	s := <-obs.first
 	got, err := io.ReadAll(s)
@@ -107,10 +107,10 @@
 
 // A replica that falls silent in midstream leaves its connection open: the stream is given up all the same.
 func TestSilentStreamIsGivenUp(t *testing.T) {
-	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		io.WriteString(w, "data: {}\n\n")
 		http.NewResponseController(w).Flush()
-		testkit.Silent(w, r, n)
+		testutil.Silent(w, r, n)
 	})
 	_, obs := send(t, r.Addr)
 	s := <-obs.first
@@ -124,8 +124,8 @@
 // The response to a rejected stream is closed, so that the replica notices.
 func TestRejectedStreamIsCutOffAtTheReplica(t *testing.T) {
 	gone := make(chan struct{})
-	r := testkit.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		testkit.Write("a")(w, r, n)
+	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
+		testutil.ServeDecode("a")(w, r, n)
 		<-r.Context().Done()
 		close(gone)
 	})
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -63,8 +63,8 @@
 	endpoints map[string]dispatch.Endpoint
 }
 
-// New returns a Server without endpoints; proxies receive nothing before the first Publish.
-func New(settings *config.Settings) *Server {
+// NewServer returns a Server without endpoints; proxies receive nothing before the first Publish.
+func NewServer(settings *config.Settings) *Server {
 	s := &Server{settings: settings, cache: cache.NewSnapshotCache(true, sharedNodeHash{}, nil),
 		grpc: grpc.NewServer(grpc.MaxConcurrentStreams(maxStreams)), endpoints: map[string]dispatch.Endpoint{}}
 	discovery := server.NewServer(context.Background(), s.cache, nil)
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"rampspread/internal/dispatch"
-	"rampspread/internal/testkit"
+	"rampspread/internal/testutil"
 	"rampspread/internal/xds"
 	"rampspread/routing"
 )
@@ -88,7 +88,7 @@
 
 // A proxy's stream receives the clusters and their endpoints, and after that each change of the endpoint list.
 func TestProxyReceivesEndpointsAndTheirChanges(t *testing.T) {
-	server := xds.New(testkit.Settings(t))
+	server := xds.NewServer(testutil.Settings(t))
 	endpoint := func(name string, kind int, state routing.EndpointState) dispatch.Endpoint {
 		return dispatch.Endpoint{Name: name, Addr: "127.0.0.1:9000", Kind: kind, State: state, Weight: 1.5}
 	}
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -42,7 +42,7 @@
 		h.r.commonQueueDelay.add(h.now, 9000)
 	}
 	for id := range RequestID(50) {
-		if !containsAction[Reject](h.handle(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second})) {
+		if !containsAction[Reject](h.handle(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, RemainingTime: 4 * time.Second})) {
 			t.Fatal("not rejected")
 		}
 	}
@@ -52,7 +52,7 @@
 	h.handle(time.Minute, TimerFired{})
 	n := 0
 	for id := RequestID(100); !h.r.overQuota(1); id++ {
-		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, TimeLeft: 4 * time.Second}
+		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, RemainingTime: 4 * time.Second}
 		h.handle(10*ms, AttemptEnded{Request: id, Endpoint: h.sentTo(h.handle(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
 		if n++; n > 20 {
 			t.Fatal("never beyond its quota")
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -6,7 +6,7 @@
 // ownFraction returns this router's part of a limit on what all routers do together, as of now.
 func (r *Router) ownFraction(limit float64) float64 {
 	switch {
-	case r.now < r.quotaShare.Duration:
+	case r.now < r.quotaShare.ValidFor:
 		return limit * r.quotaShare.Fraction
 	case r.cfg.Budgets.Fraction > 0:
 		return limit * r.cfg.Budgets.Fraction
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -12,7 +12,7 @@
 	if got := fraction(); got != 5 {
 		t.Errorf("%v without a QuotaShare, want 5", got)
 	}
-	h.handle(0, QuotaShare{Fraction: 0.5, Duration: time.Second})
+	h.handle(0, QuotaShare{Fraction: 0.5, ValidFor: time.Second})
 	if got := fraction(); got != 50 {
 		t.Errorf("%v with a share of a half, want 50", got)
 	}
@@ -24,7 +24,7 @@
 	if got := fraction(); got != 5 {
 		t.Errorf("%v after the share has expired, want 5", got)
 	}
-	h.handle(0, QuotaShare{Fraction: 0.9, Duration: -time.Second}) // it has expired on arrival
+	h.handle(0, QuotaShare{Fraction: 0.9, ValidFor: -time.Second}) // it has expired on arrival
 	if got := fraction(); got != 5 {
 		t.Errorf("%v with a share that had expired, want 5", got)
 	}
@@ -43,7 +43,7 @@
 		id := RequestID(0)
 		for end := h.now + span; h.now < end; {
 			id++
-			acts := h.handle(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+			acts := h.handle(8*time.Second, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, RemainingTime: 4 * time.Second})
 			for len(acts) > 0 {
 				a := acts[0]
 				acts = acts[1:]
--- a/routing/config.go
+++ b/routing/config.go
@@ -49,9 +49,9 @@
 
 // The values of DedupScope.
 const (
-	ScopeAll DedupScope = iota
-	ScopeZone
-	ScopeCell
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
 )
 
 // Role is the stage of inference that a replica serves.
@@ -88,7 +88,7 @@
 	}
 	for _, c := range cfg.Classes {
 		if min(c.TTFTObjective, c.TTFTObjectivePer1K, c.DedupWindow) < 0 ||
-			c.Idempotency > NonIdempotent || c.DedupScope > ScopeCell {
+			c.Idempotency > NonIdempotent || c.DedupScope > DedupScopeCell {
 			return errors.New("config: class out of range")
 		}
 	}
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -175,7 +175,7 @@
 	if class.Idempotency == NonIdempotent || ranOn == nil || r.now+maxProcessStall >= req.mayHaveRunAt+class.DedupWindow {
 		return false
 	}
-	return class.DedupScope == ScopeAll ||
-		class.DedupScope == ScopeZone && replica.Zone == ranOn.Zone ||
-		class.DedupScope == ScopeCell && replica.Cell == ranOn.Cell
+	return class.DedupScope == DedupScopeAll ||
+		class.DedupScope == DedupScopeZone && replica.Zone == ranOn.Zone ||
+		class.DedupScope == DedupScopeCell && replica.Cell == ranOn.Cell
 }
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -84,9 +84,9 @@
 		Classes: []Class{
 			{TTFTObjective: time.Second, TTFTObjectivePer1K: 60 * ms, Weight: 1, Idempotency: Idempotent},
 			{TTFTObjective: 2 * time.Second, TTFTObjectivePer1K: 100 * ms, Weight: 3, Idempotency: NonIdempotent},
-			{TTFTObjective: 2 * time.Second, Weight: 2, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 3 * time.Second},
-			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: ScopeZone, DedupWindow: time.Second},
-			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: ScopeAll, DedupWindow: time.Second},
+			{TTFTObjective: 2 * time.Second, Weight: 2, Idempotency: IdempotentByKey, DedupScope: DedupScopeCell, DedupWindow: 3 * time.Second},
+			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: DedupScopeZone, DedupWindow: time.Second},
+			{TTFTObjective: 2 * time.Second, Weight: 1, Idempotency: IdempotentByKey, DedupScope: DedupScopeAll, DedupWindow: time.Second},
 		},
 		TenantQuotas:     []float64{20, 5},
 		Kinds:            []Kind{{Role: Prefill}, {Role: Decode}},
@@ -175,7 +175,7 @@
 	a := RequestArrived{
 		Request: d.nextID, Class: d.rng.IntN(len(d.cfg.Classes)), Tenant: d.rng.IntN(2),
 		Session: Key(d.rng.IntN(50)), SharedPrefix: Key(1000 + d.rng.IntN(5)), PromptTokens: 100 + d.rng.IntN(4000),
-		MaxOutputTokens: 200, TimeLeft: remaining,
+		MaxOutputTokens: 200, RemainingTime: remaining,
 	}
 	a.SharedPrefixTokens = a.PromptTokens / 2
 	q := &trackedRequest{RequestArrived: a, deadline: d.now + remaining}
@@ -247,7 +247,7 @@
 		}
 	case Reject:
 		if q := d.requests[a.Request]; q != nil && q.mayHaveRun &&
-			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != ScopeAll) {
+			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != DedupScopeAll) {
 			d.violation("rule 2: request %d was rejected after it may have run", a.Request)
 		}
 		d.answer(a.Request)
@@ -303,7 +303,7 @@
 		d.violation("rule 2: non-idempotent request %d was sent again after it may have run", q.Request)
 	case d.now > q.mayHaveRunAt+c.DedupWindow:
 		d.violation("rule 2: request %d was sent again after its deduplication window", q.Request)
-	case c.DedupScope == ScopeCell && s.Cell != ranOn.Cell, c.DedupScope == ScopeZone && s.Zone != ranOn.Zone:
+	case c.DedupScope == DedupScopeCell && s.Cell != ranOn.Cell, c.DedupScope == DedupScopeZone && s.Zone != ranOn.Zone:
 		d.violation("rule 2: request %d was sent again outside its deduplication scope", q.Request)
 	}
 }
--- a/routing/event.go
+++ b/routing/event.go
@@ -34,7 +34,7 @@
 		PromptTokens       int
 		SharedPrefixTokens int
 		MaxOutputTokens    int
-		TimeLeft           time.Duration // until the client's deadline
+		RemainingTime      time.Duration // until the client's deadline
 	}
 	// FirstToken says that the response stream of a decode attempt has begun; the attempt goes on.
 	FirstToken struct {
@@ -72,7 +72,7 @@
 	// the fractions of all routers add up to at most 1.
 	QuotaShare struct {
 		Fraction float64
-		Duration time.Duration
+		ValidFor time.Duration
 	}
 	// SubsetAssigned names the replicas that the router uses as long as enough of them are healthy; none: all.
 	// Replicas that are not on the endpoint list count from the time when they are.
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -32,7 +32,7 @@
 	step(0, routing.EndpointUpdate{Full: true, Endpoints: []routing.Endpoint{
 		{ID: 10, Kind: 0, State: routing.Ready}, {ID: 20, Kind: 1, State: routing.Ready}}})
 	const ms = time.Millisecond
-	step(1*ms, routing.RequestArrived{Request: 1, PromptTokens: 800, TimeLeft: 4 * time.Second})
+	step(1*ms, routing.RequestArrived{Request: 1, PromptTokens: 800, RemainingTime: 4 * time.Second})
 	step(40*ms, routing.AttemptEnded{Request: 1, Endpoint: 10, Outcome: routing.PrefillDone, Elapsed: 39 * ms})
 	step(60*ms, routing.FirstToken{Request: 1, Attempt: 1, Endpoint: 20, Elapsed: 20 * ms})
 	step(900*ms, routing.AttemptEnded{Request: 1, Attempt: 1, Endpoint: 20, Outcome: routing.Served, Final: true})
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -115,7 +115,7 @@
 	endpoints := d.endpointList()
 	switch d.rng.IntN(6) {
 	case 0:
-		d.handle(QuotaShare{Fraction: d.rng.Float64(), Duration: time.Second})
+		d.handle(QuotaShare{Fraction: d.rng.Float64(), ValidFor: time.Second})
 	case 1:
 		subset := SubsetAssigned{}
 		for _, s := range endpoints {
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -39,7 +39,7 @@
 }
 
 func (h *harness) arrive(id RequestID, class int) []Action {
-	return h.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})
+	return h.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, RemainingTime: 4 * time.Second})
 }
 
 // sentTo returns the replica of the first Send.
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -8,7 +8,7 @@
 func TestCachedPrefixAttractsRequest(t *testing.T) {
 	h := newHarness(t, nil)
 	h.r.recordPrefix(77, 2, 900)
-	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, TimeLeft: 4 * time.Second}
+	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, RemainingTime: 4 * time.Second}
 	if got := h.sentTo(h.handle(ms, a)); got != 2 {
 		t.Errorf("went to %d, want the replica that has the session cached", got)
 	}
@@ -30,7 +30,7 @@
 		}
 		r.Handle(time.Hour, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)}, nil)
 		for _, a := range r.Handle(time.Hour, RequestArrived{Request: id, Tenant: -1, Session: session, SharedPrefix: 7,
-			SharedPrefixTokens: 2000, PromptTokens: 2500, TimeLeft: 4 * time.Second}, nil) {
+			SharedPrefixTokens: 2000, PromptTokens: 2500, RemainingTime: 4 * time.Second}, nil) {
 			if s, ok := a.(Send); ok {
 				return s.Endpoint
 			}
@@ -55,7 +55,7 @@
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
 	to := map[EndpointID]int{}
 	for id := range RequestID(300) {
-		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, TimeLeft: 4 * time.Second}
+		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, RemainingTime: 4 * time.Second}
 		if id%2 == 0 {
 			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
 		}
--- a/routing/quiet_test.go
+++ b/routing/quiet_test.go
@@ -88,7 +88,7 @@
 		n := len(out) - 1
 		handle(fleet[rng.IntN(routers)], n, RequestArrived{
 			Request: RequestID(n), Class: q.class, Tenant: -1, Session: q.session, PromptTokens: q.prompt,
-			TimeLeft: 6 * time.Second,
+			RemainingTime: 6 * time.Second,
 		})
 	}
 	arrive()
--- a/routing/request.go
+++ b/routing/request.go
@@ -97,7 +97,7 @@
 	req := &request{
 		RequestArrived: event,
 		arrivedAt:      r.now,
-		deadline:       r.now + event.TimeLeft,
+		deadline:       r.now + event.RemainingTime,
 		ttftObjective:  class.TTFTObjective + perPrompt,
 		overQuota:      r.overQuota(event.Tenant),
 		selectionStart: r.now,
@@ -355,7 +355,7 @@
 // would have been late, with jitter so that not all clients come back at once.
 func (r *Router) rejectOrFail(req *request, why Reason, excessMS float64) {
 	class := r.cfg.Classes[req.Class]
-	deduplicated := class.Idempotency == IdempotentByKey && class.DedupScope == ScopeAll
+	deduplicated := class.Idempotency == IdempotentByKey && class.DedupScope == DedupScopeAll
 	if req.mayHaveRun && class.Idempotency != Idempotent && !deduplicated {
 		r.finish(req, Fail{req.Request, why})
 		return
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -107,7 +107,7 @@
 	id := RequestID(1 << 40)
 	for b.Loop() {
 		id++
-		out = d.r.Handle(d.now, RequestArrived{Request: id, Session: Key(id % 100), PromptTokens: 900, TimeLeft: time.Second}, out[:0])
+		out = d.r.Handle(d.now, RequestArrived{Request: id, Session: Key(id % 100), PromptTokens: 900, RemainingTime: time.Second}, out[:0])
 		d.now += ms
 		d.r.Handle(d.now, ClientGone{id}, nil)
 		for i := range 12 {
@@ -146,7 +146,7 @@
 				id++
 				now += ms
 				out = r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: Key(id % 100), PromptTokens: 900,
-					TimeLeft: time.Second}, out[:0])
+					RemainingTime: time.Second}, out[:0])
 				prefillReplica := out[0].(Send).Endpoint
 				out = r.Handle(now, AttemptEnded{Request: id, Endpoint: prefillReplica, Outcome: PrefillDone, Elapsed: ms}, out[:0])
 				decodeReplica := out[0].(Send).Endpoint
--- a/routing/router.go
+++ b/routing/router.go
@@ -127,7 +127,7 @@
 	case PeerLoadReport:
 		r.peerLoadReport(e)
 	case QuotaShare:
-		r.quotaShare = QuotaShare{e.Fraction, r.now + e.Duration}
+		r.quotaShare = QuotaShare{e.Fraction, r.now + e.ValidFor}
 	case SubsetAssigned:
 		r.assignSubset(e)
 	case SnapshotReceived:
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -124,7 +124,7 @@
 			shared = hotPrefix
 		}
 		handle(all[routersByTraffic[rng.IntN(len(routersByTraffic))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
-			TimeLeft: 4 * time.Second})
+			RemainingTime: 4 * time.Second})
 		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
@@ -213,7 +213,7 @@
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		r := all[rng.IntN(routers)]
-		for _, a := range r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: session, PromptTokens: 20, TimeLeft: 4 * time.Second}, nil) {
+		for _, a := range r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: session, PromptTokens: 20, RemainingTime: 4 * time.Second}, nil) {
 			s, ok := a.(Send)
 			if !ok {
 				continue
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -25,9 +25,9 @@
 type (
 	// LatencyModel holds the decayed sums of a least-squares fit: the normal matrix A and the vector B.
 	LatencyModel struct {
-		A  [3][3]float64
-		B  [3]float64
-		At time.Duration
+		Normal  [3][3]float64
+		Moments [3]float64
+		At      time.Duration
 	}
 	// DecayedMean holds the decayed sum of samples and their decayed number.
 	DecayedMean struct {
@@ -233,21 +233,21 @@
 		return
 	}
 	// The element of the base input, which is 1, is the number of samples.
-	samples := other.A[baseInput][baseInput] * decay(now-other.At, f.timeConstant)
+	samples := other.Normal[baseInput][baseInput] * decay(now-other.At, f.timeConstant)
 	if samples > f.normal[baseInput][baseInput]*decay(now-f.updatedAt, f.timeConstant) {
-		f.normal, f.moments, f.updatedAt = other.A, other.B, other.At
+		f.normal, f.moments, f.updatedAt = other.Normal, other.Moments, other.At
 		f.solve(now)
 	}
 }
 
 // plausible reports whether all sums are, and the diagonal, a sum of squares, is not negative.
 func (m *LatencyModel) plausible() bool {
-	for i := range m.A {
-		if !plausible(m.A[i][:]...) || m.A[i][i] < 0 {
+	for i := range m.Normal {
+		if !plausible(m.Normal[i][:]...) || m.Normal[i][i] < 0 {
 			return false
 		}
 	}
-	return plausible(m.B[:]...)
+	return plausible(m.Moments[:]...)
 }
 
 // plausible reports whether no figure is NaN or so large that no router could have learned it.
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -12,7 +12,7 @@
 	served := func() *harness {
 		h := newHarness(t, nil)
 		for id := RequestID(1); id < 60; id++ {
-			s := h.sentTo(h.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, TimeLeft: 4 * time.Second}))
+			s := h.sentTo(h.handle(10*ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 2000, RemainingTime: 4 * time.Second}))
 			elapsed := 200 * ms // longer than the prior estimate
 			decodeReplica := h.sentTo(h.handle(elapsed, AttemptEnded{Request: id, Endpoint: s, Outcome: PrefillDone, Elapsed: elapsed}))
 			h.handle(5*ms, FirstToken{Request: id, Attempt: 1, Endpoint: decodeReplica, Elapsed: 5 * ms})
@@ -71,7 +71,7 @@
 		for i := range c.Endpoints {
 			c.Endpoints[i].Started += time.Minute // another start of the replica
 		}
-		c.Prefill.B[1], c.CommonQueueDelay.Sum, c.EstimateError.Count = math.NaN(), math.Inf(1), -1
+		c.Prefill.Moments[1], c.CommonQueueDelay.Sum, c.EstimateError.Count = math.NaN(), math.Inf(1), -1
 	})
 	if len(implausible.r.prefixCache) > 0 || !implausible.r.healthy(implausible.r.byID[11], 0) || implausible.r.prefillModel.coefficients[0] != initialPrefillBaseMS || implausible.r.commonQueueDelay.count(implausible.now) > 0 {
 		t.Errorf("%d prefixes, coefficients %v", len(implausible.r.prefixCache), implausible.r.prefillModel.coefficients)
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -46,7 +46,7 @@
 		}
 		return 0, false
 	}
-	if prefill, ok = send(h.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, TimeLeft: 4 * time.Second})); !ok {
+	if prefill, ok = send(h.handle(ms, RequestArrived{Request: id, Tenant: -1, Session: Key(id), PromptTokens: 1000, RemainingTime: 4 * time.Second})); !ok {
 		return 0, 0, false
 	}
 	if decode, ok = send(h.handle(20*ms, AttemptEnded{Request: id, Endpoint: prefill, Outcome: PrefillDone, Elapsed: 20 * ms})); !ok {
