--- a/cmd/fleetrig/golden_test.go
+++ b/cmd/fleetrig/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"path/filepath"
@@ -12,11 +11,9 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // describe writes a command's use, its flags by name with type and default, and its sub-commands.
 func describe(out io.Writer, c *cobra.Command, indent string) {
 	fmt.Fprintf(out, "%s%s\n", indent, c.Use)
@@ -32,7 +29,7 @@
 	var out bytes.Buffer
 	describe(&out, commands(io.Discard, io.Discard), "")
 	text := strings.ReplaceAll(out.String(), filepath.Dir(beside()), "FOLDER") // the binaries beside this one
-	testutil.CheckGolden(t, *update, "commands.golden", text)
+	golden.Text(t, "commands.golden", text)
 }
 
 // The names of the built-in scenarios and the kinds of fault, which journals and scripts name.
@@ -52,5 +49,5 @@
 		t.Fatal(err)
 	}
 	text := fmt.Sprintf("%s\n%s\n", strings.Join(names, "\n"), soak.Flag("faults").Usage)
-	testutil.CheckGolden(t, *update, "list.golden", text)
+	golden.Text(t, "list.golden", text)
 }
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
@@ -24,10 +23,9 @@
 	"rampspread/internal/hostos"
 	"rampspread/internal/state"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // describe writes a command's use, its flags by name with type and default, and its sub-commands.
 func describe(out io.Writer, c *cobra.Command, indent string) {
 	fmt.Fprintf(out, "%s%s\n", indent, c.Use)
@@ -46,7 +44,7 @@
 	t.Setenv("LB_CONFIG", "from-the-environment")
 	var out bytes.Buffer
 	describe(&out, newRootCommand(hostos.Real(), signals{}, io.Discard), "")
-	testutil.CheckGolden(t, *update, "commands.golden", out.String())
+	golden.Text(t, "commands.golden", out.String())
 }
 
 // A valid command line exits with 0, any error with 1 and one line on stderr.
@@ -182,7 +180,7 @@
 			t.Errorf("%s -json: %q, %v", name, out.String(), err)
 		}
 	}
-	testutil.CheckGolden(t, *update, "fleet.golden", all.String())
+	golden.Text(t, "fleet.golden", all.String())
 }
 
 // The state commands print a stored state with a record in each state.
@@ -223,7 +221,7 @@
 	command("check", dir, "-name", "name-1", "-of", "fleet-1")
 	command("show", dir)
 	command("check", dir, "-name", "name-2", "-of", "fleet-1")
-	testutil.CheckGolden(t, *update, "state.golden", all.String())
+	golden.Text(t, "state.golden", all.String())
 }
 
 // The output of check and import.
@@ -240,5 +238,5 @@
 		}
 		fmt.Fprintf(&all, "$ rampspread %s\n%s", args[0], strings.ReplaceAll(out.String(), config, "CONFIG"))
 	}
-	testutil.CheckGolden(t, *update, "files.golden", all.String())
+	golden.Text(t, "files.golden", all.String())
 }
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -1,7 +1,6 @@
 package chatapi_test
 
 import (
-	"flag"
 	"io"
 	"net/http"
 	"regexp"
@@ -10,10 +9,9 @@
 	"time"
 
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
 // Patterns of what differs between runs.
 var (
 	randomID   = regexp.MustCompile(`[0-9a-f]{16}`)
@@ -70,7 +68,7 @@
 		all.WriteString(dump("GET "+path, resp, string(text)))
 	}
 	all.WriteString("# the body that a server gets\n" + s.Decode.Bodies()[0] + "\n")
-	testutil.CheckGolden(t, *update, "answers.golden", all.String())
+	golden.Text(t, "answers.golden", all.String())
 }
 
 // Each answer to a request that is not run or that fails.
@@ -120,7 +118,7 @@
 		resp, text, _ := s.post(t, c.body, c.headers...) // the error of a stream that breaks off
 		all.WriteString(dump(c.name, resp, text))
 	}
-	testutil.CheckGolden(t, *update, "errors.golden", all.String())
+	golden.Text(t, "errors.golden", all.String())
 }
 
 // The answers to a retry whose first attempt has no known answer, and to one key more than the table holds.
@@ -150,5 +148,5 @@
 	}
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "one more")
 	all.WriteString(dump("full", resp, text))
-	testutil.CheckGolden(t, *update, "filings.golden", all.String())
+	golden.Text(t, "filings.golden", all.String())
 }
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -1,7 +1,6 @@
 package connlimit_test
 
 import (
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -11,10 +10,9 @@
 
 	"rampspread/internal/connlimit"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
 // The answers during an operator's drain and at the process's end.
 func TestGoldenLimiter(t *testing.T) {
 	next := func(w http.ResponseWriter, r *http.Request) {
@@ -60,5 +58,5 @@
 		}
 		fmt.Fprintf(&all, "# %s\n%sclose: %t\n\n", c.name, testutil.DumpResponse(resp, string(text)), resp.Close)
 	}
-	testutil.CheckGolden(t, *update, "guard.golden", all.String())
+	golden.Text(t, "guard.golden", all.String())
 }
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,10 +12,9 @@
 	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
 // retryAfter is a Retry-After header with a drawn time, in seconds with three decimals.
 var retryAfter = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\n`)
 
@@ -70,7 +68,7 @@
 		}
 		fmt.Fprintf(&all, "# %s\n%s\n", c.name, dump)
 	}
-	testutil.CheckGolden(t, *update, "answers.golden", all.String())
+	golden.Text(t, "answers.golden", all.String())
 }
 
 // A name's key is the same at each dispatcher, of whatever version.
@@ -110,5 +108,5 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&all, "# too much in hand\n%s\n", testutil.DumpResponse(resp, text))
-	testutil.CheckGolden(t, *update, "turned-away.golden", all.String())
+	golden.Text(t, "turned-away.golden", all.String())
 }
--- a/internal/state/endpointcache/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -1,14 +1,13 @@
 package endpointcache
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
 
 	"rampspread/internal/hostos"
-	"rampspread/internal/state/internal/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 const goldenFileName = "newest.list"
@@ -30,10 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := golden.Bytes(t, "newest.list.hex", current)
-	if !bytes.Equal(current, want) {
-		t.Errorf("wrote %q, not %q", current, want)
-	}
+	want := golden.SparseBytes(t, "newest.list.hex", current)
 	existing := t.TempDir()
 	if err := os.WriteFile(filepath.Join(existing, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/state/fencing/golden_test.go
+++ b/internal/state/fencing/golden_test.go
@@ -1,13 +1,12 @@
 package fencing
 
 import (
-	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"rampspread/internal/hostos"
-	"rampspread/internal/state/internal/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 const (
@@ -29,10 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := golden.Bytes(t, "lease.numbers.hex", current)
-	if !bytes.Equal(current, want) {
-		t.Errorf("wrote %q, not %q", current, want)
-	}
+	want := golden.SparseBytes(t, "lease.numbers.hex", current)
 	existing := t.TempDir()
 	if err := os.WriteFile(filepath.Join(existing, goldenFileName), want, 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/bbolt"
 
 	"rampspread/internal/fleet/idempotency"
-	"rampspread/internal/state/internal/golden"
+	"rampspread/internal/testutil/golden"
 )
 
 const (
@@ -110,15 +110,13 @@
 // database, and may have its pages in another order.
 func TestGoldenEntriesAreWritten(t *testing.T) {
 	_, entryList := writeGoldenState(t)
-	if want := golden.Text(t, "entries.txt", entryList); entryList != want {
-		t.Errorf("wrote\n%s\nnot\n%s", entryList, want)
-	}
+	golden.Text(t, "entries.txt", entryList)
 }
 
 // The database file that 1ac8dd0 wrote is sound, and is read to the same values.
 func TestGoldenFileIsRead(t *testing.T) {
 	current, entryList := writeGoldenState(t)
-	file := golden.Bytes(t, "filings.db.hex", current)
+	file := golden.ReadSparseBytes(t, "filings.db.hex", current)
 	if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"rampspread/internal/state/atomicfile"
-	"rampspread/internal/state/internal/golden"
+	"rampspread/internal/testutil/golden"
 	"rampspread/routing"
 )
 
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := goldenExchange().Decode(golden.Bytes(t, "beliefs.hex", current))
+	got, err := goldenExchange().Decode(golden.ReadSparseBytes(t, "beliefs.hex", current))
 	if err != nil || !reflect.DeepEqual(got, goldenSnapshot()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,5 +1,8 @@
-// Package golden compares what a test produced with files under the package's testdata folder. The files hold forms that other
-// processes or later versions read, so a difference is a change of the protocol, never of the test alone.
+// Package golden compares what a test produced with golden files, which are in the testdata folder of the tested package.
+// The files hold forms that other processes, later versions or operators read, so a difference is a change of a format,
+// never of the test alone. The flag -update of the test program replaces the files by what the code produces.
+//
+// The functions must be called from the goroutine of the test.
 package golden
 
 import (
@@ -15,18 +18,22 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from what the code produces")
+var update = flag.Bool("update", false, "replace the golden files by what the code produces")
 
-const bytesPerLine = 16
+const (
+	bytesPerLine = 16
+	dirMode      = 0o755
+	fileMode     = 0o644
+)
 
 // Text compares got with the file testdata/name and returns the file's content.
-func Text(t testing.TB, name string, got []byte) []byte {
+func Text[S string | []byte](t testing.TB, name string, got S) S {
 	t.Helper()
-	want := read(t, name, got)
-	if !bytes.Equal(got, want) {
+	want := read(t, name, []byte(got))
+	if !bytes.Equal([]byte(got), want) {
 		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 	}
-	return want
+	return S(want)
 }
 
 // Bytes compares got with the file testdata/name, which holds it as hexadecimal text, and returns the bytes of the file.
@@ -66,14 +73,15 @@
 	}
 }
 
-func read(t testing.TB, name string, got []byte) []byte {
+// read returns the content of the file testdata/name; with -update it first replaces it by current.
+func read(t testing.TB, name string, current []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
+		if err := os.WriteFile(path, current, fileMode); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -84,6 +92,7 @@
 	return want
 }
 
+// dump writes bytes as lines of hexadecimal text.
 func dump(b []byte) []byte {
 	var out bytes.Buffer
 	for len(b) > 0 {
@@ -94,7 +103,8 @@
 	return out.Bytes()
 }
 
-// zeroField is the path of the first exported field that has its zero value; empty: none has.
+// zeroField returns the path of the first exported field that has its zero value, or "" if all are set. Elements of
+// slices and targets of pointers are searched too; maps are not.
 func zeroField(v reflect.Value, path string) string {
 	if v.IsZero() {
 		return path
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -14,11 +13,10 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 	"rampspread/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
 // recorder is a replica that answers each request alike, and passes on its bytes as they came.
@@ -85,7 +83,7 @@
 			t.Errorf("load %+v", l)
 		}
 	}
-	testutil.CheckGolden(t, *update, "requests.golden", all.String())
+	golden.Text(t, "requests.golden", all.String())
 }
 
 // What a replica's response says: its status, its proof that nothing ran, and its load report.
