--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -56,7 +56,7 @@
 
 func newPlace(t *testing.T) place {
 	t.Helper()
-	p := place{dir: t.TempDir(), replace: strings.NewReplacer("127.0.0.", testutil.Net())}
+	p := place{dir: t.TempDir(), replace: strings.NewReplacer("127.0.0.", testutil.LoopbackPrefix())}
 	for _, name := range []string{"example/config.json", "example/scenario.json", "example/workers.properties", "deploy/chat.json", "deploy/fleet.json"} {
 		text, err := os.ReadFile(filepath.Join("..", name))
 		if err != nil {
--- a/internal/app/connections_test.go
+++ b/internal/app/connections_test.go
@@ -25,11 +25,11 @@
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if r.Header.Get("X-Trace-Id") == "streams" {
 			w.Header().Set("Content-Type", "text/event-stream")
-			io.WriteString(w, strings.SplitAfter(testutil.Answer("a"), "\n\n")[0])
+			io.WriteString(w, strings.SplitAfter(testutil.EventStream("a"), "\n\n")[0])
 			http.NewResponseController(w).Flush()
 			started <- true
 			<-finish
-			io.WriteString(w, strings.SplitAfterN(testutil.Answer("a"), "\n\n", 2)[1])
+			io.WriteString(w, strings.SplitAfterN(testutil.EventStream("a"), "\n\n", 2)[1])
 			return
 		}
 		testutil.ServeDecode("alpha")(w, r, n)
@@ -71,7 +71,7 @@
 	}
 	close(finish)
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || string(body) != testutil.Answer("a") {
+	if err != nil || string(body) != testutil.EventStream("a") {
 		t.Errorf("the stream ended with %q, %v", body, err)
 	}
 	io.WriteString(streaming, requestText("after", "{}"))
@@ -122,7 +122,7 @@
 	down.Store(false)
 	testutil.Eventually(t, "a prefill at the new replica", func() bool {
 		status, body := postRequest(t, listen, "request", "{}")
-		if status != 200 || body != testutil.Answer("alpha") {
+		if status != 200 || body != testutil.EventStream("alpha") {
 			t.Errorf("status %d, %q", status, body)
 		}
 		n, _ := prefill.Calls()
@@ -230,7 +230,7 @@
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("answer %d: %v, %v", i, resp, err)
 		}
-		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != testutil.Answer("alpha") {
+		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != testutil.EventStream("alpha") {
 			t.Fatalf("answer %d: %q, %v", i, body, err)
 		}
 	}
@@ -239,7 +239,7 @@
 	}
 
 	var open atomic.Int64
-	prefill.Follow(func(_ http.ResponseWriter, r *http.Request, _ int) { open.Add(1); <-r.Context().Done() })
+	prefill.SetScript(func(_ http.ResponseWriter, r *http.Request, _ int) { open.Add(1); <-r.Context().Done() })
 	c = dial(t, listen)
 	for i := range requests {
 		if _, err := io.WriteString(c, requestText(fmt.Sprintf("gone-%d", i), "{}")); err != nil {
--- a/internal/app/deployment_names_test.go
+++ b/internal/app/deployment_names_test.go
@@ -102,7 +102,7 @@
 		return resp.StatusCode, string(body)
 	}
 	for i, class := range []string{"sketch", "inventory", "gossip"} {
-		if status, body := post(class, []string{"north-wing", "garden", ""}[i]); status != 200 || body != testutil.Answer("alpha") {
+		if status, body := post(class, []string{"north-wing", "garden", ""}[i]); status != 200 || body != testutil.EventStream("alpha") {
 			t.Errorf("%s: status %d, %q", class, status, body)
 		}
 		if expiry, err := frontend.ParseExpiry(decode.Header(i).Get("X-Expires-In")); err != nil || expiry > 1700*time.Millisecond {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -32,12 +32,12 @@
 // event and waits.
 func startDrainFixture(t *testing.T, number int) *drainFixture {
 	t.Helper()
-	host := fmt.Sprintf("%s%d", testutil.Net(), firstDrainAddress+number)
+	host := fmt.Sprintf("%s%d", testutil.LoopbackPrefix(), firstDrainAddress+number)
 	d := &drainFixture{listen: host + ":9000", admin: host + ":9600", finishStream: make(chan bool, 8)}
 	finishAll := make(chan struct{})
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		text := testutil.Answer("one", "two")
+		text := testutil.EventStream("one", "two")
 		first := strings.Index(text, "\n\n") + 2
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, text[:first])
--- a/internal/app/golden_fingerprint_test.go
+++ b/internal/app/golden_fingerprint_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual, err := config.ParseSettings([]byte(testutil.SettingsText))
+	usual, err := config.ParseSettings([]byte(testutil.SettingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -158,7 +158,7 @@
 		calls[name] = func() admin.Answer { return admin.OK(text) }
 	}
 	s := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	l, err := net.Listen("tcp", testutil.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -41,7 +41,7 @@
 // freeAddr returns an address on which nobody listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", testutil.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 func configText(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
-		listen, discovery, known, testutil.SettingsText)
+		listen, discovery, known, testutil.SettingsJSON)
 }
 
 // chatText configures a chat front; its parameter is the address.
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -107,7 +107,7 @@
 	}
 	reload("{", "event=reload_failed", func() bool { return true })
 	reload(configText(listen, second, "{}"), "event=reloaded discovery="+second, func() bool { return moved.Load() == 1 })
-	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.Answer("new") {
+	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.EventStream("new") {
 		t.Errorf("after the move: status %d, %q", status, text)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
@@ -150,7 +150,7 @@
 	}()
 	awaitReady(t, listen)
 	send := func() (int, string) { return postRequest(t, listen, "a1", `{}`) }
-	if status, text := send(); status != 200 || text != testutil.Answer("alpha") {
+	if status, text := send(); status != 200 || text != testutil.EventStream("alpha") {
 		t.Fatalf("status %d, %q", status, text)
 	}
 	printCounters <- os.Interrupt
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	for i := range 40 { // across the first one's last accept and its end
-		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.Answer("alpha") {
+		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.EventStream("alpha") {
 			t.Errorf("request %d: status %d, %q", i, status, text)
 		}
 		time.Sleep(25 * time.Millisecond)
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -43,7 +43,7 @@
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		testutil.Silent(w, r, 0)
+		testutil.NeverRespond(w, r, 0)
 	}))
 	defer decode.Close()
 	defer decode.CloseClientConnections()
@@ -84,7 +84,7 @@
 		testutil.ServePrefill(w, r, n)
 		prefillDone <- true
 	})
-	decode := testutil.NewReplica(t, testutil.Silent)
+	decode := testutil.NewReplica(t, testutil.NeverRespond)
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, folder, adminAddress := freeAddr(t), t.TempDir(), freeAddr(t)
--- a/internal/chatapi/disconnect_test.go
+++ b/internal/chatapi/disconnect_test.go
@@ -27,7 +27,7 @@
 func TestStreamsCutByServerGetOneFinalAnswer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 11))
 	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
-	whole := testutil.Answer("Parcel ", "7 ", "is yours")
+	whole := testutil.EventStream("Parcel ", "7 ", "is yours")
 	for i := range 60 {
 		n := rng.IntN(len(whole) + 40)
 		cut, model := n < len(whole), []string{"frage", "meldung"}[rng.IntN(2)]
@@ -35,7 +35,7 @@
 		if !cut {
 			n = -1
 		}
-		s.Decode.Follow(testutil.Cut(n, "Parcel ", "7 ", "is yours"))
+		s.Decode.SetScript(testutil.ServeTruncated(n, "Parcel ", "7 ", "is yours"))
 		for attempt := range 3 {
 			resp, text, err := s.post(t, requestBody(model, stream, fmt.Sprint("cut ", i)), "Idempotency-Key", fmt.Sprint("cut ", i))
 			if got := countFinalAnswers(resp.StatusCode, stream, text); got != 1 {
@@ -56,16 +56,16 @@
 // request with a key runs twice.
 func TestCorruptStreamsGetOneFinalAnswer(t *testing.T) {
 	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
-	wholeEvent := testutil.CompleteEvents(testutil.Answer("Parcel")[:100])
+	wholeEvent := testutil.CompleteEvents(testutil.EventStream("Parcel")[:100])
 	for name, corrupt := range map[string]string{
 		"noise":               "\x03\x80\x91\n\xffnoise\n\n",
 		"a head without end":  "HTTP/1.1 200 OK\r\nX-Pad: aaaa",
-		"noise for an event":  testutil.Chunks("\x03\x80\n\n"),
-		"a bad size":          testutil.Chunks(wholeEvent) + "zz\r\n",
-		"a chunk without end": testutil.Chunks(wholeEvent) + "b2d05e00\r\n" + strings.Repeat("x", 99),
+		"noise for an event":  testutil.ChunkedResponse("\x03\x80\n\n"),
+		"a bad size":          testutil.ChunkedResponse(wholeEvent) + "zz\r\n",
+		"a chunk without end": testutil.ChunkedResponse(wholeEvent) + "b2d05e00\r\n" + strings.Repeat("x", 99),
 	} {
 		for _, stream := range []bool{true, false} {
-			s.Decode.Follow(testutil.Raw(corrupt))
+			s.Decode.SetScript(testutil.ServeRaw(corrupt))
 			for attempt, wantConflict := range []bool{false, true} { // a retry never runs
 				start := time.Now()
 				key := fmt.Sprint(name, stream)
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -107,12 +107,12 @@
 		{name: "too large", body: strings.Repeat(" ", 256<<10) + good},
 		{name: "empty"},
 		{name: "filing without a key", body: keyed},
-		{name: "refused", prefill: testutil.Status(503, true), body: good},
-		{name: "failed filing", decode: testutil.Status(500, false), body: keyed, headers: key},
-		{name: "silent filing", decode: testutil.Silent, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
-		{name: "broken plain", decode: testutil.Cut(150, "a", "b"), body: good},
-		{name: "broken filing", decode: testutil.Cut(150, "a", "b"), body: keyed, headers: key},
-		{name: "broken stream", decode: testutil.Cut(150, "a", "b"), body: requestBody("frage", true, "x")},
+		{name: "refused", prefill: testutil.ServeStatusNeverRan(503), body: good},
+		{name: "failed filing", decode: testutil.ServeStatus(500), body: keyed, headers: key},
+		{name: "silent filing", decode: testutil.NeverRespond, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
+		{name: "broken plain", decode: testutil.ServeTruncated(150, "a", "b"), body: good},
+		{name: "broken filing", decode: testutil.ServeTruncated(150, "a", "b"), body: keyed, headers: key},
+		{name: "broken stream", decode: testutil.ServeTruncated(150, "a", "b"), body: requestBody("frage", true, "x")},
 	} {
 		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
 		resp, text, _ := s.post(t, c.body, c.headers...) // the error of a stream that breaks off
@@ -139,7 +139,7 @@
 	all.WriteString(dump("in progress", resp, text))
 	close(release)
 	<-done
-	s.Decode.Follow(testutil.Status(500, false))
+	s.Decode.SetScript(testutil.ServeStatus(500))
 	s.post(t, request, "Idempotency-Key", "k2")
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "k2")
 	all.WriteString(dump("may have run", resp, text))
--- a/internal/chatapi/handler_test.go
+++ b/internal/chatapi/handler_test.go
@@ -18,9 +18,9 @@
 const configJSON = `{"listen":"127.0.0.1:0","models":{"frage":"frage","meldung":"meldung"},"max_tokens":100,
 "filings":{"entries":64,"keep_s":3600}}`
 
-// testService is a Handler on a server of its own, in front of a fleet of one prefill and one decode replica.
+// testService is a Handler on a server of its own, in front of a deployment of one prefill and one decode replica.
 type testService struct {
-	*testutil.Fleet
+	*testutil.Deployment
 	handler *chatapi.Handler
 	url     string
 
@@ -44,7 +44,7 @@
 // startService starts a service whose replicas follow the scripts.
 func startService(t testing.TB, prefill, decode testutil.Script) *testService {
 	t.Helper()
-	s := &testService{Fleet: testutil.NewFleet(t, prefill, decode), now: time.Unix(1e9, 0)}
+	s := &testService{Deployment: testutil.NewDeployment(t, prefill, decode), now: time.Unix(1e9, 0)}
 	config, err := chatapi.ParseConfig([]byte(configJSON), s.Settings)
 	if err != nil {
 		t.Fatal(err)
@@ -176,12 +176,12 @@
 		"too large":              {body: strings.Repeat(" ", 256<<10) + good, status: 413, code: "invalid_body"},
 		"empty":                  {status: 400, code: "invalid_body"},
 		"no idempotency key":     {body: requestBody("meldung", true, "x"), status: 400, code: "idempotency_key_missing"},
-		"rejected by the server": {prefill: testutil.Status(503, true), body: good, status: 429, code: "rate_limit_exceeded"},
-		"keyed request failed": {decode: testutil.Status(500, false), body: requestBody("meldung", true, "x"), headers: []string{key, "k"},
+		"rejected by the server": {prefill: testutil.ServeStatusNeverRan(503), body: good, status: 429, code: "rate_limit_exceeded"},
+		"keyed request failed": {decode: testutil.ServeStatus(500), body: requestBody("meldung", true, "x"), headers: []string{key, "k"},
 			status: 502, code: "upstream_failed"},
-		"keyed request unanswered": {decode: testutil.Silent, body: requestBody("meldung", false, "x"),
+		"keyed request unanswered": {decode: testutil.NeverRespond, body: requestBody("meldung", false, "x"),
 			headers: []string{key, "k", "X-Expires-In", "900m"}, status: 504, code: "timeout"},
-		"broken stream, not streamed on": {decode: testutil.Cut(150, "a", "b"), body: requestBody("frage", false, "x"), status: 502, code: "stream_broken"},
+		"broken stream, not streamed on": {decode: testutil.ServeTruncated(150, "a", "b"), body: requestBody("frage", false, "x"), status: 502, code: "stream_broken"},
 	} {
 		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
 		resp, text, err := s.post(t, c.body, c.headers...)
@@ -231,7 +231,7 @@
 // nothing panics except to abort a stream that broke.
 func FuzzCreateCompletion(f *testing.F) {
 	requests := testutil.CorruptedSeeds(4, requestBody("frage", true, "x"), requestBody("frage", false, "y"))
-	streams := testutil.CorruptedSeeds(5, testutil.Answer("a", "b"), testutil.Answer("c"))
+	streams := testutil.CorruptedSeeds(5, testutil.EventStream("a", "b"), testutil.EventStream("c"))
 	for i, request := range requests {
 		f.Add(request, streams[i%len(streams)])
 	}
--- a/internal/chatapi/idempotency_test.go
+++ b/internal/chatapi/idempotency_test.go
@@ -36,20 +36,20 @@
 		t.Errorf("%d runs", total)
 	}
 	// A first attempt that certainly never ran releases the key.
-	s.Prefill.Follow(testutil.Status(503, true))
+	s.Prefill.SetScript(testutil.ServeStatusNeverRan(503))
 	if got := postStatus(request, "k2"); got != 429 {
 		t.Errorf("rejected: status %d", got)
 	}
-	s.Prefill.Follow(testutil.ServePrefill)
+	s.Prefill.SetScript(testutil.ServePrefill)
 	if got := postStatus(request, "k2"); got != 200 {
 		t.Errorf("after a rejection: status %d", got)
 	}
 	// One that may have run holds the key until it expires.
-	s.Decode.Follow(testutil.Cut(100, "Noted"))
+	s.Decode.SetScript(testutil.ServeTruncated(100, "Noted"))
 	if got := postStatus(request, "k3"); got != 502 {
 		t.Errorf("broken: status %d", got)
 	}
-	s.Decode.Follow(testutil.ServeDecode("Noted"))
+	s.Decode.SetScript(testutil.ServeDecode("Noted"))
 	resp, _, _ = s.post(t, request, "Idempotency-Key", "k3")
 	if resp.StatusCode != 409 || resp.Header.Get("X-Should-Retry") != "false" {
 		t.Errorf("after a break: status %d", resp.StatusCode)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -98,7 +98,7 @@
 // An agent that is unreachable, or accepts a call and never answers, is called again and again: what it has at its return
 // counts at once.
 func TestUnreachableAgentIsRetriedUntilItReturns(t *testing.T) {
-	addr := testutil.NoOne(t)
+	addr := testutil.UnusedAddress(t)
 	w, state := startWatcher(t, addr, "push")
 	testutil.Eventually(t, "five attempts", func() bool { return w.attempts.Load() >= 5 })
 	l, err := net.Listen("tcp", addr)
--- a/internal/dispatch/releases_test.go
+++ b/internal/dispatch/releases_test.go
@@ -45,16 +45,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			prefilled := make(chan time.Time, 8)
-			fleet := testutil.NewFleet(t, testutil.ServePrefillAt(prefilled), testutil.Silent)
-			fleet.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "w", decodeKind)})
+			deployment := testutil.NewDeployment(t, testutil.ServeTimedPrefill(prefilled), testutil.NeverRespond)
+			deployment.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "w", decodeKind)})
 			client, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
-			go fleet.Dispatcher.Dispatch(client, dispatch.Request{
+			go deployment.Dispatcher.Dispatch(client, dispatch.Request{
 				Call: chatCall("reserved"), Class: class, PromptTokens: 100, Deadline: time.Now().Add(5 * time.Second),
 			})
 			reservedAt := <-prefilled
 			testutil.Eventually(t, "the release", func() bool {
-				return fleet.Prefill.Releases("reserved") > 0 || time.Since(reservedAt) > 2*maxReservationTime
+				return deployment.Prefill.Releases("reserved") > 0 || time.Since(reservedAt) > 2*maxReservationTime
 			})
 			if took := time.Since(reservedAt); took > maxReservationTime {
 				t.Errorf("still reserved %v after the prefill", took)
@@ -67,22 +67,22 @@
 // not reach the replica either, and the prefill may succeed long after it.
 func TestLostPrefillIsReleasedAgain(t *testing.T) {
 	t.Parallel()
-	fleet := testutil.NewFleet(t, testutil.ServePrefill, testutil.Silent)
-	fleet.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "r", prefillKind)})
-	fleet.Dispatcher.Dispatch(t.Context(), dispatch.Request{
+	deployment := testutil.NewDeployment(t, testutil.ServePrefill, testutil.NeverRespond)
+	deployment.Dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{silentEndpoint(t, "r", prefillKind)})
+	deployment.Dispatcher.Dispatch(t.Context(), dispatch.Request{
 		Call: chatCall("lost"), PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond),
 	})
 	answeredAt := time.Now()
 	const late = time.Second // after the answer
 	releasesBefore := 0
 	testutil.Eventually(t, "a release long after the answer", func() bool {
-		n := fleet.Decode.Releases("lost")
+		n := deployment.Decode.Releases("lost")
 		if time.Since(answeredAt) < late {
 			releasesBefore = n
 		}
 		return n > releasesBefore || time.Since(answeredAt) > 4*late
 	})
-	if n := fleet.Decode.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
+	if n := deployment.Decode.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
 		t.Errorf("%d releases within %v, %d in all", releasesBefore, late, n)
 	}
 }
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -31,7 +31,7 @@
 		{name: "no step", reportedBefore: true, age: moment, want: moment},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			machine := testutil.NewMachine()
+			machine := testutil.NewFakeSystem()
 			testStart := time.Now()
 			_, dispatcher := startDispatcherWith(t, machine, func(*routing.Config) {})
 			started := machine.Wall().Add(-c.age)
@@ -48,7 +48,7 @@
 			if c.reportedBefore {
 				reportAndGetAge()
 			}
-			machine.Step(c.step)
+			machine.StepClock(c.step)
 			if c.startedAfterStep {
 				started = machine.Wall()
 			}
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -18,8 +18,8 @@
 	former := two.info.Incarnation
 	crash(two)
 	awaitState(t, one, "n21", membership.Unreachable)
-	machine := testutil.NewMachine()
-	machine.Step(-time.Hour)
+	machine := testutil.NewFakeSystem()
+	machine.StepClock(-time.Hour)
 	restarted := startNodeOn(t, machine, text, 21, nil)
 	awaitState(t, one, "n21", membership.Alive)
 	awaitState(t, restarted, "n20", membership.Alive)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,9 @@
 const testKey = "000102030405060708090a0b0c0d0e0f"
 
 // memberAddress is an address of this test's own: members send from the address that they listen at.
-func memberAddress(host int) string { return fmt.Sprintf("%s%d:7946", testutil.Net(), 1+host) }
+func memberAddress(host int) string {
+	return fmt.Sprintf("%s%d:7946", testutil.LoopbackPrefix(), 1+host)
+}
 
 // hostName is the name of the member of a host.
 func hostName(host int) string { return fmt.Sprint("n", host%100) }
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testutil/play"
+	"rampspread/internal/testutil/simtest"
 )
 
 var (
@@ -290,7 +290,7 @@
 	if s.rng.IntN(30) == 0 {
 		s.startAttempt()
 	}
-	for _, m := range play.Due(&s.queue, func(m simMessage) bool { return m.due <= s.now }) {
+	for _, m := range simtest.TakeDue(&s.queue, func(m simMessage) bool { return m.due <= s.now }) {
 		m.deliver()
 	}
 	s.attempts = slices.DeleteFunc(s.attempts, func(a *simAttempt) bool {
@@ -338,7 +338,7 @@
 		{name: "one replica counted twice", countsRepeatedVotes: true},
 	} {
 		t.Run(m.name, func(t *testing.T) {
-			play.Caught(t, m.name, 0, mutantSeeds, func(seed uint64) string { return play.Steps(mutantSteps, newSim(seed, m).step) })
+			simtest.RequireDetected(t, m.name, 0, mutantSeeds, func(seed uint64) string { return simtest.Run(mutantSteps, newSim(seed, m).step) })
 		})
 	}
 }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testutil/play"
+	"rampspread/internal/testutil/simtest"
 )
 
 var (
@@ -241,7 +241,7 @@
 	if s.rng.IntN(s.faultGap) == 0 {
 		s.injectFault()
 	}
-	for _, m := range play.Due(&s.queue, func(m simMessage) bool { return m.due <= s.now }) {
+	for _, m := range simtest.TakeDue(&s.queue, func(m simMessage) bool { return m.due <= s.now }) {
 		if violation := s.deliver(m); violation != "" {
 			return violation
 		}
@@ -390,8 +390,8 @@
 		{name: "no fencing at the receiver", noFence: true},
 		{name: "lease checked only at its start", onlyAtStart: true},
 	} {
-		play.Caught(t, m.name, uint64(m.firstSeed), 300, func(seed uint64) string {
-			return play.Steps(20_000, newSim(seed, m).step)
+		simtest.RequireDetected(t, m.name, uint64(m.firstSeed), 300, func(seed uint64) string {
+			return simtest.Run(20_000, newSim(seed, m).step)
 		})
 	}
 }
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testutil/play"
+	"rampspread/internal/testutil/simtest"
 )
 
 var (
@@ -343,8 +343,8 @@
 		{name: "margin zero", firstSeed: 70, noMargin: true},
 		{name: "floor granted too", noFloor: true},
 	} {
-		play.Caught(t, m.name, m.firstSeed, 100, func(seed uint64) string {
-			return play.Steps(10_000, newSim(seed, simMembers(seed), m).step)
+		simtest.RequireDetected(t, m.name, m.firstSeed, 100, func(seed uint64) string {
+			return simtest.Run(10_000, newSim(seed, simMembers(seed), m).step)
 		})
 	}
 }
--- a/internal/fleet/tombstone/sim_test.go
+++ b/internal/fleet/tombstone/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testutil/play"
+	"rampspread/internal/testutil/simtest"
 	"rampspread/routing"
 )
 
@@ -231,7 +231,7 @@
 		{name: "peers are always ignored", limits: Limits{PeerDigestTTL: DefaultLimits.PeerDigestTTL}},
 		{name: "one peer's digest undoes another's", limits: DefaultLimits, singlePeerName: true},
 	} {
-		play.Caught(t, m.name, 0, simSeeds, func(seed uint64) string {
+		simtest.RequireDetected(t, m.name, 0, simSeeds, func(seed uint64) string {
 			if err := simulate(seed, m); err != nil {
 				return err.Error()
 			}
--- a/internal/fleet/versionskew/sim_test.go
+++ b/internal/fleet/versionskew/sim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/testutil/play"
+	"rampspread/internal/testutil/simtest"
 )
 
 const (
@@ -161,7 +161,7 @@
 		{name: "released too late", limits: late},
 		{name: "compared with the newest report", limits: DefaultLimits, reports: newestAsMajority},
 	} {
-		play.Caught(t, m.name, 0, simSeeds, func(seed uint64) string {
+		simtest.RequireDetected(t, m.name, 0, simSeeds, func(seed uint64) string {
 			if err := simulate(seed, m); err != nil {
 				return err.Error()
 			}
--- a/internal/frontend/chunked_body_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -16,18 +16,18 @@
 const chunkedHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: %s\r\nX-Qos: frage\r\n" +
 	"X-Expires-In: 30000m\r\nX-Props: " + props + "\r\nTransfer-Encoding: chunked\r\n"
 
-// newChunkedServer starts a server behind a Limiter, before a fleet of its own.
-func newChunkedServer(t *testing.T) (*testutil.Fleet, *connlimit.Limiter, string) {
+// newChunkedServer starts a server behind a Limiter, before a deployment of its own.
+func newChunkedServer(t *testing.T) (*testutil.Deployment, *connlimit.Limiter, string) {
 	t.Helper()
-	fleet, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
+	deployment, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	l, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
-	return fleet, l, s.Listener.Addr().String()
+	return deployment, l, s.Listener.Addr().String()
 }
 
 // Chunked bodies are accepted on a persistent connection, mixed with bodies with a Content-Length, with trailers too, and are
 // forwarded to replicas as one body with a length.
 func TestChunkedBodyIsForwardedWithItsLength(t *testing.T) {
-	fleet, l, addr := newChunkedServer(t)
+	deployment, l, addr := newChunkedServer(t)
 	conn := dial(t, addr)
 	responses := bufio.NewReader(conn)
 	sized := strings.Replace(chunkedHead, "Transfer-Encoding: chunked", "Content-Length: 9", 1)
@@ -43,14 +43,14 @@
 		if err != nil {
 			t.Fatalf("request %d: %v", i, err)
 		}
-		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != testutil.Answer("a") {
+		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != testutil.EventStream("a") {
 			t.Errorf("request %d: status %d, %q, %v", i, resp.StatusCode, body, err)
 		}
-		if h := fleet.Decode.Header(i); h.Get("Content-Length") != "9" {
+		if h := deployment.Decode.Header(i); h.Get("Content-Length") != "9" {
 			t.Errorf("request %d was forwarded without its length: %v", i, h)
 		}
 	}
-	for i, body := range append(fleet.Prefill.Bodies(), fleet.Decode.Bodies()...) {
+	for i, body := range append(deployment.Prefill.Bodies(), deployment.Decode.Bodies()...) {
 		if body != want {
 			t.Errorf("body %d: %q", i, body)
 		}
@@ -67,7 +67,7 @@
 
 // A chunked request is accepted however it is cut into writes, and a part of it never is.
 func TestChunkedRequestIsAcceptedOnlyWhole(t *testing.T) {
-	fleet, _, addr := newChunkedServer(t)
+	deployment, _, addr := newChunkedServer(t)
 	text := fmt.Sprintf(chunkedHead, "whole") + "\r\n4\r\n{\"n\"\r\n2\r\n:1\r\n1\r\n}\r\n0\r\n\r\n"
 	conn := dial(t, addr)
 	conn.SetNoDelay(true)
@@ -87,14 +87,14 @@
 		}
 		conn.Close()
 	}
-	if total, _ := fleet.Prefill.Calls(); total != 1 {
+	if total, _ := deployment.Prefill.Calls(); total != 1 {
 		t.Errorf("%d sends, want the whole request's only", total)
 	}
 }
 
 // A chunked body over the limit is rejected as any other, and not sent to a replica.
 func TestTooLongChunkedBodyIsRejected(t *testing.T) {
-	fleet, _, addr := newChunkedServer(t)
+	deployment, _, addr := newChunkedServer(t)
 	conn := dial(t, addr)
 	go func() {
 		fmt.Fprintf(conn, chunkedHead+"\r\n", "long")
@@ -108,7 +108,7 @@
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("%v, %v", resp, err)
 	}
-	if total, _ := fleet.Prefill.Calls(); total != 0 {
+	if total, _ := deployment.Prefill.Calls(); total != 0 {
 		t.Errorf("%d sends", total)
 	}
 }
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -34,16 +34,16 @@
 // A request that has waited since accepts failed has that much less time remaining, and its replica gets no more than that.
 func TestDeadlineCountsTheTimeInTheBacklog(t *testing.T) {
 	const stall, timeout = 400 * time.Millisecond, time.Second
-	fleet := testutil.NewFleet(t, testutil.ServePrefill, testutil.ServeDecode("alpha"))
+	deployment := testutil.NewDeployment(t, testutil.ServePrefill, testutil.ServeDecode("alpha"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	classes, err := fleet.Settings.ClassTable()
+	classes, err := deployment.Settings.ClassTable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := frontend.NewHandler(fleet.Dispatcher, fleet.Settings, classes)
+	handler := frontend.NewHandler(deployment.Dispatcher, deployment.Settings, classes)
 	limiter := connlimit.NewLimiter(handler, semaphore.NewWeighted(1<<20), new(connlimit.Lifecycle), nil)
 	s := &http.Server{}
 	limiter.Attach(s)
@@ -61,17 +61,17 @@
 		conn := dial(t, listener.Addr().String())
 		io.WriteString(conn, requestText(i))
 	}
-	testutil.Eventually(t, "both prefill calls", func() bool { n, _ := fleet.Prefill.Calls(); return n == 2 })
+	testutil.Eventually(t, "both prefill calls", func() bool { n, _ := deployment.Prefill.Calls(); return n == 2 })
 	for i := range 2 {
-		expiry, err := frontend.ParseExpiry(fleet.Prefill.Header(i).Get("X-Expires-In"))
+		expiry, err := frontend.ParseExpiry(deployment.Prefill.Header(i).Get("X-Expires-In"))
 		if err != nil || expiry > timeout-stall+150*time.Millisecond {
 			t.Errorf("call %d expires in %v (%v), %v after it was sent", i, expiry, err, stall)
 		}
 	}
 	time.Sleep(time.Until(sentAt.Add(2 * stall)))
 	io.WriteString(slowConn, requestText(slow)[60:])
-	testutil.Eventually(t, "the third prefill call", func() bool { n, _ := fleet.Prefill.Calls(); return n == 3 })
-	expiry, err := frontend.ParseExpiry(fleet.Prefill.Header(slow).Get("X-Expires-In"))
+	testutil.Eventually(t, "the third prefill call", func() bool { n, _ := deployment.Prefill.Calls(); return n == 3 })
+	expiry, err := frontend.ParseExpiry(deployment.Prefill.Header(slow).Get("X-Expires-In"))
 	if err != nil || expiry < timeout-stall {
 		t.Errorf("the request whose last byte came late expires in %v (%v)", expiry, err)
 	}
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -25,13 +25,13 @@
 	}
 	var all strings.Builder
 	for _, c := range []struct {
-		name        string
-		read, write testutil.Script
-		mutate      func(*http.Request)
+		name            string
+		prefill, decode testutil.Script
+		mutate          func(*http.Request)
 	}{
 		{name: "served"},
-		{name: "refused", read: testutil.Status(503, true)},
-		{name: "failed", write: testutil.Status(500, false), mutate: set("X-Qos", "meldung")},
+		{name: "refused", prefill: testutil.ServeStatusNeverRan(503)},
+		{name: "failed", decode: testutil.ServeStatus(500), mutate: set("X-Qos", "meldung")},
 		{name: "no id", mutate: set("X-Trace-Id", "")},
 		{name: "no class", mutate: set("X-Qos", "")},
 		{name: "no deadline", mutate: set("X-Expires-In", "")},
@@ -50,14 +50,14 @@
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 256<<10+1))), 256<<10+1
 		}},
 	} {
-		read, write := testutil.Script(testutil.ServePrefill), testutil.ServeDecode("a")
-		if c.read != nil {
-			read = c.read
+		prefill, decode := testutil.Script(testutil.ServePrefill), testutil.ServeDecode("a")
+		if c.prefill != nil {
+			prefill = c.prefill
 		}
-		if c.write != nil {
-			write = c.write
+		if c.decode != nil {
+			decode = c.decode
 		}
-		_, _, url := serve(t, read, write)
+		_, _, url := serve(t, prefill, decode)
 		resp, text, err := do(t, request(t, url, c.mutate))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -35,18 +35,18 @@
 	return r
 }
 
-// serve starts a server with a Handler and no Limiter, before a fleet with the given scripts. It returns the server's URL.
-func serve(t testing.TB, read, write testutil.Script) (*testutil.Fleet, *frontend.Handler, string) {
+// serve starts a server with a Handler and no Limiter, before a deployment with the given scripts. It returns the server's URL.
+func serve(t testing.TB, prefill, decode testutil.Script) (*testutil.Deployment, *frontend.Handler, string) {
 	t.Helper()
-	fleet := testutil.NewFleet(t, read, write)
-	classes, err := fleet.Settings.ClassTable()
+	deployment := testutil.NewDeployment(t, prefill, decode)
+	classes, err := deployment.Settings.ClassTable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := frontend.NewHandler(fleet.Dispatcher, fleet.Settings, classes)
+	handler := frontend.NewHandler(deployment.Dispatcher, deployment.Settings, classes)
 	s := httptest.NewServer(handler)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return fleet, handler, s.URL
+	return deployment, handler, s.URL
 }
 
 // do sends a request and reads its whole answer. The error is that of reading the body.
@@ -62,22 +62,22 @@
 }
 
 func TestAnswerIsServedUnchanged(t *testing.T) {
-	fleet, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("alpha", "beta"))
+	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("alpha", "beta"))
 	resp, body, err := do(t, request(t, url, nil))
-	if err != nil || resp.StatusCode != http.StatusOK || body != testutil.Answer("alpha", "beta") {
+	if err != nil || resp.StatusCode != http.StatusOK || body != testutil.EventStream("alpha", "beta") {
 		t.Errorf("status %d, body %q, %v", resp.StatusCode, body, err)
 	}
-	if h := fleet.Decode.Header(0); h.Get("X-Trace-Id") != "9b1f03aa5c7e2d41" {
+	if h := deployment.Decode.Header(0); h.Get("X-Trace-Id") != "9b1f03aa5c7e2d41" {
 		t.Errorf("the decode replica got %v", h)
 	}
 }
 
 // A broken stream must not look complete: it ends without the last chunk.
 func TestBrokenStreamEndsWithoutLastChunk(t *testing.T) {
-	whole := testutil.Answer("alpha", "beta")
-	fleet, _, url := serve(t, testutil.ServePrefill, testutil.ServePrefill)
+	whole := testutil.EventStream("alpha", "beta")
+	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServePrefill)
 	for n := strings.Index(whole, "\n\n") + 2; n < len(whole); n += 29 {
-		fleet.Decode.Follow(testutil.Cut(n, "alpha", "beta"))
+		deployment.Decode.SetScript(testutil.ServeTruncated(n, "alpha", "beta"))
 		resp, body, err := do(t, request(t, url, nil))
 		if err == nil || resp.StatusCode != http.StatusOK || body != testutil.CompleteEvents(whole[:n]) {
 			t.Errorf("cut at %d: status %d, body %q, %v", n, resp.StatusCode, body, err)
@@ -87,7 +87,7 @@
 
 // A client that does not read its answer stalls no other.
 func TestSlowClientStallsNoOther(t *testing.T) {
-	fleet, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode(slices.Repeat([]string{strings.Repeat("x", 32<<10)}, 512)...))
+	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode(slices.Repeat([]string{strings.Repeat("x", 32<<10)}, 512)...))
 	r := request(t, url, nil)
 	conn, err := net.Dial("tcp", r.URL.Host)
 	if err != nil {
@@ -97,18 +97,18 @@
 	if err := r.Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Eventually(t, "the slow client's answer to start", func() bool { n, _ := fleet.Decode.Calls(); return n == 1 })
-	fleet.Decode.Follow(testutil.ServeDecode("a"))
+	testutil.Eventually(t, "the slow client's answer to start", func() bool { n, _ := deployment.Decode.Calls(); return n == 1 })
+	deployment.Decode.SetScript(testutil.ServeDecode("a"))
 	for i := range 8 {
 		resp, body, err := do(t, request(t, url, func(r *http.Request) { r.Header.Set("X-Trace-Id", strconv.Itoa(i)) }))
-		if resp.StatusCode != 200 || body != testutil.Answer("a") || err != nil {
+		if resp.StatusCode != 200 || body != testutil.EventStream("a") || err != nil {
 			t.Errorf("request %d: status %d, %q, %v", i, resp.StatusCode, body, err)
 		}
 	}
 }
 
 func TestRejectionHasRetryAfter(t *testing.T) {
-	_, _, url := serve(t, testutil.Status(503, true), testutil.ServePrefill)
+	_, _, url := serve(t, testutil.ServeStatusNeverRan(503), testutil.ServePrefill)
 	resp, _, _ := do(t, request(t, url, nil))
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); resp.StatusCode != 429 || err != nil || s <= 0 {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -116,9 +116,9 @@
 }
 
 func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
-	fleet, _, url := serve(t, testutil.ServePrefill, testutil.Status(500, false))
+	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeStatus(500))
 	resp, _, _ := do(t, request(t, url, func(r *http.Request) { r.Header.Set("X-Qos", "meldung") }))
-	if total, _ := fleet.Decode.Calls(); resp.StatusCode != http.StatusBadGateway || total != 1 {
+	if total, _ := deployment.Decode.Calls(); resp.StatusCode != http.StatusBadGateway || total != 1 {
 		t.Errorf("status %d after %d calls", resp.StatusCode, total)
 	}
 }
@@ -126,7 +126,7 @@
 // A request with the id of another open request is rejected, and the id is free once that one ends.
 func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
 	entered, finish := make(chan bool, 8), make(chan bool, 8)
-	fleet, handler, url := serve(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
+	deployment, handler, url := serve(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		entered <- true
 		<-finish
 		testutil.ServeDecode("a")(w, r, n)
@@ -138,7 +138,7 @@
 	}()
 	<-entered
 	resp, _, _ := do(t, request(t, url, nil))
-	total, _ := fleet.Prefill.Calls()
+	total, _ := deployment.Prefill.Calls()
 	finish <- true
 	finish <- true
 	if got := <-firstStatus; got != 200 || resp.StatusCode != http.StatusConflict || total != 1 || handler.Malformed() != 1 {
@@ -150,7 +150,7 @@
 }
 
 func TestMalformedRequestsAreRejectedAndCounted(t *testing.T) {
-	fleet, handler, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
+	deployment, handler, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -183,7 +183,7 @@
 			t.Errorf("%s: status %d", name, resp.StatusCode)
 		}
 	}
-	if total, _ := fleet.Prefill.Calls(); total != 0 || handler.Malformed() != int64(len(cases)) {
+	if total, _ := deployment.Prefill.Calls(); total != 0 || handler.Malformed() != int64(len(cases)) {
 		t.Errorf("%d sends, %d counted of %d", total, handler.Malformed(), len(cases))
 	}
 	if resp, _, err := do(t, request(t, url, nil)); resp.StatusCode != 200 || err != nil {
--- a/internal/rig/fault/fault_test.go
+++ b/internal/rig/fault/fault_test.go
@@ -13,7 +13,9 @@
 	"rampspread/internal/testutil"
 )
 
-func own(host, port int) string { return fmt.Sprintf("%s%d:%d", testutil.Net(), 1+host, port) }
+func own(host, port int) string {
+	return fmt.Sprintf("%s%d:%d", testutil.LoopbackPrefix(), 1+host, port)
+}
 
 // echo answers each line on a link until the test ends.
 func echo(t *testing.T, addr string, l *fault.Link) *fault.Listener {
--- a/internal/state/atomicfile/system_failure_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -15,7 +15,7 @@
 func TestReplaceKeepsOldContentWhileSystemCallsFail(t *testing.T) {
 	for _, op := range []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
-			machine, dir := testutil.NewMachine(), t.TempDir()
+			machine, dir := testutil.NewFakeSystem(), t.TempDir()
 			path := filepath.Join(dir, "file")
 			if err := Replace(machine, path, []byte("first"), Synced); err != nil {
 				t.Fatal(err)
--- /dev/null
+++ b/internal/testutil/fakesystem.go
@@ -0,0 +1,46 @@
+package testutil
+
+import (
+	"sync"
+	"time"
+
+	"rampspread/internal/hostos"
+)
+
+// FakeSystem is a hostos.System whose wall clock a test steps and whose system calls it makes fail.
+type FakeSystem struct {
+	mu       sync.Mutex
+	offset   time.Duration // of the wall clock from the real one
+	failures map[hostos.Op]error
+}
+
+// NewFakeSystem returns a system with the real time on which no call fails.
+func NewFakeSystem() *FakeSystem { return &FakeSystem{failures: map[hostos.Op]error{}} }
+
+// StepClock steps the wall clock.
+func (s *FakeSystem) StepClock(by time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.offset += by
+}
+
+// Fail makes all calls of a kind fail with err from now on, or succeed if it is nil.
+func (s *FakeSystem) Fail(op hostos.Op, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failures[op] = err
+}
+
+// Wall implements hostos.System.
+func (s *FakeSystem) Wall() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return time.Now().Round(0).Add(s.offset)
+}
+
+// Before implements hostos.System.
+func (s *FakeSystem) Before(op hostos.Op) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.failures[op]
+}
--- /dev/null
+++ b/internal/testutil/loopback.go
@@ -0,0 +1,33 @@
+package testutil
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"testing"
+)
+
+// The second octets of the networks that LoopbackPrefix returns. The test bench uses lower ones.
+const (
+	firstTestOctet = 240
+	testOctets     = 15
+)
+
+// LoopbackPrefix returns the first three octets of a loopback network of this process's own, such as "127.240.7.", to
+// which the number of a host is added. On 127.0.0.1 the tests of other packages, which run at the same time, could take a
+// port first.
+func LoopbackPrefix() string {
+	pid := os.Getpid()
+	return fmt.Sprintf("127.%d.%d.", firstTestOctet+pid>>8%testOctets, pid&0xff)
+}
+
+// UnusedAddress returns a host and port at which nothing listens.
+func UnusedAddress(t testing.TB) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	return l.Addr().String()
+}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -24,15 +24,15 @@
 		want   routing.Outcome
 	}{
 		"prefill done":      {testutil.ServePrefill, routing.PrefillDone},
-		"500":               {testutil.Status(500, false), routing.Errored},
-		"503 queue full":    {testutil.Status(503, true), routing.QueueFull},
-		"504 queue full":    {testutil.Status(504, true), routing.QueueFull},
-		"503 without proof": {testutil.Status(503, false), routing.Errored},
-		"410 state missing": {testutil.Status(410, true), routing.StateMissing},
-		"410 without proof": {testutil.Status(410, false), routing.Errored},
-		"400 unknown":       {testutil.Status(400, false), routing.Errored},
+		"500":               {testutil.ServeStatus(500), routing.Errored},
+		"503 queue full":    {testutil.ServeStatusNeverRan(503), routing.QueueFull},
+		"504 queue full":    {testutil.ServeStatusNeverRan(504), routing.QueueFull},
+		"503 without proof": {testutil.ServeStatus(503), routing.Errored},
+		"410 state missing": {testutil.ServeStatusNeverRan(410), routing.StateMissing},
+		"410 without proof": {testutil.ServeStatus(410), routing.Errored},
+		"400 unknown":       {testutil.ServeStatus(400), routing.Errored},
 		"dropped":           {drop, routing.ConnectionReset},
-		"no event":          {testutil.Cut(0, "a"), routing.ConnectionReset},
+		"no event":          {testutil.ServeTruncated(0, "a"), routing.ConnectionReset},
 	} {
 		r := testutil.NewReplica(t, c.script)
 		from := time.Now()
@@ -59,7 +59,7 @@
 
 // An attempt that gets no connection never ran.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	_, obs := send(t, testutil.NoOne(t))
+	_, obs := send(t, testutil.UnusedAddress(t))
 	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
@@ -111,7 +111,7 @@
 func TestAbortedAttemptEndsAfterItsConnectionWasClosed(t *testing.T) {
 	closed := make(chan struct{})
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		testutil.Silent(w, r, n)
+		testutil.NeverRespond(w, r, n)
 		close(closed)
 	})
 	a, obs := send(t, r.Addr)
@@ -137,7 +137,7 @@
 // attempt goes out right then: the fault-injection bench, with three runs on a core, counted such an attempt as one that
 // overlapped with the first.
 func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
-	for name, script := range map[string]testutil.Script{"no answer": testutil.Silent, "a rejected stream": testutil.ServeDecode("a")} {
+	for name, script := range map[string]testutil.Script{"no answer": testutil.NeverRespond, "a rejected stream": testutil.ServeDecode("a")} {
 		t.Run(name, func(t *testing.T) {
 			r := testutil.NewReplica(t, script)
 			client := upstream.New(testutil.Settings(t), 8, 8, hostos.Real())
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -19,7 +19,7 @@
 // FuzzResponse feeds a replica's bytes to the client: whatever comes, there is one end and no panic.
 func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-	for _, text := range testutil.CorruptedSeeds(1, head+"Connection: close\r\n\r\n"+testutil.Answer("a"),
+	for _, text := range testutil.CorruptedSeeds(1, head+"Connection: close\r\n\r\n"+testutil.EventStream("a"),
 		"HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":3}",
 		"HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\r\nContent-Length: 0\r\n\r\n",
 		head+"Connection: close\r\n\r\n: Endpoint-Load-Metrics: TEXT util=0.5, queue=1, x0=0.2\n\n") {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -22,7 +22,7 @@
 // recorder is a replica that answers each request alike, and passes on its bytes as they came.
 func recorder(t *testing.T, answer string) (to dispatch.EndpointAddress, requests <-chan string) {
 	t.Helper()
-	l, err := net.Listen("tcp", testutil.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/loadpoll_test.go
+++ b/internal/upstream/loadpoll_test.go
@@ -16,7 +16,7 @@
 // A replica is polled for its load by the protocol's path. A malformed report, an error and a silent or dead replica all
 // give nil, in time, and none of them gives a report of an empty queue.
 func TestPollLoadReportsOnlyWhatCanBeParsed(t *testing.T) {
-	dead := testutil.NoOne(t)
+	dead := testutil.UnusedAddress(t)
 	client := newClient(t, 8)
 	for answer, want := range map[string]*routing.LoadReport{
 		"TEXT util=0.5, queue=3, x0=0.25": {Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5},
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -66,7 +66,7 @@
 	client := newClient(t, 8)
 	start := time.Now()
 	client.Release(call, []dispatch.EndpointAddress{
-		{Name: "dead", Addr: testutil.NoOne(t)},
+		{Name: "dead", Addr: testutil.UnusedAddress(t)},
 		{Name: "refusing", Addr: refusing.Listener.Addr().String()},
 	})
 	client.Release(call, nil)
@@ -78,7 +78,7 @@
 
 // A release goes on to the next replica until a live one has confirmed it.
 func TestReleaseGoesOnAfterADeadReplica(t *testing.T) {
-	dead := testutil.NoOne(t)
+	dead := testutil.UnusedAddress(t)
 	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
 	client.Release(call, []dispatch.EndpointAddress{{Name: "dead", Addr: dead}, {Name: "live", Addr: live.Addr}})
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -19,7 +19,7 @@
 	_, obs := send(t, r.Addr)
 	s := <-obs.first
 	got, err := io.ReadAll(s)
-	if err != nil || string(got) != testutil.Answer("alpha", "beta") {
+	if err != nil || string(got) != testutil.EventStream("alpha", "beta") {
 		t.Errorf("read %q, %v", got, err)
 	}
 	s.Close()
@@ -31,9 +31,9 @@
 // Wherever a stream is cut, its whole events are passed on unchanged, and the end is an error, never io.EOF. Without a
 // whole event there is no stream at all: the attempt may have run, and that is all that is known.
 func TestCutStreamPassesOnItsWholeEvents(t *testing.T) {
-	whole := testutil.Answer("alpha", "beta")
+	whole := testutil.EventStream("alpha", "beta")
 	for n := 1; n < len(whole); n += 7 {
-		r := testutil.NewReplica(t, testutil.Cut(n, "alpha", "beta"))
+		r := testutil.NewReplica(t, testutil.ServeTruncated(n, "alpha", "beta"))
 		_, obs := send(t, r.Addr)
 		checkEnd(t, obs, whole[:n], routing.ConnectionReset)
 	}
@@ -60,7 +60,7 @@
 // A malformed stream ends the attempt, though its connection stays open: before the first event nothing is passed on,
 // later whole events only.
 func TestMalformedStreamEndsTheAttempt(t *testing.T) {
-	one := testutil.CompleteEvents(testutil.Answer("alpha")[:100])
+	one := testutil.CompleteEvents(testutil.EventStream("alpha")[:100])
 	for name, c := range map[string]struct{ received, passed string }{
 		"noise":                   {"\x03\x80\x91\n\xffnoise\n\n", ""},
 		"noise without a line":    {"\x03\x80\x91\xffnoise", ""},
@@ -68,20 +68,20 @@
 		"a head without end":      {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Pad: aaaa", ""},
 		"a large head":            {"HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("a", 64<<10), ""},
 		"1xx without end":         {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 99), ""},
-		"a head alone":            {testutil.Chunks(""), ""},
-		"noise for an event":      {testutil.Chunks("\x03\x80\n\n"), ""},
-		"half an event":           {testutil.Chunks(one[:40]), ""},
-		"an invalid chunk size":   {testutil.Chunks(one) + "zz\r\n" + one, one},
-		"a chunk size too small":  {testutil.Chunks(one) + "8\r\n" + one + "\r\n", one},
-		"a chunk size too large":  {testutil.Chunks(one) + fmt.Sprintf("%x\r\n%s\r\n", len(one)+9, one) + testutil.Chunks(one), one + one},
-		"a chunk of 3 GB":         {testutil.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", upstream.MaxEventSize+1), one},
-		"a chunk of 3 GB, slowly": {testutil.Chunks(one) + "b2d05e00\r\n" + strings.Repeat("x", 99), one},
-		"an early end":            {testutil.Chunks(one) + "0\r\n\r\n", one},
+		"a head alone":            {testutil.ChunkedResponse(""), ""},
+		"noise for an event":      {testutil.ChunkedResponse("\x03\x80\n\n"), ""},
+		"half an event":           {testutil.ChunkedResponse(one[:40]), ""},
+		"an invalid chunk size":   {testutil.ChunkedResponse(one) + "zz\r\n" + one, one},
+		"a chunk size too small":  {testutil.ChunkedResponse(one) + "8\r\n" + one + "\r\n", one},
+		"a chunk size too large":  {testutil.ChunkedResponse(one) + fmt.Sprintf("%x\r\n%s\r\n", len(one)+9, one) + testutil.ChunkedResponse(one), one + one},
+		"a chunk of 3 GB":         {testutil.ChunkedResponse(one) + "b2d05e00\r\n" + strings.Repeat("x", upstream.MaxEventSize+1), one},
+		"a chunk of 3 GB, slowly": {testutil.ChunkedResponse(one) + "b2d05e00\r\n" + strings.Repeat("x", 99), one},
+		"an early end":            {testutil.ChunkedResponse(one) + "0\r\n\r\n", one},
 		"half a short response":   {"HTTP/1.1 503 Busy\r\nContent-Length: 9\r\n\r\nb", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, obs := send(t, testutil.NewReplica(t, testutil.Raw(c.received)).Addr)
+			_, obs := send(t, testutil.NewReplica(t, testutil.ServeRaw(c.received)).Addr)
 			want := routing.ConnectionReset
 			if name == "half a short response" {
 				want = routing.Errored
@@ -93,9 +93,9 @@
 
 // 1xx heads before a response, and load reports that cannot be parsed, do no harm.
 func TestInformationalHeadsAndMalformedLoadReportsAreHarmless(t *testing.T) {
-	text := testutil.Answer("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
+	text := testutil.EventStream("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
 	addr, _ := rawReplica(t, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+
-		strings.Replace(testutil.Chunks(text), "\r\n", "\r\nEndpoint-Load-Metrics: \xff%%\r\n", 1)+"0\r\n\r\n")
+		strings.Replace(testutil.ChunkedResponse(text), "\r\n", "\r\nEndpoint-Load-Metrics: \xff%%\r\n", 1)+"0\r\n\r\n")
 	_, obs := send(t, addr)
 	s := <-obs.first
 	got, err := io.ReadAll(s)
@@ -110,7 +110,7 @@
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		io.WriteString(w, "data: {}\n\n")
 		http.NewResponseController(w).Flush()
-		testutil.Silent(w, r, n)
+		testutil.NeverRespond(w, r, n)
 	})
 	_, obs := send(t, r.Addr)
 	s := <-obs.first
