--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond)))
+		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond))) // over two seconds of the drain: the time is tested
 		c.process.finishStream <- true
 		io.Copy(io.Discard, resp.Body)
 		io.WriteString(c.streaming, requestText("again", "{}"))
@@ -129,7 +129,7 @@
 				if _, err := late.Write([]byte{b}); err != nil {
 					return
 				}
-				time.Sleep(200 * time.Millisecond)
+				time.Sleep(200 * time.Millisecond) // the pace of the sender is what is tested
 			}
 		}()
 		return late
@@ -157,7 +157,7 @@
 				t.Fatal(got)
 			}
 			connection := c.client(t, drainClient{d, start, streaming, answers})
-			time.Sleep(time.Until(start.Add(drainDeadline)))
+			time.Sleep(time.Until(start.Add(drainDeadline))) // the deadline is what is tested
 			text, closed := readUntilClosed(connection)
 			if !closed {
 				t.Errorf("open %v after the start of the drain", time.Since(start))
--- a/internal/app/hung_disk_test.go
+++ b/internal/app/hung_disk_test.go
@@ -26,7 +26,7 @@
 	if err := hangs.Set(faults); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // for the file to be read
+	time.Sleep(50 * time.Millisecond) // over the 10 ms for which a process may use what it read of the file before
 	program.Process.Signal(syscall.SIGTERM)
 	from := time.Now()
 	testutil.Eventually(t, "the listener's close", func() bool {
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -170,7 +170,7 @@
 		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.EventStream("alpha") {
 			t.Errorf("request %d: status %d, %q", i, status, text)
 		}
-		time.Sleep(25 * time.Millisecond)
+		time.Sleep(25 * time.Millisecond) // the pace that spreads the requests over the takeover
 	}
 	close(finish)
 	if status := <-slowStatus; status != 200 {
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -65,8 +65,10 @@
 	io.WriteString(client, requestText("gone", "{}"))
 	<-prefillDone
 	process.Process.Signal(syscall.SIGTERM)
-	time.Sleep(1500 * time.Millisecond) // it has closed its listeners, and waits for this client only
-	released.Store(false)               // what was released meanwhile, while the decode was silent
+	// In this time it closes its listeners, and releases what is due while the decode is silent; none of that may pass
+	// for the release after the client's end. After it the process waits for this client only.
+	time.Sleep(1500 * time.Millisecond)
+	released.Store(false)
 	client.Close()
 	if err := process.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -22,11 +23,25 @@
 // newLimitedServer starts a server with a capacity of maxConns behind a Limiter.
 func newLimitedServer(
 	t *testing.T, bodyMemory int64, lifecycle *connlimit.Lifecycle, next http.HandlerFunc,
+) (*connlimit.Limiter, *httptest.Server) {
+	t.Helper()
+	return newObservedServer(t, bodyMemory, lifecycle, next, func(http.ConnState) {})
+}
+
+// newObservedServer is newLimitedServer with a function that is called with each new state of a connection, after the
+// Limiter has learned it.
+func newObservedServer(
+	t *testing.T, bodyMemory int64, lifecycle *connlimit.Lifecycle, next http.HandlerFunc, observe func(http.ConnState),
 ) (*connlimit.Limiter, *httptest.Server) {
 	t.Helper()
 	l := connlimit.NewLimiter(next, semaphore.NewWeighted(bodyMemory), lifecycle, nil)
 	s := httptest.NewUnstartedServer(nil)
 	l.Attach(s.Config)
+	limiterHook := s.Config.ConnState
+	s.Config.ConnState = func(conn net.Conn, state http.ConnState) {
+		limiterHook(conn, state)
+		observe(state)
+	}
 	s.Listener = l.Listen(s.Listener, maxConns, hostos.Real())
 	s.Start()
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
@@ -137,11 +152,16 @@
 func TestDrainClosesIdleAndQuietConnections(t *testing.T) {
 	var lifecycle connlimit.Lifecycle
 	entered, finish := make(chan bool), make(chan bool)
-	l, s := newLimitedServer(t, 1<<20, &lifecycle, func(_ http.ResponseWriter, r *http.Request) {
+	var becameIdle atomic.Bool
+	l, s := newObservedServer(t, 1<<20, &lifecycle, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			entered <- true
 			<-finish
 		}
+	}, func(state http.ConnState) {
+		if state == http.StateIdle {
+			becameIdle.Store(true)
+		}
 	})
 	idle, slow, silent := dial(t, s), dial(t, s), dial(t, s)
 	if resp := roundTrip(t, idle, bufio.NewReader(idle), "/healthz"); resp.StatusCode != 200 || resp.Close {
@@ -149,7 +169,8 @@
 	}
 	io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-entered
-	time.Sleep(50 * time.Millisecond) // net/http reports the idle one only after its answer was written
+	// net/http reports the idle one only after its answer was written.
+	testutil.Eventually(t, "the limiter to learn that the first connection is idle", becameIdle.Load)
 	lifecycle.Drain.Begin(time.Now())
 	if n := l.CloseIdle(time.Hour); n != 1 {
 		t.Errorf("closed %d of idle, open and silent, want the idle one", n)
@@ -245,14 +266,14 @@
 				sent <- err
 				return
 			}
-			time.Sleep(20 * time.Millisecond)
+			time.Sleep(20 * time.Millisecond) // the pace of the sender is what is tested
 		}
 		sent <- nil
 	}()
 	time.Sleep(150 * time.Millisecond) // older than the 0.1 s after which a silent one is evicted
 	for range 3 * maxConns {           // silent ones, each of which needs capacity
 		dial(t, s)
-		time.Sleep(30 * time.Millisecond)
+		time.Sleep(30 * time.Millisecond) // the pace at which others connect while the slow one sends
 	}
 	if err := <-sent; err != nil {
 		t.Fatalf("the slow sender lost its connection: %v", err)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -70,7 +70,7 @@
 			for r.Context().Err() == nil { // bytes come, but no change
 				io.WriteString(w, "[")
 				http.NewResponseController(w).Flush()
-				time.Sleep(10 * time.Millisecond)
+				time.Sleep(10 * time.Millisecond) // the pace of the bytes
 			}
 		},
 	} {
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -157,7 +157,7 @@
 	testutil.Eventually(t, "the minority to hold nothing", func() bool { return held() == 0 })
 	executions := leasedTasksOf(t, nodes[0]).executions.Load()
 	for range 20 {
-		time.Sleep(componentInterval)
+		time.Sleep(componentInterval) // that nothing is held for twenty intervals is what is tested
 		if held() > 0 {
 			t.Fatal("a minority holds a lease")
 		}
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("call %d expires in %v (%v), %v after it was sent", i, expiry, err, stall)
 		}
 	}
-	time.Sleep(time.Until(sentAt.Add(2 * stall)))
+	time.Sleep(time.Until(sentAt.Add(2 * stall))) // that the last bytes come this late is what is tested
 	io.WriteString(slowConn, requestText(slow)[60:])
 	testutil.Eventually(t, "the third prefill call", func() bool { n, _ := deployment.Prefill.Calls(); return n == 3 })
 	expiry, err := frontend.ParseExpiry(deployment.Prefill.Header(slow).Get("X-Expires-In"))
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -60,12 +60,13 @@
 		t.Fatal(err)
 	}
 	none := limit
-	none.Cur = 3 // the standard ones are open
+	none.Cur = 3                                                           // the standard ones are open
+	t.Cleanup(func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) }) // also if the test is ended by a failure
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
 	client.Send(specFor(r.Addr, 5*time.Second), obs)
-	time.Sleep(30 * time.Millisecond)
+	testutil.Eventually(t, "three connections that fail on this machine", func() bool { return client.LocalFailures() >= 3 })
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -30,7 +30,7 @@
 				return
 			}
 			io.WriteString(conn, refusal)
-			time.Sleep(late)
+			time.Sleep(late) // the delay of the duplicate is what is tested
 			io.WriteString(conn, refusal)
 			io.Copy(io.Discard, conn) // it runs the next call, and does not answer it yet
 			conn.Close()
