--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -49,9 +49,9 @@
 	c.Env, c.Stdout, c.Stderr = append(os.Environ(), "TMPDIR="+temp), &out, &errs
 	err := c.Run()
 	if err != nil {
-		left, _ := os.ReadDir(temp)
-		if out.Len() > 0 || strings.Count(errs.String(), "\n") != 1 || len(left) > 0 {
-			t.Errorf("%q: printed %q, complained %q, left %v", values, out.String(), errs.String(), left)
+		remaining, _ := os.ReadDir(temp)
+		if out.Len() > 0 || strings.Count(errs.String(), "\n") != 1 || len(remaining) > 0 {
+			t.Errorf("%q: printed %q, reported %q, %v remain", values, out.String(), errs.String(), remaining)
 		}
 		return "", errs.String(), false
 	}
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, beside := range []string{"real.json", "wire.json", "unlock.txt"} {
-		if _, err := os.Stat(filepath.Join(filepath.Dir(strings.TrimSpace(out.String())), beside)); err != nil {
+	for _, file := range []string{"real.json", "wire.json", "unlock.txt"} {
+		if _, err := os.Stat(filepath.Join(filepath.Dir(strings.TrimSpace(out.String())), file)); err != nil {
 			t.Error(err)
 		}
 	}
--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -134,7 +134,7 @@
 func TestReadme(t *testing.T) {
 	alive := func(n string) string { return until("curl -sf 127.0.0." + n + ":9000/healthz") }
 	members := until(`[ "$(bin/rampspread fleet members -at 127.0.0.1:9600 | grep -c ' alive ')" = 3 ]`)
-	duties := until(`[ "$(bin/rampspread fleet duties -at 127.0.0.1:9600 | grep -c ' true ')" -gt 0 ]`)
+	taskHeld := until(`[ "$(bin/rampspread fleet duties -at 127.0.0.1:9600 | grep -c ' true ')" -gt 0 ]`)
 	log := newPlace(t).run(t, "README.md", []step{
 		{"go build", "", ""},
 		{"bin/toy", "", until("curl -sf 127.0.0.1:8500/v1/servers")},
@@ -154,7 +154,7 @@
 		{"bin/rampspread state show", "answered", ""},
 		{"bin/rampspread serve", "", alive("1")},
 		{"LB_NAME=n1", "", alive("2")},
-		{"LB_NAME=n2", "", alive("3") + ";" + members + ";" + duties},
+		{"LB_NAME=n2", "", alive("3") + ";" + members + ";" + taskHeld},
 		{"bin/rampspread fleet members", "n2    alive", ""},
 		{"bin/rampspread fleet duties", "probe/reader", until("bin/rampspread fleet subset -at 127.0.0.1:9600 | grep -q 'shared among 3'")},
 		{"bin/rampspread fleet versions", "n2    alive", ""},
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -40,13 +40,13 @@
 
 // simReplica is a replica that can be killed and restarted.
 type simReplica struct {
-	name        string
-	store       *memoryStore
-	unwritten   map[Key]Record // of the mutant that votes before writing
-	replica     *Replica
-	up          bool
-	startedAt   time.Duration // in simulated time
-	livedBefore time.Duration // how long it had lived when it started
+	name             string
+	store            *memoryStore
+	unwritten        map[Key]Record // of the mutant that votes before writing
+	replica          *Replica
+	up               bool
+	startedAt        time.Duration // in simulated time
+	previousLifetime time.Duration // its lifetime when it started
 }
 
 // simAttempt is an attempt and the round that decides on it.
@@ -100,7 +100,7 @@
 }
 
 // lifetime is how long a replica has lived.
-func (s *sim) lifetime(r *simReplica) time.Duration { return r.livedBefore + s.now - r.startedAt }
+func (s *sim) lifetime(r *simReplica) time.Duration { return r.previousLifetime + s.now - r.startedAt }
 
 func (s *sim) start(r *simReplica, storeIntact bool) {
 	r.up, r.startedAt = true, s.now
@@ -143,7 +143,7 @@
 	return d
 }
 
-// answerOf is the answer to the request that a key stands for.
+// answerOf is the answer to the request that a key identifies.
 func answerOf(k Key) []byte { return []byte(fmt.Sprint("answer to ", k))[:simAnswerBytes] }
 
 // sendClaim sends an attempt's claim to all replicas.
@@ -260,8 +260,8 @@
 	r := s.replicas[s.rng.IntN(len(s.replicas))]
 	switch s.rng.IntN(6) {
 	case 0:
-		if r.up { // killed; it does not count the last part of its life
-			r.livedBefore += (s.now - r.startedAt) * time.Duration(s.rng.IntN(3)) / 2
+		if r.up { // killed; it does not count the last part of its uptime
+			r.previousLifetime += (s.now - r.startedAt) * time.Duration(s.rng.IntN(3)) / 2
 			r.up = false
 		}
 	case 1, 2:
--- a/internal/fleet/leasedtasks/leasedtasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -41,7 +41,7 @@
 	done(&load)
 }
 
-// loadSink stands for the dispatcher; full makes it drop what comes.
+// loadSink is a fake dispatcher; full makes it drop the loads that it receives.
 type loadSink struct {
 	loads []dispatch.PeerLoad
 	full  bool
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -43,7 +43,7 @@
 		want         State // of b at 10 s
 		incarnations int
 	}{
-		{"never heard from", func(*Table) {}, Unknown, 0},
+		{"without a heartbeat", func(*Table) {}, Unknown, 0},
 		{"joining", func(table *Table) {
 			table.MarkJoined(MemberInfo{Name: "b", Incarnation: 5}, 10*s)
 		}, Joining, 1},
@@ -122,16 +122,16 @@
 	}
 }
 
-// A process that was stopped notices it before it acts: its view is not fresh until half of the others were heard from
-// again.
-func TestViewIsNotFreshAfterStopUntilOthersAreHeardFrom(t *testing.T) {
+// A process that was stopped detects it before it acts: its view is not fresh until half of the others have sent a
+// heartbeat again.
+func TestViewIsNotFreshAfterStopUntilHalfOfTheOthersSentHeartbeats(t *testing.T) {
 	table := newTable()
 	heartbeats := func(at time.Duration) {
 		table.Heartbeat(servingMember("b", 5), at)
 		table.Heartbeat(servingMember("c", 5), at)
 	}
 	if table.View().Fresh(0, s) {
-		t.Error("fresh before any member was heard from")
+		t.Error("fresh before any member sent a heartbeat")
 	}
 	heartbeats(0)
 	tickUntil(table, 0, 5*s)
@@ -148,16 +148,16 @@
 	}
 	table.Heartbeat(servingMember("b", 5), 20*s+s/2)
 	if table.Tick(20*s + s/2); !table.View().Fresh(20*s+s/2, s) {
-		t.Error("not fresh once half of the others were heard from")
+		t.Error("not fresh once half of the others sent a heartbeat")
 	}
 	tickUntil(table, 21*s, 24*s)
 	if stateOfMember(table, "c") != Suspect {
-		t.Error("a member that is silent since is not suspect")
+		t.Error("a member without heartbeats since then is not suspect")
 	}
 	table.Tick(40 * s)
 	tickUntil(table, 40*s, 44*s)
 	if !table.View().Fresh(44*s, s) {
-		t.Error("never fresh again when no other member is heard from")
+		t.Error("never fresh again when no other member sends heartbeats")
 	}
 }
 
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -24,12 +24,12 @@
 
 func (w *fakeQuotaUser) Accepted() int64 { return w.accepted.Load() }
 
-func (w *fakeQuotaUser) SetQuotaShare(part float64, left time.Duration, applied func()) bool {
+func (w *fakeQuotaUser) SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool {
 	if w.rejecting.Load() {
 		return false
 	}
 	w.mu.Lock()
-	w.fraction, w.until = part, time.Now().Add(left)
+	w.fraction, w.until = fraction, time.Now().Add(remaining)
 	w.mu.Unlock()
 	go applied()
 	return true
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// goldenOldSnapshot holds the values of goldenBeliefs.
+// goldenOldSnapshot holds the values of goldenSnapshot.
 func goldenOldSnapshot() oldSnapshot {
 	return oldSnapshot{
 		At:       101,
--- a/internal/testutil/simtest/simtest.go
+++ b/internal/testutil/simtest/simtest.go
@@ -5,8 +5,8 @@
 
 import "testing"
 
-// Run takes up to so many steps of a simulation. It stops at the first step that returns a violation, and returns that, or
-// "" if there is none.
+// Run takes at most the given number of steps. It stops at the first step that returns a violation, and returns that
+// violation, or "" if there is none.
 func Run(steps int, step func() (violation string)) (violation string) {
 	for range steps {
 		if violation = step(); violation != "" {
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// The admission test applies to every prefill: a request that comes back from a full or silent replica is not sent on
-// into a jam.
+// The admission test applies to every prefill: a request that returns from a full or silent replica is not
+// forwarded to an overloaded one.
 func TestPrefillRetryPassesAdmissionAgain(t *testing.T) {
 	h := newHarness(t, nil)
 	first := h.sentTo(h.arrive(1, 0))
