--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -104,7 +104,7 @@
 			fmt.Fprintf(&script, "{ %s; } >/dev/null 2>&1\n", wait)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 	defer cancel()
 	shell := exec.CommandContext(ctx, "bash", "-c", script.String())
 	shell.Dir = p.dir
@@ -131,7 +131,7 @@
 func until(command string) string { return "until " + command + "; do sleep 0.02; done" }
 
 // The example's commands, with the built programs.
-func TestReadme(t *testing.T) {
+func TestReadmeCommandsShowTheExpectedOutput(t *testing.T) {
 	alive := func(n string) string { return until("curl -sf 127.0.0." + n + ":9000/healthz") }
 	members := until(`[ "$(bin/rampspread fleet members -at 127.0.0.1:9600 | grep -c ' alive ')" = 3 ]`)
 	taskHeld := until(`[ "$(bin/rampspread fleet duties -at 127.0.0.1:9600 | grep -c ' true ')" -gt 0 ]`)
@@ -168,7 +168,7 @@
 }
 
 // The commands of the README one folder up.
-func TestRootReadme(t *testing.T) {
+func TestRootReadmeCommandsShowTheExpectedOutput(t *testing.T) {
 	newPlace(t).run(t, "../README.md", []step{
 		{"go build", "", ""}, {"bash test.sh", "", ""},
 		{"bin/rampspread check", "good: 2 classes", ""},
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -20,7 +20,8 @@
 	"rampspread/internal/testutil"
 )
 
-func TestCommandLine(t *testing.T) {
+// Each command writes its result, or fails with an error that says what is wrong with its arguments.
+func TestCommandsWriteTheirResultOrFail(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	good := writeFile(t, "good.json", configText("127.0.0.1:1", "127.0.0.1:2", `{"generation":1,"reset":true,"instances":[]}`))
 	chat := writeFile(t, "chat.json", fmt.Sprintf(chatText, "127.0.0.1:3"))
--- a/internal/fleet/idempotency/round_test.go
+++ b/internal/fleet/idempotency/round_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestRoundOutcome(t *testing.T) {
+// The outcome of a round follows from its votes, and at its deadline also from those that are missing.
+func TestVotesDetermineTheOutcomeOfARound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		replicas int
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAcceptCheck(t *testing.T) {
+func TestAcceptIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
 		{"no fact against it", Accept{}, Allowed},
 		{"evicted comes before client gone", Accept{Evicted: true, ClientGone: true}, Evicted},
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestAttemptCheck(t *testing.T) {
+func TestAttemptIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	allowed := Attempt{RemainingTime: time.Second, Executes: true}
 	with := func(change func(*Attempt)) Attempt {
 		facts := allowed
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestFirstByteCheck(t *testing.T) {
+func TestFirstByteIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
 		{"no fact against it", FirstByte{RemainingTime: 1}, Allowed},
 		{"withdrawn", FirstByte{Withdrawn: true, RemainingTime: 1}, Withdrawn},
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestCloseConnectionCheck(t *testing.T) {
+func TestConnectionCloseIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	partial := func(idle, timeout time.Duration, cause Cause) CloseConnection {
 		return CloseConnection{
 			AwaitingBytes: true, PartialRequest: true, Idle: idle, PartialRequestTimeout: timeout, Cause: cause,
@@ -107,7 +107,7 @@
 	})
 }
 
-func TestFinalAnswerCheck(t *testing.T) {
+func TestFinalAnswerIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
 		{"unanswered", FinalAnswer{}, Allowed},
 		{"answered", FinalAnswer{Answered: true}, AlreadyAnswered},
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -10,8 +10,8 @@
 // roundingSlack is what sums of floating-point tokens may be off by.
 const roundingSlack = 1e-9
 
-// A bucket lets through no more than its rate and what it held at first, however the rate changes.
-func TestBucket(t *testing.T) {
+// A bucket lets through no more than its rate and its initial tokens, however the rate changes.
+func TestBucketLetsThroughNoMoreThanItsRateAndInitialTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bucket, now, accrued, spent := Bucket{}, time.Hour, 0.0, 0.0
 		capacity := rapid.Float64Range(1, 5).Draw(t, "capacity")
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -100,6 +100,7 @@
 }
 
 func newDriver(t testing.TB, seed uint64) *driver {
+	t.Helper()
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
 		requests: map[RequestID]*trackedRequest{}, replicas: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -50,6 +50,7 @@
 // number, and the number of all these sends. With a negative number of routers there are as many, each configured as
 // one of three.
 func overloadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
+	t.Helper()
 	const rate = 40.0 // requests per second before the burst
 	cfg := testConfig()
 	if cfg.Routers = routers; routers < 0 {
@@ -176,6 +177,7 @@
 // overloadFromStart returns the largest ratio in any window of the sends to a replica in slow start to the allowed
 // number, and the number of all these sends. With singleSession all requests are of one session, which hashes to it.
 func overloadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
+	t.Helper()
 	const routers, rate = 200, 200.0 // requests per second at all routers
 	cfg := testConfig()
 	cfg.Routers = routers
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -8,7 +8,7 @@
 
 // A new router takes the prefixes, models and failure levels of one that has served; it takes nothing that is old, from
 // the future, of another start of a replica, or implausible.
-func TestSnapshotRestore(t *testing.T) {
+func TestOnlyRecentPlausibleStateIsRestoredFromSnapshot(t *testing.T) {
 	served := func() *harness {
 		h := newHarness(t, nil)
 		for id := RequestID(1); id < 60; id++ {
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -9,6 +9,7 @@
 
 // newLargeHarness returns a harness with n replicas: prefill from 1 on and decode from 1001 on, ten in a cell.
 func newLargeHarness(t testing.TB, n int) *harness {
+	t.Helper()
 	cfg := testConfig()
 	r, err := New(cfg, 1)
 	if err != nil {
