--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -50,8 +50,8 @@
 	return want
 }
 
-// JSON compares value's encoding with the file testdata/name, and checks that the file decodes to the same value. Every field
-// of value, at any depth, must be set, so that none escapes the comparison.
+// JSON compares value's encoding with the file testdata/name, and checks that the file decodes to the same value. Every
+// field of value, at any depth but for maps, must be set, so that none escapes the comparison.
 func JSON[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	if unset := zeroField(reflect.ValueOf(value), fmt.Sprintf("%T", value)); unset != "" {
