--- a/example/readme_test.go
+++ b/example/readme_test.go
@@ -56,7 +56,7 @@
 
 func newPlace(t *testing.T) place {
 	t.Helper()
-	p := place{dir: t.TempDir(), replace: strings.NewReplacer("127.0.0.", testutil.Net())}
+	p := place{dir: t.TempDir(), replace: strings.NewReplacer("127.0.0.", testutil.LoopbackPrefix())}
 	for _, name := range []string{"example/config.json", "example/scenario.json", "example/workers.properties", "deploy/chat.json", "deploy/fleet.json"} {
 		text, err := os.ReadFile(filepath.Join("..", name))
 		if err != nil {
@@ -104,7 +104,7 @@
 			fmt.Fprintf(&script, "{ %s; } >/dev/null 2>&1\n", wait)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second)
 	defer cancel()
 	shell := exec.CommandContext(ctx, "bash", "-c", script.String())
 	shell.Dir = p.dir
@@ -131,10 +131,10 @@
 func until(command string) string { return "until " + command + "; do sleep 0.02; done" }
 
 // The example's commands, with the built programs.
-func TestReadme(t *testing.T) {
+func TestReadmeCommandsShowTheExpectedOutput(t *testing.T) {
 	alive := func(n string) string { return until("curl -sf 127.0.0." + n + ":9000/healthz") }
 	members := until(`[ "$(bin/rampspread fleet members -at 127.0.0.1:9600 | grep -c ' alive ')" = 3 ]`)
-	duties := until(`[ "$(bin/rampspread fleet duties -at 127.0.0.1:9600 | grep -c ' true ')" -gt 0 ]`)
+	taskHeld := until(`[ "$(bin/rampspread fleet duties -at 127.0.0.1:9600 | grep -c ' true ')" -gt 0 ]`)
 	log := newPlace(t).run(t, "README.md", []step{
 		{"go build", "", ""},
 		{"bin/toy", "", until("curl -sf 127.0.0.1:8500/v1/servers")},
@@ -154,7 +154,7 @@
 		{"bin/rampspread state show", "answered", ""},
 		{"bin/rampspread serve", "", alive("1")},
 		{"LB_NAME=n1", "", alive("2")},
-		{"LB_NAME=n2", "", alive("3") + ";" + members + ";" + duties},
+		{"LB_NAME=n2", "", alive("3") + ";" + members + ";" + taskHeld},
 		{"bin/rampspread fleet members", "n2    alive", ""},
 		{"bin/rampspread fleet duties", "probe/reader", until("bin/rampspread fleet subset -at 127.0.0.1:9600 | grep -q 'shared among 3'")},
 		{"bin/rampspread fleet versions", "n2    alive", ""},
@@ -168,7 +168,7 @@
 }
 
 // The commands of the README one folder up.
-func TestRootReadme(t *testing.T) {
+func TestRootReadmeCommandsShowTheExpectedOutput(t *testing.T) {
 	newPlace(t).run(t, "../README.md", []step{
 		{"go build", "", ""}, {"bash test.sh", "", ""},
 		{"bin/rampspread check", "good: 2 classes", ""},
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -32,12 +32,12 @@
 // event and waits.
 func startDrainFixture(t *testing.T, number int) *drainFixture {
 	t.Helper()
-	host := fmt.Sprintf("%s%d", testutil.Net(), firstDrainAddress+number)
+	host := fmt.Sprintf("%s%d", testutil.LoopbackPrefix(), firstDrainAddress+number)
 	d := &drainFixture{listen: host + ":9000", admin: host + ":9600", finishStream: make(chan bool, 8)}
 	finishAll := make(chan struct{})
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		text := testutil.Answer("one", "two")
+		text := testutil.EventStream("one", "two")
 		first := strings.Index(text, "\n\n") + 2
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, text[:first])
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond)))
+		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond))) // over two seconds of the drain: the time is tested
 		c.process.finishStream <- true
 		io.Copy(io.Discard, resp.Body)
 		io.WriteString(c.streaming, requestText("again", "{}"))
@@ -129,7 +129,7 @@
 				if _, err := late.Write([]byte{b}); err != nil {
 					return
 				}
-				time.Sleep(200 * time.Millisecond)
+				time.Sleep(200 * time.Millisecond) // the pace of the sender is what is tested
 			}
 		}()
 		return late
@@ -157,7 +157,7 @@
 				t.Fatal(got)
 			}
 			connection := c.client(t, drainClient{d, start, streaming, answers})
-			time.Sleep(time.Until(start.Add(drainDeadline)))
+			time.Sleep(time.Until(start.Add(drainDeadline))) // the deadline is what is tested
 			text, closed := readUntilClosed(connection)
 			if !closed {
 				t.Errorf("open %v after the start of the drain", time.Since(start))
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -20,7 +20,8 @@
 	"rampspread/internal/testutil"
 )
 
-func TestCommandLine(t *testing.T) {
+// Each command writes its result, or fails with an error that says what is wrong with its arguments.
+func TestCommandsWriteTheirResultOrFail(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	good := writeFile(t, "good.json", configText("127.0.0.1:1", "127.0.0.1:2", `{"generation":1,"reset":true,"instances":[]}`))
 	chat := writeFile(t, "chat.json", fmt.Sprintf(chatText, "127.0.0.1:3"))
@@ -107,7 +108,7 @@
 	}
 	reload("{", "event=reload_failed", func() bool { return true })
 	reload(configText(listen, second, "{}"), "event=reloaded discovery="+second, func() bool { return moved.Load() == 1 })
-	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.Answer("new") {
+	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.EventStream("new") {
 		t.Errorf("after the move: status %d, %q", status, text)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
@@ -150,7 +151,7 @@
 	}()
 	awaitReady(t, listen)
 	send := func() (int, string) { return postRequest(t, listen, "a1", `{}`) }
-	if status, text := send(); status != 200 || text != testutil.Answer("alpha") {
+	if status, text := send(); status != 200 || text != testutil.EventStream("alpha") {
 		t.Fatalf("status %d, %q", status, text)
 	}
 	printCounters <- os.Interrupt
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -43,7 +43,7 @@
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		testutil.Silent(w, r, 0)
+		testutil.NeverRespond(w, r, 0)
 	}))
 	defer decode.Close()
 	defer decode.CloseClientConnections()
@@ -65,8 +65,10 @@
 	io.WriteString(client, requestText("gone", "{}"))
 	<-prefillDone
 	process.Process.Signal(syscall.SIGTERM)
-	time.Sleep(1500 * time.Millisecond) // it has closed its listeners, and waits for this client only
-	released.Store(false)               // what was released meanwhile, while the decode was silent
+	// In this time it closes its listeners, and releases what is due while the decode is silent; none of that may pass
+	// for the release after the client's end. After it the process waits for this client only.
+	time.Sleep(1500 * time.Millisecond)
+	released.Store(false)
 	client.Close()
 	if err := process.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
@@ -84,7 +86,7 @@
 		testutil.ServePrefill(w, r, n)
 		prefillDone <- true
 	})
-	decode := testutil.NewReplica(t, testutil.Silent)
+	decode := testutil.NewReplica(t, testutil.NeverRespond)
 	list := endpointList(prefill.Addr, decode.Addr)
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, folder, adminAddress := freeAddr(t), t.TempDir(), freeAddr(t)
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -1,7 +1,6 @@
 package chatapi_test
 
 import (
-	"flag"
 	"io"
 	"net/http"
 	"regexp"
@@ -10,10 +9,9 @@
 	"time"
 
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
 // Patterns of what differs between runs.
 var (
 	randomID   = regexp.MustCompile(`[0-9a-f]{16}`)
@@ -70,7 +68,7 @@
 		all.WriteString(dump("GET "+path, resp, string(text)))
 	}
 	all.WriteString("# the body that a server gets\n" + s.Decode.Bodies()[0] + "\n")
-	testutil.CheckGolden(t, *update, "answers.golden", all.String())
+	golden.Text(t, "answers.golden", all.String())
 }
 
 // Each answer to a request that is not run or that fails.
@@ -109,18 +107,18 @@
 		{name: "too large", body: strings.Repeat(" ", 256<<10) + good},
 		{name: "empty"},
 		{name: "filing without a key", body: keyed},
-		{name: "refused", prefill: testutil.Status(503, true), body: good},
-		{name: "failed filing", decode: testutil.Status(500, false), body: keyed, headers: key},
-		{name: "silent filing", decode: testutil.Silent, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
-		{name: "broken plain", decode: testutil.Cut(150, "a", "b"), body: good},
-		{name: "broken filing", decode: testutil.Cut(150, "a", "b"), body: keyed, headers: key},
-		{name: "broken stream", decode: testutil.Cut(150, "a", "b"), body: requestBody("frage", true, "x")},
+		{name: "refused", prefill: testutil.ServeStatusNeverRan(503), body: good},
+		{name: "failed filing", decode: testutil.ServeStatus(500), body: keyed, headers: key},
+		{name: "silent filing", decode: testutil.NeverRespond, body: keyed, headers: append([]string{"X-Expires-In", "900m"}, key...)},
+		{name: "broken plain", decode: testutil.ServeTruncated(150, "a", "b"), body: good},
+		{name: "broken filing", decode: testutil.ServeTruncated(150, "a", "b"), body: keyed, headers: key},
+		{name: "broken stream", decode: testutil.ServeTruncated(150, "a", "b"), body: requestBody("frage", true, "x")},
 	} {
 		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
 		resp, text, _ := s.post(t, c.body, c.headers...) // the error of a stream that breaks off
 		all.WriteString(dump(c.name, resp, text))
 	}
-	testutil.CheckGolden(t, *update, "errors.golden", all.String())
+	golden.Text(t, "errors.golden", all.String())
 }
 
 // The answers to a retry whose first attempt has no known answer, and to one key more than the table holds.
@@ -141,7 +139,7 @@
 	all.WriteString(dump("in progress", resp, text))
 	close(release)
 	<-done
-	s.Decode.Follow(testutil.Status(500, false))
+	s.Decode.SetScript(testutil.ServeStatus(500))
 	s.post(t, request, "Idempotency-Key", "k2")
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "k2")
 	all.WriteString(dump("may have run", resp, text))
@@ -150,5 +148,5 @@
 	}
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "one more")
 	all.WriteString(dump("full", resp, text))
-	testutil.CheckGolden(t, *update, "filings.golden", all.String())
+	golden.Text(t, "filings.golden", all.String())
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -70,7 +70,7 @@
 			for r.Context().Err() == nil { // bytes come, but no change
 				io.WriteString(w, "[")
 				http.NewResponseController(w).Flush()
-				time.Sleep(10 * time.Millisecond)
+				time.Sleep(10 * time.Millisecond) // the pace of the bytes
 			}
 		},
 	} {
@@ -98,7 +98,7 @@
 // An agent that is unreachable, or accepts a call and never answers, is called again and again: what it has at its return
 // counts at once.
 func TestUnreachableAgentIsRetriedUntilItReturns(t *testing.T) {
-	addr := testutil.NoOne(t)
+	addr := testutil.UnusedAddress(t)
 	w, state := startWatcher(t, addr, "push")
 	testutil.Eventually(t, "five attempts", func() bool { return w.attempts.Load() >= 5 })
 	l, err := net.Listen("tcp", addr)
--- a/internal/fleet/idempotency/round_test.go
+++ b/internal/fleet/idempotency/round_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestRoundOutcome(t *testing.T) {
+// The outcome of a round follows from its votes, and at its deadline also from those that are missing.
+func TestVotesDetermineTheOutcomeOfARound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		replicas int
@@ -17,10 +18,10 @@
 		{"the only replica grants", 1, []Vote{VoteGranted}, false, Granted, 0},
 		{"one grant of three", 3, []Vote{VoteGranted}, false, Pending, 0},
 		{"one grant of three at the deadline", 3, []Vote{VoteGranted}, true, NoQuorum, 0},
-		{"a majority beside a rejection", 3, []Vote{VoteGranted, VoteInFlight, VoteGranted}, false, Granted, 0},
+		{"a majority grants in spite of a rejection", 3, []Vote{VoteGranted, VoteInFlight, VoteGranted}, false, Granted, 0},
 		{"one rejection of three", 3, []Vote{VoteInFlight}, false, Pending, 0},
 		{"a rejection and a grant at the deadline", 3, []Vote{VoteInFlight, VoteGranted}, true, Rejected, VoteInFlight},
-		{"an answer tells more than a key in flight", 3, []Vote{VoteInFlight, VoteAnswered}, false, Rejected, VoteAnswered},
+		{"a stored answer takes precedence over a key in flight", 3, []Vote{VoteInFlight, VoteAnswered}, false, Rejected, VoteAnswered},
 		{"two full stores of three", 3, []Vote{VoteStoreFull, VoteStoreFull}, false, NoQuorum, 0},
 		{"no votes at the deadline", 3, nil, true, NoQuorum, 0},
 		{"a majority of five is possible", 5, []Vote{VoteGranted, VoteGranted, VoteInFlight, VoteKeyReused}, false, Pending, 0},
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,10 +12,9 @@
 	"rampspread/internal/connlimit"
 	"rampspread/internal/frontend"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files")
-
 // retryAfter is a Retry-After header with a drawn time, in seconds with three decimals.
 var retryAfter = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\n`)
 
@@ -27,13 +25,13 @@
 	}
 	var all strings.Builder
 	for _, c := range []struct {
-		name        string
-		read, write testutil.Script
-		mutate      func(*http.Request)
+		name            string
+		prefill, decode testutil.Script
+		mutate          func(*http.Request)
 	}{
 		{name: "served"},
-		{name: "refused", read: testutil.Status(503, true)},
-		{name: "failed", write: testutil.Status(500, false), mutate: set("X-Qos", "meldung")},
+		{name: "refused", prefill: testutil.ServeStatusNeverRan(503)},
+		{name: "failed", decode: testutil.ServeStatus(500), mutate: set("X-Qos", "meldung")},
 		{name: "no id", mutate: set("X-Trace-Id", "")},
 		{name: "no class", mutate: set("X-Qos", "")},
 		{name: "no deadline", mutate: set("X-Expires-In", "")},
@@ -52,14 +50,14 @@
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 256<<10+1))), 256<<10+1
 		}},
 	} {
-		read, write := testutil.Script(testutil.ServePrefill), testutil.ServeDecode("a")
-		if c.read != nil {
-			read = c.read
+		prefill, decode := testutil.Script(testutil.ServePrefill), testutil.ServeDecode("a")
+		if c.prefill != nil {
+			prefill = c.prefill
 		}
-		if c.write != nil {
-			write = c.write
+		if c.decode != nil {
+			decode = c.decode
 		}
-		_, _, url := serve(t, read, write)
+		_, _, url := serve(t, prefill, decode)
 		resp, text, err := do(t, request(t, url, c.mutate))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -70,7 +68,7 @@
 		}
 		fmt.Fprintf(&all, "# %s\n%s\n", c.name, dump)
 	}
-	testutil.CheckGolden(t, *update, "answers.golden", all.String())
+	golden.Text(t, "answers.golden", all.String())
 }
 
 // A name's key is the same at each dispatcher, of whatever version.
@@ -110,5 +108,5 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&all, "# too much in hand\n%s\n", testutil.DumpResponse(resp, text))
-	testutil.CheckGolden(t, *update, "turned-away.golden", all.String())
+	golden.Text(t, "turned-away.golden", all.String())
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -14,17 +13,16 @@
 
 	"rampspread/internal/dispatch"
 	"rampspread/internal/testutil"
+	"rampspread/internal/testutil/golden"
 	"rampspread/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
 // recorder is a replica that answers each request alike, and passes on its bytes as they came.
 func recorder(t *testing.T, answer string) (to dispatch.EndpointAddress, requests <-chan string) {
 	t.Helper()
-	l, err := net.Listen("tcp", testutil.Net()+"1:0")
+	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +83,7 @@
 			t.Errorf("load %+v", l)
 		}
 	}
-	testutil.CheckGolden(t, *update, "requests.golden", all.String())
+	golden.Text(t, "requests.golden", all.String())
 }
 
 // What a replica's response says: its status, its proof that nothing ran, and its load report.
