--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -48,7 +48,8 @@
 		}}
 	files.addFlags(c)
 	c.Flags().StringVar(&o.handover, "handover", "",
-		"the `folder` in which processes of this name on this machine hand over what they learnt; none: they do not")
+		"the `folder` in which processes of this name on this machine transfer their learned state and show each other "+
+			"their open requests; none: they do not")
 	c.Flags().StringVar(&o.xdsAddress, "xds", "",
 		"the `address` at which other proxies get the list by xDS; none: no xDS")
 	return c
@@ -93,10 +94,15 @@
 			fmt.Fprintln(out, admin.Success, text)
 			return nil
 		}}
-	c.Flags().StringVar(&address, "at", defaultAdminAddress, "the program's ops `address`")
+	addAddressFlag(c, &address, "the program's ops `address`")
 	return c
 }
 
+// addAddressFlag adds the flag for the admin address of the process at which a command makes an operator's call.
+func addAddressFlag(c *cobra.Command, address *string, usage string) {
+	c.Flags().StringVar(address, "at", defaultAdminAddress, usage)
+}
+
 func versionCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the program's version", Args: cli.RejectArgs,
 		Run: func(*cobra.Command, []string) { fmt.Fprintln(out, "rampspread", version) }}
--- a/internal/app/fleet_commands.go
+++ b/internal/app/fleet_commands.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"slices"
 
 	"github.com/spf13/cobra"
 
@@ -13,57 +14,89 @@
 
 // fleetCommand groups the commands that query or act on the fleet by a call to one of its members.
 func fleetCommand(out io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "Ask a member about the fleet"}
-	c.AddCommand(
-		statusCommand(out, "members", "Show who is in the fleet, as one member sees it", printMembers),
-		statusCommand(out, "duties", "Show who does what for the fleet, as one member sees it", printTasks),
-		statusCommand(out, "shares", "Show a member's part of what the fleet may do together", printQuota),
-		statusCommand(out, "subset", "Show which replicas a member keeps to", printSubset),
-		statusCommand(out, "versions", "Show who acts on which list, settings and program, and who is behind", printVersions),
-		actionCommand(out, "shut-out", "Shut a member out by hand"),
-		actionCommand(out, "let-in", "Hold a member in by hand"),
-		actionCommand(out, "judge", "Give a member back to the judgement"),
-		actionCommand(out, "freeze", "Let a member change nothing by its judgement"),
-		statusCommand(out, "lists", "Show what others' newer lists hold a member back from", printEndpointFilter),
-		statusCommand(out, "filings", "Show a member's part in who may run filings", printIdempotency))
+	c := &cobra.Command{Use: "fleet", Short: "Query a member about the fleet, or fence it"}
+	c.AddCommand(slices.Concat(
+		statusCommand(out, printMembers, memberCall{name: "members", call: "members",
+			short: "Show who is in the fleet, as one member sees it"}),
+		statusCommand(out, printTasks, memberCall{name: "duties", call: "duties",
+			short: "Show who holds the leases of the fleet's tasks, as one member sees it"}),
+		statusCommand(out, printQuota, memberCall{name: "shares", call: "shares",
+			short: "Show a member's share of the fleet's quota"}),
+		statusCommand(out, printSubset, memberCall{name: "subset", call: "subset",
+			short: "Show which replicas a member routes to"}),
+		statusCommand(out, printVersions, memberCall{name: "versions", call: "versions",
+			short: "Show who acts on which endpoint list, settings and program, and who lags behind"}),
+		statusCommand(out, printEndpointFilter, memberCall{name: "lists", call: "lists",
+			short: "Show what peers' newer endpoint lists suppress at a member"}),
+		statusCommand(out, printIdempotency, memberCall{name: "filings", call: "filings",
+			short: "Show a member's part in the quorum of idempotency records"}),
+		actionCommand(out, memberCall{name: "shut-out", call: "shut-out", short: "Fence a member by manual override"}),
+		actionCommand(out, memberCall{name: "let-in", call: "let-in", short: "Hold a member unfenced by manual override"}),
+		actionCommand(out, memberCall{name: "judge", call: "judge", short: "End a member's manual override"}),
+		actionCommand(out, memberCall{name: "freeze", call: "freeze",
+			short: "Stop all automatic changes of a member's version skew state"}))...)
 	return c
 }
 
-// statusCommand is a command that makes an operator's call and prints the answer's JSON, as it is or as a table.
-func statusCommand[T any](out io.Writer, call, short string, render func(io.Writer, T) error) *cobra.Command {
-	var address string
-	var asJSON bool
-	c := &cobra.Command{Use: call, Short: short, Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		text, err := admin.Request(address, call, callTimeout)
-		if err != nil {
-			return err
-		}
-		if asJSON {
-			fmt.Fprintln(out, text)
-			return nil
-		}
-		var status T
-		if err := json.Unmarshal([]byte(text), &status); err != nil {
-			return fmt.Errorf("%s: %w", call, err)
-		}
-		return render(out, status)
-	}}
-	c.Flags().StringVar(&address, "at", defaultAdminAddress, "a member's ops `address`")
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	return c
+// memberCall is a command that makes an operators' call at a member.
+type memberCall struct {
+	name  string // of the command
+	call  string // on the wire (adminCalls.handlers); also the command's former name, which stays accepted
+	short string // the line of help
 }
 
-// actionCommand is a command that makes an operator's call which changes something at a member.
-func actionCommand(out io.Writer, call, short string) *cobra.Command {
-	var address string
-	c := &cobra.Command{Use: call, Short: short, Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		text, err := admin.Request(address, call, callTimeout)
-		if err != nil {
-			return err
-		}
-		fmt.Fprintln(out, text)
-		return nil
-	}}
-	c.Flags().StringVar(&address, "at", defaultAdminAddress, "the member's ops `address`")
-	return c
+// commands returns the command. If its name is not that of the call, an equal command follows under its former name,
+// hidden from help. newCommand makes each of them without name and help.
+func (m memberCall) commands(newCommand func() *cobra.Command) []*cobra.Command {
+	current := newCommand()
+	current.Use, current.Short = m.name, m.short
+	if m.name == m.call {
+		return []*cobra.Command{current}
+	}
+	former := newCommand()
+	former.Use, former.Short, former.Hidden = m.call, m.short, true
+	return []*cobra.Command{current, former}
+}
+
+// statusCommand returns the commands of a call whose answer is JSON, which is printed as it is or as a table.
+func statusCommand[T any](out io.Writer, render func(io.Writer, T) error, m memberCall) []*cobra.Command {
+	return m.commands(func() *cobra.Command {
+		var address string
+		var asJSON bool
+		c := &cobra.Command{Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
+			text, err := admin.Request(address, m.call, callTimeout)
+			if err != nil {
+				return err
+			}
+			if asJSON {
+				fmt.Fprintln(out, text)
+				return nil
+			}
+			var status T
+			if err := json.Unmarshal([]byte(text), &status); err != nil {
+				return fmt.Errorf("%s: %w", m.call, err)
+			}
+			return render(out, status)
+		}}
+		addAddressFlag(c, &address, "a member's ops `address`")
+		c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+		return c
+	})
+}
+
+// actionCommand returns the commands of a call that changes something at a member, whose answer is printed as it is.
+func actionCommand(out io.Writer, m memberCall) []*cobra.Command {
+	return m.commands(func() *cobra.Command {
+		var address string
+		c := &cobra.Command{Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
+			text, err := admin.Request(address, m.call, callTimeout)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintln(out, text)
+			return nil
+		}}
+		addAddressFlag(c, &address, "the member's ops `address`")
+		return c
+	})
 }
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -28,12 +28,15 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// describe writes a command's use, its flags by name with type and default, and its sub-commands.
+// describe writes a command's use, its flags by name with type and default, and its sub-commands. What help does not
+// list is marked as hidden.
 func describe(out io.Writer, c *cobra.Command, indent string) {
-	fmt.Fprintf(out, "%s%s\n", indent, c.Use)
+	mark := map[bool]string{true: " hidden"}
+	fmt.Fprintf(out, "%s%s%s\n", indent, c.Use, mark[c.Hidden])
 	var lines []string
 	c.LocalFlags().VisitAll(func(f *pflag.Flag) {
-		lines = append(lines, fmt.Sprintf("%s  --%s type=%s default=%q short=%q\n", indent, f.Name, f.Value.Type(), f.DefValue, f.Shorthand))
+		lines = append(lines, fmt.Sprintf("%s  --%s type=%s default=%q short=%q%s\n", indent, f.Name, f.Value.Type(), f.DefValue, f.Shorthand,
+			mark[f.Hidden]))
 	})
 	slices.Sort(lines)
 	fmt.Fprint(out, strings.Join(lines, ""))
