--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -47,9 +47,10 @@
 			return serve(c.Context(), machine, in, o, on, out)
 		}}
 	files.addFlags(c)
-	c.Flags().StringVar(&o.handover, "handover", "",
+	c.Flags().StringVar(&o.handover, "transfer-dir", "",
 		"the `folder` in which processes of this name on this machine transfer their learned state and show each other "+
 			"their open requests; none: they do not")
+	cli.AcceptFormerName(c.Flags(), "transfer-dir", "handover")
 	c.Flags().StringVar(&o.xdsAddress, "xds", "",
 		"the `address` at which other proxies get the list by xDS; none: no xDS")
 	return c
@@ -100,7 +101,8 @@
 
 // addAddressFlag adds the flag for the admin address of the process at which a command makes an operator's call.
 func addAddressFlag(c *cobra.Command, address *string, usage string) {
-	c.Flags().StringVar(address, "at", defaultAdminAddress, usage)
+	c.Flags().StringVar(address, "addr", defaultAdminAddress, usage)
+	cli.AcceptFormerName(c.Flags(), "addr", "at")
 }
 
 func versionCommand(out io.Writer) *cobra.Command {
--- a/internal/app/state_commands.go
+++ b/internal/app/state_commands.go
@@ -9,6 +9,7 @@
 
 	"github.com/spf13/cobra"
 
+	"rampspread/internal/cli"
 	"rampspread/internal/fleet/idempotency"
 	"rampspread/internal/state"
 )
@@ -21,7 +22,8 @@
 		sub := &cobra.Command{Use: use + " FOLDER", Short: short, Args: cobra.ExactArgs(1),
 			RunE: func(_ *cobra.Command, args []string) error { return do(out, args[0], owner) }}
 		sub.Flags().StringVar(&owner.Name, "name", "", "the dispatcher's `name`")
-		sub.Flags().StringVar(&owner.Fleet, "of", "", "the `fleet` that it is of; none: alone")
+		sub.Flags().StringVar(&owner.Fleet, "fleet-name", "", "the `fleet` that it is a member of; none: of no fleet")
+		cli.AcceptFormerName(sub.Flags(), "fleet-name", "of")
 		c.AddCommand(sub)
 	}
 	add("init", "Make the state of a dispatcher that never had one", initState)
