--- a/internal/app/former_names_test.go
+++ b/internal/app/former_names_test.go
@@ -53,7 +53,8 @@
 	return listener.Addr().String()
 }
 
-// serveGoldenAnswers serves the fleet's calls by their names on the wire. Each answer is made by answer from the golden one.
+// serveGoldenAnswers serves the fleet's calls by their names on the wire. Each answer is made by answer from the golden
+// one.
 func serveGoldenAnswers(t *testing.T, answer func(golden string) admin.Answer) string {
 	t.Helper()
 	calls := map[string]admin.Handler{}
@@ -79,7 +80,8 @@
 		if c.Hidden {
 			current := formerFleetCommands[c.Name()]
 			seenCommands[c.Name()] = current
-			if other, _, err := c.Parent().Find([]string{current}); err != nil || other.Name() != current || other.Hidden || other.Short != c.Short {
+			other, _, err := c.Parent().Find([]string{current})
+			if err != nil || other.Name() != current || other.Hidden || other.Short != c.Short {
 				t.Errorf("%s: in place of it, help lists %v, %v", c.CommandPath(), other.CommandPath(), err)
 			}
 		}
@@ -89,7 +91,8 @@
 			}
 			current := formerFlags[f.Name]
 			seenFlags[f.Name] = current
-			if other := c.LocalFlags().Lookup(current); other == nil || other.Hidden || other.DefValue != f.DefValue || other.Usage != f.Usage {
+			other := c.LocalFlags().Lookup(current)
+			if other == nil || other.Hidden || other.DefValue != f.DefValue || other.Usage != f.Usage {
 				t.Errorf("%s: in place of --%s, help lists %+v", c.CommandPath(), f.Name, other)
 			}
 		})
@@ -151,7 +154,8 @@
 					t.Errorf("%s: fleet %s %q: printed %q, error %q; fleet %s: printed %q, error %q",
 						server.name, former, flags, gotPrinted, gotFailure, current, printed, failure)
 				}
-				if answered := server.name == "golden answers" && (len(flags) == 0 || flags[0] == "-json"); answered && failure != "" {
+				answered := server.name == "golden answers" && (len(flags) == 0 || flags[0] == "-json")
+				if answered && failure != "" {
 					t.Errorf("%s: fleet %s %q: %s", server.name, current, flags, failure)
 				}
 			}
@@ -242,8 +246,8 @@
 	}
 }
 
-// filesOfServing serves, with a folder as the last argument, until the process is ready, ends it, and returns the names of
-// what is in the folder then.
+// filesOfServing serves, with a folder as the last argument, until the process is ready, ends it, and returns the names
+// of what is in the folder then.
 func filesOfServing(t *testing.T, args []string) []string {
 	t.Helper()
 	list := endpointList("127.0.0.1:1", "127.0.0.1:1")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// NormalizeArgs rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used cobra:
-// deploy files and operators' scripts say -config. So -h is the only flag of one letter.
+// NormalizeArgs rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used
+// cobra: deploy files and operators' scripts say -config. So -h is the only flag of one letter.
 func NormalizeArgs(args []string) []string {
 	rewritten := []string{} // not nil, for which cobra would take the process's own arguments
 	for i, arg := range args {
@@ -27,7 +27,8 @@
 	return rewritten
 }
 
-// NewRootCommand returns a program's root command. Its caller prints an error in one line, without the usage text after it.
+// NewRootCommand returns a program's root command. Its caller prints an error in one line, without the usage text after
+// it.
 func NewRootCommand(name, short string, out io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
