--- a/internal/app/former_names_test.go
+++ b/internal/app/former_names_test.go
@@ -193,6 +193,7 @@
 // and whichever comes first.
 func checkConflict(t *testing.T, command []string, former, current string) {
 	t.Helper()
+	t.Setenv("LB_CONFIG", "") // so that no command serves
 	for _, names := range [][2]string{{former, current}, {current, former}} {
 		args := append(slices.Clone(command), "-"+names[0], "a", "-"+names[1], "b")
 		want := `invalid argument "b" for "--` + names[1] + `" flag: --` + names[0] + `, which is the same flag, is "a"`
