--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -87,7 +87,7 @@
 	a.fleet.watcher = a.watcher
 	a.front = frontend.NewHandler(a.dispatcher, &cfg.Settings, classes)
 	a.stores.transfer = statetransfer.Exchange{
-		Machine: machine, Dir: o.handover, Name: cfg.Name, Settings: a.settings.fingerprint(),
+		Machine: machine, Dir: o.transferDir, Name: cfg.Name, Settings: a.settings.fingerprint(),
 	}
 	a.listeners.machine, a.listeners.violations = machine, &a.violations
 	a.listeners.bodies = semaphore.NewWeighted(limits.bodyBytes())
@@ -218,7 +218,7 @@
 }
 
 func (a *application) startTransfer() error {
-	if a.options.handover != "" {
+	if a.options.transferDir != "" {
 		a.background.start(a.transferState)
 	}
 	return nil
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -11,9 +11,9 @@
 
 // options are what the command line sets of a dispatcher, apart from the content of its files.
 type options struct {
-	configPath string // of the configuration, which a reload reads again
-	handover   string // folder; none: nothing is shared with other processes of this name
-	xdsAddress string // none: no xDS
+	configPath  string // of the configuration, which a reload reads again
+	transferDir string // folder; none: nothing is shared with other processes of this name
+	xdsAddress  string // none: no xDS
 }
 
 // serve runs one dispatcher, from its start until its graceful shutdown, which the end of ctx begins.
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -32,7 +32,7 @@
 // shutDown ends the process gracefully and prints its last counters to out.
 func (a *application) shutDown(out io.Writer) error {
 	var writing sync.WaitGroup
-	if a.options.handover != "" {
+	if a.options.transferDir != "" {
 		writing.Go(a.writeSnapshot) // concurrently with the drain: a disk that hangs delays nothing of it
 	}
 	err := a.drainClients(a.settings.shutdownGrace())
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -85,14 +85,14 @@
 // openInFlight shares what is in flight with other processes of this name on this machine, where they have a folder in
 // common. A failure is logged: the process then serves without it.
 func (a *application) openInFlight() error {
-	if a.options.handover == "" {
+	if a.options.transferDir == "" {
 		return nil
 	}
 	var retention time.Duration
 	if a.inputs.chat != nil {
 		retention = a.inputs.chat.Retention()
 	}
-	table, err := inflight.Start(a.machine, a.options.handover, a.inputs.config.Name, retention)
+	table, err := inflight.Start(a.machine, a.options.transferDir, a.inputs.config.Name, retention)
 	if err != nil {
 		slog.Warn("in_flight_table_failed", "err", err)
 	}
