--- a/internal/app/former_names_test.go
+++ b/internal/app/former_names_test.go
@@ -44,7 +44,7 @@
 func serveCalls(t *testing.T, calls map[string]admin.Handler) string {
 	t.Helper()
 	server := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	listener, err := net.Listen("tcp", testutil.Net()+"1:0")
+	listener, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -26,14 +26,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-<<<<<<< HEAD
-// describe writes a command's use, its flags by name with type and default, and its sub-commands.
-=======
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // describe writes a command's use, its flags by name with type and default, and its sub-commands. What help does not
 // list is marked as hidden.
->>>>>>> tidy-commands
 func describe(out io.Writer, c *cobra.Command, indent string) {
 	mark := map[bool]string{true: " hidden"}
 	fmt.Fprintf(out, "%s%s%s\n", indent, c.Use, mark[c.Hidden])
