--- a/routing/health.go
+++ b/routing/health.go
@@ -11,8 +11,11 @@
 		return false
 	}
 	level := max(replica.health[0].current(r.now), replica.health[1+class].current(r.now))
+	if level < ejectionThreshold/2 {
+		return true
+	}
 	mayProbe := len(replica.pending) == 0 && (replica.role == Prefill || r.cfg.Classes[class].Idempotency == Idempotent)
-	return level < ejectionThreshold/2 || level < ejectionThreshold && mayProbe
+	return level < ejectionThreshold && mayProbe
 }
 
 // recordFailure raises the failure levels of a replica for one class and for all classes.
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -50,21 +50,23 @@
 		if !r.canPrefill(replica, req, filter) {
 			continue
 		}
-		c := r.prefillCandidate(replica, req, filter, replicaCount)
+		r.candidates = append(r.candidates, candidate{replica: replica})
+		c := &r.candidates[len(r.candidates)-1]
+		r.estimateCandidate(c, req, filter, replicaCount)
 		lowestMS = min(lowestMS, c.scoreMS)
-		r.candidates = append(r.candidates, c)
 	}
 	toleranceMS := minEstimateToleranceMS
 	if filter == anyHealth || !req.selectsByPoll() { // reported loads are not estimates
 		toleranceMS = max(toleranceMS, r.estimateToleranceMS())
 	}
-	best := candidate{rank: math.Inf(1)}
-	for _, c := range r.candidates {
+	best := &candidate{rank: math.Inf(1)}
+	for i := range r.candidates {
+		c := &r.candidates[i]
 		if c.scoreMS <= lowestMS+toleranceMS && c.rank < best.rank {
 			best = c
 		}
 	}
-	return best
+	return *best
 }
 
 // canPrefill reports whether a replica may be sent the request's prefill. It takes the request's slow-start turn at a
@@ -88,9 +90,10 @@
 // selectsByPoll reports whether the request goes to one of the replicas that were polled for it: on its first attempt.
 func (req *request) selectsByPoll() bool { return req.pollCandidates != nil && req.attempts == 0 }
 
-// prefillCandidate returns a replica with its estimate, score and rank.
-func (r *Router) prefillCandidate(replica *replica, req *request, filter healthFilter, replicaCount float64) candidate {
-	c := candidate{replica: replica, rank: r.rendezvousRank(replica, req, replicaCount)}
+// estimateCandidate sets the estimate, score and rank of a candidate's replica.
+func (r *Router) estimateCandidate(c *candidate, req *request, filter healthFilter, replicaCount float64) {
+	replica := c.replica
+	c.rank = r.rendezvousRank(replica, req, replicaCount)
 	c.queueDelayMS, c.prefillMS = r.prefillEstimate(replica, r.expectedCachedTokens(replica, req, c.rank), req)
 	c.queueDelayMS += r.cellDecodeWaitMS(replica.cell)
 	c.scoreMS = c.queueDelayMS + c.prefillMS
@@ -103,7 +106,6 @@
 	if slices.Contains(req.failedEndpoints, replica.ID) {
 		c.scoreMS += failedBeforePenaltyMS
 	}
-	return c
 }
 
 // estimateToleranceMS returns the difference of estimates that counts as none, in ms: a part of the usual error, which
