--- a/routing/decayedmean.go
+++ b/routing/decayedmean.go
@@ -46,11 +46,15 @@
 	timeConstant time.Duration
 }
 
-// current returns the value, decayed to now.
+// current returns the value, decayed to now. It is short enough to be inlined, since most replicas have no failures.
 func (a *ewma) current(now time.Duration) float64 {
 	if a.value == 0 {
 		return 0
 	}
+	return a.decayed(now)
+}
+
+func (a *ewma) decayed(now time.Duration) float64 {
 	return a.value * decay(now-a.updatedAt, a.timeConstant)
 }
 
