--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/rig"
+	"rampspread/internal/faultbench"
 )
 
 func main() {
@@ -48,7 +48,7 @@
 	return filepath.Join(filepath.Dir(self), "rampspread")
 }
 
-func options(c *cobra.Command, o *rig.Options) {
+func options(c *cobra.Command, o *faultbench.Options) {
 	c.Flags().StringVar(&o.Program, "program", beside(), "the program's `binary`")
 	c.Flags().IntVar(&o.Dispatchers, "dispatchers", 3, "how many `dispatchers`")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws arrivals, sizes and what faults befall")
@@ -71,11 +71,11 @@
 }
 
 func runCommand(out, logs io.Writer) *cobra.Command {
-	var o rig.Options
+	var o faultbench.Options
 	var keep string
 	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario, built in or a file; the last line printed is one JSON object",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := rig.Load(args[0])
+			s, err := faultbench.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -83,7 +83,7 @@
 				o.Dir = filepath.Join(keep, fmt.Sprintf("%s-%d-%d.files", s.Name, o.Dispatchers, o.Seed))
 			}
 			o.Log = logTo(logs)
-			report, err := rig.Play(c.Context(), s, o)
+			report, err := faultbench.Play(c.Context(), s, o)
 			if err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 
 func listCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		all, err := rig.Scenarios()
+		all, err := faultbench.Scenarios()
 		if err != nil {
 			return err
 		}
@@ -125,11 +125,11 @@
 }
 
 func demoCommand(out, logs io.Writer) *cobra.Command {
-	var o rig.Options
+	var o faultbench.Options
 	c := &cobra.Command{Use: "demo", Short: "Start a whole fleet with the chat front and print how to ask it; SIGINT or SIGTERM ends it",
 		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
 			o.Log = logTo(logs)
-			d, err := rig.StartDemo(c.Context(), o)
+			d, err := faultbench.StartDemo(c.Context(), o)
 			if err != nil {
 				return err
 			}
--- a/cmd/fleetrig/soak.go
+++ b/cmd/fleetrig/soak.go
@@ -9,14 +9,14 @@
 	"github.com/spf13/cobra"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/rig"
+	"rampspread/internal/faultbench"
 )
 
 // faulty is the binary of the program on a machine with faults.
 func faulty() string { return filepath.Join(filepath.Dir(beside()), "rampspread-faults") }
 
 func soakCommand(out, logs io.Writer) *cobra.Command {
-	var o rig.SoakOptions
+	var o faultbench.SoakOptions
 	var faults string
 	c := &cobra.Command{Use: "soak", Short: "Play overlapping faults drawn from a seed; the last line printed is one JSON object",
 		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
@@ -24,7 +24,7 @@
 				o.Faults = strings.Split(faults, ",")
 			}
 			o.Log = logTo(logs)
-			report, err := rig.Soak(c.Context(), o)
+			report, err := faultbench.Soak(c.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws the plan of faults, arrivals and how the dispatchers are run")
 	c.Flags().Float64Var(&o.Seconds, "seconds", 30, "how long the traffic lasts")
 	c.Flags().Float64Var(&o.Quiet, "quiet", 0, "seconds without a fault at the begin; 0: 2.5")
-	c.Flags().StringVar(&faults, "faults", "", fmt.Sprintf("the `kinds` of fault to draw from, separated by commas; none: all of %s", strings.Join(rig.SoakKinds(), ",")))
+	c.Flags().StringVar(&faults, "faults", "", fmt.Sprintf("the `kinds` of fault to draw from, separated by commas; none: all of %s", strings.Join(faultbench.SoakKinds(), ",")))
 	c.Flags().StringVar(&o.Dir, "out", "", "keep the dispatchers' files and logs in this `folder`")
 	return c
 }
--- a/internal/rig/clients.go
+++ b/internal/faultbench/clients.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 )
 
 const (
@@ -57,7 +57,7 @@
 func (f *front) watch(ctx context.Context, d int) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return fault.Dial(ctx, addr, f.run.links.clients[d])
+			return network.Dial(ctx, addr, f.run.links.clients[d])
 		}}}
 	tick := time.NewTicker(checkEvery)
 	defer tick.Stop()
@@ -110,7 +110,7 @@
 
 // conn is a client's connection.
 type conn struct {
-	*fault.Conn
+	*network.Conn
 	r          *bufio.Reader
 	dispatcher int
 	used       bool
@@ -145,10 +145,10 @@
 }
 
 // dial opens a client's connection to a dispatcher over its link, within connectWait.
-func (r *Run) dial(ctx context.Context, d int) (*fault.Conn, error) {
+func (r *Run) dial(ctx context.Context, d int) (*network.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectWait)
 	defer cancel()
-	return fault.Dial(ctx, r.addrs.listen(d), r.links.clients[d])
+	return network.Dial(ctx, r.addrs.listen(d), r.links.clients[d])
 }
 
 func (c *clients) get(ctx context.Context, d int, fresh bool) (*conn, error) {
--- a/internal/rig/cluster.go
+++ b/internal/faultbench/cluster.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // state is a prompt that was read and waits at its reader.
--- a/internal/rig/demo.go
+++ b/internal/faultbench/demo.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"net/http"
 	"os"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Demo is a fleet that runs until it is closed, with the chat front, for people to try.
--- a/internal/rig/deployment.go
+++ b/internal/faultbench/deployment.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // deployment is what the settings of a run's dispatchers say of the service, and what its stand-ins hold to.
--- a/internal/rig/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // seeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
--- a/internal/rig/discovery.go
+++ b/internal/faultbench/discovery.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 )
 
 // discovery is a stand-in for the service that tells the list. Each dispatcher is told addresses of its own.
@@ -20,7 +20,7 @@
 	history    *history.Recorder
 	addr       func(r *replica, dispatcher int) string
 	deployment *deployment
-	listeners  [][2]*fault.Listener // by dispatcher
+	listeners  [][2]*network.Listener // by dispatcher
 
 	mu      sync.Mutex
 	entries map[string]entry // by name, as they are now
@@ -70,7 +70,7 @@
 }
 
 func newDiscovery(h *history.Recorder, replicas []*replica, p *deployment, dispatchers int, addr func(*replica, int) string) *discovery {
-	d := &discovery{history: h, addr: addr, deployment: p, listeners: make([][2]*fault.Listener, dispatchers), entries: map[string]entry{},
+	d := &discovery{history: h, addr: addr, deployment: p, listeners: make([][2]*network.Listener, dispatchers), entries: map[string]entry{},
 		version: 1, frozen: map[int]snapshot{}, moved: map[int]time.Time{}, hushed: map[int]time.Time{}, hushes: map[int]int{}, changed: make(chan struct{})}
 	for _, r := range replicas {
 		d.entries[r.name] = entry{replica: r, state: "ready", version: 1}
--- a/internal/rig/drain.go
+++ b/internal/faultbench/drain.go
@@ -1,11 +1,11 @@
-package rig
+package faultbench
 
 import (
 	"context"
 	"time"
 
 	"rampspread/internal/admin"
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 const (
--- a/internal/rig/filings.go
+++ b/internal/faultbench/filings.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/fleet/idempotencyquorum"
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
 )
 
 // Filings is what came of filings that clients sent with a key, each to several dispatchers, on the chat fronts.
@@ -109,7 +109,7 @@
 	req.Header.Set("Idempotency-Key", key)
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return fault.Dial(ctx, addr, f.run.links.clients[d])
+			return network.Dial(ctx, addr, f.run.links.clients[d])
 		}}}
 	from := time.Now()
 	resp, err := client.Do(req)
--- a/internal/rig/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -10,17 +10,17 @@
 	"time"
 
 	"rampspread/internal/admin"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/fleet"
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
 )
 
 // peers are the links between the dispatchers themselves, each direction of each pair.
 type peers struct {
 	mu     sync.Mutex
-	links  [][]*fault.Link     // by sender and receiver; a TCP call's answers go by the same one, from the receiver
-	ways   [][]fault.Condition // of what goes from one to the other
-	relays []*fault.Relay
+	links  [][]*network.Link     // by sender and receiver; a TCP call's answers go by the same one, from the receiver
+	ways   [][]network.Condition // of what goes from one to the other
+	relays []*network.Relay
 }
 
 func (a *addresses) peer(d int) string   { return a.at(3, d+1, 7946) } // where a dispatcher listens and sends from
@@ -56,16 +56,16 @@
 	n := r.options.Dispatchers
 	p := &peers{}
 	for from := range n {
-		p.ways = append(p.ways, make([]fault.Condition, n))
-		var row []*fault.Link
+		p.ways = append(p.ways, make([]network.Condition, n))
+		var row []*network.Link
 		for to := range n {
-			row = append(row, fault.NewLink(r.options.Seed+uint64(from*1000+to)+7))
+			row = append(row, network.NewLink(r.options.Seed+uint64(from*1000+to)+7))
 		}
 		p.links = append(p.links, row)
 	}
 	r.peers = p
 	for to := range n {
-		relay, err := fault.NewRelay(r.addrs.public(to), r.addrs.peer(to), func(ip net.IP) *fault.Link {
+		relay, err := network.NewRelay(r.addrs.public(to), r.addrs.peer(to), func(ip net.IP) *network.Link {
 			v4 := ip.To4()
 			if v4 == nil || v4[2] != 3 || int(v4[3]) < 1 || int(v4[3]) > n {
 				return nil
@@ -81,7 +81,7 @@
 }
 
 // set changes what befalls the bytes from one dispatcher to another.
-func (p *peers) set(from, to int, c fault.Condition) {
+func (p *peers) set(from, to int, c network.Condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ways[from][to] = c
@@ -90,7 +90,7 @@
 }
 
 // around changes what befalls the bytes to (or from, or both) one dispatcher.
-func (p *peers) around(d int, way string, c fault.Condition) {
+func (p *peers) around(d int, way string, c network.Condition) {
 	for other := range p.links {
 		if other == d {
 			continue
@@ -109,7 +109,7 @@
 	for a := range p.links {
 		for b := range p.links {
 			if a != b && side(a) != side(b) {
-				p.set(a, b, fault.Condition{Cut: cut})
+				p.set(a, b, network.Condition{Cut: cut})
 			}
 		}
 	}
--- a/internal/rig/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sys/unix"
 
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/fleet"
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
 	"rampspread/internal/testutil"
 )
 
@@ -128,7 +128,7 @@
 			r.sees(t, d, "alive", r.all()...)
 		}
 	}
-	r.peers.around(2, "to", fault.Condition{Cut: true})
+	r.peers.around(2, "to", network.Condition{Cut: true})
 	for _, d := range []int{0, 1, 3, 4, 5} {
 		r.sees(t, d, "unreachable", 2)
 	}
@@ -137,7 +137,7 @@
 			r.sees(t, d, "alive", 0, 1, 3, 4, 5)
 		}
 	}
-	r.peers.around(2, "to", fault.Condition{})
+	r.peers.around(2, "to", network.Condition{})
 	for d := range r.procs {
 		r.sees(t, d, "alive", r.all()...)
 	}
--- a/internal/rig/history/check_strict_test.go
+++ b/internal/faultbench/history/check_strict_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Each stricter rule has histories that just keep it and histories that just break it.
--- a/internal/rig/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 const ms = time.Millisecond
--- a/internal/rig/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
-	"rampspread/internal/rig/history/historytest"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/history/historytest"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/rig/history/historytest/historytest.go
+++ b/internal/faultbench/history/historytest/historytest.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Recording is one play's history and what the checker needs to judge it.
--- a/internal/rig/history/stale_test.go
+++ b/internal/faultbench/history/stale_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // An attempt is stale from some time after a newer list withdrew its replica, whichever dispatcher was sent it. An older
--- a/internal/rig/inject.sh
+++ b/internal/faultbench/inject.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # Soaks the program with system calls that strace makes fail, for long runs outside CI. It needs strace (Debian package strace).
 #
-#   internal/rig/inject.sh FOLDER [SEED]
+#   internal/faultbench/inject.sh FOLDER [SEED]
 #
 # Each line of the list below is a soak of four processes over 20 s; what fails is told at the end. FUTEX_WAKE never returns EINTR on Linux,
 # and mmap's ENOMEM ends any Go program, so neither is in the list.
--- a/internal/rig/misbehave.go
+++ b/internal/faultbench/misbehave.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 )
 
 const (
@@ -35,7 +35,7 @@
 )
 
 // goAway ends a client's connection in some way, and notes for which requests it does so.
-func (r *Run) goAway(c *fault.Conn, how leaving, dispatcher int, asked time.Time, ids ...string) {
+func (r *Run) goAway(c *network.Conn, how leaving, dispatcher int, asked time.Time, ids ...string) {
 	for _, id := range ids {
 		r.history.Add(history.Event{Kind: history.ClientClosed, Request: id, Dispatcher: dispatcher, LinkHealthy: c.Link().Sound(asked.Add(-time.Second))})
 	}
--- a/internal/rig/fault/link.go
+++ b/internal/faultbench/network/link.go
@@ -1,7 +1,7 @@
-// Package fault makes the links of one machine's processes fail as networks do: cut, one way only, slow, late,
+// Package network makes the links of one machine's processes fail as networks do: cut, one way only, slow, late,
 // lossy or reset. It needs no privileges: a party of the rig listens on a loopback address for each of its
 // callers, so the address that was called tells who called, and the faults are made where bytes come in and go out.
-package fault
+package network
 
 import (
 	"math/rand/v2"
--- a/internal/rig/fault/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -1,4 +1,4 @@
-package fault
+package network
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 func Listen(addr string, l *Link) (*Listener, error) {
 	at, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
-		return nil, fmt.Errorf("fault: %w", err)
+		return nil, fmt.Errorf("network: %w", err)
 	}
 	out := &Listener{addr: at, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
 	if err := out.adjust(); err != nil {
@@ -79,13 +79,13 @@
 	}
 	if wantHole && l.pit == nil {
 		if err := l.dig(); err != nil {
-			return fmt.Errorf("fault: %w", err)
+			return fmt.Errorf("network: %w", err)
 		}
 	}
 	if wantOpen && l.open == nil {
 		inner, err := retryBusy(func() (net.Listener, error) { return net.Listen("tcp4", l.addr.String()) })
 		if err != nil {
-			return fmt.Errorf("fault: %w", err)
+			return fmt.Errorf("network: %w", err)
 		}
 		l.open = inner
 		go l.accept(inner)
@@ -185,7 +185,7 @@
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
 	if _, cut, _ := l.hold(true, 0); cut {
 		<-ctx.Done()
-		return nil, fmt.Errorf("fault: %w", ctx.Err())
+		return nil, fmt.Errorf("network: %w", ctx.Err())
 	}
 	c, err := new(net.Dialer).DialContext(ctx, "tcp4", addr)
 	if err != nil {
--- a/internal/rig/fault/fault_test.go
+++ b/internal/faultbench/network/network_test.go
@@ -1,4 +1,4 @@
-package fault_test
+package network_test
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/fault"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/testutil"
 )
 
 func own(host, port int) string { return fmt.Sprintf("%s%d:%d", testutil.Net(), 1+host, port) }
 
 // echo answers each line on a link until the test ends.
-func echo(t *testing.T, addr string, l *fault.Link) *fault.Listener {
+func echo(t *testing.T, addr string, l *network.Link) *network.Listener {
 	t.Helper()
-	s, err := fault.Listen(addr, l)
+	s, err := network.Listen(addr, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,13 +51,13 @@
 
 // A cut holds back what is under way and lets no connection come up; its end lets both go on.
 func TestCutAndHeal(t *testing.T) {
-	addr, l := own(0, 4001), fault.NewLink(1)
+	addr, l := own(0, 4001), network.NewLink(1)
 	echo(t, addr, l)
 	c, err := net.Dial("tcp", addr)
 	if err != nil || ask(c, 5*time.Second) != nil {
 		t.Fatal("a sound link does not answer", err)
 	}
-	for _, way := range [][2]fault.Condition{{{Cut: true}, {}}, {{}, {Cut: true}}} {
+	for _, way := range [][2]network.Condition{{{Cut: true}, {}}, {{}, {Cut: true}}} {
 		l.Set(way[0], way[1])
 		if err := ask(c, 100*time.Millisecond); !timedOut(err) {
 			t.Errorf("%v: an open connection over a cut: %v", way, err)
@@ -65,7 +65,7 @@
 		if _, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); !timedOut(err) {
 			t.Errorf("%v: a new connection over a cut: %v", way, err)
 		}
-		l.Set(fault.Condition{}, fault.Condition{})
+		l.Set(network.Condition{}, network.Condition{})
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err != nil {
 			t.Errorf("%v: what was held back did not come: %v", way, err)
@@ -77,29 +77,29 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	l.Set(fault.Condition{Cut: true}, fault.Condition{})
-	if _, err := fault.Dial(ctx, addr, l); err == nil {
+	l.Set(network.Condition{Cut: true}, network.Condition{})
+	if _, err := network.Dial(ctx, addr, l); err == nil {
 		t.Error("a call from this side came up over a cut")
 	}
 }
 
 func TestDelayDownAndReset(t *testing.T) {
-	addr, l := own(1, 4002), fault.NewLink(1)
+	addr, l := own(1, 4002), network.NewLink(1)
 	s := echo(t, addr, l)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Set(fault.Condition{}, fault.Condition{Delay: 80 * time.Millisecond})
+	l.Set(network.Condition{}, network.Condition{Delay: 80 * time.Millisecond})
 	start := time.Now()
 	if err := ask(c, 5*time.Second); err != nil || time.Since(start) < 80*time.Millisecond {
 		t.Errorf("a late link answered after %v, %v", time.Since(start), err)
 	}
-	l.Set(fault.Condition{BytesPerS: 10}, fault.Condition{})
+	l.Set(network.Condition{BytesPerS: 10}, network.Condition{})
 	if start = time.Now(); ask(c, 5*time.Second) != nil || time.Since(start) < 100*time.Millisecond {
 		t.Errorf("a slow link took %v for a byte", time.Since(start))
 	}
-	l.Set(fault.Condition{}, fault.Condition{})
+	l.Set(network.Condition{}, network.Condition{})
 	if err := s.SetDown(true); err != nil {
 		t.Fatal(err)
 	}
@@ -120,10 +120,10 @@
 
 // A relay tells senders apart by their source: one's cut does not stop another, nor the other direction.
 func TestRelay(t *testing.T) {
-	good, bad := fault.NewLink(1), fault.NewLink(2)
+	good, bad := network.NewLink(1), network.NewLink(2)
 	at, to := own(2, 4003), own(3, 4003)
 	sender := func(host int) net.IP { ip, _, _ := net.SplitHostPort(own(host, 1)); return net.ParseIP(ip) }
-	r, err := fault.NewRelay(at, to, func(from net.IP) *fault.Link {
+	r, err := network.NewRelay(at, to, func(from net.IP) *network.Link {
 		switch {
 		case from.Equal(sender(4)):
 			return good
@@ -136,13 +136,13 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	echo(t, to, fault.NewLink(3))
+	echo(t, to, network.NewLink(3))
 	packets, err := net.ListenPacket("udp4", to)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer packets.Close()
-	bad.Set(fault.Condition{Cut: true}, fault.Condition{})
+	bad.Set(network.Condition{Cut: true}, network.Condition{})
 	for _, host := range []int{5, 6, 4} { // the last one's datagram is the only one that comes
 		u, err := net.ListenPacket("udp4", sender(host).String()+":0")
 		if err != nil {
--- a/internal/rig/fault/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -1,4 +1,4 @@
-package fault
+package network
 
 import (
 	"context"
--- a/internal/rig/newest_test.go
+++ b/internal/faultbench/newest_test.go
@@ -1,10 +1,10 @@
-package rig
+package faultbench
 
 import (
 	"context"
 	"testing"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // A dispatcher that is killed and starts again while discovery is silent knows from the disk which servers were leaving; its
--- a/internal/rig/process.go
+++ b/internal/faultbench/process.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
+	"rampspread/internal/faultbench/history"
 	"rampspread/internal/hostos"
-	"rampspread/internal/rig/history"
 	stored "rampspread/internal/state"
 )
 
--- a/internal/rig/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"rampspread/internal/rig/history/historytest"
+	"rampspread/internal/faultbench/history/historytest"
 )
 
 // recordingsEnv names the folder that TestRecordHistories writes to. Without it the test is skipped.
--- a/internal/rig/replica.go
+++ b/internal/faultbench/replica.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 )
 
 // What the stand-in replicas can do. The deployment's own are about ten times as large; the traffic is too.
@@ -41,7 +41,7 @@
 	index     int
 	zone      int
 	writer    bool
-	listeners []*fault.Listener // one for each dispatcher
+	listeners []*network.Listener // one for each dispatcher
 	calls     calls
 	onList    float64 // weight; 0: 1
 
@@ -163,7 +163,7 @@
 }
 
 // serve answers calls on a link's listener; the dispatcher that calls there is the given one.
-func (r *replica) serve(l *fault.Listener, link *fault.Link, dispatcher int) *http.Server {
+func (r *replica) serve(l *network.Listener, link *network.Link, dispatcher int) *http.Server {
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
 		life := r.life
@@ -200,7 +200,7 @@
 	w.WriteHeader(status)
 }
 
-func (r *replica) answer(w http.ResponseWriter, q *http.Request, link *fault.Link, dispatcher int) {
+func (r *replica) answer(w http.ResponseWriter, q *http.Request, link *network.Link, dispatcher int) {
 	h := r.cluster.history
 	came := h.Now()
 	if id, ok := strings.CutPrefix(q.URL.Path, "/bootstrap/rooms/"); ok {
@@ -250,7 +250,7 @@
 	if told, err := told(q.Header.Get("X-Expires-In")); err == nil {
 		event.AnnouncedTimeout = told
 	}
-	if c, ok := q.Context().Value(connKey{}).(*fault.Conn); ok {
+	if c, ok := q.Context().Value(connKey{}).(*network.Conn); ok {
 		event.SentAt = max(min(h.At(c.Sent()), came), 1)
 	}
 	h.Add(event)
@@ -434,7 +434,7 @@
 // passes tells whether what is written to a call's connection now leaves this machine: what a fault of the link holds back is not held
 // back by the dispatcher.
 func passes(q *http.Request) bool {
-	c, ok := q.Context().Value(connKey{}).(*fault.Conn)
+	c, ok := q.Context().Value(connKey{}).(*network.Conn)
 	return ok && c.Link().Sound(time.Now())
 }
 
--- a/internal/rig/report.go
+++ b/internal/faultbench/report.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Report is what came of a run. Shares are of worth: what was answered in time, over what was asked for.
--- a/internal/rig/rig_test.go
+++ b/internal/faultbench/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // program builds the real program once for all tests of the package.
--- a/internal/rig/run.go
+++ b/internal/faultbench/run.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -16,10 +16,10 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/fleet/idempotencyquorum"
 	"rampspread/internal/hostos"
-	"rampspread/internal/rig/fault"
-	"rampspread/internal/rig/history"
 )
 
 // Options say how a scenario is run.
@@ -85,9 +85,9 @@
 
 // links are all links, by what is at their other end.
 type links struct {
-	replicas  [][]*fault.Link // by dispatcher and replica
-	discovery []*fault.Link
-	clients   []*fault.Link
+	replicas  [][]*network.Link // by dispatcher and replica
+	discovery []*network.Link
+	clients   []*network.Link
 }
 
 // addresses are a run's own part of the loopback range: a /16 that no other run on this machine has.
@@ -182,10 +182,10 @@
 	for d := range n {
 		r.names = append(r.names, fmt.Sprintf("n%d", d))
 		r.procs[d] = &proc{run: r, index: d, tries: r.deployment.tries}
-		r.links.clients = append(r.links.clients, fault.NewLink(seed+uint64(d)))
-		r.links.discovery = append(r.links.discovery, fault.NewLink(seed+uint64(d)+1000))
+		r.links.clients = append(r.links.clients, network.NewLink(seed+uint64(d)))
+		r.links.discovery = append(r.links.discovery, network.NewLink(seed+uint64(d)+1000))
 		for i := range r.discovery.listeners[d] {
-			l, err := fault.Listen(r.addrs.discovery(d, i), r.links.discovery[d])
+			l, err := network.Listen(r.addrs.discovery(d, i), r.links.discovery[d])
 			if err != nil {
 				return fmt.Errorf("rig: discovery: %w", err)
 			}
@@ -193,10 +193,10 @@
 			r.discovery.listeners[d][i] = l
 			r.servers = append(r.servers, r.discovery.serve(l, d))
 		}
-		var row []*fault.Link
+		var row []*network.Link
 		for _, p := range r.cluster.replicas {
-			link := fault.NewLink(seed + uint64(d*1000+p.index))
-			l, err := fault.Listen(r.addrs.replica(p.index, d), link)
+			link := network.NewLink(seed + uint64(d*1000+p.index))
+			l, err := network.Listen(r.addrs.replica(p.index, d), link)
 			if err != nil {
 				return fmt.Errorf("rig: %s: %w", p.name, err)
 			}
@@ -236,7 +236,7 @@
 		s.Close()
 	}
 	for _, row := range r.links.replicas {
-		eachOf(row, (*fault.Link).Reset) // what has fallen silent does not close
+		eachOf(row, (*network.Link).Reset) // what has fallen silent does not close
 	}
 	if r.peers != nil {
 		r.peers.close()
@@ -501,22 +501,22 @@
 		r.misbehave(ctx, f, t)
 	case "links", "reset":
 		links := r.linksOf(f.Links, t)
-		c := fault.Condition{Cut: f.DelayMS == 0 && f.Loss == 0 && f.KBPerS == 0, Delay: seconds(f.DelayMS / 1000),
+		c := network.Condition{Cut: f.DelayMS == 0 && f.Loss == 0 && f.KBPerS == 0, Delay: seconds(f.DelayMS / 1000),
 			Loss: f.Loss, BytesPerS: f.KBPerS * 1000}
 		if f.Links == "peers" {
 			if r.peers != nil && f.Do == "links" {
 				r.peers.around(t, f.Way, c)
-				f.after(ctx, func() { r.peers.around(t, f.Way, fault.Condition{}) })
+				f.after(ctx, func() { r.peers.around(t, f.Way, network.Condition{}) })
 			}
 			return
 		}
 		to, from := c, c // of the parties that listen
 		if dialed := f.Links == "clients"; f.Way == "to" && dialed || f.Way == "from" && !dialed {
-			from = fault.Condition{}
+			from = network.Condition{}
 		} else if f.Way == "to" || f.Way == "from" {
-			to = fault.Condition{}
+			to = network.Condition{}
 		}
-		all := func(do func(l *fault.Link)) {
+		all := func(do func(l *network.Link)) {
 			var wg sync.WaitGroup
 			for _, l := range links {
 				wg.Go(func() { do(l) })
@@ -524,11 +524,11 @@
 			wg.Wait()
 		}
 		if f.Do == "reset" {
-			all((*fault.Link).Reset)
+			all((*network.Link).Reset)
 			return
 		}
-		all(func(l *fault.Link) { l.Set(to, from) })
-		f.after(ctx, func() { all(func(l *fault.Link) { l.Set(fault.Condition{}, fault.Condition{}) }) })
+		all(func(l *network.Link) { l.Set(to, from) })
+		f.after(ctx, func() { all(func(l *network.Link) { l.Set(network.Condition{}, network.Condition{}) }) })
 	case "discovery-stale":
 		from := r.history.Now()
 		r.discovery.freeze(t, true)
@@ -586,7 +586,7 @@
 }
 
 // linksOf are the links of one kind that a dispatcher has.
-func (r *Run) linksOf(kind string, d int) []*fault.Link {
+func (r *Run) linksOf(kind string, d int) []*network.Link {
 	switch kind {
 	case "replicas":
 		return r.links.replicas[d]
@@ -599,7 +599,7 @@
 }
 
 // eachOf does something to all of the links at once, since to take an address out of service takes some 20 ms.
-func eachOf(links []*fault.Link, do func(l *fault.Link)) {
+func eachOf(links []*network.Link, do func(l *network.Link)) {
 	var wg sync.WaitGroup
 	for _, l := range links {
 		wg.Go(func() { do(l) })
@@ -611,35 +611,35 @@
 func (r *Run) spoilLinks(ctx context.Context, f Fault, d int) {
 	all := r.links.replicas[d]
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(f.At*1000)))
-	var links []*fault.Link
+	var links []*network.Link
 	for _, i := range rng.Perm(len(all))[:min(max(1, int(f.Share*float64(len(all)))), len(all)-1)] {
 		links = append(links, all[i])
 	}
 	switch f.Do {
 	case "conns-silent":
-		eachOf(links, (*fault.Link).Hush)
+		eachOf(links, (*network.Link).Hush)
 	case "conns-late":
-		eachOf(links, func(l *fault.Link) { l.SetLate(seconds(f.DelayMS / 1000)) })
-		f.after(ctx, func() { eachOf(links, func(l *fault.Link) { l.SetLate(0) }) })
+		eachOf(links, func(l *network.Link) { l.SetLate(seconds(f.DelayMS / 1000)) })
+		f.after(ctx, func() { eachOf(links, func(l *network.Link) { l.SetLate(0) }) })
 	default:
-		cut := fault.Condition{Cut: true}
-		eachOf(links, func(l *fault.Link) { l.Set(cut, cut) })
-		f.after(ctx, func() { eachOf(links, func(l *fault.Link) { l.Set(fault.Condition{}, fault.Condition{}) }) })
+		cut := network.Condition{Cut: true}
+		eachOf(links, func(l *network.Link) { l.Set(cut, cut) })
+		f.after(ctx, func() { eachOf(links, func(l *network.Link) { l.Set(network.Condition{}, network.Condition{}) }) })
 	}
 }
 
 // vanish lets a replica's machine say nothing for a time. What was sent to it meanwhile never arrives: its connections are reset.
 func (r *Run) vanish(ctx context.Context, f Fault, replica int) {
-	var links []*fault.Link
+	var links []*network.Link
 	for _, row := range r.links.replicas {
 		links = append(links, row[replica])
 	}
-	cut := fault.Condition{Cut: true}
-	eachOf(links, func(l *fault.Link) { l.Set(cut, cut) })
+	cut := network.Condition{Cut: true}
+	eachOf(links, func(l *network.Link) { l.Set(cut, cut) })
 	f.after(ctx, func() {
-		eachOf(links, func(l *fault.Link) {
+		eachOf(links, func(l *network.Link) {
 			l.Reset()
-			l.Set(fault.Condition{}, fault.Condition{})
+			l.Set(network.Condition{}, network.Condition{})
 		})
 	})
 }
@@ -647,7 +647,7 @@
 // cutZone cuts the links between a zone's dispatchers and the replicas and dispatchers of the others, both ways, or
 // heals them.
 func (r *Run) cutZone(zone int, cut bool) {
-	c := fault.Condition{Cut: cut}
+	c := network.Condition{Cut: cut}
 	// All at once: to take an address out of service takes some 20 ms, and there are hundreds.
 	var wg sync.WaitGroup
 	for d, row := range r.links.replicas {
--- a/internal/rig/scenario.go
+++ b/internal/faultbench/scenario.go
@@ -1,6 +1,6 @@
 // Package rig runs the real program many times over on one machine: stand-ins for replicas, discovery, the front
 // and clients round it, faults between them at seeded times, and a check of the rules over what the stand-ins saw.
-package rig
+package faultbench
 
 import (
 	"embed"
--- a/internal/rig/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 	"rampspread/internal/testutil"
 )
 
@@ -22,7 +22,7 @@
 		dispatchers int
 		length      float64
 		shows       func(r *Report) bool
-		long        bool // outside CI: go test ./internal/rig -args -rig.long
+		long        bool // outside CI: go test ./internal/faultbench -args -rig.long
 	}{
 		{"retry-storm", 3, 11, func(r *Report) bool { return r.Repeats > 0 }, false},
 		{"cut-half", 5, 11, func(r *Report) bool { return r.ShareLow < 0.9 }, false}, // a voter's slice is on the other side
--- a/internal/rig/soak.go
+++ b/internal/faultbench/soak.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"strings"
 	"syscall"
 
+	"rampspread/internal/faultbench/history"
 	"rampspread/internal/hostos"
-	"rampspread/internal/rig/history"
 )
 
 // SoakOptions say how a soak is run.
--- a/internal/rig/stragglers.go
+++ b/internal/faultbench/stragglers.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Straggling is what became of dispatchers that were told an old list, seen from outside.
--- a/internal/rig/stragglers_test.go
+++ b/internal/faultbench/stragglers_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/history"
 )
 
 // Stragglers are timed from the first change that they missed, settings from their change on; one that had been told no old list
--- a/internal/rig/sums.go
+++ b/internal/faultbench/sums.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
+	"rampspread/internal/faultbench/history"
 	"rampspread/internal/fleet"
 	"rampspread/internal/fleet/subsetter"
-	"rampspread/internal/rig/history"
 )
 
 // Sums are what all dispatchers did together, counted at the replicas, and the parts that they say they act by.
--- a/internal/rig/traffic.go
+++ b/internal/faultbench/traffic.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
