--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -96,24 +96,24 @@
 		}}
 	options(c, &o)
 	c.Flags().BoolVar(&o.Fleet, "fleet", false, "let the dispatchers know of each other")
-	c.Flags().BoolVar(&o.NoDuties, "no-duties", false, "with -fleet: do nothing in turn")
+	c.Flags().BoolVar(&o.NoLeasedTasks, "no-duties", false, "with -fleet: do nothing in turn")
 	c.Flags().BoolVar(&o.Budgets, "budgets", false, "with -fleet: let them share what they may do together")
 	c.Flags().IntVar(&o.Subsets, "subsets", 0, "with -fleet: let each keep to at least so many `readers`, 0: to all")
-	c.Flags().BoolVar(&o.Filings, "filings", false, "with -fleet: filings run once in the whole fleet; clients send some to several dispatchers")
-	c.Flags().BoolVar(&o.OwnFilings, "own-filings", false, "clients send such filings, and each dispatcher knows its own only")
+	c.Flags().BoolVar(&o.IdempotentRequests, "filings", false, "with -fleet: filings run once in the whole fleet; clients send some to several dispatchers")
+	c.Flags().BoolVar(&o.LocalIdempotency, "own-filings", false, "clients send such filings, and each dispatcher knows its own only")
 	c.Flags().BoolVar(&o.Handover, "handover", false, "let a dispatcher begin with what its earlier life learnt")
-	c.Flags().BoolVar(&o.Stragglers, "stragglers", false, "with -fleet: a dispatcher that is behind most is restricted and shut out")
-	c.Flags().BoolVar(&o.Ends, "ends", false, "with -fleet: a dispatcher sends nothing to what a newer list than its own has ended")
-	c.Flags().BoolVar(&o.Beliefs, "beliefs", false, "with -fleet: let a dispatcher that starts learn from the others")
-	c.Flags().BoolVar(&o.Unwatched, "unwatched", false, "with -fleet: ask nobody for views, so that no detection is measured")
+	c.Flags().BoolVar(&o.VersionSkew, "stragglers", false, "with -fleet: a dispatcher that is behind most is restricted and shut out")
+	c.Flags().BoolVar(&o.EndpointFilter, "ends", false, "with -fleet: a dispatcher sends nothing to what a newer list than its own has ended")
+	c.Flags().BoolVar(&o.Bootstrap, "beliefs", false, "with -fleet: let a dispatcher that starts learn from the others")
+	c.Flags().BoolVar(&o.SkipViews, "unwatched", false, "with -fleet: ask nobody for views, so that no detection is measured")
 	c.Flags().StringVar(&keep, "out", "", "keep figures, history, chart and logs in this `folder`")
-	c.Flags().Float64Var(&o.Rate, "rate", 1, "a `factor` on the scenario's rate of requests")
+	c.Flags().Float64Var(&o.RateFactor, "rate", 1, "a `factor` on the scenario's rate of requests")
 	return c
 }
 
 func listCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		all, err := faultbench.Scenarios()
+		all, err := faultbench.All()
 		if err != nil {
 			return err
 		}
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	mostTries    = 3 // a client's first and its own repeats
-	connectWait  = time.Second
-	overtime     = 600 * time.Millisecond // how long beyond its time a client still listens for an answer
-	maxAway      = 500 * time.Millisecond // the longest advice that a client heeds
-	idleConn     = 12 * time.Second
-	checkEvery   = 100 * time.Millisecond
-	noticeAfter  = 2 * time.Second // the front notices a dead dispatcher so late
-	streamSilent = 6 * time.Second
-	closeLinger  = 500 * time.Millisecond // between a client's half close and its whole one
+	maxClientAttempts   = 3 // a client's first and its own repeats
+	connectTimeout      = time.Second
+	answerGrace         = 600 * time.Millisecond // how long beyond its time a client still listens for an answer
+	maxRetryAfter       = 500 * time.Millisecond // the longest advice that a client heeds
+	idleTimeout         = 12 * time.Second
+	healthCheckInterval = 100 * time.Millisecond
+	unhealthyAfter      = 2 * time.Second // the front notices a dead dispatcher so late
+	streamSilence       = 6 * time.Second
+	closeLinger         = 500 * time.Millisecond // between a client's half close and its whole one
 )
 
 // front deals out clients' connections among the dispatchers that it holds to be there.
@@ -40,11 +40,11 @@
 }
 
 func newFront(r *Run) *front {
-	n := len(r.procs)
+	n := len(r.dispatchers)
 	f := &front{run: r, in: make([]bool, n), heard: make([]time.Time, n), next: make([]int, r.scenario.Zones)}
 	for d := range n {
 		f.order = append(f.order, d)
-		for range r.scenario.Hot - 1 {
+		for range r.scenario.HotFactor - 1 {
 			if d == 0 {
 				f.order = append(f.order, 0)
 			}
@@ -59,7 +59,7 @@
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return network.Dial(ctx, addr, f.run.links.clients[d])
 		}}}
-	tick := time.NewTicker(checkEvery)
+	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
 	for {
 		resp, err := client.Get("http://" + f.run.addrs.listen(d) + "/healthz")
@@ -70,7 +70,7 @@
 			f.in[d], f.heard[d] = true, now
 		case err == nil:
 			f.in[d] = false // it says no: that is noticed at once
-		case now.Sub(f.heard[d]) > noticeAfter:
+		case now.Sub(f.heard[d]) > unhealthyAfter:
 			f.in[d] = false
 		}
 		f.mu.Unlock()
@@ -93,7 +93,7 @@
 		for range f.order {
 			f.next[zone]++
 			d := f.order[f.next[zone]%len(f.order)]
-			if f.in[d] && !f.run.procs[d].leavesFront() && (!own || d%f.run.scenario.Zones == zone) {
+			if f.in[d] && !f.run.dispatchers[d].leavesFront() && (!own || d%f.run.scenario.Zones == zone) {
 				return d
 			}
 		}
@@ -105,7 +105,7 @@
 func (f *front) deals(d int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.in[d] && !f.run.procs[d].leavesFront()
+	return f.in[d] && !f.run.dispatchers[d].leavesFront()
 }
 
 // conn is a client's connection.
@@ -146,14 +146,14 @@
 
 // dial opens a client's connection to a dispatcher over its link, within connectWait.
 func (r *Run) dial(ctx context.Context, d int) (*network.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, connectWait)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	return network.Dial(ctx, r.addrs.listen(d), r.links.clients[d])
 }
 
 func (c *clients) get(ctx context.Context, d int, fresh bool) (*conn, error) {
 	for k := c.takeIdle(d); k != nil && !fresh; k = c.takeIdle(d) {
-		if k.used = true; time.Since(k.idle) < idleConn {
+		if k.used = true; time.Since(k.idle) < idleTimeout {
 			return k, nil
 		}
 		k.Close()
@@ -218,7 +218,7 @@
 
 // result is what became of one first try with all its repeats.
 type result struct {
-	spec   *spec
+	spec   *Request
 	tries  int
 	status string // served, late, refused, failed, unanswered, unreachable, broken
 	first  time.Duration
@@ -232,42 +232,42 @@
 }
 
 // ask carries one first try through, with its client's own repeats.
-func (c *clients) ask(ctx context.Context, s *spec, rng *rand.Rand) result {
+func (c *clients) ask(ctx context.Context, s *Request, rng *rand.Rand) result {
 	start := time.Now()
 	out := result{spec: s, status: "unreachable"}
 	for out.tries = 1; ; out.tries++ {
 		o := c.try(ctx, s, start, rng, &out)
 		out.status = o.status
 		again := o.status == "refused" || o.status == "unreachable" ||
-			s.class.safe && (o.status == "failed" || o.status == "unanswered" || o.status == "broken")
-		if !again || out.tries == mostTries || time.Since(start) > s.class.deadline {
+			s.Class.Repeatable && (o.status == "failed" || o.status == "unanswered" || o.status == "broken")
+		if !again || out.tries == maxClientAttempts || time.Since(start) > s.Class.Deadline {
 			return out
 		}
 		away := o.away
 		if away == 0 {
 			away = 50*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond)))
 		}
-		if sleep(ctx, min(away, maxAway)) != nil {
+		if sleep(ctx, min(away, maxRetryAfter)) != nil {
 			return out
 		}
 	}
 }
 
 // try sends one try and follows its answer to the end.
-func (c *clients) try(ctx context.Context, s *spec, start time.Time, rng *rand.Rand, out *result) outcome {
+func (c *clients) try(ctx context.Context, s *Request, start time.Time, rng *rand.Rand, out *result) outcome {
 	h := c.run.history
-	patience := min(s.patience, s.class.deadline-time.Since(start))
+	patience := min(s.Timeout, s.Class.Deadline-time.Since(start))
 	if patience < 50*time.Millisecond {
 		return outcome{status: "unanswered"}
 	}
-	d := c.pick(s.zone)
+	d := c.pick(s.Zone)
 	if d < 0 {
 		return outcome{status: "unreachable"}
 	}
 	id := strconv.FormatUint(rng.Uint64(), 16)
-	c.run.cluster.know(id, s)
+	c.run.cluster.Register(id, s)
 	text := c.run.requestText(id, s, patience)
-	leaves, leaveAt, how := c.run.leaves.draw(rng), time.Duration(rng.Int64N(int64(leaveWithin))), leaving(rng.IntN(int(leavings)))
+	leaves, leaveAt, how := c.run.clientLeaves.draw(rng), time.Duration(rng.Int64N(int64(maxLeaveDelay))), closeMode(rng.IntN(int(closeModes)))
 	for fresh := false; ; fresh = true {
 		k, err := c.get(ctx, d, fresh)
 		if err != nil {
@@ -276,20 +276,20 @@
 		asked := time.Now()
 		if _, err := io.WriteString(k, text); err != nil {
 			k.Close()
-			if d = c.run.front.pick(s.zone); k.used && !fresh && d >= 0 {
+			if d = c.run.front.pick(s.Zone); k.used && !fresh && d >= 0 {
 				continue
 			}
 			return outcome{status: "unreachable"}
 		}
-		e := history.Event{Kind: history.RequestSent, Request: id, Group: s.group, Class: s.class.name, Dispatcher: d, Until: h.Now() + patience}
+		e := history.Event{Kind: history.RequestSent, Request: id, Group: s.Group, Class: s.Class.Name, Dispatcher: d, Until: h.Now() + patience}
 		h.Add(e)
-		k.SetReadDeadline(time.Now().Add(patience + overtime))
+		k.SetReadDeadline(time.Now().Add(patience + answerGrace))
 		if leaves {
 			c.mu.Lock()
 			k.blind = true
 			c.mu.Unlock()
 			sleep(ctx, leaveAt)
-			c.run.goAway(k.Conn, how, d, asked, id)
+			c.run.closeClient(k.Conn, how, d, asked, id)
 			time.Sleep(closeLinger) // one that has closed only its half is not told apart from one that has gone
 			k.Close()
 			return outcome{status: "left"}
@@ -299,14 +299,14 @@
 			k.Close()
 			// A close between requests may cross one that the dispatcher has not read: it goes once more on a new
 			// connection, unless the process is known to have ended.
-			if k.used && !fresh && !isTimeout(err) && c.run.procs[d].upSince(asked) {
+			if k.used && !fresh && !isTimeout(err) && c.run.dispatchers[d].upSince(asked) {
 				h.Add(history.Event{Kind: history.ConnectionDropped, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
-				if d = c.run.front.pick(s.zone); d < 0 {
+				if d = c.run.front.pick(s.Zone); d < 0 {
 					return outcome{status: "unreachable"}
 				}
 				continue
 			}
-			h.Add(history.Event{Kind: history.ClientGaveUp, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second)) && c.run.procs[d].upSince(asked)})
+			h.Add(history.Event{Kind: history.ClientGaveUp, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second)) && c.run.dispatchers[d].upSince(asked)})
 			return outcome{status: "unanswered"}
 		}
 		return c.follow(k, resp, s, id, start, asked, out)
@@ -319,10 +319,10 @@
 }
 
 // follow reads an answer.
-func (c *clients) follow(k *conn, resp *http.Response, s *spec, id string, start, asked time.Time, out *result) outcome {
+func (c *clients) follow(k *conn, resp *http.Response, s *Request, id string, start, asked time.Time, out *result) outcome {
 	h := c.run.history
 	defer resp.Body.Close()
-	event := history.Event{Kind: history.ResponseReceived, Request: id, Group: s.group, Class: s.class.name, Dispatcher: k.dispatcher,
+	event := history.Event{Kind: history.ResponseReceived, Request: id, Group: s.Group, Class: s.Class.Name, Dispatcher: k.dispatcher,
 		Status: resp.StatusCode}
 	finish := func(whole bool) {
 		event.Elapsed = time.Since(asked)
@@ -346,25 +346,25 @@
 			if err != nil {
 				away = 0
 			}
-			return outcome{"refused", seconds(away)}
+			return outcome{"refused", Seconds(away)}
 		}
 		return outcome{status: "failed"}
 	}
 	lines := bufio.NewScanner(resp.Body)
 	tokens, done, first, last := 0, false, time.Time{}, time.Time{}
 	for lines.Scan() {
-		k.SetReadDeadline(time.Now().Add(streamSilent))
+		k.SetReadDeadline(time.Now().Add(streamSilence))
 		line := lines.Text()
 		if strings.Contains(line, `"content":`) {
 			if last = time.Now(); tokens == 0 {
 				first = last
 				h.Add(history.Event{Kind: history.FirstEventReceived, Request: id, Dispatcher: k.dispatcher, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
 			}
-			event.MaxEventDelay = max(event.MaxEventDelay, c.run.cluster.lag(id, tokens))
-			if !strings.Contains(line, mark(id, tokens)) {
+			event.MaxEventDelay = max(event.MaxEventDelay, c.run.cluster.EventDelay(id, tokens))
+			if !strings.Contains(line, EventMark(id, tokens)) {
 				h.Add(history.Event{Kind: history.ForeignResponseReceived, Request: id, Dispatcher: k.dispatcher})
 			}
-			tokens += eventTokens
+			tokens += TokensPerEvent
 		}
 		done = done || line == "data: [DONE]"
 	}
@@ -377,10 +377,10 @@
 		return outcome{status: "broken"}
 	}
 	out.first = first.Sub(start)
-	aim := s.class.aim + time.Duration(s.prompt)*40*time.Microsecond
-	pace := last.Sub(first) / time.Duration(max(s.output, 1))
-	out.earned = s.worth()
-	if out.first > aim || pace > s.class.token {
+	aim := s.Class.TTFTObjective + time.Duration(s.PromptTokens)*40*time.Microsecond
+	pace := last.Sub(first) / time.Duration(max(s.OutputTokens, 1))
+	out.earned = s.Value()
+	if out.first > aim || pace > s.Class.TokenInterval {
 		out.earned *= 0.1
 		return outcome{status: "late"}
 	}
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -22,8 +22,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &Run{scenario: &Scenario{Name: "demo", Zones: 3, Readers: 3, Writers: 3}, options: o, history: history.NewRecorder(),
-		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: seconds(2), InitialCapacity: 0.34}, anyone: true}
+	r := &Run{scenario: &Scenario{Name: "demo", Zones: 3, PrefillReplicas: 3, DecodeReplicas: 3}, options: o, history: history.NewRecorder(),
+		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: Seconds(2), InitialCapacity: 0.34}, acceptAnyRequest: true}
 	dir, err := os.MkdirTemp("", "fleetrig-")
 	if err != nil {
 		return nil, fmt.Errorf("demo: %w", err)
@@ -55,26 +55,26 @@
 // chatFile writes the chat front's file for a dispatcher.
 func (r *Run) chatFile(d int) (string, error) {
 	models := map[string]string{}
-	for _, c := range r.deployment.classes {
-		models[c.name] = c.name
+	for _, c := range r.deployment.Classes {
+		models[c.Name] = c.Name
 	}
 	return r.write(fmt.Sprintf("n%d.chat.json", d), map[string]any{"listen": r.addrs.chat(d), "models": models,
 		"max_tokens": 100, "filings": map[string]any{"entries": 1000, "keep_s": 3600}})
 }
 
-// stranger is what replicas make of a request that no client of the rig sent, where anyone may ask.
-func (r *Run) stranger(q *http.Request, body []byte) *spec {
+// unregisteredRequest is what replicas make of a request that no client of the rig sent, where anyone may ask.
+func (r *Run) unregisteredRequest(q *http.Request, body []byte) *Request {
 	var ask struct{ Model string }
-	if !r.anyone || json.Unmarshal(body, &ask) != nil {
+	if !r.acceptAnyRequest || json.Unmarshal(body, &ask) != nil {
 		return nil
 	}
-	for _, c := range r.deployment.classes {
-		if c.name == ask.Model {
+	for _, c := range r.deployment.Classes {
+		if c.Name == ask.Model {
 			id := q.Header.Get("X-Trace-Id")
-			if !c.safe {
+			if !c.Repeatable {
 				id = string(body) // the same filing, whoever sends it
 			}
-			return &spec{group: id, class: c, session: id, prompt: 100, output: c.output, body: string(body)}
+			return &Request{Group: id, Class: c, Session: id, PromptTokens: 100, OutputTokens: c.OutputTokens, Body: string(body)}
 		}
 	}
 	return nil
--- a/internal/faultbench/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -34,19 +34,19 @@
 	for _, seed := range seeds(t, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day := drawDay(seed)
+			day := DrawDay(seed)
 			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				t.Errorf("%s: %s", describe(day), b)
 			}
 			if r.Crashes > 0 || r.Asked == 0 || r.ByStatus["served"] == 0 {
 				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Asked, r.ByStatus)
 			}
-			plan := drawDeployment(day.Zones, seed)
-			if n := count(r.events, history.LoadPolled); !plan.probes && n > 0 {
+			plan := DrawDeployment(day.Zones, seed)
+			if n := count(r.events, history.LoadPolled); !plan.LoadPolls && n > 0 {
 				t.Errorf("%d probes where the settings allow none", n)
 			}
 			mutants(t, r.events, plan)
@@ -57,7 +57,7 @@
 func describe(s *Scenario) string {
 	var out bytes.Buffer
 	for _, f := range s.Faults {
-		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Do, f.Links, f.At)
+		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Action, f.Links, f.At)
 	}
 	return out.String()
 }
@@ -73,9 +73,9 @@
 
 // mutants breaks one rule of each kind in a day that kept them, at a place drawn by its length, and wants the checker to
 // see it.
-func mutants(t *testing.T, events []history.Event, plan *deployment) {
+func mutants(t *testing.T, events []history.Event, plan *Deployment) {
 	t.Helper()
-	rules := plan.rules(func(string) *replica { return &replica{} })
+	rules := plan.Rules(func(string) *Replica { return &Replica{} })
 	rng := rand.New(rand.NewPCG(uint64(len(events)), 1))
 	blamed := func(d int) bool {
 		return slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ProcessDown && e.Dispatcher == d })
--- a/internal/faultbench/ends_test.go
+++ b/internal/faultbench/ends_test.go
@@ -13,24 +13,24 @@
 		ends bool
 		kill Fault
 	}{
-		"without":            {false, Fault{At: 9, Do: "kill", Part: 0.4, Spare: 3, For: 0.3, Forget: true}},
-		"stragglers restart": {true, Fault{At: 9, Do: "kill", Part: 0.4, Spare: 3, For: 0.3, Forget: true}},
-		"most restart":       {true, Fault{At: 9, Do: "kill", Part: 0.8, Spare: 1, For: 0.3, Forget: true}},
-		"one side of a cut":  {true, Fault{At: 9, Do: "split", For: 2}},
+		"without":            {false, Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"stragglers restart": {true, Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"most restart":       {true, Fault{At: 9, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}},
+		"one side of a cut":  {true, Fault{At: 9, Action: "split", Duration: 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if name == "stragglers restart" && !*long {
 				t.Skip("-rig.long")
 			}
 			t.Parallel()
-			s := &Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, Readers: 5, Writers: 5, Faults: []Fault{
-				{At: 5, Do: "discovery-stale", Part: 0.4, Spare: 3, For: 8}, {At: 6, Do: "replica-leave", Part: 0.2, For: 7}, c.kill}}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 3, Fleet: true, Ends: c.ends, Unwatched: true, Dir: t.TempDir()})
+			s := &Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []Fault{
+				{At: 5, Action: "discovery-stale", Fraction: 0.4, SpareFirst: 3, Duration: 8}, {At: 6, Action: "replica-leave", Fraction: 0.2, Duration: 7}, c.kill}}
+			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 3, Fleet: true, EndpointFilter: c.ends, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !r.Good() || c.ends != (r.StaleActs == 0) {
-				t.Errorf("%d stale acts, %v", r.StaleActs, r.breaches)
+				t.Errorf("%d stale acts, %v", r.StaleActs, r.violations)
 			}
 		})
 	}
@@ -47,12 +47,12 @@
 		t.Fatal(err)
 	}
 	for _, seed := range []uint64{2, 7} {
-		r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 9, Seed: seed, Fleet: true, Ends: true, Dir: t.TempDir()})
+		r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 9, Seed: seed, Fleet: true, EndpointFilter: true, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !r.Good() || r.Doubled > 0 || r.Duty < 1 {
-			t.Errorf("%d probes under numbers that had fallen back, %.2f in all, %v", r.Doubled, r.Duty, r.breaches)
+		if !r.Good() || r.StaleLeasePolls > 0 || r.LeasedPollRate < 1 {
+			t.Errorf("%d probes under numbers that had fallen back, %.2f in all, %v", r.StaleLeasePolls, r.LeasedPollRate, r.violations)
 		}
 	}
 }
--- a/internal/faultbench/filings_test.go
+++ b/internal/faultbench/filings_test.go
@@ -17,21 +17,21 @@
 				t.Fatal(err)
 			}
 			s.Seconds, s.Rate = 12, 6
-			s.Faults = []Fault{{At: 2, Do: "kill", Part: 0.25, For: 1}, {At: 4, Do: "split", Sides: 2, For: 2}, {At: 5, Do: "kill", Part: 0.2, For: 1, Forget: true},
-				{At: 8, Do: "pause", Part: 0.5, For: 2}}
+			s.Faults = []Fault{{At: 2, Action: "kill", Fraction: 0.25, Duration: 1}, {At: 4, Action: "split", Sides: 2, Duration: 2}, {At: 5, Action: "kill", Fraction: 0.2, Duration: 1, LoseState: true},
+				{At: 8, Action: "pause", Fraction: 0.5, Duration: 2}}
 			if !kept {
 				s.Seconds, s.Faults = 5, nil
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 4, Seed: 4, Fleet: kept, Filings: kept, OwnFilings: !kept, Unwatched: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 4, Seed: 4, Fleet: kept, IdempotentRequests: kept, LocalIdempotency: !kept, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := r.Filings
-			if f.Ran < 5 || f.Again == 0 || r.Crashes > 0 {
+			f := r.Idempotency
+			if f.Executed < 5 || f.Replayed == 0 || r.Crashes > 0 {
 				t.Errorf("%d crashes, %+v", r.Crashes, f)
 			}
-			if kept && (f.Twice > 0 || !r.Good()) || !kept && f.Twice == 0 {
-				t.Errorf("%d ran twice: %+v, %v", f.Twice, f, r.breaches)
+			if kept && (f.ExecutedTwice > 0 || !r.Good()) || !kept && f.ExecutedTwice == 0 {
+				t.Errorf("%d ran twice: %+v, %v", f.ExecutedTwice, f, r.violations)
 			}
 		})
 	}
@@ -46,12 +46,12 @@
 		t.Fatal(err)
 	}
 	s.Seconds, s.Rate, s.Zones = 8, 4, 1
-	s.Faults = []Fault{{At: 2, Do: "kill", For: 0.5}, {At: 5, Do: "kill", For: 0.5}}
-	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 1, Seed: 5, Fleet: true, Filings: true, Unwatched: true, Dir: t.TempDir()})
+	s.Faults = []Fault{{At: 2, Action: "kill", Duration: 0.5}, {At: 5, Action: "kill", Duration: 0.5}}
+	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 1, Seed: 5, Fleet: true, IdempotentRequests: true, SkipViews: true, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := r.Filings; f.Twice > 0 || f.Ran < 5 || f.Again+f.Told == 0 || !r.Good() {
-		t.Errorf("%+v, %v", f, r.breaches)
+	if f := r.Idempotency; f.ExecutedTwice > 0 || f.Executed < 5 || f.Replayed+f.InProgress == 0 || !r.Good() {
+		t.Errorf("%+v, %v", f, r.violations)
 	}
 }
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -17,10 +17,10 @@
 
 // peers are the links between the dispatchers themselves, each direction of each pair.
 type peers struct {
-	mu     sync.Mutex
-	links  [][]*network.Link     // by sender and receiver; a TCP call's answers go by the same one, from the receiver
-	ways   [][]network.Condition // of what goes from one to the other
-	relays []*network.Relay
+	mu         sync.Mutex
+	links      [][]*network.Link     // by sender and receiver; a TCP call's answers go by the same one, from the receiver
+	conditions [][]network.Condition // of what goes from one to the other
+	relays     []*network.Relay
 }
 
 func (a *addresses) peer(d int) string   { return a.at(3, d+1, 7946) } // where a dispatcher listens and sends from
@@ -35,15 +35,15 @@
 	for i, name := range r.names {
 		f.Members = append(f.Members, fleet.Peer{Name: name, Address: r.addrs.public(i)})
 	}
-	if !r.options.NoDuties { // the first ones vote
+	if !r.options.NoLeasedTasks { // the first ones vote
 		f.Voters = r.names[:min(3, (len(r.names)-1)|1)]
 	}
-	f.MinSubsetPrefillReplicas, f.Bootstrap, f.EndpointFilter = r.options.Subsets, r.options.Beliefs, r.options.Ends
-	if r.options.Stragglers {
+	f.MinSubsetPrefillReplicas, f.Bootstrap, f.EndpointFilter = r.options.Subsets, r.options.Bootstrap, r.options.EndpointFilter
+	if r.options.VersionSkew {
 		f.VersionSkew = &fleet.VersionSkewConfig{RestrictS: 2, FenceS: 4, MaxFencedFraction: 0.25}
 	}
-	if r.options.Filings {
-		f.Idempotency = &fleet.IdempotencyConfig{RetentionS: filingKeep, Entries: 10_000}
+	if r.options.IdempotentRequests {
+		f.Idempotency = &fleet.IdempotencyConfig{RetentionS: recordRetentionS, Entries: 10_000}
 	}
 	if r.options.Budgets {
 		f.Budgets = &budgets
@@ -56,7 +56,7 @@
 	n := r.options.Dispatchers
 	p := &peers{}
 	for from := range n {
-		p.ways = append(p.ways, make([]network.Condition, n))
+		p.conditions = append(p.conditions, make([]network.Condition, n))
 		var row []*network.Link
 		for to := range n {
 			row = append(row, network.NewLink(r.options.Seed+uint64(from*1000+to)+7))
@@ -84,13 +84,13 @@
 func (p *peers) set(from, to int, c network.Condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ways[from][to] = c
-	p.links[from][to].Set(p.ways[from][to], p.ways[to][from])
-	p.links[to][from].Set(p.ways[to][from], p.ways[from][to])
+	p.conditions[from][to] = c
+	p.links[from][to].Set(p.conditions[from][to], p.conditions[to][from])
+	p.links[to][from].Set(p.conditions[to][from], p.conditions[from][to])
 }
 
-// around changes what befalls the bytes to (or from, or both) one dispatcher.
-func (p *peers) around(d int, way string, c network.Condition) {
+// setAround changes what befalls the bytes to (or from, or both) one dispatcher.
+func (p *peers) setAround(d int, way string, c network.Condition) {
 	for other := range p.links {
 		if other == d {
 			continue
@@ -121,8 +121,8 @@
 	}
 }
 
-// shown is what a dispatcher answers to an operators' call.
-func shown[T any](r *Run, d int, call string) (s T, err error) {
+// adminStatus is what a dispatcher answers to an operators' call.
+func adminStatus[T any](r *Run, d int, call string) (s T, err error) {
 	text, err := admin.Request(r.addrs.ops(d), call, time.Second)
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", call, err)
@@ -134,10 +134,10 @@
 }
 
 // Members is the fleet as a dispatcher shows it to its operators.
-func (r *Run) Members(d int) (fleet.Status, error) { return shown[fleet.Status](r, d, "members") }
+func (r *Run) Members(d int) (fleet.Status, error) { return adminStatus[fleet.Status](r, d, "members") }
 
-// mostWatched bounds the dispatchers whose views are followed.
-const mostWatched = 9
+// maxWatchedViews bounds the dispatchers whose views are followed.
+const maxWatchedViews = 9
 
 // watchViews records each change of state that a dispatcher shows of another.
 func (r *Run) watchViews(ctx context.Context, d int) {
@@ -161,9 +161,9 @@
 	}
 }
 
-// detection is how long after each end or pause of a process the views of others that were up all the while showed it
+// detectionTimes is how long after each end or pause of a process the views of others that were up all the while showed it
 // as unreachable or left, in seconds, and how often one showed another as suspect or worse that was up.
-func detection(events []history.Event, names []string) (took []float64, falsely int) {
+func detectionTimes(events []history.Event, names []string) (took []float64, falsely int) {
 	downs := map[string][]history.Event{}
 	byName := map[string]int{}
 	for i, n := range names {
@@ -204,9 +204,9 @@
 	return took, falsely
 }
 
-// duties is the longest time in which a replica that was there was not probed for the fleet, from settle on, how many
+// leasedPolls is the longest time in which a replica that was there was not probed for the fleet, from settle on, how many
 // probes came for a lease after another had followed it, and how many came in all.
-func duties(events []history.Event, settle, end time.Duration) (gap float64, doubled, all int) {
+func leasedPolls(events []history.Event, settle, end time.Duration) (gap float64, doubled, all int) {
 	last, most := map[string]time.Duration{}, map[string]float64{}
 	away := map[string]bool{}
 	look := func(replica string, at time.Duration) {
@@ -218,7 +218,7 @@
 	for _, e := range events {
 		switch {
 		case e.At > end:
-		case e.Kind == history.LoadPolled && e.Class == dutyProbe:
+		case e.Kind == history.LoadPolled && e.Class == LeasedPoll:
 			all++
 			look(e.Replica, e.At)
 			away[e.Replica] = false
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -25,7 +25,7 @@
 // startFleet starts dispatchers that know of each other, without traffic, all at once, and waits until all see all.
 func startFleet(t *testing.T, n int) *Run {
 	t.Helper()
-	r := &Run{scenario: &Scenario{Name: "fleet", Zones: 3, Readers: 1, Writers: 1}, history: history.NewRecorder(), dir: t.TempDir(),
+	r := &Run{scenario: &Scenario{Name: "fleet", Zones: 3, PrefillReplicas: 1, DecodeReplicas: 1}, history: history.NewRecorder(), dir: t.TempDir(),
 		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Log: slog.New(slog.DiscardHandler)}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
@@ -38,7 +38,7 @@
 }
 
 func (r *Run) all() (out []int) {
-	for d := range r.procs {
+	for d := range r.dispatchers {
 		out = append(out, d)
 	}
 	return out
@@ -66,25 +66,25 @@
 func TestMembersComeAndGo(t *testing.T) {
 	t.Parallel()
 	r, ctx := startFleet(t, 5), context.Background()
-	r.procs[0].kill()
+	r.dispatchers[0].kill()
 	for d := 1; d < 5; d++ {
 		r.sees(t, d, "unreachable", 0)
 	}
 	first := r.member(t, 1, 0)
-	r.procs[0].restart(ctx, false)
+	r.dispatchers[0].restart(ctx, false)
 	for d := range 5 {
 		r.sees(t, d, "alive", 0, 1, 2, 3, 4)
 	}
 	if m := r.member(t, 1, 0); m.Incarnations != 2 || m.Incarnation <= first.Incarnation {
 		t.Errorf("back as %+v after %+v", m, first)
 	}
-	r.procs[3].term()
+	r.dispatchers[3].term()
 	for _, d := range []int{0, 1, 2, 4} {
 		r.sees(t, d, "left", 3)
 	}
 	for range 5 {
-		r.procs[2].kill()
-		r.procs[2].restart(ctx, false)
+		r.dispatchers[2].kill()
+		r.dispatchers[2].restart(ctx, false)
 	}
 	for _, d := range []int{0, 1, 4} {
 		r.sees(t, d, "alive", 0, 1, 2, 4)
@@ -97,7 +97,7 @@
 			t.Errorf("conflicts %v, %v", s.Conflicts, err)
 		}
 	}
-	for _, p := range r.procs {
+	for _, p := range r.dispatchers {
 		if p.crashes > 0 {
 			t.Errorf("dispatcher %d crashed", p.index)
 		}
@@ -111,9 +111,9 @@
 	for _, sides := range []int{2, 3} {
 		side := func(d int) int { return d % sides }
 		r.peers.split(side, true)
-		for d := range r.procs {
+		for d := range r.dispatchers {
 			var here, there []int
-			for o := range r.procs {
+			for o := range r.dispatchers {
 				if side(o) == side(d) {
 					here = append(here, o)
 				} else {
@@ -124,21 +124,21 @@
 			r.sees(t, d, "alive", here...)
 		}
 		r.peers.split(side, false)
-		for d := range r.procs {
+		for d := range r.dispatchers {
 			r.sees(t, d, "alive", r.all()...)
 		}
 	}
-	r.peers.around(2, "to", network.Condition{Cut: true})
+	r.peers.setAround(2, "to", network.Condition{Cut: true})
 	for _, d := range []int{0, 1, 3, 4, 5} {
 		r.sees(t, d, "unreachable", 2)
 	}
-	for d := range r.procs {
+	for d := range r.dispatchers {
 		if d != 2 {
 			r.sees(t, d, "alive", 0, 1, 3, 4, 5)
 		}
 	}
-	r.peers.around(2, "to", network.Condition{})
-	for d := range r.procs {
+	r.peers.setAround(2, "to", network.Condition{})
+	for d := range r.dispatchers {
 		r.sees(t, d, "alive", r.all()...)
 	}
 	before, _ := r.Members(0)
@@ -151,7 +151,7 @@
 func TestMemberStopped(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
-	r.procs[1].signal(syscall.SIGSTOP, true, false)
+	r.dispatchers[1].signal(syscall.SIGSTOP, true, false)
 	r.sees(t, 0, "unreachable", 1)
 	r.sees(t, 2, "unreachable", 1)
 	conn, err := net.Dial("tcp", r.addrs.ops(1)) // the kernel takes the call while the process is stopped
@@ -160,7 +160,7 @@
 	}
 	defer conn.Close()
 	fmt.Fprintln(conn, "members")
-	r.procs[1].signal(syscall.SIGCONT, false, false)
+	r.dispatchers[1].signal(syscall.SIGCONT, false, false)
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -183,9 +183,9 @@
 	t.Parallel()
 	r := startFleet(t, 3)
 	time.Sleep(time.Second) // of beats, probes, claims and results
-	r.procs[1].kill()
+	r.dispatchers[1].kill()
 	r.sees(t, 0, "unreachable", 1)
-	r.procs[1].restart(context.Background(), true)
+	r.dispatchers[1].restart(context.Background(), true)
 	for d := range 3 {
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
@@ -214,7 +214,7 @@
 func TestMemberInTrouble(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
-	pid := r.procs[1].cmd.Process.Pid
+	pid := r.dispatchers[1].cmd.Process.Pid
 	var old unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 5, Max: 20000}, &old); err != nil {
 		t.Skip("the limit of another process cannot be set here:", err)
--- a/internal/faultbench/handover_test.go
+++ b/internal/faultbench/handover_test.go
@@ -18,7 +18,7 @@
 		t.Run(do, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			s := &Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, Readers: 3, Writers: 3, Faults: []Fault{{At: 7, Do: do, Part: 1, Spare: 1, For: 0.5}}}
+			s := &Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []Fault{{At: 7, Action: do, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
 			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 2, Seed: 1, Handover: true, Dir: dir})
 			if err != nil {
 				t.Fatal(err)
@@ -33,7 +33,7 @@
 			}
 			texts, _ := strconv.Atoi(string(m[1]))
 			if texts < 10 || string(m[2]) != "6" || !r.Good() {
-				t.Errorf("%d texts, %s servers, %v", texts, m[2], r.breaches)
+				t.Errorf("%d texts, %s servers, %v", texts, m[2], r.violations)
 			}
 		})
 	}
@@ -45,18 +45,18 @@
 	for _, cut := range []bool{false, true} {
 		t.Run(map[bool]string{false: "restart", true: "cut off"}[cut], func(t *testing.T) {
 			t.Parallel()
-			s := &Scenario{Name: "restart", Seconds: 14, Rate: 30, Zones: 1, Readers: 3, Writers: 3, Faults: []Fault{{At: 7, Do: "kill", Part: 0.8, Spare: 1, For: 0.3, Forget: true}}}
+			s := &Scenario{Name: "restart", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []Fault{{At: 7, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}}}
 			if cut {
-				s.Faults = append(s.Faults, Fault{At: 6.5, Do: "links", Links: "peers", Part: 0.4, For: 5})
+				s.Faults = append(s.Faults, Fault{At: 6.5, Action: "links", Links: "peers", Fraction: 0.4, Duration: 5})
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, Beliefs: true, Unwatched: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, Bootstrap: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !r.Good() {
-				t.Error(r.breaches)
+				t.Error(r.violations)
 			}
-			if taken := r.Taken; taken < 1 || !cut && taken < 4 {
+			if taken := r.BootstrapsApplied; taken < 1 || !cut && taken < 4 {
 				t.Errorf("%v gifts were taken by those that run at the end", taken)
 			}
 		})
--- a/internal/faultbench/misbehave.go
+++ b/internal/faultbench/misbehave.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	halfPause     = 300 * time.Millisecond // between clients that stop in the middle of a request
-	halfWait      = 6 * time.Second        // for which such a client waits for its error or the close
-	pipelinePause = 250 * time.Millisecond // between clients that send many requests at once
-	mostPipelined = 12
-	leaveWithin   = 1200 * time.Millisecond // a client that leaves does so at a random time within this
+	partialRequestInterval = 300 * time.Millisecond // between clients that stop in the middle of a request
+	partialRequestTimeout  = 6 * time.Second        // for which such a client waits for its error or the close
+	pipelineInterval       = 250 * time.Millisecond // between clients that send many requests at once
+	maxPipelined           = 12
+	maxLeaveDelay          = 1200 * time.Millisecond // a client that leaves does so at a random time within this
 )
 
-// leaving is how a client leaves.
-type leaving int
+// closeMode is how a client leaves.
+type closeMode int
 
 const (
-	closes leaving = iota
-	resets
-	closesHalf
-	leavings
+	closeBoth closeMode = iota
+	closeReset
+	closeWrite
+	closeModes
 )
 
-// goAway ends a client's connection in some way, and notes for which requests it does so.
-func (r *Run) goAway(c *network.Conn, how leaving, dispatcher int, asked time.Time, ids ...string) {
+// closeClient ends a client's connection in some way, and notes for which requests it does so.
+func (r *Run) closeClient(c *network.Conn, how closeMode, dispatcher int, asked time.Time, ids ...string) {
 	for _, id := range ids {
 		r.history.Add(history.Event{Kind: history.ClientClosed, Request: id, Dispatcher: dispatcher, LinkHealthy: c.Link().Sound(asked.Add(-time.Second))})
 	}
 	switch half, ok := c.Conn.(interface{ CloseWrite() error }); {
-	case how == resets:
+	case how == closeReset:
 		c.Abort()
-	case how == closesHalf && ok:
+	case how == closeWrite && ok:
 		half.CloseWrite()
 	default:
 		c.Close()
@@ -68,37 +68,37 @@
 }
 
 // requestText is a request of a spec as its bytes.
-func (r *Run) requestText(id string, s *spec, patience time.Duration) string {
+func (r *Run) requestText(id string, s *Request, patience time.Duration) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\n%s"+
 		"X-Object: %s\r\nX-Expires-In: %dm\r\nX-Props: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
-		id, s.class.name, r.deployment.tenantLine(s.zone), s.session, patience.Milliseconds(), s.props(), len(s.body), s.body)
+		id, s.Class.Name, r.deployment.TenantHeader(s.Zone), s.Session, patience.Milliseconds(), s.Properties(), len(s.Body), s.Body)
 }
 
-// strange is a spec for a client that misbehaves.
-func (r *Run) strange(rng *rand.Rand) *spec {
-	c := r.deployment.classes[rng.IntN(len(r.deployment.classes))]
-	s := &spec{group: strconv.FormatUint(rng.Uint64(), 16), class: c, session: strconv.FormatUint(rng.Uint64(), 16),
-		prompt: 200 + rng.IntN(400), output: 8, patience: c.deadline}
-	s.body = fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"%s"}]}`, c.name, s.group)
+// randomRequest is a spec for a client that misbehaves.
+func (r *Run) randomRequest(rng *rand.Rand) *Request {
+	c := r.deployment.Classes[rng.IntN(len(r.deployment.Classes))]
+	s := &Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, Session: strconv.FormatUint(rng.Uint64(), 16),
+		PromptTokens: 200 + rng.IntN(400), OutputTokens: 8, Timeout: c.Deadline}
+	s.Body = fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"%s"}]}`, c.Name, s.Group)
 	return s
 }
 
-// halves lets clients stop in the middle of a request and stay, until the context ends: each is owed an error or a close.
-func (r *Run) halves(ctx context.Context, d int, rng *rand.Rand) {
+// partialRequests lets clients stop in the middle of a request and stay, until the context ends: each is owed an error or a close.
+func (r *Run) partialRequests(ctx context.Context, d int, rng *rand.Rand) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
-		s := r.strange(rng)
-		text := r.requestText(strconv.FormatUint(rng.Uint64(), 16), s, s.patience)
+		s := r.randomRequest(rng)
+		text := r.requestText(strconv.FormatUint(rng.Uint64(), 16), s, s.Timeout)
 		cut := 1 + rng.IntN(len(text)-1)
-		wg.Go(func() { r.half(d, text[:cut]) })
-		if sleep(ctx, halfPause) != nil {
+		wg.Go(func() { r.sendPartial(d, text[:cut]) })
+		if sleep(ctx, partialRequestInterval) != nil {
 			return
 		}
 	}
 }
 
-func (r *Run) half(d int, text string) {
+func (r *Run) sendPartial(d int, text string) {
 	c, err := r.dial(context.Background(), d)
 	if err != nil {
 		return
@@ -108,10 +108,10 @@
 		return
 	}
 	stopped := time.Now()
-	c.SetReadDeadline(stopped.Add(halfWait))
+	c.SetReadDeadline(stopped.Add(partialRequestTimeout))
 	c.Read(make([]byte, 1))
 	r.history.Add(history.Event{Kind: history.PartialRequestEnded, Dispatcher: d, Elapsed: time.Since(stopped),
-		LinkHealthy: c.Link().Sound(stopped.Add(-time.Second)) && r.procs[d].upSince(stopped)})
+		LinkHealthy: c.Link().Sound(stopped.Add(-time.Second)) && r.dispatchers[d].upSince(stopped)})
 }
 
 // pipelines lets clients send many requests at once on a connection, and leave at some time, until the context ends.
@@ -121,7 +121,7 @@
 	for {
 		own := rand.New(rand.NewPCG(rng.Uint64(), 1))
 		wg.Go(func() { r.pipeline(ctx, d, own) })
-		if sleep(ctx, pipelinePause) != nil {
+		if sleep(ctx, pipelineInterval) != nil {
 			return
 		}
 	}
@@ -135,11 +135,11 @@
 	defer c.Close()
 	asked := time.Now()
 	var ids []string
-	for range 2 + rng.IntN(mostPipelined-1) {
-		id, s := strconv.FormatUint(rng.Uint64(), 16), r.strange(rng)
-		r.cluster.know(id, s)
+	for range 2 + rng.IntN(maxPipelined-1) {
+		id, s := strconv.FormatUint(rng.Uint64(), 16), r.randomRequest(rng)
+		r.cluster.Register(id, s)
 		ids = append(ids, id)
-		if _, err := io.WriteString(c, r.requestText(id, s, s.patience)); err != nil {
+		if _, err := io.WriteString(c, r.requestText(id, s, s.Timeout)); err != nil {
 			return
 		}
 	}
@@ -155,12 +155,12 @@
 			}
 		}
 	}()
-	sleep(ctx, time.Duration(rng.Int64N(int64(leaveWithin))))
-	r.goAway(c, leaving(rng.IntN(int(closesHalf))), d, asked, ids...) // a client that only half closes could still be answered
+	sleep(ctx, time.Duration(rng.Int64N(int64(maxLeaveDelay))))
+	r.closeClient(c, closeMode(rng.IntN(int(closeWrite))), d, asked, ids...) // a client that only half closes could still be answered
 }
 
-// idlers are clients that connect and stay, some after one call: so many as fill a dispatcher's room and more, until the context ends.
-func (r *Run) idlers(ctx context.Context, d, many int) {
+// idleClients are clients that connect and stay, some after one call: so many as fill a dispatcher's room and more, until the context ends.
+func (r *Run) idleClients(ctx context.Context, d, many int) {
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
@@ -168,7 +168,7 @@
 		}
 	}()
 	for n := range many {
-		dialing, cancel := context.WithTimeout(ctx, connectWait)
+		dialing, cancel := context.WithTimeout(ctx, connectTimeout)
 		c, err := new(net.Dialer).DialContext(dialing, "tcp4", r.addrs.listen(d))
 		cancel()
 		if err != nil {
--- a/internal/faultbench/newest_test.go
+++ b/internal/faultbench/newest_test.go
@@ -11,8 +11,8 @@
 // configuration's list is older. Without a folder it sends to them, which shows that the day can tell.
 func TestNewestListOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
-	day := &Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, Readers: 5, Writers: 5, Faults: []Fault{
-		{At: 2, Do: "replica-drain", Part: 0.3, For: 10}, {At: 4, Do: "discovery-silent", For: 6}, {At: 5, Do: "kill", Part: 1, For: 0.3}}}
+	day := &Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []Fault{
+		{At: 2, Action: "replica-drain", Fraction: 0.3, Duration: 10}, {At: 4, Action: "discovery-silent", Duration: 6}, {At: 5, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with a folder": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -21,7 +21,7 @@
 				t.Fatal(err)
 			}
 			sent := 0
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				if b.Rule == history.RuleOrderlyDrain {
 					sent++
 				} else {
@@ -40,8 +40,8 @@
 // that: whoever takes their duties over does so under higher numbers than the first, where a calm hour may leave all at the first.
 func TestLeaseNumbersOutliveTheFleet(t *testing.T) {
 	t.Parallel()
-	day := &Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, Readers: 4, Writers: 4, Faults: []Fault{
-		{At: 4, Do: "kill", Part: 0.34, For: 0.3}, {At: 6.5, Do: "kill", Part: 0.34, For: 0.3}, {At: 9, Do: "kill", Part: 1, For: 0.3}}}
+	day := &Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, PrefillReplicas: 4, DecodeReplicas: 4, Faults: []Fault{
+		{At: 4, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 6.5, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 9, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with folders": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -49,11 +49,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				t.Error(b)
 			}
-			if r.Crashes > 0 || r.Duty == 0 || (r.Doubled == 0) != state {
-				t.Errorf("%d probes under numbers that fell back, %.1f a second in all, %d crashes", r.Doubled, r.Duty, r.Crashes)
+			if r.Crashes > 0 || r.LeasedPollRate == 0 || (r.StaleLeasePolls == 0) != state {
+				t.Errorf("%d probes under numbers that fell back, %.1f a second in all, %d crashes", r.StaleLeasePolls, r.LeasedPollRate, r.Crashes)
 			}
 		})
 	}
--- a/internal/faultbench/process.go
+++ b/internal/faultbench/process.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	readyWait    = 20 * time.Second
-	usualSockets = 1024
-	triesUsual   = 4                      // that a dispatcher's settings allow in the usual deployment
-	triesOther   = 3                      // after they were changed
-	killMost     = 3 * time.Second        // from SIGTERM to SIGKILL is the longest deadline, or this where it is longer,
-	killMore     = 700 * time.Millisecond // and so much more
+	readyWait          = 20 * time.Second
+	usualSockets       = 1024
+	DefaultMaxAttempts = 4                      // that a dispatcher's settings allow in the usual deployment
+	ChangedMaxAttempts = 3                      // after they were changed
+	maxKillDelay       = 3 * time.Second        // from SIGTERM to SIGKILL is the longest deadline, or this where it is longer,
+	killDelayMargin    = 700 * time.Millisecond // and so much more
 )
 
 // proc is one dispatcher's process, through all its lives.
@@ -136,14 +136,14 @@
 	return p.down == 0 && p.since.Before(t)
 }
 
-// frontNotices is how late after SIGTERM a process still gets new connections: 0.2 to 0.4 s, by the protocol page.
-const frontNotices = 400 * time.Millisecond
+// frontDetectsShutdown is how late after SIGTERM a process still gets new connections: 0.2 to 0.4 s, by the protocol page.
+const frontDetectsShutdown = 400 * time.Millisecond
 
 // leavesFront tells whether the front deals out nothing to it any more since it is ending.
 func (p *proc) leavesFront() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.run.options.Strict && !p.leaving.IsZero() && time.Since(p.leaving) > frontNotices
+	return p.run.options.Strict && !p.leaving.IsZero() && time.Since(p.leaving) > frontDetectsShutdown
 }
 
 // signal sends one to this life. A life that is meant to end by it has not crashed.
@@ -172,7 +172,7 @@
 	p.signal(syscall.SIGTERM, false, true)
 	select {
 	case <-p.ended:
-	case <-time.After(p.run.deployment.killAfter()):
+	case <-time.After(p.run.deployment.KillAfter()):
 		p.kill()
 	}
 }
@@ -225,7 +225,7 @@
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
-	case <-time.After(p.run.deployment.killAfter()):
+	case <-time.After(p.run.deployment.KillAfter()):
 		cmd.Process.Kill()
 		<-ended
 	}
@@ -341,14 +341,14 @@
 	p.reloading.Lock()
 	defer p.reloading.Unlock()
 	r := p.run
-	r.discovery.noteMove(p.index)
+	r.discovery.NoteMove(p.index)
 	p.moves++
-	r.discovery.listeners[p.index][p.moves%2].SetDown(false)
+	r.discovery.Listeners[p.index][p.moves%2].SetDown(false)
 	if err := p.writeConfig(); err != nil {
 		r.options.Log.Warn("move", "err", err)
 		return
 	}
-	r.discovery.listeners[p.index][1-p.moves%2].SetDown(true)
+	r.discovery.Listeners[p.index][1-p.moves%2].SetDown(true)
 	p.signal(syscall.SIGHUP, false, false)
 }
 
@@ -357,11 +357,11 @@
 	const reloads = 5
 	for n := range reloads {
 		if n%2 == 0 {
-			p.retune(triesOther + n%4/2)
+			p.retune(ChangedMaxAttempts + n%4/2)
 		} else {
 			p.move()
 		}
-		if sleep(ctx, seconds(f.For)/reloads) != nil {
+		if sleep(ctx, Seconds(f.Duration)/reloads) != nil {
 			return
 		}
 	}
@@ -391,7 +391,7 @@
 		"name": r.names[p.index], "listen": r.addrs.listen(p.index), "discovery": r.addrs.discovery(p.index, p.moves%2), "ops": r.addrs.ops(p.index),
 		"seed":   fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.index)+1),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(r.options.MemoryMB, 192), "sockets": cmp.Or(r.options.Sockets, usualSockets)},
-		"known":  r.discovery.known(p.index), "settings": r.settings(p.index),
+		"known":  r.discovery.LastKnown(p.index), "settings": r.settings(p.index),
 	})
 	return err
 }
@@ -410,10 +410,10 @@
 		}
 		p.args = append(p.args, "-fleet", file)
 	}
-	if r.options.State && !r.options.Filings {
+	if r.options.State && !r.options.IdempotentRequests {
 		p.args = append(p.args, "-state", r.stateDir(p.index))
 	}
-	if r.options.Filings {
+	if r.options.IdempotentRequests {
 		if err := stored.Init(r.stateDir(p.index), stored.Identity{Fleet: "rig", Name: r.names[p.index]}); err != nil {
 			return fmt.Errorf("dispatcher %d: %w", p.index, err)
 		}
@@ -422,7 +422,7 @@
 	if r.options.Handover {
 		p.args = append(p.args, "-handover", r.dir)
 	}
-	if r.anyone {
+	if r.acceptAnyRequest {
 		chat, err := r.chatFile(p.index)
 		if err != nil {
 			return err
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			record(t, filepath.Join(dir, name), s, Options{Program: program, Dispatchers: 3, Seed: 1, Rate: 0.5}, "")
+			record(t, filepath.Join(dir, name), s, Options{Program: program, Dispatchers: 3, Seed: 1, RateFactor: 0.5}, "")
 		})
 	}
 	for _, seed := range recordedSeeds {
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return record(t, path, s, soakRun(o), mutant)
+	return record(t, path, s, soakOptions(o), mutant)
 }
 
 // record plays a scenario, writes its history and rules, and says how many rules it broke.
@@ -86,16 +86,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := usual(s.Zones)
+	plan := Default(s.Zones)
 	if o.Deployment != 0 {
-		plan = drawDeployment(s.Zones, o.Deployment)
+		plan = DrawDeployment(s.Zones, o.Deployment)
 	}
-	c := newCluster(nil, plan.rules(nil), s, o.Seed)
-	rules := plan.rules(c.named)
+	c := NewCluster(nil, plan.Rules(nil), s, o.Seed)
+	rules := plan.Rules(c.Named)
 	rules.RandomArrivals = o.Strict
 	var replicas []string
-	for _, r := range c.replicas {
-		replicas = append(replicas, r.name)
+	for _, r := range c.Replicas {
+		replicas = append(replicas, r.Name)
 	}
 	r := &historytest.Recording{Events: report.events, Play: historytest.Play{Scenario: s.Name, Seed: o.Seed, Dispatchers: o.Dispatchers,
 		Seconds: s.Seconds, Mutant: mutant, Options: o.describe(), Strict: o.Strict, Rules: historytest.Stored(rules, replicas)}}
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%s: %d events, %d rules broken, %s", filepath.Base(path), len(report.events), report.RulesBroken, o.describe())
-	for _, b := range report.breaches {
+	for _, b := range report.violations {
 		t.Log(b)
 	}
 	return report.RulesBroken
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -25,7 +25,7 @@
 	Seed        uint64             `json:"seed"`
 	Dispatchers int                `json:"dispatchers"`
 	Asked       int                `json:"asked"` // first tries
-	Served      float64            `json:"served_share"`
+	ServedShare float64            `json:"served_share"`
 	Worst10S    float64            `json:"worst_10s"`
 	RecoveryS   *float64           `json:"recovery_s"` // null: not reached
 	RulesBroken int                `json:"rules_broken"`
@@ -36,63 +36,63 @@
 	Tries       int                `json:"tries"`
 	Connections int                `json:"connections"` // that clients opened
 	Probes      float64            `json:"probes_per_replica_s"`
-	Fell        int                `json:"fell"` // cold replicas that were pushed over
+	Overloaded  int                `json:"fell"` // cold replicas that were pushed over
 	PerSecond   []float64          `json:"per_second"`
 	// With a fleet: how long until the others' views showed a process that had ended or was paused, and how often
 	// one showed another falsely as suspect or worse.
-	DetectS   []float64 `json:"detect_s,omitempty"`
-	Suspected int       `json:"falsely_suspected"`
+	DetectS          []float64 `json:"detect_s,omitempty"`
+	FalselySuspected int       `json:"falsely_suspected"`
 	// Probes on behalf of the fleet, as the replicas saw them: the longest gap at any, those of leases that another had
 	// followed, and how many a replica got in a second.
-	GapS    float64 `json:"gap_max_s"`
-	Doubled int     `json:"probes_doubled"`
-	Duty    float64 `json:"duty_probes_per_replica_s"`
+	MaxLeasedPollGapS float64 `json:"gap_max_s"`
+	StaleLeasePolls   int     `json:"probes_doubled"`
+	LeasedPollRate    float64 `json:"duty_probes_per_replica_s"`
 	// What the dispatchers that ran at the end took: the most of any in MB and descriptors, the mean share of a core, and
 	// what a member sent to others in bytes a second, with the answers that it got.
-	RSSMB     float64 `json:"rss_mb_most"`
-	OwnMB     float64 `json:"own_mb_most"`
-	FDs       int     `json:"fds_most"`
-	ReadyS    float64 `json:"ready_s_most"`
-	Routines  float64 `json:"goroutines_most"`
-	Core      float64 `json:"core_mean"`
-	PeerBytes float64 `json:"peer_bytes_s"`
-	Sums
-	Filings *Filings `json:"filings,omitempty"`
-	// Taken is how many gifts of what others know the lives that ran at the end took at their start.
-	Taken float64 `json:"beliefs_taken"`
+	RSSMB      float64 `json:"rss_mb_most"`
+	OwnMB      float64 `json:"own_mb_most"`
+	FDs        int     `json:"fds_most"`
+	ReadyS     float64 `json:"ready_s_most"`
+	Goroutines float64 `json:"goroutines_most"`
+	Core       float64 `json:"core_mean"`
+	PeerBytes  float64 `json:"peer_bytes_s"`
+	FleetTotals
+	Idempotency *IdempotencyReport `json:"filings,omitempty"`
+	// BootstrapsApplied is how many gifts of what others know the lives that ran at the end took at their start.
+	BootstrapsApplied float64 `json:"beliefs_taken"`
 
-	Straggling *Straggling `json:"stragglers,omitempty"`
+	VersionSkew *VersionSkewReport `json:"stragglers,omitempty"`
 	// StaleActs is the work sent to replicas that a newer list, told to any dispatcher, had ended for longer than staleWithin.
 	StaleActs int `json:"stale_acts"`
 
-	breaches []history.Violation
-	events   []history.Event
-	spans    [][2]float64 // of the faults, in seconds of the day
+	violations []history.Violation
+	events     []history.Event
+	faultSpans [][2]float64 // of the faults, in seconds of the day
 }
 
 // Good tells whether no rule broke and nothing crashed.
 func (r *Report) Good() bool { return r.RulesBroken == 0 && r.Crashes == 0 }
 
-// dutySettle is how long after a day's begin duties are held by all: voters that start wait for a term.
-const dutySettle = 3 * time.Second
+// leaseSettleTime is how long after a day's begin duties are held by all: voters that start wait for a term.
+const leaseSettleTime = 3 * time.Second
 
 const (
-	window   = time.Second
-	recovers = 0.95 // of the level before, for
-	holds    = 3    // windows
-	warmUp   = 3    // windows at a day's begin that do not count as its level
+	window            = time.Second
+	recoveredFraction = 0.95 // of the level before, for
+	recoveredWindows  = 3    // windows
+	warmUpWindows     = 3    // windows at a day's begin that do not count as its level
 )
 
 func (r *Run) report(results []result, base time.Duration, connections int) *Report {
 	events := r.history.Events()
-	out := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Dispatchers: len(r.procs), Asked: len(results), Connections: connections,
+	out := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Dispatchers: len(r.dispatchers), Asked: len(results), Connections: connections,
 		ByClass: map[string]float64{}, ByStatus: map[string]int{}, FirstMS: map[string]float64{}, events: events}
-	out.breaches = history.Check(events, r.rules)
+	out.violations = history.Check(events, r.rules)
 	if r.options.Strict {
-		out.breaches = append(out.breaches, history.CheckStrict(events, r.rules)...)
+		out.violations = append(out.violations, history.CheckStrict(events, r.rules)...)
 	}
-	out.RulesBroken = len(out.breaches)
-	for _, p := range r.procs {
+	out.RulesBroken = len(out.violations)
+	for _, p := range r.dispatchers {
 		out.Crashes += p.crashes
 	}
 	first := hdrhistogram.New(1, 60_000, 3) // ms
@@ -100,11 +100,11 @@
 	asked, earned := make([]float64, n), make([]float64, n)
 	classAsked := map[string]float64{}
 	for _, q := range results {
-		w := min(int(q.spec.at/window), n-1)
-		asked[w] += q.spec.worth()
+		w := min(int(q.spec.ArrivesAt/window), n-1)
+		asked[w] += q.spec.Value()
 		earned[w] += q.earned
-		classAsked[q.spec.class.name] += q.spec.worth()
-		out.ByClass[q.spec.class.name] += q.earned
+		classAsked[q.spec.Class.Name] += q.spec.Value()
+		out.ByClass[q.spec.Class.Name] += q.earned
 		out.ByStatus[q.status]++
 		out.Tries += q.tries
 		if q.first > 0 {
@@ -117,16 +117,16 @@
 	for _, p := range []float64{50, 90, 99} {
 		out.FirstMS[fmt.Sprintf("p%v", p)] = float64(first.ValueAtQuantile(p))
 	}
-	out.Served = share(earned, asked)
+	out.ServedShare = valueShare(earned, asked)
 	out.Worst10S = 1
 	for i := 0; i+10 <= n; i++ {
-		out.Worst10S = min(out.Worst10S, share(earned[i:i+10], asked[i:i+10]))
+		out.Worst10S = min(out.Worst10S, valueShare(earned[i:i+10], asked[i:i+10]))
 	}
 	for i := range n {
-		out.PerSecond = append(out.PerSecond, share(earned[i:i+1], asked[i:i+1]))
+		out.PerSecond = append(out.PerSecond, valueShare(earned[i:i+1], asked[i:i+1]))
 	}
 	if len(r.scenario.Faults) > 0 {
-		out.RecoveryS = recovery(out.PerSecond, earned, asked, int(seconds(r.scenario.Faults[0].At)/window), max(r.healed-base, 0))
+		out.RecoveryS = recovery(out.PerSecond, earned, asked, int(Seconds(r.scenario.Faults[0].At)/window), max(r.lastFaultEnd-base, 0))
 	} else {
 		out.RecoveryS = new(float64)
 	}
@@ -136,46 +136,46 @@
 		case history.LoadPolled:
 			probes++
 		case history.ReplicaOverloaded:
-			out.Fell++
+			out.Overloaded++
 		}
 	}
-	out.DetectS, out.Suspected = detection(events, r.names)
+	out.DetectS, out.FalselySuspected = detectionTimes(events, r.names)
 	n = 0
-	out.GapS, out.Doubled, n = duties(events, base+dutySettle, base+seconds(r.scenario.Seconds))
-	out.Duty = float64(n) / float64(len(r.cluster.replicas)) / r.scenario.Seconds
-	out.Probes = float64(probes) / float64(len(r.cluster.replicas)) / r.scenario.Seconds
-	out.Sums = sum(events, r.rules, r.cluster.replicas, base, seconds(r.scenario.Seconds))
+	out.MaxLeasedPollGapS, out.StaleLeasePolls, n = leasedPolls(events, base+leaseSettleTime, base+Seconds(r.scenario.Seconds))
+	out.LeasedPollRate = float64(n) / float64(len(r.cluster.Replicas)) / r.scenario.Seconds
+	out.Probes = float64(probes) / float64(len(r.cluster.Replicas)) / r.scenario.Seconds
+	out.FleetTotals = fleetTotals(events, r.rules, r.cluster.Replicas, base, Seconds(r.scenario.Seconds))
 	if len(r.scenario.Faults) > 0 {
 		var made []time.Duration
-		for _, p := range r.cluster.replicas {
-			for _, at := range p.calls.times() {
+		for _, p := range r.cluster.Replicas {
+			for _, at := range p.Connections.OpenTimes() {
 				made = append(made, r.history.At(at)-base)
 			}
 		}
 		slices.Sort(made)
-		out.Rush = rush(made, seconds(r.scenario.Faults[0].At))
+		out.HandshakeSurge = handshakeSurge(made, Seconds(r.scenario.Faults[0].At))
 	}
-	if r.options.Stragglers {
-		s := straggling(events)
-		out.Straggling = &s
+	if r.options.VersionSkew {
+		s := versionSkewReport(events)
+		out.VersionSkew = &s
 	}
 	out.StaleActs = len(history.StaleAttempts(events, staleWithin))
-	out.spans = r.spans
+	out.faultSpans = r.faultSpans
 	return out
 }
 
 // staleWithin is how long others' newer lists may take to bind: to hear that one is behind, to tell it, and what a drain may take.
 const staleWithin = 1500 * time.Millisecond
 
-// use takes in what the processes took over so long.
-func (r *Report) use(used []usage, run *Run, over time.Duration) {
+// addUsage takes in what the processes took over so long.
+func (r *Report) addUsage(used []usage, run *Run, over time.Duration) {
 	for _, u := range used {
 		r.RSSMB, r.OwnMB, r.FDs = max(r.RSSMB, u.rssMB), max(r.OwnMB, u.ownMB), max(r.FDs, u.fds)
 		r.ReadyS = max(r.ReadyS, u.ready.Seconds())
 		r.Core += u.cpu.Seconds() / over.Seconds() / float64(len(used))
 	}
-	for _, p := range run.procs {
-		r.Routines = max(r.Routines, p.counts["goroutines"])
+	for _, p := range run.dispatchers {
+		r.Goroutines = max(r.Goroutines, p.counts["goroutines"])
 	}
 	if run.peers != nil {
 		bytes := int64(0)
@@ -186,7 +186,7 @@
 	}
 }
 
-func share(earned, asked []float64) float64 {
+func valueShare(earned, asked []float64) float64 {
 	e, a := 0.0, 0.0
 	for i := range asked {
 		e, a = e+earned[i], a+asked[i]
@@ -200,17 +200,17 @@
 // recovery is how long after the last fault's end windows hold 95% of the level before for 3 s; nil: never.
 func recovery(perSecond, earned, asked []float64, from int, end time.Duration) *float64 {
 	level := 1.0
-	if from > warmUp {
-		level = share(earned[warmUp:from], asked[warmUp:from])
+	if from > warmUpWindows {
+		level = valueShare(earned[warmUpWindows:from], asked[warmUpWindows:from])
 	}
 	run := 0
 	for i := int((end + window - 1) / window); i < len(perSecond); i++ {
-		if perSecond[i] < recovers*level {
+		if perSecond[i] < recoveredFraction*level {
 			run = 0
 			continue
 		}
-		if run++; run == holds {
-			s := max(float64(i+1-holds)-end.Seconds(), 0)
+		if run++; run == recoveredWindows {
+			s := max(float64(i+1-recoveredWindows)-end.Seconds(), 0)
 			return &s
 		}
 	}
@@ -226,7 +226,7 @@
 	if r.RecoveryS != nil {
 		recovered = fmt.Sprintf("%.1f s", *r.RecoveryS)
 	}
-	fmt.Fprintf(t, "served\t%.3f\tworst 10 s\t%.3f\trecovery\t%s\n", r.Served, r.Worst10S, recovered)
+	fmt.Fprintf(t, "served\t%.3f\tworst 10 s\t%.3f\trecovery\t%s\n", r.ServedShare, r.Worst10S, recovered)
 	for _, name := range sortedKeys(r.ByClass) {
 		fmt.Fprintf(t, "%s\t%.3f\n", name, r.ByClass[name])
 	}
@@ -234,10 +234,10 @@
 		fmt.Fprintf(t, "%s\t%d\n", name, r.ByStatus[name])
 	}
 	fmt.Fprintf(t, "first token\tp50 %.0f ms\tp90 %.0f ms\tp99 %.0f ms\n", r.FirstMS["p50"], r.FirstMS["p90"], r.FirstMS["p99"])
-	fmt.Fprintf(t, "probes\t%.2f a replica and second\tfell\t%d\n", r.Probes, r.Fell)
+	fmt.Fprintf(t, "probes\t%.2f a replica and second\tfell\t%d\n", r.Probes, r.Overloaded)
 	fmt.Fprintf(t, "a dispatcher\t%.0f MB\t%d descriptors\t%.3f of a core\n", r.RSSMB, r.FDs, r.Core)
-	if s := r.Straggling; s != nil {
-		fmt.Fprintf(t, "stragglers\tshut out after %.1f s\tback after %.1f s\t%d acts after\t%d wrongly\n", s.SeenS, s.LevelS, s.Acts, s.Wrong)
+	if s := r.VersionSkew; s != nil {
+		fmt.Fprintf(t, "stragglers\tshut out after %.1f s\tback after %.1f s\t%d acts after\t%d wrongly\n", s.DetectionS, s.ReadmissionS, s.WorkAfterFence, s.FalselyFenced)
 	}
 	if r.StaleActs > 0 {
 		fmt.Fprintf(t, "stale\t%d sent to replicas that a newer list had ended for %v\n", r.StaleActs, staleWithin)
@@ -245,39 +245,39 @@
 	if r.PeerBytes > 0 {
 		fmt.Fprintf(t, "between members\t%.0f bytes a second each\n", r.PeerBytes)
 	}
-	fmt.Fprintf(t, "all together\t%.3f repeats a request\t%.2f own probes a replica and second\tat most %.1f in 5 s\n", r.Repeats, r.OwnProbes, r.OwnMost)
-	fmt.Fprintf(t, "at a replica\t%.2f handshakes a second\t%d connections at once at most\tload %.2f of the mean at most\n", r.Handshakes, r.Open, r.LoadSpread)
-	if r.Rush > 0 {
-		fmt.Fprintf(t, "rush\t%.1f times the calm handshakes in 5 s\t%.0f calls at discovery\n", r.Rush, r.Lists)
+	fmt.Fprintf(t, "all together\t%.3f repeats a request\t%.2f own probes a replica and second\tat most %.1f in 5 s\n", r.RepeatsPerRequest, r.OwnPollRate, r.MaxOwnPollRate)
+	fmt.Fprintf(t, "at a replica\t%.2f handshakes a second\t%d connections at once at most\tload %.2f of the mean at most\n", r.HandshakeRate, r.MaxConnections, r.MaxLoadOverMean)
+	if r.HandshakeSurge > 0 {
+		fmt.Fprintf(t, "rush\t%.1f times the calm handshakes in 5 s\t%.0f calls at discovery\n", r.HandshakeSurge, r.MaxDiscoveryCalls)
 	}
-	if r.ColdMost > 0 {
-		fmt.Fprintf(t, "cold replicas\tgot %.2f of what they may\tat most %.2f of what one bears\n", r.ColdUsed, r.ColdMost)
+	if r.MaxSlowStartLoad > 0 {
+		fmt.Fprintf(t, "cold replicas\tgot %.2f of what they may\tat most %.2f of what one bears\n", r.SlowStartUsed, r.MaxSlowStartLoad)
 	}
-	if r.ShareSum > 0 {
-		fmt.Fprintf(t, "parts\t%.4f at most\t%.4f in the mean\t%.4f at least\n", r.ShareSum, r.ShareMean, r.ShareLow)
+	if r.MaxQuotaSum > 0 {
+		fmt.Fprintf(t, "parts\t%.4f at most\t%.4f in the mean\t%.4f at least\n", r.MaxQuotaSum, r.MeanQuotaSum, r.MinQuotaSum)
 	}
-	if f := r.Filings; f != nil {
-		fmt.Fprintf(t, "filings\t%d keys, %d ran\t%d twice\t%d tries\n", f.Keys, f.Ran, f.Twice, f.Tries)
-		fmt.Fprintf(t, "\t%d answered\t%d again\t%d told\t%d without a majority\t%v\n", f.Answered, f.Again, f.Told, f.Unavailable, f.Other)
-		fmt.Fprintf(t, "\tanswered in %v ms\tgranted in %.1f ms\trefused in %v ms\n", f.MS, f.ClaimMS, f.RefusedMS)
+	if f := r.Idempotency; f != nil {
+		fmt.Fprintf(t, "filings\t%d keys, %d ran\t%d twice\t%d tries\n", f.Keys, f.Executed, f.ExecutedTwice, f.Attempts)
+		fmt.Fprintf(t, "\t%d answered\t%d again\t%d told\t%d without a majority\t%v\n", f.Answered, f.Replayed, f.InProgress, f.Unavailable, f.Other)
+		fmt.Fprintf(t, "\tanswered in %v ms\tgranted in %.1f ms\trefused in %v ms\n", f.AnswerMS, f.GrantMS, f.UnavailableMS)
 	}
 	if n := len(r.DetectS); n > 0 {
 		sorted := slices.Sorted(slices.Values(r.DetectS))
 		fmt.Fprintf(t, "noticed\tp50 %.2f s\tmost %.2f s\tof %d\n", sorted[n/2], sorted[n-1], n)
 	}
-	if r.Duty > 0 {
-		fmt.Fprintf(t, "for the fleet\t%.2f probes a replica and second\tlongest gap\t%.2f s\tdoubled\t%d\n", r.Duty, r.GapS, r.Doubled)
+	if r.LeasedPollRate > 0 {
+		fmt.Fprintf(t, "for the fleet\t%.2f probes a replica and second\tlongest gap\t%.2f s\tdoubled\t%d\n", r.LeasedPollRate, r.MaxLeasedPollGapS, r.StaleLeasePolls)
 	}
-	if r.Suspected > 0 {
-		fmt.Fprintf(t, "falsely suspected\t%d\n", r.Suspected)
+	if r.FalselySuspected > 0 {
+		fmt.Fprintf(t, "falsely suspected\t%d\n", r.FalselySuspected)
 	}
 	fmt.Fprintf(t, "rules broken\t%d\tcrashes\t%d\n", r.RulesBroken, r.Crashes)
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	for i, b := range r.breaches {
+	for i, b := range r.violations {
 		if i == 20 {
-			fmt.Fprintf(w, "and %d more\n", len(r.breaches)-i)
+			fmt.Fprintf(w, "and %d more\n", len(r.violations)-i)
 			break
 		}
 		fmt.Fprintln(w, b)
@@ -328,7 +328,7 @@
 	p.Title.Text = fmt.Sprintf("%s, %d dispatchers, seed %d", r.Scenario, r.Dispatchers, r.Seed)
 	p.X.Label.Text, p.Y.Label.Text = "s", "served share of the second's worth"
 	p.Y.Min, p.Y.Max, p.X.Min, p.X.Max = 0, 1.05, 0, float64(len(r.PerSecond))
-	for _, s := range r.spans {
+	for _, s := range r.faultSpans {
 		box, err := plotter.NewPolygon(plotter.XYs{{X: s[0]}, {X: s[0], Y: 1.05}, {X: max(s[1], s[0]+0.1), Y: 1.05}, {X: max(s[1], s[0]+0.1)}})
 		if err != nil {
 			return fmt.Errorf("chart: %w", err)
--- a/internal/faultbench/rig_test.go
+++ b/internal/faultbench/rig_test.go
@@ -46,9 +46,9 @@
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		f.At -= earlier
-		f.For = min(f.For, 3)
+		f.Duration = min(f.Duration, 3)
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At+f.For > length })
+	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At+f.Duration > length })
 	return s
 }
 
@@ -64,8 +64,10 @@
 		{"kill-most", 9, false, func(r *Report) bool { return downs(r) == 2 }},
 		{"pause-one", 9, true, func(r *Report) bool { return downs(r) == 1 }},
 		// Duties: nothing is probed for a lease that another has followed, and what is left behind is taken over.
-		{"kill-holder", 12, true, func(r *Report) bool { return downs(r) == 2 && r.Duty > 0.5 && r.Doubled == 0 && r.GapS < 6 }},
-		{"split-voters", 12, true, func(r *Report) bool { return r.Duty > 0 && r.Doubled == 0 }},
+		{"kill-holder", 12, true, func(r *Report) bool {
+			return downs(r) == 2 && r.LeasedPollRate > 0.5 && r.StaleLeasePolls == 0 && r.MaxLeasedPollGapS < 6
+		}},
+		{"split-voters", 12, true, func(r *Report) bool { return r.LeasedPollRate > 0 && r.StaleLeasePolls == 0 }},
 		{"cut-zone", 9, false, func(r *Report) bool { return downs(r) == 0 && r.ByStatus["served"] > 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,11 +76,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				t.Error(b)
 			}
 			if r.Crashes > 0 || r.Asked == 0 || r.ByStatus["served"] == 0 || !c.shows(r) {
-				t.Errorf("%d crashes, %d asked, %v, %+v", r.Crashes, r.Asked, r.ByStatus, r.Sums)
+				t.Errorf("%d crashes, %d asked, %v, %+v", r.Crashes, r.Asked, r.ByStatus, r.FleetTotals)
 			}
 			checkLastLine(t, r, "scenario", "seed", "dispatchers", "asked", "served_share", "worst_10s", "recovery_s", "rules_broken", "crashes")
 			dir := t.TempDir()
@@ -142,9 +144,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b, c := draw(s, classes, 1), draw(s, classes, 1), draw(s, classes, 2)
-	same := func(x, y *spec) bool {
-		return *x.class == *y.class && x.group == y.group && x.at == y.at && x.prompt == y.prompt
+	a, b, c := DrawRequests(s, defaultClasses, 1), DrawRequests(s, defaultClasses, 1), DrawRequests(s, defaultClasses, 2)
+	same := func(x, y *Request) bool {
+		return *x.Class == *y.Class && x.Group == y.Group && x.ArrivesAt == y.ArrivesAt && x.PromptTokens == y.PromptTokens
 	}
 	if len(a) == 0 || !slices.EqualFunc(a, b, same) || slices.EqualFunc(a, c, same) {
 		t.Errorf("%d, %d and %d requests", len(a), len(b), len(c))
@@ -155,12 +157,12 @@
 }
 
 func TestScenarios(t *testing.T) {
-	all, err := Scenarios()
+	all, err := All()
 	if err != nil || len(all) < 8 {
 		t.Fatalf("%d scenarios, %v", len(all), err)
 	}
 	good := `{"name":"x","seconds":20,"rate":9,"zones":3,"readers":3,"writers":3,"faults":[{"at":5,"do":"kill","for":3}]}`
-	if _, err := ParseScenario([]byte(good)); err != nil {
+	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, change := range [][2]string{
@@ -170,7 +172,7 @@
 		{`"do":"kill"`, `"do":"kill","links":"replicas"`}, {`"do":"kill"`, `"do":"links","links":"replicas","way":"up"`},
 		{`"do":"kill"`, `"do":"replica-slow","factor":1`}, {`"seconds":20`, `"seconds":1e9`}, {`}]}`, `}]} {}`}, {`}]}`, `}]`},
 	} {
-		if _, err := ParseScenario([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", change[1], err)
 		}
 	}
--- a/internal/faultbench/scenario.go
+++ b/internal/faultbench/scenario.go
@@ -22,15 +22,15 @@
 
 // Scenario is a day for a fleet: its traffic, its replicas and what goes wrong. All times are in seconds.
 type Scenario struct {
-	Name    string  `json:"name"`
-	About   string  `json:"about"`
-	Seconds float64 `json:"seconds"` // of traffic
-	Rate    float64 `json:"rate"`    // requests a second
-	Zones   int     `json:"zones"`
-	Readers int     `json:"readers"`
-	Writers int     `json:"writers"`
-	// Hot is how many times as many connections as another the first dispatcher gets; 0: as many.
-	Hot int `json:"hot"`
+	Name            string  `json:"name"`
+	About           string  `json:"about"`
+	Seconds         float64 `json:"seconds"` // of traffic
+	Rate            float64 `json:"rate"`    // requests a second
+	Zones           int     `json:"zones"`
+	PrefillReplicas int     `json:"readers"`
+	DecodeReplicas  int     `json:"writers"`
+	// HotFactor is how many times as many connections as another the first dispatcher gets; 0: as many.
+	HotFactor int `json:"hot"`
 	// Weights are the replicas' capacities against each other, in turn; none: all alike.
 	Weights []float64 `json:"weights"`
 	Faults  []Fault   `json:"faults"`
@@ -38,39 +38,39 @@
 
 // Fault is one thing that goes wrong, and for how long.
 type Fault struct {
-	At  float64 `json:"at"`
-	For float64 `json:"for"` // 0: it does not end
-	Do  string  `json:"do"`
-	// Part is the share of the dispatchers or replicas that it befalls, drawn by the seed; 0: one of them.
-	Part float64 `json:"part"`
-	// Spare is how many of the first dispatchers it leaves alone; the first three vote in a fleet.
-	Spare int `json:"spare"`
-	// Every lets it befall them in turn, so long after one another; 0: all at once.
-	Every float64 `json:"every"`
+	At       float64 `json:"at"`
+	Duration float64 `json:"for"` // 0: it does not end
+	Action   string  `json:"do"`
+	// Fraction is the share of the dispatchers or replicas that it befalls, drawn by the seed; 0: one of them.
+	Fraction float64 `json:"part"`
+	// SpareFirst is how many of the first dispatchers it leaves alone; the first three vote in a fleet.
+	SpareFirst int `json:"spare"`
+	// Stagger lets it befall them in turn, so long after one another; 0: all at once.
+	Stagger float64 `json:"every"`
 	// Zone is the zone that a zone's fault befalls.
 	Zone int `json:"zone"`
 	// Sides is how many parts the links between dispatchers fall into; 0: two.
 	Sides int `json:"sides"`
 	// Links names the links of a link's fault: replicas, discovery, peers or clients of the dispatchers chosen.
 	Links string `json:"links"`
-	// Way is both, to (the dispatchers) or from (them).
-	Way     string  `json:"way"`
-	DelayMS float64 `json:"delay_ms"`
-	Loss    float64 `json:"loss"`
-	Share   float64 `json:"share"` // of a dispatcher's links that a fault befalls
-	KBPerS  float64 `json:"kb_per_s"`
-	Factor  float64 `json:"factor"` // how many times slower a replica is
-	Forget  bool    `json:"forget"` // a restart loses the stored state
-	// StepS is how far a wall clock is stepped, in seconds.
-	StepS float64 `json:"step_s"`
-	// Call is the kind of system call that fails with Errno, each Calls-th of them.
-	Call  hostos.Op `json:"call"`
-	Errno int       `json:"errno"`
-	Calls int       `json:"calls"`
+	// Direction is both, to (the dispatchers) or from (them).
+	Direction    string  `json:"way"`
+	DelayMS      float64 `json:"delay_ms"`
+	Loss         float64 `json:"loss"`
+	LinkFraction float64 `json:"share"` // of a dispatcher's links that a fault befalls
+	KBPerS       float64 `json:"kb_per_s"`
+	Factor       float64 `json:"factor"` // how many times slower a replica is
+	LoseState    bool    `json:"forget"` // a restart loses the stored state
+	// ClockStepS is how far a wall clock is stepped, in seconds.
+	ClockStepS float64 `json:"step_s"`
+	// Syscall is the kind of system call that fails with Errno, each Calls-th of them.
+	Syscall  hostos.Op `json:"call"`
+	Errno    int       `json:"errno"`
+	EveryNth int       `json:"calls"`
 }
 
-// The actions of a Fault, with what they befall.
-var actions = map[string]string{
+// The actionTargets of a Fault, with what they befall.
+var actionTargets = map[string]string{
 	"kill":             "dispatchers", // SIGKILL; started again after For
 	"pause":            "dispatchers", // SIGSTOP for For
 	"term":             "dispatchers", // SIGTERM, SIGKILL at the earliest moment that the operators allow; started again For after its end
@@ -108,13 +108,13 @@
 
 // Bounds of a scenario; a rig is one machine.
 const (
-	maxSeconds  = 3600
+	MaxSeconds  = 3600
 	maxRate     = 500
 	maxReplicas = 3200
 )
 
-// ParseScenario reads a scenario strictly: unknown words and what cannot be are refused.
-func ParseScenario(text []byte) (*Scenario, error) {
+// Parse reads a scenario strictly: unknown words and what cannot be are refused.
+func Parse(text []byte) (*Scenario, error) {
 	var s Scenario
 	if err := cli.DecodeStrict(text, &s); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
@@ -122,17 +122,17 @@
 	switch {
 	case s.Name == "" || strings.ContainsAny(s.Name, "/\\ \n"):
 		return nil, fmt.Errorf("scenario: name %q is no file's name", s.Name)
-	case !(s.Seconds >= 5 && s.Seconds <= maxSeconds):
-		return nil, fmt.Errorf("scenario: seconds %v are not from 5 to %d", s.Seconds, maxSeconds)
+	case !(s.Seconds >= 5 && s.Seconds <= MaxSeconds):
+		return nil, fmt.Errorf("scenario: seconds %v are not from 5 to %d", s.Seconds, MaxSeconds)
 	case !(s.Rate > 0 && s.Rate <= maxRate):
 		return nil, fmt.Errorf("scenario: rate %v is not over 0, up to %d", s.Rate, maxRate)
 	case s.Zones < 1 || s.Zones > 9:
 		return nil, fmt.Errorf("scenario: zones %d are not from 1 to 9", s.Zones)
-	case s.Readers < 1 || s.Writers < 1 || s.Readers+s.Writers > maxReplicas:
-		return nil, fmt.Errorf("scenario: %d readers and %d writers are not from 1 each to %d in all", s.Readers, s.Writers, maxReplicas)
+	case s.PrefillReplicas < 1 || s.DecodeReplicas < 1 || s.PrefillReplicas+s.DecodeReplicas > maxReplicas:
+		return nil, fmt.Errorf("scenario: %d readers and %d writers are not from 1 each to %d in all", s.PrefillReplicas, s.DecodeReplicas, maxReplicas)
 	}
-	if s.Hot < 0 || s.Hot > 20 {
-		return nil, fmt.Errorf("scenario: hot %d is not from 0 to 20", s.Hot)
+	if s.HotFactor < 0 || s.HotFactor > 20 {
+		return nil, fmt.Errorf("scenario: hot %d is not from 0 to 20", s.HotFactor)
 	}
 	for _, w := range s.Weights {
 		if !(w >= 0.1 && w <= 10) {
@@ -148,17 +148,17 @@
 }
 
 func (f *Fault) check(s *Scenario) error {
-	_, known := actions[f.Do]
-	isLink := f.Do == "links" || f.Do == "reset"
+	_, known := actionTargets[f.Action]
+	isLink := f.Action == "links" || f.Action == "reset"
 	switch {
 	case !known:
-		return fmt.Errorf("unknown action %q", f.Do)
-	case !(f.At >= 0 && f.At < s.Seconds && f.For >= 0 && f.At+f.For <= s.Seconds):
-		return fmt.Errorf("from %v for %v s is not within the day", f.At, f.For)
-	case !(f.Part >= 0 && f.Part <= 1) || !(f.Every >= 0):
+		return fmt.Errorf("unknown action %q", f.Action)
+	case !(f.At >= 0 && f.At < s.Seconds && f.Duration >= 0 && f.At+f.Duration <= s.Seconds):
+		return fmt.Errorf("from %v for %v s is not within the day", f.At, f.Duration)
+	case !(f.Fraction >= 0 && f.Fraction <= 1) || !(f.Stagger >= 0):
 		return errors.New("part or every is out of range")
-	case f.Spare < 0 || f.Spare > maxDispatchers:
-		return fmt.Errorf("spare %d is out of range", f.Spare)
+	case f.SpareFirst < 0 || f.SpareFirst > MaxDispatchers:
+		return fmt.Errorf("spare %d is out of range", f.SpareFirst)
 	case f.Sides < 0 || f.Sides > 9:
 		return fmt.Errorf("sides %d are not up to 9", f.Sides)
 	case f.Zone < 0 || f.Zone >= s.Zones:
@@ -166,31 +166,31 @@
 	case isLink && !slices.Contains([]string{"replicas", "discovery", "peers", "clients"}, f.Links):
 		return fmt.Errorf("unknown links %q", f.Links)
 	case !isLink && f.Links != "":
-		return fmt.Errorf("%s has no links", f.Do)
-	case !slices.Contains([]string{"", "both", "to", "from"}, f.Way):
-		return fmt.Errorf("unknown way %q", f.Way)
+		return fmt.Errorf("%s has no links", f.Action)
+	case !slices.Contains([]string{"", "both", "to", "from"}, f.Direction):
+		return fmt.Errorf("unknown way %q", f.Direction)
 	case !(f.DelayMS >= 0 && f.DelayMS <= 60_000) || !(f.Loss >= 0 && f.Loss <= 1) || !(f.KBPerS >= 0):
 		return errors.New("delay_ms, loss or kb_per_s is out of range")
-	case !(f.Share >= 0 && f.Share <= 1):
-		return fmt.Errorf("share %v is out of range", f.Share)
-	case f.Do == "replica-fail" && f.Loss == 0:
+	case !(f.LinkFraction >= 0 && f.LinkFraction <= 1):
+		return fmt.Errorf("share %v is out of range", f.LinkFraction)
+	case f.Action == "replica-fail" && f.Loss == 0:
 		return errors.New("replica-fail with no loss")
-	case !(f.StepS >= -86400 && f.StepS <= 86400):
-		return fmt.Errorf("step_s %v is over a day", f.StepS)
-	case f.Do == "replica-spoil" && f.Loss == 0:
+	case !(f.ClockStepS >= -86400 && f.ClockStepS <= 86400):
+		return fmt.Errorf("step_s %v is over a day", f.ClockStepS)
+	case f.Action == "replica-spoil" && f.Loss == 0:
 		return errors.New("replica-spoil with no loss")
-	case f.Do == "calls-fail" && (f.Call == "" || f.Errno <= 0 && f.DelayMS == 0 || f.Errno < 0 || f.Calls < 0):
+	case f.Action == "calls-fail" && (f.Syscall == "" || f.Errno <= 0 && f.DelayMS == 0 || f.Errno < 0 || f.EveryNth < 0):
 		return errors.New("calls-fail without a call or an errno")
-	case f.Do == "replica-slow" && !(f.Factor > 1 && f.Factor <= 100):
+	case f.Action == "replica-slow" && !(f.Factor > 1 && f.Factor <= 100):
 		return fmt.Errorf("factor %v is not over 1, up to 100", f.Factor)
 	}
 	return nil
 }
 
-func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+func Seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// Scenarios are the built-in ones, by name.
-func Scenarios() ([]*Scenario, error) {
+// All are the built-in ones, by name.
+func All() ([]*Scenario, error) {
 	names, err := fs.Glob(builtin, "scenarios/*.json")
 	if err != nil {
 		return nil, fmt.Errorf("scenarios: %w", err)
@@ -201,7 +201,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("scenarios: %w", err)
 		}
-		s, err := ParseScenario(text)
+		s, err := Parse(text)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
@@ -215,7 +215,7 @@
 
 // Load finds a scenario by its built-in name, or in a file.
 func Load(name string) (*Scenario, error) {
-	all, err := Scenarios()
+	all, err := All()
 	if err != nil {
 		return nil, err
 	}
@@ -228,5 +228,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario %q is not built in (see fleetrig list) and no file: %w", name, err)
 	}
-	return ParseScenario(text)
+	return Parse(text)
 }
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -24,11 +24,11 @@
 		shows       func(r *Report) bool
 		long        bool // outside CI: go test ./internal/faultbench -args -rig.long
 	}{
-		{"retry-storm", 3, 11, func(r *Report) bool { return r.Repeats > 0 }, false},
-		{"cut-half", 5, 11, func(r *Report) bool { return r.ShareLow < 0.9 }, false}, // a voter's slice is on the other side
+		{"retry-storm", 3, 11, func(r *Report) bool { return r.RepeatsPerRequest > 0 }, false},
+		{"cut-half", 5, 11, func(r *Report) bool { return r.MinQuotaSum < 0.9 }, false}, // a voter's slice is on the other side
 		{"kill-most", 4, 10, func(r *Report) bool { return downs(r) == 3 }, false},
-		{"hot-dispatcher", 4, 9, func(r *Report) bool { return r.HotPart > 0.4 }, true},
-		{"cold-wave", 5, 11, func(r *Report) bool { return r.ColdMost > 0 }, true},
+		{"hot-dispatcher", 4, 9, func(r *Report) bool { return r.MaxQuota > 0.4 }, true},
+		{"cold-wave", 5, 11, func(r *Report) bool { return r.MaxSlowStartLoad > 0 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.long && !*long {
@@ -36,28 +36,28 @@
 			}
 			t.Parallel()
 			s := short(t, c.name, c.length, 4)
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: c.dispatchers, Seed: 2, Fleet: true, Budgets: true, Unwatched: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: c.dispatchers, Seed: 2, Fleet: true, Budgets: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				t.Error(b)
 			}
 			if r.Crashes > 0 || r.ByStatus["served"] == 0 || !c.shows(r) {
-				t.Errorf("%d crashes, %v, %+v", r.Crashes, r.ByStatus, r.Sums)
+				t.Errorf("%d crashes, %v, %+v", r.Crashes, r.ByStatus, r.FleetTotals)
 			}
-			if r.ShareSum > 1.0001 || r.ShareSum < 0.8 {
-				t.Errorf("dispatchers acted by at most %.4f of the whole", r.ShareSum)
+			if r.MaxQuotaSum > 1.0001 || r.MaxQuotaSum < 0.8 {
+				t.Errorf("dispatchers acted by at most %.4f of the whole", r.MaxQuotaSum)
 			}
 			// So much comes at once besides: 10 s of questions, and one of each life of a dispatcher; 5 s of the spare repeats, and
 			// one of each.
 			lives := float64(c.dispatchers + downs(r))
-			if most := budgets.PollsPerReplica*3 + lives/sumSpan.Seconds(); r.OwnMost > most {
-				t.Errorf("a replica was asked %.2f times a second, at most %.2f", r.OwnMost, most)
+			if most := budgets.PollsPerReplica*3 + lives/totalsWindow.Seconds(); r.MaxOwnPollRate > most {
+				t.Errorf("a replica was asked %.2f times a second, at most %.2f", r.MaxOwnPollRate, most)
 			}
 			tries := float64(r.Tries)
-			if most := budgets.RetriesPerRequest*tries + lives + budgets.RetriesPerSecond*(5+s.Seconds); r.Repeats*tries > most {
-				t.Errorf("%.0f repeats of %.0f tries, at most %.0f", r.Repeats*tries, tries, most)
+			if most := budgets.RetriesPerRequest*tries + lives + budgets.RetriesPerSecond*(5+s.Seconds); r.RepeatsPerRequest*tries > most {
+				t.Errorf("%.0f repeats of %.0f tries, at most %.0f", r.RepeatsPerRequest*tries, tries, most)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	all := func(want float64, who ...int) func() bool {
 		return func() bool {
 			sum := 0.0
-			for d, p := range r.parts() {
+			for d, p := range r.quotaFractions() {
 				if slices.Contains(who, d) {
 					sum += p
 				}
@@ -81,17 +81,17 @@
 	}
 	testutil.Eventually(t, "the whole to be used", all(0.95, 0, 1, 2, 3))
 	ctx := context.Background()
-	r.procs[3].pause(ctx, 2*time.Second)
-	if s, err := r.Shares(3); err != nil || s.Fraction > s.MinFraction*1.0001 && s.RemainingS <= 0 {
+	r.dispatchers[3].pause(ctx, 2*time.Second)
+	if s, err := r.Quota(3); err != nil || s.Fraction > s.MinFraction*1.0001 && s.RemainingS <= 0 {
 		t.Errorf("it woke with %+v, %v", s, err)
 	}
 	testutil.Eventually(t, "the whole to be used again", all(0.95, 0, 1, 2, 3))
-	r.procs[3].kill()
+	r.dispatchers[3].kill()
 	// The dead one's part of the floor is nobody's.
 	testutil.Eventually(t, "the others to have the pool", all(0.95-budgets.Floor/4, 0, 1, 2))
-	r.procs[0].kill() // a voter: a third of the pool goes with it
+	r.dispatchers[0].kill() // a voter: a third of the pool goes with it
 	testutil.Eventually(t, "two to have what two voters lend", func() bool {
-		p := r.parts()
+		p := r.quotaFractions()
 		sum := p[1] + p[2]
 		return sum > 0.55 && sum < 2*budgets.Floor/4+(1-budgets.Floor)*2/3+0.001
 	})
@@ -100,7 +100,7 @@
 // startShared starts dispatchers that share budgets, and keep to subsets where readers are given, without traffic.
 func startShared(t *testing.T, n, readers int) *Run {
 	t.Helper()
-	r := &Run{scenario: &Scenario{Name: "shared", Zones: 1, Readers: max(1, 3*readers), Writers: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
+	r := &Run{scenario: &Scenario{Name: "shared", Zones: 1, PrefillReplicas: max(1, 3*readers), DecodeReplicas: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
 		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Budgets: true, Subsets: readers}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
@@ -117,32 +117,32 @@
 	even := func(members int) func() bool {
 		return func() bool {
 			count := map[string]int{}
-			for d := range r.procs {
+			for d := range r.dispatchers {
 				s, err := r.Subset(d)
-				if err != nil && members == len(r.procs) || err == nil && (len(s.Subset) == 0 || s.Members != members) {
+				if err != nil && members == len(r.dispatchers) || err == nil && (len(s.Subset) == 0 || s.Members != members) {
 					return false
 				}
 				for _, name := range s.Subset {
 					count[name]++
 				}
 			}
-			low, high := len(r.procs), 0
-			for _, p := range r.cluster.replicas {
-				low, high = min(low, count[p.name]), max(high, count[p.name])
+			low, high := len(r.dispatchers), 0
+			for _, p := range r.cluster.Replicas {
+				low, high = min(low, count[p.Name]), max(high, count[p.Name])
 			}
 			return high-low <= 1
 		}
 	}
 	testutil.Eventually(t, "replicas to be shared evenly", even(12))
 	before := map[int][]string{}
-	for d := range r.procs {
+	for d := range r.dispatchers {
 		s, _ := r.Subset(d)
 		before[d] = s.Subset
 	}
-	r.procs[11].kill()
-	r.procs[11].restart(context.Background(), true)
+	r.dispatchers[11].kill()
+	r.dispatchers[11].restart(context.Background(), true)
 	testutil.Eventually(t, "the same subsets after a restart", func() bool {
-		for d := range r.procs {
+		for d := range r.dispatchers {
 			if s, err := r.Subset(d); err != nil || !slices.Equal(s.Subset, before[d]) {
 				return false
 			}
@@ -150,13 +150,13 @@
 		return true
 	})
 	gone := before[0][0]
-	for _, p := range r.cluster.replicas {
-		if p.name == gone {
-			r.discovery.set(p, "gone", time.Time{})
+	for _, p := range r.cluster.Replicas {
+		if p.Name == gone {
+			r.discovery.Set(p, "gone", time.Time{})
 		}
 	}
 	testutil.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
-		for d := range r.procs {
+		for d := range r.dispatchers {
 			if s, err := r.Subset(d); err != nil || slices.Contains(s.Subset, gone) {
 				return false
 			}
@@ -170,7 +170,7 @@
 	t.Parallel()
 	s := short(t, "wide", 8, 6)
 	s.Faults = nil
-	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 12, Seed: 3, Fleet: true, Budgets: true, Subsets: 8, Unwatched: true, Dir: t.TempDir()})
+	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 12, Seed: 3, Fleet: true, Budgets: true, Subsets: 8, SkipViews: true, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,16 +200,16 @@
 		made = append(made, time.Duration(i)*500*time.Millisecond)
 	}
 	calm := made[:20]
-	if got := rush(calm, 10*time.Second); got != 0 {
+	if got := handshakeSurge(calm, 10*time.Second); got != 0 {
 		t.Errorf("nothing came after the fault: %v", got)
 	}
 	for range 30 {
 		calm = append(calm, 11*time.Second)
 	}
-	if got := rush(calm, 10*time.Second); got != 3 {
+	if got := handshakeSurge(calm, 10*time.Second); got != 3 {
 		t.Errorf("30 against 10: %v", got)
 	}
-	if got := rush([]time.Duration{11 * time.Second}, 10*time.Second); got != 1 {
+	if got := handshakeSurge([]time.Duration{11 * time.Second}, 10*time.Second); got != 1 {
 		t.Errorf("no calm: %v", got)
 	}
 }
--- a/internal/faultbench/sizes_test.go
+++ b/internal/faultbench/sizes_test.go
@@ -17,19 +17,19 @@
 	}
 	for _, z := range sizes {
 		t.Run(fmt.Sprint(z.replicas, " replicas in ", z.memoryMB, " MB"), func(t *testing.T) {
-			day := &Scenario{Name: "size", Seconds: 6, Rate: 40, Zones: 3, Readers: z.replicas / 2, Writers: z.replicas - z.replicas/2}
+			day := &Scenario{Name: "size", Seconds: 6, Rate: 40, Zones: 3, PrefillReplicas: z.replicas / 2, DecodeReplicas: z.replicas - z.replicas/2}
 			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 1, Seed: 5, Dir: t.TempDir(),
-				MemoryMB: z.memoryMB, Sockets: z.sockets, Told: 350, Measure: true})
+				MemoryMB: z.memoryMB, Sockets: z.sockets, AdvertisedDispatchers: 350, MeasureUsage: true})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
+			for _, b := range r.violations {
 				t.Error(b)
 			}
 			t.Logf("%d replicas, limits %d MB and %d descriptors: %.0f MB (%.0f without the program's file), %d descriptors, %.0f goroutines, ready after %.2f s, served %v of %d",
-				z.replicas, z.memoryMB, z.sockets, r.RSSMB, r.OwnMB, r.FDs, r.Routines, r.ReadyS, r.ByStatus["served"], r.Asked)
-			if r.Crashes > 0 || r.ByStatus["served"] == 0 || r.OwnMB > float64(z.memoryMB) || r.FDs > z.sockets || r.Routines == 0 {
-				t.Errorf("%d crashes, %v, %.0f MB, %d descriptors, %.0f goroutines", r.Crashes, r.ByStatus, r.RSSMB, r.FDs, r.Routines)
+				z.replicas, z.memoryMB, z.sockets, r.RSSMB, r.OwnMB, r.FDs, r.Goroutines, r.ReadyS, r.ByStatus["served"], r.Asked)
+			if r.Crashes > 0 || r.ByStatus["served"] == 0 || r.OwnMB > float64(z.memoryMB) || r.FDs > z.sockets || r.Goroutines == 0 {
+				t.Errorf("%d crashes, %v, %.0f MB, %d descriptors, %.0f goroutines", r.Crashes, r.ByStatus, r.RSSMB, r.FDs, r.Goroutines)
 			}
 		})
 	}
--- a/internal/faultbench/soak.go
+++ b/internal/faultbench/soak.go
@@ -65,67 +65,87 @@
 // soakKinds are the kinds of fault that a soak draws, in the order of their names.
 var soakKinds = map[string]func(rng *rand.Rand) Fault{
 	"sigterm": func(rng *rand.Rand) Fault {
-		return Fault{Do: "term", For: between(rng, 0.1, 0.6), Part: 0.3, Every: 0.4}
+		return Fault{Action: "term", Duration: between(rng, 0.1, 0.6), Fraction: 0.3, Stagger: 0.4}
+	},
+	"sigkill": func(rng *rand.Rand) Fault {
+		return Fault{Action: "kill", Duration: between(rng, 0.1, 1), Fraction: 0.3}
+	},
+	"sigstop": func(rng *rand.Rand) Fault {
+		return Fault{Action: "pause", Duration: between(rng, 0.3, 2.5), Fraction: 0.3}
 	},
-	"sigkill": func(rng *rand.Rand) Fault { return Fault{Do: "kill", For: between(rng, 0.1, 1), Part: 0.3} },
-	"sigstop": func(rng *rand.Rand) Fault { return Fault{Do: "pause", For: between(rng, 0.3, 2.5), Part: 0.3} },
 	"held-up": func(rng *rand.Rand) Fault {
-		return Fault{Do: "pause", For: between(rng, 0.05, 0.15), Part: 1, Every: 0.1}
+		return Fault{Action: "pause", Duration: between(rng, 0.05, 0.15), Fraction: 1, Stagger: 0.1}
+	},
+	"sighup": func(rng *rand.Rand) Fault {
+		return Fault{Action: "hup-row", Duration: between(rng, 0.2, 2), Fraction: 0.5}
+	},
+	"hang": func(rng *rand.Rand) Fault {
+		return Fault{Action: "replica-hang", Duration: between(rng, 0.5, 4), Fraction: 0.25}
+	},
+	"reset": func(rng *rand.Rand) Fault {
+		return Fault{Action: "reset", Links: "replicas", Fraction: between(rng, 0.3, 1)}
 	},
-	"sighup": func(rng *rand.Rand) Fault { return Fault{Do: "hup-row", For: between(rng, 0.2, 2), Part: 0.5} },
-	"hang":   func(rng *rand.Rand) Fault { return Fault{Do: "replica-hang", For: between(rng, 0.5, 4), Part: 0.25} },
-	"reset":  func(rng *rand.Rand) Fault { return Fault{Do: "reset", Links: "replicas", Part: between(rng, 0.3, 1)} },
 	"fail": func(rng *rand.Rand) Fault {
-		return Fault{Do: "replica-fail", Loss: 0.4, For: between(rng, 0.5, 3), Part: 0.3}
+		return Fault{Action: "replica-fail", Loss: 0.4, Duration: between(rng, 0.5, 3), Fraction: 0.3}
 	},
 	"spoil": func(rng *rand.Rand) Fault {
-		return Fault{Do: "replica-spoil", Loss: 0.3, For: between(rng, 0.5, 3), Part: 0.4}
+		return Fault{Action: "replica-spoil", Loss: 0.3, Duration: between(rng, 0.5, 3), Fraction: 0.4}
 	},
 	"disk-hangs": func(rng *rand.Rand) Fault {
-		return Fault{Do: "calls-fail", Call: hostos.Write, Calls: 1, DelayMS: 3000, For: between(rng, 0.5, 3), Part: 0.5}
+		return Fault{Action: "calls-fail", Syscall: hostos.Write, EveryNth: 1, DelayMS: 3000, Duration: between(rng, 0.5, 3), Fraction: 0.5}
 	},
 	"slow": func(rng *rand.Rand) Fault {
-		return Fault{Do: "replica-slow", Factor: 8, For: between(rng, 0.5, 3), Part: 0.2}
+		return Fault{Action: "replica-slow", Factor: 8, Duration: between(rng, 0.5, 3), Fraction: 0.2}
 	},
-	"cold":   func(rng *rand.Rand) Fault { return Fault{Do: "replica-kill", For: between(rng, 0.3, 2), Part: 0.2} },
-	"drain":  func(rng *rand.Rand) Fault { return Fault{Do: "replica-drain", For: between(rng, 1, 4), Part: 0.3} },
-	"silent": func(rng *rand.Rand) Fault { return Fault{Do: "discovery-silent", For: between(rng, 0.5, 5)} },
+	"cold": func(rng *rand.Rand) Fault {
+		return Fault{Action: "replica-kill", Duration: between(rng, 0.3, 2), Fraction: 0.2}
+	},
+	"drain": func(rng *rand.Rand) Fault {
+		return Fault{Action: "replica-drain", Duration: between(rng, 1, 4), Fraction: 0.3}
+	},
+	"silent": func(rng *rand.Rand) Fault { return Fault{Action: "discovery-silent", Duration: between(rng, 0.5, 5)} },
 	"late": func(rng *rand.Rand) Fault {
-		return Fault{Do: "links", Links: "discovery", DelayMS: 400, For: between(rng, 0.5, 3), Part: 0.5}
+		return Fault{Action: "links", Links: "discovery", DelayMS: 400, Duration: between(rng, 0.5, 3), Fraction: 0.5}
+	},
+	"watch": func(rng *rand.Rand) Fault { return Fault{Action: "watch-silent", Fraction: between(rng, 0.3, 1)} },
+	"half": func(rng *rand.Rand) Fault {
+		return Fault{Action: "clients-half", Duration: between(rng, 0.5, 3), Fraction: 0.5}
 	},
-	"watch": func(rng *rand.Rand) Fault { return Fault{Do: "watch-silent", Part: between(rng, 0.3, 1)} },
-	"half":  func(rng *rand.Rand) Fault { return Fault{Do: "clients-half", For: between(rng, 0.5, 3), Part: 0.5} },
 	"leave": func(rng *rand.Rand) Fault {
-		return Fault{Do: "clients-leave", For: between(rng, 1, 4), Part: between(rng, 0.2, 0.8)}
+		return Fault{Action: "clients-leave", Duration: between(rng, 1, 4), Fraction: between(rng, 0.2, 0.8)}
 	},
 	"pipeline": func(rng *rand.Rand) Fault {
-		return Fault{Do: "clients-pipeline", For: between(rng, 0.5, 2.5), Part: 0.5}
+		return Fault{Action: "clients-pipeline", Duration: between(rng, 0.5, 2.5), Fraction: 0.5}
+	},
+	"idle": func(rng *rand.Rand) Fault {
+		return Fault{Action: "clients-idle", Duration: between(rng, 1, 4), Fraction: 0.3}
 	},
-	"idle":         func(rng *rand.Rand) Fault { return Fault{Do: "clients-idle", For: between(rng, 1, 4), Part: 0.3} },
 	"clock":        drawClockStep,
-	"accept-fails": func(rng *rand.Rand) Fault { return drawFailure(rng, hostos.Accept, acceptErrnos, 0.6) },
+	"accept-fails": func(rng *rand.Rand) Fault { return drawSyscallFailure(rng, hostos.Accept, acceptErrnos, 0.6) },
 	"connect-fails": func(rng *rand.Rand) Fault {
-		return drawFailure(rng, hostos.Connect, connectErrnos, 0.2)
+		return drawSyscallFailure(rng, hostos.Connect, connectErrnos, 0.2)
 	},
 	"silent-links": func(rng *rand.Rand) Fault {
-		return Fault{Do: "links-silent", Share: between(rng, 0.1, 0.8), For: between(rng, 0.4, 4), Part: between(rng, 0.3, 1)}
+		return Fault{Action: "links-silent", LinkFraction: between(rng, 0.1, 0.8), Duration: between(rng, 0.4, 4), Fraction: between(rng, 0.3, 1)}
 	},
 	"silent-conns": func(rng *rand.Rand) Fault {
-		return Fault{Do: "conns-silent", Share: between(rng, 0.2, 1), Part: between(rng, 0.3, 1)}
+		return Fault{Action: "conns-silent", LinkFraction: between(rng, 0.2, 1), Fraction: between(rng, 0.3, 1)}
 	},
 	"late-conns": func(rng *rand.Rand) Fault {
-		return Fault{Do: "conns-late", Share: between(rng, 0.2, 0.8), DelayMS: between(rng, 50, 1000), For: between(rng, 0.5, 3), Part: 0.6}
+		return Fault{Action: "conns-late", LinkFraction: between(rng, 0.2, 0.8), DelayMS: between(rng, 50, 1000), Duration: between(rng, 0.5, 3), Fraction: 0.6}
+	},
+	"vanish": func(rng *rand.Rand) Fault {
+		return Fault{Action: "replica-vanish", Duration: between(rng, 0.4, 4), Fraction: 0.25}
 	},
-	"vanish":   func(rng *rand.Rand) Fault { return Fault{Do: "replica-vanish", For: between(rng, 0.4, 4), Part: 0.25} },
-	"cut-zone": func(rng *rand.Rand) Fault { return Fault{Do: "cut-zone", For: between(rng, 0.5, 4), Zone: -1} },
+	"cut-zone": func(rng *rand.Rand) Fault { return Fault{Action: "cut-zone", Duration: between(rng, 0.5, 4), Zone: -1} },
 	"operator-drain": func(rng *rand.Rand) Fault {
-		return Fault{Do: "operator-drain", For: between(rng, 4.3, 5), Part: 0.3}
+		return Fault{Action: "operator-drain", Duration: between(rng, 4.3, 5), Fraction: 0.3}
 	},
 	"restarts": func(rng *rand.Rand) Fault {
-		return Fault{Do: "term", For: between(rng, 0.05, 0.3), Part: 1, Every: between(rng, 0.3, 1.5)}
+		return Fault{Action: "term", Duration: between(rng, 0.05, 0.3), Fraction: 1, Stagger: between(rng, 0.3, 1.5)}
 	},
 	"disk-fails": func(rng *rand.Rand) Fault {
-		return drawFailure(rng, []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename}[rng.IntN(3)], diskErrnos, 3)
+		return drawSyscallFailure(rng, []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename}[rng.IntN(3)], diskErrnos, 3)
 	},
 }
 
@@ -140,15 +160,15 @@
 
 func drawClockStep(rng *rand.Rand) Fault {
 	steps := []float64{3600, -3600, 60, -60, 5, -5}
-	return Fault{Do: "clock-step", StepS: steps[rng.IntN(len(steps))], For: between(rng, 0.5, 4), Part: 0.7}
+	return Fault{Action: "clock-step", ClockStepS: steps[rng.IntN(len(steps))], Duration: between(rng, 0.5, 4), Fraction: 0.7}
 }
 
-// drawFailure draws calls that fail: all of them for a short time, or each so many-th for up to most seconds.
-func drawFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) Fault {
-	f := Fault{Do: "calls-fail", Call: call, Errno: int(errnos[rng.IntN(len(errnos))]), Calls: 1 + rng.IntN(4), Part: 0.6}
-	f.For = between(rng, 0.05, all)
-	if f.Calls > 1 {
-		f.For = between(rng, 0.5, 3)
+// drawSyscallFailure draws calls that fail: all of them for a short time, or each so many-th for up to most seconds.
+func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) Fault {
+	f := Fault{Action: "calls-fail", Syscall: call, Errno: int(errnos[rng.IntN(len(errnos))]), EveryNth: 1 + rng.IntN(4), Fraction: 0.6}
+	f.Duration = between(rng, 0.05, all)
+	if f.EveryNth > 1 {
+		f.Duration = between(rng, 0.5, 3)
 	}
 	return f
 }
@@ -157,13 +177,13 @@
 func SoakKinds() []string { return slices.Sorted(maps.Keys(soakKinds)) }
 
 const (
-	soakQuiet    = 2.5 // s without a fault at a soak's begin,
-	soakEnd      = 6.0 // and at its end, in which what is owed can still come
-	episodeEvery = 3.0 // s, on the mean, between the begins of troubles that overlap
-	episodeSpan  = 0.8 // s within which the faults of one begin
-	leastSoak    = 10.0
-	crowdOneIn   = 3   // soaks with a crowd: clients that connect and stay, all the while,
-	crowdRate    = 1.5 // and so much more traffic
+	quietAtStart    = 2.5 // s without a fault at a soak's begin,
+	quietAtEnd      = 6.0 // and at its end, in which what is owed can still come
+	episodeInterval = 3.0 // s, on the mean, between the begins of troubles that overlap
+	episodeSpan     = 0.8 // s within which the faults of one begin
+	minSoakSeconds  = 10.0
+	crowdOneIn      = 3   // soaks with a crowd: clients that connect and stay, all the while,
+	crowdRateFactor = 1.5 // and so much more traffic
 )
 
 // drawSoak draws a soak's plan from its seed: at each of its episodes two or three faults begin nearly at once. It also names the kinds
@@ -178,29 +198,29 @@
 			return nil, nil, fmt.Errorf("soak: unknown fault %q: there are %s", k, strings.Join(SoakKinds(), ", "))
 		}
 	}
-	if o.Quiet < 0 || o.Quiet > o.Seconds-leastSoak+soakQuiet {
+	if o.Quiet < 0 || o.Quiet > o.Seconds-minSoakSeconds+quietAtStart {
 		return nil, nil, fmt.Errorf("soak: %v s of quiet leave no time for faults", o.Quiet)
 	}
-	if !(o.Seconds >= leastSoak && o.Seconds <= maxSeconds) {
-		return nil, nil, fmt.Errorf("soak: seconds %v are not from %v to %d", o.Seconds, leastSoak, maxSeconds)
+	if !(o.Seconds >= minSoakSeconds && o.Seconds <= MaxSeconds) {
+		return nil, nil, fmt.Errorf("soak: seconds %v are not from %v to %d", o.Seconds, minSoakSeconds, MaxSeconds)
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x50a4))
 	s := &Scenario{Name: "soak", Seconds: o.Seconds, Rate: 8 + 3*float64(o.Dispatchers), Zones: 1 + rng.IntN(3),
-		Readers: 5 + rng.IntN(4), Writers: 5 + rng.IntN(4)}
+		PrefillReplicas: 5 + rng.IntN(4), DecodeReplicas: 5 + rng.IntN(4)}
 	s.Rate = min(s.Rate, 60)
 	played := map[string]int{}
-	last := o.Seconds - soakEnd
+	last := o.Seconds - quietAtEnd
 	if rng.IntN(crowdOneIn) == 0 {
-		begin := cmp.Or(o.Quiet, soakQuiet)
-		s.Rate *= crowdRate
-		s.Faults = append(s.Faults, Fault{Do: "clients-idle", At: begin, For: last - begin, Part: 0.5})
+		begin := cmp.Or(o.Quiet, quietAtStart)
+		s.Rate *= crowdRateFactor
+		s.Faults = append(s.Faults, Fault{Action: "clients-idle", At: begin, Duration: last - begin, Fraction: 0.5})
 		s.About = "crowd"
 	}
-	for at := cmp.Or(o.Quiet, soakQuiet); at < last; at += between(rng, 0.6, 1.4) * episodeEvery {
+	for at := cmp.Or(o.Quiet, quietAtStart); at < last; at += between(rng, 0.6, 1.4) * episodeInterval {
 		for _, i := range rng.Perm(len(kinds))[:min(2+rng.IntN(2), len(kinds))] {
 			f := soakKinds[kinds[i]](rng)
 			f.At = min(at+rng.Float64()*episodeSpan, last)
-			f.For = min(f.For, o.Seconds-f.At-1)
+			f.Duration = min(f.Duration, o.Seconds-f.At-1)
 			if f.Zone < 0 {
 				f.Zone = rng.IntN(s.Zones)
 			}
@@ -212,23 +232,23 @@
 	return s, played, nil
 }
 
-// soakRun draws how the dispatchers of a soak are run.
-func soakRun(o SoakOptions) Options {
+// soakOptions draws how the dispatchers of a soak are run.
+func soakOptions(o SoakOptions) Options {
 	rng := rand.New(rand.NewPCG(o.Seed, 0x0b7))
 	run := Options{Program: o.Program, Dispatchers: o.Dispatchers, Seed: o.Seed, Dir: o.Dir, Log: o.Log, Strict: true, Sockets: 256,
-		Handover: rng.IntN(2) == 0, Unwatched: true}
+		Handover: rng.IntN(2) == 0, SkipViews: true}
 	switch rng.IntN(3) {
 	case 0:
 		run.Deployment = o.Seed
 	case 1:
-		run.Fleet, run.Filings, run.State = o.Dispatchers >= 3, o.Dispatchers >= 3, true
+		run.Fleet, run.IdempotentRequests, run.State = o.Dispatchers >= 3, o.Dispatchers >= 3, true
 	}
 	return run
 }
 
 // describe names what sets a soak's run apart.
 func (o Options) describe() string {
-	return fmt.Sprintf("handover=%t fleet=%t filings=%t deployment=%d", o.Handover, o.Fleet, o.Filings, o.Deployment)
+	return fmt.Sprintf("handover=%t fleet=%t filings=%t deployment=%d", o.Handover, o.Fleet, o.IdempotentRequests, o.Deployment)
 }
 
 // Soak plays a drawn plan of overlapping faults, and judges by what the stand-ins saw on their sockets.
@@ -237,7 +257,7 @@
 	if err != nil {
 		return nil, err
 	}
-	run := soakRun(o)
+	run := soakOptions(o)
 	temporary := o.Dir == ""
 	if temporary {
 		if run.Dir, err = os.MkdirTemp("", "soak-"); err != nil {
@@ -249,16 +269,16 @@
 		return nil, err
 	}
 	out := &SoakReport{Seed: o.Seed, RulesBroken: report.RulesBroken, Crashes: report.Crashes, Faults: played, Asked: report.Asked,
-		Served: report.Served, ByStatus: report.ByStatus, ByRule: map[string]int{}, Options: strings.TrimSpace(run.describe() + " " + day.About)}
-	for _, b := range report.breaches {
+		Served: report.ServedShare, ByStatus: report.ByStatus, ByRule: map[string]int{}, Options: strings.TrimSpace(run.describe() + " " + day.About)}
+	for _, b := range report.violations {
 		out.ByRule[b.Rule]++
 		fmt.Fprintln(&out.text, b)
 	}
-	if f := report.Filings; f != nil && f.Twice > 0 {
-		out.RulesBroken += f.Twice
-		out.ByRule["filing_twice"] = f.Twice
+	if f := report.Idempotency; f != nil && f.ExecutedTwice > 0 {
+		out.RulesBroken += f.ExecutedTwice
+		out.ByRule["filing_twice"] = f.ExecutedTwice
 	}
-	if out.Violations, err = violations(run.Dir, &out.text); err != nil {
+	if out.Violations, err = countViolations(run.Dir, &out.text); err != nil {
 		return nil, err
 	}
 	if temporary && out.Good() {
@@ -266,11 +286,11 @@
 		return out, nil
 	}
 	fmt.Fprintln(&out.text, "files:", run.Dir)
-	return out, keepHistory(run.Dir, day, report.events)
+	return out, writeHistory(run.Dir, day, report.events)
 }
 
-// keepHistory writes a soak's plan and what the stand-ins saw beside the processes' logs.
-func keepHistory(dir string, day *Scenario, events []history.Event) error {
+// writeHistory writes a soak's plan and what the stand-ins saw beside the processes' logs.
+func writeHistory(dir string, day *Scenario, events []history.Event) error {
 	plan, err := json.MarshalIndent(day, "", " ")
 	if err != nil {
 		return fmt.Errorf("soak: %w", err)
@@ -286,8 +306,8 @@
 	return history.Write(f, events)
 }
 
-// violations counts what the dispatchers' own checks have logged, and copies it.
-func violations(dir string, to io.Writer) (n int, err error) {
+// countViolations counts what the dispatchers' own checks have logged, and copies it.
+func countViolations(dir string, to io.Writer) (n int, err error) {
 	logs, err := filepath.Glob(filepath.Join(dir, "n*.log"))
 	if err != nil {
 		return 0, fmt.Errorf("soak: %w", err)
--- a/internal/faultbench/starts_test.go
+++ b/internal/faultbench/starts_test.go
@@ -21,14 +21,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range r.breaches {
+				for _, b := range r.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				last := 0.0
 				for _, share := range r.PerSecond[len(r.PerSecond)-4:] {
 					last += share / 4
 				}
-				t.Logf("seed %d: served %.3f, worst 10 s %.3f, recovery %.1f s, %.1f times the calm handshakes, %v", seed, r.Served, r.Worst10S, deref(r.RecoveryS), r.Rush, r.ByStatus)
+				t.Logf("seed %d: served %.3f, worst 10 s %.3f, recovery %.1f s, %.1f times the calm handshakes, %v", seed, r.ServedShare, r.Worst10S, deref(r.RecoveryS), r.HandshakeSurge, r.ByStatus)
 				if r.Crashes > 0 || last < 0.3 {
 					t.Errorf("seed %d: %d crashes, %.2f served in the last 4 s", seed, r.Crashes, last)
 				}
--- a/internal/faultbench/stragglers.go
+++ b/internal/faultbench/stragglers.go
@@ -9,26 +9,26 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// Straggling is what became of dispatchers that were told an old list, seen from outside.
-type Straggling struct {
-	SeenS  []float64 `json:"straggler_seen_s"`  // from the first change that one missed until it took no clients
-	LevelS []float64 `json:"straggler_level_s"` // from its list's return until it took them again
-	Acts   int       `json:"acts_after_shut_out"`
-	Wrong  int       `json:"wrongly_shut_out"` // that had been told no old list
+// VersionSkewReport is what became of dispatchers that were told an old list, seen from outside.
+type VersionSkewReport struct {
+	DetectionS     []float64 `json:"straggler_seen_s"`  // from the first change that one missed until it took no clients
+	ReadmissionS   []float64 `json:"straggler_level_s"` // from its list's return until it took them again
+	WorkAfterFence int       `json:"acts_after_shut_out"`
+	FalselyFenced  int       `json:"wrongly_shut_out"` // that had been told no old list
 }
 
 const (
-	oldSettings = "settings" // Class of an Old event that is not about the list
+	staleSettings = "settings" // Class of an Old event that is not about the list
 
-	shutTick = 50 * time.Millisecond
-	// shutSettle is how long a request that was on its way to one that is shut out may still lead to work.
-	shutSettle = 1500 * time.Millisecond
+	admissionPollInterval = 50 * time.Millisecond
+	// fenceSettleTime is how long a request that was on its way to one that is shut out may still lead to work.
+	fenceSettleTime = 1500 * time.Millisecond
 )
 
-// watchShut notes when a dispatcher says that it takes no clients, until the context ends. One that does not answer says nothing.
-func (r *Run) watchShut(ctx context.Context, d int) {
+// watchAdmission notes when a dispatcher says that it takes no clients, until the context ends. One that does not answer says nothing.
+func (r *Run) watchAdmission(ctx context.Context, d int) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	tick := time.NewTicker(shutTick)
+	tick := time.NewTicker(admissionPollInterval)
 	defer tick.Stop()
 	var no time.Duration // when it last said no: it may have said yes to others before it does here
 	for shut := false; ; {
@@ -54,8 +54,8 @@
 	}
 }
 
-// straggling sums up what happened to stragglers; events are in order.
-func straggling(events []history.Event) (out Straggling) {
+// versionSkewReport sums up what happened to stragglers; events are in order.
+func versionSkewReport(events []history.Event) (out VersionSkewReport) {
 	old := map[int]history.Event{}
 	for _, e := range events {
 		if e.Kind == history.StaleListServed {
@@ -68,7 +68,7 @@
 		switch e.Kind {
 		case history.EndpointWithdrawn, history.EndpointReady:
 			for d, o := range old {
-				if o.Class != oldSettings && missed[d] == 0 && d != e.Dispatcher && e.At > o.At && e.At < o.Until {
+				if o.Class != staleSettings && missed[d] == 0 && d != e.Dispatcher && e.At > o.At && e.At < o.Until {
 					missed[d] = e.At
 				}
 			}
@@ -76,11 +76,11 @@
 			o, was := old[e.Dispatcher]
 			switch {
 			case e.Complete && (!was || e.At < o.At):
-				out.Wrong++
+				out.FalselyFenced++
 			case e.Complete:
-				out.SeenS = append(out.SeenS, (e.At - max(missed[e.Dispatcher], o.At)).Seconds())
+				out.DetectionS = append(out.DetectionS, (e.At - max(missed[e.Dispatcher], o.At)).Seconds())
 			case was:
-				out.LevelS = append(out.LevelS, (e.At - o.Until).Seconds())
+				out.ReadmissionS = append(out.ReadmissionS, (e.At - o.Until).Seconds())
 			}
 			if delete(shut, e.Dispatcher); e.Complete {
 				shut[e.Dispatcher] = e.At
@@ -88,8 +88,8 @@
 		case history.RequestSent:
 			asked[e.Request] = e.At
 		case history.AttemptArrived:
-			if at, is := shut[e.Dispatcher]; is && e.At > at+shutSettle && asked[e.Request] > at+shutSettle {
-				out.Acts++
+			if at, is := shut[e.Dispatcher]; is && e.At > at+fenceSettleTime && asked[e.Request] > at+fenceSettleTime {
+				out.WorkAfterFence++
 			}
 		}
 	}
--- a/internal/faultbench/stragglers_test.go
+++ b/internal/faultbench/stragglers_test.go
@@ -13,11 +13,11 @@
 // was shut out wrongly, and work for what came to it long after is an act.
 func TestStraggling(t *testing.T) {
 	const s = time.Second
-	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: oldSettings, Dispatcher: 1, Until: 9 * s},
+	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: 1, Until: 9 * s},
 		{At: 3 * s, Kind: history.EndpointWithdrawn, Dispatcher: 2}, {At: 5 * s, Kind: history.AdmissionChanged, Dispatcher: 0, Complete: true}, {At: 6 * s, Kind: history.AdmissionChanged, Dispatcher: 1, Complete: true},
 		{At: 6 * s, Kind: history.AdmissionChanged, Dispatcher: 2, Complete: true}, {At: 6 * s, Kind: history.RequestSent, Request: "a", Dispatcher: 0}, {At: 7 * s, Kind: history.AttemptArrived, Request: "a", Dispatcher: 0},
 		{At: 7 * s, Kind: history.RequestSent, Request: "b", Dispatcher: 0}, {At: 8 * s, Kind: history.AttemptArrived, Request: "b", Dispatcher: 0}, {At: 11 * s, Kind: history.AdmissionChanged, Dispatcher: 0}}
-	if got := straggling(events); !slices.Equal(got.SeenS, []float64{2, 5}) || !slices.Equal(got.LevelS, []float64{2}) || got.Wrong != 1 || got.Acts != 1 {
+	if got := versionSkewReport(events); !slices.Equal(got.DetectionS, []float64{2, 5}) || !slices.Equal(got.ReadmissionS, []float64{2}) || got.FalselyFenced != 1 || got.WorkAfterFence != 1 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -35,12 +35,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, Ends: true, Stragglers: true, Unwatched: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, EndpointFilter: true, VersionSkew: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if g := r.Straggling; !r.Good() || r.StaleActs > 0 || len(g.SeenS) != outs || outs > 0 && slices.Max(g.SeenS) > 10 || len(g.LevelS) != outs || g.Wrong > 0 || g.Acts > 0 {
-				t.Errorf("%+v, %d stale acts, %v", g, r.StaleActs, r.breaches)
+			if g := r.VersionSkew; !r.Good() || r.StaleActs > 0 || len(g.DetectionS) != outs || outs > 0 && slices.Max(g.DetectionS) > 10 || len(g.ReadmissionS) != outs || g.FalselyFenced > 0 || g.WorkAfterFence > 0 {
+				t.Errorf("%+v, %d stale acts, %v", g, r.StaleActs, r.violations)
 			}
 		})
 	}
--- a/internal/faultbench/sums.go
+++ b/internal/faultbench/sums.go
@@ -14,55 +14,55 @@
 	"rampspread/internal/fleet/subsetter"
 )
 
-// Sums are what all dispatchers did together, counted at the replicas, and the parts that they say they act by.
-type Sums struct {
-	Repeats     float64 `json:"repeats_per_request"`      // steps that came again, for each request that was sent
-	RepeatsMost float64 `json:"repeats_per_request_most"` // the same in the worst 5 s
-	OwnProbes   float64 `json:"own_probes_per_replica_s"` // that no duty asked
-	OwnMost     float64 `json:"own_probes_most_s"`        // at any replica, over the worst 5 s
-	Handshakes  float64 `json:"handshakes_per_replica_s"` // connections that dispatchers opened
-	Open        int64   `json:"connections_most"`         // at one replica at once
-	Rush        float64 `json:"handshakes_rush"`          // the most that all dispatchers opened in 5 s from the first fault on, against calm; 0: no fault
-	LoadSpread  float64 `json:"load_max_over_mean"`       // work that came to a replica, against the mean of its role by weight
-	ColdUsed    float64 `json:"cold_used"`                // of what cold replicas may be sent, where there were any
-	ColdMost    float64 `json:"cold_most"`                // the most that one got of what it bears before it falls over
-	ShareSum    float64 `json:"share_sum_most"`           // of the parts that dispatchers acted by at once
-	ShareLow    float64 `json:"share_sum_least"`          // once the first were lent,
-	ShareMean   float64 `json:"share_sum_mean"`           // also
-	HotPart     float64 `json:"share_hot_most"`           // of the one with most
-	Lists       float64 `json:"discovery_calls_most_5s"`  // of all dispatchers in the worst 5 s
+// FleetTotals are what all dispatchers did together, counted at the replicas, and the parts that they say they act by.
+type FleetTotals struct {
+	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // steps that came again, for each request that was sent
+	MaxRepeatsPerRequest float64 `json:"repeats_per_request_most"` // the same in the worst 5 s
+	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // that no duty asked
+	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // at any replica, over the worst 5 s
+	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // connections that dispatchers opened
+	MaxConnections       int64   `json:"connections_most"`         // at one replica at once
+	HandshakeSurge       float64 `json:"handshakes_rush"`          // the most that all dispatchers opened in 5 s from the first fault on, against calm; 0: no fault
+	MaxLoadOverMean      float64 `json:"load_max_over_mean"`       // work that came to a replica, against the mean of its role by weight
+	SlowStartUsed        float64 `json:"cold_used"`                // of what cold replicas may be sent, where there were any
+	MaxSlowStartLoad     float64 `json:"cold_most"`                // the most that one got of what it bears before it falls over
+	MaxQuotaSum          float64 `json:"share_sum_most"`           // of the parts that dispatchers acted by at once
+	MinQuotaSum          float64 `json:"share_sum_least"`          // once the first were lent,
+	MeanQuotaSum         float64 `json:"share_sum_mean"`           // also
+	MaxQuota             float64 `json:"share_hot_most"`           // of the one with most
+	MaxDiscoveryCalls    float64 `json:"discovery_calls_most_5s"`  // of all dispatchers in the worst 5 s
 }
 
 const (
-	sumSpan   = 5 * time.Second
-	coldAim   = 0.45 // of what a cold server bears, at an even load: the module's own aim
-	shareTick = 100 * time.Millisecond
+	totalsWindow      = 5 * time.Second
+	slowStartShare    = 0.45 // of what a cold server bears, at an even load: the module's own aim
+	quotaPollInterval = 100 * time.Millisecond
 )
 
-// calls counts the connections of one replica.
-type calls struct {
-	made, open, most atomic.Int64
+// ConnectionStats counts the connections of one replica.
+type ConnectionStats struct {
+	Opened, open, MaxOpen atomic.Int64
 
 	mu sync.Mutex
 	at []time.Time // of those made
 }
 
-// times are when connections were made.
-func (c *calls) times() []time.Time {
+// OpenTimes are when connections were made.
+func (c *ConnectionStats) OpenTimes() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.at)
 }
 
-func (c *calls) state(_ net.Conn, s http.ConnState) {
+func (c *ConnectionStats) track(_ net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
-		c.made.Add(1)
+		c.Opened.Add(1)
 		c.mu.Lock()
 		c.at = append(c.at, time.Now())
 		c.mu.Unlock()
 		for n := c.open.Add(1); ; {
-			if m := c.most.Load(); n <= m || c.most.CompareAndSwap(m, n) {
+			if m := c.MaxOpen.Load(); n <= m || c.MaxOpen.CompareAndSwap(m, n) {
 				return
 			}
 		}
@@ -71,8 +71,8 @@
 	}
 }
 
-// mostIn is the largest sum of weights within a span; times are in order.
-func mostIn(at []time.Duration, weight []float64, span time.Duration) (most float64) {
+// maxSumWithin is the largest sum of weights within a span; times are in order.
+func maxSumWithin(at []time.Duration, weight []float64, span time.Duration) (most float64) {
 	sum, from := 0.0, 0
 	for i := range at {
 		for sum += weight[i]; at[i]-at[from] > span; from++ {
@@ -93,17 +93,17 @@
 	s.at, s.weight = append(s.at, at), append(s.weight, weight)
 }
 
-// most is the largest sum in sumSpan.
-func (s *series) most() float64 { return mostIn(s.at, s.weight, sumSpan) }
+// maxSum is the largest sum in sumSpan.
+func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
-// sum counts what came, from base on for so long.
-func sum(events []history.Event, rules history.Rules, replicas []*replica, base, length time.Duration) (out Sums) {
+// fleetTotals counts what came, from base on for so long.
+func fleetTotals(events []history.Event, rules history.Rules, replicas []*Replica, base, length time.Duration) (out FleetTotals) {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return int(a.At - b.At) })
-	byName := map[string]*replica{}
+	byName := map[string]*Replica{}
 	roles := map[bool]float64{} // weights of all listed
 	for _, r := range replicas {
-		byName[r.name] = r
-		roles[r.writer] += r.weightOnList()
+		byName[r.Name] = r
+		roles[r.Decode] += r.Weight()
 	}
 	type step struct {
 		request string
@@ -118,7 +118,7 @@
 		switch e.Kind {
 		case history.AttemptArrived:
 			r := byName[e.Replica]
-			s := step{e.Request, r.writer}
+			s := step{e.Request, r.Decode}
 			if came[s]++; came[s] > 1 {
 				repeats.add(e.At, 1)
 			}
@@ -127,9 +127,9 @@
 				firsts.add(e.At, 1)
 			}
 			load[e.Replica] += e.Weight
-			work[r.writer].add(e.At, e.Weight)
+			work[r.Decode].add(e.At, e.Weight)
 		case history.LoadPolled:
-			if e.Class != dutyProbe {
+			if e.Class != LeasedPoll {
 				if own[e.Replica] == nil {
 					own[e.Replica] = &series{}
 				}
@@ -141,40 +141,40 @@
 			}
 		}
 	}
-	out.Lists = lists.most()
+	out.MaxDiscoveryCalls = lists.maxSum()
 	if n := len(firsts.at); n > 0 {
-		out.Repeats = float64(len(repeats.at)) / float64(n)
-		perSpan := float64(n) / length.Seconds() * sumSpan.Seconds()
-		out.RepeatsMost = repeats.most() / perSpan
+		out.RepeatsPerRequest = float64(len(repeats.at)) / float64(n)
+		perSpan := float64(n) / length.Seconds() * totalsWindow.Seconds()
+		out.MaxRepeatsPerRequest = repeats.maxSum() / perSpan
 	}
 	for _, s := range own {
-		out.OwnProbes += float64(len(s.at)) / float64(len(replicas)) / length.Seconds()
-		out.OwnMost = max(out.OwnMost, s.most()/sumSpan.Seconds())
+		out.OwnPollRate += float64(len(s.at)) / float64(len(replicas)) / length.Seconds()
+		out.MaxOwnPollRate = max(out.MaxOwnPollRate, s.maxSum()/totalsWindow.Seconds())
 	}
 	for _, r := range replicas {
-		out.Handshakes += float64(r.calls.made.Load()) / float64(len(replicas)) / length.Seconds()
-		out.Open = max(out.Open, r.calls.most.Load())
+		out.HandshakeRate += float64(r.Connections.Opened.Load()) / float64(len(replicas)) / length.Seconds()
+		out.MaxConnections = max(out.MaxConnections, r.Connections.MaxOpen.Load())
 		all := 0.0
 		for _, o := range replicas {
-			if o.writer == r.writer {
-				all += load[o.name]
+			if o.Decode == r.Decode {
+				all += load[o.Name]
 			}
 		}
 		if all > 0 {
-			out.LoadSpread = max(out.LoadSpread, load[r.name]/all*roles[r.writer]/r.weightOnList())
+			out.MaxLoadOverMean = max(out.MaxLoadOverMean, load[r.Name]/all*roles[r.Decode]/r.Weight())
 		}
 	}
-	out.cold(events, rules, byName, work, roles)
+	out.addSlowStart(events, rules, byName, work, roles)
 	return out
 }
 
-// calmFrom is when all dispatchers have the connections that they begin with.
-const calmFrom = 4 * time.Second
+// connectionsSettled is when all dispatchers have the connections that they begin with.
+const connectionsSettled = 4 * time.Second
 
-// rush is the most connections made in a span from a fault on, against the mean of so long a span before it. At least one is
+// handshakeSurge is the most connections made in a span from a fault on, against the mean of so long a span before it. At least one is
 // taken for the calm, which may have none. Times count from the beginning of the traffic.
-func rush(made []time.Duration, fault time.Duration) float64 {
-	if fault <= calmFrom {
+func handshakeSurge(made []time.Duration, fault time.Duration) float64 {
+	if fault <= connectionsSettled {
 		return 0
 	}
 	calm, after := 0.0, series{}
@@ -182,15 +182,15 @@
 		switch {
 		case at >= fault:
 			after.add(at, 1)
-		case at >= calmFrom:
+		case at >= connectionsSettled:
 			calm++
 		}
 	}
-	return after.most() / max(calm*sumSpan.Seconds()/(fault-calmFrom).Seconds(), 1)
+	return after.maxSum() / max(calm*totalsWindow.Seconds()/(fault-connectionsSettled).Seconds(), 1)
 }
 
-// cold is how much of what they may be sent cold replicas were sent, and the most that one was sent of what it bears.
-func (out *Sums) cold(events []history.Event, rules history.Rules, byName map[string]*replica, work map[bool]*series, roles map[bool]float64) {
+// addSlowStart is how much of what they may be sent addSlowStart replicas were sent, and the most that one was sent of what it bears.
+func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, byName map[string]*Replica, work map[bool]*series, roles map[bool]float64) {
 	var used []float64
 	for _, start := range events {
 		if start.Kind != history.ReplicaStarted {
@@ -202,13 +202,13 @@
 			if e.Kind == history.AttemptArrived && e.Replica == start.Replica && e.At >= start.At && e.At <= start.Until {
 				got += e.Weight
 				sum, allowed, _ := b.Add(e)
-				out.ColdMost = max(out.ColdMost, sum/allowed)
+				out.MaxSlowStartLoad = max(out.MaxSlowStartLoad, sum/allowed)
 			}
 		}
-		w := work[r.writer]
+		w := work[r.Decode]
 		for i, at := range w.at { // of all that came meanwhile, its even part by what it may have of that
 			if at >= start.At && at <= start.Until {
-				may += w.weight[i] * r.weightOnList() / roles[r.writer] * min(coldAim*rules.OverloadMultiple*rules.CapacityFraction(start, at), 1)
+				may += w.weight[i] * r.Weight() / roles[r.Decode] * min(slowStartShare*rules.OverloadMultiple*rules.CapacityFraction(start, at), 1)
 			}
 		}
 		if may > 0 {
@@ -216,25 +216,27 @@
 		}
 	}
 	for _, u := range used {
-		out.ColdUsed += u / float64(len(used))
+		out.SlowStartUsed += u / float64(len(used))
 	}
 }
 
-// Shares is a dispatcher's part as it shows it to its operators.
-func (r *Run) Shares(d int) (fleet.QuotaStatus, error) {
-	return shown[fleet.QuotaStatus](r, d, "shares")
+// Quota is a dispatcher's part as it shows it to its operators.
+func (r *Run) Quota(d int) (fleet.QuotaStatus, error) {
+	return adminStatus[fleet.QuotaStatus](r, d, "shares")
 }
 
 // Subset is what a dispatcher keeps to.
-func (r *Run) Subset(d int) (subsetter.Status, error) { return shown[subsetter.Status](r, d, "subset") }
+func (r *Run) Subset(d int) (subsetter.Status, error) {
+	return adminStatus[subsetter.Status](r, d, "subset")
+}
 
-// parts asks all dispatchers at once what they act by; those that do not answer act by nothing that this can see.
-func (r *Run) parts() (parts []float64) {
+// quotaFractions asks all dispatchers at once what they act by; those that do not answer act by nothing that this can see.
+func (r *Run) quotaFractions() (parts []float64) {
 	var wg sync.WaitGroup
-	parts = make([]float64, len(r.procs))
-	for d := range r.procs {
+	parts = make([]float64, len(r.dispatchers))
+	for d := range r.dispatchers {
 		wg.Go(func() {
-			if s, err := r.Shares(d); err == nil {
+			if s, err := r.Quota(d); err == nil {
 				parts[d] = s.Fraction
 			}
 		})
@@ -243,24 +245,24 @@
 	return parts
 }
 
-// watchShares adds up what dispatchers act by until the context ends.
-func (r *Run) watchShares(ctx context.Context, out *Sums) {
+// watchQuotas adds up what dispatchers act by until the context ends.
+func (r *Run) watchQuotas(ctx context.Context, out *FleetTotals) {
 	lent, n, all := false, 0.0, 0.0
-	tick := time.NewTicker(shareTick)
+	tick := time.NewTicker(quotaPollInterval)
 	defer tick.Stop()
 	for {
 		sum := 0.0
-		for _, p := range r.parts() {
+		for _, p := range r.quotaFractions() {
 			sum += p
-			out.HotPart = max(out.HotPart, p)
+			out.MaxQuota = max(out.MaxQuota, p)
 		}
-		if out.ShareSum = max(out.ShareSum, sum); !lent && sum > 0.9 {
-			lent, out.ShareLow = true, sum
+		if out.MaxQuotaSum = max(out.MaxQuotaSum, sum); !lent && sum > 0.9 {
+			lent, out.MinQuotaSum = true, sum
 		}
 		if lent {
-			out.ShareLow = min(out.ShareLow, sum)
+			out.MinQuotaSum = min(out.MinQuotaSum, sum)
 			n, all = n+1, all+sum
-			out.ShareMean = all / n
+			out.MeanQuotaSum = all / n
 		}
 		select {
 		case <-tick.C:
