--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -17,6 +17,7 @@
 
 	"rampspread/internal/cli"
 	"rampspread/internal/faultbench"
+	"rampspread/internal/faultbench/scenario"
 )
 
 func main() {
@@ -75,7 +76,7 @@
 	var keep string
 	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario, built in or a file; the last line printed is one JSON object",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := faultbench.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -113,7 +114,7 @@
 
 func listCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		all, err := faultbench.All()
+		all, err := scenario.All()
 		if err != nil {
 			return err
 		}
--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -15,6 +15,7 @@
 
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/scenario"
 )
 
 const (
@@ -346,7 +347,7 @@
 			if err != nil {
 				away = 0
 			}
-			return outcome{"refused", Seconds(away)}
+			return outcome{"refused", scenario.Seconds(away)}
 		}
 		return outcome{status: "failed"}
 	}
--- a/internal/faultbench/cluster.go
+++ b/internal/faultbench/cluster.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // reservedState is a prompt that was read and waits at its reader.
@@ -75,7 +76,7 @@
 	return c.rng.Float64()
 }
 
-func NewCluster(r *history.Recorder, rules history.Rules, s *Scenario, seed uint64) *Cluster {
+func NewCluster(r *history.Recorder, rules history.Rules, s *scenario.Scenario, seed uint64) *Cluster {
 	c := &Cluster{history: r, rules: rules, requests: map[string]*Request{}, states: map[string]*reservedState{}, waitingDecodes: map[string]int{}, eventWrittenAt: map[eventKey]time.Time{}, rng: rand.New(rand.NewPCG(seed, 0xc1))}
 	for i := range s.PrefillReplicas + s.DecodeReplicas {
 		p := &Replica{cluster: c, Index: i, Decode: i >= s.PrefillReplicas, slowdown: 1, cachedTokens: map[string]int{},
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -9,6 +9,7 @@
 	"os"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Demo is a fleet that runs until it is closed, with the chat front, for people to try.
@@ -22,8 +23,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	r := &Run{scenario: &Scenario{Name: "demo", Zones: 3, PrefillReplicas: 3, DecodeReplicas: 3}, options: o, history: history.NewRecorder(),
-		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: Seconds(2), InitialCapacity: 0.34}, acceptAnyRequest: true}
+	r := &Run{scenario: &scenario.Scenario{Name: "demo", Zones: 3, PrefillReplicas: 3, DecodeReplicas: 3}, options: o, history: history.NewRecorder(),
+		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: scenario.Seconds(2), InitialCapacity: 0.34}, acceptAnyRequest: true}
 	dir, err := os.MkdirTemp("", "fleetrig-")
 	if err != nil {
 		return nil, fmt.Errorf("demo: %w", err)
--- a/internal/faultbench/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // seeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
@@ -34,7 +35,7 @@
 	for _, seed := range seeds(t, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day := DrawDay(seed)
+			day := scenario.DrawDay(seed)
 			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
@@ -54,7 +55,7 @@
 	}
 }
 
-func describe(s *Scenario) string {
+func describe(s *scenario.Scenario) string {
 	var out bytes.Buffer
 	for _, f := range s.Faults {
 		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Action, f.Links, f.At)
--- a/internal/faultbench/discovery.go
+++ b/internal/faultbench/discovery.go
@@ -38,6 +38,13 @@
 	changed           chan struct{}
 }
 
+// Lifecycle states of an endpoint on the list.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone" // off the list
+)
+
 // snapshot is the list as it was.
 type snapshot struct {
 	entries map[string]entry
@@ -73,7 +80,7 @@
 	d := &Server{history: h, address: addr, deployment: p, Listeners: make([][2]*network.Listener, dispatchers), entries: map[string]entry{},
 		version: 1, frozen: map[int]snapshot{}, movedAt: map[int]time.Time{}, watchesSilencedAt: map[int]time.Time{}, watchSilences: map[int]int{}, changed: make(chan struct{})}
 	for _, r := range replicas {
-		d.entries[r.Name] = entry{replica: r, state: "ready", version: 1}
+		d.entries[r.Name] = entry{replica: r, state: stateReady, version: 1}
 	}
 	return d
 }
@@ -117,7 +124,7 @@
 		if _, stale := d.frozen[i]; stale {
 			continue
 		}
-		if e.state == "ready" { // whoever has not heard of what came before does no wrong from now on
+		if e.state == stateReady { // whoever has not heard of what came before does no wrong from now on
 			d.history.Add(history.Event{Kind: history.EndpointReady, Replica: e.replica.Name, Dispatcher: i, Version: e.version})
 			continue
 		}
@@ -179,31 +186,43 @@
 	d.delay = late
 }
 
-func (d *Server) SetSilent(silent bool) {
+// Silence makes discovery send nothing and answer no request.
+func (d *Server) Silence() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.silentSince, d.lastSent = d.version, snapshot{maps.Clone(d.entries), d.version}
+	d.silent = true
+	d.notifyWatchers()
+}
+
+// Resume ends its silence. Agents then get what they missed.
+func (d *Server) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if silent {
-		d.silentSince, d.lastSent = d.version, snapshot{maps.Clone(d.entries), d.version}
-	} else if d.silent {
-		for _, e := range d.entries { // agents get at its return what they missed
+	if d.silent {
+		for _, e := range d.entries {
 			if e.version > d.silentSince {
 				d.recordChange(e)
 			}
 		}
 	}
-	d.silent = silent
+	d.silent = false
 	d.notifyWatchers()
 }
 
-// Freeze lets a dispatcher be told the list as it is now from now on, or as it is then again.
-func (d *Server) Freeze(dispatcher int, stale bool) {
+// Freeze makes a dispatcher's discovery serve the list as it is now, and no change.
+func (d *Server) Freeze(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if stale {
-		d.frozen[dispatcher] = snapshot{maps.Clone(d.entries), d.version}
-	} else {
-		delete(d.frozen, dispatcher)
-	}
+	d.frozen[dispatcher] = snapshot{maps.Clone(d.entries), d.version}
+	d.notifyWatchers()
+}
+
+// Unfreeze makes a dispatcher's discovery serve the current list again.
+func (d *Server) Unfreeze(dispatcher int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.frozen, dispatcher)
 	d.notifyWatchers()
 }
 
@@ -221,7 +240,7 @@
 	}
 	l = endpointList{Generation: at, Reset: all, Instances: []endpointRecord{}}
 	for name, e := range entries {
-		if !all && e.version <= version || all && e.state == "gone" {
+		if !all && e.version <= version || all && e.state == stateGone {
 			continue
 		}
 		at := endpointRecord{ID: name, HostPort: d.address(e.replica, dispatcher), Zone: d.deployment.ZoneName(e.replica.Zone),
@@ -250,7 +269,7 @@
 func (d *Server) sendList(w io.Writer, l endpointList, dispatcher int) error {
 	for _, in := range l.Instances {
 		kind := history.EndpointReady
-		if in.Lifecycle != "ready" {
+		if in.Lifecycle != stateReady {
 			kind = history.EndpointWithdrawn
 		}
 		d.history.Add(history.Event{Kind: kind, Replica: in.ID, Dispatcher: dispatcher, Version: l.Generation})
--- a/internal/faultbench/drain.go
+++ b/internal/faultbench/drain.go
@@ -6,6 +6,7 @@
 
 	"rampspread/internal/admin"
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 const (
@@ -17,7 +18,7 @@
 )
 
 // operatorDrain drains a dispatcher by an operator's call, looks at its clients' connections when the page says, and ends the drain.
-func (r *Run) operatorDrain(ctx context.Context, f Fault, d int) {
+func (r *Run) operatorDrain(ctx context.Context, f scenario.Fault, d int) {
 	if _, err := admin.Request(r.addrs.ops(d), "drain-on", adminTimeout); err != nil {
 		return // it is not up
 	}
@@ -29,7 +30,7 @@
 		r.history.Add(history.Event{Kind: history.ConnectionLingers, Dispatcher: d, Elapsed: time.Since(begun), Class: why,
 			LinkHealthy: r.links.clients[d].Sound(begun) && r.dispatchers[d].upSince(begun)})
 	}
-	sleep(ctx, Seconds(f.Duration)-time.Since(begun))
+	sleep(ctx, scenario.Seconds(f.Duration)-time.Since(begun))
 	if _, err := admin.Request(r.addrs.ops(d), "drain-off", adminTimeout); err != nil {
 		r.options.Log.Warn("drain_off", "dispatcher", d, "err", err)
 	}
--- a/internal/faultbench/ends_test.go
+++ b/internal/faultbench/ends_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"testing"
+
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Two in five dispatchers are told an old list from 5 s on, on which replicas stand that leave at 6 s and go on answering whoever comes;
@@ -11,19 +13,19 @@
 func TestOlderListsReviveNothing(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends bool
-		kill Fault
+		kill scenario.Fault
 	}{
-		"without":            {false, Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
-		"stragglers restart": {true, Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
-		"most restart":       {true, Fault{At: 9, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}},
-		"one side of a cut":  {true, Fault{At: 9, Action: "split", Duration: 2}},
+		"without":            {false, scenario.Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"stragglers restart": {true, scenario.Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"most restart":       {true, scenario.Fault{At: 9, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}},
+		"one side of a cut":  {true, scenario.Fault{At: 9, Action: "split", Duration: 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if name == "stragglers restart" && !*long {
 				t.Skip("-rig.long")
 			}
 			t.Parallel()
-			s := &Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []Fault{
+			s := &scenario.Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
 				{At: 5, Action: "discovery-stale", Fraction: 0.4, SpareFirst: 3, Duration: 8}, {At: 6, Action: "replica-leave", Fraction: 0.2, Duration: 7}, c.kill}}
 			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 3, Fleet: true, EndpointFilter: c.ends, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
@@ -42,7 +44,7 @@
 	if !*long {
 		t.Skip("-rig.long")
 	}
-	s, err := Load("restart-most-lost")
+	s, err := scenario.Load("restart-most-lost")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/filings.go
+++ b/internal/faultbench/filings.go
@@ -16,6 +16,7 @@
 
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
 
@@ -62,8 +63,8 @@
 	rng := rand.New(rand.NewPCG(f.run.options.Seed, 0xf11e))
 	at := time.Duration(0)
 	for n := 0; ; n++ {
-		at += Seconds(rng.ExpFloat64() / idempotentKeyRate)
-		if at >= Seconds(f.run.scenario.Seconds) || sleep(ctx, time.Until(begin.Add(at))) != nil {
+		at += scenario.Seconds(rng.ExpFloat64() / idempotentKeyRate)
+		if at >= scenario.Seconds(f.run.scenario.Seconds) || sleep(ctx, time.Until(begin.Add(at))) != nil {
 			return
 		}
 		key, own := fmt.Sprintf("key-%d-%x", n, rng.Uint64()), rand.New(rand.NewPCG(f.run.options.Seed, uint64(n)))
--- a/internal/faultbench/filings_test.go
+++ b/internal/faultbench/filings_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"testing"
+
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Filings that clients send to several dispatchers under kills, a partition, a stop and a lost state: the writers saw each key
@@ -12,12 +14,12 @@
 	for _, kept := range []bool{true, false} {
 		t.Run(map[bool]string{true: "kept", false: "each its own"}[kept], func(t *testing.T) {
 			t.Parallel()
-			s, err := Load("filings")
+			s, err := scenario.Load("filings")
 			if err != nil {
 				t.Fatal(err)
 			}
 			s.Seconds, s.Rate = 12, 6
-			s.Faults = []Fault{{At: 2, Action: "kill", Fraction: 0.25, Duration: 1}, {At: 4, Action: "split", Sides: 2, Duration: 2}, {At: 5, Action: "kill", Fraction: 0.2, Duration: 1, LoseState: true},
+			s.Faults = []scenario.Fault{{At: 2, Action: "kill", Fraction: 0.25, Duration: 1}, {At: 4, Action: "split", Sides: 2, Duration: 2}, {At: 5, Action: "kill", Fraction: 0.2, Duration: 1, LoseState: true},
 				{At: 8, Action: "pause", Fraction: 0.5, Duration: 2}}
 			if !kept {
 				s.Seconds, s.Faults = 5, nil
@@ -41,12 +43,12 @@
 // answer that it knew, it gives that again.
 func TestFilingOfAnEarlierLife(t *testing.T) {
 	t.Parallel()
-	s, err := Load("filings")
+	s, err := scenario.Load("filings")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Seconds, s.Rate, s.Zones = 8, 4, 1
-	s.Faults = []Fault{{At: 2, Action: "kill", Duration: 0.5}, {At: 5, Action: "kill", Duration: 0.5}}
+	s.Faults = []scenario.Fault{{At: 2, Action: "kill", Duration: 0.5}, {At: 5, Action: "kill", Duration: 0.5}}
 	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 1, Seed: 5, Fleet: true, IdempotentRequests: true, SkipViews: true, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -104,12 +104,12 @@
 	}
 }
 
-// split cuts the links between sides, or heals them; side names each dispatcher's.
-func (p *peers) split(side func(d int) int, cut bool) {
+// split sets the condition of the links between sides; side names each dispatcher's.
+func (p *peers) split(side func(d int) int, c network.Condition) {
 	for a := range p.links {
 		for b := range p.links {
 			if a != b && side(a) != side(b) {
-				p.set(a, b, network.Condition{Cut: cut})
+				p.set(a, b, c)
 			}
 		}
 	}
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"rampspread/internal/faultbench/history"
-	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/fleet"
 	"rampspread/internal/testutil"
 )
@@ -25,7 +25,7 @@
 // startFleet starts dispatchers that know of each other, without traffic, all at once, and waits until all see all.
 func startFleet(t *testing.T, n int) *Run {
 	t.Helper()
-	r := &Run{scenario: &Scenario{Name: "fleet", Zones: 3, PrefillReplicas: 1, DecodeReplicas: 1}, history: history.NewRecorder(), dir: t.TempDir(),
+	r := &Run{scenario: &scenario.Scenario{Name: "fleet", Zones: 3, PrefillReplicas: 1, DecodeReplicas: 1}, history: history.NewRecorder(), dir: t.TempDir(),
 		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Log: slog.New(slog.DiscardHandler)}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
@@ -110,7 +110,7 @@
 	r := startFleet(t, 6)
 	for _, sides := range []int{2, 3} {
 		side := func(d int) int { return d % sides }
-		r.peers.split(side, true)
+		r.peers.split(side, cutLink)
 		for d := range r.dispatchers {
 			var here, there []int
 			for o := range r.dispatchers {
@@ -123,12 +123,12 @@
 			r.sees(t, d, "unreachable", there...)
 			r.sees(t, d, "alive", here...)
 		}
-		r.peers.split(side, false)
+		r.peers.split(side, healthyLink)
 		for d := range r.dispatchers {
 			r.sees(t, d, "alive", r.all()...)
 		}
 	}
-	r.peers.setAround(2, "to", network.Condition{Cut: true})
+	r.peers.setAround(2, "to", cutLink)
 	for _, d := range []int{0, 1, 3, 4, 5} {
 		r.sees(t, d, "unreachable", 2)
 	}
@@ -137,7 +137,7 @@
 			r.sees(t, d, "alive", 0, 1, 3, 4, 5)
 		}
 	}
-	r.peers.setAround(2, "to", network.Condition{})
+	r.peers.setAround(2, "to", healthyLink)
 	for d := range r.dispatchers {
 		r.sees(t, d, "alive", r.all()...)
 	}
--- a/internal/faultbench/handover_test.go
+++ b/internal/faultbench/handover_test.go
@@ -8,6 +8,8 @@
 	"regexp"
 	"strconv"
 	"testing"
+
+	"rampspread/internal/faultbench/scenario"
 )
 
 var handedOver = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
@@ -18,7 +20,7 @@
 		t.Run(do, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			s := &Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []Fault{{At: 7, Action: do, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
+			s := &scenario.Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []scenario.Fault{{At: 7, Action: do, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
 			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 2, Seed: 1, Handover: true, Dir: dir})
 			if err != nil {
 				t.Fatal(err)
@@ -45,9 +47,9 @@
 	for _, cut := range []bool{false, true} {
 		t.Run(map[bool]string{false: "restart", true: "cut off"}[cut], func(t *testing.T) {
 			t.Parallel()
-			s := &Scenario{Name: "restart", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []Fault{{At: 7, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}}}
+			s := &scenario.Scenario{Name: "restart", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []scenario.Fault{{At: 7, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}}}
 			if cut {
-				s.Faults = append(s.Faults, Fault{At: 6.5, Action: "links", Links: "peers", Fraction: 0.4, Duration: 5})
+				s.Faults = append(s.Faults, scenario.Fault{At: 6.5, Action: "links", Links: "peers", Fraction: 0.4, Duration: 5})
 			}
 			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, Bootstrap: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Hush lets the connections that are open fall silent for good, with no error: what is written to them goes nowhere. New ones are sound.
-func (l *Link) Hush() {
+// SilenceConns lets the connections that are open fall silent for good, with no error: what is written to them goes nowhere. New ones are sound.
+func (l *Link) SilenceConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.since = time.Now()
@@ -85,8 +85,8 @@
 	l.changed = make(chan struct{})
 }
 
-// SetLate lets each new connection be answered only so long after it came up.
-func (l *Link) SetLate(late time.Duration) {
+// SetConnectDelay lets each new connection be answered only so long after it came up.
+func (l *Link) SetConnectDelay(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.late, l.since = late, time.Now()
--- a/internal/faultbench/newest_test.go
+++ b/internal/faultbench/newest_test.go
@@ -5,13 +5,14 @@
 	"testing"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // A dispatcher that is killed and starts again while discovery is silent knows from the disk which servers were leaving; its
 // configuration's list is older. Without a folder it sends to them, which shows that the day can tell.
 func TestNewestListOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
-	day := &Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []Fault{
+	day := &scenario.Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
 		{At: 2, Action: "replica-drain", Fraction: 0.3, Duration: 10}, {At: 4, Action: "discovery-silent", Duration: 6}, {At: 5, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with a folder": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +41,7 @@
 // that: whoever takes their duties over does so under higher numbers than the first, where a calm hour may leave all at the first.
 func TestLeaseNumbersOutliveTheFleet(t *testing.T) {
 	t.Parallel()
-	day := &Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, PrefillReplicas: 4, DecodeReplicas: 4, Faults: []Fault{
+	day := &scenario.Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, PrefillReplicas: 4, DecodeReplicas: 4, Faults: []scenario.Fault{
 		{At: 4, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 6.5, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 9, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with folders": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/faultbench/process.go
+++ b/internal/faultbench/process.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/hostos"
 	stored "rampspread/internal/state"
 )
@@ -353,7 +354,7 @@
 }
 
 // reloadInRow gives it new settings and moves its discovery several times in quick succession.
-func (p *proc) reloadInRow(ctx context.Context, f Fault) {
+func (p *proc) reloadInRow(ctx context.Context, f scenario.Fault) {
 	const reloads = 5
 	for n := range reloads {
 		if n%2 == 0 {
@@ -361,7 +362,7 @@
 		} else {
 			p.move()
 		}
-		if sleep(ctx, Seconds(f.Duration)/reloads) != nil {
+		if sleep(ctx, scenario.Seconds(f.Duration)/reloads) != nil {
 			return
 		}
 	}
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"rampspread/internal/faultbench/history/historytest"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // recordingsEnv names the folder that TestRecordHistories writes to. Without it the test is skipped.
@@ -26,7 +27,7 @@
 	}
 	for _, name := range []string{"kill-one", "roll", "cut-zone"} {
 		t.Run(name, func(t *testing.T) {
-			s, err := Load(name)
+			s, err := scenario.Load(name)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +80,7 @@
 }
 
 // record plays a scenario, writes its history and rules, and says how many rules it broke.
-func record(t *testing.T, path string, s *Scenario, o Options, mutant string) int {
+func record(t *testing.T, path string, s *scenario.Scenario, o Options, mutant string) int {
 	t.Helper()
 	o.Dir = cmp.Or(o.Dir, t.TempDir())
 	report, err := Play(context.Background(), s, o)
--- a/internal/faultbench/replica.go
+++ b/internal/faultbench/replica.go
@@ -112,16 +112,19 @@
 	r.slowdown = factor
 }
 
-// SetHung lets it take calls and answer none.
-func (r *Replica) SetHung(hung bool) {
+// Hang makes it accept calls and answer none.
+func (r *Replica) Hang() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if hung {
-		r.resumed = make(chan struct{})
-	} else {
-		close(r.resumed)
-		r.resumed = nil
-	}
+	r.resumed = make(chan struct{})
+}
+
+// Resume makes it answer again.
+func (r *Replica) Resume() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	close(r.resumed)
+	r.resumed = nil
 }
 
 // awaitResumed returns once it answers, or its caller has gone.
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -17,6 +17,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Report is what came of a run. Shares are of worth: what was answered in time, over what was asked for.
@@ -126,7 +127,7 @@
 		out.PerSecond = append(out.PerSecond, valueShare(earned[i:i+1], asked[i:i+1]))
 	}
 	if len(r.scenario.Faults) > 0 {
-		out.RecoveryS = recovery(out.PerSecond, earned, asked, int(Seconds(r.scenario.Faults[0].At)/window), max(r.lastFaultEnd-base, 0))
+		out.RecoveryS = recovery(out.PerSecond, earned, asked, int(scenario.Seconds(r.scenario.Faults[0].At)/window), max(r.lastFaultEnd-base, 0))
 	} else {
 		out.RecoveryS = new(float64)
 	}
@@ -141,10 +142,10 @@
 	}
 	out.DetectS, out.FalselySuspected = detectionTimes(events, r.names)
 	n = 0
-	out.MaxLeasedPollGapS, out.StaleLeasePolls, n = leasedPolls(events, base+leaseSettleTime, base+Seconds(r.scenario.Seconds))
+	out.MaxLeasedPollGapS, out.StaleLeasePolls, n = leasedPolls(events, base+leaseSettleTime, base+scenario.Seconds(r.scenario.Seconds))
 	out.LeasedPollRate = float64(n) / float64(len(r.cluster.Replicas)) / r.scenario.Seconds
 	out.Probes = float64(probes) / float64(len(r.cluster.Replicas)) / r.scenario.Seconds
-	out.FleetTotals = fleetTotals(events, r.rules, r.cluster.Replicas, base, Seconds(r.scenario.Seconds))
+	out.FleetTotals = fleetTotals(events, r.rules, r.cluster.Replicas, base, scenario.Seconds(r.scenario.Seconds))
 	if len(r.scenario.Faults) > 0 {
 		var made []time.Duration
 		for _, p := range r.cluster.Replicas {
@@ -153,7 +154,7 @@
 			}
 		}
 		slices.Sort(made)
-		out.HandshakeSurge = handshakeSurge(made, Seconds(r.scenario.Faults[0].At))
+		out.HandshakeSurge = handshakeSurge(made, scenario.Seconds(r.scenario.Faults[0].At))
 	}
 	if r.options.VersionSkew {
 		s := versionSkewReport(events)
--- a/internal/faultbench/rig_test.go
+++ b/internal/faultbench/rig_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // program builds the real program once for all tests of the package.
@@ -36,9 +37,9 @@
 }
 
 // short is a built-in scenario cut to its first seconds, with faults moved forward.
-func short(t *testing.T, name string, length, earlier float64) *Scenario {
+func short(t *testing.T, name string, length, earlier float64) *scenario.Scenario {
 	t.Helper()
-	s, err := Load(name)
+	s, err := scenario.Load(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +49,7 @@
 		f.At -= earlier
 		f.Duration = min(f.Duration, 3)
 	}
-	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.At+f.Duration > length })
+	s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return f.At+f.Duration > length })
 	return s
 }
 
@@ -140,7 +141,7 @@
 
 // A day is the same for the same seed, and another for another.
 func TestDrawIsSeeded(t *testing.T) {
-	s, err := Load("calm")
+	s, err := scenario.Load("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,28 +157,6 @@
 	}
 }
 
-func TestScenarios(t *testing.T) {
-	all, err := All()
-	if err != nil || len(all) < 8 {
-		t.Fatalf("%d scenarios, %v", len(all), err)
-	}
-	good := `{"name":"x","seconds":20,"rate":9,"zones":3,"readers":3,"writers":3,"faults":[{"at":5,"do":"kill","for":3}]}`
-	if _, err := Parse([]byte(good)); err != nil {
-		t.Fatal(err)
-	}
-	for _, change := range [][2]string{
-		{`"rate":9`, `"rate":0`}, {`"rate":9`, `"rate":9,"speed":1`}, {`"zones":3`, `"zones":0`}, {`"readers":3`, `"readers":0`},
-		{`"name":"x"`, `"name":"../x"`}, {`"do":"kill"`, `"do":"fly"`}, {`"at":5`, `"at":25`}, {`"for":3`, `"for":16`},
-		{`"do":"kill"`, `"do":"kill","part":2`}, {`"do":"kill"`, `"do":"cut-zone","zone":3`}, {`"do":"kill"`, `"do":"links"`},
-		{`"do":"kill"`, `"do":"kill","links":"replicas"`}, {`"do":"kill"`, `"do":"links","links":"replicas","way":"up"`},
-		{`"do":"kill"`, `"do":"replica-slow","factor":1`}, {`"seconds":20`, `"seconds":1e9`}, {`}]}`, `}]} {}`}, {`}]}`, `}]`},
-	} {
-		if _, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", change[1], err)
-		}
-	}
-}
-
 // Recovery counts from the last fault's end to the first of three windows that hold the level before.
 func TestRecovery(t *testing.T) {
 	ones := slices.Repeat([]float64{1}, 20)
--- /dev/null
+++ b/internal/faultbench/scenario/fault.go
@@ -0,0 +1,205 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"rampspread/internal/hostos"
+)
+
+// Fault is one fault: what is injected, when, for how long and into which part of the fleet.
+type Fault struct {
+	At       float64 `json:"at"`
+	Duration float64 `json:"for"` // 0: it does not end
+	Action   string  `json:"do"`
+	// Fraction is the part of the dispatchers or replicas that are targets, drawn by the seed; 0: one of them.
+	Fraction float64 `json:"part"`
+	// SpareFirst is how many of the first dispatchers are never targets; the first three vote in a fleet.
+	SpareFirst int `json:"spare"`
+	// Stagger is the time between the starts at two targets; 0: all at once.
+	Stagger float64 `json:"every"`
+	// Zone is the target of a zone's fault.
+	Zone int `json:"zone"`
+	// Sides is how many partitions the links between dispatchers fall into; 0: two.
+	Sides int `json:"sides"`
+	// Links names the target dispatchers' links that a link's fault is injected into: replicas, discovery, peers or clients.
+	Links string `json:"links"`
+	// Direction is both, to (the dispatchers) or from (them).
+	Direction string  `json:"way"`
+	DelayMS   float64 `json:"delay_ms"`
+	Loss      float64 `json:"loss"` // probability
+	// LinkFraction is the part of a dispatcher's links that the fault is injected into.
+	LinkFraction float64 `json:"share"`
+	KBPerS       float64 `json:"kb_per_s"`
+	Factor       float64 `json:"factor"` // how many times slower a replica is
+	LoseState    bool    `json:"forget"` // a restart loses the stored state
+	// ClockStepS is how far a wall clock is stepped, in seconds.
+	ClockStepS float64 `json:"step_s"`
+	// Syscall is the kind of system call of which each EveryNth fails with Errno.
+	Syscall  hostos.Op `json:"call"`
+	Errno    int       `json:"errno"`
+	EveryNth int       `json:"calls"`
+}
+
+// Target is what a fault's action is injected into.
+type Target int
+
+// The kinds of target.
+const (
+	WholeFleet  Target = iota // no choice of dispatchers or replicas
+	Dispatchers               // Fraction of the dispatchers
+	Replicas                  // Fraction of the replicas
+	OneZone                   // the dispatchers of Zone
+)
+
+// Actions of a Fault. Their texts are keys of scenario files.
+const (
+	Kill              = "kill"             // SIGKILL; started again after Duration
+	Pause             = "pause"            // SIGSTOP for Duration
+	Terminate         = "term"             // SIGTERM, SIGKILL at the earliest time that the operators allow; started again Duration after its end
+	MoveDiscovery     = "move"             // discovery moves to its other address, by SIGHUP
+	ChangeSettings    = "retune"           // other settings by SIGHUP; all have them after Duration
+	ImpairLinks       = "links"            // Links are cut, delayed, lossy or slow, as the other fields say
+	ResetLinks        = "reset"            // the connections of Links are reset
+	SilenceLinks      = "links-silent"     // LinkFraction of the links to replicas are cut, the same ones at each dispatcher
+	SilenceConns      = "conns-silent"     // open connections to replicas fall silent for good, on LinkFraction of the links
+	DelayConns        = "conns-late"       // new connections to replicas are answered DelayMS late, on LinkFraction of the links
+	VanishReplica     = "replica-vanish"   // its machine sends nothing; its connections are reset when it is back
+	OperatorDrain     = "operator-drain"   // by an admin call, and ended; its clients' connections are looked at after 4 s
+	CutZone           = "cut-zone"         // the zone is cut off from the others
+	Split             = "split"            // the dispatchers' links to each other are cut into Sides
+	SilenceDiscovery  = "discovery-silent" // discovery sends nothing, and answers no request
+	DelayDiscovery    = "discovery-late"   // its changes are sent Duration late
+	FreezeDiscovery   = "discovery-stale"  // the targets' discovery serves the list as it was when this began, and no change
+	SilenceWatches    = "watch-silent"     // watches that are open stay so and carry nothing more
+	HangReplica       = "replica-hang"     // accepts calls, and answers none before Duration has passed
+	KillReplica       = "replica-kill"     // started again, cold, after Duration
+	SlowReplica       = "replica-slow"     // Factor times slower for Duration
+	CorruptReplica    = "replica-spoil"    // answers Loss of its calls with noise, half a head, or an answer followed by another
+	FailReplica       = "replica-fail"     // answers Loss of its calls with 500
+	DrainReplica      = "replica-drain"    // draining, and ready again after Duration
+	DelistReplica     = "replica-leave"    // off the endpoint list while it goes on serving; listed again after Duration
+	FlushReplica      = "replica-flush"    // its prefix cache is lost
+	ReloadRepeatedly  = "hup-row"          // new settings and moves of discovery by SIGHUP, several in Duration
+	StepClock         = "clock-step"       // the wall clock is stepped by ClockStepS, and back after Duration
+	FailSyscalls      = "calls-fail"       // system calls of the kind Syscall fail with Errno for Duration
+	ClientsLeave      = "clients-leave"    // Fraction of the clients leave before their answer is complete, for Duration
+	PartialRequests   = "clients-half"     // clients stop in the middle of a request and stay, for Duration
+	PipelinedRequests = "clients-pipeline" // clients send many requests at once and leave, for Duration
+	IdleClients       = "clients-idle"     // clients that connect and stay fill the connection limit, for Duration
+)
+
+// actionTargets are the actions with their kind of target.
+var actionTargets = map[string]Target{
+	Kill:              Dispatchers,
+	Pause:             Dispatchers,
+	Terminate:         Dispatchers,
+	MoveDiscovery:     Dispatchers,
+	ChangeSettings:    Dispatchers,
+	ImpairLinks:       Dispatchers,
+	ResetLinks:        Dispatchers,
+	SilenceLinks:      Dispatchers,
+	SilenceConns:      Dispatchers,
+	DelayConns:        Dispatchers,
+	VanishReplica:     Replicas,
+	OperatorDrain:     Dispatchers,
+	CutZone:           OneZone,
+	Split:             WholeFleet,
+	SilenceDiscovery:  WholeFleet,
+	DelayDiscovery:    WholeFleet,
+	FreezeDiscovery:   Dispatchers,
+	SilenceWatches:    Dispatchers,
+	HangReplica:       Replicas,
+	KillReplica:       Replicas,
+	SlowReplica:       Replicas,
+	CorruptReplica:    Replicas,
+	FailReplica:       Replicas,
+	DrainReplica:      Replicas,
+	DelistReplica:     Replicas,
+	FlushReplica:      Replicas,
+	ReloadRepeatedly:  Dispatchers,
+	StepClock:         Dispatchers,
+	FailSyscalls:      Dispatchers,
+	ClientsLeave:      WholeFleet,
+	PartialRequests:   Dispatchers,
+	PipelinedRequests: Dispatchers,
+	IdleClients:       Dispatchers,
+}
+
+// Target is what the fault's action is injected into.
+func (f *Fault) Target() Target { return actionTargets[f.Action] }
+
+// Bounds of a fault.
+const (
+	maxSides      = 9
+	maxDelayMS    = 60_000
+	maxClockStepS = 24 * 60 * 60
+	maxSlowdown   = 100
+)
+
+// Check tells what is wrong with a fault of a scenario.
+func (f *Fault) Check(s *Scenario) error {
+	if err := f.checkScope(s); err != nil {
+		return err
+	}
+	if err := f.checkLinks(); err != nil {
+		return err
+	}
+	return f.checkParameters()
+}
+
+// checkScope checks when the fault is injected and into what.
+func (f *Fault) checkScope(s *Scenario) error {
+	_, known := actionTargets[f.Action]
+	switch {
+	case !known:
+		return fmt.Errorf("unknown action %q", f.Action)
+	case !(f.At >= 0 && f.At < s.Seconds && f.Duration >= 0 && f.At+f.Duration <= s.Seconds):
+		return fmt.Errorf("from %v for %v s is not within the day", f.At, f.Duration)
+	case !(f.Fraction >= 0 && f.Fraction <= 1) || !(f.Stagger >= 0):
+		return errors.New("part or every is out of range")
+	case f.SpareFirst < 0 || f.SpareFirst > MaxDispatchers:
+		return fmt.Errorf("spare %d is out of range", f.SpareFirst)
+	case f.Sides < 0 || f.Sides > maxSides:
+		return fmt.Errorf("sides %d are not up to %d", f.Sides, maxSides)
+	case f.Zone < 0 || f.Zone >= s.Zones:
+		return fmt.Errorf("zone %d is none", f.Zone)
+	}
+	return nil
+}
+
+// checkLinks checks which links the fault is injected into, and what happens on them.
+func (f *Fault) checkLinks() error {
+	hasLinks := f.Action == ImpairLinks || f.Action == ResetLinks
+	switch {
+	case hasLinks && !slices.Contains([]string{"replicas", "discovery", "peers", "clients"}, f.Links):
+		return fmt.Errorf("unknown links %q", f.Links)
+	case !hasLinks && f.Links != "":
+		return fmt.Errorf("%s has no links", f.Action)
+	case !slices.Contains([]string{"", "both", "to", "from"}, f.Direction):
+		return fmt.Errorf("unknown way %q", f.Direction)
+	case !(f.DelayMS >= 0 && f.DelayMS <= maxDelayMS) || !(f.Loss >= 0 && f.Loss <= 1) || !(f.KBPerS >= 0):
+		return errors.New("delay_ms, loss or kb_per_s is out of range")
+	case !(f.LinkFraction >= 0 && f.LinkFraction <= 1):
+		return fmt.Errorf("share %v is out of range", f.LinkFraction)
+	}
+	return nil
+}
+
+// checkParameters checks what single actions need.
+func (f *Fault) checkParameters() error {
+	switch {
+	case f.Action == FailReplica && f.Loss == 0:
+		return errors.New("replica-fail with no loss")
+	case !(f.ClockStepS >= -maxClockStepS && f.ClockStepS <= maxClockStepS):
+		return fmt.Errorf("step_s %v is over a day", f.ClockStepS)
+	case f.Action == CorruptReplica && f.Loss == 0:
+		return errors.New("replica-spoil with no loss")
+	case f.Action == FailSyscalls && (f.Syscall == "" || f.Errno <= 0 && f.DelayMS == 0 || f.Errno < 0 || f.EveryNth < 0):
+		return errors.New("calls-fail without a call or an errno")
+	case f.Action == SlowReplica && !(f.Factor > 1 && f.Factor <= maxSlowdown):
+		return fmt.Errorf("factor %v is not over 1, up to %d", f.Factor, maxSlowdown)
+	}
+	return nil
+}
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/testutil"
 )
 
@@ -100,7 +101,7 @@
 // startShared starts dispatchers that share budgets, and keep to subsets where readers are given, without traffic.
 func startShared(t *testing.T, n, readers int) *Run {
 	t.Helper()
-	r := &Run{scenario: &Scenario{Name: "shared", Zones: 1, PrefillReplicas: max(1, 3*readers), DecodeReplicas: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
+	r := &Run{scenario: &scenario.Scenario{Name: "shared", Zones: 1, PrefillReplicas: max(1, 3*readers), DecodeReplicas: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
 		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Budgets: true, Subsets: readers}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
@@ -152,7 +153,7 @@
 	gone := before[0][0]
 	for _, p := range r.cluster.Replicas {
 		if p.Name == gone {
-			r.discovery.Set(p, "gone", time.Time{})
+			r.discovery.Set(p, stateGone, time.Time{})
 		}
 	}
 	testutil.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
--- a/internal/faultbench/soak.go
+++ b/internal/faultbench/soak.go
@@ -17,6 +17,7 @@
 	"syscall"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/hostos"
 )
 
@@ -63,88 +64,94 @@
 }
 
 // soakKinds are the kinds of fault that a soak draws, in the order of their names.
-var soakKinds = map[string]func(rng *rand.Rand) Fault{
-	"sigterm": func(rng *rand.Rand) Fault {
-		return Fault{Action: "term", Duration: between(rng, 0.1, 0.6), Fraction: 0.3, Stagger: 0.4}
+var soakKinds = map[string]func(rng *rand.Rand) scenario.Fault{
+	"sigterm": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "term", Duration: between(rng, 0.1, 0.6), Fraction: 0.3, Stagger: 0.4}
 	},
-	"sigkill": func(rng *rand.Rand) Fault {
-		return Fault{Action: "kill", Duration: between(rng, 0.1, 1), Fraction: 0.3}
+	"sigkill": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "kill", Duration: between(rng, 0.1, 1), Fraction: 0.3}
 	},
-	"sigstop": func(rng *rand.Rand) Fault {
-		return Fault{Action: "pause", Duration: between(rng, 0.3, 2.5), Fraction: 0.3}
+	"sigstop": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "pause", Duration: between(rng, 0.3, 2.5), Fraction: 0.3}
 	},
-	"held-up": func(rng *rand.Rand) Fault {
-		return Fault{Action: "pause", Duration: between(rng, 0.05, 0.15), Fraction: 1, Stagger: 0.1}
+	"held-up": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "pause", Duration: between(rng, 0.05, 0.15), Fraction: 1, Stagger: 0.1}
 	},
-	"sighup": func(rng *rand.Rand) Fault {
-		return Fault{Action: "hup-row", Duration: between(rng, 0.2, 2), Fraction: 0.5}
+	"sighup": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "hup-row", Duration: between(rng, 0.2, 2), Fraction: 0.5}
 	},
-	"hang": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-hang", Duration: between(rng, 0.5, 4), Fraction: 0.25}
+	"hang": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-hang", Duration: between(rng, 0.5, 4), Fraction: 0.25}
 	},
-	"reset": func(rng *rand.Rand) Fault {
-		return Fault{Action: "reset", Links: "replicas", Fraction: between(rng, 0.3, 1)}
+	"reset": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "reset", Links: "replicas", Fraction: between(rng, 0.3, 1)}
 	},
-	"fail": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-fail", Loss: 0.4, Duration: between(rng, 0.5, 3), Fraction: 0.3}
+	"fail": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-fail", Loss: 0.4, Duration: between(rng, 0.5, 3), Fraction: 0.3}
 	},
-	"spoil": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-spoil", Loss: 0.3, Duration: between(rng, 0.5, 3), Fraction: 0.4}
+	"spoil": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-spoil", Loss: 0.3, Duration: between(rng, 0.5, 3), Fraction: 0.4}
 	},
-	"disk-hangs": func(rng *rand.Rand) Fault {
-		return Fault{Action: "calls-fail", Syscall: hostos.Write, EveryNth: 1, DelayMS: 3000, Duration: between(rng, 0.5, 3), Fraction: 0.5}
+	"disk-hangs": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "calls-fail", Syscall: hostos.Write, EveryNth: 1, DelayMS: 3000, Duration: between(rng, 0.5, 3), Fraction: 0.5}
 	},
-	"slow": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-slow", Factor: 8, Duration: between(rng, 0.5, 3), Fraction: 0.2}
+	"slow": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-slow", Factor: 8, Duration: between(rng, 0.5, 3), Fraction: 0.2}
 	},
-	"cold": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-kill", Duration: between(rng, 0.3, 2), Fraction: 0.2}
+	"cold": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-kill", Duration: between(rng, 0.3, 2), Fraction: 0.2}
 	},
-	"drain": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-drain", Duration: between(rng, 1, 4), Fraction: 0.3}
+	"drain": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-drain", Duration: between(rng, 1, 4), Fraction: 0.3}
 	},
-	"silent": func(rng *rand.Rand) Fault { return Fault{Action: "discovery-silent", Duration: between(rng, 0.5, 5)} },
-	"late": func(rng *rand.Rand) Fault {
-		return Fault{Action: "links", Links: "discovery", DelayMS: 400, Duration: between(rng, 0.5, 3), Fraction: 0.5}
+	"silent": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "discovery-silent", Duration: between(rng, 0.5, 5)}
 	},
-	"watch": func(rng *rand.Rand) Fault { return Fault{Action: "watch-silent", Fraction: between(rng, 0.3, 1)} },
-	"half": func(rng *rand.Rand) Fault {
-		return Fault{Action: "clients-half", Duration: between(rng, 0.5, 3), Fraction: 0.5}
+	"late": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "links", Links: "discovery", DelayMS: 400, Duration: between(rng, 0.5, 3), Fraction: 0.5}
 	},
-	"leave": func(rng *rand.Rand) Fault {
-		return Fault{Action: "clients-leave", Duration: between(rng, 1, 4), Fraction: between(rng, 0.2, 0.8)}
+	"watch": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "watch-silent", Fraction: between(rng, 0.3, 1)}
 	},
-	"pipeline": func(rng *rand.Rand) Fault {
-		return Fault{Action: "clients-pipeline", Duration: between(rng, 0.5, 2.5), Fraction: 0.5}
+	"half": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "clients-half", Duration: between(rng, 0.5, 3), Fraction: 0.5}
 	},
-	"idle": func(rng *rand.Rand) Fault {
-		return Fault{Action: "clients-idle", Duration: between(rng, 1, 4), Fraction: 0.3}
+	"leave": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "clients-leave", Duration: between(rng, 1, 4), Fraction: between(rng, 0.2, 0.8)}
+	},
+	"pipeline": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "clients-pipeline", Duration: between(rng, 0.5, 2.5), Fraction: 0.5}
+	},
+	"idle": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "clients-idle", Duration: between(rng, 1, 4), Fraction: 0.3}
 	},
 	"clock":        drawClockStep,
-	"accept-fails": func(rng *rand.Rand) Fault { return drawSyscallFailure(rng, hostos.Accept, acceptErrnos, 0.6) },
-	"connect-fails": func(rng *rand.Rand) Fault {
+	"accept-fails": func(rng *rand.Rand) scenario.Fault { return drawSyscallFailure(rng, hostos.Accept, acceptErrnos, 0.6) },
+	"connect-fails": func(rng *rand.Rand) scenario.Fault {
 		return drawSyscallFailure(rng, hostos.Connect, connectErrnos, 0.2)
 	},
-	"silent-links": func(rng *rand.Rand) Fault {
-		return Fault{Action: "links-silent", LinkFraction: between(rng, 0.1, 0.8), Duration: between(rng, 0.4, 4), Fraction: between(rng, 0.3, 1)}
+	"silent-links": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "links-silent", LinkFraction: between(rng, 0.1, 0.8), Duration: between(rng, 0.4, 4), Fraction: between(rng, 0.3, 1)}
+	},
+	"silent-conns": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "conns-silent", LinkFraction: between(rng, 0.2, 1), Fraction: between(rng, 0.3, 1)}
 	},
-	"silent-conns": func(rng *rand.Rand) Fault {
-		return Fault{Action: "conns-silent", LinkFraction: between(rng, 0.2, 1), Fraction: between(rng, 0.3, 1)}
+	"late-conns": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "conns-late", LinkFraction: between(rng, 0.2, 0.8), DelayMS: between(rng, 50, 1000), Duration: between(rng, 0.5, 3), Fraction: 0.6}
 	},
-	"late-conns": func(rng *rand.Rand) Fault {
-		return Fault{Action: "conns-late", LinkFraction: between(rng, 0.2, 0.8), DelayMS: between(rng, 50, 1000), Duration: between(rng, 0.5, 3), Fraction: 0.6}
+	"vanish": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "replica-vanish", Duration: between(rng, 0.4, 4), Fraction: 0.25}
 	},
-	"vanish": func(rng *rand.Rand) Fault {
-		return Fault{Action: "replica-vanish", Duration: between(rng, 0.4, 4), Fraction: 0.25}
+	"cut-zone": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "cut-zone", Duration: between(rng, 0.5, 4), Zone: -1}
 	},
-	"cut-zone": func(rng *rand.Rand) Fault { return Fault{Action: "cut-zone", Duration: between(rng, 0.5, 4), Zone: -1} },
-	"operator-drain": func(rng *rand.Rand) Fault {
-		return Fault{Action: "operator-drain", Duration: between(rng, 4.3, 5), Fraction: 0.3}
+	"operator-drain": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "operator-drain", Duration: between(rng, 4.3, 5), Fraction: 0.3}
 	},
-	"restarts": func(rng *rand.Rand) Fault {
-		return Fault{Action: "term", Duration: between(rng, 0.05, 0.3), Fraction: 1, Stagger: between(rng, 0.3, 1.5)}
+	"restarts": func(rng *rand.Rand) scenario.Fault {
+		return scenario.Fault{Action: "term", Duration: between(rng, 0.05, 0.3), Fraction: 1, Stagger: between(rng, 0.3, 1.5)}
 	},
-	"disk-fails": func(rng *rand.Rand) Fault {
+	"disk-fails": func(rng *rand.Rand) scenario.Fault {
 		return drawSyscallFailure(rng, []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename}[rng.IntN(3)], diskErrnos, 3)
 	},
 }
@@ -158,14 +165,14 @@
 
 func between(rng *rand.Rand, from, to float64) float64 { return from + rng.Float64()*(to-from) }
 
-func drawClockStep(rng *rand.Rand) Fault {
+func drawClockStep(rng *rand.Rand) scenario.Fault {
 	steps := []float64{3600, -3600, 60, -60, 5, -5}
-	return Fault{Action: "clock-step", ClockStepS: steps[rng.IntN(len(steps))], Duration: between(rng, 0.5, 4), Fraction: 0.7}
+	return scenario.Fault{Action: "clock-step", ClockStepS: steps[rng.IntN(len(steps))], Duration: between(rng, 0.5, 4), Fraction: 0.7}
 }
 
 // drawSyscallFailure draws calls that fail: all of them for a short time, or each so many-th for up to most seconds.
-func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) Fault {
-	f := Fault{Action: "calls-fail", Syscall: call, Errno: int(errnos[rng.IntN(len(errnos))]), EveryNth: 1 + rng.IntN(4), Fraction: 0.6}
+func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) scenario.Fault {
+	f := scenario.Fault{Action: "calls-fail", Syscall: call, Errno: int(errnos[rng.IntN(len(errnos))]), EveryNth: 1 + rng.IntN(4), Fraction: 0.6}
 	f.Duration = between(rng, 0.05, all)
 	if f.EveryNth > 1 {
 		f.Duration = between(rng, 0.5, 3)
@@ -188,7 +195,7 @@
 
 // drawSoak draws a soak's plan from its seed: at each of its episodes two or three faults begin nearly at once. It also names the kinds
 // that it has drawn.
-func drawSoak(o SoakOptions) (*Scenario, map[string]int, error) {
+func drawSoak(o SoakOptions) (*scenario.Scenario, map[string]int, error) {
 	kinds := o.Faults
 	if len(kinds) == 0 {
 		kinds = SoakKinds()
@@ -201,11 +208,11 @@
 	if o.Quiet < 0 || o.Quiet > o.Seconds-minSoakSeconds+quietAtStart {
 		return nil, nil, fmt.Errorf("soak: %v s of quiet leave no time for faults", o.Quiet)
 	}
-	if !(o.Seconds >= minSoakSeconds && o.Seconds <= MaxSeconds) {
-		return nil, nil, fmt.Errorf("soak: seconds %v are not from %v to %d", o.Seconds, minSoakSeconds, MaxSeconds)
+	if !(o.Seconds >= minSoakSeconds && o.Seconds <= scenario.MaxSeconds) {
+		return nil, nil, fmt.Errorf("soak: seconds %v are not from %v to %d", o.Seconds, minSoakSeconds, scenario.MaxSeconds)
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 0x50a4))
-	s := &Scenario{Name: "soak", Seconds: o.Seconds, Rate: 8 + 3*float64(o.Dispatchers), Zones: 1 + rng.IntN(3),
+	s := &scenario.Scenario{Name: "soak", Seconds: o.Seconds, Rate: 8 + 3*float64(o.Dispatchers), Zones: 1 + rng.IntN(3),
 		PrefillReplicas: 5 + rng.IntN(4), DecodeReplicas: 5 + rng.IntN(4)}
 	s.Rate = min(s.Rate, 60)
 	played := map[string]int{}
@@ -213,7 +220,7 @@
 	if rng.IntN(crowdOneIn) == 0 {
 		begin := cmp.Or(o.Quiet, quietAtStart)
 		s.Rate *= crowdRateFactor
-		s.Faults = append(s.Faults, Fault{Action: "clients-idle", At: begin, Duration: last - begin, Fraction: 0.5})
+		s.Faults = append(s.Faults, scenario.Fault{Action: "clients-idle", At: begin, Duration: last - begin, Fraction: 0.5})
 		s.About = "crowd"
 	}
 	for at := cmp.Or(o.Quiet, quietAtStart); at < last; at += between(rng, 0.6, 1.4) * episodeInterval {
@@ -228,7 +235,7 @@
 			played[kinds[i]]++
 		}
 	}
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(1000 * (a.At - b.At)) })
+	slices.SortStableFunc(s.Faults, func(a, b scenario.Fault) int { return int(1000 * (a.At - b.At)) })
 	return s, played, nil
 }
 
@@ -290,7 +297,7 @@
 }
 
 // writeHistory writes a soak's plan and what the stand-ins saw beside the processes' logs.
-func writeHistory(dir string, day *Scenario, events []history.Event) error {
+func writeHistory(dir string, day *scenario.Scenario, events []history.Event) error {
 	plan, err := json.MarshalIndent(day, "", " ")
 	if err != nil {
 		return fmt.Errorf("soak: %w", err)
--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("%d faults of %d kinds", len(a.Faults), len(played))
 	}
 	for i, f := range a.Faults {
-		if err := f.check(a); err != nil {
+		if err := f.Check(a); err != nil {
 			t.Errorf("fault %d: %v", i, err)
 		}
 	}
--- a/internal/faultbench/starts_test.go
+++ b/internal/faultbench/starts_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"testing"
+
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Starts at bad moments: killed again while starting, while a zone is cut off, while discovery is silent and then behind. No rule
@@ -13,7 +15,7 @@
 		for _, seed := range seeds(t, 1) {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				day, err := Load(name)
+				day, err := scenario.Load(name)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/faultbench/stragglers_test.go
+++ b/internal/faultbench/stragglers_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // Stragglers are timed from the first change that they missed, settings from their change on; one that had been told no old list
@@ -31,7 +32,7 @@
 				t.Skip("-rig.long")
 			}
 			t.Parallel()
-			s, err := Load(name)
+			s, err := scenario.Load(name)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faultbench/traffic.go
+++ b/internal/faultbench/traffic.go
@@ -10,6 +10,8 @@
 	"slices"
 	"strconv"
 	"time"
+
+	"rampspread/internal/faultbench/scenario"
 )
 
 var quietLog = log.New(io.Discard, "", 0)
@@ -70,7 +72,7 @@
 
 // DrawRequests is a day's first tries by arrival: sessions begin at random, and their turns come at times of their own, whatever
 // becomes of the turns before.
-func DrawRequests(s *Scenario, classes []*Class, seed uint64) []*Request {
+func DrawRequests(s *scenario.Scenario, classes []*Class, seed uint64) []*Request {
 	rng := rand.New(rand.NewPCG(seed, 0xda7))
 	var out []*Request
 	turns := 0.0
@@ -97,7 +99,7 @@
 		when := at
 		for range max(1, int(rng.ExpFloat64()*float64(c.Turns-1))+1) {
 			tokens += 100 + rng.IntN(c.PromptTokens/4)
-			n := &Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, ArrivesAt: Seconds(when), Zone: zone,
+			n := &Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, ArrivesAt: scenario.Seconds(when), Zone: zone,
 				Session: session, Prefix: prefix, PrefixTokens: prefixTokens, PromptTokens: tokens,
 				OutputTokens: 8 + int(rng.ExpFloat64()*float64(c.OutputTokens-8)),
 				Timeout:      time.Duration(float64(c.Deadline) * (0.5 + rng.Float64()/2))}
