--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/scenario"
@@ -219,7 +220,7 @@
 
 // result is what became of one first try with all its repeats.
 type result struct {
-	spec   *Request
+	spec   *deployment.Request
 	tries  int
 	status string // served, late, refused, failed, unanswered, unreachable, broken
 	first  time.Duration
@@ -233,7 +234,7 @@
 }
 
 // ask carries one first try through, with its client's own repeats.
-func (c *clients) ask(ctx context.Context, s *Request, rng *rand.Rand) result {
+func (c *clients) ask(ctx context.Context, s *deployment.Request, rng *rand.Rand) result {
 	start := time.Now()
 	out := result{spec: s, status: "unreachable"}
 	for out.tries = 1; ; out.tries++ {
@@ -255,7 +256,7 @@
 }
 
 // try sends one try and follows its answer to the end.
-func (c *clients) try(ctx context.Context, s *Request, start time.Time, rng *rand.Rand, out *result) outcome {
+func (c *clients) try(ctx context.Context, s *deployment.Request, start time.Time, rng *rand.Rand, out *result) outcome {
 	h := c.run.history
 	patience := min(s.Timeout, s.Class.Deadline-time.Since(start))
 	if patience < 50*time.Millisecond {
@@ -320,7 +321,7 @@
 }
 
 // follow reads an answer.
-func (c *clients) follow(k *conn, resp *http.Response, s *Request, id string, start, asked time.Time, out *result) outcome {
+func (c *clients) follow(k *conn, resp *http.Response, s *deployment.Request, id string, start, asked time.Time, out *result) outcome {
 	h := c.run.history
 	defer resp.Body.Close()
 	event := history.Event{Kind: history.ResponseReceived, Request: id, Group: s.Group, Class: s.Class.Name, Dispatcher: k.dispatcher,
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"os"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
 )
@@ -64,7 +65,7 @@
 }
 
 // unregisteredRequest is what replicas make of a request that no client of the rig sent, where anyone may ask.
-func (r *Run) unregisteredRequest(q *http.Request, body []byte) *Request {
+func (r *Run) unregisteredRequest(q *http.Request, body []byte) *deployment.Request {
 	var ask struct{ Model string }
 	if !r.acceptAnyRequest || json.Unmarshal(body, &ask) != nil {
 		return nil
@@ -75,7 +76,7 @@
 			if !c.Repeatable {
 				id = string(body) // the same filing, whoever sends it
 			}
-			return &Request{Group: id, Class: c, Session: id, PromptTokens: 100, OutputTokens: c.OutputTokens, Body: string(body)}
+			return &deployment.Request{Group: id, Class: c, Session: id, PromptTokens: 100, OutputTokens: c.OutputTokens, Body: string(body)}
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/faultbench/deployment/request.go
@@ -0,0 +1,121 @@
+package deployment
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"time"
+
+	"rampspread/internal/faultbench/scenario"
+)
+
+// Speeds of the simulated replicas. The real deployment's are about ten times as large; its traffic is too.
+const (
+	PrefillTokensPerSecond = 9000.0
+	// DecodeTokenTime is a decode replica's time for a token with one answer in progress, and half as much again when
+	// it is full.
+	DecodeTokenTime = 18 * time.Millisecond
+	// UncachedFraction is the mean part of a prompt that a prefill replica must compute; the rest is cached.
+	UncachedFraction = 0.4
+)
+
+// Request is the first request of a client, drawn ahead; its retries share it.
+type Request struct {
+	Group        string // the ID that the request and its retries share
+	Class        *Class
+	ArrivesAt    time.Duration // since the traffic's start
+	Zone         int
+	Session      string
+	Prefix       string // of the prompt, shared by sessions; none: no shared prefix
+	PrefixTokens int
+	PromptTokens int
+	OutputTokens int // of the answer; clients don't announce it
+	Timeout      time.Duration
+	Body         string
+}
+
+// Value is what a request is worth when it is served in time: its work times its class's weight.
+func (r *Request) Value() float64 {
+	return r.Class.Weight * (float64(r.PromptTokens)/PrefillTokensPerSecond + float64(r.OutputTokens)*DecodeTokenTime.Seconds())
+}
+
+// Properties is the request's X-Props header.
+func (r *Request) Properties() string {
+	p := fmt.Sprintf("prompt_len=%d,max_out=%d", r.PromptTokens, maxOutputFactor*r.Class.OutputTokens)
+	if r.Prefix != "" {
+		p += fmt.Sprintf(",prefix=%s,prefix_len=%d", r.Prefix, r.PrefixTokens)
+	}
+	return p
+}
+
+// What the drawn sessions are like. Times are in seconds.
+const (
+	requestsStream    = 0xda7 // of the random generator
+	sessionsFrom      = -8.0  // sessions begin so early, so that traffic is even from the start on
+	maxOutputFactor   = 4     // the limit on an answer, over its class's mean
+	minOutputTokens   = 8
+	sharedPrefixPart  = 0.8 // of the sessions
+	sharedPrefixes    = 24
+	prefixSkew        = 2 // some prefixes are much more common than others
+	minTurnTokens     = 100
+	minTurnInterval   = 1.5
+	meanExtraInterval = 3
+)
+
+// DrawRequests draws a scenario's first requests, in order of arrival: sessions begin at random, and their turns come at
+// times of their own, whatever becomes of the turns before.
+func DrawRequests(s *scenario.Scenario, classes []*Class, seed uint64) []*Request {
+	rng := rand.New(rand.NewPCG(seed, requestsStream))
+	var out []*Request
+	turns := 0.0
+	for _, c := range classes {
+		turns += c.SessionShare * float64(c.Turns)
+	}
+	for at := sessionsFrom; at < s.Seconds; at += rng.ExpFloat64() / (s.Rate / turns) {
+		out = append(out, drawSession(rng, s, drawClass(rng, classes), at)...)
+	}
+	slices.SortStableFunc(out, func(a, b *Request) int { return cmp.Compare(a.ArrivesAt, b.ArrivesAt) })
+	return out
+}
+
+func drawClass(rng *rand.Rand, classes []*Class) *Class {
+	c, pick := classes[0], rng.Float64()
+	for _, next := range classes[1:] {
+		if pick < c.SessionShare {
+			break
+		}
+		pick -= c.SessionShare
+		c = next
+	}
+	return c
+}
+
+// drawSession draws the turns of a session that begins at a time, without those outside the scenario's traffic.
+func drawSession(rng *rand.Rand, s *scenario.Scenario, c *Class, at float64) (out []*Request) {
+	session := strconv.FormatUint(rng.Uint64(), 16)
+	prefix, prefixTokens := "", 0
+	if rng.Float64() < sharedPrefixPart {
+		n := int(math.Floor(math.Pow(rng.Float64(), prefixSkew) * sharedPrefixes))
+		prefix, prefixTokens = fmt.Sprintf("%s%d", c.Name[:1], n), c.PromptTokens/2+(n*97)%(c.PromptTokens/2)
+	}
+	tokens := prefixTokens
+	zone := rng.IntN(s.Zones)
+	for range max(1, int(rng.ExpFloat64()*float64(c.Turns-1))+1) {
+		tokens += minTurnTokens + rng.IntN(c.PromptTokens/4)
+		r := &Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, ArrivesAt: scenario.Seconds(at), Zone: zone,
+			Session: session, Prefix: prefix, PrefixTokens: prefixTokens, PromptTokens: tokens,
+			OutputTokens: minOutputTokens + int(rng.ExpFloat64()*float64(c.OutputTokens-minOutputTokens)),
+			Timeout:      time.Duration(float64(c.Deadline) * (0.5 + rng.Float64()/2))}
+		r.OutputTokens = min(r.OutputTokens, maxOutputFactor*c.OutputTokens)
+		r.Body = fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"%s"}]}`,
+			c.Name, maxOutputFactor*c.OutputTokens, r.Group)
+		if at >= 0 && at < s.Seconds {
+			out = append(out, r)
+		}
+		at += minTurnInterval + rng.ExpFloat64()*meanExtraInterval
+	}
+	return out
+}
--- a/internal/faultbench/discovery.go
+++ b/internal/faultbench/discovery.go
@@ -11,6 +11,7 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
 )
@@ -19,7 +20,7 @@
 type Server struct {
 	history    *history.Recorder
 	address    func(r *Replica, dispatcher int) string
-	deployment *Deployment
+	deployment *deployment.Deployment
 	Listeners  [][2]*network.Listener // by dispatcher
 
 	mu      sync.Mutex
@@ -76,7 +77,7 @@
 	Instances  []endpointRecord `json:"instances"`
 }
 
-func NewServer(h *history.Recorder, replicas []*Replica, p *Deployment, dispatchers int, addr func(*Replica, int) string) *Server {
+func NewServer(h *history.Recorder, replicas []*Replica, p *deployment.Deployment, dispatchers int, addr func(*Replica, int) string) *Server {
 	d := &Server{history: h, address: addr, deployment: p, Listeners: make([][2]*network.Listener, dispatchers), entries: map[string]entry{},
 		version: 1, frozen: map[int]snapshot{}, movedAt: map[int]time.Time{}, watchesSilencedAt: map[int]time.Time{}, watchSilences: map[int]int{}, changed: make(chan struct{})}
 	for _, r := range replicas {
@@ -244,7 +245,7 @@
 			continue
 		}
 		at := endpointRecord{ID: name, HostPort: d.address(e.replica, dispatcher), Zone: d.deployment.ZoneName(e.replica.Zone),
-			MachineType: d.deployment.KindOf(e.replica), Cell: e.replica.Zone, Lifecycle: e.state, Weight: e.replica.Weight()}
+			MachineType: d.deployment.KindOf(e.replica.Index, e.replica.Decode), Cell: e.replica.Zone, Lifecycle: e.state, Weight: e.replica.Weight()}
 		if !e.started.IsZero() {
 			at.StartedAtMS = e.started.UnixMilli()
 		}
@@ -286,7 +287,7 @@
 
 // Serve answers one dispatcher's calls.
 func (d *Server) Serve(l net.Listener, dispatcher int) *http.Server {
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.handle(w, r, dispatcher) }), ErrorLog: quietLog}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.handle(w, r, dispatcher) }), ErrorLog: network.DiscardLog}
 	go s.Serve(l)
 	return s
 }
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/hostos"
@@ -215,13 +216,13 @@
 // changeSettings gives the targets other settings, and the others the same once the fault is over.
 func (r *Run) changeSettings(ctx context.Context, f scenario.Fault, targets []int) {
 	for _, d := range targets {
-		r.dispatchers[d].retune(ChangedMaxAttempts)
+		r.dispatchers[d].retune(deployment.ChangedMaxAttempts)
 	}
 	from := r.history.Now()
 	after(ctx, f, func() {
 		for d, p := range r.dispatchers {
 			if !slices.Contains(targets, d) {
-				p.retune(ChangedMaxAttempts)
+				p.retune(deployment.ChangedMaxAttempts)
 				r.history.Add(history.Event{At: from, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: d, Until: r.history.Now()})
 			}
 		}
--- a/internal/faultbench/misbehave.go
+++ b/internal/faultbench/misbehave.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
 )
@@ -68,16 +69,16 @@
 }
 
 // requestText is a request of a spec as its bytes.
-func (r *Run) requestText(id string, s *Request, patience time.Duration) string {
+func (r *Run) requestText(id string, s *deployment.Request, patience time.Duration) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\n%s"+
 		"X-Object: %s\r\nX-Expires-In: %dm\r\nX-Props: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		id, s.Class.Name, r.deployment.TenantHeader(s.Zone), s.Session, patience.Milliseconds(), s.Properties(), len(s.Body), s.Body)
 }
 
 // randomRequest is a spec for a client that misbehaves.
-func (r *Run) randomRequest(rng *rand.Rand) *Request {
+func (r *Run) randomRequest(rng *rand.Rand) *deployment.Request {
 	c := r.deployment.Classes[rng.IntN(len(r.deployment.Classes))]
-	s := &Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, Session: strconv.FormatUint(rng.Uint64(), 16),
+	s := &deployment.Request{Group: strconv.FormatUint(rng.Uint64(), 16), Class: c, Session: strconv.FormatUint(rng.Uint64(), 16),
 		PromptTokens: 200 + rng.IntN(400), OutputTokens: 8, Timeout: c.Deadline}
 	s.Body = fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"%s"}]}`, c.Name, s.Group)
 	return s
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
@@ -47,7 +48,7 @@
 	r.clients = c
 	begin := time.Now()
 	base := r.history.Now()
-	specs := DrawRequests(r.scenario, r.deployment.Classes, r.options.Seed)
+	specs := deployment.DrawRequests(r.scenario, r.deployment.Classes, r.options.Seed)
 	results := make([]result, len(specs))
 	var faults, asks sync.WaitGroup
 	filer := newIdempotencyClients(r)
