--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -16,7 +16,9 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 )
 
 const (
@@ -249,7 +251,7 @@
 		if away == 0 {
 			away = 50*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond)))
 		}
-		if sleep(ctx, min(away, maxRetryAfter)) != nil {
+		if timing.Sleep(ctx, min(away, maxRetryAfter)) != nil {
 			return out
 		}
 	}
@@ -290,7 +292,7 @@
 			c.mu.Lock()
 			k.blind = true
 			c.mu.Unlock()
-			sleep(ctx, leaveAt)
+			timing.Sleep(ctx, leaveAt)
 			c.run.closeClient(k.Conn, how, d, asked, id)
 			time.Sleep(closeLinger) // one that has closed only its half is not told apart from one that has gone
 			k.Close()
@@ -363,10 +365,10 @@
 				h.Add(history.Event{Kind: history.FirstEventReceived, Request: id, Dispatcher: k.dispatcher, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
 			}
 			event.MaxEventDelay = max(event.MaxEventDelay, c.run.cluster.EventDelay(id, tokens))
-			if !strings.Contains(line, EventMark(id, tokens)) {
+			if !strings.Contains(line, replica.EventMark(id, tokens)) {
 				h.Add(history.Event{Kind: history.ForeignResponseReceived, Request: id, Dispatcher: k.dispatcher})
 			}
-			tokens += TokensPerEvent
+			tokens += replica.TokensPerEvent
 		}
 		done = done || line == "data: [DONE]"
 	}
--- a/internal/faultbench/discovery.go
+++ b/internal/faultbench/discovery.go
@@ -14,12 +14,13 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/replica"
 )
 
 // Server is a stand-in for the service that tells the list. Each dispatcher is told addresses of its own.
 type Server struct {
 	history    *history.Recorder
-	address    func(r *Replica, dispatcher int) string
+	address    func(r *replica.Replica, dispatcher int) string
 	deployment *deployment.Deployment
 	Listeners  [][2]*network.Listener // by dispatcher
 
@@ -54,7 +55,7 @@
 
 // entry is one replica on the list, at the version of its last change.
 type entry struct {
-	replica *Replica
+	replica *replica.Replica
 	state   string
 	started time.Time
 	version uint64
@@ -77,7 +78,7 @@
 	Instances  []endpointRecord `json:"instances"`
 }
 
-func NewServer(h *history.Recorder, replicas []*Replica, p *deployment.Deployment, dispatchers int, addr func(*Replica, int) string) *Server {
+func NewServer(h *history.Recorder, replicas []*replica.Replica, p *deployment.Deployment, dispatchers int, addr func(*replica.Replica, int) string) *Server {
 	d := &Server{history: h, address: addr, deployment: p, Listeners: make([][2]*network.Listener, dispatchers), entries: map[string]entry{},
 		version: 1, frozen: map[int]snapshot{}, movedAt: map[int]time.Time{}, watchesSilencedAt: map[int]time.Time{}, watchSilences: map[int]int{}, changed: make(chan struct{})}
 	for _, r := range replicas {
@@ -93,7 +94,7 @@
 }
 
 // Set changes a replica's entry; it shows when it is no longer late.
-func (d *Server) Set(r *Replica, state string, started time.Time) {
+func (d *Server) Set(r *replica.Replica, state string, started time.Time) {
 	d.mu.Lock()
 	late := d.delay
 	d.mu.Unlock()
--- a/internal/faultbench/drain.go
+++ b/internal/faultbench/drain.go
@@ -7,6 +7,7 @@
 	"rampspread/internal/admin"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 )
 
 const (
@@ -23,14 +24,14 @@
 		return // it is not up
 	}
 	begun := time.Now()
-	if sleep(ctx, drainCheckAfter+drainCheckSlack) != nil {
+	if timing.Sleep(ctx, drainCheckAfter+drainCheckSlack) != nil {
 		return
 	}
 	for _, why := range r.clients.outlasting(d, begun) {
 		r.history.Add(history.Event{Kind: history.ConnectionLingers, Dispatcher: d, Elapsed: time.Since(begun), Class: why,
 			LinkHealthy: r.links.clients[d].Sound(begun) && r.dispatchers[d].upSince(begun)})
 	}
-	sleep(ctx, scenario.Seconds(f.Duration)-time.Since(begun))
+	timing.Sleep(ctx, scenario.Seconds(f.Duration)-time.Since(begun))
 	if _, err := admin.Request(r.addrs.ops(d), "drain-off", adminTimeout); err != nil {
 		r.options.Log.Warn("drain_off", "dispatcher", d, "err", err)
 	}
--- a/internal/faultbench/filings.go
+++ b/internal/faultbench/filings.go
@@ -17,6 +17,7 @@
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
 
@@ -64,7 +65,7 @@
 	at := time.Duration(0)
 	for n := 0; ; n++ {
 		at += scenario.Seconds(rng.ExpFloat64() / idempotentKeyRate)
-		if at >= scenario.Seconds(f.run.scenario.Seconds) || sleep(ctx, time.Until(begin.Add(at))) != nil {
+		if at >= scenario.Seconds(f.run.scenario.Seconds) || timing.Sleep(ctx, time.Until(begin.Add(at))) != nil {
 			return
 		}
 		key, own := fmt.Sprintf("key-%d-%x", n, rng.Uint64()), rand.New(rand.NewPCG(f.run.options.Seed, uint64(n)))
@@ -88,7 +89,7 @@
 		} else {
 			f.sendOnce(ctx, d, key)
 		}
-		if sleep(ctx, time.Duration(rng.Int64N(int64(400*time.Millisecond)))) != nil {
+		if timing.Sleep(ctx, time.Duration(rng.Int64N(int64(400*time.Millisecond)))) != nil {
 			return
 		}
 	}
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -12,6 +12,7 @@
 	"rampspread/internal/admin"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/fleet"
 )
 
@@ -218,7 +219,7 @@
 	for _, e := range events {
 		switch {
 		case e.At > end:
-		case e.Kind == history.LoadPolled && e.Class == LeasedPoll:
+		case e.Kind == history.LoadPolled && e.Class == replica.LeasedPoll:
 			all++
 			look(e.Replica, e.At)
 			away[e.Replica] = false
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -12,6 +12,7 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/hostos"
 )
 
@@ -177,7 +178,7 @@
 
 // inject carries out one fault at its time, into all targets at once or staggered, and returns when it is over.
 func (r *Run) inject(ctx context.Context, f scenario.Fault, targets []int, begin time.Time) {
-	if sleep(ctx, time.Until(begin.Add(scenario.Seconds(f.At)))) != nil {
+	if timing.Sleep(ctx, time.Until(begin.Add(scenario.Seconds(f.At)))) != nil {
 		return
 	}
 	if injectFleet := fleetInjectors[f.Action]; injectFleet != nil {
@@ -190,7 +191,7 @@
 	every := r.stagger(f, len(targets))
 	for i, target := range targets {
 		wg.Go(func() {
-			if sleep(ctx, time.Duration(i)*every) == nil {
+			if timing.Sleep(ctx, time.Duration(i)*every) == nil {
 				injectTarget(r, ctx, f, target)
 			}
 		})
@@ -199,7 +200,7 @@
 
 // after ends a fault once its duration has passed, if it ends at all.
 func after(ctx context.Context, f scenario.Fault, end func()) {
-	if f.Duration > 0 && sleep(ctx, scenario.Seconds(f.Duration)) == nil {
+	if f.Duration > 0 && timing.Sleep(ctx, scenario.Seconds(f.Duration)) == nil {
 		end()
 	}
 }
--- a/internal/faultbench/misbehave.go
+++ b/internal/faultbench/misbehave.go
@@ -15,6 +15,7 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/timing"
 )
 
 const (
@@ -93,7 +94,7 @@
 		text := r.requestText(strconv.FormatUint(rng.Uint64(), 16), s, s.Timeout)
 		cut := 1 + rng.IntN(len(text)-1)
 		wg.Go(func() { r.sendPartial(d, text[:cut]) })
-		if sleep(ctx, partialRequestInterval) != nil {
+		if timing.Sleep(ctx, partialRequestInterval) != nil {
 			return
 		}
 	}
@@ -122,7 +123,7 @@
 	for {
 		own := rand.New(rand.NewPCG(rng.Uint64(), 1))
 		wg.Go(func() { r.pipeline(ctx, d, own) })
-		if sleep(ctx, pipelineInterval) != nil {
+		if timing.Sleep(ctx, pipelineInterval) != nil {
 			return
 		}
 	}
@@ -156,7 +157,7 @@
 			}
 		}
 	}()
-	sleep(ctx, time.Duration(rng.Int64N(int64(maxLeaveDelay))))
+	timing.Sleep(ctx, time.Duration(rng.Int64N(int64(maxLeaveDelay))))
 	r.closeClient(c, closeMode(rng.IntN(int(closeWrite))), d, asked, ids...) // a client that only half closes could still be answered
 }
 
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -8,6 +8,7 @@
 
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
 
@@ -27,7 +28,7 @@
 			watchers.Go(func() { r.watchViews(watching, d) })
 		}
 	}
-	if err := sleep(ctx, 3*healthCheckInterval); err != nil {
+	if err := timing.Sleep(ctx, 3*healthCheckInterval); err != nil {
 		return nil, err
 	}
 	if r.options.VersionSkew {
@@ -69,17 +70,17 @@
 		})
 	}
 	for i, s := range specs {
-		if err := sleep(ctx, time.Until(begin.Add(s.ArrivesAt))); err != nil {
+		if err := timing.Sleep(ctx, time.Until(begin.Add(s.ArrivesAt))); err != nil {
 			return nil, err
 		}
 		asks.Go(func() { results[i] = c.ask(ctx, s, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
 	asks.Wait()
-	if err := sleep(ctx, time.Until(begin.Add(scenario.Seconds(r.scenario.Seconds)))); err != nil {
+	if err := timing.Sleep(ctx, time.Until(begin.Add(scenario.Seconds(r.scenario.Seconds)))); err != nil {
 		return nil, err
 	}
 	faults.Wait()
-	sleep(ctx, time.Second) // for what is held to be let go
+	timing.Sleep(ctx, time.Second) // for what is held to be let go
 	stopWatching()
 	watchers.Wait()
 	c.close()
--- a/internal/faultbench/process.go
+++ b/internal/faultbench/process.go
@@ -19,6 +19,7 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
+	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/hostos"
 	stored "rampspread/internal/state"
 )
@@ -180,7 +181,7 @@
 	p.mu.Lock()
 	p.why = history.DownPaused
 	p.mu.Unlock()
-	sleep(ctx, d)
+	timing.Sleep(ctx, d)
 	p.signal(syscall.SIGCONT, false, false)
 	p.up()
 }
@@ -281,7 +282,7 @@
 
 // measure looks at a process until the context ends, and lets it print its counters.
 func (p *proc) measure(ctx context.Context) {
-	for sleep(ctx, 500*time.Millisecond) == nil {
+	for timing.Sleep(ctx, 500*time.Millisecond) == nil {
 		p.usage()
 		p.signal(syscall.SIGUSR1, false, false)
 	}
@@ -359,7 +360,7 @@
 		} else {
 			p.move()
 		}
-		if sleep(ctx, scenario.Seconds(f.Duration)/reloads) != nil {
+		if timing.Sleep(ctx, scenario.Seconds(f.Duration)/reloads) != nil {
 			return
 		}
 	}
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -11,6 +11,7 @@
 
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history/historytest"
+	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/faultbench/scenario"
 )
 
@@ -92,7 +93,7 @@
 	if o.Deployment != 0 {
 		plan = deployment.Draw(s.Zones, o.Deployment)
 	}
-	c := NewCluster(nil, plan.Rules(nil), s, o.Seed)
+	c := replica.NewCluster(nil, plan.Rules(nil), s, o.Seed)
 	rules := plan.Rules(func(name string) int { return c.Named(name).Zone })
 	rules.RandomArrivals = o.Strict
 	var replicas []string
--- a/internal/faultbench/spoil.go
+++ b/internal/faultbench/replica/corrupt.go
@@ -1,4 +1,4 @@
-package faultbench
+package replica
 
 import (
 	"io"
@@ -6,15 +6,8 @@
 	"time"
 )
 
-// SetCorruptionRate lets a part of the calls be answered with what makes no sense.
-func (r *Replica) SetCorruptionRate(part float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.corruptionRate = part
-}
-
-// corruptResponses are answers that make no sense, or none for long: noise, half a head, an answer that never ran with another behind it, a length
-// that does not fit, and a chunk that never ends.
+// corruptResponses are noise, half a head, an answer that never ran with another behind it, a length that does not fit,
+// and a chunk that never ends.
 var corruptResponses = []string{
 	"\x00\xff\x17noise\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nContent-Ty",
@@ -24,17 +17,19 @@
 }
 
 const (
+	// trailingResponse follows each corrupt response after trailingResponseDelay.
 	trailingResponse      = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n"
 	trailingResponseDelay = 8 * time.Millisecond
-	corruptLinger         = 2 * time.Second // for which the connection stays open then
+	// corruptLinger is how long the connection stays open then, unless the caller closes it.
+	corruptLinger = 2 * time.Second
 )
 
-// corrupt answers a call with what makes no sense, if it is one that is to be, and says whether it did. Nothing has run then.
-func (r *Replica) corrupt(w http.ResponseWriter, _ *http.Request) bool {
+// corrupt answers a call with a corrupt response if it draws one, and tells whether it did. Nothing has run then.
+func (r *Replica) corrupt(w http.ResponseWriter) bool {
 	r.mu.Lock()
-	spoils := r.corruptionRate
+	rate := r.corruptionRate
 	r.mu.Unlock()
-	if spoils == 0 || r.cluster.random() >= spoils {
+	if rate == 0 || r.cluster.random() >= rate {
 		return false
 	}
 	conn, _, err := http.NewResponseController(w).Hijack()
--- /dev/null
+++ b/internal/faultbench/replica/handler.go
@@ -0,0 +1,161 @@
+package replica
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
+)
+
+// LeasedPoll is the class of a load poll on behalf of the whole fleet; the event's weight is its lease's fencing token.
+const LeasedPoll = "duty"
+
+// reservationPath is the path prefix of states; a request's ID follows.
+const reservationPath = "/bootstrap/rooms/"
+
+// linkHealthyFor is how long before a call its link must have been without a fault for the call to count as unimpeded.
+const linkHealthyFor = time.Second
+
+// decodeEarlyErrorPart is the part of a decode replica's failing calls that fail before anything has run.
+const decodeEarlyErrorPart = 0.5
+
+// call is how a call arrived.
+type call struct {
+	link       *network.Link
+	dispatcher int
+	arrivedAt  time.Duration // on the history's clock
+}
+
+// attempt is a dispatcher's attempt at a request on this replica.
+type attempt struct {
+	call
+	id      string
+	request *deployment.Request
+}
+
+func (r *Replica) handle(w http.ResponseWriter, q *http.Request, c call) {
+	if id, ok := strings.CutPrefix(q.URL.Path, reservationPath); ok {
+		r.handleRelease(w, q, c, id)
+		return
+	}
+	if q.Method == http.MethodGet && (q.URL.Path == "/load" || q.URL.Path == "/healthz") {
+		r.handleLoadPoll(w, q, c)
+		return
+	}
+	r.handleAttempt(w, q, c)
+}
+
+// handleRelease drops the state of a request.
+func (r *Replica) handleRelease(w http.ResponseWriter, q *http.Request, c call, id string) {
+	if q.Method != http.MethodDelete {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	r.awaitResumed(q.Context())
+	r.cluster.releaseState(id, c.link.Sound(time.Now().Add(-linkHealthyFor)))
+	w.WriteHeader(http.StatusNoContent)
+}
+
+func (r *Replica) handleLoadPoll(w http.ResponseWriter, q *http.Request, c call) {
+	e := history.Event{Kind: history.LoadPolled, Replica: r.Name, Dispatcher: c.dispatcher}
+	if _, token, ok := strings.Cut(q.Header.Get("X-Duty"), " "); ok {
+		e.Class = LeasedPoll
+		e.Weight, _ = strconv.ParseFloat(token, 64)
+	}
+	r.cluster.history.Add(e)
+	if !r.cluster.Deployment.LoadPolls {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	r.awaitResumed(q.Context())
+	if r.cluster.Deployment.LoadReports {
+		io.WriteString(w, r.currentLoadReport())
+	}
+}
+
+// handleAttempt records an attempt and answers it, unless a fault of the replica answers in its place.
+func (r *Replica) handleAttempt(w http.ResponseWriter, q *http.Request, c call) {
+	body, err := io.ReadAll(q.Body)
+	if err != nil {
+		return // cut before its last byte: it never began
+	}
+	a := attempt{call: c, id: q.Header.Get("X-Trace-Id")}
+	a.request = r.cluster.request(a.id)
+	if a.request == nil && r.cluster.Unregistered != nil {
+		a.request = r.cluster.Unregistered(q, body)
+	}
+	if a.request == nil || string(body) != a.request.Body {
+		r.cluster.history.Add(history.Event{Kind: history.ForeignResponseReceived, Request: a.id, Replica: r.Name, Dispatcher: c.dispatcher})
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	began := time.Now()
+	overloaded := r.recordArrival(q, a, began)
+	defer func() {
+		r.cluster.history.Add(history.Event{Kind: history.AttemptEnded, Request: a.id, Replica: r.Name, Dispatcher: a.dispatcher,
+			LinkHealthy: a.link.Sound(began)})
+	}()
+	if overloaded {
+		r.cluster.history.Add(history.Event{Kind: history.ReplicaOverloaded, Replica: r.Name, Dispatcher: -1})
+		r.Kill()
+		return
+	}
+	r.awaitResumed(q.Context())
+	if r.corrupt(w) {
+		return
+	}
+	r.mu.Lock()
+	errorRate := r.errorRate
+	r.mu.Unlock()
+	failing := errorRate > 0 && r.cluster.random() < errorRate
+	switch {
+	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorPart):
+		w.WriteHeader(http.StatusInternalServerError)
+	case failing:
+		defer r.cluster.awaitState(a.id)()
+		r.decode(w, q, a, failOnceBegun)
+	case r.Decode:
+		defer r.cluster.awaitState(a.id)()
+		r.decode(w, q, a, r.streamAnswer)
+	default:
+		r.prefill(w, q, a)
+	}
+}
+
+// recordArrival records an attempt, and tells whether it overloads a replica in slow start.
+func (r *Replica) recordArrival(q *http.Request, a attempt, began time.Time) (overloaded bool) {
+	h := r.cluster.history
+	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
+		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher,
+		LinkHealthy: a.link.Sound(began.Add(-linkHealthyFor)), Weight: r.work(a.request)}
+	if timeout, err := parseTimeout(q.Header.Get("X-Expires-In")); err == nil {
+		event.AnnouncedTimeout = timeout
+	}
+	if c, ok := q.Context().Value(connectionKey{}).(*network.Conn); ok {
+		event.SentAt = max(min(h.At(c.Sent()), a.arrivedAt), 1)
+	}
+	h.Add(event)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.slowStart != nil {
+		_, _, overloaded = r.slowStart.Add(event)
+	}
+	return overloaded
+}
+
+// parseTimeout reads the remaining time that an attempt announces, such as 4800m.
+func parseTimeout(text string) (time.Duration, error) {
+	ms, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
+	return time.Duration(ms) * time.Millisecond, err
+}
+
+// respondNotExecuted answers that an attempt has not run, so that it may be retried elsewhere.
+func respondNotExecuted(w http.ResponseWriter, status int) {
+	w.Header().Set("X-Never-Ran", "1")
+	w.WriteHeader(status)
+}
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -15,6 +15,7 @@
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
+	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/faultbench/scenario"
 )
 
@@ -27,7 +28,7 @@
 	names            []string
 	rules            history.Rules
 	history          *history.Recorder
-	cluster          *Cluster
+	cluster          *replica.Cluster
 	discovery        *Server
 	addrs            *addresses
 	links            links
@@ -94,11 +95,11 @@
 	if r.addrs, err = newAddresses(); err != nil {
 		return err
 	}
-	r.cluster = NewCluster(r.history, r.rules, r.scenario, r.options.Seed)
+	r.cluster = replica.NewCluster(r.history, r.rules, r.scenario, r.options.Seed)
 	r.cluster.Unregistered = r.unregisteredRequest
 	r.cluster.Deployment = r.deployment
 	n := r.options.Dispatchers
-	r.discovery = NewServer(r.history, r.cluster.Replicas, r.deployment, n, func(p *Replica, d int) string { return r.addrs.replica(p.Index, d) })
+	r.discovery = NewServer(r.history, r.cluster.Replicas, r.deployment, n, func(p *replica.Replica, d int) string { return r.addrs.replica(p.Index, d) })
 	if r.options.Strict {
 		r.discovery.MoveGrace = MoveNotice
 	}
@@ -125,8 +126,7 @@
 			if err != nil {
 				return fmt.Errorf("rig: %s: %w", p.Name, err)
 			}
-			p.Listeners = append(p.Listeners, l)
-			r.servers = append(r.servers, p.Serve(l, link, d))
+			r.servers = append(r.servers, p.Serve(l, d))
 			row = append(row, link)
 		}
 		r.links.replicas = append(r.links.replicas, row)
--- a/internal/faultbench/settings.go
+++ b/internal/faultbench/settings.go
@@ -2,6 +2,8 @@
 
 import (
 	"cmp"
+
+	"rampspread/internal/faultbench/replica"
 )
 
 // settings is the platform's object for one dispatcher.
@@ -38,7 +40,7 @@
 			"localRead": false, "releaseWithinMs": p.ReleaseTimeout.Milliseconds(), "tokenAimMs": tokens, "resume": false},
 		"limits": map[string]any{"cancelling": true, "connIdleMs": 15000, "connectTimeoutMs": p.ConnectTimeout.Milliseconds(), "maxRetryAfterMs": 500,
 			"mostHeld": 20000, "mostTries": r.dispatchers[d].tries, "probing": p.LoadPolls, "retryAfter": p.RetryAfter, "secondCopies": true},
-		"rules": map[string]any{"answerSlackMs": 8, "coldFrom": r.rules.InitialCapacity, "coldMs": SlowStartDuration.Milliseconds(),
+		"rules": map[string]any{"answerSlackMs": 8, "coldFrom": r.rules.InitialCapacity, "coldMs": replica.SlowStartDuration.Milliseconds(),
 			"fallMultiple": r.rules.OverloadMultiple, "stopSendingWithinMs": p.DrainNotice.Milliseconds(), "tipAfterMs": r.rules.OverloadWindow.Milliseconds()},
 		"telemetry": telemetry,
 	}
--- a/internal/faultbench/sums.go
+++ b/internal/faultbench/sums.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"net"
-	"net/http"
 	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/fleet"
 	"rampspread/internal/fleet/subsetter"
 )
@@ -39,38 +37,6 @@
 	quotaPollInterval = 100 * time.Millisecond
 )
 
-// ConnectionStats counts the connections of one replica.
-type ConnectionStats struct {
-	Opened, open, MaxOpen atomic.Int64
-
-	mu sync.Mutex
-	at []time.Time // of those made
-}
-
-// OpenTimes are when connections were made.
-func (c *ConnectionStats) OpenTimes() []time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Clone(c.at)
-}
-
-func (c *ConnectionStats) track(_ net.Conn, s http.ConnState) {
-	switch s {
-	case http.StateNew:
-		c.Opened.Add(1)
-		c.mu.Lock()
-		c.at = append(c.at, time.Now())
-		c.mu.Unlock()
-		for n := c.open.Add(1); ; {
-			if m := c.MaxOpen.Load(); n <= m || c.MaxOpen.CompareAndSwap(m, n) {
-				return
-			}
-		}
-	case http.StateClosed, http.StateHijacked:
-		c.open.Add(-1)
-	}
-}
-
 // maxSumWithin is the largest sum of weights within a span; times are in order.
 func maxSumWithin(at []time.Duration, weight []float64, span time.Duration) (most float64) {
 	sum, from := 0.0, 0
@@ -97,9 +63,9 @@
 func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
 // fleetTotals counts what came, from base on for so long.
-func fleetTotals(events []history.Event, rules history.Rules, replicas []*Replica, base, length time.Duration) (out FleetTotals) {
+func fleetTotals(events []history.Event, rules history.Rules, replicas []*replica.Replica, base, length time.Duration) (out FleetTotals) {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return int(a.At - b.At) })
-	byName := map[string]*Replica{}
+	byName := map[string]*replica.Replica{}
 	roles := map[bool]float64{} // weights of all listed
 	for _, r := range replicas {
 		byName[r.Name] = r
@@ -129,7 +95,7 @@
 			load[e.Replica] += e.Weight
 			work[r.Decode].add(e.At, e.Weight)
 		case history.LoadPolled:
-			if e.Class != LeasedPoll {
+			if e.Class != replica.LeasedPoll {
 				if own[e.Replica] == nil {
 					own[e.Replica] = &series{}
 				}
@@ -152,8 +118,8 @@
 		out.MaxOwnPollRate = max(out.MaxOwnPollRate, s.maxSum()/totalsWindow.Seconds())
 	}
 	for _, r := range replicas {
-		out.HandshakeRate += float64(r.Connections.Opened.Load()) / float64(len(replicas)) / length.Seconds()
-		out.MaxConnections = max(out.MaxConnections, r.Connections.MaxOpen.Load())
+		out.HandshakeRate += float64(r.Connections.Opened()) / float64(len(replicas)) / length.Seconds()
+		out.MaxConnections = max(out.MaxConnections, r.Connections.MaxOpen())
 		all := 0.0
 		for _, o := range replicas {
 			if o.Decode == r.Decode {
@@ -190,7 +156,7 @@
 }
 
 // addSlowStart is how much of what they may be sent addSlowStart replicas were sent, and the most that one was sent of what it bears.
-func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, byName map[string]*Replica, work map[bool]*series, roles map[bool]float64) {
+func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, byName map[string]*replica.Replica, work map[bool]*series, roles map[bool]float64) {
 	var used []float64
 	for _, start := range events {
 		if start.Kind != history.ReplicaStarted {
