--- a/internal/faultbench/addresses.go
+++ b/internal/faultbench/addresses.go
@@ -21,7 +21,7 @@
 			return a, nil
 		}
 	}
-	return nil, errors.New("rig: no part of the loopback range is free")
+	return nil, errors.New("bench: no part of the loopback range is free")
 }
 
 func (a *addresses) at(third, fourth, port int) string {
--- /dev/null
+++ b/internal/faultbench/discovery/handler.go
@@ -0,0 +1,194 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/network"
+)
+
+// keepAliveInterval is how often an empty line goes to an open watch.
+const keepAliveInterval = 2 * time.Second
+
+// Endpoint is a replica as it is sent.
+type Endpoint struct {
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"machineType"`
+	Cell        int     `json:"cell"`
+	Lifecycle   State   `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS int64   `json:"startedAtMs"`
+}
+
+// List is the endpoint list, or its changes after a version, as it is sent.
+type List struct {
+	Generation uint64     `json:"generation"`
+	Reset      bool       `json:"reset"` // it is the whole list
+	Instances  []Endpoint `json:"instances"`
+}
+
+// Serve answers one dispatcher's requests on one of its two addresses.
+func (d *Server) Serve(l *network.Listener, dispatcher, address int) *http.Server {
+	d.listeners[dispatcher][address] = l
+	s := &http.Server{ErrorLog: network.DiscardLog,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.handle(w, r, dispatcher) })}
+	go s.Serve(l)
+	return s
+}
+
+// LastKnown is the list as a dispatcher last had it, or could have had it.
+func (d *Server) LastKnown(dispatcher int) List {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.silent {
+		return d.fullList(d.lastSent, dispatcher)
+	}
+	return d.fullList(d.current, dispatcher)
+}
+
+// served is the list that a dispatcher is served in place of the given one; mu is held.
+func (d *Server) served(s snapshot, dispatcher int) snapshot {
+	if frozen, ok := d.frozen[dispatcher]; ok {
+		return frozen
+	}
+	return s
+}
+
+// fullList is the whole list for a dispatcher; mu is held.
+func (d *Server) fullList(s snapshot, dispatcher int) List {
+	s = d.served(s, dispatcher)
+	out := List{Generation: s.version, Reset: true, Instances: []Endpoint{}}
+	for name, e := range s.entries {
+		if e.state != Gone {
+			out.Instances = append(out.Instances, d.endpoint(name, e, dispatcher))
+		}
+	}
+	return out
+}
+
+// changesAfter are the changes of the list after a version; mu is held.
+func (d *Server) changesAfter(s snapshot, version uint64, dispatcher int) List {
+	s = d.served(s, dispatcher)
+	out := List{Generation: s.version, Instances: []Endpoint{}}
+	for name, e := range s.entries {
+		if e.version > version {
+			out.Instances = append(out.Instances, d.endpoint(name, e, dispatcher))
+		}
+	}
+	return out
+}
+
+func (d *Server) endpoint(name string, e entry, dispatcher int) Endpoint {
+	p := d.config.Deployment
+	out := Endpoint{ID: name, HostPort: d.config.Address(e.replica, dispatcher), Zone: p.ZoneName(e.replica.Zone),
+		MachineType: p.KindOf(e.replica.Index, e.replica.Decode), Cell: e.replica.Zone, Lifecycle: e.state, Weight: e.replica.Weight()}
+	if !e.started.IsZero() {
+		out.StartedAtMS = e.started.UnixMilli()
+	}
+	return out
+}
+
+// send writes a list to a dispatcher and records what it is told of.
+func (d *Server) send(w io.Writer, l List, dispatcher int) error {
+	for _, in := range l.Instances {
+		kind := history.EndpointReady
+		if in.Lifecycle != Ready {
+			kind = history.EndpointWithdrawn
+		}
+		d.config.History.Add(history.Event{Kind: kind, Replica: in.ID, Dispatcher: dispatcher, Version: l.Generation})
+	}
+	out := json.NewEncoder(w)
+	if d.config.Deployment.IndentedLists {
+		out.SetIndent("", "  ")
+	}
+	if err := out.Encode(l); err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	return nil
+}
+
+func (d *Server) handle(w http.ResponseWriter, r *http.Request, dispatcher int) {
+	var version uint64
+	watch := r.URL.Query().Get("stream") != ""
+	d.config.History.Add(history.Event{Kind: history.DiscoveryRequested, Dispatcher: dispatcher})
+	if _, err := fmt.Sscan(r.URL.Query().Get("index"), &version); watch && err != nil && !errors.Is(err, io.EOF) {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	if watch {
+		d.handleWatch(w, r, version, dispatcher)
+	} else {
+		d.handleRequest(w, r, dispatcher)
+	}
+}
+
+// handleRequest sends the whole list, once discovery is not silent.
+func (d *Server) handleRequest(w http.ResponseWriter, r *http.Request, dispatcher int) {
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	for {
+		d.mu.Lock()
+		l, silent, changed := d.fullList(d.current, dispatcher), d.silent, d.changed
+		d.mu.Unlock()
+		if !silent {
+			d.send(w, l, dispatcher) // a caller that has gone is not an error
+			return
+		}
+		select {
+		case <-changed:
+		case <-keepAlive.C:
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// handleWatch sends the changes after a version (0: first the whole list) until the caller leaves, and empty lines as
+// keep-alives. A watch that has fallen silent stays open and carries nothing more.
+func (d *Server) handleWatch(w http.ResponseWriter, r *http.Request, version uint64, dispatcher int) {
+	silenced := d.watchOpened(dispatcher)
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	rc := http.NewResponseController(w)
+	for first := true; ; first = false {
+		d.mu.Lock()
+		l, silent, changed := d.changesAfter(d.current, version, dispatcher), d.silent, d.changed
+		if first && version == 0 {
+			l = d.fullList(d.current, dispatcher)
+		}
+		d.mu.Unlock()
+		if silenced() {
+			<-r.Context().Done()
+			return
+		}
+		if !silent {
+			if len(l.Instances) > 0 {
+				if d.send(w, l, dispatcher) != nil {
+					return
+				}
+				version = l.Generation
+			} else if first {
+				io.WriteString(w, "\n")
+			}
+			if rc.Flush() != nil {
+				return
+			}
+		}
+		select {
+		case <-changed:
+		case <-keepAlive.C:
+			if !silent {
+				io.WriteString(w, "\n")
+			}
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -74,7 +74,7 @@
 			return p.links[v4[3]-1][to]
 		})
 		if err != nil {
-			return fmt.Errorf("rig: %w", err)
+			return fmt.Errorf("bench: %w", err)
 		}
 		p.relays = append(p.relays, relay)
 	}
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/discovery"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/faultbench/timing"
@@ -152,10 +153,10 @@
 		p := r.cluster.Replicas[i]
 		exclusively(&p.ListingFault, func() {
 			p.Kill()
-			r.discovery.Set(p, stateGone, time.Time{})
+			r.discovery.Set(p, discovery.Gone, time.Time{})
 			after(ctx, f, func() {
 				p.Restart()
-				r.discovery.Set(p, stateReady, time.Now())
+				r.discovery.Set(p, discovery.Ready, time.Now())
 			})
 		})
 	},
@@ -171,8 +172,8 @@
 		r.cluster.Replicas[i].SetCorruptionRate(f.Loss)
 		after(ctx, f, func() { r.cluster.Replicas[i].SetCorruptionRate(0) })
 	},
-	scenario.DrainReplica:  func(r *Run, ctx context.Context, f scenario.Fault, i int) { r.withList(ctx, f, i, stateDraining) },
-	scenario.DelistReplica: func(r *Run, ctx context.Context, f scenario.Fault, i int) { r.withList(ctx, f, i, stateGone) },
+	scenario.DrainReplica:  func(r *Run, ctx context.Context, f scenario.Fault, i int) { r.withList(ctx, f, i, discovery.Draining) },
+	scenario.DelistReplica: func(r *Run, ctx context.Context, f scenario.Fault, i int) { r.withList(ctx, f, i, discovery.Gone) },
 	scenario.FlushReplica:  func(r *Run, _ context.Context, _ scenario.Fault, i int) { r.cluster.Replicas[i].FlushCache() },
 }
 
@@ -231,11 +232,11 @@
 }
 
 // withList lists a replica in another state than ready for as long as the fault lasts.
-func (r *Run) withList(ctx context.Context, f scenario.Fault, replica int, state string) {
+func (r *Run) withList(ctx context.Context, f scenario.Fault, replica int, state discovery.State) {
 	p := r.cluster.Replicas[replica]
 	exclusively(&p.ListingFault, func() {
 		r.discovery.Set(p, state, time.Time{})
-		after(ctx, f, func() { r.discovery.Set(p, stateReady, time.Time{}) })
+		after(ctx, f, func() { r.discovery.Set(p, discovery.Ready, time.Time{}) })
 	})
 }
 
--- a/internal/faultbench/process.go
+++ b/internal/faultbench/process.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/discovery"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/faultbench/timing"
@@ -342,12 +343,12 @@
 	r := p.run
 	r.discovery.NoteMove(p.index)
 	p.moves++
-	r.discovery.Listeners[p.index][p.moves%2].SetDown(false)
+	r.discovery.Open(p.index, p.moves%discovery.Addresses)
 	if err := p.writeConfig(); err != nil {
 		r.options.Log.Warn("move", "err", err)
 		return
 	}
-	r.discovery.Listeners[p.index][1-p.moves%2].SetDown(true)
+	r.discovery.Refuse(p.index, (p.moves+1)%discovery.Addresses)
 	p.signal(syscall.SIGHUP, false, false)
 }
 
@@ -387,7 +388,7 @@
 func (p *proc) writeConfig() (err error) {
 	r := p.run
 	p.config, err = r.write(fmt.Sprintf("n%d.json", p.index), map[string]any{
-		"name": r.names[p.index], "listen": r.addrs.listen(p.index), "discovery": r.addrs.discovery(p.index, p.moves%2), "ops": r.addrs.ops(p.index),
+		"name": r.names[p.index], "listen": r.addrs.listen(p.index), "discovery": r.addrs.discovery(p.index, p.moves%discovery.Addresses), "ops": r.addrs.ops(p.index),
 		"seed":   fmt.Sprintf("%016x", r.options.Seed*1000+uint64(p.index)+1),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(r.options.MemoryMB, 192), "sockets": cmp.Or(r.options.Sockets, usualSockets)},
 		"known":  r.discovery.LastKnown(p.index), "settings": r.settings(p.index),
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/discovery"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/replica"
@@ -29,7 +30,7 @@
 	rules            history.Rules
 	history          *history.Recorder
 	cluster          *replica.Cluster
-	discovery        *Server
+	discovery        *discovery.Server
 	addrs            *addresses
 	links            links
 	dispatchers      []*proc
@@ -51,7 +52,7 @@
 // Play runs a scenario to its end and tells what came of it. All processes that it started have ended then.
 func Play(ctx context.Context, s *scenario.Scenario, o Options) (*Report, error) {
 	if o.Dispatchers < 1 || o.Dispatchers > scenario.MaxDispatchers {
-		return nil, fmt.Errorf("rig: %d dispatchers are not from 1 to %d", o.Dispatchers, scenario.MaxDispatchers)
+		return nil, fmt.Errorf("bench: %d dispatchers are not from 1 to %d", o.Dispatchers, scenario.MaxDispatchers)
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -67,11 +68,11 @@
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetrig-")
 		if err != nil {
-			return nil, fmt.Errorf("rig: %w", err)
+			return nil, fmt.Errorf("bench: %w", err)
 		}
 		r.dir = dir
 	} else if err := os.MkdirAll(r.dir, 0o700); err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("bench: %w", err)
 	}
 	defer r.close()
 	if err := r.begin(ctx); err != nil {
@@ -95,49 +96,66 @@
 	if r.addrs, err = newAddresses(); err != nil {
 		return err
 	}
+	n := r.options.Dispatchers
 	r.cluster = replica.NewCluster(r.history, r.rules, r.scenario, r.options.Seed)
 	r.cluster.Unregistered = r.unregisteredRequest
 	r.cluster.Deployment = r.deployment
-	n := r.options.Dispatchers
-	r.discovery = NewServer(r.history, r.cluster.Replicas, r.deployment, n, func(p *replica.Replica, d int) string { return r.addrs.replica(p.Index, d) })
-	if r.options.Strict {
-		r.discovery.MoveGrace = MoveNotice
-	}
+	r.discovery = discovery.NewServer(discovery.Config{History: r.history, Replicas: r.cluster.Replicas, Deployment: r.deployment, Dispatchers: n,
+		Address:        func(p *replica.Replica, d int) string { return r.addrs.replica(p.Index, d) },
+		GraceAfterMove: r.options.Strict})
 	r.dispatchers = make([]*proc, n)
-	seed := r.options.Seed
 	for d := range n {
 		r.names = append(r.names, fmt.Sprintf("n%d", d))
 		r.dispatchers[d] = &proc{run: r, index: d, tries: r.deployment.MaxAttempts}
-		r.links.clients = append(r.links.clients, network.NewLink(seed+uint64(d)))
-		r.links.discovery = append(r.links.discovery, network.NewLink(seed+uint64(d)+1000))
-		for i := range r.discovery.Listeners[d] {
-			l, err := network.Listen(r.addrs.discovery(d, i), r.links.discovery[d])
-			if err != nil {
-				return fmt.Errorf("rig: discovery: %w", err)
-			}
-			l.SetDown(i > 0)
-			r.discovery.Listeners[d][i] = l
-			r.servers = append(r.servers, r.discovery.Serve(l, d))
-		}
-		var row []*network.Link
-		for _, p := range r.cluster.Replicas {
-			link := network.NewLink(seed + uint64(d*1000+p.Index))
-			l, err := network.Listen(r.addrs.replica(p.Index, d), link)
-			if err != nil {
-				return fmt.Errorf("rig: %s: %w", p.Name, err)
-			}
-			r.servers = append(r.servers, p.Serve(l, d))
-			row = append(row, link)
+		if err := r.serveDispatcher(d); err != nil {
+			return err
 		}
-		r.links.replicas = append(r.links.replicas, row)
 	}
 	if r.options.Fleet {
 		if err := r.relayPeers(); err != nil {
 			return err
 		}
 	}
+	return r.startDispatchers(ctx)
+}
+
+// Offsets of the seeds of a dispatcher's links, so that each link draws its own losses.
+const (
+	discoverySeedOffset    = 1000
+	replicaSeedsDispatcher = 1000
+)
+
+// serveDispatcher starts the stand-ins' listeners for one dispatcher, each on a link of its own.
+func (r *Run) serveDispatcher(d int) error {
+	seed := r.options.Seed
+	r.links.clients = append(r.links.clients, network.NewLink(seed+uint64(d)))
+	r.links.discovery = append(r.links.discovery, network.NewLink(seed+uint64(d)+discoverySeedOffset))
+	for i := range discovery.Addresses {
+		l, err := network.Listen(r.addrs.discovery(d, i), r.links.discovery[d])
+		if err != nil {
+			return fmt.Errorf("bench: discovery: %w", err)
+		}
+		l.SetDown(i > 0)
+		r.servers = append(r.servers, r.discovery.Serve(l, d, i))
+	}
+	var row []*network.Link
+	for _, p := range r.cluster.Replicas {
+		link := network.NewLink(seed + uint64(d*replicaSeedsDispatcher+p.Index))
+		l, err := network.Listen(r.addrs.replica(p.Index, d), link)
+		if err != nil {
+			return fmt.Errorf("bench: %s: %w", p.Name, err)
+		}
+		r.servers = append(r.servers, p.Serve(l, d))
+		row = append(row, link)
+	}
+	r.links.replicas = append(r.links.replicas, row)
+	return nil
+}
+
+// startDispatchers starts all dispatchers' processes at once and waits until they serve.
+func (r *Run) startDispatchers(ctx context.Context) error {
 	var wg sync.WaitGroup
-	errs := make([]error, n)
+	errs := make([]error, len(r.dispatchers))
 	for d, p := range r.dispatchers {
 		if err := p.configure(); err != nil {
 			return err
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"rampspread/internal/faultbench/discovery"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/testutil"
@@ -153,7 +154,7 @@
 	gone := before[0][0]
 	for _, p := range r.cluster.Replicas {
 		if p.Name == gone {
-			r.discovery.Set(p, stateGone, time.Time{})
+			r.discovery.Set(p, discovery.Gone, time.Time{})
 		}
 	}
 	testutil.Eventually(t, fmt.Sprint("nobody to keep to ", gone), func() bool {
