--- a/internal/faultbench/clients.go
+++ b/internal/faultbench/clients.go
@@ -97,7 +97,7 @@
 		for range f.order {
 			f.next[zone]++
 			d := f.order[f.next[zone]%len(f.order)]
-			if f.in[d] && !f.run.dispatchers[d].leavesFront() && (!own || d%f.run.scenario.Zones == zone) {
+			if f.in[d] && !f.run.dispatchers[d].leavesFrontLayer() && (!own || d%f.run.scenario.Zones == zone) {
 				return d
 			}
 		}
@@ -109,7 +109,7 @@
 func (f *front) deals(d int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.in[d] && !f.run.dispatchers[d].leavesFront()
+	return f.in[d] && !f.run.dispatchers[d].leavesFrontLayer()
 }
 
 // conn is a client's connection.
@@ -303,14 +303,14 @@
 			k.Close()
 			// A close between requests may cross one that the dispatcher has not read: it goes once more on a new
 			// connection, unless the process is known to have ended.
-			if k.used && !fresh && !isTimeout(err) && c.run.dispatchers[d].upSince(asked) {
+			if k.used && !fresh && !isTimeout(err) && c.run.dispatchers[d].UpSince(asked) {
 				h.Add(history.Event{Kind: history.ConnectionDropped, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second))})
 				if d = c.run.front.pick(s.Zone); d < 0 {
 					return outcome{status: "unreachable"}
 				}
 				continue
 			}
-			h.Add(history.Event{Kind: history.ClientGaveUp, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second)) && c.run.dispatchers[d].upSince(asked)})
+			h.Add(history.Event{Kind: history.ClientGaveUp, Request: id, Dispatcher: d, LinkHealthy: k.Link().Sound(asked.Add(-time.Second)) && c.run.dispatchers[d].UpSince(asked)})
 			return outcome{status: "unanswered"}
 		}
 		return c.follow(k, resp, s, id, start, asked, out)
@@ -390,3 +390,11 @@
 	}
 	return outcome{status: "served"}
 }
+
+// frontDetectsShutdown is how late after SIGTERM a process still gets new connections: 0.2 to 0.4 s, by the protocol page.
+const frontDetectsShutdown = 400 * time.Millisecond
+
+// leavesFrontLayer tells whether the front layer sends it no new connections since it is shutting down.
+func (d *dispatcher) leavesFrontLayer() bool {
+	return d.run.options.Strict && d.Terminating(frontDetectsShutdown)
+}
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -60,7 +60,7 @@
 	for _, c := range r.deployment.Classes {
 		models[c.Name] = c.Name
 	}
-	return r.write(fmt.Sprintf("n%d.chat.json", d), map[string]any{"listen": r.addrs.chat(d), "models": models,
+	return r.writeFile(fmt.Sprintf("n%d.chat.json", d), map[string]any{"listen": r.addrs.chat(d), "models": models,
 		"max_tokens": 100, "filings": map[string]any{"entries": 1000, "keep_s": 3600}})
 }
 
--- a/internal/faultbench/drain.go
+++ b/internal/faultbench/drain.go
@@ -29,7 +29,7 @@
 	}
 	for _, why := range r.clients.outlasting(d, begun) {
 		r.history.Add(history.Event{Kind: history.ConnectionLingers, Dispatcher: d, Elapsed: time.Since(begun), Class: why,
-			LinkHealthy: r.links.clients[d].Sound(begun) && r.dispatchers[d].upSince(begun)})
+			LinkHealthy: r.links.clients[d].Sound(begun) && r.dispatchers[d].UpSince(begun)})
 	}
 	timing.Sleep(ctx, scenario.Seconds(f.Duration)-time.Since(begun))
 	if _, err := admin.Request(r.addrs.ops(d), "drain-off", adminTimeout); err != nil {
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -32,7 +32,7 @@
 
 // fleetFile writes the fleet's file of a dispatcher.
 func (r *Run) fleetFile(d int) (string, error) {
-	f := fleet.Config{Fleet: "rig", Key: strings.Repeat("5a", 32), Listen: r.addrs.peer(d)}
+	f := fleet.Config{Fleet: fleetName, Key: strings.Repeat("5a", 32), Listen: r.addrs.peer(d)}
 	for i, name := range r.names {
 		f.Members = append(f.Members, fleet.Peer{Name: name, Address: r.addrs.public(i)})
 	}
@@ -49,7 +49,7 @@
 	if r.options.Budgets {
 		f.Budgets = &budgets
 	}
-	return r.write(fmt.Sprintf("n%d.fleet.json", d), f)
+	return r.writeFile(fmt.Sprintf("n%d.fleet.json", d), f)
 }
 
 // relayPeers stands a relay before each dispatcher.
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -66,25 +66,25 @@
 func TestMembersComeAndGo(t *testing.T) {
 	t.Parallel()
 	r, ctx := startFleet(t, 5), context.Background()
-	r.dispatchers[0].kill()
+	r.dispatchers[0].Kill()
 	for d := 1; d < 5; d++ {
 		r.sees(t, d, "unreachable", 0)
 	}
 	first := r.member(t, 1, 0)
-	r.dispatchers[0].restart(ctx, false)
+	r.dispatchers[0].restart(ctx)
 	for d := range 5 {
 		r.sees(t, d, "alive", 0, 1, 2, 3, 4)
 	}
 	if m := r.member(t, 1, 0); m.Incarnations != 2 || m.Incarnation <= first.Incarnation {
 		t.Errorf("back as %+v after %+v", m, first)
 	}
-	r.dispatchers[3].term()
+	r.dispatchers[3].Terminate()
 	for _, d := range []int{0, 1, 2, 4} {
 		r.sees(t, d, "left", 3)
 	}
 	for range 5 {
-		r.dispatchers[2].kill()
-		r.dispatchers[2].restart(ctx, false)
+		r.dispatchers[2].Kill()
+		r.dispatchers[2].restart(ctx)
 	}
 	for _, d := range []int{0, 1, 4} {
 		r.sees(t, d, "alive", 0, 1, 2, 4)
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, p := range r.dispatchers {
-		if p.crashes > 0 {
+		if p.Crashes() > 0 {
 			t.Errorf("dispatcher %d crashed", p.index)
 		}
 	}
@@ -151,7 +151,7 @@
 func TestMemberStopped(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
-	r.dispatchers[1].signal(syscall.SIGSTOP, true, false)
+	r.dispatchers[1].Suspend()
 	r.sees(t, 0, "unreachable", 1)
 	r.sees(t, 2, "unreachable", 1)
 	conn, err := net.Dial("tcp", r.addrs.ops(1)) // the kernel takes the call while the process is stopped
@@ -160,7 +160,7 @@
 	}
 	defer conn.Close()
 	fmt.Fprintln(conn, "members")
-	r.dispatchers[1].signal(syscall.SIGCONT, false, false)
+	r.dispatchers[1].Signal(syscall.SIGCONT)
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -183,9 +183,9 @@
 	t.Parallel()
 	r := startFleet(t, 3)
 	time.Sleep(time.Second) // of beats, probes, claims and results
-	r.dispatchers[1].kill()
+	r.dispatchers[1].Kill()
 	r.sees(t, 0, "unreachable", 1)
-	r.dispatchers[1].restart(context.Background(), true)
+	r.dispatchers[1].restartWithoutState(context.Background())
 	for d := range 3 {
 		r.sees(t, d, "alive", 0, 1, 2)
 	}
@@ -214,7 +214,7 @@
 func TestMemberInTrouble(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
-	pid := r.dispatchers[1].cmd.Process.Pid
+	pid := r.dispatchers[1].PID()
 	var old unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 5, Max: 20000}, &old); err != nil {
 		t.Skip("the limit of another process cannot be set here:", err)
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -91,36 +91,36 @@
 var targetInjectors = map[string]func(r *Run, ctx context.Context, f scenario.Fault, target int){
 	scenario.Kill: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
 		p := r.dispatchers[d]
-		exclusively(&p.life, func() {
-			p.kill()
-			after(ctx, f, func() { p.restart(ctx, f.LoseState) })
+		exclusively(&p.Lifecycle, func() {
+			p.Kill()
+			after(ctx, f, func() { p.restartAfter(ctx, f) })
 		})
 	},
 	scenario.Terminate: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
 		p := r.dispatchers[d]
-		exclusively(&p.life, func() {
-			p.term()
-			after(ctx, f, func() { p.restart(ctx, f.LoseState) })
+		exclusively(&p.Lifecycle, func() {
+			p.Terminate()
+			after(ctx, f, func() { p.restartAfter(ctx, f) })
 		})
 	},
 	scenario.Pause: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
-		exclusively(&r.dispatchers[d].life, func() { r.dispatchers[d].pause(ctx, scenario.Seconds(f.Duration)) })
+		exclusively(&r.dispatchers[d].Lifecycle, func() { r.dispatchers[d].Pause(ctx, scenario.Seconds(f.Duration)) })
 	},
 	scenario.OperatorDrain: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
-		exclusively(&r.dispatchers[d].life, func() { r.operatorDrain(ctx, f, d) })
+		exclusively(&r.dispatchers[d].Lifecycle, func() { r.operatorDrain(ctx, f, d) })
 	},
-	scenario.MoveDiscovery:    func(r *Run, _ context.Context, _ scenario.Fault, d int) { r.dispatchers[d].move() },
-	scenario.ReloadRepeatedly: func(r *Run, ctx context.Context, f scenario.Fault, d int) { r.dispatchers[d].reloadInRow(ctx, f) },
+	scenario.MoveDiscovery:    func(r *Run, _ context.Context, _ scenario.Fault, d int) { r.dispatchers[d].moveDiscovery() },
+	scenario.ReloadRepeatedly: func(r *Run, ctx context.Context, f scenario.Fault, d int) { r.dispatchers[d].reloadRepeatedly(ctx, f) },
 	scenario.StepClock: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
 		stepMS := int64(f.ClockStepS * 1000)
-		r.dispatchers[d].changeFaults(func(s *hostos.Faults) { s.WallStepMS += stepMS })
-		after(ctx, f, func() { r.dispatchers[d].changeFaults(func(s *hostos.Faults) { s.WallStepMS -= stepMS }) })
+		r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) { s.WallStepMS += stepMS })
+		after(ctx, f, func() { r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) { s.WallStepMS -= stepMS }) })
 	},
 	scenario.FailSyscalls: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
-		r.dispatchers[d].changeFaults(func(s *hostos.Faults) {
+		r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) {
 			s.Fails[f.Syscall] = hostos.Failure{Errno: f.Errno, Every: max(f.EveryNth, 1), DelayMS: int(f.DelayMS)}
 		})
-		after(ctx, f, func() { r.dispatchers[d].changeFaults(func(s *hostos.Faults) { delete(s.Fails, f.Syscall) }) })
+		after(ctx, f, func() { r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) { delete(s.Fails, f.Syscall) }) })
 	},
 	scenario.PartialRequests:   (*Run).misbehavingClients,
 	scenario.PipelinedRequests: (*Run).misbehavingClients,
@@ -218,13 +218,13 @@
 // changeSettings gives the targets other settings, and the others the same once the fault is over.
 func (r *Run) changeSettings(ctx context.Context, f scenario.Fault, targets []int) {
 	for _, d := range targets {
-		r.dispatchers[d].retune(deployment.ChangedMaxAttempts)
+		r.dispatchers[d].changeSettings(deployment.ChangedMaxAttempts)
 	}
 	from := r.history.Now()
 	after(ctx, f, func() {
 		for d, p := range r.dispatchers {
 			if !slices.Contains(targets, d) {
-				p.retune(deployment.ChangedMaxAttempts)
+				p.changeSettings(deployment.ChangedMaxAttempts)
 				r.history.Add(history.Event{At: from, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: d, Until: r.history.Now()})
 			}
 		}
@@ -251,6 +251,6 @@
 	case scenario.PipelinedRequests:
 		r.pipelines(ctx, d, rng)
 	case scenario.IdleClients:
-		r.idleClients(ctx, d, cmp.Or(r.options.Sockets, usualSockets))
+		r.idleClients(ctx, d, cmp.Or(r.options.Sockets, defaultSockets))
 	}
 }
--- a/internal/faultbench/misbehave.go
+++ b/internal/faultbench/misbehave.go
@@ -113,7 +113,7 @@
 	c.SetReadDeadline(stopped.Add(partialRequestTimeout))
 	c.Read(make([]byte, 1))
 	r.history.Add(history.Event{Kind: history.PartialRequestEnded, Dispatcher: d, Elapsed: time.Since(stopped),
-		LinkHealthy: c.Link().Sound(stopped.Add(-time.Second)) && r.dispatchers[d].upSince(stopped)})
+		LinkHealthy: c.Link().Sound(stopped.Add(-time.Second)) && r.dispatchers[d].UpSince(stopped)})
 }
 
 // pipelines lets clients send many requests at once on a connection, and leave at some time, until the context ends.
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/process"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/fleet/idempotencyquorum"
@@ -42,7 +43,7 @@
 	}
 	if r.options.MeasureUsage {
 		for _, p := range r.dispatchers {
-			watchers.Go(func() { p.measure(watching) })
+			watchers.Go(func() { p.Measure(watching) })
 		}
 	}
 	c := newClients(r)
@@ -90,13 +91,13 @@
 			filings = append(filings, s)
 		}
 	}
-	var used []usage
+	var used []process.Usage
 	for _, p := range r.dispatchers {
-		used = append(used, p.usage())
+		used = append(used, p.Usage())
 	}
 	var wg sync.WaitGroup
 	for _, p := range r.dispatchers {
-		wg.Go(p.stop)
+		wg.Go(p.Stop)
 	}
 	wg.Wait()
 	report := r.report(results, base, c.made)
@@ -104,7 +105,7 @@
 		report.Idempotency = filer.Report(report.events, filings)
 	}
 	for _, p := range r.dispatchers {
-		report.BootstrapsApplied += p.counts["beliefs_taken"]
+		report.BootstrapsApplied += p.Counter("beliefs_taken")
 	}
 	report.MaxQuotaSum, report.MinQuotaSum, report.MeanQuotaSum, report.MaxQuota = shared.MaxQuotaSum, shared.MinQuotaSum, shared.MeanQuotaSum, shared.MaxQuota
 	report.addUsage(used, r, r.history.Now()-base)
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -17,6 +17,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/process"
 	"rampspread/internal/faultbench/scenario"
 )
 
@@ -94,7 +95,7 @@
 	}
 	out.RulesBroken = len(out.violations)
 	for _, p := range r.dispatchers {
-		out.Crashes += p.crashes
+		out.Crashes += p.Crashes()
 	}
 	first := hdrhistogram.New(1, 60_000, 3) // ms
 	n := int(r.scenario.Seconds)
@@ -169,14 +170,14 @@
 const staleWithin = 1500 * time.Millisecond
 
 // addUsage takes in what the processes took over so long.
-func (r *Report) addUsage(used []usage, run *Run, over time.Duration) {
+func (r *Report) addUsage(used []process.Usage, run *Run, over time.Duration) {
 	for _, u := range used {
-		r.RSSMB, r.OwnMB, r.FDs = max(r.RSSMB, u.rssMB), max(r.OwnMB, u.ownMB), max(r.FDs, u.fds)
-		r.ReadyS = max(r.ReadyS, u.ready.Seconds())
-		r.Core += u.cpu.Seconds() / over.Seconds() / float64(len(used))
+		r.RSSMB, r.OwnMB, r.FDs = max(r.RSSMB, u.RSSMB), max(r.OwnMB, u.OwnMB), max(r.FDs, u.FDs)
+		r.ReadyS = max(r.ReadyS, u.ReadyAfter.Seconds())
+		r.Core += u.CPU.Seconds() / over.Seconds() / float64(len(used))
 	}
 	for _, p := range run.dispatchers {
-		r.Goroutines = max(r.Goroutines, p.counts["goroutines"])
+		r.Goroutines = max(r.Goroutines, p.Counter("goroutines"))
 	}
 	if run.peers != nil {
 		bytes := int64(0)
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -33,7 +33,7 @@
 	discovery        *discovery.Server
 	addrs            *addresses
 	links            links
-	dispatchers      []*proc
+	dispatchers      []*dispatcher
 	peers            *peers // nil without a fleet
 	front            *front
 	clients          *clients // set before the first fault
@@ -103,10 +103,10 @@
 	r.discovery = discovery.NewServer(discovery.Config{History: r.history, Replicas: r.cluster.Replicas, Deployment: r.deployment, Dispatchers: n,
 		Address:        func(p *replica.Replica, d int) string { return r.addrs.replica(p.Index, d) },
 		GraceAfterMove: r.options.Strict})
-	r.dispatchers = make([]*proc, n)
+	r.dispatchers = make([]*dispatcher, n)
 	for d := range n {
 		r.names = append(r.names, fmt.Sprintf("n%d", d))
-		r.dispatchers[d] = &proc{run: r, index: d, tries: r.deployment.MaxAttempts}
+		r.dispatchers[d] = r.newDispatcher(d)
 		if err := r.serveDispatcher(d); err != nil {
 			return err
 		}
@@ -160,7 +160,7 @@
 		if err := p.configure(); err != nil {
 			return err
 		}
-		wg.Go(func() { errs[d] = p.start(ctx) })
+		wg.Go(func() { errs[d] = p.Start(ctx) })
 	}
 	wg.Wait()
 	return errors.Join(errs...)
@@ -171,7 +171,7 @@
 	var wg sync.WaitGroup
 	for _, p := range r.dispatchers {
 		if p != nil {
-			wg.Go(p.stop)
+			wg.Go(p.Stop)
 		}
 	}
 	wg.Wait()
--- a/internal/faultbench/settings.go
+++ b/internal/faultbench/settings.go
@@ -39,7 +39,7 @@
 		"familyInfo": map[string]any{"aimUsPer1000PromptTokens": aims, "dutyByKind": duties,
 			"localRead": false, "releaseWithinMs": p.ReleaseTimeout.Milliseconds(), "tokenAimMs": tokens, "resume": false},
 		"limits": map[string]any{"cancelling": true, "connIdleMs": 15000, "connectTimeoutMs": p.ConnectTimeout.Milliseconds(), "maxRetryAfterMs": 500,
-			"mostHeld": 20000, "mostTries": r.dispatchers[d].tries, "probing": p.LoadPolls, "retryAfter": p.RetryAfter, "secondCopies": true},
+			"mostHeld": 20000, "mostTries": r.dispatchers[d].maxAttempts, "probing": p.LoadPolls, "retryAfter": p.RetryAfter, "secondCopies": true},
 		"rules": map[string]any{"answerSlackMs": 8, "coldFrom": r.rules.InitialCapacity, "coldMs": replica.SlowStartDuration.Milliseconds(),
 			"fallMultiple": r.rules.OverloadMultiple, "stopSendingWithinMs": p.DrainNotice.Milliseconds(), "tipAfterMs": r.rules.OverloadWindow.Milliseconds()},
 		"telemetry": telemetry,
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -83,15 +83,15 @@
 	}
 	testutil.Eventually(t, "the whole to be used", all(0.95, 0, 1, 2, 3))
 	ctx := context.Background()
-	r.dispatchers[3].pause(ctx, 2*time.Second)
+	r.dispatchers[3].Pause(ctx, 2*time.Second)
 	if s, err := r.Quota(3); err != nil || s.Fraction > s.MinFraction*1.0001 && s.RemainingS <= 0 {
 		t.Errorf("it woke with %+v, %v", s, err)
 	}
 	testutil.Eventually(t, "the whole to be used again", all(0.95, 0, 1, 2, 3))
-	r.dispatchers[3].kill()
+	r.dispatchers[3].Kill()
 	// The dead one's part of the floor is nobody's.
 	testutil.Eventually(t, "the others to have the pool", all(0.95-budgets.Floor/4, 0, 1, 2))
-	r.dispatchers[0].kill() // a voter: a third of the pool goes with it
+	r.dispatchers[0].Kill() // a voter: a third of the pool goes with it
 	testutil.Eventually(t, "two to have what two voters lend", func() bool {
 		p := r.quotaFractions()
 		sum := p[1] + p[2]
@@ -141,8 +141,8 @@
 		s, _ := r.Subset(d)
 		before[d] = s.Subset
 	}
-	r.dispatchers[11].kill()
-	r.dispatchers[11].restart(context.Background(), true)
+	r.dispatchers[11].Kill()
+	r.dispatchers[11].restartWithoutState(context.Background())
 	testutil.Eventually(t, "the same subsets after a restart", func() bool {
 		for d := range r.dispatchers {
 			if s, err := r.Subset(d); err != nil || !slices.Equal(s.Subset, before[d]) {
