--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -14,6 +14,7 @@
 	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/fleet"
+	"rampspread/internal/fleet/idempotencyquorum"
 )
 
 // peers are the links between the dispatchers themselves, each direction of each pair.
@@ -122,9 +123,15 @@
 	}
 }
 
+// adminTimeout is for an admin call.
+const adminTimeout = time.Second
+
+// recordRetentionS is how long the fleet keeps idempotency records, in seconds.
+const recordRetentionS = 300.0
+
 // adminStatus is what a dispatcher answers to an operators' call.
 func adminStatus[T any](r *Run, d int, call string) (s T, err error) {
-	text, err := admin.Request(r.addrs.ops(d), call, time.Second)
+	text, err := admin.Request(r.addrs.ops(d), call, adminTimeout)
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", call, err)
 	}
@@ -236,3 +243,8 @@
 	}
 	return gap, doubled, all
 }
+
+// idempotencyStatus is a dispatcher's part in the fleet's idempotency records.
+func (r *Run) idempotencyStatus(d int) (idempotencyquorum.Status, error) {
+	return adminStatus[idempotencyquorum.Status](r, d, "filings")
+}
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -67,8 +67,8 @@
 		})
 	},
 	scenario.ClientsLeave: func(r *Run, ctx context.Context, f scenario.Fault, _ []int) {
-		r.clientLeaves.set(f.Fraction)
-		after(ctx, f, func() { r.clientLeaves.set(0) })
+		r.clients.SetLeaveFraction(f.Fraction)
+		after(ctx, f, func() { r.clients.SetLeaveFraction(0) })
 	},
 	scenario.DelayDiscovery: func(r *Run, _ context.Context, f scenario.Fault, _ []int) {
 		r.discovery.SetDelay(scenario.Seconds(f.Duration))
@@ -247,10 +247,10 @@
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(d)+uint64(f.At*1000)))
 	switch f.Action {
 	case scenario.PartialRequests:
-		r.partialRequests(ctx, d, rng)
+		r.clients.PartialRequests(ctx, d, rng)
 	case scenario.PipelinedRequests:
-		r.pipelines(ctx, d, rng)
+		r.clients.Pipelines(ctx, d, rng)
 	case scenario.IdleClients:
-		r.idleClients(ctx, d, cmp.Or(r.options.Sockets, defaultSockets))
+		r.clients.IdleClients(ctx, d, cmp.Or(r.options.Sockets, defaultSockets))
 	}
 }
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -7,57 +7,104 @@
 	"time"
 
 	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/frontlayer"
+	"rampspread/internal/faultbench/loadgen"
+	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/process"
 	"rampspread/internal/faultbench/scenario"
 	"rampspread/internal/faultbench/timing"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
 
-// play sends the day's traffic and makes its faults, waits until all is answered, and judges.
-func (r *Run) play(ctx context.Context) (*Report, error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	r.front = newFront(r)
-	var watchers sync.WaitGroup
-	watching, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
+const (
+	frontSettleTime = 3 * frontlayer.HealthPollInterval // until the front layer knows who is healthy
+	finalReleases   = time.Second                       // for reservations to be released at the end
+	faultsStream    = 0xfa17                            // of the random generator that draws the faults' targets
+	// frontDetectsShutdown is how late after SIGTERM a process still gets new connections: 0.2 to 0.4 s, by the
+	// protocol page.
+	frontDetectsShutdown = 400 * time.Millisecond
+)
+
+// startClients makes the front layer and the clients.
+func (r *Run) startClients() loadgen.Config {
+	r.front = frontlayer.New(frontlayer.Config{Dispatchers: len(r.dispatchers), Zones: r.scenario.Zones, HotFactor: r.scenario.HotFactor,
+		HealthURL: func(d int) string { return "http://" + r.addrs.listen(d) + "/healthz" },
+		Link:      func(d int) *network.Link { return r.links.clients[d] },
+		Leaving: func(d int) bool {
+			return r.options.Strict && r.dispatchers[d].Terminating(frontDetectsShutdown)
+		}})
+	c := loadgen.Config{History: r.history, Deployment: r.deployment, Cluster: r.cluster, Front: r.front, Zones: r.scenario.Zones,
+		Seed: r.options.Seed, Address: r.addrs.listen, Chat: r.addrs.chat,
+		Link:    func(d int) *network.Link { return r.links.clients[d] },
+		UpSince: func(d int, t time.Time) bool { return r.dispatchers[d].UpSince(t) }}
+	r.clients = loadgen.New(c)
+	return c
+}
+
+// observe starts what watches the fleet from outside until the context ends, and returns once the front layer knows who
+// is healthy. watchers counts what was started.
+func (r *Run) observe(ctx context.Context, watchers *sync.WaitGroup, quotas *FleetTotals) error {
 	for d := range r.dispatchers {
-		watchers.Go(func() { r.front.watch(watching, d) })
+		watchers.Go(func() { r.front.Watch(ctx, d) })
 	}
 	if r.peers != nil && !r.options.SkipViews {
 		for d := range min(len(r.dispatchers), maxWatchedViews) {
-			watchers.Go(func() { r.watchViews(watching, d) })
+			watchers.Go(func() { r.watchViews(ctx, d) })
 		}
 	}
-	if err := timing.Sleep(ctx, 3*healthCheckInterval); err != nil {
-		return nil, err
+	if err := timing.Sleep(ctx, frontSettleTime); err != nil {
+		return err
 	}
 	if r.options.VersionSkew {
 		for d := range r.dispatchers {
-			watchers.Go(func() { r.watchAdmission(watching, d) })
+			watchers.Go(func() { r.watchAdmission(ctx, d) })
 		}
 	}
-	var shared FleetTotals
 	if r.options.Budgets {
-		watchers.Go(func() { r.watchQuotas(watching, &shared) })
+		watchers.Go(func() { r.watchQuotas(ctx, quotas) })
 	}
 	if r.options.MeasureUsage {
 		for _, p := range r.dispatchers {
-			watchers.Go(func() { p.Measure(watching) })
+			watchers.Go(func() { p.Measure(ctx) })
 		}
 	}
-	c := newClients(r)
-	r.clients = c
-	begin := time.Now()
-	base := r.history.Now()
-	specs := deployment.DrawRequests(r.scenario, r.deployment.Classes, r.options.Seed)
-	results := make([]result, len(specs))
-	var faults, asks sync.WaitGroup
-	filer := newIdempotencyClients(r)
+	return nil
+}
+
+// play sends the scenario's traffic and injects its faults, waits until all is answered, and judges.
+func (r *Run) play(ctx context.Context) (*Report, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	clientConfig := r.startClients()
+	var watchers sync.WaitGroup
+	var quotas FleetTotals
+	watching, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	if err := r.observe(watching, &watchers, &quotas); err != nil {
+		return nil, err
+	}
+	begin, base := time.Now(), r.history.Now()
+	var faults, sending sync.WaitGroup
+	idempotency := loadgen.NewIdempotencyClients(clientConfig)
 	if r.acceptAnyRequest {
-		asks.Go(func() { filer.Run(ctx, begin) })
+		sending.Go(func() { idempotency.Run(ctx, begin, scenario.Seconds(r.scenario.Seconds)) })
+	}
+	r.startFaults(ctx, &faults, begin, base)
+	results, err := r.sendRequests(ctx, &sending, begin)
+	if err != nil {
+		return nil, err
 	}
-	rng := rand.New(rand.NewPCG(r.options.Seed, 0xfa17))
+	faults.Wait()
+	timing.Sleep(ctx, finalReleases)
+	stopWatching()
+	watchers.Wait()
+	r.clients.Close()
+	return r.finish(results, idempotency, quotas, base), nil
+}
+
+// startFaults draws the faults' targets and injects each fault at its time.
+func (r *Run) startFaults(ctx context.Context, faults *sync.WaitGroup, begin time.Time, base time.Duration) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, faultsStream))
 	for _, f := range r.scenario.Faults {
 		targets := r.targets(f, rng)
 		r.options.Log.Info("fault", "do", f.Action, "at", f.At, "for", f.Duration, "targets", targets)
@@ -70,25 +117,31 @@
 			r.faultSpans = append(r.faultSpans, [2]float64{f.At, (now - base).Seconds()})
 		})
 	}
-	for i, s := range specs {
-		if err := timing.Sleep(ctx, time.Until(begin.Add(s.ArrivesAt))); err != nil {
+}
+
+// sendRequests sends the drawn requests at their times, and waits for all that is being sent and the traffic's end.
+func (r *Run) sendRequests(ctx context.Context, sending *sync.WaitGroup, begin time.Time) ([]loadgen.Result, error) {
+	requests := deployment.DrawRequests(r.scenario, r.deployment.Classes, r.options.Seed)
+	results := make([]loadgen.Result, len(requests))
+	for i, request := range requests {
+		if err := timing.Sleep(ctx, time.Until(begin.Add(request.ArrivesAt))); err != nil {
 			return nil, err
 		}
-		asks.Go(func() { results[i] = c.ask(ctx, s, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+		sending.Go(func() { results[i] = r.clients.Do(ctx, request, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
-	asks.Wait()
+	sending.Wait()
 	if err := timing.Sleep(ctx, time.Until(begin.Add(scenario.Seconds(r.scenario.Seconds)))); err != nil {
 		return nil, err
 	}
-	faults.Wait()
-	timing.Sleep(ctx, time.Second) // for what is held to be let go
-	stopWatching()
-	watchers.Wait()
-	c.close()
-	var filings []idempotencyquorum.Status
+	return results, nil
+}
+
+// finish reads what the dispatchers show of themselves, stops them, and makes the report.
+func (r *Run) finish(results []loadgen.Result, idempotency *loadgen.IdempotencyClients, quotas FleetTotals, base time.Duration) *Report {
+	var status []idempotencyquorum.Status
 	for d := range r.dispatchers {
-		if s, err := r.Filings(d); err == nil {
-			filings = append(filings, s)
+		if s, err := r.idempotencyStatus(d); err == nil {
+			status = append(status, s)
 		}
 	}
 	var used []process.Usage
@@ -100,14 +153,14 @@
 		wg.Go(p.Stop)
 	}
 	wg.Wait()
-	report := r.report(results, base, c.made)
+	report := r.report(results, base, r.clients.Opened())
 	if r.acceptAnyRequest {
-		report.Idempotency = filer.Report(report.events, filings)
+		report.Idempotency = idempotency.Report(report.events, status)
 	}
 	for _, p := range r.dispatchers {
 		report.BootstrapsApplied += p.Counter("beliefs_taken")
 	}
-	report.MaxQuotaSum, report.MinQuotaSum, report.MeanQuotaSum, report.MaxQuota = shared.MaxQuotaSum, shared.MinQuotaSum, shared.MeanQuotaSum, shared.MaxQuota
+	report.MaxQuotaSum, report.MinQuotaSum, report.MeanQuotaSum, report.MaxQuota = quotas.MaxQuotaSum, quotas.MinQuotaSum, quotas.MeanQuotaSum, quotas.MaxQuota
 	report.addUsage(used, r, r.history.Now()-base)
-	return report, nil
+	return report
 }
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -17,6 +17,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/loadgen"
 	"rampspread/internal/faultbench/process"
 	"rampspread/internal/faultbench/scenario"
 )
@@ -59,7 +60,7 @@
 	Core       float64 `json:"core_mean"`
 	PeerBytes  float64 `json:"peer_bytes_s"`
 	FleetTotals
-	Idempotency *IdempotencyReport `json:"filings,omitempty"`
+	Idempotency *loadgen.IdempotencyReport `json:"filings,omitempty"`
 	// BootstrapsApplied is how many gifts of what others know the lives that ran at the end took at their start.
 	BootstrapsApplied float64 `json:"beliefs_taken"`
 
@@ -85,7 +86,7 @@
 	warmUpWindows     = 3    // windows at a day's begin that do not count as its level
 )
 
-func (r *Run) report(results []result, base time.Duration, connections int) *Report {
+func (r *Run) report(results []loadgen.Result, base time.Duration, connections int) *Report {
 	events := r.history.Events()
 	out := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Dispatchers: len(r.dispatchers), Asked: len(results), Connections: connections,
 		ByClass: map[string]float64{}, ByStatus: map[string]int{}, FirstMS: map[string]float64{}, events: events}
@@ -102,15 +103,15 @@
 	asked, earned := make([]float64, n), make([]float64, n)
 	classAsked := map[string]float64{}
 	for _, q := range results {
-		w := min(int(q.spec.ArrivesAt/window), n-1)
-		asked[w] += q.spec.Value()
-		earned[w] += q.earned
-		classAsked[q.spec.Class.Name] += q.spec.Value()
-		out.ByClass[q.spec.Class.Name] += q.earned
-		out.ByStatus[q.status]++
-		out.Tries += q.tries
-		if q.first > 0 {
-			first.RecordValue(min(q.first.Milliseconds(), 60_000))
+		w := min(int(q.Request.ArrivesAt/window), n-1)
+		asked[w] += q.Request.Value()
+		earned[w] += q.Earned
+		classAsked[q.Request.Class.Name] += q.Request.Value()
+		out.ByClass[q.Request.Class.Name] += q.Earned
+		out.ByStatus[string(q.Status)]++
+		out.Tries += q.Attempts
+		if q.FirstToken > 0 {
+			first.RecordValue(min(q.FirstToken.Milliseconds(), 60_000))
 		}
 	}
 	for name, all := range classAsked {
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -14,7 +14,9 @@
 
 	"rampspread/internal/faultbench/deployment"
 	"rampspread/internal/faultbench/discovery"
+	"rampspread/internal/faultbench/frontlayer"
 	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/loadgen"
 	"rampspread/internal/faultbench/network"
 	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/faultbench/scenario"
@@ -35,10 +37,9 @@
 	links            links
 	dispatchers      []*dispatcher
 	peers            *peers // nil without a fleet
-	front            *front
-	clients          *clients // set before the first fault
-	clientLeaves     leaves
-	silenceFault     sync.Mutex // held while discovery is silent
+	front            *frontlayer.Front
+	clients          *loadgen.Clients // set before the first fault
+	silenceFault     sync.Mutex       // held while discovery is silent
 	servers          []*http.Server
 	acceptAnyRequest bool // replicas answer requests that no client of the rig sent, and each dispatcher has a chat front
 
