--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -89,7 +89,7 @@
 				return err
 			}
 			if keep != "" {
-				if err := report.Keep(keep); err != nil {
+				if err := report.WriteFiles(keep); err != nil {
 					return err
 				}
 			}
--- a/cmd/fleetrig/soak.go
+++ b/cmd/fleetrig/soak.go
@@ -34,7 +34,7 @@
 	c.Flags().IntVar(&o.Dispatchers, "dispatchers", 10, "how many `dispatchers`")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws the plan of faults, arrivals and how the dispatchers are run")
 	c.Flags().Float64Var(&o.Seconds, "seconds", 30, "how long the traffic lasts")
-	c.Flags().Float64Var(&o.Quiet, "quiet", 0, "seconds without a fault at the begin; 0: 2.5")
+	c.Flags().Float64Var(&o.QuietSeconds, "quiet", 0, "seconds without a fault at the begin; 0: 2.5")
 	c.Flags().StringVar(&faults, "faults", "", fmt.Sprintf("the `kinds` of fault to draw from, separated by commas; none: all of %s", strings.Join(faultbench.SoakKinds(), ",")))
 	c.Flags().StringVar(&o.Dir, "out", "", "keep the dispatchers' files and logs in this `folder`")
 	return c
--- a/internal/faultbench/addresses.go
+++ b/internal/faultbench/addresses.go
@@ -30,6 +30,6 @@
 
 func (a *addresses) listen(d int) string       { return a.at(1, d+1, 9000) }
 func (a *addresses) chat(d int) string         { return a.at(1, d+1, chatPort) }
-func (a *addresses) ops(d int) string          { return a.at(1, d+1, 9600) }
+func (a *addresses) admin(d int) string        { return a.at(1, d+1, 9600) }
 func (a *addresses) discovery(d, i int) string { return a.at(2, d+1, 8500+i) } // the first, or the one that it moves to
 func (a *addresses) replica(r, d int) string   { return a.at(20+r%200, d+1, 9100+r/200) }
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -50,7 +50,7 @@
 	chat := d.run.addrs.chat(0)
 	return []string{
 		fmt.Sprintf(`curl -N %s/v1/chat/completions -d '{"model":"question","stream":true,"messages":[{"role":"user","content":"Who owns plot 7?"}]}'`, chat),
-		fmt.Sprintf(`%s call -at %s check`, d.run.options.Program, d.run.addrs.ops(0)),
+		fmt.Sprintf(`%s call -at %s check`, d.run.options.Program, d.run.addrs.admin(0)),
 	}
 }
 
--- a/internal/faultbench/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -44,8 +44,8 @@
 			for _, b := range r.violations {
 				t.Errorf("%s: %s", describe(day), b)
 			}
-			if r.Crashes > 0 || r.Asked == 0 || r.ByStatus["served"] == 0 {
-				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Asked, r.ByStatus)
+			if r.Crashes > 0 || r.Requests == 0 || r.ByStatus["served"] == 0 {
+				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Requests, r.ByStatus)
 			}
 			plan := deployment.Draw(day.Zones, seed)
 			if n := count(r.events, history.LoadPolled); !plan.LoadPolls && n > 0 {
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -114,6 +114,17 @@
 	return nil
 }
 
+// sendChanges sends changes, if there are any. The first time it sends at least a keep-alive, as a watch's head.
+func (d *Server) sendChanges(w io.Writer, l List, first bool, dispatcher int) error { //revive:disable-line:flag-parameter a fact about the watch's state
+	if len(l.Instances) > 0 {
+		return d.send(w, l, dispatcher)
+	}
+	if first {
+		io.WriteString(w, "\n") // the flush that follows reports an error
+	}
+	return nil
+}
+
 func (d *Server) handle(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	var version uint64
 	watch := r.URL.Query().Get("stream") != ""
@@ -169,16 +180,11 @@
 			return
 		}
 		if !silent {
+			if d.sendChanges(w, l, first, dispatcher) != nil || rc.Flush() != nil {
+				return
+			}
 			if len(l.Instances) > 0 {
-				if d.send(w, l, dispatcher) != nil {
-					return
-				}
 				version = l.Generation
-			} else if first {
-				io.WriteString(w, "\n")
-			}
-			if rc.Flush() != nil {
-				return
 			}
 		}
 		select {
--- a/internal/faultbench/dispatcher.go
+++ b/internal/faultbench/dispatcher.go
@@ -64,7 +64,7 @@
 func (d *dispatcher) writeConfig() error {
 	r := d.run
 	path, err := r.writeFile(fmt.Sprintf("n%d.json", d.index), map[string]any{
-		"name": r.names[d.index], "listen": r.addrs.listen(d.index), "ops": r.addrs.ops(d.index),
+		"name": r.names[d.index], "listen": r.addrs.listen(d.index), "ops": r.addrs.admin(d.index),
 		"discovery": r.addrs.discovery(d.index, d.discoveryAddress()),
 		"seed":      fmt.Sprintf("%016x", r.options.Seed*1000+uint64(d.index)+1),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": cmp.Or(r.options.MemoryMB, defaultMemoryMB),
--- a/internal/faultbench/drain.go
+++ b/internal/faultbench/drain.go
@@ -17,7 +17,7 @@
 // operatorDrain drains a dispatcher by an admin call, looks at its clients' connections when the page says, and ends
 // the drain.
 func (r *Run) operatorDrain(ctx context.Context, f scenario.Fault, d int) {
-	if _, err := admin.Request(r.addrs.ops(d), "drain-on", adminTimeout); err != nil {
+	if _, err := admin.Request(r.addrs.admin(d), "drain-on", adminTimeout); err != nil {
 		return // it is not up
 	}
 	began := time.Now()
@@ -26,10 +26,10 @@
 	}
 	for _, reason := range r.clients.Lingering(d, began) {
 		r.history.Add(history.Event{Kind: history.ConnectionLingers, Dispatcher: d, Elapsed: time.Since(began), Class: reason,
-			LinkHealthy: r.links.clients[d].Sound(began) && r.dispatchers[d].UpSince(began)})
+			LinkHealthy: r.links.clients[d].Healthy(began) && r.dispatchers[d].UpSince(began)})
 	}
 	timing.Sleep(ctx, scenario.Seconds(f.Duration)-time.Since(began))
-	if _, err := admin.Request(r.addrs.ops(d), "drain-off", adminTimeout); err != nil {
+	if _, err := admin.Request(r.addrs.admin(d), "drain-off", adminTimeout); err != nil {
 		r.options.Log.Warn("drain_off_failed", "dispatcher", d, "err", err)
 	}
 }
--- a/internal/faultbench/ends_test.go
+++ b/internal/faultbench/ends_test.go
@@ -31,8 +31,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Good() || c.ends != (r.StaleActs == 0) {
-				t.Errorf("%d stale acts, %v", r.StaleActs, r.violations)
+			if !r.Good() || c.ends != (r.StaleAttempts == 0) {
+				t.Errorf("%d stale acts, %v", r.StaleAttempts, r.violations)
 			}
 		})
 	}
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -12,7 +12,6 @@
 	"rampspread/internal/admin"
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/network"
-	"rampspread/internal/faultbench/replica"
 	"rampspread/internal/fleet"
 	"rampspread/internal/fleet/idempotencyquorum"
 )
@@ -25,17 +24,17 @@
 	relays     []*network.Relay
 }
 
-func (a *addresses) peer(d int) string   { return a.at(3, d+1, 7946) } // where a dispatcher listens and sends from
-func (a *addresses) public(d int) string { return a.at(4, d+1, 7946) } // where others find it: its relay
+func (a *addresses) peerListen(d int) string { return a.at(3, d+1, 7946) } // where a dispatcher listens and sends from
+func (a *addresses) peerRelay(d int) string  { return a.at(4, d+1, 7946) } // where others find it: its relay
 
 // budgets are what a rig's dispatchers may do together.
 var budgets = fleet.Budgets{Floor: 0.25, PollsPerReplica: 6, RetriesPerRequest: 0.2, RetriesPerSecond: 4}
 
 // fleetFile writes the fleet's file of a dispatcher.
 func (r *Run) fleetFile(d int) (string, error) {
-	f := fleet.Config{Fleet: fleetName, Key: strings.Repeat("5a", 32), Listen: r.addrs.peer(d)}
+	f := fleet.Config{Fleet: fleetName, Key: strings.Repeat("5a", 32), Listen: r.addrs.peerListen(d)}
 	for i, name := range r.names {
-		f.Members = append(f.Members, fleet.Peer{Name: name, Address: r.addrs.public(i)})
+		f.Members = append(f.Members, fleet.Peer{Name: name, Address: r.addrs.peerRelay(i)})
 	}
 	if !r.options.NoLeasedTasks { // the first ones vote
 		f.Voters = r.names[:min(3, (len(r.names)-1)|1)]
@@ -67,7 +66,7 @@
 	}
 	r.peers = p
 	for to := range n {
-		relay, err := network.NewRelay(r.addrs.public(to), r.addrs.peer(to), func(ip net.IP) *network.Link {
+		relay, err := network.NewRelay(r.addrs.peerRelay(to), r.addrs.peerListen(to), func(ip net.IP) *network.Link {
 			v4 := ip.To4()
 			if v4 == nil || v4[2] != 3 || int(v4[3]) < 1 || int(v4[3]) > n {
 				return nil
@@ -131,7 +130,7 @@
 
 // adminStatus is what a dispatcher answers to an operators' call.
 func adminStatus[T any](r *Run, d int, call string) (s T, err error) {
-	text, err := admin.Request(r.addrs.ops(d), call, adminTimeout)
+	text, err := admin.Request(r.addrs.admin(d), call, adminTimeout)
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", call, err)
 	}
@@ -169,81 +168,6 @@
 	}
 }
 
-// detectionTimes is how long after each end or pause of a process the views of others that were up all the while showed it
-// as unreachable or left, in seconds, and how often one showed another as suspect or worse that was up.
-func detectionTimes(events []history.Event, names []string) (took []float64, falsely int) {
-	downs := map[string][]history.Event{}
-	byName := map[string]int{}
-	for i, n := range names {
-		byName[n] = i
-	}
-	for _, e := range events {
-		if e.Kind == history.ProcessDown {
-			downs[names[e.Dispatcher]] = append(downs[names[e.Dispatcher]], e)
-		}
-	}
-	covers := func(name string, at, slack time.Duration) *history.Event {
-		for i, e := range downs[name] {
-			if e.At <= at && (e.Until == 0 || at <= e.Until+slack) {
-				return &downs[name][i]
-			}
-		}
-		return nil
-	}
-	for _, e := range events {
-		if e.Kind != history.MembershipView || e.Request == "alive" || e.Request == "joining" || e.Request == "unknown" {
-			continue
-		}
-		const settle = 3 * time.Second // after a process is back, what was said of its last life may still come
-		if covers(names[e.Dispatcher], e.At, settle) != nil {
-			continue
-		}
-		down := covers(e.Replica, e.At, settle)
-		if down == nil {
-			if e.Request != "left" {
-				falsely++
-			}
-			continue
-		}
-		if e.Request != "suspect" {
-			took = append(took, max(e.At-down.At, 0).Seconds())
-		}
-	}
-	return took, falsely
-}
-
-// leasedPolls is the longest time in which a replica that was there was not probed for the fleet, from settle on, how many
-// probes came for a lease after another had followed it, and how many came in all.
-func leasedPolls(events []history.Event, settle, end time.Duration) (gap float64, doubled, all int) {
-	last, most := map[string]time.Duration{}, map[string]float64{}
-	away := map[string]bool{}
-	look := func(replica string, at time.Duration) {
-		if l, ok := last[replica]; ok && !away[replica] && at > settle {
-			gap = max(gap, (at - max(l, settle)).Seconds())
-		}
-		last[replica] = at
-	}
-	for _, e := range events {
-		switch {
-		case e.At > end:
-		case e.Kind == history.LoadPolled && e.Class == replica.LeasedPoll:
-			all++
-			look(e.Replica, e.At)
-			away[e.Replica] = false
-			if e.Weight < most[e.Replica] {
-				doubled++
-			}
-			most[e.Replica] = max(most[e.Replica], e.Weight)
-		case e.Kind == history.EndpointWithdrawn || e.Kind == history.ReplicaStarted:
-			away[e.Replica] = true // until its first probe again
-		}
-	}
-	for replica := range last {
-		look(replica, end)
-	}
-	return gap, doubled, all
-}
-
 // idempotencyStatus is a dispatcher's part in the fleet's idempotency records.
 func (r *Run) idempotencyStatus(d int) (idempotencyquorum.Status, error) {
 	return adminStatus[idempotencyquorum.Status](r, d, "filings")
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -154,7 +154,7 @@
 	r.dispatchers[1].Suspend()
 	r.sees(t, 0, "unreachable", 1)
 	r.sees(t, 2, "unreachable", 1)
-	conn, err := net.Dial("tcp", r.addrs.ops(1)) // the kernel takes the call while the process is stopped
+	conn, err := net.Dial("tcp", r.addrs.admin(1)) // the kernel takes the call while the process is stopped
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 5, Max: 20000}, &old); err != nil {
 		t.Skip("the limit of another process cannot be set here:", err)
 	}
-	u, err := net.Dial("udp", r.addrs.peer(1))
+	u, err := net.Dial("udp", r.addrs.peerListen(1))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/loadgen/attempt.go
+++ b/internal/faultbench/loadgen/attempt.go
@@ -49,7 +49,7 @@
 
 // linkHealthy tells whether a connection's link has had no fault since shortly before the attempt was sent.
 func (a *attempt) linkHealthy(k *connection) bool {
-	return k.Link().Sound(a.sentAt.Add(-linkHealthyFor))
+	return k.Link().Healthy(a.sentAt.Add(-linkHealthyFor))
 }
 
 // attempt sends one attempt and follows its answer to the end.
--- a/internal/faultbench/loadgen/faulty.go
+++ b/internal/faultbench/loadgen/faulty.go
@@ -42,7 +42,7 @@
 func (c *Clients) closeConnection(conn *network.Conn, mode closeMode, dispatcher int, sentAt time.Time, ids ...string) {
 	for _, id := range ids {
 		c.config.History.Add(history.Event{Kind: history.ClientClosed, Request: id, Dispatcher: dispatcher,
-			LinkHealthy: conn.Link().Sound(sentAt.Add(-linkHealthyFor))})
+			LinkHealthy: conn.Link().Healthy(sentAt.Add(-linkHealthyFor))})
 	}
 	switch half, ok := conn.Conn.(interface{ CloseWrite() error }); {
 	case mode == closeReset:
@@ -93,7 +93,7 @@
 	conn.SetReadDeadline(stopped.Add(partialRequestTimeout))
 	conn.Read(make([]byte, 1))
 	c.config.History.Add(history.Event{Kind: history.PartialRequestEnded, Dispatcher: dispatcher, Elapsed: time.Since(stopped),
-		LinkHealthy: conn.Link().Sound(stopped.Add(-linkHealthyFor)) && c.config.UpSince(dispatcher, stopped)})
+		LinkHealthy: conn.Link().Healthy(stopped.Add(-linkHealthyFor)) && c.config.UpSince(dispatcher, stopped)})
 }
 
 // Pipelines runs clients that send many requests at once on a connection, and leave at some time, until the context ends.
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -22,13 +22,13 @@
 	conns chan net.Conn
 	done  chan struct{}
 
-	mu    sync.Mutex
-	open  net.Listener
-	hole  []net.Conn // the full socket's own callers
-	pit   *os.File   // the full socket
-	cut   bool
-	down  bool
-	ended bool
+	mu         sync.Mutex
+	listener   net.Listener
+	fillers    []net.Conn // the full socket's own callers
+	fullSocket *os.File   // the full socket
+	cut        bool
+	down       bool
+	ended      bool
 }
 
 // Listen opens an address for the calls of one link.
@@ -38,7 +38,7 @@
 		return nil, fmt.Errorf("network: %w", err)
 	}
 	out := &Listener{addr: at, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
-	if err := out.adjust(); err != nil {
+	if err := out.apply(); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
@@ -51,7 +51,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	l.adjust() // a listener that cannot come back shows as refused calls
+	l.apply() // a listener that cannot come back shows as refused calls
 }
 
 // SetDown makes calls be refused, or accepted again. Connections that are open stay.
@@ -59,35 +59,35 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	return l.adjust()
+	return l.apply()
 }
 
-// adjust brings the sockets into line with what is wanted; the caller holds the lock (or is alone).
-func (l *Listener) adjust() error {
+// apply brings the sockets into line with what is wanted; the caller holds the lock (or is alone).
+func (l *Listener) apply() error {
 	wantHole := l.cut && !l.ended
 	wantOpen := !l.cut && !l.down && !l.ended
-	if !wantHole && l.pit != nil {
-		for _, c := range l.hole {
+	if !wantHole && l.fullSocket != nil {
+		for _, c := range l.fillers {
 			c.Close()
 		}
-		l.pit.Close()
-		l.hole, l.pit = nil, nil
+		l.fullSocket.Close()
+		l.fillers, l.fullSocket = nil, nil
 	}
-	if !wantOpen && l.open != nil {
-		l.open.Close()
-		l.open = nil
+	if !wantOpen && l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
 	}
-	if wantHole && l.pit == nil {
-		if err := l.dig(); err != nil {
+	if wantHole && l.fullSocket == nil {
+		if err := l.openFullSocket(); err != nil {
 			return fmt.Errorf("network: %w", err)
 		}
 	}
-	if wantOpen && l.open == nil {
+	if wantOpen && l.listener == nil {
 		inner, err := retryBusy(func() (net.Listener, error) { return net.Listen("tcp4", l.addr.String()) })
 		if err != nil {
 			return fmt.Errorf("network: %w", err)
 		}
-		l.open = inner
+		l.listener = inner
 		go l.accept(inner)
 	}
 	return nil
@@ -104,8 +104,8 @@
 	}
 }
 
-// dig opens a listening socket with room for one connection and takes that room itself.
-func (l *Listener) dig() error {
+// openFullSocket opens a listening socket with room for one connection and takes that room itself.
+func (l *Listener) openFullSocket() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("socket: %w", err)
@@ -125,13 +125,13 @@
 		pit.Close()
 		return fmt.Errorf("full socket: %w", err)
 	}
-	l.pit = pit
+	l.fullSocket = pit
 	for range 2 { // the first fills the queue; the second shows that it is full
 		c, err := net.DialTimeout("tcp4", l.addr.String(), 20*time.Millisecond)
 		if err != nil {
 			break
 		}
-		l.hole = append(l.hole, c)
+		l.fillers = append(l.fillers, c)
 	}
 	return nil
 }
@@ -142,8 +142,8 @@
 		if err != nil {
 			return
 		}
-		conn := Wrap(c, l.link, false)
-		conn.ready = time.Now().Add(l.link.lateBy())
+		conn := wrap(c, l.link, fromListener)
+		conn.passesFrom = time.Now().Add(l.link.currentConnectDelay())
 		select {
 		case l.conns <- conn:
 		case <-l.done:
@@ -172,7 +172,7 @@
 	}
 	l.ended = true
 	close(l.done)
-	return l.adjust()
+	return l.apply()
 }
 
 // Link is the link whose calls it accepts.
@@ -183,7 +183,7 @@
 
 // Dial calls an address over a link from the rig's side; on a cut link the call never comes up.
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
-	if _, cut, _ := l.hold(true, 0); cut {
+	if _, cut, _ := l.hold(toListener, 0); cut {
 		<-ctx.Done()
 		return nil, fmt.Errorf("network: %w", ctx.Err())
 	}
@@ -191,5 +191,5 @@
 	if err != nil {
 		return nil, err // the caller tells errors apart by their type
 	}
-	return Wrap(c, l, true), nil
+	return wrap(c, l, toListener), nil
 }
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -15,21 +15,21 @@
 // that the receiver tells others. Who sends is told by the source address, so each peer must send from an address of its
 // own. Link names the link from a sender to this receiver.
 type Relay struct {
-	to   string // the receiver's own address
-	link func(sender net.IP) *Link
-	udp  net.PacketConn
-	tcp  net.Listener
-	done chan struct{}
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	last [][]byte     // the datagrams that came last, for Replay
-	all  atomic.Int64 // bytes handed on by UDP and TCP, to the receiver and in answer from it
+	receiver string // the receiver's own address
+	link     func(sender net.IP) *Link
+	udp      net.PacketConn
+	tcp      net.Listener
+	done     chan struct{}
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	recent   [][]byte     // the datagrams that came last, for Replay
+	bytes    atomic.Int64 // bytes handed on by UDP and TCP, to the receiver and in answer from it
 }
 
 // Bytes is how many bytes it has handed on, both ways.
-func (r *Relay) Bytes() int64 { return r.all.Load() }
+func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
-const dialWait = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 // NewRelay listens at addr on UDP and TCP and hands on to the receiver at to. Senders without a link (nil) are
 // turned away.
@@ -43,9 +43,9 @@
 		udp.Close()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{to: to, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
-	r.wg.Go(r.packets)
-	r.wg.Go(r.streams)
+	r := &Relay{receiver: to, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
+	r.wg.Go(r.relayPackets)
+	r.wg.Go(r.acceptStreams)
 	return r, nil
 }
 
@@ -57,8 +57,8 @@
 	r.wg.Wait()
 }
 
-func (r *Relay) packets() {
-	to, err := net.ResolveUDPAddr("udp4", r.to)
+func (r *Relay) relayPackets() {
+	to, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return
 	}
@@ -75,12 +75,12 @@
 		if l == nil {
 			continue
 		}
-		lost, late := l.Lose()
+		lost, late := l.DrawLoss()
 		if lost {
 			continue
 		}
-		r.all.Add(int64(n))
-		r.keep(buf[:n])
+		r.bytes.Add(int64(n))
+		r.remember(buf[:n])
 		if late <= 0 {
 			r.udp.WriteTo(buf[:n], to)
 			continue
@@ -90,33 +90,33 @@
 	}
 }
 
-// keepMost is how many datagrams a relay remembers.
-const keepMost = 2000
+// maxRemembered is how many datagrams a relay remembers.
+const maxRemembered = 2000
 
-func (r *Relay) keep(b []byte) {
+func (r *Relay) remember(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last = append(r.last, append([]byte(nil), b...))
-	r.last = r.last[max(0, len(r.last)-keepMost):]
+	r.recent = append(r.recent, append([]byte(nil), b...))
+	r.recent = r.recent[max(0, len(r.recent)-maxRemembered):]
 }
 
 // Replay sends the receiver all that the relay remembers once more, sealed and signed as it was, and says how many.
 func (r *Relay) Replay() (int, error) {
-	to, err := net.ResolveUDPAddr("udp4", r.to)
+	to, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return 0, fmt.Errorf("relay: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.last {
+	for _, b := range r.recent {
 		if _, err := r.udp.WriteTo(b, to); err != nil {
 			return 0, fmt.Errorf("relay: %w", err)
 		}
 	}
-	return len(r.last), nil
+	return len(r.recent), nil
 }
 
-func (r *Relay) streams() {
+func (r *Relay) acceptStreams() {
 	for {
 		c, err := r.tcp.Accept()
 		if err != nil {
@@ -127,14 +127,14 @@
 			c.Close()
 			continue
 		}
-		r.wg.Go(func() { r.stream(Wrap(c, l, false)) })
+		r.wg.Go(func() { r.relayStream(wrap(c, l, fromListener)) })
 	}
 }
 
-func (r *Relay) stream(in *Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialWait)
+func (r *Relay) relayStream(in *Conn) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	out, err := new(net.Dialer).DialContext(ctx, "tcp4", r.to)
+	out, err := new(net.Dialer).DialContext(ctx, "tcp4", r.receiver)
 	if err != nil {
 		in.Abort()
 		return
@@ -144,12 +144,12 @@
 	stop := func() { once.Do(func() { close(end) }) }
 	go func() {
 		n, _ := io.Copy(out, in)
-		r.all.Add(n)
+		r.bytes.Add(n)
 		out.(*net.TCPConn).CloseWrite()
 	}()
 	go func() {
 		n, _ := io.Copy(in, out)
-		r.all.Add(n)
+		r.bytes.Add(n)
 		stop()
 	}()
 	select {
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -55,19 +55,17 @@
 	if err := timing.Sleep(ctx, frontSettleTime); err != nil {
 		return err
 	}
-	if r.options.VersionSkew {
-		for d := range r.dispatchers {
+	for d, p := range r.dispatchers {
+		if r.options.VersionSkew {
 			watchers.Go(func() { r.watchAdmission(ctx, d) })
 		}
+		if r.options.MeasureUsage {
+			watchers.Go(func() { p.Measure(ctx) })
+		}
 	}
 	if r.options.Budgets {
 		watchers.Go(func() { r.watchQuotas(ctx, quotas) })
 	}
-	if r.options.MeasureUsage {
-		for _, p := range r.dispatchers {
-			watchers.Go(func() { p.Measure(ctx) })
-		}
-	}
 	return nil
 }
 
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -74,7 +74,7 @@
 func recordSoak(t *testing.T, path, program string, seed uint64, mutant string) int {
 	t.Helper()
 	o := SoakOptions{Program: program, Dispatchers: 5, Seed: seed, Seconds: 15, Dir: t.TempDir()}
-	s, _, err := drawSoak(o)
+	s, _, err := drawPlan(o)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -129,5 +129,5 @@
 // holds back is not held back by the dispatcher.
 func linkHealthy(q *http.Request) bool {
 	c, ok := q.Context().Value(connectionKey{}).(*network.Conn)
-	return ok && c.Link().Sound(time.Now())
+	return ok && c.Link().Healthy(time.Now())
 }
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -57,7 +57,7 @@
 		return
 	}
 	r.awaitResumed(q.Context())
-	r.cluster.releaseState(id, c.link.Sound(time.Now().Add(-linkHealthyFor)))
+	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-linkHealthyFor)))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -98,7 +98,7 @@
 	overloaded := r.recordArrival(q, a, began)
 	defer func() {
 		r.cluster.history.Add(history.Event{Kind: history.AttemptEnded, Request: a.id, Replica: r.Name, Dispatcher: a.dispatcher,
-			LinkHealthy: a.link.Sound(began)})
+			LinkHealthy: a.link.Healthy(began)})
 	}()
 	if overloaded {
 		r.cluster.history.Add(history.Event{Kind: history.ReplicaOverloaded, Replica: r.Name, Dispatcher: -1})
@@ -132,12 +132,12 @@
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
 		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher,
-		LinkHealthy: a.link.Sound(began.Add(-linkHealthyFor)), Weight: r.work(a.request)}
+		LinkHealthy: a.link.Healthy(began.Add(-linkHealthyFor)), Weight: r.work(a.request)}
 	if timeout, err := parseTimeout(q.Header.Get("X-Expires-In")); err == nil {
 		event.AnnouncedTimeout = timeout
 	}
 	if c, ok := q.Context().Value(connectionKey{}).(*network.Conn); ok {
-		event.SentAt = max(min(h.At(c.Sent()), a.arrivedAt), 1)
+		event.SentAt = max(min(h.At(c.ArrivedAt()), a.arrivedAt), 1)
 	}
 	h.Add(event)
 	r.mu.Lock()
--- a/internal/faultbench/rig_test.go
+++ b/internal/faultbench/rig_test.go
@@ -80,12 +80,12 @@
 			for _, b := range r.violations {
 				t.Error(b)
 			}
-			if r.Crashes > 0 || r.Asked == 0 || r.ByStatus["served"] == 0 || !c.shows(r) {
-				t.Errorf("%d crashes, %d asked, %v, %+v", r.Crashes, r.Asked, r.ByStatus, r.FleetTotals)
+			if r.Crashes > 0 || r.Requests == 0 || r.ByStatus["served"] == 0 || !c.shows(r) {
+				t.Errorf("%d crashes, %d asked, %v, %+v", r.Crashes, r.Requests, r.ByStatus, r.FleetTotals)
 			}
 			checkLastLine(t, r, "scenario", "seed", "dispatchers", "asked", "served_share", "worst_10s", "recovery_s", "rules_broken", "crashes")
 			dir := t.TempDir()
-			if err := r.Keep(dir); err != nil {
+			if err := r.WriteFiles(dir); err != nil {
 				t.Fatal(err)
 			}
 			if kept, _ := filepath.Glob(dir + "/*"); len(kept) != 3 {
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/shares_test.go
@@ -57,7 +57,7 @@
 			if most := budgets.PollsPerReplica*3 + lives/totalsWindow.Seconds(); r.MaxOwnPollRate > most {
 				t.Errorf("a replica was asked %.2f times a second, at most %.2f", r.MaxOwnPollRate, most)
 			}
-			tries := float64(r.Tries)
+			tries := float64(r.Attempts)
 			if most := budgets.RetriesPerRequest*tries + lives + budgets.RetriesPerSecond*(5+s.Seconds); r.RepeatsPerRequest*tries > most {
 				t.Errorf("%.0f repeats of %.0f tries, at most %.0f", r.RepeatsPerRequest*tries, tries, most)
 			}
--- a/internal/faultbench/sizes_test.go
+++ b/internal/faultbench/sizes_test.go
@@ -29,7 +29,7 @@
 				t.Error(b)
 			}
 			t.Logf("%d replicas, limits %d MB and %d descriptors: %.0f MB (%.0f without the program's file), %d descriptors, %.0f goroutines, ready after %.2f s, served %v of %d",
-				z.replicas, z.memoryMB, z.sockets, r.RSSMB, r.OwnMB, r.FDs, r.Goroutines, r.ReadyS, r.ByStatus["served"], r.Asked)
+				z.replicas, z.memoryMB, z.sockets, r.RSSMB, r.OwnMB, r.FDs, r.Goroutines, r.ReadyS, r.ByStatus["served"], r.Requests)
 			if r.Crashes > 0 || r.ByStatus["served"] == 0 || r.OwnMB > float64(z.memoryMB) || r.FDs > z.sockets || r.Goroutines == 0 {
 				t.Errorf("%d crashes, %v, %.0f MB, %d descriptors, %.0f goroutines", r.Crashes, r.ByStatus, r.RSSMB, r.FDs, r.Goroutines)
 			}
--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		text := checkLastLine(t, r, "seed", "rules_broken", "crashes", "violations", "faults")
-		if !r.Good() || r.Asked == 0 || len(r.Faults) < 3 || r.Served == 0 {
+		if !r.Good() || r.Requests == 0 || len(r.Faults) < 3 || r.Served == 0 {
 			t.Error(text)
 		}
 	}
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text := checkLastLine(t, r, "seed", "rules_broken"); !r.Good() || r.Asked == 0 || r.Served == 0 {
+		if text := checkLastLine(t, r, "seed", "rules_broken"); !r.Good() || r.Requests == 0 || r.Served == 0 {
 			t.Error(text)
 		}
 	}
@@ -62,13 +62,13 @@
 // asked for.
 func TestSoakPlans(t *testing.T) {
 	o := SoakOptions{Seed: 5, Seconds: 40, Dispatchers: 10}
-	a, played, err := drawSoak(o)
+	a, played, err := drawPlan(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _, _ := drawSoak(o)
+	b, _, _ := drawPlan(o)
 	o.Seed++
-	c, _, _ := drawSoak(o)
+	c, _, _ := drawPlan(o)
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a, c) || len(a.Faults) < 15 || len(played) < 6 {
 		t.Errorf("%d faults of %d kinds", len(a.Faults), len(played))
 	}
@@ -78,14 +78,14 @@
 		}
 	}
 	o.Faults = []string{"clock", "drain"}
-	if _, played, err := drawSoak(o); err != nil || len(played) != 2 {
+	if _, played, err := drawPlan(o); err != nil || len(played) != 2 {
 		t.Errorf("%v, %v", played, err)
 	}
 	o.Faults = []string{"flood"}
-	if _, _, err := drawSoak(o); err == nil || strings.Contains(err.Error(), "\n") {
+	if _, _, err := drawPlan(o); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("an unknown kind: %v", err)
 	}
-	if _, _, err := drawSoak(SoakOptions{Seconds: 1}); err == nil {
+	if _, _, err := drawPlan(SoakOptions{Seconds: 1}); err == nil {
 		t.Error("a soak of a second")
 	}
 }
--- a/internal/faultbench/sums.go
+++ b/internal/faultbench/totals.go
@@ -1,15 +1,11 @@
 package faultbench
 
 import (
-	"context"
 	"slices"
-	"sync"
 	"time"
 
 	"rampspread/internal/faultbench/history"
 	"rampspread/internal/faultbench/replica"
-	"rampspread/internal/fleet"
-	"rampspread/internal/fleet/subsetter"
 )
 
 // FleetTotals are what all dispatchers did together, counted at the replicas, and the parts that they say they act by.
@@ -33,7 +29,7 @@
 
 const (
 	totalsWindow      = 5 * time.Second
-	slowStartShare    = 0.45 // of what a cold server bears, at an even load: the module's own aim
+	slowStartTarget   = 0.45 // of what a cold server bears, at an even load: the module's own aim
 	quotaPollInterval = 100 * time.Millisecond
 )
 
@@ -62,78 +58,108 @@
 // maxSum is the largest sum in sumSpan.
 func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
-// fleetTotals counts what came, from base on for so long.
+// fleetTotals counts what arrived at the replicas, from base on for a length. It sorts the events by time.
 func fleetTotals(events []history.Event, rules history.Rules, replicas []*replica.Replica, base, length time.Duration) (out FleetTotals) {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return int(a.At - b.At) })
-	byName := map[string]*replica.Replica{}
-	roles := map[bool]float64{} // weights of all listed
-	for _, r := range replicas {
-		byName[r.Name] = r
-		roles[r.Decode] += r.Weight()
-	}
-	type step struct {
-		request string
-		writer  bool
-	}
-	came := map[step]int{}
-	seen := map[string]bool{}
-	var firsts, repeats, lists series
-	own, load := map[string]*series{}, map[string]float64{}
-	work := map[bool]*series{false: {}, true: {}}
+	c := newArrivals(replicas)
 	for _, e := range events {
 		switch e.Kind {
 		case history.AttemptArrived:
-			r := byName[e.Replica]
-			s := step{e.Request, r.Decode}
-			if came[s]++; came[s] > 1 {
-				repeats.add(e.At, 1)
-			}
-			if !seen[e.Request] {
-				seen[e.Request] = true
-				firsts.add(e.At, 1)
-			}
-			load[e.Replica] += e.Weight
-			work[r.Decode].add(e.At, e.Weight)
+			c.addAttempt(e)
 		case history.LoadPolled:
-			if e.Class != replica.LeasedPoll {
-				if own[e.Replica] == nil {
-					own[e.Replica] = &series{}
-				}
-				own[e.Replica].add(e.At, 1)
-			}
+			c.addPoll(e)
 		case history.DiscoveryRequested:
 			if e.At > base { // all start at once
-				lists.add(e.At, 1)
+				c.discoveryCalls.add(e.At, 1)
 			}
 		}
 	}
-	out.MaxDiscoveryCalls = lists.maxSum()
-	if n := len(firsts.at); n > 0 {
-		out.RepeatsPerRequest = float64(len(repeats.at)) / float64(n)
-		perSpan := float64(n) / length.Seconds() * totalsWindow.Seconds()
-		out.MaxRepeatsPerRequest = repeats.maxSum() / perSpan
+	out.MaxDiscoveryCalls = c.discoveryCalls.maxSum()
+	if n := len(c.firsts.at); n > 0 {
+		out.RepeatsPerRequest = float64(len(c.repeats.at)) / float64(n)
+		perWindow := float64(n) / length.Seconds() * totalsWindow.Seconds()
+		out.MaxRepeatsPerRequest = c.repeats.maxSum() / perWindow
 	}
-	for _, s := range own {
+	for _, s := range c.ownPolls {
 		out.OwnPollRate += float64(len(s.at)) / float64(len(replicas)) / length.Seconds()
 		out.MaxOwnPollRate = max(out.MaxOwnPollRate, s.maxSum()/totalsWindow.Seconds())
 	}
+	stageLoad := c.stageLoad()
 	for _, r := range replicas {
 		out.HandshakeRate += float64(r.Connections.Opened()) / float64(len(replicas)) / length.Seconds()
 		out.MaxConnections = max(out.MaxConnections, r.Connections.MaxOpen())
-		all := 0.0
-		for _, o := range replicas {
-			if o.Decode == r.Decode {
-				all += load[o.Name]
-			}
-		}
-		if all > 0 {
-			out.MaxLoadOverMean = max(out.MaxLoadOverMean, load[r.Name]/all*roles[r.Decode]/r.Weight())
+		if all := stageLoad[r.Decode]; all > 0 {
+			out.MaxLoadOverMean = max(out.MaxLoadOverMean, c.load[r.Name]/all*c.stageWeight[r.Decode]/r.Weight())
 		}
 	}
-	out.addSlowStart(events, rules, byName, work, roles)
+	out.addSlowStart(events, rules, c)
 	return out
 }
 
+// step is one of a request's two stages.
+type step struct {
+	request string
+	decode  bool
+}
+
+// arrivals are what arrived at the replicas. Stages are told apart by whether they decode.
+type arrivals struct {
+	replicas       map[string]*replica.Replica
+	order          []*replica.Replica
+	stageWeight    map[bool]float64 // of all listed replicas
+	attempts       map[step]int
+	seen           map[string]bool // requests
+	firsts         series          // first attempts of requests
+	repeats        series          // of steps
+	discoveryCalls series
+	ownPolls       map[string]*series // that no lease asked for, by replica
+	load           map[string]float64 // work, by replica
+	work           map[bool]*series   // by stage
+}
+
+func newArrivals(replicas []*replica.Replica) *arrivals {
+	c := &arrivals{replicas: map[string]*replica.Replica{}, order: replicas, stageWeight: map[bool]float64{}, attempts: map[step]int{},
+		seen: map[string]bool{}, ownPolls: map[string]*series{}, load: map[string]float64{}, work: map[bool]*series{false: {}, true: {}}}
+	for _, r := range replicas {
+		c.replicas[r.Name] = r
+		c.stageWeight[r.Decode] += r.Weight()
+	}
+	return c
+}
+
+func (c *arrivals) addAttempt(e history.Event) {
+	r := c.replicas[e.Replica]
+	s := step{e.Request, r.Decode}
+	if c.attempts[s]++; c.attempts[s] > 1 {
+		c.repeats.add(e.At, 1)
+	}
+	if !c.seen[e.Request] {
+		c.seen[e.Request] = true
+		c.firsts.add(e.At, 1)
+	}
+	c.load[e.Replica] += e.Weight
+	c.work[r.Decode].add(e.At, e.Weight)
+}
+
+func (c *arrivals) addPoll(e history.Event) {
+	if e.Class == replica.LeasedPoll {
+		return
+	}
+	if c.ownPolls[e.Replica] == nil {
+		c.ownPolls[e.Replica] = &series{}
+	}
+	c.ownPolls[e.Replica].add(e.At, 1)
+}
+
+// stageLoad is the work of all replicas, by stage.
+func (c *arrivals) stageLoad() map[bool]float64 {
+	all := map[bool]float64{}
+	for _, r := range c.order {
+		all[r.Decode] += c.load[r.Name]
+	}
+	return all
+}
+
 // connectionsSettled is when all dispatchers have the connections that they begin with.
 const connectionsSettled = 4 * time.Second
 
@@ -155,15 +181,16 @@
 	return after.maxSum() / max(calm*totalsWindow.Seconds()/(fault-connectionsSettled).Seconds(), 1)
 }
 
-// addSlowStart is how much of what they may be sent addSlowStart replicas were sent, and the most that one was sent of what it bears.
-func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, byName map[string]*replica.Replica, work map[bool]*series, roles map[bool]float64) {
+// addSlowStart is how much of what they may be sent replicas in slow start were sent, and the most that one was sent of
+// what it can take.
+func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, c *arrivals) {
 	var used []float64
 	for _, start := range events {
 		if start.Kind != history.ReplicaStarted {
 			continue
 		}
-		r, b := byName[start.Replica], &history.SlowStartBudget{Rules: rules, Start: start}
-		got, may := 0.0, 0.0
+		got := 0.0
+		b := &history.SlowStartBudget{Rules: rules, Start: start}
 		for _, e := range events {
 			if e.Kind == history.AttemptArrived && e.Replica == start.Replica && e.At >= start.At && e.At <= start.Until {
 				got += e.Weight
@@ -171,14 +198,8 @@
 				out.MaxSlowStartLoad = max(out.MaxSlowStartLoad, sum/allowed)
 			}
 		}
-		w := work[r.Decode]
-		for i, at := range w.at { // of all that came meanwhile, its even part by what it may have of that
-			if at >= start.At && at <= start.Until {
-				may += w.weight[i] * r.Weight() / roles[r.Decode] * min(slowStartShare*rules.OverloadMultiple*rules.CapacityFraction(start, at), 1)
-			}
-		}
-		if may > 0 {
-			used = append(used, got/may)
+		if share := c.slowStartShare(start, rules); share > 0 {
+			used = append(used, got/share)
 		}
 	}
 	for _, u := range used {
@@ -186,54 +207,15 @@
 	}
 }
 
-// Quota is a dispatcher's part as it shows it to its operators.
-func (r *Run) Quota(d int) (fleet.QuotaStatus, error) {
-	return adminStatus[fleet.QuotaStatus](r, d, "shares")
-}
-
-// Subset is what a dispatcher keeps to.
-func (r *Run) Subset(d int) (subsetter.Status, error) {
-	return adminStatus[subsetter.Status](r, d, "subset")
-}
-
-// quotaFractions asks all dispatchers at once what they act by; those that do not answer act by nothing that this can see.
-func (r *Run) quotaFractions() (parts []float64) {
-	var wg sync.WaitGroup
-	parts = make([]float64, len(r.dispatchers))
-	for d := range r.dispatchers {
-		wg.Go(func() {
-			if s, err := r.Quota(d); err == nil {
-				parts[d] = s.Fraction
-			}
-		})
-	}
-	wg.Wait()
-	return parts
-}
-
-// watchQuotas adds up what dispatchers act by until the context ends.
-func (r *Run) watchQuotas(ctx context.Context, out *FleetTotals) {
-	lent, n, all := false, 0.0, 0.0
-	tick := time.NewTicker(quotaPollInterval)
-	defer tick.Stop()
-	for {
-		sum := 0.0
-		for _, p := range r.quotaFractions() {
-			sum += p
-			out.MaxQuota = max(out.MaxQuota, p)
-		}
-		if out.MaxQuotaSum = max(out.MaxQuotaSum, sum); !lent && sum > 0.9 {
-			lent, out.MinQuotaSum = true, sum
-		}
-		if lent {
-			out.MinQuotaSum = min(out.MinQuotaSum, sum)
-			n, all = n+1, all+sum
-			out.MeanQuotaSum = all / n
-		}
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return
+// slowStartShare is the work that a replica in slow start may have of all that arrived meanwhile: its even share, by its
+// capacity then.
+func (c *arrivals) slowStartShare(start history.Event, rules history.Rules) (share float64) {
+	r := c.replicas[start.Replica]
+	work := c.work[r.Decode]
+	for i, at := range work.at {
+		if at >= start.At && at <= start.Until {
+			share += work.weight[i] * r.Weight() / c.stageWeight[r.Decode] * min(slowStartTarget*rules.OverloadMultiple*rules.CapacityFraction(start, at), 1)
 		}
 	}
+	return share
 }
--- a/internal/faultbench/stragglers.go
+++ b/internal/faultbench/versionskew.go
@@ -54,44 +54,69 @@
 	}
 }
 
-// versionSkewReport sums up what happened to stragglers; events are in order.
-func versionSkewReport(events []history.Event) (out VersionSkewReport) {
-	old := map[int]history.Event{}
+// versionSkewReport sums up what happened to dispatchers with an old list or settings; events are in order.
+func versionSkewReport(events []history.Event) VersionSkewReport {
+	s := skewTracker{stale: map[int]history.Event{}, missedAt: map[int]time.Duration{}, fencedAt: map[int]time.Duration{},
+		sentAt: map[string]time.Duration{}}
 	for _, e := range events {
 		if e.Kind == history.StaleListServed {
-			old[e.Dispatcher] = e
+			s.stale[e.Dispatcher] = e
 		}
 	}
-	missed := map[int]time.Duration{} // the first change that it was not told; settings are missed from the beginning
-	shut, asked := map[int]time.Duration{}, map[string]time.Duration{}
 	for _, e := range events {
 		switch e.Kind {
 		case history.EndpointWithdrawn, history.EndpointReady:
-			for d, o := range old {
-				if o.Class != staleSettings && missed[d] == 0 && d != e.Dispatcher && e.At > o.At && e.At < o.Until {
-					missed[d] = e.At
-				}
-			}
+			s.listChanged(e)
 		case history.AdmissionChanged:
-			o, was := old[e.Dispatcher]
-			switch {
-			case e.Complete && (!was || e.At < o.At):
-				out.FalselyFenced++
-			case e.Complete:
-				out.DetectionS = append(out.DetectionS, (e.At - max(missed[e.Dispatcher], o.At)).Seconds())
-			case was:
-				out.ReadmissionS = append(out.ReadmissionS, (e.At - o.Until).Seconds())
-			}
-			if delete(shut, e.Dispatcher); e.Complete {
-				shut[e.Dispatcher] = e.At
-			}
+			s.admissionChanged(e)
 		case history.RequestSent:
-			asked[e.Request] = e.At
+			s.sentAt[e.Request] = e.At
 		case history.AttemptArrived:
-			if at, is := shut[e.Dispatcher]; is && e.At > at+fenceSettleTime && asked[e.Request] > at+fenceSettleTime {
-				out.WorkAfterFence++
-			}
+			s.attemptArrived(e)
 		}
 	}
-	return out
+	return s.report
+}
+
+// skewTracker follows the dispatchers with an old list or settings.
+type skewTracker struct {
+	stale    map[int]history.Event    // by dispatcher: when its list or settings were old
+	missedAt map[int]time.Duration    // the first change that it was not sent; settings are missed from the beginning
+	fencedAt map[int]time.Duration    // since when it takes no clients
+	sentAt   map[string]time.Duration // by request
+	report   VersionSkewReport
+}
+
+// listChanged notes which dispatchers missed a change that another got.
+func (s *skewTracker) listChanged(e history.Event) {
+	for d, stale := range s.stale {
+		if stale.Class != staleSettings && s.missedAt[d] == 0 && d != e.Dispatcher && e.At > stale.At && e.At < stale.Until {
+			s.missedAt[d] = e.At
+		}
+	}
+}
+
+// admissionChanged notes that a dispatcher takes no clients from now on (Complete), or takes them again.
+func (s *skewTracker) admissionChanged(e history.Event) {
+	stale, was := s.stale[e.Dispatcher]
+	switch {
+	case e.Complete && (!was || e.At < stale.At):
+		s.report.FalselyFenced++
+	case e.Complete:
+		s.report.DetectionS = append(s.report.DetectionS, (e.At - max(s.missedAt[e.Dispatcher], stale.At)).Seconds())
+	case was:
+		s.report.ReadmissionS = append(s.report.ReadmissionS, (e.At - stale.Until).Seconds())
+	}
+	delete(s.fencedAt, e.Dispatcher)
+	if e.Complete {
+		s.fencedAt[e.Dispatcher] = e.At
+	}
+}
+
+// attemptArrived counts work for a request that a fenced dispatcher took.
+func (s *skewTracker) attemptArrived(e history.Event) {
+	at, fenced := s.fencedAt[e.Dispatcher]
+	if fenced && e.At > at+fenceSettleTime && s.sentAt[e.Request] > at+fenceSettleTime {
+		s.report.WorkAfterFence++
+	}
 }
--- a/internal/faultbench/stragglers_test.go
+++ b/internal/faultbench/versionskew_test.go
@@ -40,8 +40,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if g := r.VersionSkew; !r.Good() || r.StaleActs > 0 || len(g.DetectionS) != outs || outs > 0 && slices.Max(g.DetectionS) > 10 || len(g.ReadmissionS) != outs || g.FalselyFenced > 0 || g.WorkAfterFence > 0 {
-				t.Errorf("%+v, %d stale acts, %v", g, r.StaleActs, r.violations)
+			if g := r.VersionSkew; !r.Good() || r.StaleAttempts > 0 || len(g.DetectionS) != outs || outs > 0 && slices.Max(g.DetectionS) > 10 || len(g.ReadmissionS) != outs || g.FalselyFenced > 0 || g.WorkAfterFence > 0 {
+				t.Errorf("%+v, %d stale acts, %v", g, r.StaleAttempts, r.violations)
 			}
 		})
 	}
