--- a/cmd/fleetrig/golden_test.go
+++ b/cmd/fleetrig/golden_test.go
@@ -31,7 +31,7 @@
 func TestGoldenCommands(t *testing.T) {
 	var out bytes.Buffer
 	describe(&out, commands(io.Discard, io.Discard), "")
-	text := strings.ReplaceAll(out.String(), filepath.Dir(beside()), "FOLDER") // the binaries beside this one
+	text := strings.ReplaceAll(out.String(), filepath.Dir(programPath()), "FOLDER") // the binaries beside this one
 	testutil.CheckGolden(t, *update, "commands.golden", text)
 }
 
--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// errBad is a run in which a rule broke or a process crashed; its report has been printed.
-var errBad = errors.New("a rule broke or a process crashed")
+// errFailed is a run in which a rule broke or a process crashed; its report has been printed.
+var errFailed = errors.New("a rule broke or a process crashed")
 
 func commands(out, logs io.Writer) *cobra.Command {
 	root := cli.NewRootCommand("fleetrig", "Run a fleet of the program with faults between its processes", out)
@@ -40,8 +40,8 @@
 	return root
 }
 
-// beside is the program's binary, which is built into the same folder.
-func beside() string {
+// programPath is the program's binary, which is built into the same folder.
+func programPath() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "bin/rampspread"
@@ -49,16 +49,16 @@
 	return filepath.Join(filepath.Dir(self), "rampspread")
 }
 
-func options(c *cobra.Command, o *faultbench.Options) {
-	c.Flags().StringVar(&o.Program, "program", beside(), "the program's `binary`")
+func addRunFlags(c *cobra.Command, o *faultbench.Options) {
+	c.Flags().StringVar(&o.Program, "program", programPath(), "the program's `binary`")
 	c.Flags().IntVar(&o.Dispatchers, "dispatchers", 3, "how many `dispatchers`")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws arrivals, sizes and what faults befall")
 }
 
-func logTo(logs io.Writer) *slog.Logger { return slog.New(cli.LogHandler(logs)) }
+func newLogger(logs io.Writer) *slog.Logger { return slog.New(cli.LogHandler(logs)) }
 
-// verdict prints a report, and tells whether anything in it was wrong.
-func verdict(out io.Writer, report interface {
+// printVerdict prints a report, and tells whether anything in it was wrong.
+func printVerdict(out io.Writer, report interface {
 	Print(io.Writer) error
 	Good() bool
 }) error {
@@ -66,7 +66,7 @@
 		return err
 	}
 	if !report.Good() {
-		return errBad
+		return errFailed
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 			if keep != "" {
 				o.Dir = filepath.Join(keep, fmt.Sprintf("%s-%d-%d.files", s.Name, o.Dispatchers, o.Seed))
 			}
-			o.Log = logTo(logs)
+			o.Log = newLogger(logs)
 			report, err := faultbench.Play(c.Context(), s, o)
 			if err != nil {
 				return err
@@ -93,9 +93,9 @@
 					return err
 				}
 			}
-			return verdict(out, report)
+			return printVerdict(out, report)
 		}}
-	options(c, &o)
+	addRunFlags(c, &o)
 	c.Flags().BoolVar(&o.Fleet, "fleet", false, "let the dispatchers know of each other")
 	c.Flags().BoolVar(&o.NoLeasedTasks, "no-duties", false, "with -fleet: do nothing in turn")
 	c.Flags().BoolVar(&o.Budgets, "budgets", false, "with -fleet: let them share what they may do together")
@@ -129,7 +129,7 @@
 	var o faultbench.Options
 	c := &cobra.Command{Use: "demo", Short: "Start a whole fleet with the chat front and print how to ask it; SIGINT or SIGTERM ends it",
 		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
-			o.Log = logTo(logs)
+			o.Log = newLogger(logs)
 			d, err := faultbench.StartDemo(c.Context(), o)
 			if err != nil {
 				return err
@@ -142,6 +142,6 @@
 			<-c.Context().Done()
 			return nil
 		}}
-	options(c, &o)
+	addRunFlags(c, &o)
 	return c
 }
--- a/cmd/fleetrig/soak.go
+++ b/cmd/fleetrig/soak.go
@@ -12,8 +12,8 @@
 	"rampspread/internal/faultbench"
 )
 
-// faulty is the binary of the program on a machine with faults.
-func faulty() string { return filepath.Join(filepath.Dir(beside()), "rampspread-faults") }
+// faultsProgramPath is the binary of the program on a machine with faults.
+func faultsProgramPath() string { return filepath.Join(filepath.Dir(programPath()), "rampspread-faults") }
 
 func soakCommand(out, logs io.Writer) *cobra.Command {
 	var o faultbench.SoakOptions
@@ -23,14 +23,14 @@
 			if faults != "" {
 				o.Faults = strings.Split(faults, ",")
 			}
-			o.Log = logTo(logs)
+			o.Log = newLogger(logs)
 			report, err := faultbench.Soak(c.Context(), o)
 			if err != nil {
 				return err
 			}
-			return verdict(out, report)
+			return printVerdict(out, report)
 		}}
-	c.Flags().StringVar(&o.Program, "program", faulty(), "the `binary` of rampspread-faults")
+	c.Flags().StringVar(&o.Program, "program", faultsProgramPath(), "the `binary` of rampspread-faults")
 	c.Flags().IntVar(&o.Dispatchers, "dispatchers", 10, "how many `dispatchers`")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws the plan of faults, arrivals and how the dispatchers are run")
 	c.Flags().Float64Var(&o.Seconds, "seconds", 30, "how long the traffic lasts")
--- a/internal/faultbench/rig_test.go
+++ b/internal/faultbench/bench_test.go
@@ -17,16 +17,16 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// program builds the real program once for all tests of the package.
-var program string
+// programPath builds the real programPath once for all tests of the package.
+var programPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rigtest-")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "rampspread")
-	if out, err := exec.Command("go", "build", "-o", program, "rampspread/cmd/rampspread").CombinedOutput(); err != nil {
+	programPath = filepath.Join(dir, "rampspread")
+	if out, err := exec.Command("go", "build", "-o", programPath, "rampspread/cmd/rampspread").CombinedOutput(); err != nil {
 		os.Stderr.Write(out)
 		os.RemoveAll(dir)
 		os.Exit(1)
@@ -36,8 +36,8 @@
 	os.Exit(code)
 }
 
-// short is a built-in scenario cut to its first seconds, with faults moved forward.
-func short(t *testing.T, name string, length, earlier float64) *scenario.Scenario {
+// shortScenario is a built-in scenario cut to its first seconds, with faults moved forward.
+func shortScenario(t *testing.T, name string, length, earlier float64) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
 	if err != nil {
@@ -62,18 +62,18 @@
 		fleet  bool
 		shows  func(r *Report) bool
 	}{
-		{"kill-most", 9, false, func(r *Report) bool { return downs(r) == 2 }},
-		{"pause-one", 9, true, func(r *Report) bool { return downs(r) == 1 }},
+		{"kill-most", 9, false, func(r *Report) bool { return countDowntimes(r) == 2 }},
+		{"pause-one", 9, true, func(r *Report) bool { return countDowntimes(r) == 1 }},
 		// Duties: nothing is probed for a lease that another has followed, and what is left behind is taken over.
 		{"kill-holder", 12, true, func(r *Report) bool {
-			return downs(r) == 2 && r.LeasedPollRate > 0.5 && r.StaleLeasePolls == 0 && r.MaxLeasedPollGapS < 6
+			return countDowntimes(r) == 2 && r.LeasedPollRate > 0.5 && r.StaleLeasePolls == 0 && r.MaxLeasedPollGapS < 6
 		}},
 		{"split-voters", 12, true, func(r *Report) bool { return r.LeasedPollRate > 0 && r.StaleLeasePolls == 0 }},
-		{"cut-zone", 9, false, func(r *Report) bool { return downs(r) == 0 && r.ByStatus["served"] > 0 }},
+		{"cut-zone", 9, false, func(r *Report) bool { return countDowntimes(r) == 0 && r.ByStatus["served"] > 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Play(context.Background(), short(t, c.name, c.length, 5), Options{Program: program, Dispatchers: 3, Seed: 1, Fleet: c.fleet, Dir: t.TempDir()})
+			r, err := Play(context.Background(), shortScenario(t, c.name, c.length, 5), Options{Program: programPath, Dispatchers: 3, Seed: 1, Fleet: c.fleet, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +115,7 @@
 	return out.String()
 }
 
-func downs(r *Report) (n int) {
+func countDowntimes(r *Report) (n int) {
 	for _, e := range r.events {
 		if e.Kind == history.ProcessDown && e.Until > 0 {
 			n++
@@ -126,7 +126,7 @@
 
 // The demo's commands work as printed.
 func TestDemo(t *testing.T) {
-	d, err := StartDemo(context.Background(), Options{Program: program, Dispatchers: 3, Seed: 1})
+	d, err := StartDemo(context.Background(), Options{Program: programPath, Dispatchers: 3, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -13,19 +13,21 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Demo is a fleet that runs until it is closed, with the chat front, for people to try.
+// Demo is a fleet that runs until it is closed, with the chat API, for people to try.
 type Demo struct{ run *Run }
 
-// chatPort is where the demo's dispatchers have their chat front, each on an address of its own.
+// chatPort is the port of the dispatchers' chat APIs, each on an address of its own.
 const chatPort = 8080
 
-// StartDemo starts the stand-ins and the dispatchers; the replicas answer whoever asks.
+// StartDemo starts the simulated parties and the dispatchers; the replicas answer requests from anyone.
 func StartDemo(ctx context.Context, o Options) (*Demo, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	r := &Run{scenario: &scenario.Scenario{Name: "demo", Zones: 3, PrefillReplicas: 3, DecodeReplicas: 3}, options: o, history: history.NewRecorder(),
-		rules: history.Rules{OverloadMultiple: 2.5, OverloadWindow: scenario.Seconds(2), InitialCapacity: 0.34}, acceptAnyRequest: true}
+
+		rules: history.Rules{OverloadMultiple: deployment.OverloadMultiple, OverloadWindow: deployment.OverloadWindow,
+			InitialCapacity: deployment.InitialCapacity}, acceptAnyRequest: true}
 	dir, err := os.MkdirTemp("", "fleetrig-")
 	if err != nil {
 		return nil, fmt.Errorf("demo: %w", err)
@@ -45,7 +47,7 @@
 	os.RemoveAll(d.run.dir)
 }
 
-// Commands ask the fleet in ways that work as they stand.
+// Commands are shell commands that call the fleet.
 func (d *Demo) Commands() []string {
 	chat := d.run.addrs.chat(0)
 	return []string{
@@ -54,7 +56,7 @@
 	}
 }
 
-// chatFile writes the chat front's file for a dispatcher.
+// chatFile writes the chat API's file of a dispatcher.
 func (r *Run) chatFile(d int) (string, error) {
 	models := map[string]string{}
 	for _, c := range r.deployment.Classes {
@@ -64,17 +66,17 @@
 		"max_tokens": 100, "filings": map[string]any{"entries": 1000, "keep_s": 3600}})
 }
 
-// unregisteredRequest is what replicas make of a request that no client of the rig sent, where anyone may ask.
+// unregisteredRequest is what replicas make of a request that no client of the bench sent; nil where they reject those.
 func (r *Run) unregisteredRequest(q *http.Request, body []byte) *deployment.Request {
-	var ask struct{ Model string }
-	if !r.acceptAnyRequest || json.Unmarshal(body, &ask) != nil {
+	var call struct{ Model string }
+	if !r.acceptAnyRequest || json.Unmarshal(body, &call) != nil {
 		return nil
 	}
 	for _, c := range r.deployment.Classes {
-		if c.Name == ask.Model {
+		if c.Name == call.Model {
 			id := q.Header.Get("X-Trace-Id")
 			if !c.Repeatable {
-				id = string(body) // the same filing, whoever sends it
+				id = string(body) // the same request, whoever sends it
 			}
 			return &deployment.Request{Group: id, Class: c, Session: id, PromptTokens: 100, OutputTokens: c.OutputTokens, Body: string(body)}
 		}
--- a/internal/faultbench/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -17,8 +17,8 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// seeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
-func seeds(t *testing.T, few int) (out []uint64) {
+// playedSeeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
+func playedSeeds(t *testing.T, few int) (out []uint64) {
 	n, err := strconv.Atoi(cmp.Or(os.Getenv("RAMPSPREAD_DEPLOYMENTS"), strconv.Itoa(few)))
 	if err != nil {
 		t.Fatal(err)
@@ -33,30 +33,30 @@
 // servers, kills, SIGTERM and moves: no rule breaks and nothing crashes. The checker knows what the stand-ins saw on
 // their sockets only, and is shown to see a breach of each kind in that same day.
 func TestDrawnDeployments(t *testing.T) {
-	for _, seed := range seeds(t, 4) {
+	for _, seed := range playedSeeds(t, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			day := scenario.DrawDay(seed)
-			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
+			r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, b := range r.violations {
-				t.Errorf("%s: %s", describe(day), b)
+				t.Errorf("%s: %s", describeFaults(day), b)
 			}
 			if r.Crashes > 0 || r.Requests == 0 || r.ByStatus["served"] == 0 {
-				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Requests, r.ByStatus)
+				t.Errorf("%s: %d crashes, %d asked, %v", describeFaults(day), r.Crashes, r.Requests, r.ByStatus)
 			}
 			plan := deployment.Draw(day.Zones, seed)
-			if n := count(r.events, history.LoadPolled); !plan.LoadPolls && n > 0 {
+			if n := countEvents(r.events, history.LoadPolled); !plan.LoadPolls && n > 0 {
 				t.Errorf("%d probes where the settings allow none", n)
 			}
-			mutants(t, r.events, plan)
+			checkMutatedHistories(t, r.events, plan)
 		})
 	}
 }
 
-func describe(s *scenario.Scenario) string {
+func describeFaults(s *scenario.Scenario) string {
 	var out bytes.Buffer
 	for _, f := range s.Faults {
 		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Action, f.Links, f.At)
@@ -64,7 +64,7 @@
 	return out.String()
 }
 
-func count(events []history.Event, kind history.Kind) (n int) {
+func countEvents(events []history.Event, kind history.Kind) (n int) {
 	for _, e := range events {
 		if e.Kind == kind {
 			n++
@@ -73,9 +73,9 @@
 	return n
 }
 
-// mutants breaks one rule of each kind in a day that kept them, at a place drawn by its length, and wants the checker to
+// checkMutatedHistories breaks one rule of each kind in a day that kept them, at a place drawn by its length, and wants the checker to
 // see it.
-func mutants(t *testing.T, events []history.Event, plan *deployment.Deployment) {
+func checkMutatedHistories(t *testing.T, events []history.Event, plan *deployment.Deployment) {
 	t.Helper()
 	rules := plan.Rules(func(string) int { return 0 })
 	rng := rand.New(rand.NewPCG(uint64(len(events)), 1))
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -24,10 +24,7 @@
 	relays     []*network.Relay
 }
 
-func (a *addresses) peerListen(d int) string { return a.at(3, d+1, 7946) } // where a dispatcher listens and sends from
-func (a *addresses) peerRelay(d int) string  { return a.at(4, d+1, 7946) } // where others find it: its relay
-
-// budgets are what a rig's dispatchers may do together.
+// budgets limit what the bench's dispatchers may do together.
 var budgets = fleet.Budgets{Floor: 0.25, PollsPerReplica: 6, RetriesPerRequest: 0.2, RetriesPerSecond: 4}
 
 // fleetFile writes the fleet's file of a dispatcher.
@@ -52,7 +49,7 @@
 	return r.writeFile(fmt.Sprintf("n%d.fleet.json", d), f)
 }
 
-// relayPeers stands a relay before each dispatcher.
+// relayPeers puts a relay in front of each dispatcher.
 func (r *Run) relayPeers() error {
 	n := r.options.Dispatchers
 	p := &peers{}
@@ -68,7 +65,7 @@
 	for to := range n {
 		relay, err := network.NewRelay(r.addrs.peerRelay(to), r.addrs.peerListen(to), func(ip net.IP) *network.Link {
 			v4 := ip.To4()
-			if v4 == nil || v4[2] != 3 || int(v4[3]) < 1 || int(v4[3]) > n {
+			if v4 == nil || v4[2] != peerSubnet || int(v4[3]) < 1 || int(v4[3]) > n {
 				return nil
 			}
 			return p.links[v4[3]-1][to]
@@ -81,7 +78,7 @@
 	return nil
 }
 
-// set changes what befalls the bytes from one dispatcher to another.
+// set changes the condition of the bytes from one dispatcher to another.
 func (p *peers) set(from, to int, c network.Condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +87,7 @@
 	p.links[to][from].Set(p.conditions[to][from], p.conditions[from][to])
 }
 
-// setAround changes what befalls the bytes to (or from, or both) one dispatcher.
+// setAround changes the condition of the bytes to (or from, or both) one dispatcher.
 func (p *peers) setAround(d int, way string, c network.Condition) {
 	for other := range p.links {
 		if other == d {
--- a/internal/faultbench/fleet_report.go
+++ b/internal/faultbench/fleet_report.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// leasedPolls is the longest time in which a replica that was there was not probed for the fleet, from settle on, how many
-// probes came for a lease after another had followed it, and how many came in all.
+// leasedPolls is the longest time in which a reachable replica was not polled on behalf of the fleet, from settle on, how
+// many polls arrived for a lease after another had followed it, and how many arrived in all.
 func leasedPolls(events []history.Event, settle, end time.Duration) (gap float64, doubled, all int) {
 	last, most := map[string]time.Duration{}, map[string]float64{}
 	away := map[string]bool{}
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -26,26 +26,26 @@
 func startFleet(t *testing.T, n int) *Run {
 	t.Helper()
 	r := &Run{scenario: &scenario.Scenario{Name: "fleet", Zones: 3, PrefillReplicas: 1, DecodeReplicas: 1}, history: history.NewRecorder(), dir: t.TempDir(),
-		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Log: slog.New(slog.DiscardHandler)}}
+		options: Options{Program: programPath, Dispatchers: n, Seed: 1, Fleet: true, Log: slog.New(slog.DiscardHandler)}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	for d := range n {
-		r.sees(t, d, "alive", r.all()...)
+		r.awaitState(t, d, "alive", r.allDispatchers()...)
 	}
 	return r
 }
 
-func (r *Run) all() (out []int) {
+func (r *Run) allDispatchers() (out []int) {
 	for d := range r.dispatchers {
 		out = append(out, d)
 	}
 	return out
 }
 
-// sees waits until a dispatcher shows these members in a state.
-func (r *Run) sees(t *testing.T, d int, state string, members ...int) {
+// awaitState waits until a dispatcher shows these members in a state.
+func (r *Run) awaitState(t *testing.T, d int, state string, members ...int) {
 	t.Helper()
 	testutil.Eventually(t, fmt.Sprintf("%v as %s at %d", members, state, d), func() bool {
 		s, err := r.Members(d)
@@ -53,7 +53,7 @@
 	})
 }
 
-func (r *Run) member(t *testing.T, at, of int) fleet.MemberStatus {
+func (r *Run) memberStatus(t *testing.T, at, of int) fleet.MemberStatus {
 	t.Helper()
 	s, err := r.Members(at)
 	if err != nil {
@@ -63,34 +63,34 @@
 }
 
 // The first on the list dies and comes back; another goes in order; a third is restarted five times in a row.
-func TestMembersComeAndGo(t *testing.T) {
+func TestMembershipAfterKillsAndRestarts(t *testing.T) {
 	t.Parallel()
 	r, ctx := startFleet(t, 5), context.Background()
 	r.dispatchers[0].Kill()
 	for d := 1; d < 5; d++ {
-		r.sees(t, d, "unreachable", 0)
+		r.awaitState(t, d, "unreachable", 0)
 	}
-	first := r.member(t, 1, 0)
+	first := r.memberStatus(t, 1, 0)
 	r.dispatchers[0].restart(ctx)
 	for d := range 5 {
-		r.sees(t, d, "alive", 0, 1, 2, 3, 4)
+		r.awaitState(t, d, "alive", 0, 1, 2, 3, 4)
 	}
-	if m := r.member(t, 1, 0); m.Incarnations != 2 || m.Incarnation <= first.Incarnation {
+	if m := r.memberStatus(t, 1, 0); m.Incarnations != 2 || m.Incarnation <= first.Incarnation {
 		t.Errorf("back as %+v after %+v", m, first)
 	}
 	r.dispatchers[3].Terminate()
 	for _, d := range []int{0, 1, 2, 4} {
-		r.sees(t, d, "left", 3)
+		r.awaitState(t, d, "left", 3)
 	}
 	for range 5 {
 		r.dispatchers[2].Kill()
 		r.dispatchers[2].restart(ctx)
 	}
 	for _, d := range []int{0, 1, 4} {
-		r.sees(t, d, "alive", 0, 1, 2, 4)
+		r.awaitState(t, d, "alive", 0, 1, 2, 4)
 		// Lives too short to be heard of are not counted, but the last one is the one that all hold.
-		testutil.Eventually(t, "the last life", func() bool { return r.member(t, d, 2).Incarnation == r.member(t, 2, 2).Incarnation })
-		if m := r.member(t, d, 2); m.Incarnations < 2 || m.Incarnations > 6 {
+		testutil.Eventually(t, "the last life", func() bool { return r.memberStatus(t, d, 2).Incarnation == r.memberStatus(t, 2, 2).Incarnation })
+		if m := r.memberStatus(t, d, 2); m.Incarnations < 2 || m.Incarnations > 6 {
 			t.Errorf("%d lives", m.Incarnations)
 		}
 		if s, err := r.Members(d); err != nil || len(s.Conflicts) > 0 {
@@ -105,7 +105,7 @@
 }
 
 // A partition into two and three sides shows on each side, and heals; packets lost one way only show too.
-func TestMembersApart(t *testing.T) {
+func TestMembershipAcrossPartitions(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 6)
 	for _, sides := range []int{2, 3} {
@@ -120,26 +120,26 @@
 					there = append(there, o)
 				}
 			}
-			r.sees(t, d, "unreachable", there...)
-			r.sees(t, d, "alive", here...)
+			r.awaitState(t, d, "unreachable", there...)
+			r.awaitState(t, d, "alive", here...)
 		}
 		r.peers.split(side, healthyLink)
 		for d := range r.dispatchers {
-			r.sees(t, d, "alive", r.all()...)
+			r.awaitState(t, d, "alive", r.allDispatchers()...)
 		}
 	}
 	r.peers.setAround(2, "to", cutLink)
 	for _, d := range []int{0, 1, 3, 4, 5} {
-		r.sees(t, d, "unreachable", 2)
+		r.awaitState(t, d, "unreachable", 2)
 	}
 	for d := range r.dispatchers {
 		if d != 2 {
-			r.sees(t, d, "alive", 0, 1, 3, 4, 5)
+			r.awaitState(t, d, "alive", 0, 1, 3, 4, 5)
 		}
 	}
 	r.peers.setAround(2, "to", healthyLink)
 	for d := range r.dispatchers {
-		r.sees(t, d, "alive", r.all()...)
+		r.awaitState(t, d, "alive", r.allDispatchers()...)
 	}
 	before, _ := r.Members(0)
 	if before.ViewVersion < 10 {
@@ -148,12 +148,12 @@
 }
 
 // A process that was stopped for longer than the others wait knows, the moment it wakes, that its view is old.
-func TestMemberStopped(t *testing.T) {
+func TestResumedMemberKnowsItsViewIsOld(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
 	r.dispatchers[1].Suspend()
-	r.sees(t, 0, "unreachable", 1)
-	r.sees(t, 2, "unreachable", 1)
+	r.awaitState(t, 0, "unreachable", 1)
+	r.awaitState(t, 2, "unreachable", 1)
 	conn, err := net.Dial("tcp", r.addrs.admin(1)) // the kernel takes the call while the process is stopped
 	if err != nil {
 		t.Fatal(err)
@@ -170,29 +170,29 @@
 		t.Errorf("its first word after the pause is fresh %t, %v", s.Fresh, err)
 	}
 	for d := range 3 {
-		r.sees(t, d, "alive", 0, 1, 2)
+		r.awaitState(t, d, "alive", 0, 1, 2)
 	}
 	testutil.Eventually(t, "a fresh view", func() bool { s, err := r.Members(1); return err == nil && s.Fresh })
-	if m := r.member(t, 0, 1); m.Incarnations != 1 {
+	if m := r.memberStatus(t, 0, 1); m.Incarnations != 1 {
 		t.Errorf("a stopped process came back as %+v", m)
 	}
 }
 
 // Packets of a life that has ended, sealed with the right key and sent once more, change nothing.
-func TestPacketsReplayed(t *testing.T) {
+func TestReplayedPacketsChangeNothing(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
 	time.Sleep(time.Second) // of beats, probes, claims and results
 	r.dispatchers[1].Kill()
-	r.sees(t, 0, "unreachable", 1)
+	r.awaitState(t, 0, "unreachable", 1)
 	r.dispatchers[1].restartWithoutState(context.Background())
 	for d := range 3 {
-		r.sees(t, d, "alive", 0, 1, 2)
+		r.awaitState(t, d, "alive", 0, 1, 2)
 	}
-	testutil.Eventually(t, "the second life", func() bool { return r.member(t, 0, 1).Incarnations == 2 && r.member(t, 2, 1).Incarnations == 2 })
+	testutil.Eventually(t, "the second life", func() bool { return r.memberStatus(t, 0, 1).Incarnations == 2 && r.memberStatus(t, 2, 1).Incarnations == 2 })
 	var before []fleet.MemberStatus
 	for _, at := range []int{0, 2} {
-		before = append(before, r.member(t, at, 1))
+		before = append(before, r.memberStatus(t, at, 1))
 	}
 	for _, relay := range r.peers.relays {
 		if n, err := relay.Replay(); err != nil || n < 10 {
@@ -201,7 +201,7 @@
 	}
 	time.Sleep(2 * time.Second) // longer than a member is suspected for before it is given up
 	for i, at := range []int{0, 2} {
-		if m := r.member(t, at, 1); m.State != "alive" || m.Incarnations != 2 || m.Incarnation != before[i].Incarnation {
+		if m := r.memberStatus(t, at, 1); m.State != "alive" || m.Incarnations != 2 || m.Incarnation != before[i].Incarnation {
 			t.Errorf("at %d: %+v, before the replay %+v", at, m, before[i])
 		}
 		if s, err := r.Members(at); err != nil || s.Stale == 0 {
@@ -211,7 +211,7 @@
 }
 
 // A member whose descriptor table is full, and whose peer port gets garbage, stays a member.
-func TestMemberInTrouble(t *testing.T) {
+func TestMemberWithoutDescriptorsStays(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
 	pid := r.dispatchers[1].PID()
@@ -224,14 +224,14 @@
 		t.Fatal(err)
 	}
 	defer u.Close()
-	was := r.member(t, 0, 1)
+	was := r.memberStatus(t, 0, 1)
 	for _, text := range testutil.CorruptedSeeds(9, "\xf4\x03rigabcdefgh", strings.Repeat("\x00", 300)) {
 		io.WriteString(u, text)
 	}
 	// It goes on for as many views of the others as it takes to give one up several times over.
 	end := time.Now().Add(4 * time.Second)
 	for time.Now().Before(end) {
-		if m := r.member(t, 0, 1); m.State != "alive" || m.Incarnations != was.Incarnations {
+		if m := r.memberStatus(t, 0, 1); m.State != "alive" || m.Incarnations != was.Incarnations {
 			t.Fatalf("with a full table it shows as %+v", m)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -240,5 +240,5 @@
 		t.Fatal(err)
 	}
 	testutil.Eventually(t, "the count of garbage", func() bool { s, err := r.Members(1); return err == nil && s.Malformed > 10 })
-	r.sees(t, 1, "alive", 0, 1, 2)
+	r.awaitState(t, 1, "alive", 0, 1, 2)
 }
--- a/internal/faultbench/filings_test.go
+++ b/internal/faultbench/idempotency_test.go
@@ -10,7 +10,7 @@
 // Filings that clients send to several dispatchers under kills, a partition, a stop and a lost state: the writers saw each key
 // begin at most once, and repeats have the first try's answer. Without the fleet's keepers the same count finds keys
 // that ran twice.
-func TestFilingsRunOnce(t *testing.T) {
+func TestIdempotentRequestsExecuteOnce(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		t.Run(map[bool]string{true: "kept", false: "each its own"}[kept], func(t *testing.T) {
 			t.Parallel()
@@ -24,7 +24,7 @@
 			if !kept {
 				s.Seconds, s.Faults = 5, nil
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 4, Seed: 4, Fleet: kept, IdempotentRequests: kept, LocalIdempotency: !kept, SkipViews: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 4, Seed: 4, Fleet: kept, IdempotentRequests: kept, LocalIdempotency: !kept, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -41,7 +41,7 @@
 
 // A process that is killed while its filing is out, and comes back alone with its state, says that the filing may have run; with an
 // answer that it knew, it gives that again.
-func TestFilingOfAnEarlierLife(t *testing.T) {
+func TestIdempotentRequestAcrossRestart(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("filings")
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	s.Seconds, s.Rate, s.Zones = 8, 4, 1
 	s.Faults = []scenario.Fault{{At: 2, Action: "kill", Duration: 0.5}, {At: 5, Action: "kill", Duration: 0.5}}
-	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 1, Seed: 5, Fleet: true, IdempotentRequests: true, SkipViews: true, Dir: t.TempDir()})
+	r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 1, Seed: 5, Fleet: true, IdempotentRequests: true, SkipViews: true, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -62,11 +62,11 @@
 	return l.apply()
 }
 
-// apply brings the sockets into line with what is wanted; the caller holds the lock (or is alone).
+// apply opens and closes sockets as the state wants them; the caller holds the lock (or is alone).
 func (l *Listener) apply() error {
-	wantHole := l.cut && !l.ended
+	wantFull := l.cut && !l.ended
 	wantOpen := !l.cut && !l.down && !l.ended
-	if !wantHole && l.fullSocket != nil {
+	if !wantFull && l.fullSocket != nil {
 		for _, c := range l.fillers {
 			c.Close()
 		}
@@ -77,7 +77,7 @@
 		l.listener.Close()
 		l.listener = nil
 	}
-	if wantHole && l.fullSocket == nil {
+	if wantFull && l.fullSocket == nil {
 		if err := l.openFullSocket(); err != nil {
 			return fmt.Errorf("network: %w", err)
 		}
@@ -93,18 +93,24 @@
 	return nil
 }
 
-// retryBusy tries again for a while where a socket that was just closed still holds the address.
+const (
+	maxBusyRetries    = 50
+	busyRetryInterval = 2 * time.Millisecond
+	fillTimeout       = 20 * time.Millisecond // for a connection that fills the backlog
+)
+
+// retryBusy retries for a while where a socket that was just closed still holds the address.
 func retryBusy[T any](f func() (T, error)) (T, error) {
 	for n := 0; ; n++ {
 		out, err := f()
-		if err == nil || n == 50 || !errors.Is(err, syscall.EADDRINUSE) {
+		if err == nil || n == maxBusyRetries || !errors.Is(err, syscall.EADDRINUSE) {
 			return out, err
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(busyRetryInterval)
 	}
 }
 
-// openFullSocket opens a listening socket with room for one connection and takes that room itself.
+// openFullSocket opens a listening socket with a backlog of one connection and fills that itself.
 func (l *Listener) openFullSocket() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -127,7 +133,7 @@
 	}
 	l.fullSocket = pit
 	for range 2 { // the first fills the queue; the second shows that it is full
-		c, err := net.DialTimeout("tcp4", l.addr.String(), 20*time.Millisecond)
+		c, err := net.DialTimeout("tcp4", l.addr.String(), fillTimeout)
 		if err != nil {
 			break
 		}
@@ -181,7 +187,7 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Dial calls an address over a link from the rig's side; on a cut link the call never comes up.
+// Dial connects to an address over a link, from the side that dials; on a cut link the connection never comes up.
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
 	if _, cut, _ := l.hold(toListener, 0); cut {
 		<-ctx.Done()
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Relay stands before one receiver of a group of peers that talk by UDP and TCP: its address is the one
-// that the receiver tells others. Who sends is told by the source address, so each peer must send from an address of its
+// Relay forwards to one receiver of a group of peers that communicate by UDP and TCP: its address is the one
+// that the receiver advertises. The source address identifies the sender, so each peer must send from an address of its
 // own. Link names the link from a sender to this receiver.
 type Relay struct {
 	receiver string // the receiver's own address
@@ -22,17 +22,16 @@
 	done     chan struct{}
 	wg       sync.WaitGroup
 	mu       sync.Mutex
-	recent   [][]byte     // the datagrams that came last, for Replay
-	bytes    atomic.Int64 // bytes handed on by UDP and TCP, to the receiver and in answer from it
+	recent   [][]byte     // the last datagrams, for Replay
+	bytes    atomic.Int64 // forwarded by UDP and TCP, to the receiver and back
 }
 
-// Bytes is how many bytes it has handed on, both ways.
+// Bytes is how many bytes it has forwarded, both ways.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
 const dialTimeout = 2 * time.Second
 
-// NewRelay listens at addr on UDP and TCP and hands on to the receiver at to. Senders without a link (nil) are
-// turned away.
+// NewRelay listens at addr on UDP and TCP and forwards to the receiver at to. Senders without a link (nil) are rejected.
 func NewRelay(addr, to string, link func(sender net.IP) *Link) (*Relay, error) {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
@@ -69,7 +68,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram's receiver was not there
+			continue // an earlier datagram's receiver was not listening
 		}
 		l := r.link(from.(*net.UDPAddr).IP)
 		if l == nil {
@@ -100,7 +99,7 @@
 	r.recent = r.recent[max(0, len(r.recent)-maxRemembered):]
 }
 
-// Replay sends the receiver all that the relay remembers once more, sealed and signed as it was, and says how many.
+// Replay sends the receiver all remembered datagrams once more, sealed and signed as they were, and returns how many.
 func (r *Relay) Replay() (int, error) {
 	to, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
--- a/internal/faultbench/quotas.go
+++ b/internal/faultbench/quotas.go
@@ -9,17 +9,17 @@
 	"rampspread/internal/fleet/subsetter"
 )
 
-// Quota is a dispatcher's part as it shows it to its operators.
+// Quota is a dispatcher's quota as it shows it to its operators.
 func (r *Run) Quota(d int) (fleet.QuotaStatus, error) {
 	return adminStatus[fleet.QuotaStatus](r, d, "shares")
 }
 
-// Subset is what a dispatcher keeps to.
+// Subset is the subset of replicas that a dispatcher routes to.
 func (r *Run) Subset(d int) (subsetter.Status, error) {
 	return adminStatus[subsetter.Status](r, d, "subset")
 }
 
-// quotaFractions asks all dispatchers at once what they act by; those that do not answer act by nothing that this can see.
+// quotaFractions requests all dispatchers' quotas at once; those that do not answer count as 0.
 func (r *Run) quotaFractions() (parts []float64) {
 	var wg sync.WaitGroup
 	parts = make([]float64, len(r.dispatchers))
@@ -34,9 +34,12 @@
 	return parts
 }
 
-// watchQuotas adds up what dispatchers act by until the context ends.
+// grantedSum is the sum of quotas from which on the first grants count as made.
+const grantedSum = 0.9
+
+// watchQuotas adds up the dispatchers' quotas until the context ends.
 func (r *Run) watchQuotas(ctx context.Context, out *FleetTotals) {
-	lent, n, all := false, 0.0, 0.0
+	granted, n, total := false, 0.0, 0.0
 	tick := time.NewTicker(quotaPollInterval)
 	defer tick.Stop()
 	for {
@@ -45,13 +48,13 @@
 			sum += p
 			out.MaxQuota = max(out.MaxQuota, p)
 		}
-		if out.MaxQuotaSum = max(out.MaxQuotaSum, sum); !lent && sum > 0.9 {
-			lent, out.MinQuotaSum = true, sum
+		if out.MaxQuotaSum = max(out.MaxQuotaSum, sum); !granted && sum > grantedSum {
+			granted, out.MinQuotaSum = true, sum
 		}
-		if lent {
+		if granted {
 			out.MinQuotaSum = min(out.MinQuotaSum, sum)
-			n, all = n+1, all+sum
-			out.MeanQuotaSum = all / n
+			n, total = n+1, total+sum
+			out.MeanQuotaSum = total / n
 		}
 		select {
 		case <-tick.C:
--- a/internal/faultbench/shares_test.go
+++ b/internal/faultbench/quotas_test.go
@@ -14,7 +14,7 @@
 	"rampspread/internal/testutil"
 )
 
-var long = flag.Bool("rig.long", false, "play what takes too long for CI too")
+var includeLong = flag.Bool("rig.long", false, "play what takes too long for CI too")
 
 // Real processes that share budgets, with faults between them: what the replicas counted stays within the budgets, and what the
 // processes say they act by never adds up to more than the whole.
@@ -28,17 +28,17 @@
 	}{
 		{"retry-storm", 3, 11, func(r *Report) bool { return r.RepeatsPerRequest > 0 }, false},
 		{"cut-half", 5, 11, func(r *Report) bool { return r.MinQuotaSum < 0.9 }, false}, // a voter's slice is on the other side
-		{"kill-most", 4, 10, func(r *Report) bool { return downs(r) == 3 }, false},
+		{"kill-most", 4, 10, func(r *Report) bool { return countDowntimes(r) == 3 }, false},
 		{"hot-dispatcher", 4, 9, func(r *Report) bool { return r.MaxQuota > 0.4 }, true},
 		{"cold-wave", 5, 11, func(r *Report) bool { return r.MaxSlowStartLoad > 0 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if c.long && !*long {
+			if c.long && !*includeLong {
 				t.Skip("outside CI")
 			}
 			t.Parallel()
-			s := short(t, c.name, c.length, 4)
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: c.dispatchers, Seed: 2, Fleet: true, Budgets: true, SkipViews: true, Dir: t.TempDir()})
+			s := shortScenario(t, c.name, c.length, 4)
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: c.dispatchers, Seed: 2, Fleet: true, Budgets: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,7 +53,7 @@
 			}
 			// So much comes at once besides: 10 s of questions, and one of each life of a dispatcher; 5 s of the spare repeats, and
 			// one of each.
-			lives := float64(c.dispatchers + downs(r))
+			lives := float64(c.dispatchers + countDowntimes(r))
 			if most := budgets.PollsPerReplica*3 + lives/totalsWindow.Seconds(); r.MaxOwnPollRate > most {
 				t.Errorf("a replica was asked %.2f times a second, at most %.2f", r.MaxOwnPollRate, most)
 			}
@@ -67,9 +67,9 @@
 
 // A process that was stopped acts by no more than its floor from the moment it wakes, until the voters have lent to it anew, and
 // one that died leaves its part to the others.
-func TestPartsAfterAPause(t *testing.T) {
+func TestQuotasAfterPausesAndKills(t *testing.T) {
 	t.Parallel()
-	r := startShared(t, 4, 0)
+	r := startWithBudgets(t, 4, 0)
 	all := func(want float64, who ...int) func() bool {
 		return func() bool {
 			sum := 0.0
@@ -99,11 +99,11 @@
 	})
 }
 
-// startShared starts dispatchers that share budgets, and keep to subsets where readers are given, without traffic.
-func startShared(t *testing.T, n, readers int) *Run {
+// startWithBudgets starts dispatchers that share budgets, and keep to subsets where readers are given, without traffic.
+func startWithBudgets(t *testing.T, n, readers int) *Run {
 	t.Helper()
 	r := &Run{scenario: &scenario.Scenario{Name: "shared", Zones: 1, PrefillReplicas: max(1, 3*readers), DecodeReplicas: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
-		options: Options{Program: program, Dispatchers: n, Seed: 1, Fleet: true, Budgets: true, Subsets: readers}}
+		options: Options{Program: programPath, Dispatchers: n, Seed: 1, Fleet: true, Budgets: true, Subsets: readers}}
 	t.Cleanup(r.close)
 	if err := r.begin(context.Background()); err != nil {
 		t.Fatal(err)
@@ -113,9 +113,9 @@
 
 // Processes keep to their subsets: what the replicas saw came from those that keep to them, but where a fault left too few well;
 // and replicas share the dispatchers evenly, through kills and a grown list.
-func TestSubsetsOfProcesses(t *testing.T) {
+func TestSubsetsShareReplicasEvenly(t *testing.T) {
 	t.Parallel()
-	r := startShared(t, 12, 8)
+	r := startWithBudgets(t, 12, 8)
 	even := func(members int) func() bool {
 		return func() bool {
 			count := map[string]int{}
@@ -168,11 +168,11 @@
 }
 
 // With traffic, sends go to the dispatcher's subset.
-func TestSendsGoToTheSubset(t *testing.T) {
+func TestRequestsGoToTheSubset(t *testing.T) {
 	t.Parallel()
-	s := short(t, "wide", 8, 6)
+	s := shortScenario(t, "wide", 8, 6)
 	s.Faults = nil
-	r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 12, Seed: 3, Fleet: true, Budgets: true, Subsets: 8, SkipViews: true, Dir: t.TempDir()})
+	r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 12, Seed: 3, Fleet: true, Budgets: true, Subsets: 8, SkipViews: true, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 }
 
 // A rush is what came in the worst span from a fault on, against the calm before it.
-func TestRush(t *testing.T) {
+func TestHandshakeSurge(t *testing.T) {
 	var made []time.Duration
 	for i := range 24 { // from 4 to 10 s: 12 in 6 s, so 10 in 5 s
 		made = append(made, time.Duration(i)*500*time.Millisecond)
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -33,18 +33,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			record(t, filepath.Join(dir, name), s, Options{Program: program, Dispatchers: 3, Seed: 1, RateFactor: 0.5}, "")
+			record(t, filepath.Join(dir, name), s, Options{Program: programPath, Dispatchers: 3, Seed: 1, RateFactor: 0.5}, "")
 		})
 	}
 	for _, seed := range recordedSeeds {
 		name := fmt.Sprintf("soak-%d", seed)
 		t.Run(name, func(t *testing.T) {
-			recordSoak(t, filepath.Join(dir, name), faulty(t, ""), seed, "")
+			recordSoak(t, filepath.Join(dir, name), buildFaultsProgram(t, ""), seed, "")
 		})
 	}
 	for name, changes := range programMutants {
 		t.Run(name, func(t *testing.T) {
-			program := faulty(t, overlay(t, changes))
+			program := buildFaultsProgram(t, writeOverlay(t, changes))
 			path := filepath.Join(dir, "mutant-"+strings.ReplaceAll(strings.ReplaceAll(name, " ", "-"), "'", ""))
 			for _, seed := range mutantSeeds[name] {
 				if recordSoak(t, path, program, seed, name) > 0 {
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -13,30 +13,30 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Report is what came of a run. Shares are of worth: what was answered in time, over what was asked for.
+// Report is the result of a run. Shares are of value: of the requests that were served in time, over that of all requests.
 type Report struct {
 	Scenario     string             `json:"scenario"`
 	Seed         uint64             `json:"seed"`
 	Dispatchers  int                `json:"dispatchers"`
-	Requests     int                `json:"asked"` // first tries
+	Requests     int                `json:"asked"` // without retries
 	ServedShare  float64            `json:"served_share"`
 	Worst10S     float64            `json:"worst_10s"`
 	RecoveryS    *float64           `json:"recovery_s"` // null: not reached
 	RulesBroken  int                `json:"rules_broken"`
 	Crashes      int                `json:"crashes"`
 	ByClass      map[string]float64 `json:"by_class"`
-	ByStatus     map[string]int     `json:"by_status"` // of first tries with their repeats
+	ByStatus     map[string]int     `json:"by_status"` // of requests with their retries
 	FirstTokenMS map[string]float64 `json:"first_token_ms"`
 	Attempts     int                `json:"tries"`
 	Connections  int                `json:"connections"` // that clients opened
 	PollRate     float64            `json:"probes_per_replica_s"`
-	Overloaded   int                `json:"fell"` // cold replicas that were pushed over
+	Overloaded   int                `json:"fell"` // replicas in slow start that fell over
 	PerSecond    []float64          `json:"per_second"`
 	// With a fleet: how long until the others' views showed a process that had ended or was paused, and how often
 	// one showed another falsely as suspect or worse.
 	DetectionS       []float64 `json:"detect_s,omitempty"`
 	FalselySuspected int       `json:"falsely_suspected"`
-	// Probes on behalf of the fleet, as the replicas saw them: the longest gap at any, those of leases that another had
+	// Load polls on behalf of the fleet, as the replicas saw them: the longest gap at any, those of leases that another had
 	// followed, and how many a replica got in a second.
 	MaxLeasedPollGapS float64 `json:"gap_max_s"`
 	StaleLeasePolls   int     `json:"probes_doubled"`
@@ -52,29 +52,30 @@
 	PeerBytes  float64 `json:"peer_bytes_s"`
 	FleetTotals
 	Idempotency *loadgen.IdempotencyReport `json:"filings,omitempty"`
-	// BootstrapsApplied is how many gifts of what others know the lives that ran at the end took at their start.
+	// BootstrapsApplied is how many transfers of others' learned state the last processes applied at their start.
 	BootstrapsApplied float64 `json:"beliefs_taken"`
 
 	VersionSkew *VersionSkewReport `json:"stragglers,omitempty"`
-	// StaleAttempts is the work sent to replicas that a newer list, told to any dispatcher, had ended for longer than staleWithin.
+	// StaleAttempts counts attempts sent to replicas that a newer list, sent to any dispatcher, had withdrawn for longer
+	// than staleWithin.
 	StaleAttempts int `json:"stale_acts"`
 
 	violations []history.Violation
 	events     []history.Event
-	faultSpans [][2]float64 // of the faults, in seconds of the day
+	faultSpans [][2]float64 // from and to, in seconds since the traffic's start
 }
 
 // Good tells whether no rule broke and nothing crashed.
 func (r *Report) Good() bool { return r.RulesBroken == 0 && r.Crashes == 0 }
 
-// leaseSettleTime is how long after a day's begin duties are held by all: voters that start wait for a term.
+// leaseSettleTime is how long after the traffic's start all leases are held: voters that start wait for a term.
 const leaseSettleTime = 3 * time.Second
 
 const (
 	window            = time.Second
 	recoveredFraction = 0.95 // of the level before, for
 	recoveredWindows  = 3    // windows
-	warmUpWindows     = 3    // windows at a day's begin that do not count as its level
+	warmUpWindows     = 3    // windows at the start that do not count as its level
 )
 
 // report makes the report of what was recorded, from base on.
@@ -195,10 +196,10 @@
 	return out
 }
 
-// staleWithin is how long others' newer lists may take to bind: to hear that one is behind, to tell it, and what a drain may take.
+// staleWithin is how long others' newer lists may take to bind: to learn that one is behind, to notify it, and for a drain.
 const staleWithin = 1500 * time.Millisecond
 
-// addUsage takes in what the processes took over so long.
+// addUsage takes in what the processes used over a time.
 func (r *Report) addUsage(used []process.Usage, run *Run, over time.Duration) {
 	for _, u := range used {
 		r.RSSMB, r.OwnMB, r.FDs = max(r.RSSMB, u.RSSMB), max(r.OwnMB, u.OwnMB), max(r.FDs, u.FDs)
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -41,16 +41,17 @@
 	clients          *loadgen.Clients // set before the first fault
 	silenceFault     sync.Mutex       // held while discovery is silent
 	servers          []*http.Server
-	acceptAnyRequest bool // replicas answer requests that no client of the rig sent, and each dispatcher has a chat front
+	acceptAnyRequest bool // replicas answer requests that no client of the bench sent, and each dispatcher has a chat API
 
 	mu           sync.Mutex
-	lastFaultEnd time.Duration // when the last fault so far had ended
-	faultSpans   [][2]float64  // of the faults, in seconds of the day
+	lastFaultEnd time.Duration // when the last fault that is over had ended
+	faultSpans   [][2]float64  // from and to, in seconds since the traffic's start
 }
 
 func (r *Run) stateDir(d int) string { return filepath.Join(r.dir, fmt.Sprintf("n%d.state", d)) }
 
-// Play runs a scenario to its end and tells what came of it. All processes that it started have ended then.
+// Play runs a scenario to its end and reports what became of it. All processes that it started have ended then. What is
+// wrong with the fleet is in the report; an error means that the scenario could not be played.
 func Play(ctx context.Context, s *scenario.Scenario, o Options) (*Report, error) {
 	if o.Dispatchers < 1 || o.Dispatchers > scenario.MaxDispatchers {
 		return nil, fmt.Errorf("bench: %d dispatchers are not from 1 to %d", o.Dispatchers, scenario.MaxDispatchers)
--- a/internal/faultbench/scenario/draw.go
+++ b/internal/faultbench/scenario/draw.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// DrawDay draws a short day of faults for a deployment: news of drains that come beside lost watches, hanging servers,
-// kills, restarts and new configurations.
+// DrawDay draws a short scenario for a drawn deployment: drains while watches are lost, hanging replicas, kills, restarts
+// and new configurations.
 func DrawDay(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0xda4))
 	s := &Scenario{Name: fmt.Sprintf("drawn-%d", seed), Seconds: 13, Rate: 14, Zones: 1 + rng.IntN(3), PrefillReplicas: 4 + rng.IntN(3), DecodeReplicas: 4 + rng.IntN(3)}
--- a/internal/faultbench/sizes_test.go
+++ b/internal/faultbench/sizes_test.go
@@ -20,7 +20,7 @@
 	for _, z := range sizes {
 		t.Run(fmt.Sprint(z.replicas, " replicas in ", z.memoryMB, " MB"), func(t *testing.T) {
 			day := &scenario.Scenario{Name: "size", Seconds: 6, Rate: 40, Zones: 3, PrefillReplicas: z.replicas / 2, DecodeReplicas: z.replicas - z.replicas/2}
-			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 1, Seed: 5, Dir: t.TempDir(),
+			r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 1, Seed: 5, Dir: t.TempDir(),
 				MemoryMB: z.memoryMB, Sockets: z.sockets, AdvertisedDispatchers: 350, MeasureUsage: true})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/faultbench/soak.go
+++ b/internal/faultbench/soak.go
@@ -28,7 +28,7 @@
 	Log          *slog.Logger
 }
 
-// SoakReport is what came of a soak, in the form of its last line.
+// SoakReport is the result of a soak, in the form of its last line.
 type SoakReport struct {
 	Seed        uint64         `json:"seed"`
 	RulesBroken int            `json:"rules_broken"`
@@ -41,7 +41,7 @@
 	ByRule      map[string]int `json:"by_rule,omitempty"`
 	Options     string         `json:"options"`
 
-	text bytes.Buffer // breaches and crashes, a line each
+	text bytes.Buffer // violations and crashes, a line each
 }
 
 // Good tells whether nothing was wrong.
--- a/internal/faultbench/soak_plan.go
+++ b/internal/faultbench/soak_plan.go
@@ -120,10 +120,10 @@
 	return scenario.Fault{Action: scenario.StepClock, ClockStepS: steps[rng.IntN(len(steps))], Duration: uniform(rng, 0.5, 4), Fraction: 0.7}
 }
 
-// drawSyscallFailure draws calls that fail: all of them for a short time, or each so many-th for up to most seconds.
-func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, all float64) scenario.Fault {
+// drawSyscallFailure draws system calls that fail: all of them for up to maxAllS seconds, or every second to fourth for longer.
+func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, maxAllS float64) scenario.Fault {
 	f := scenario.Fault{Action: scenario.FailSyscalls, Syscall: call, Errno: int(errnos[rng.IntN(len(errnos))]), EveryNth: 1 + rng.IntN(4), Fraction: 0.6}
-	f.Duration = uniform(rng, 0.05, all)
+	f.Duration = uniform(rng, 0.05, maxAllS)
 	if f.EveryNth > 1 {
 		f.Duration = uniform(rng, 0.5, 3)
 	}
@@ -134,17 +134,18 @@
 func SoakKinds() []string { return slices.Sorted(maps.Keys(soakKinds)) }
 
 const (
-	quietAtStart    = 2.5 // s without a fault at a soak's begin,
-	quietAtEnd      = 6.0 // and at its end, in which what is owed can still come
-	episodeInterval = 3.0 // s, on the mean, between the begins of troubles that overlap
-	episodeSpread   = 0.8 // s within which the faults of one begin
+	quietAtStart    = 2.5 // seconds without a fault at a soak's start
+	quietAtEnd      = 6.0 // seconds without a new fault at its end, in which outstanding answers can still arrive
+	episodeInterval = 3.0 // mean seconds between the starts of episodes, which overlap
+	episodeSpread   = 0.8 // seconds within which the faults of an episode begin
 	minSoakSeconds  = 10.0
-	crowdOdds       = 3   // soaks with a crowd: clients that connect and stay, all the while,
-	crowdRateFactor = 1.5 // and so much more traffic
+	crowdOdds       = 3   // one soak in so many has a crowd: clients that connect and stay, all the time,
+	crowdRateFactor = 1.5 // and more traffic
+	planStream      = 0x50a4
 )
 
-// drawPlan draws a soak's plan from its seed: at each of its episodes two or three faults begin nearly at once. It also names the kinds
-// that it has drawn.
+// drawPlan draws a soak's plan from its seed: in each of its episodes two or three faults begin nearly at once. It also
+// returns how often it has drawn each kind.
 func drawPlan(o SoakOptions) (*scenario.Scenario, map[string]int, error) {
 	kinds := o.Faults
 	if len(kinds) == 0 {
@@ -161,7 +162,7 @@
 	if !(o.Seconds >= minSoakSeconds && o.Seconds <= scenario.MaxSeconds) {
 		return nil, nil, fmt.Errorf("soak: seconds %v are not from %v to %d", o.Seconds, minSoakSeconds, scenario.MaxSeconds)
 	}
-	rng := rand.New(rand.NewPCG(o.Seed, 0x50a4))
+	rng := rand.New(rand.NewPCG(o.Seed, planStream))
 	s := &scenario.Scenario{Name: "soak", Seconds: o.Seconds, Rate: 8 + 3*float64(o.Dispatchers), Zones: 1 + rng.IntN(3),
 		PrefillReplicas: 5 + rng.IntN(4), DecodeReplicas: 5 + rng.IntN(4)}
 	s.Rate = min(s.Rate, 60)
--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// faulty builds the program that takes its machine's faults from a file; with overlay the sources that it names are replaced.
-func faulty(t *testing.T, overlay string) string {
+// buildFaultsProgram builds the program that takes its machine's faults from a file; with overlay the sources that it names are replaced.
+func buildFaultsProgram(t *testing.T, overlay string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rampspread-faults")
 	args := []string{"build", "-o", path}
@@ -28,7 +28,7 @@
 // A short soak of three processes with all that it knows: no rule breaks, nothing crashes, and no check of the program's own fails.
 func TestSoak(t *testing.T) {
 	t.Parallel()
-	program := faulty(t, "")
+	program := buildFaultsProgram(t, "")
 	for _, seed := range []uint64{1, 2, 4} { // alone, other settings, a fleet
 		r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 3, Seed: seed, Seconds: 14, Dir: t.TempDir()})
 		if err != nil {
@@ -43,9 +43,9 @@
 
 // The faults of the incident, that say nothing: links and connections that fall silent, replicas that vanish, zones that are cut off,
 // connections that come late, and operators' drains and restarts in series beside them.
-func TestSoakOfSilence(t *testing.T) {
+func TestSoakWithSilentFaults(t *testing.T) {
 	t.Parallel()
-	program := faulty(t, "")
+	program := buildFaultsProgram(t, "")
 	faults := []string{"silent-links", "silent-conns", "late-conns", "vanish", "cut-zone", "operator-drain", "restarts", "hang"}
 	for _, seed := range []uint64{1, 3, 6} {
 		r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 3, Seed: seed, Seconds: 14, Faults: faults, Dir: t.TempDir()})
@@ -125,8 +125,8 @@
 	},
 }
 
-// overlay writes a mutant's sources and the file that names them to the build.
-func overlay(t *testing.T, changes []replacement) string {
+// writeOverlay writes a mutant's sources and the file that names them to the build.
+func writeOverlay(t *testing.T, changes []replacement) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -169,7 +169,7 @@
 // Each mutant changes source text that is there, so that code which is moved or renamed takes its mutants along.
 func TestMutantsChangeTheProgram(t *testing.T) {
 	for name, changes := range programMutants {
-		t.Run(name, func(t *testing.T) { overlay(t, changes) })
+		t.Run(name, func(t *testing.T) { writeOverlay(t, changes) })
 	}
 }
 
@@ -183,7 +183,7 @@
 	for name, changes := range programMutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			program := faulty(t, overlay(t, changes))
+			program := buildFaultsProgram(t, writeOverlay(t, changes))
 			for seed := uint64(1); seed <= most; seed++ {
 				r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 5, Seed: seed, Seconds: 24, Dir: t.TempDir()})
 				if err != nil {
--- a/internal/faultbench/starts_test.go
+++ b/internal/faultbench/starts_test.go
@@ -9,17 +9,17 @@
 
 // Starts at bad moments: killed again while starting, while a zone is cut off, while discovery is silent and then behind. No rule
 // breaks, nothing crashes, and requests are served again at the end. RAMPSPREAD_DEPLOYMENTS says how many seeds are played; one in CI.
-func TestStartsAtBadMoments(t *testing.T) {
+func TestRestartsDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"kill-twice", "restart-in-cut", "late-discovery"} {
-		for _, seed := range seeds(t, 1) {
+		for _, seed := range playedSeeds(t, 1) {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				day, err := scenario.Load(name)
 				if err != nil {
 					t.Fatal(err)
 				}
-				r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: seed, Dir: t.TempDir()})
+				r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 3, Seed: seed, Dir: t.TempDir()})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -30,7 +30,7 @@
 				for _, share := range r.PerSecond[len(r.PerSecond)-4:] {
 					last += share / 4
 				}
-				t.Logf("seed %d: served %.3f, worst 10 s %.3f, recovery %.1f s, %.1f times the calm handshakes, %v", seed, r.ServedShare, r.Worst10S, deref(r.RecoveryS), r.HandshakeSurge, r.ByStatus)
+				t.Logf("seed %d: served %.3f, worst 10 s %.3f, recovery %.1f s, %.1f times the calm handshakes, %v", seed, r.ServedShare, r.Worst10S, secondsOrMinusOne(r.RecoveryS), r.HandshakeSurge, r.ByStatus)
 				if r.Crashes > 0 || last < 0.3 {
 					t.Errorf("seed %d: %d crashes, %.2f served in the last 4 s", seed, r.Crashes, last)
 				}
@@ -39,8 +39,8 @@
 	}
 }
 
-// deref is a figure that may not have been reached; -1 then.
-func deref(x *float64) float64 {
+// secondsOrMinusOne is a figure that may not have been reached; -1 then.
+func secondsOrMinusOne(x *float64) float64 {
 	if x == nil {
 		return -1
 	}
--- a/internal/faultbench/newest_test.go
+++ b/internal/faultbench/state_test.go
@@ -10,14 +10,14 @@
 
 // A dispatcher that is killed and starts again while discovery is silent knows from the disk which servers were leaving; its
 // configuration's list is older. Without a folder it sends to them, which shows that the day can tell.
-func TestNewestListOutlivesTheProcess(t *testing.T) {
+func TestEndpointListSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	day := &scenario.Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
 		{At: 2, Action: "replica-drain", Fraction: 0.3, Duration: 10}, {At: 4, Action: "discovery-silent", Duration: 6}, {At: 5, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with a folder": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: 4, State: state, Dir: t.TempDir()})
+			r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 3, Seed: 4, State: state, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -39,14 +39,14 @@
 // All members of a fleet are killed at once. With folders the numbers of its leases grow on; without they begin anew, and replicas are
 // probed under lower numbers than before, which shows that the day can tell. The members killed one at a time before make sure of
 // that: whoever takes their duties over does so under higher numbers than the first, where a calm hour may leave all at the first.
-func TestLeaseNumbersOutliveTheFleet(t *testing.T) {
+func TestFencingTokensSurviveFleetRestart(t *testing.T) {
 	t.Parallel()
 	day := &scenario.Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, PrefillReplicas: 4, DecodeReplicas: 4, Faults: []scenario.Fault{
 		{At: 4, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 6.5, Action: "kill", Fraction: 0.34, Duration: 0.3}, {At: 9, Action: "kill", Fraction: 1, Duration: 0.3}}}
 	for name, state := range map[string]bool{"with folders": true, "without": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: 6, Fleet: true, State: state, Dir: t.TempDir()})
+			r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 3, Seed: 6, Fleet: true, State: state, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faultbench/handover_test.go
+++ b/internal/faultbench/state_transfer_test.go
@@ -12,7 +12,7 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-var handedOver = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
+var transferredState = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
 
 // Processes that are restarted in order, and ones that are killed, begin with what their earlier lives learnt; no rule breaks by it.
 func TestHandover(t *testing.T) {
@@ -21,7 +21,7 @@
 			t.Parallel()
 			dir := t.TempDir()
 			s := &scenario.Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []scenario.Fault{{At: 7, Action: do, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 2, Seed: 1, Handover: true, Dir: dir})
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 2, Seed: 1, Handover: true, Dir: dir})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			m := handedOver.FindSubmatch(text)
+			m := transferredState.FindSubmatch(text)
 			if m == nil {
 				t.Fatalf("nothing was handed over: %s", text)
 			}
@@ -43,7 +43,7 @@
 
 // Nine in ten are killed at once and lose all: those that start learn from the few that know, and pass it on; no donor is overrun and
 // no rule breaks. With a part of them cut off they go on by themselves.
-func TestBeliefsFromPeers(t *testing.T) {
+func TestBootstrapFromPeers(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(map[bool]string{false: "restart", true: "cut off"}[cut], func(t *testing.T) {
 			t.Parallel()
@@ -51,7 +51,7 @@
 			if cut {
 				s.Faults = append(s.Faults, scenario.Fault{At: 6.5, Action: "links", Links: "peers", Fraction: 0.4, Duration: 5})
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, Bootstrap: true, SkipViews: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 5, Seed: 1, Fleet: true, Bootstrap: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/faultbench/totals.go
+++ b/internal/faultbench/totals.go
@@ -8,28 +8,28 @@
 	"rampspread/internal/faultbench/replica"
 )
 
-// FleetTotals are what all dispatchers did together, counted at the replicas, and the parts that they say they act by.
+// FleetTotals are what all dispatchers did together, counted at the replicas, and the quotas that they show.
 type FleetTotals struct {
-	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // steps that came again, for each request that was sent
+	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // prefills and decodes beyond the first, for each request
 	MaxRepeatsPerRequest float64 `json:"repeats_per_request_most"` // the same in the worst 5 s
-	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // that no duty asked
+	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // without a lease
 	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // at any replica, over the worst 5 s
 	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // connections that dispatchers opened
 	MaxConnections       int64   `json:"connections_most"`         // at one replica at once
 	HandshakeSurge       float64 `json:"handshakes_rush"`          // the most that all dispatchers opened in 5 s from the first fault on, against calm; 0: no fault
-	MaxLoadOverMean      float64 `json:"load_max_over_mean"`       // work that came to a replica, against the mean of its role by weight
-	SlowStartUsed        float64 `json:"cold_used"`                // of what cold replicas may be sent, where there were any
-	MaxSlowStartLoad     float64 `json:"cold_most"`                // the most that one got of what it bears before it falls over
-	MaxQuotaSum          float64 `json:"share_sum_most"`           // of the parts that dispatchers acted by at once
-	MinQuotaSum          float64 `json:"share_sum_least"`          // once the first were lent,
-	MeanQuotaSum         float64 `json:"share_sum_mean"`           // also
-	MaxQuota             float64 `json:"share_hot_most"`           // of the one with most
+	MaxLoadOverMean      float64 `json:"load_max_over_mean"`       // work of a replica, against the mean of its stage by weight
+	SlowStartUsed        float64 `json:"cold_used"`                // of what replicas in slow start may be sent, where there were any
+	MaxSlowStartLoad     float64 `json:"cold_most"`                // the most that one got of what makes it fall over
+	MaxQuotaSum          float64 `json:"share_sum_most"`           // of the quotas that dispatchers had at once
+	MinQuotaSum          float64 `json:"share_sum_least"`          // once the first were granted
+	MeanQuotaSum         float64 `json:"share_sum_mean"`           // likewise
+	MaxQuota             float64 `json:"share_hot_most"`           // of the dispatcher with most
 	MaxDiscoveryCalls    float64 `json:"discovery_calls_most_5s"`  // of all dispatchers in the worst 5 s
 }
 
 const (
 	totalsWindow      = 5 * time.Second
-	slowStartTarget   = 0.45 // of what a cold server bears, at an even load: the module's own aim
+	slowStartTarget   = 0.45 // of what a replica in slow start can take, at an even load: the program's own target
 	quotaPollInterval = 100 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	s.at, s.weight = append(s.at, at), append(s.weight, weight)
 }
 
-// maxSum is the largest sum in sumSpan.
+// maxSum is the largest sum within totalsWindow.
 func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
 // fleetTotals counts what arrived at the replicas, from base on for a length. It sorts the events by time.
--- a/internal/faultbench/versionskew.go
+++ b/internal/faultbench/versionskew.go
@@ -9,23 +9,24 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// VersionSkewReport is what became of dispatchers that were told an old list, seen from outside.
+// VersionSkewReport is what became of dispatchers that were sent an old list, seen from outside.
 type VersionSkewReport struct {
 	DetectionS     []float64 `json:"straggler_seen_s"`  // from the first change that one missed until it took no clients
 	ReadmissionS   []float64 `json:"straggler_level_s"` // from its list's return until it took them again
 	WorkAfterFence int       `json:"acts_after_shut_out"`
-	FalselyFenced  int       `json:"wrongly_shut_out"` // that had been told no old list
+	FalselyFenced  int       `json:"wrongly_shut_out"` // that had been sent no old list
 }
 
 const (
-	staleSettings = "settings" // Class of an Old event that is not about the list
+	staleSettings = "settings" // Class of a StaleListServed event that is about the settings
 
 	admissionPollInterval = 50 * time.Millisecond
-	// fenceSettleTime is how long a request that was on its way to one that is shut out may still lead to work.
+	// fenceSettleTime is how long a request that was on its way to a fenced dispatcher may still lead to work.
 	fenceSettleTime = 1500 * time.Millisecond
 )
 
-// watchAdmission notes when a dispatcher says that it takes no clients, until the context ends. One that does not answer says nothing.
+// watchAdmission records when a dispatcher's health poll says that it takes no clients, until the context ends. No answer
+// changes nothing.
 func (r *Run) watchAdmission(ctx context.Context, d int) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	tick := time.NewTicker(admissionPollInterval)
--- a/internal/faultbench/versionskew_test.go
+++ b/internal/faultbench/versionskew_test.go
@@ -12,7 +12,7 @@
 
 // Stragglers are timed from the first change that they missed, settings from their change on; one that had been told no old list
 // was shut out wrongly, and work for what came to it long after is an act.
-func TestStraggling(t *testing.T) {
+func TestVersionSkewReport(t *testing.T) {
 	const s = time.Second
 	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: 1, Until: 9 * s},
 		{At: 3 * s, Kind: history.EndpointWithdrawn, Dispatcher: 2}, {At: 5 * s, Kind: history.AdmissionChanged, Dispatcher: 0, Complete: true}, {At: 6 * s, Kind: history.AdmissionChanged, Dispatcher: 1, Complete: true},
@@ -25,10 +25,10 @@
 
 // A dispatcher whose discovery is stuck takes no clients after a while, and takes them again when its list is level; the others go on.
 // So with one whose settings are not most members'. Where most are stuck, or one is cut off or stopped meanwhile, nobody is shut out.
-func TestStragglers(t *testing.T) {
+func TestVersionSkewFencing(t *testing.T) {
 	for name, outs := range map[string]int{"straggler-list": 1, "straggler-settings": 1, "all-behind": 0, "straggler-split": 0} {
 		t.Run(name, func(t *testing.T) {
-			if name != "straggler-list" && name != "all-behind" && !*long {
+			if name != "straggler-list" && name != "all-behind" && !*includeLong {
 				t.Skip("-rig.long")
 			}
 			t.Parallel()
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(context.Background(), s, Options{Program: program, Dispatchers: 5, Seed: 1, Fleet: true, EndpointFilter: true, VersionSkew: true, SkipViews: true, Dir: t.TempDir()})
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 5, Seed: 1, Fleet: true, EndpointFilter: true, VersionSkew: true, SkipViews: true, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
