--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -1,5 +1,5 @@
 // Command fleetrig runs the program many times over on one machine, with faults between the processes, and checks
-// the rules over what the stand-ins round them saw.
+// the rules over the history of what the simulated parties round them saw.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	}
 }
 
-// errFailed is a run in which a rule broke or a process crashed; its report has been printed.
+// errFailed is the error of a run in which a rule broke or a process crashed; its report has been printed.
 var errFailed = errors.New("a rule broke or a process crashed")
 
 func commands(out, logs io.Writer) *cobra.Command {
@@ -57,7 +57,7 @@
 
 func newLogger(logs io.Writer) *slog.Logger { return slog.New(cli.LogHandler(logs)) }
 
-// printVerdict prints a report, and tells whether anything in it was wrong.
+// printVerdict prints a report, and returns errFailed if anything in it is wrong.
 func printVerdict(out io.Writer, report interface {
 	Print(io.Writer) error
 	Good() bool
--- a/cmd/rampspread-faults/main.go
+++ b/cmd/rampspread-faults/main.go
@@ -1,5 +1,5 @@
-// Command rampspread-faults is the dispatcher on a machine whose clock steps and whose system calls fail as the file says that
-// RAMPSPREAD_FAULTS names. The soak runs it; it serves nobody else.
+// Command rampspread-faults is the dispatcher on a machine whose clock steps and whose system calls fail, as the file says
+// that RAMPSPREAD_FAULTS names. The bench's soaks run it; it serves nobody else.
 package main
 
 import (
--- a/internal/faultbench/bench_test.go
+++ b/internal/faultbench/bench_test.go
@@ -17,11 +17,11 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// programPath builds the real programPath once for all tests of the package.
+// programPath is the real program, built once for all tests of the package.
 var programPath string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "rigtest-")
+	dir, err := os.MkdirTemp("", "faultbench-")
 	if err != nil {
 		panic(err)
 	}
@@ -53,8 +53,8 @@
 	return s
 }
 
-// Real processes with faults between them: no rule breaks, nothing crashes, and what the fault does shows in what
-// the stand-ins saw. Shares are not judged here, since the machine's load moves them.
+// Real processes with faults between them: no rule is broken, nothing crashes, and the fault's effect shows in the history.
+// Served shares are not judged here, since the machine's load moves them.
 func TestProcessesUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -139,7 +139,7 @@
 	}
 }
 
-// Recovery counts from the last fault's end to the first of three windows that hold the level before.
+// Recovery counts from the last fault's end to the first of three windows that hold the level from before.
 func TestRecovery(t *testing.T) {
 	ones := slices.Repeat([]float64{1}, 20)
 	for _, c := range []struct {
--- a/internal/faultbench/deployment/request.go
+++ b/internal/faultbench/deployment/request.go
@@ -37,7 +37,7 @@
 	Body         string
 }
 
-// Value is what a request is worth when it is served in time: its work times its class's weight.
+// Value is the value of a request that is served in time: its work times its class's weight.
 func (r *Request) Value() float64 {
 	return r.Class.Weight * (float64(r.PromptTokens)/PrefillTokensPerSecond + float64(r.OutputTokens)*DecodeTokenTime.Seconds())
 }
--- a/internal/faultbench/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -17,7 +17,7 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// playedSeeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
+// playedSeeds are the first seeds: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
 func playedSeeds(t *testing.T, few int) (out []uint64) {
 	n, err := strconv.Atoi(cmp.Or(os.Getenv("RAMPSPREAD_DEPLOYMENTS"), strconv.Itoa(few)))
 	if err != nil {
@@ -29,9 +29,9 @@
 	return out
 }
 
-// Other deployments than the project's own, drawn from fixed seeds, with lost watches and drains just then, hanging
-// servers, kills, SIGTERM and moves: no rule breaks and nothing crashes. The checker knows what the stand-ins saw on
-// their sockets only, and is shown to see a breach of each kind in that same day.
+// Other deployments than the default one, drawn from fixed seeds, with drains while watches are lost, hanging replicas,
+// kills, SIGTERM and moves: no rule is broken and nothing crashes. The checker knows only what the simulated parties saw on
+// their sockets, and is shown to find a violation of each kind in that same history.
 func TestDrawnDeployments(t *testing.T) {
 	for _, seed := range playedSeeds(t, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -73,8 +73,8 @@
 	return n
 }
 
-// checkMutatedHistories breaks one rule of each kind in a day that kept them, at a place drawn by its length, and wants the checker to
-// see it.
+// checkMutatedHistories breaks one rule of each kind in a history that kept them, at a place drawn by its length, and
+// expects the checker to find it.
 func checkMutatedHistories(t *testing.T, events []history.Event, plan *deployment.Deployment) {
 	t.Helper()
 	rules := plan.Rules(func(string) int { return 0 })
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -95,7 +95,7 @@
 	return out
 }
 
-// send writes a list to a dispatcher and records what it is told of.
+// send writes a list to a dispatcher and records what it learns by it.
 func (d *Server) send(w io.Writer, l List, dispatcher int) error {
 	for _, in := range l.Instances {
 		kind := history.EndpointReady
--- a/internal/faultbench/endpoint_filter_test.go
+++ b/internal/faultbench/endpoint_filter_test.go
@@ -7,9 +7,9 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Two in five dispatchers are told an old list from 5 s on, on which replicas stand that leave at 6 s and go on answering whoever comes;
-// at 9 s those two, or most of the fleet, are killed and lose all. With what members tell each other nothing is sent to what has
-// left; without, the same day shows it.
+// Two in five dispatchers are sent an old list from 5 s on, with replicas that leave at 6 s and go on answering; at 9 s those
+// two, or most of the fleet, are killed and lose their state. With the endpoint filter nothing is sent to withdrawn replicas;
+// without it, the same scenario shows such attempts.
 func TestWithdrawnReplicasStayWithdrawn(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends bool
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if name == "stragglers restart" && !*includeLong {
-				t.Skip("-rig.long")
+				t.Skip("-bench.long")
 			}
 			t.Parallel()
 			s := &scenario.Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
@@ -38,11 +38,11 @@
 	}
 }
 
-// All voters lose what they know at once, and one member that does not vote lives on: numbers of leases go on from what it tells, so
-// the replicas see none fall back. On these two seeds they did, for the rest of the day.
+// All voters lose their state at once, and one member without a vote survives: fencing tokens continue from what it knows, so
+// the replicas see none fall back. With these two seeds they once did, until the scenario's end.
 func TestFencingTokensGrowAfterAllVotersLoseState(t *testing.T) {
 	if !*includeLong {
-		t.Skip("-rig.long")
+		t.Skip("-bench.long")
 	}
 	s, err := scenario.Load("restart-most-lost")
 	if err != nil {
--- a/internal/faultbench/fleet_test.go
+++ b/internal/faultbench/fleet_test.go
@@ -22,7 +22,7 @@
 	"rampspread/internal/testutil"
 )
 
-// startFleet starts dispatchers that know of each other, without traffic, all at once, and waits until all see all.
+// startFleet starts the dispatchers of a fleet, without traffic, all at once, and waits until all see all as alive.
 func startFleet(t *testing.T, n int) *Run {
 	t.Helper()
 	r := &Run{scenario: &scenario.Scenario{Name: "fleet", Zones: 3, PrefillReplicas: 1, DecodeReplicas: 1}, history: history.NewRecorder(), dir: t.TempDir(),
@@ -62,7 +62,7 @@
 	return s.Members[of]
 }
 
-// The first on the list dies and comes back; another goes in order; a third is restarted five times in a row.
+// The first member is killed and restarted; another leaves gracefully; a third is restarted five times in a row.
 func TestMembershipAfterKillsAndRestarts(t *testing.T) {
 	t.Parallel()
 	r, ctx := startFleet(t, 5), context.Background()
@@ -104,7 +104,7 @@
 	}
 }
 
-// A partition into two and three sides shows on each side, and heals; packets lost one way only show too.
+// A partition into two and three sides shows on each side, and heals; so does loss in one direction only.
 func TestMembershipAcrossPartitions(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 6)
@@ -147,7 +147,7 @@
 	}
 }
 
-// A process that was stopped for longer than the others wait knows, the moment it wakes, that its view is old.
+// A process that was suspended for longer than the failure timeout knows as soon as it resumes that its view is old.
 func TestResumedMemberKnowsItsViewIsOld(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
@@ -178,7 +178,7 @@
 	}
 }
 
-// Packets of a life that has ended, sealed with the right key and sent once more, change nothing.
+// Packets of an earlier incarnation, sealed with the right key and replayed, change nothing.
 func TestReplayedPacketsChangeNothing(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
@@ -189,7 +189,9 @@
 	for d := range 3 {
 		r.awaitState(t, d, "alive", 0, 1, 2)
 	}
-	testutil.Eventually(t, "the second life", func() bool { return r.memberStatus(t, 0, 1).Incarnations == 2 && r.memberStatus(t, 2, 1).Incarnations == 2 })
+	testutil.Eventually(t, "the second life", func() bool {
+		return r.memberStatus(t, 0, 1).Incarnations == 2 && r.memberStatus(t, 2, 1).Incarnations == 2
+	})
 	var before []fleet.MemberStatus
 	for _, at := range []int{0, 2} {
 		before = append(before, r.memberStatus(t, at, 1))
@@ -210,7 +212,7 @@
 	}
 }
 
-// A member whose descriptor table is full, and whose peer port gets garbage, stays a member.
+// A member whose descriptor table is full, and whose peer port receives garbage, stays a member.
 func TestMemberWithoutDescriptorsStays(t *testing.T) {
 	t.Parallel()
 	r := startFleet(t, 3)
@@ -228,7 +230,7 @@
 	for _, text := range testutil.CorruptedSeeds(9, "\xf4\x03rigabcdefgh", strings.Repeat("\x00", 300)) {
 		io.WriteString(u, text)
 	}
-	// It goes on for as many views of the others as it takes to give one up several times over.
+	// This goes on for several times as long as the others take to give a member up.
 	end := time.Now().Add(4 * time.Second)
 	for time.Now().Before(end) {
 		if m := r.memberStatus(t, 0, 1); m.State != "alive" || m.Incarnations != was.Incarnations {
--- a/internal/faultbench/idempotency_test.go
+++ b/internal/faultbench/idempotency_test.go
@@ -7,9 +7,9 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Filings that clients send to several dispatchers under kills, a partition, a stop and a lost state: the writers saw each key
-// begin at most once, and repeats have the first try's answer. Without the fleet's keepers the same count finds keys
-// that ran twice.
+// Clients send requests with one idempotency key to several dispatchers under kills, a partition, a pause and lost state: the
+// decode replicas see each key begin at most once, and retries get the first attempt's answer. Without the fleet's records
+// the same count finds keys that ran twice.
 func TestIdempotentRequestsExecuteOnce(t *testing.T) {
 	for _, kept := range []bool{true, false} {
 		t.Run(map[bool]string{true: "kept", false: "each its own"}[kept], func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// A process that is killed while its filing is out, and comes back alone with its state, says that the filing may have run; with an
-// answer that it knew, it gives that again.
+// A process that is killed while a request with an idempotency key is in flight, and restarts alone with its state, answers
+// that the request may have run; an answer that it had stored, it gives again.
 func TestIdempotentRequestAcrossRestart(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("filings")
--- a/internal/faultbench/inject.sh
+++ b/internal/faultbench/inject.sh
@@ -3,7 +3,7 @@
 #
 #   internal/faultbench/inject.sh FOLDER [SEED]
 #
-# Each line of the list below is a soak of four processes over 20 s; what fails is told at the end. FUTEX_WAKE never returns EINTR on Linux,
+# Each line of the list below is a soak of four processes over 20 s; the number of failed calls is printed at its end. FUTEX_WAKE never returns EINTR on Linux,
 # and mmap's ENOMEM ends any Go program, so neither is in the list.
 set -euo pipefail
 folder=$1
--- a/internal/faultbench/loadgen/clients.go
+++ b/internal/faultbench/loadgen/clients.go
@@ -82,7 +82,7 @@
 	Request    *deployment.Request
 	Attempts   int
 	Status     Status
-	FirstToken time.Duration // since the first attempt; 0: none came
+	FirstToken time.Duration // since the first attempt; 0: no event arrived
 	Earned     float64       // of the request's value
 }
 
--- a/internal/faultbench/loadgen/idempotency.go
+++ b/internal/faultbench/loadgen/idempotency.go
@@ -29,7 +29,7 @@
 	Attempts      int                `json:"tries"`
 	Answered      int                `json:"answered"`    // attempts that executed and had their answer
 	Replayed      int                `json:"again"`       // attempts that had another attempt's answer
-	InProgress    int                `json:"told"`        // attempts told that the first one is in progress, or may have run
+	InProgress    int                `json:"told"`        // attempts answered that the first one is in progress, or may have run
 	Unavailable   int                `json:"unavailable"` // refused for want of a majority of record replicas
 	Other         map[string]int     `json:"other"`
 	AnswerMS      map[string]float64 `json:"answer_ms"`  // until the answers of attempts that executed
--- a/internal/faultbench/quotas.go
+++ b/internal/faultbench/quotas.go
@@ -20,18 +20,18 @@
 }
 
 // quotaFractions requests all dispatchers' quotas at once; those that do not answer count as 0.
-func (r *Run) quotaFractions() (parts []float64) {
+func (r *Run) quotaFractions() (fractions []float64) {
 	var wg sync.WaitGroup
-	parts = make([]float64, len(r.dispatchers))
+	fractions = make([]float64, len(r.dispatchers))
 	for d := range r.dispatchers {
 		wg.Go(func() {
 			if s, err := r.Quota(d); err == nil {
-				parts[d] = s.Fraction
+				fractions[d] = s.Fraction
 			}
 		})
 	}
 	wg.Wait()
-	return parts
+	return fractions
 }
 
 // grantedSum is the sum of quotas from which on the first grants count as made.
--- a/internal/faultbench/quotas_test.go
+++ b/internal/faultbench/quotas_test.go
@@ -14,17 +14,17 @@
 	"rampspread/internal/testutil"
 )
 
-var includeLong = flag.Bool("rig.long", false, "play what takes too long for CI too")
+var includeLong = flag.Bool("bench.long", false, "play what takes too long for CI too")
 
-// Real processes that share budgets, with faults between them: what the replicas counted stays within the budgets, and what the
-// processes say they act by never adds up to more than the whole.
+// Real processes that share budgets, with faults between them: what the replicas counted stays within the budgets, and the
+// quotas that the processes show never add up to more than the whole.
 func TestBudgetsUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		dispatchers int
 		length      float64
 		shows       func(r *Report) bool
-		long        bool // outside CI: go test ./internal/faultbench -args -rig.long
+		long        bool // outside CI: go test ./internal/faultbench -args -bench.long
 	}{
 		{"retry-storm", 3, 11, func(r *Report) bool { return r.RepeatsPerRequest > 0 }, false},
 		{"cut-half", 5, 11, func(r *Report) bool { return r.MinQuotaSum < 0.9 }, false}, // a voter's slice is on the other side
@@ -65,8 +65,8 @@
 	}
 }
 
-// A process that was stopped acts by no more than its floor from the moment it wakes, until the voters have lent to it anew, and
-// one that died leaves its part to the others.
+// A process that was paused has no more than its floor when it resumes, until the voters have granted to it anew, and one
+// that was killed leaves its quota to the others.
 func TestQuotasAfterPausesAndKills(t *testing.T) {
 	t.Parallel()
 	r := startWithBudgets(t, 4, 0)
@@ -99,7 +99,7 @@
 	})
 }
 
-// startWithBudgets starts dispatchers that share budgets, and keep to subsets where readers are given, without traffic.
+// startWithBudgets starts dispatchers that share budgets, and route to subsets where readers are given, without traffic.
 func startWithBudgets(t *testing.T, n, readers int) *Run {
 	t.Helper()
 	r := &Run{scenario: &scenario.Scenario{Name: "shared", Zones: 1, PrefillReplicas: max(1, 3*readers), DecodeReplicas: max(1, 3*readers)}, history: history.NewRecorder(), dir: t.TempDir(),
@@ -111,8 +111,7 @@
 	return r
 }
 
-// Processes keep to their subsets: what the replicas saw came from those that keep to them, but where a fault left too few well;
-// and replicas share the dispatchers evenly, through kills and a grown list.
+// Processes route to subsets that share the replicas evenly between dispatchers, through kills and a changed list.
 func TestSubsetsShareReplicasEvenly(t *testing.T) {
 	t.Parallel()
 	r := startWithBudgets(t, 12, 8)
@@ -167,7 +166,7 @@
 	})
 }
 
-// With traffic, sends go to the dispatcher's subset.
+// With traffic, attempts go to the dispatcher's subset.
 func TestRequestsGoToTheSubset(t *testing.T) {
 	t.Parallel()
 	s := shortScenario(t, "wide", 8, 6)
@@ -195,7 +194,7 @@
 	}
 }
 
-// A rush is what came in the worst span from a fault on, against the calm before it.
+// A surge is the worst window from a fault on, relative to the calm before it.
 func TestHandshakeSurge(t *testing.T) {
 	var made []time.Duration
 	for i := range 24 { // from 4 to 10 s: 12 in 6 s, so 10 in 5 s
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -97,7 +97,7 @@
 	faults := r.scenario.Faults
 	out.RecoveryS = new(float64)
 	if len(faults) > 0 {
-		out.RecoveryS = recovery(out.PerSecond, value.earned, value.asked, int(scenario.Seconds(faults[0].At)/window), max(r.lastFaultEnd-base, 0))
+		out.RecoveryS = recovery(out.PerSecond, value.earned, value.offered, int(scenario.Seconds(faults[0].At)/window), max(r.lastFaultEnd-base, 0))
 	}
 	out.addPolls(events, len(r.cluster.Replicas), base, scenario.Seconds(r.scenario.Seconds))
 	out.DetectionS, out.FalselySuspected = detectionTimes(events, r.names)
@@ -120,10 +120,10 @@
 // addResults takes in what became of the requests.
 func (r *Report) addResults(results []loadgen.Result) {
 	firstToken := hdrhistogram.New(1, maxFirstTokenMS, 3)
-	asked := map[string]float64{}
+	offered := map[string]float64{}
 	for _, q := range results {
 		class := q.Request.Class.Name
-		asked[class] += q.Request.Value()
+		offered[class] += q.Request.Value()
 		r.ByClass[class] += q.Earned
 		r.ByStatus[string(q.Status)]++
 		r.Attempts += q.Attempts
@@ -131,7 +131,7 @@
 			firstToken.RecordValue(min(q.FirstToken.Milliseconds(), maxFirstTokenMS))
 		}
 	}
-	for class, all := range asked {
+	for class, all := range offered {
 		r.ByClass[class] /= all
 	}
 	for _, p := range []float64{50, 90, 99} {
@@ -140,13 +140,13 @@
 }
 
 // windowValues are the values that requests had and earned, by the window of their arrival.
-type windowValues struct{ asked, earned []float64 }
+type windowValues struct{ offered, earned []float64 }
 
 func valuePerWindow(results []loadgen.Result, windows int) windowValues {
 	v := windowValues{make([]float64, windows), make([]float64, windows)}
 	for _, q := range results {
 		w := min(int(q.Request.ArrivesAt/window), windows-1)
-		v.asked[w] += q.Request.Value()
+		v.offered[w] += q.Request.Value()
 		v.earned[w] += q.Earned
 	}
 	return v
@@ -157,14 +157,14 @@
 
 // addValue takes in the shares of value.
 func (r *Report) addValue(v windowValues) {
-	n := len(v.asked)
-	r.ServedShare = valueShare(v.earned, v.asked)
+	n := len(v.offered)
+	r.ServedShare = valueShare(v.earned, v.offered)
 	r.Worst10S = 1
 	for i := 0; i+worstWindows <= n; i++ {
-		r.Worst10S = min(r.Worst10S, valueShare(v.earned[i:i+worstWindows], v.asked[i:i+worstWindows]))
+		r.Worst10S = min(r.Worst10S, valueShare(v.earned[i:i+worstWindows], v.offered[i:i+worstWindows]))
 	}
 	for i := range n {
-		r.PerSecond = append(r.PerSecond, valueShare(v.earned[i:i+1], v.asked[i:i+1]))
+		r.PerSecond = append(r.PerSecond, valueShare(v.earned[i:i+1], v.offered[i:i+1]))
 	}
 }
 
@@ -218,22 +218,22 @@
 	}
 }
 
-func valueShare(earned, asked []float64) float64 {
-	e, a := 0.0, 0.0
-	for i := range asked {
-		e, a = e+earned[i], a+asked[i]
+func valueShare(earned, offered []float64) float64 {
+	earnedSum, offeredSum := 0.0, 0.0
+	for i := range offered {
+		earnedSum, offeredSum = earnedSum+earned[i], offeredSum+offered[i]
 	}
-	if a == 0 {
+	if offeredSum == 0 {
 		return 1
 	}
-	return e / a
+	return earnedSum / offeredSum
 }
 
 // recovery is how long after the last fault's end windows hold 95% of the level before for 3 s; nil: never.
-func recovery(perSecond, earned, asked []float64, from int, end time.Duration) *float64 {
+func recovery(perSecond, earned, offered []float64, from int, end time.Duration) *float64 {
 	level := 1.0
 	if from > warmUpWindows {
-		level = valueShare(earned[warmUpWindows:from], asked[warmUpWindows:from])
+		level = valueShare(earned[warmUpWindows:from], offered[warmUpWindows:from])
 	}
 	run := 0
 	for i := int((end + window - 1) / window); i < len(perSecond); i++ {
--- a/internal/faultbench/report_print.go
+++ b/internal/faultbench/report_print.go
@@ -80,10 +80,10 @@
 }
 
 func sortedKeys[V any](m map[string]V) []string {
-	var out []string
+	var keys []string
 	for k := range m {
-		out = append(out, k)
+		keys = append(keys, k)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -59,9 +59,10 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	day := *s
-	day.Rate *= cmp.Or(o.RateFactor, 1)
-	r := &Run{scenario: &day, options: o, history: history.NewRecorder(), dir: o.Dir, acceptAnyRequest: o.IdempotentRequests || o.LocalIdempotency, deployment: deployment.Default(s.Zones)}
+	played := *s
+	played.Rate *= cmp.Or(o.RateFactor, 1)
+	r := &Run{scenario: &played, options: o, history: history.NewRecorder(), dir: o.Dir,
+		acceptAnyRequest: o.IdempotentRequests || o.LocalIdempotency, deployment: deployment.Default(s.Zones)}
 	if o.Deployment != 0 {
 		r.deployment = deployment.Draw(s.Zones, o.Deployment)
 	}
--- a/internal/faultbench/soak.go
+++ b/internal/faultbench/soak.go
@@ -79,7 +79,7 @@
 
 // Soak plays a drawn plan of overlapping faults, and judges by what the stand-ins saw on their sockets.
 func Soak(ctx context.Context, o SoakOptions) (*SoakReport, error) {
-	day, played, err := drawPlan(o)
+	plan, played, err := drawPlan(o)
 	if err != nil {
 		return nil, err
 	}
@@ -90,12 +90,12 @@
 			return nil, fmt.Errorf("soak: %w", err)
 		}
 	}
-	report, err := Play(ctx, day, run)
+	report, err := Play(ctx, plan, run)
 	if err != nil {
 		return nil, err
 	}
 	out := &SoakReport{Seed: o.Seed, RulesBroken: report.RulesBroken, Crashes: report.Crashes, Faults: played, Requests: report.Requests,
-		Served: report.ServedShare, ByStatus: report.ByStatus, ByRule: map[string]int{}, Options: strings.TrimSpace(run.describe() + " " + day.About)}
+		Served: report.ServedShare, ByStatus: report.ByStatus, ByRule: map[string]int{}, Options: strings.TrimSpace(run.describe() + " " + plan.About)}
 	for _, b := range report.violations {
 		out.ByRule[b.Rule]++
 		fmt.Fprintln(&out.text, b)
@@ -112,16 +112,16 @@
 		return out, nil
 	}
 	fmt.Fprintln(&out.text, "files:", run.Dir)
-	return out, writeHistory(run.Dir, day, report.events)
+	return out, writeHistory(run.Dir, plan, report.events)
 }
 
 // writeHistory writes a soak's plan and what the stand-ins saw beside the processes' logs.
-func writeHistory(dir string, day *scenario.Scenario, events []history.Event) error {
-	plan, err := json.MarshalIndent(day, "", " ")
+func writeHistory(dir string, plan *scenario.Scenario, events []history.Event) error {
+	text, err := json.MarshalIndent(plan, "", " ")
 	if err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "plan.json"), plan, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "plan.json"), text, 0o600); err != nil {
 		return fmt.Errorf("soak: %w", err)
 	}
 	f, err := os.Create(filepath.Join(dir, "history.jsonl"))
--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// buildFaultsProgram builds the program that takes its machine's faults from a file; with overlay the sources that it names are replaced.
+// buildFaultsProgram builds the program that reads its machine's faults from a file; with an overlay the sources that it names
+// are replaced.
 func buildFaultsProgram(t *testing.T, overlay string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rampspread-faults")
@@ -25,7 +26,7 @@
 	return path
 }
 
-// A short soak of three processes with all that it knows: no rule breaks, nothing crashes, and no check of the program's own fails.
+// A short soak of three processes with all kinds of fault: no rule is broken, nothing crashes, and none of the program's own checks fails.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	program := buildFaultsProgram(t, "")
@@ -41,8 +42,8 @@
 	}
 }
 
-// The faults of the incident, that say nothing: links and connections that fall silent, replicas that vanish, zones that are cut off,
-// connections that come late, and operators' drains and restarts in series beside them.
+// The silent faults of the incident: links and connections that fall silent, replicas that vanish, zones that are cut off,
+// delayed connections, with operators' drains and restarts in series at the same time.
 func TestSoakWithSilentFaults(t *testing.T) {
 	t.Parallel()
 	program := buildFaultsProgram(t, "")
@@ -58,8 +59,8 @@
 	}
 }
 
-// A plan is the same for the same seed and another for another, has two or three faults at a time, and is drawn from the kinds that were
-// asked for.
+// A plan is the same for the same seed and differs between seeds, has two or three faults at a time, and is drawn from the
+// requested kinds.
 func TestSoakPlans(t *testing.T) {
 	o := SoakOptions{Seed: 5, Seconds: 40, Dispatchers: 10}
 	a, played, err := drawPlan(o)
@@ -93,7 +94,7 @@
 // replacement is a change of one source file.
 type replacement struct{ file, old, new string }
 
-// mutants are faults that are built into the program, each on every layer that would keep it from showing.
+// programMutants are faults that are built into the program, each on every layer that would otherwise mask it.
 var programMutants = map[string][]replacement{
 	"an attempt after the client's close": {
 		{"internal/precondition/precondition.go", "case a.ClientGone:", "case false:"},
@@ -166,15 +167,15 @@
 	return path
 }
 
-// Each mutant changes source text that is there, so that code which is moved or renamed takes its mutants along.
+// Each mutant replaces source text that exists, so that code which is moved or renamed takes its mutants along.
 func TestMutantsChangeTheProgram(t *testing.T) {
 	for name, changes := range programMutants {
 		t.Run(name, func(t *testing.T) { writeOverlay(t, changes) })
 	}
 }
 
-// The oracle catches each mutant of the program by what the stand-ins saw. It runs where RAMPSPREAD_MUTANTS is set: it builds and plays for
-// minutes.
+// The checker catches each mutant of the program by the history. It runs where RAMPSPREAD_MUTANTS is set: it builds and
+// plays for minutes.
 func TestSoakCatchesMutants(t *testing.T) {
 	if os.Getenv("RAMPSPREAD_MUTANTS") == "" {
 		t.Skip("RAMPSPREAD_MUTANTS is not set")
--- a/internal/faultbench/starts_test.go
+++ b/internal/faultbench/starts_test.go
@@ -7,8 +7,9 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Starts at bad moments: killed again while starting, while a zone is cut off, while discovery is silent and then behind. No rule
-// breaks, nothing crashes, and requests are served again at the end. RAMPSPREAD_DEPLOYMENTS says how many seeds are played; one in CI.
+// Processes start at bad moments: killed again while starting, while a zone is cut off, while discovery is silent and then
+// delayed. No rule is broken, nothing crashes, and requests are served again at the end. RAMPSPREAD_DEPLOYMENTS says how many
+// seeds are played; one in CI.
 func TestRestartsDuringOtherFaults(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"kill-twice", "restart-in-cut", "late-discovery"} {
--- a/internal/faultbench/state_test.go
+++ b/internal/faultbench/state_test.go
@@ -8,8 +8,8 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// A dispatcher that is killed and starts again while discovery is silent knows from the disk which servers were leaving; its
-// configuration's list is older. Without a folder it sends to them, which shows that the day can tell.
+// A dispatcher that is killed and restarts while discovery is silent knows from its state folder which replicas were
+// draining; its configuration's list is older. Without a folder it sends to them, which shows that the scenario can tell.
 func TestEndpointListSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	day := &scenario.Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
@@ -36,9 +36,9 @@
 	}
 }
 
-// All members of a fleet are killed at once. With folders the numbers of its leases grow on; without they begin anew, and replicas are
-// probed under lower numbers than before, which shows that the day can tell. The members killed one at a time before make sure of
-// that: whoever takes their duties over does so under higher numbers than the first, where a calm hour may leave all at the first.
+// All members of a fleet are killed at once. With state folders the fencing tokens grow on; without they start anew, and
+// replicas are polled under lower tokens than before, which shows that the scenario can tell. The members killed one at a time
+// before ensure that: whoever takes their leases over does so under higher tokens, where a calm hour may leave all at the first.
 func TestFencingTokensSurviveFleetRestart(t *testing.T) {
 	t.Parallel()
 	day := &scenario.Scenario{Name: "all-killed", Seconds: 17, Rate: 14, Zones: 2, PrefillReplicas: 4, DecodeReplicas: 4, Faults: []scenario.Fault{
--- a/internal/faultbench/state_transfer_test.go
+++ b/internal/faultbench/state_transfer_test.go
@@ -14,7 +14,7 @@
 
 var transferredState = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
 
-// Processes that are restarted in order, and ones that are killed, begin with what their earlier lives learnt; no rule breaks by it.
+// Processes that are restarted gracefully or killed start with the state that the earlier process learned; no rule is broken by it.
 func TestHandover(t *testing.T) {
 	for _, do := range []string{"term", "kill"} {
 		t.Run(do, func(t *testing.T) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Nine in ten are killed at once and lose all: those that start learn from the few that know, and pass it on; no donor is overrun and
-// no rule breaks. With a part of them cut off they go on by themselves.
+// Most members are killed at once and lose their state: those that start learn from the few that know, and pass it on; no donor
+// is overloaded and no rule is broken. When part of them is cut off they go on by themselves.
 func TestBootstrapFromPeers(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(map[bool]string{false: "restart", true: "cut off"}[cut], func(t *testing.T) {
--- a/internal/faultbench/versionskew.go
+++ b/internal/faultbench/versionskew.go
@@ -31,20 +31,20 @@
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	tick := time.NewTicker(admissionPollInterval)
 	defer tick.Stop()
-	var no time.Duration // when it last said no: it may have said yes to others before it does here
-	for shut := false; ; {
-		asked := r.history.Now()
+	var refusedAt time.Duration // the last refusal: it may have accepted others since, before it does here
+	for fenced := false; ; {
+		polledAt := r.history.Now()
 		if resp, err := client.Get("http://" + r.addrs.listen(d) + "/healthz"); err == nil {
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
-			switch now := resp.StatusCode != http.StatusOK; {
-			case now && !shut:
+			switch refuses := resp.StatusCode != http.StatusOK; {
+			case refuses && !fenced:
 				r.history.Add(history.Event{Kind: history.AdmissionChanged, Dispatcher: d, Complete: true})
-			case !now && shut:
-				r.history.Add(history.Event{At: no, Kind: history.AdmissionChanged, Dispatcher: d})
+			case !refuses && fenced:
+				r.history.Add(history.Event{At: refusedAt, Kind: history.AdmissionChanged, Dispatcher: d})
 			}
-			if shut = resp.StatusCode != http.StatusOK; shut {
-				no = asked
+			if fenced = resp.StatusCode != http.StatusOK; fenced {
+				refusedAt = polledAt
 			}
 		}
 		select {
--- a/internal/faultbench/versionskew_test.go
+++ b/internal/faultbench/versionskew_test.go
@@ -10,8 +10,8 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Stragglers are timed from the first change that they missed, settings from their change on; one that had been told no old list
-// was shut out wrongly, and work for what came to it long after is an act.
+// Detection counts from the first change that a dispatcher missed, for settings from their change on; fencing one that was sent
+// no old list is false, and work for a request that it took long after its fencing is counted.
 func TestVersionSkewReport(t *testing.T) {
 	const s = time.Second
 	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: 1, Until: 9 * s},
@@ -23,13 +23,14 @@
 	}
 }
 
-// A dispatcher whose discovery is stuck takes no clients after a while, and takes them again when its list is level; the others go on.
-// So with one whose settings are not most members'. Where most are stuck, or one is cut off or stopped meanwhile, nobody is shut out.
+// A dispatcher whose discovery is stuck takes no clients after a while, and takes them again when its list is current; the
+// others go on. The same holds for settings that differ from most members'. Where most are stuck, or one is cut off or paused
+// meanwhile, nobody is fenced.
 func TestVersionSkewFencing(t *testing.T) {
 	for name, outs := range map[string]int{"straggler-list": 1, "straggler-settings": 1, "all-behind": 0, "straggler-split": 0} {
 		t.Run(name, func(t *testing.T) {
 			if name != "straggler-list" && name != "all-behind" && !*includeLong {
-				t.Skip("-rig.long")
+				t.Skip("-bench.long")
 			}
 			t.Parallel()
 			s, err := scenario.Load(name)
