--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -88,7 +88,8 @@
 func (d *Server) endpoint(name string, e entry, dispatcher int) Endpoint {
 	p := d.config.Deployment
 	out := Endpoint{ID: name, HostPort: d.config.Address(e.replica, dispatcher), Zone: p.ZoneName(e.replica.Zone),
-		MachineType: p.KindOf(e.replica.Index, e.replica.Decode), Cell: e.replica.Zone, Lifecycle: e.state, Weight: e.replica.Weight()}
+		MachineType: p.KindOf(e.replica.Index, e.replica.Decode), Cell: e.replica.Zone, Lifecycle: e.state,
+		Weight: e.replica.Weight()}
 	if !e.started.IsZero() {
 		out.StartedAtMS = e.started.UnixMilli()
 	}
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -158,7 +158,8 @@
 	for _, p := range r.dispatchers {
 		report.BootstrapsApplied += p.Counter("beliefs_taken")
 	}
-	report.MaxQuotaSum, report.MinQuotaSum, report.MeanQuotaSum, report.MaxQuota = quotas.MaxQuotaSum, quotas.MinQuotaSum, quotas.MeanQuotaSum, quotas.MaxQuota
+	report.MaxQuotaSum, report.MinQuotaSum = quotas.MaxQuotaSum, quotas.MinQuotaSum
+	report.MeanQuotaSum, report.MaxQuota = quotas.MeanQuotaSum, quotas.MaxQuota
 	report.addUsage(used, r, r.history.Now()-base)
 	return report
 }
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -164,7 +164,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.downSince > 0 {
-		p.config.History.Add(history.Event{At: p.downSince, Kind: history.ProcessDown, Class: p.downReason, Dispatcher: p.config.Index, Until: p.config.History.Now()})
+		p.config.History.Add(history.Event{At: p.downSince, Kind: history.ProcessDown, Class: p.downReason,
+			Dispatcher: p.config.Index, Until: p.config.History.Now()})
 	}
 	p.downSince, p.upAgainAt = 0, time.Now()
 }
--- a/internal/faultbench/scenario/draw.go
+++ b/internal/faultbench/scenario/draw.go
@@ -10,12 +10,25 @@
 // and new configurations.
 func DrawDay(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0xda4))
-	s := &Scenario{Name: fmt.Sprintf("drawn-%d", seed), Seconds: 13, Rate: 14, Zones: 1 + rng.IntN(3), PrefillReplicas: 4 + rng.IntN(3), DecodeReplicas: 4 + rng.IntN(3)}
-	lost := []Fault{{At: 2, Action: SilenceWatches, Fraction: 1}, {At: 3.5, Action: ResetLinks, Links: "discovery", Fraction: 1}, {At: 1.5, Action: SilenceDiscovery, Duration: 3}}
-	s.Faults = append(s.Faults, lost[seed%3], Fault{At: 3.6 + rng.Float64(), Action: DrainReplica, Fraction: 0.3, Duration: 7})
-	menu := []Fault{{At: 5, Action: HangReplica, Fraction: 0.25, Duration: 4}, {At: 5, Action: Kill, Fraction: 0.4, Duration: 0.5}, {At: 6, Action: Terminate, Duration: 0.3},
-		{At: 5, Action: MoveDiscovery, Fraction: 1}, {At: 4, Action: KillReplica, Fraction: 0.15, Duration: 3}, {At: 6, Action: ResetLinks, Links: "replicas", Fraction: 0.7},
-		{At: 4, Action: ImpairLinks, Links: "replicas", Direction: "to", DelayMS: 300, Fraction: 0.5, Duration: 4}, {At: 5, Action: SlowReplica, Fraction: 0.2, Factor: 8, Duration: 4}}
+	s := &Scenario{Name: fmt.Sprintf("drawn-%d", seed), Seconds: 13, Rate: 14,
+		Zones: 1 + rng.IntN(3), PrefillReplicas: 4 + rng.IntN(3), DecodeReplicas: 4 + rng.IntN(3)}
+	lostWatches := []Fault{
+		{At: 2, Action: SilenceWatches, Fraction: 1},
+		{At: 3.5, Action: ResetLinks, Links: "discovery", Fraction: 1},
+		{At: 1.5, Action: SilenceDiscovery, Duration: 3},
+	}
+	s.Faults = append(s.Faults, lostWatches[seed%3],
+		Fault{At: 3.6 + rng.Float64(), Action: DrainReplica, Fraction: 0.3, Duration: 7})
+	menu := []Fault{
+		{At: 5, Action: HangReplica, Fraction: 0.25, Duration: 4},
+		{At: 5, Action: Kill, Fraction: 0.4, Duration: 0.5},
+		{At: 6, Action: Terminate, Duration: 0.3},
+		{At: 5, Action: MoveDiscovery, Fraction: 1},
+		{At: 4, Action: KillReplica, Fraction: 0.15, Duration: 3},
+		{At: 6, Action: ResetLinks, Links: "replicas", Fraction: 0.7},
+		{At: 4, Action: ImpairLinks, Links: "replicas", Direction: "to", DelayMS: 300, Fraction: 0.5, Duration: 4},
+		{At: 5, Action: SlowReplica, Fraction: 0.2, Factor: 8, Duration: 4},
+	}
 	for _, i := range rng.Perm(len(menu))[:3] {
 		s.Faults = append(s.Faults, menu[i])
 	}
