--- a/cmd/fleetrig/main.go
+++ b/cmd/fleetrig/main.go
@@ -1,5 +1,5 @@
 // Command fleetrig runs the program many times over on one machine, with faults between the processes, and checks
-// the rules over what the stand-ins round them saw.
+// the rules over the history of what the simulated parties round them saw.
 package main
 
 import (
@@ -16,7 +16,8 @@
 	"github.com/spf13/cobra"
 
 	"rampspread/internal/cli"
-	"rampspread/internal/rig"
+	"rampspread/internal/faultbench"
+	"rampspread/internal/faultbench/scenario"
 )
 
 func main() {
@@ -30,8 +31,8 @@
 	}
 }
 
-// errBad is a run in which a rule broke or a process crashed; its report has been printed.
-var errBad = errors.New("a rule broke or a process crashed")
+// errFailed is the error of a run in which a rule broke or a process crashed; its report has been printed.
+var errFailed = errors.New("a rule broke or a process crashed")
 
 func commands(out, logs io.Writer) *cobra.Command {
 	root := cli.NewRootCommand("fleetrig", "Run a fleet of the program with faults between its processes", out)
@@ -39,8 +40,8 @@
 	return root
 }
 
-// beside is the program's binary, which is built into the same folder.
-func beside() string {
+// programPath is the program's binary, which is built into the same folder.
+func programPath() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "bin/rampspread"
@@ -48,16 +49,16 @@
 	return filepath.Join(filepath.Dir(self), "rampspread")
 }
 
-func options(c *cobra.Command, o *rig.Options) {
-	c.Flags().StringVar(&o.Program, "program", beside(), "the program's `binary`")
+func addRunFlags(c *cobra.Command, o *faultbench.Options) {
+	c.Flags().StringVar(&o.Program, "program", programPath(), "the program's `binary`")
 	c.Flags().IntVar(&o.Dispatchers, "dispatchers", 3, "how many `dispatchers`")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "draws arrivals, sizes and what faults befall")
 }
 
-func logTo(logs io.Writer) *slog.Logger { return slog.New(cli.LogHandler(logs)) }
+func newLogger(logs io.Writer) *slog.Logger { return slog.New(cli.LogHandler(logs)) }
 
-// verdict prints a report, and tells whether anything in it was wrong.
-func verdict(out io.Writer, report interface {
+// printVerdict prints a report, and returns errFailed if anything in it is wrong.
+func printVerdict(out io.Writer, report interface {
 	Print(io.Writer) error
 	Good() bool
 }) error {
@@ -65,55 +66,55 @@
 		return err
 	}
 	if !report.Good() {
-		return errBad
+		return errFailed
 	}
 	return nil
 }
 
 func runCommand(out, logs io.Writer) *cobra.Command {
-	var o rig.Options
+	var o faultbench.Options
 	var keep string
 	c := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario, built in or a file; the last line printed is one JSON object",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			s, err := rig.Load(args[0])
+			s, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if keep != "" {
 				o.Dir = filepath.Join(keep, fmt.Sprintf("%s-%d-%d.files", s.Name, o.Dispatchers, o.Seed))
 			}
-			o.Log = logTo(logs)
-			report, err := rig.Play(c.Context(), s, o)
+			o.Log = newLogger(logs)
+			report, err := faultbench.Play(c.Context(), s, o)
 			if err != nil {
 				return err
 			}
 			if keep != "" {
-				if err := report.Keep(keep); err != nil {
+				if err := report.WriteFiles(keep); err != nil {
 					return err
 				}
 			}
-			return verdict(out, report)
+			return printVerdict(out, report)
 		}}
-	options(c, &o)
+	addRunFlags(c, &o)
 	c.Flags().BoolVar(&o.Fleet, "fleet", false, "let the dispatchers know of each other")
-	c.Flags().BoolVar(&o.NoDuties, "no-duties", false, "with -fleet: do nothing in turn")
+	c.Flags().BoolVar(&o.NoLeasedTasks, "no-duties", false, "with -fleet: do nothing in turn")
 	c.Flags().BoolVar(&o.Budgets, "budgets", false, "with -fleet: let them share what they may do together")
 	c.Flags().IntVar(&o.Subsets, "subsets", 0, "with -fleet: let each keep to at least so many `readers`, 0: to all")
-	c.Flags().BoolVar(&o.Filings, "filings", false, "with -fleet: filings run once in the whole fleet; clients send some to several dispatchers")
-	c.Flags().BoolVar(&o.OwnFilings, "own-filings", false, "clients send such filings, and each dispatcher knows its own only")
+	c.Flags().BoolVar(&o.IdempotentRequests, "filings", false, "with -fleet: filings run once in the whole fleet; clients send some to several dispatchers")
+	c.Flags().BoolVar(&o.LocalIdempotency, "own-filings", false, "clients send such filings, and each dispatcher knows its own only")
 	c.Flags().BoolVar(&o.Handover, "handover", false, "let a dispatcher begin with what its earlier life learnt")
-	c.Flags().BoolVar(&o.Stragglers, "stragglers", false, "with -fleet: a dispatcher that is behind most is restricted and shut out")
-	c.Flags().BoolVar(&o.Ends, "ends", false, "with -fleet: a dispatcher sends nothing to what a newer list than its own has ended")
-	c.Flags().BoolVar(&o.Beliefs, "beliefs", false, "with -fleet: let a dispatcher that starts learn from the others")
-	c.Flags().BoolVar(&o.Unwatched, "unwatched", false, "with -fleet: ask nobody for views, so that no detection is measured")
+	c.Flags().BoolVar(&o.VersionSkew, "stragglers", false, "with -fleet: a dispatcher that is behind most is restricted and shut out")
+	c.Flags().BoolVar(&o.EndpointFilter, "ends", false, "with -fleet: a dispatcher sends nothing to what a newer list than its own has ended")
+	c.Flags().BoolVar(&o.Bootstrap, "beliefs", false, "with -fleet: let a dispatcher that starts learn from the others")
+	c.Flags().BoolVar(&o.SkipViews, "unwatched", false, "with -fleet: ask nobody for views, so that no detection is measured")
 	c.Flags().StringVar(&keep, "out", "", "keep figures, history, chart and logs in this `folder`")
-	c.Flags().Float64Var(&o.Rate, "rate", 1, "a `factor` on the scenario's rate of requests")
+	c.Flags().Float64Var(&o.RateFactor, "rate", 1, "a `factor` on the scenario's rate of requests")
 	return c
 }
 
 func listCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Name the built-in scenarios", Args: cli.RejectArgs, RunE: func(*cobra.Command, []string) error {
-		all, err := rig.Scenarios()
+		all, err := scenario.All()
 		if err != nil {
 			return err
 		}
@@ -125,11 +126,11 @@
 }
 
 func demoCommand(out, logs io.Writer) *cobra.Command {
-	var o rig.Options
+	var o faultbench.Options
 	c := &cobra.Command{Use: "demo", Short: "Start a whole fleet with the chat front and print how to ask it; SIGINT or SIGTERM ends it",
 		Args: cli.RejectArgs, RunE: func(c *cobra.Command, _ []string) error {
-			o.Log = logTo(logs)
-			d, err := rig.StartDemo(c.Context(), o)
+			o.Log = newLogger(logs)
+			d, err := faultbench.StartDemo(c.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -141,6 +142,6 @@
 			<-c.Context().Done()
 			return nil
 		}}
-	options(c, &o)
+	addRunFlags(c, &o)
 	return c
 }
--- a/internal/rig/deployments_test.go
+++ b/internal/faultbench/deployments_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"bytes"
@@ -12,11 +12,13 @@
 	"testing"
 	"time"
 
-	"rampspread/internal/rig/history"
+	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
 )
 
-// seeds are those that are played: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
-func seeds(t *testing.T, few int) (out []uint64) {
+// playedSeeds are the first seeds: a few, or as many as RAMPSPREAD_DEPLOYMENTS says.
+func playedSeeds(t *testing.T, few int) (out []uint64) {
 	n, err := strconv.Atoi(cmp.Or(os.Getenv("RAMPSPREAD_DEPLOYMENTS"), strconv.Itoa(few)))
 	if err != nil {
 		t.Fatal(err)
@@ -27,42 +29,42 @@
 	return out
 }
 
-// Other deployments than the project's own, drawn from fixed seeds, with lost watches and drains just then, hanging
-// servers, kills, SIGTERM and moves: no rule breaks and nothing crashes. The checker knows what the stand-ins saw on
-// their sockets only, and is shown to see a breach of each kind in that same day.
+// Other deployments than the default one, drawn from fixed seeds, with drains while watches are lost, hanging replicas,
+// kills, SIGTERM and moves: no rule is broken and nothing crashes. The checker knows only what the simulated parties saw on
+// their sockets, and is shown to find a violation of each kind in that same history.
 func TestDrawnDeployments(t *testing.T) {
-	for _, seed := range seeds(t, 4) {
+	for _, seed := range playedSeeds(t, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			day := drawDay(seed)
-			r, err := Play(context.Background(), day, Options{Program: program, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
+			day := scenario.DrawDay(seed)
+			r, err := Play(context.Background(), day, Options{Program: programPath, Dispatchers: 3, Seed: seed, Deployment: seed, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range r.breaches {
-				t.Errorf("%s: %s", describe(day), b)
+			for _, b := range r.violations {
+				t.Errorf("%s: %s", describeFaults(day), b)
 			}
-			if r.Crashes > 0 || r.Asked == 0 || r.ByStatus["served"] == 0 {
-				t.Errorf("%s: %d crashes, %d asked, %v", describe(day), r.Crashes, r.Asked, r.ByStatus)
+			if r.Crashes > 0 || r.Requests == 0 || r.ByStatus["served"] == 0 {
+				t.Errorf("%s: %d crashes, %d asked, %v", describeFaults(day), r.Crashes, r.Requests, r.ByStatus)
 			}
-			plan := drawDeployment(day.Zones, seed)
-			if n := count(r.events, history.LoadPolled); !plan.probes && n > 0 {
+			plan := deployment.Draw(day.Zones, seed)
+			if n := countEvents(r.events, history.LoadPolled); !plan.LoadPolls && n > 0 {
 				t.Errorf("%d probes where the settings allow none", n)
 			}
-			mutants(t, r.events, plan)
+			checkMutatedHistories(t, r.events, plan)
 		})
 	}
 }
 
-func describe(s *Scenario) string {
+func describeFaults(s *scenario.Scenario) string {
 	var out bytes.Buffer
 	for _, f := range s.Faults {
-		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Do, f.Links, f.At)
+		fmt.Fprintf(&out, "%s%s at %.1f, ", f.Action, f.Links, f.At)
 	}
 	return out.String()
 }
 
-func count(events []history.Event, kind history.Kind) (n int) {
+func countEvents(events []history.Event, kind history.Kind) (n int) {
 	for _, e := range events {
 		if e.Kind == kind {
 			n++
@@ -71,11 +73,11 @@
 	return n
 }
 
-// mutants breaks one rule of each kind in a day that kept them, at a place drawn by its length, and wants the checker to
-// see it.
-func mutants(t *testing.T, events []history.Event, plan *deployment) {
+// checkMutatedHistories breaks one rule of each kind in a history that kept them, at a place drawn by its length, and
+// expects the checker to find it.
+func checkMutatedHistories(t *testing.T, events []history.Event, plan *deployment.Deployment) {
 	t.Helper()
-	rules := plan.rules(func(string) *replica { return &replica{} })
+	rules := plan.Rules(func(string) int { return 0 })
 	rng := rand.New(rand.NewPCG(uint64(len(events)), 1))
 	blamed := func(d int) bool {
 		return slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ProcessDown && e.Dispatcher == d })
--- /dev/null
+++ b/internal/faultbench/endpoint_filter_test.go
@@ -0,0 +1,60 @@
+package faultbench
+
+import (
+	"context"
+	"testing"
+
+	"rampspread/internal/faultbench/scenario"
+)
+
+// Two in five dispatchers are sent an old list from 5 s on, with replicas that leave at 6 s and go on answering; at 9 s those
+// two, or most of the fleet, are killed and lose their state. With the endpoint filter nothing is sent to withdrawn replicas;
+// without it, the same scenario shows such attempts.
+func TestWithdrawnReplicasStayWithdrawn(t *testing.T) {
+	for name, c := range map[string]struct {
+		ends bool
+		kill scenario.Fault
+	}{
+		"without":            {false, scenario.Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"stragglers restart": {true, scenario.Fault{At: 9, Action: "kill", Fraction: 0.4, SpareFirst: 3, Duration: 0.3, LoseState: true}},
+		"most restart":       {true, scenario.Fault{At: 9, Action: "kill", Fraction: 0.8, SpareFirst: 1, Duration: 0.3, LoseState: true}},
+		"one side of a cut":  {true, scenario.Fault{At: 9, Action: "split", Duration: 2}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if name == "stragglers restart" && !*includeLong {
+				t.Skip("-bench.long")
+			}
+			t.Parallel()
+			s := &scenario.Scenario{Name: "older", Seconds: 14, Rate: 30, Zones: 1, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
+				{At: 5, Action: "discovery-stale", Fraction: 0.4, SpareFirst: 3, Duration: 8}, {At: 6, Action: "replica-leave", Fraction: 0.2, Duration: 7}, c.kill}}
+			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 5, Seed: 3, Fleet: true, EndpointFilter: c.ends, SkipViews: true, Dir: t.TempDir()})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !r.Good() || c.ends != (r.StaleAttempts == 0) {
+				t.Errorf("%d stale acts, %v", r.StaleAttempts, r.violations)
+			}
+		})
+	}
+}
+
+// All voters lose their state at once, and one member without a vote survives: fencing tokens continue from what it knows, so
+// the replicas see none fall back. With these two seeds they once did, until the scenario's end.
+func TestFencingTokensGrowAfterAllVotersLoseState(t *testing.T) {
+	if !*includeLong {
+		t.Skip("-bench.long")
+	}
+	s, err := scenario.Load("restart-most-lost")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, seed := range []uint64{2, 7} {
+		r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 9, Seed: seed, Fleet: true, EndpointFilter: true, Dir: t.TempDir()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !r.Good() || r.StaleLeasePolls > 0 || r.LeasedPollRate < 1 {
+			t.Errorf("%d probes under numbers that had fallen back, %.2f in all, %v", r.StaleLeasePolls, r.LeasedPollRate, r.violations)
+		}
+	}
+}
--- /dev/null
+++ b/internal/faultbench/network/relay.go
@@ -0,0 +1,162 @@
+package network
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Relay forwards to one receiver of a group of peers that communicate by UDP and TCP: its address is the one
+// that the receiver advertises. The source address identifies the sender, so each peer must send from an address of its
+// own. Link names the link from a sender to this receiver.
+type Relay struct {
+	receiver string // the receiver's own address
+	link     func(sender net.IP) *Link
+	udp      net.PacketConn
+	tcp      net.Listener
+	done     chan struct{}
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	recent   [][]byte     // the last datagrams, for Replay
+	bytes    atomic.Int64 // forwarded by UDP and TCP, to the receiver and back
+}
+
+// Bytes is how many bytes it has forwarded, both ways.
+func (r *Relay) Bytes() int64 { return r.bytes.Load() }
+
+const dialTimeout = 2 * time.Second
+
+// NewRelay listens at addr on UDP and TCP and forwards to the receiver at to. Senders without a link (nil) are rejected.
+func NewRelay(addr, to string, link func(sender net.IP) *Link) (*Relay, error) {
+	udp, err := net.ListenPacket("udp4", addr)
+	if err != nil {
+		return nil, fmt.Errorf("relay: %w", err)
+	}
+	tcp, err := net.Listen("tcp4", addr)
+	if err != nil {
+		udp.Close()
+		return nil, fmt.Errorf("relay: %w", err)
+	}
+	r := &Relay{receiver: to, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
+	r.wg.Go(r.relayPackets)
+	r.wg.Go(r.acceptStreams)
+	return r, nil
+}
+
+// Close ends the relay and waits for its goroutines.
+func (r *Relay) Close() {
+	close(r.done)
+	r.udp.Close()
+	r.tcp.Close()
+	r.wg.Wait()
+}
+
+func (r *Relay) relayPackets() {
+	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	if err != nil {
+		return
+	}
+	buf := make([]byte, 64<<10)
+	for {
+		n, from, err := r.udp.ReadFrom(buf)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue // an earlier datagram's receiver was not listening
+		}
+		l := r.link(from.(*net.UDPAddr).IP)
+		if l == nil {
+			continue
+		}
+		lost, late := l.DrawLoss()
+		if lost {
+			continue
+		}
+		r.bytes.Add(int64(n))
+		r.remember(buf[:n])
+		if late <= 0 {
+			r.udp.WriteTo(buf[:n], to)
+			continue
+		}
+		data := append([]byte(nil), buf[:n]...)
+		time.AfterFunc(late, func() { r.udp.WriteTo(data, to) })
+	}
+}
+
+// maxRemembered is how many datagrams a relay remembers.
+const maxRemembered = 2000
+
+func (r *Relay) remember(b []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recent = append(r.recent, append([]byte(nil), b...))
+	r.recent = r.recent[max(0, len(r.recent)-maxRemembered):]
+}
+
+// Replay sends the receiver all remembered datagrams once more, sealed and signed as they were, and returns how many.
+func (r *Relay) Replay() (int, error) {
+	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	if err != nil {
+		return 0, fmt.Errorf("relay: %w", err)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, b := range r.recent {
+		if _, err := r.udp.WriteTo(b, to); err != nil {
+			return 0, fmt.Errorf("relay: %w", err)
+		}
+	}
+	return len(r.recent), nil
+}
+
+func (r *Relay) acceptStreams() {
+	for {
+		c, err := r.tcp.Accept()
+		if err != nil {
+			return
+		}
+		l := r.link(c.RemoteAddr().(*net.TCPAddr).IP)
+		if l == nil {
+			c.Close()
+			continue
+		}
+		r.wg.Go(func() { r.relayStream(wrap(c, l, fromListener)) })
+	}
+}
+
+func (r *Relay) relayStream(in *Conn) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	out, err := new(net.Dialer).DialContext(ctx, "tcp4", r.receiver)
+	if err != nil {
+		in.Abort()
+		return
+	}
+	end := make(chan struct{})
+	var once sync.Once
+	stop := func() { once.Do(func() { close(end) }) }
+	go func() {
+		n, _ := io.Copy(out, in)
+		r.bytes.Add(n)
+		out.(*net.TCPConn).CloseWrite()
+	}()
+	go func() {
+		n, _ := io.Copy(in, out)
+		r.bytes.Add(n)
+		stop()
+	}()
+	select {
+	case <-end:
+		in.Close()
+	case <-in.done:
+	case <-r.done:
+		in.Abort()
+	}
+	out.Close()
+}
--- a/internal/rig/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"cmp"
@@ -9,7 +9,10 @@
 	"strings"
 	"testing"
 
-	"rampspread/internal/rig/history/historytest"
+	"rampspread/internal/faultbench/deployment"
+	"rampspread/internal/faultbench/history/historytest"
+	"rampspread/internal/faultbench/replica"
+	"rampspread/internal/faultbench/scenario"
 )
 
 // recordingsEnv names the folder that TestRecordHistories writes to. Without it the test is skipped.
@@ -26,22 +29,22 @@
 	}
 	for _, name := range []string{"kill-one", "roll", "cut-zone"} {
 		t.Run(name, func(t *testing.T) {
-			s, err := Load(name)
+			s, err := scenario.Load(name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			record(t, filepath.Join(dir, name), s, Options{Program: program, Dispatchers: 3, Seed: 1, Rate: 0.5}, "")
+			record(t, filepath.Join(dir, name), s, Options{Program: programPath, Dispatchers: 3, Seed: 1, RateFactor: 0.5}, "")
 		})
 	}
 	for _, seed := range recordedSeeds {
 		name := fmt.Sprintf("soak-%d", seed)
 		t.Run(name, func(t *testing.T) {
-			recordSoak(t, filepath.Join(dir, name), faulty(t, ""), seed, "")
+			recordSoak(t, filepath.Join(dir, name), buildFaultsProgram(t, ""), seed, "")
 		})
 	}
 	for name, changes := range programMutants {
 		t.Run(name, func(t *testing.T) {
-			program := faulty(t, overlay(t, changes))
+			program := buildFaultsProgram(t, writeOverlay(t, changes))
 			path := filepath.Join(dir, "mutant-"+strings.ReplaceAll(strings.ReplaceAll(name, " ", "-"), "'", ""))
 			for _, seed := range mutantSeeds[name] {
 				if recordSoak(t, path, program, seed, name) > 0 {
@@ -71,31 +74,31 @@
 func recordSoak(t *testing.T, path, program string, seed uint64, mutant string) int {
 	t.Helper()
 	o := SoakOptions{Program: program, Dispatchers: 5, Seed: seed, Seconds: 15, Dir: t.TempDir()}
-	s, _, err := drawSoak(o)
+	s, _, err := drawPlan(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return record(t, path, s, soakRun(o), mutant)
+	return record(t, path, s, soakOptions(o), mutant)
 }
 
 // record plays a scenario, writes its history and rules, and says how many rules it broke.
-func record(t *testing.T, path string, s *Scenario, o Options, mutant string) int {
+func record(t *testing.T, path string, s *scenario.Scenario, o Options, mutant string) int {
 	t.Helper()
 	o.Dir = cmp.Or(o.Dir, t.TempDir())
 	report, err := Play(context.Background(), s, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := usual(s.Zones)
+	plan := deployment.Default(s.Zones)
 	if o.Deployment != 0 {
-		plan = drawDeployment(s.Zones, o.Deployment)
+		plan = deployment.Draw(s.Zones, o.Deployment)
 	}
-	c := newCluster(nil, plan.rules(nil), s, o.Seed)
-	rules := plan.rules(c.named)
+	c := replica.NewCluster(nil, plan.Rules(nil), s, o.Seed)
+	rules := plan.Rules(func(name string) int { return c.Named(name).Zone })
 	rules.RandomArrivals = o.Strict
 	var replicas []string
-	for _, r := range c.replicas {
-		replicas = append(replicas, r.name)
+	for _, r := range c.Replicas {
+		replicas = append(replicas, r.Name)
 	}
 	r := &historytest.Recording{Events: report.events, Play: historytest.Play{Scenario: s.Name, Seed: o.Seed, Dispatchers: o.Dispatchers,
 		Seconds: s.Seconds, Mutant: mutant, Options: o.describe(), Strict: o.Strict, Rules: historytest.Stored(rules, replicas)}}
@@ -103,7 +106,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("%s: %d events, %d rules broken, %s", filepath.Base(path), len(report.events), report.RulesBroken, o.describe())
-	for _, b := range report.breaches {
+	for _, b := range report.violations {
 		t.Log(b)
 	}
 	return report.RulesBroken
--- /dev/null
+++ b/internal/faultbench/soak.go
@@ -0,0 +1,154 @@
+package faultbench
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"rampspread/internal/faultbench/history"
+	"rampspread/internal/faultbench/scenario"
+)
+
+// SoakOptions say how a soak is run.
+type SoakOptions struct {
+	Program      string // path of the binary of rampspread-faults
+	Dispatchers  int
+	Seed         uint64
+	Seconds      float64
+	QuietSeconds float64  // s without a fault at the begin; 0: 2.5
+	Faults       []string // the kinds that are drawn from; none: all
+	Dir          string   // for the processes' files and logs; none: a temporary one, removed at the end unless something was wrong
+	Log          *slog.Logger
+}
+
+// SoakReport is the result of a soak, in the form of its last line.
+type SoakReport struct {
+	Seed        uint64         `json:"seed"`
+	RulesBroken int            `json:"rules_broken"`
+	Crashes     int            `json:"crashes"`
+	Violations  int            `json:"violations"` // counted by the program's own checks at run time
+	Faults      map[string]int `json:"faults"`     // played, by kind
+	Requests    int            `json:"asked"`
+	Served      float64        `json:"served_share"`
+	ByStatus    map[string]int `json:"by_status"`
+	ByRule      map[string]int `json:"by_rule,omitempty"`
+	Options     string         `json:"options"`
+
+	text bytes.Buffer // violations and crashes, a line each
+}
+
+// Good tells whether nothing was wrong.
+func (r *SoakReport) Good() bool { return r.RulesBroken == 0 && r.Crashes == 0 && r.Violations == 0 }
+
+// Print writes what was wrong, and as its last line one JSON object.
+func (r *SoakReport) Print(w io.Writer) error {
+	if _, err := w.Write(r.text.Bytes()); err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	if err := json.NewEncoder(w).Encode(r); err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	return nil
+}
+
+// soakOptions draws how the dispatchers of a soak are run.
+func soakOptions(o SoakOptions) Options {
+	rng := rand.New(rand.NewPCG(o.Seed, 0x0b7))
+	run := Options{Program: o.Program, Dispatchers: o.Dispatchers, Seed: o.Seed, Dir: o.Dir, Log: o.Log, Strict: true, Sockets: 256,
+		Handover: rng.IntN(2) == 0, SkipViews: true}
+	switch rng.IntN(3) {
+	case 0:
+		run.Deployment = o.Seed
+	case 1:
+		run.Fleet, run.IdempotentRequests, run.State = o.Dispatchers >= 3, o.Dispatchers >= 3, true
+	}
+	return run
+}
+
+// describe names what sets a soak's run apart.
+func (o Options) describe() string {
+	return fmt.Sprintf("handover=%t fleet=%t filings=%t deployment=%d", o.Handover, o.Fleet, o.IdempotentRequests, o.Deployment)
+}
+
+// Soak plays a drawn plan of overlapping faults, and judges by what the stand-ins saw on their sockets.
+func Soak(ctx context.Context, o SoakOptions) (*SoakReport, error) {
+	plan, played, err := drawPlan(o)
+	if err != nil {
+		return nil, err
+	}
+	run := soakOptions(o)
+	temporary := o.Dir == ""
+	if temporary {
+		if run.Dir, err = os.MkdirTemp("", "soak-"); err != nil {
+			return nil, fmt.Errorf("soak: %w", err)
+		}
+	}
+	report, err := Play(ctx, plan, run)
+	if err != nil {
+		return nil, err
+	}
+	out := &SoakReport{Seed: o.Seed, RulesBroken: report.RulesBroken, Crashes: report.Crashes, Faults: played, Requests: report.Requests,
+		Served: report.ServedShare, ByStatus: report.ByStatus, ByRule: map[string]int{}, Options: strings.TrimSpace(run.describe() + " " + plan.About)}
+	for _, b := range report.violations {
+		out.ByRule[b.Rule]++
+		fmt.Fprintln(&out.text, b)
+	}
+	if f := report.Idempotency; f != nil && f.ExecutedTwice > 0 {
+		out.RulesBroken += f.ExecutedTwice
+		out.ByRule["filing_twice"] = f.ExecutedTwice
+	}
+	if out.Violations, err = countViolations(run.Dir, &out.text); err != nil {
+		return nil, err
+	}
+	if temporary && out.Good() {
+		os.RemoveAll(run.Dir)
+		return out, nil
+	}
+	fmt.Fprintln(&out.text, "files:", run.Dir)
+	return out, writeHistory(run.Dir, plan, report.events)
+}
+
+// writeHistory writes a soak's plan and what the stand-ins saw beside the processes' logs.
+func writeHistory(dir string, plan *scenario.Scenario, events []history.Event) error {
+	text, err := json.MarshalIndent(plan, "", " ")
+	if err != nil {
+		return fmt.Errorf("soak: %w", err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "plan.json"), text, 0o600); err != nil {
+		return fmt.Errorf("soak: %w", err)
+	}
+	f, err := os.Create(filepath.Join(dir, "history.jsonl"))
+	if err != nil {
+		return fmt.Errorf("soak: %w", err)
+	}
+	defer f.Close()
+	return history.Write(f, events)
+}
+
+// countViolations counts what the dispatchers' own checks have logged, and copies it.
+func countViolations(dir string, to io.Writer) (n int, err error) {
+	logs, err := filepath.Glob(filepath.Join(dir, "n*.log"))
+	if err != nil {
+		return 0, fmt.Errorf("soak: %w", err)
+	}
+	for _, path := range logs {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			return n, fmt.Errorf("soak: %w", err)
+		}
+		for line := range bytes.Lines(text) {
+			if bytes.Contains(line, []byte("event=violation ")) {
+				n++
+				fmt.Fprintf(to, "%s: %s", filepath.Base(path), line)
+			}
+		}
+	}
+	return n, nil
+}
--- a/internal/rig/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultbench
 
 import (
 	"context"
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// faulty builds the program that takes its machine's faults from a file; with overlay the sources that it names are replaced.
-func faulty(t *testing.T, overlay string) string {
+// buildFaultsProgram builds the program that reads its machine's faults from a file; with an overlay the sources that it names
+// are replaced.
+func buildFaultsProgram(t *testing.T, overlay string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rampspread-faults")
 	args := []string{"build", "-o", path}
@@ -25,67 +26,67 @@
 	return path
 }
 
-// A short soak of three processes with all that it knows: no rule breaks, nothing crashes, and no check of the program's own fails.
+// A short soak of three processes with all kinds of fault: no rule is broken, nothing crashes, and none of the program's own checks fails.
 func TestSoak(t *testing.T) {
 	t.Parallel()
-	program := faulty(t, "")
+	program := buildFaultsProgram(t, "")
 	for _, seed := range []uint64{1, 2, 4} { // alone, other settings, a fleet
 		r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 3, Seed: seed, Seconds: 14, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		text := checkLastLine(t, r, "seed", "rules_broken", "crashes", "violations", "faults")
-		if !r.Good() || r.Asked == 0 || len(r.Faults) < 3 || r.Served == 0 {
+		if !r.Good() || r.Requests == 0 || len(r.Faults) < 3 || r.Served == 0 {
 			t.Error(text)
 		}
 	}
 }
 
-// The faults of the incident, that say nothing: links and connections that fall silent, replicas that vanish, zones that are cut off,
-// connections that come late, and operators' drains and restarts in series beside them.
-func TestSoakOfSilence(t *testing.T) {
+// The silent faults of the incident: links and connections that fall silent, replicas that vanish, zones that are cut off,
+// delayed connections, with operators' drains and restarts in series at the same time.
+func TestSoakWithSilentFaults(t *testing.T) {
 	t.Parallel()
-	program := faulty(t, "")
+	program := buildFaultsProgram(t, "")
 	faults := []string{"silent-links", "silent-conns", "late-conns", "vanish", "cut-zone", "operator-drain", "restarts", "hang"}
 	for _, seed := range []uint64{1, 3, 6} {
 		r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 3, Seed: seed, Seconds: 14, Faults: faults, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if text := checkLastLine(t, r, "seed", "rules_broken"); !r.Good() || r.Asked == 0 || r.Served == 0 {
+		if text := checkLastLine(t, r, "seed", "rules_broken"); !r.Good() || r.Requests == 0 || r.Served == 0 {
 			t.Error(text)
 		}
 	}
 }
 
-// A plan is the same for the same seed and another for another, has two or three faults at a time, and is drawn from the kinds that were
-// asked for.
+// A plan is the same for the same seed and differs between seeds, has two or three faults at a time, and is drawn from the
+// requested kinds.
 func TestSoakPlans(t *testing.T) {
 	o := SoakOptions{Seed: 5, Seconds: 40, Dispatchers: 10}
-	a, played, err := drawSoak(o)
+	a, played, err := drawPlan(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _, _ := drawSoak(o)
+	b, _, _ := drawPlan(o)
 	o.Seed++
-	c, _, _ := drawSoak(o)
+	c, _, _ := drawPlan(o)
 	if !reflect.DeepEqual(a, b) || reflect.DeepEqual(a, c) || len(a.Faults) < 15 || len(played) < 6 {
 		t.Errorf("%d faults of %d kinds", len(a.Faults), len(played))
 	}
 	for i, f := range a.Faults {
-		if err := f.check(a); err != nil {
+		if err := f.Check(a); err != nil {
 			t.Errorf("fault %d: %v", i, err)
 		}
 	}
 	o.Faults = []string{"clock", "drain"}
-	if _, played, err := drawSoak(o); err != nil || len(played) != 2 {
+	if _, played, err := drawPlan(o); err != nil || len(played) != 2 {
 		t.Errorf("%v, %v", played, err)
 	}
 	o.Faults = []string{"flood"}
-	if _, _, err := drawSoak(o); err == nil || strings.Contains(err.Error(), "\n") {
+	if _, _, err := drawPlan(o); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("an unknown kind: %v", err)
 	}
-	if _, _, err := drawSoak(SoakOptions{Seconds: 1}); err == nil {
+	if _, _, err := drawPlan(SoakOptions{Seconds: 1}); err == nil {
 		t.Error("a soak of a second")
 	}
 }
@@ -93,7 +94,7 @@
 // replacement is a change of one source file.
 type replacement struct{ file, old, new string }
 
-// mutants are faults that are built into the program, each on every layer that would keep it from showing.
+// programMutants are faults that are built into the program, each on every layer that would otherwise mask it.
 var programMutants = map[string][]replacement{
 	"an attempt after the client's close": {
 		{"internal/precondition/precondition.go", "case a.ClientGone:", "case false:"},
@@ -125,8 +126,8 @@
 	},
 }
 
-// overlay writes a mutant's sources and the file that names them to the build.
-func overlay(t *testing.T, changes []replacement) string {
+// writeOverlay writes a mutant's sources and the file that names them to the build.
+func writeOverlay(t *testing.T, changes []replacement) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -166,15 +167,15 @@
 	return path
 }
 
-// Each mutant changes source text that is there, so that code which is moved or renamed takes its mutants along.
+// Each mutant replaces source text that exists, so that code which is moved or renamed takes its mutants along.
 func TestMutantsChangeTheProgram(t *testing.T) {
 	for name, changes := range programMutants {
-		t.Run(name, func(t *testing.T) { overlay(t, changes) })
+		t.Run(name, func(t *testing.T) { writeOverlay(t, changes) })
 	}
 }
 
-// The oracle catches each mutant of the program by what the stand-ins saw. It runs where RAMPSPREAD_MUTANTS is set: it builds and plays for
-// minutes.
+// The checker catches each mutant of the program by the history. It runs where RAMPSPREAD_MUTANTS is set: it builds and
+// plays for minutes.
 func TestSoakCatchesMutants(t *testing.T) {
 	if os.Getenv("RAMPSPREAD_MUTANTS") == "" {
 		t.Skip("RAMPSPREAD_MUTANTS is not set")
@@ -183,7 +184,7 @@
 	for name, changes := range programMutants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			program := faulty(t, overlay(t, changes))
+			program := buildFaultsProgram(t, writeOverlay(t, changes))
 			for seed := uint64(1); seed <= most; seed++ {
 				r, err := Soak(context.Background(), SoakOptions{Program: program, Dispatchers: 5, Seed: seed, Seconds: 24, Dir: t.TempDir()})
 				if err != nil {
