--- a/cmd/fleetrig/soak.go
+++ b/cmd/fleetrig/soak.go
@@ -13,7 +13,9 @@
 )
 
 // faultsProgramPath is the binary of the program on a machine with faults.
-func faultsProgramPath() string { return filepath.Join(filepath.Dir(programPath()), "rampspread-faults") }
+func faultsProgramPath() string {
+	return filepath.Join(filepath.Dir(programPath()), "rampspread-faults")
+}
 
 func soakCommand(out, logs io.Writer) *cobra.Command {
 	var o faultbench.SoakOptions
