--- /dev/null
+++ b/routing/action.go
@@ -0,0 +1,79 @@
+package routing
+
+import "time"
+
+// Action is something that the router's host carries out. The host carries out the actions of an event in order.
+type Action interface{ action() }
+
+// The actions.
+type (
+	// Send makes the next attempt of a request. Timeout 0 waits until the client disconnects.
+	Send struct {
+		Request  RequestID
+		Endpoint EndpointID
+		Timeout  time.Duration
+	}
+	// PollLoad asks a replica for its load; LoadPolled is the answer.
+	PollLoad struct{ Endpoint EndpointID }
+	// Release releases each prefill result and slot that is reserved for the request and that no attempt waits for.
+	Release struct {
+		Request RequestID
+		Reason  ReleaseReason
+	}
+	// Reject is a final answer that promises that a retry by the client is harmless.
+	Reject struct {
+		Request    RequestID
+		RetryAfter time.Duration
+		Reason     Reason
+	}
+	// Fail is a final answer without that promise.
+	Fail struct {
+		Request RequestID
+		Reason  Reason
+	}
+	// Cancel stops waiting for one attempt.
+	Cancel struct {
+		Request RequestID
+		Attempt int
+	}
+	// SetTimer asks for a TimerFired event.
+	SetTimer struct {
+		After time.Duration
+		Timer TimerID
+	}
+)
+
+func (Send) action()     {}
+func (PollLoad) action() {}
+func (Release) action()  {}
+func (Reject) action()   {}
+func (Fail) action()     {}
+func (Cancel) action()   {}
+func (SetTimer) action() {}
+
+// Reason is why a request was rejected or failed, as it appears in logs and counters.
+type Reason string
+
+// The values of Reason.
+const (
+	AttemptsExhausted    Reason = "no_attempt_left"
+	DeadlineExceeded     Reason = "no_time_left"
+	RetryBudgetExhausted Reason = "repeats_used_up" // the retry budget that all routers share
+	NoPrefillReplica     Reason = "no_reader"
+	NoDecodeReplica      Reason = "no_writer"
+	OverLatencyBudget    Reason = "over_budget" // the first token would be late
+	MayHaveRun           Reason = "may_have_run"
+	UnknownClass         Reason = "unknown_class"
+)
+
+// ReleaseReason is why reservations are released, as it appears in logs.
+type ReleaseReason string
+
+// The values of ReleaseReason.
+const (
+	AfterAnswer        ReleaseReason = "answered"
+	ClientDisconnected ReleaseReason = "client_left"
+	LateOutcome        ReleaseReason = "ended_after_the_answer"
+	BeforePrefillRetry ReleaseReason = "read_again"
+	ReservationExpired ReleaseReason = "no_word_of_the_attempt"
+)
--- a/routing/answer.go
+++ b/routing/answer.go
@@ -26,3 +26,18 @@
 	r.emit(answer)
 	delete(r.requests, q.Request)
 }
+
+// timer goes on with a request that was paused, or looks after what it holds.
+func (r *Router) timerFired(id TimerID) {
+	q := r.requests[RequestID(id&^releaseTimerFlag)]
+	switch {
+	case q == nil:
+	case id&releaseTimerFlag != 0:
+		r.releaseIfExpired(q)
+	case q.state == awaitingPrefill || q.state == awaitingDecode:
+		if q.pendingPolls > 0 { // what it asked for is missing
+			q.pendingPolls, q.selectionStart = 0, r.now
+		}
+		r.advance(q)
+	}
+}
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,17 +1,7 @@
 package routing
 
-import "time"
-
 // What all routers may do together, and this one's part of it. The sums over routers are package share's.
 
-const (
-	pollBurstSpan      = 10 * time.Second // of questions to a server may come at once, since a router that starts knows of none,
-	pollBurstExtra     = 1.0              // and one more, however small the part: the least that can be asked
-	retryBurstSpan     = 5 * time.Second  // of the spare repeats that may come at once,
-	retryBurstExtra    = 1.0              // and so many more
-	criticalRetryShare = 0.5              // of what may come at once is kept for critical requests
-)
-
 // ownFraction is this router's part of a limit on what all routers do, as of now.
 func (r *Router) ownFraction(limit float64) float64 {
 	switch {
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -110,10 +110,6 @@
 	return f
 }
 
-// maxProcessStall is how much sooner a window for repeats is over than its time: a process may be held up for 0.15 s
-// between a decision and the bytes that follow from it, and its connection may have to settle.
-const maxProcessStall = 200 * ms
-
 // canRetryOn reports whether a request that may have run may go to the server.
 func (r *Router) canRetryOn(q *request, s *replica) bool {
 	c := r.cfg.Classes[q.Class]
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -54,14 +54,6 @@
 	}
 }
 
-// resetStats drops what was learnt of a server's last process: what it kept is void, its failures are not
-// the new one's.
-func (s *replica) resetStats(r *Router) {
-	s.cacheValidFrom, s.fullUntil, s.reportedMemory, s.reportedBacklog = r.now, 0, -1, -1
-	s.queueDelay, s.firstTokenDelay, s.slowStartCredit = decayedMean{timeConstant: modelTimeConstant}, decayedMean{timeConstant: decodeWaitTimeConstant}, r.rng.Float64()
-	s.health = slices.Repeat([]ewma{{timeConstant: healthTimeConstant}}, 1+len(r.cfg.Classes))
-}
-
 // sumCapacity sums up the cells for a decision about a class, in two passes over the servers.
 func (r *Router) sumCapacity(class int) {
 	none := cellCapacity{minDecodeWaitMS: math.Inf(1)}
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -99,3 +99,11 @@
 	}
 	return w
 }
+
+// exponentialDraw is an exponential variate that hangs on the key and the server alone.
+func exponentialDraw(key Key, id EndpointID) float64 {
+	x := uint64(key) ^ (uint64(id)+1)*0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return -math.Log((float64((x^x>>31)>>11) + 0.5) / (1 << 53))
+}
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"math"
 	"slices"
 	"time"
 )
@@ -34,15 +33,7 @@
 	r.attemptLimits = slices.DeleteFunc(r.attemptLimits, func(t attemptLimit) bool { return t.until < oldest })
 	r.attemptLimits = append(r.attemptLimits, attemptLimit{until: r.now, attempts: r.cfg.MaxAttempts})
 	r.cfg = cfg
-	top, low := math.Inf(-1), math.Inf(1)
-	for _, c := range cfg.Classes {
-		top, low = math.Max(top, c.Weight), math.Min(low, c.Weight)
-		r.tightestBudgetMS = min(r.tightestBudgetMS, toMS(c.TTFTObjective)*latencyHeadroom)
-	}
-	r.critical = r.critical[:0]
-	for _, c := range cfg.Classes {
-		r.critical = append(r.critical, c.Weight == top && top > low)
-	}
+	r.updateClasses()
 	for _, s := range r.byID {
 		for len(s.health) < 1+len(cfg.Classes) {
 			s.health = append(s.health, ewma{timeConstant: healthTimeConstant})
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -6,10 +6,6 @@
 
 import "time"
 
-// releaseFraction is the part of Config.ReleaseWithin after which a state is let go; the rest is for the release
-// to arrive.
-const releaseFraction = 0.8
-
 // releaseTimerFlag marks the TimerIDs that look after what a request holds; the others look for a server for it.
 const releaseTimerFlag TimerID = 1 << 63
 
@@ -24,16 +20,7 @@
 // releaseDeadline is when what is held for a request must be let go, if no attempt is known to have arrived by
 // then.
 func (r *Router) releaseDeadline(q *request) time.Duration {
-	return q.reservation.since + time.Duration(releaseFraction*float64(r.cfg.ReservationTTL))
-}
-
-// reachedReplica reports whether an outcome tells that the attempt reached a running server: there was an answer.
-func (o Outcome) reachedReplica() bool {
-	switch o {
-	case Served, Errored, QueueFull, StateMissing, PrefillDone:
-		return true
-	}
-	return false
+	return q.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
 }
 
 // updateReservation takes an attempt's end. One that did not arrive leaves the time running; of one that was given up
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,12 +1,23 @@
+// Package routing makes every decision of a router that serves LLM requests by disaggregated prefill and decode
+// replicas: admission, replica selection, retries, load polls and reservations.
+//
+// The main algorithm is predictive TTFT-budget admission control, after the paper
+// PAPER-iteration-14-predictive-ttft-0727 (idea 1, PredictiveSLOAdmission): the best time to first token (TTFT) over
+// all prefill replicas is estimated before any prefill; a non-critical request whose best estimate exceeds its budget
+// is rejected; the others go to the prefill replica with the lowest estimate and then to the decode replica with most
+// capacity in that replica's cell. Around it stand weighted rendezvous hashing (prefix locality), recursive least
+// squares with exponential forgetting (latency models), slow start, outlier ejection and token buckets (quotas, retry
+// and poll budgets).
+//
+// A router may be one of many and see little of any one replica. Samples are therefore pooled: a replica's estimate
+// is shrunk towards that of all replicas of its role as long as it has few samples of its own.
+//
+// A Router is a deterministic state machine. It takes events with the time at which they happened and returns
+// actions. It has no clock, goroutine or I/O of its own, and routers share no memory. It owns the open requests, what
+// it has learned of replicas, and its random source. It is not safe for concurrent use: one goroutine of the host
+// calls it.
 package routing
 
-// The ordinary path is predictive TTFT-budget admission control: the best time to first token
-// over all readers is estimated before any read; a non-critical request whose best estimate exceeds
-// its budget is refused; the others go to the reader with the lowest estimate and then to the
-// writer with most room in that reader's cell.
-// A router may be one of many and hear little of any one server. Evidence is therefore pooled: a
-// server's figure leans on that of all servers of its role as far as its own evidence is thin.
-
 import (
 	"math"
 	"math/rand/v2"
@@ -15,94 +26,90 @@
 	"rampspread/internal/tokenbucket"
 )
 
-const (
-	ms = time.Millisecond
+// Router decides for one router instance. Times are durations since an epoch of the host's choice.
+type Router struct {
+	cfg     Config
+	rng     *rand.Rand
+	now     time.Duration // time of the event in hand; never goes back
+	actions []Action      // of the event in hand
 
-	// From the paper: starting values, refit from what reads report.
-	latencyHeadroom              = 0.5
-	criticalHeadroom             = 0.75    // critical's headroom: it passes when others are refused, but not into a jam
-	initialPrefillBaseMS         = 6.91042 // ms a read
-	initialPrefillPerKiloTokenMS = 17.67   // ms for 1,000 tokens not kept
-	initialStepMS                = 7.0     // ms for each own unfinished read ahead
-	maxPrefillBaseMS             = 100.0   // ms; beyond it a wait is no cost of the read
-	prefixCacheTimeConstant      = 30 * time.Second
-	modelTimeConstant            = 10 * time.Second
-	priorSamples                 = 2.0 // samples that the starting values, or a pool's value, count for
+	critical         []bool         // by class: it has the highest priority weight
+	tightestBudgetMS float64        // the smallest latency objective of a class, times latencyHeadroom
+	attemptLimits    []attemptLimit // earlier values of Config.MaxAttempts that bind open requests
 
-	commonDelayTimeConstant = 3 * time.Second  // of the wait common to all readers,
-	commonDelayPriorSamples = 0.3              // which leans on none by so many samples
-	decodeWaitTimeConstant  = 2 * time.Second  // of a writer's observed wait, so that it is tried again
-	popularityTimeConstant  = 60 * time.Second // of the arrivals that tell how much asked for a text is
-	popularityPriorRequests = 10.0             // arrivals that asked for something else
-	maxPrefixShare          = 0.3              // of a reader's even part: the most that one text takes at one home
-	minEstimateToleranceMS  = 20.0             // ms between estimates that count as equal,
-	estimateErrorTolerance  = 0.8              // or this part of what estimates are usually off by
-	minCellPreference       = 0.7              // least weight of a reader by what its cell's writers bear
-	crossZonePenaltyMS      = 60.0             // ms that a reader in another zone must be better by
-	slowStartShare          = 0.45             // of what the rule lets a cold server take, at an even load
-	newPrefixAllowance      = 4.0              // sends of a new text that all may be ahead of that: chance, at N of 1
-	slowStartWeightFactor   = 1.5              // weight of a cold reader for each part of its warmth
-	nearFullMemoryFraction  = 0.90             // of reported memory: a writer adds wait past this
-	nearFullWaitMS          = 150.0            // ms to the first token: a writer adds wait past this
-	queueFullBackoff        = 300 * ms         // a writer that turned us away has no room for this long
-	quotaBurstSpan          = 5 * time.Second  // of a tenant's even part that may come at once,
-	quotaBurstExtra         = 3.0              // and so many requests more
-	sweepInterval           = 5 * time.Second  // tables are swept this often
-	selectionRetryInterval  = 30 * ms          // between looks for a server while a request is held
-	answerMargin            = 15 * ms          // a held request is answered this long before its deadline
+	replicas []*replica // in order of ID
+	activeSubset
+	byID          map[EndpointID]*replica
+	cells         map[int]*cellCapacity
+	totalCapacity cellCapacity   // of all active replicas
+	maxReady      [roleCount]int // most active replicas that were ready at once, by role
 
-	prefillTimeoutGrace       = 900 * ms // a read attempt may take this plus patience times its estimate
-	prefillTimeoutFactor      = 3.0
-	minSamplesPerReplica      = 1.0      // recent reads seen of each reader, under which a router asks for loads,
-	pollCandidateCount        = 2        // of so many readers
-	pollTimeout               = 40 * ms  // for the answers
-	loadMaxAge                = 250 * ms // a report is used for this long
-	queuedPerFullSlots        = 4.0      // requests in work that a busy reader's report stands for
-	initialPerQueuedRequestMS = 60.0     // ms that a request ahead of one takes, until reads have told
-	minDecodeTimeout          = 800 * ms // the least time-out of a writer attempt that may be repeated
+	requests    map[RequestID]*request
+	candidates  []candidate // scratch space of a selection
+	prefixCache map[Key]*prefixEntry
+	sweptAt     time.Duration // time of the last sweep of prefixCache
 
-	ejectionThreshold      = 0.45 // failure level past which a server is ejected; half of it allows one attempt
-	errorWeight            = 0.25 // weight of an error in the failure level
-	transportFailureWeight = 0.5  // weight of a failed connect, reset or time-out
-	successWeight          = 0.3  // weight of a success
-	aliveFailureWeight     = 0.2  // weight of one that breaks at a server that has answered so lately: it stays in
-	aliveWindow            = 500 * ms
-	healthTimeConstant     = 10 * time.Second
-)
+	prefillModel     latencyModel // of prefills
+	decodeModel      latencyModel // of the first tokens of decode attempts
+	commonQueueDelay decayedMean  // ms that recent prefills took beyond prefillModel: the wait common to all replicas
+	estimateError    decayedMean  // ms, absolute error of prefill estimates
+	cacheHitRatio    decayedMean  // tokens found in the prefix cache per token expected there
+	perQueuedRequest decayedMean  // ms of wait per request ahead
+	arrivals         decayedMean  // its count is the number of recent requests
+
+	tenantBuckets []tokenbucket.Bucket
+	retryBucket   tokenbucket.Bucket
+	quotaShare    QuotaShare // Duration is the time until which it is valid
+}
 
-// New returns a Router that knows no servers yet.
+// The second word of the random source's seed is derived from the first by this value, 2^64 divided by the golden
+// ratio.
+const seedMix = 0x9e3779b97f4a7c15
+
+// New returns a Router with an empty endpoint list. It returns the error of Config.Validate. Routers of the same
+// configuration and seed that handle the same events decide alike.
 func New(cfg Config, seed uint64) (*Router, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	r := &Router{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		byID: map[EndpointID]*replica{}, cells: map[int]*cellCapacity{},
-		requests: map[RequestID]*request{}, prefixCache: map[Key]*prefixEntry{},
+		cfg:              cfg,
+		rng:              rand.New(rand.NewPCG(seed, seed^seedMix)),
+		byID:             map[EndpointID]*replica{},
+		cells:            map[int]*cellCapacity{},
+		requests:         map[RequestID]*request{},
+		prefixCache:      map[Key]*prefixEntry{},
 		tenantBuckets:    make([]tokenbucket.Bucket, len(cfg.TenantQuotas)),
-		commonQueueDelay: decayedMean{timeConstant: commonDelayTimeConstant}, estimateError: decayedMean{timeConstant: modelTimeConstant}, cacheHitRatio: decayedMean{timeConstant: modelTimeConstant},
-		arrivals: decayedMean{timeConstant: popularityTimeConstant}, perQueuedRequest: decayedMean{timeConstant: modelTimeConstant},
-	}
-	r.prefillModel = latencyModel{
-		prior: [3]float64{initialPrefillBaseMS, initialPrefillPerKiloTokenMS, initialStepMS}, maxCoefficients: [3]float64{maxPrefillBaseMS, 1000, 1000},
-		priorSamples: priorSamples, timeConstant: modelTimeConstant,
+		commonQueueDelay: decayedMean{timeConstant: commonDelayTimeConstant},
+		estimateError:    decayedMean{timeConstant: modelTimeConstant},
+		cacheHitRatio:    decayedMean{timeConstant: modelTimeConstant},
+		perQueuedRequest: decayedMean{timeConstant: modelTimeConstant},
+		arrivals:         decayedMean{timeConstant: popularityTimeConstant},
+		prefillModel:     newLatencyModel(),
+		decodeModel:      newLatencyModel(),
+		tightestBudgetMS: math.Inf(1),
 	}
-	r.prefillModel.coefficients = r.prefillModel.prior
-	r.decodeModel = r.prefillModel
-	// Critical is the highest worth; a tie makes each of its classes critical, unless all tie.
-	top, low := math.Inf(-1), math.Inf(1)
-	r.tightestBudgetMS = math.Inf(1)
-	for _, c := range cfg.Classes {
-		top, low = math.Max(top, c.Weight), math.Min(low, c.Weight)
+	r.updateClasses()
+	return r, nil
+}
+
+// updateClasses derives what depends on the classes. Critical classes are those of the highest priority weight; where
+// several tie for it each of them is critical, unless all classes tie. The tightest budget is the smallest that has
+// been in force since the start.
+func (r *Router) updateClasses() {
+	highest, lowest := math.Inf(-1), math.Inf(1)
+	for _, c := range r.cfg.Classes {
+		highest, lowest = math.Max(highest, c.Weight), math.Min(lowest, c.Weight)
 		r.tightestBudgetMS = min(r.tightestBudgetMS, toMS(c.TTFTObjective)*latencyHeadroom)
 	}
-	for _, c := range cfg.Classes {
-		r.critical = append(r.critical, c.Weight == top && top > low)
+	r.critical = r.critical[:0]
+	for _, c := range r.cfg.Classes {
+		r.critical = append(r.critical, c.Weight == highest && highest > lowest)
 	}
-	return r, nil
 }
 
-// Handle takes one event and appends the actions that follow from it.
+// Handle takes one event, which happened at now, and appends the actions that follow from it to actions. A time before
+// that of an earlier event counts as that one's.
 func (r *Router) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	r.now, r.actions = max(now, r.now), actions
 	switch e := ev.(type) {
@@ -132,17 +139,20 @@
 	return r.takeActions()
 }
 
-// timerFired goes on with a request that was paused, or looks after what it holds.
-func (r *Router) timerFired(id TimerID) {
-	q := r.requests[RequestID(id&^releaseTimerFlag)]
-	switch {
-	case q == nil:
-	case id&releaseTimerFlag != 0:
-		r.releaseIfExpired(q)
-	case q.state == awaitingPrefill || q.state == awaitingDecode:
-		if q.pendingPolls > 0 { // what it asked for is missing
-			q.pendingPolls, q.selectionStart = 0, r.now
-		}
-		r.advance(q)
+// emit appends an action to those of the event in hand.
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
+
+// takeActions returns the actions of the event in hand and lets go of the caller's slice.
+func (r *Router) takeActions() []Action {
+	out := r.actions
+	r.actions = nil
+	return out
+}
+
+// getOrCreate returns the map's value for a key, which it creates on first use.
+func getOrCreate[K comparable, V any](m map[K]*V, key K) *V {
+	if m[key] == nil {
+		m[key] = new(V)
 	}
+	return m[key]
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -84,21 +84,6 @@
 	}
 }
 
-// SnapshotReceived gives a router what another has learnt. It is taken only as far as it is younger than beliefsFor, tells more than this
-// router has seen itself, and is of the same start of a server.
-type SnapshotReceived struct{ Snapshot Snapshot }
-
-func (SnapshotReceived) event() {}
-
-const (
-	// snapshotMaxAge is how old beliefs may be: what fades has nearly faded by then.
-	snapshotMaxAge = 30 * time.Second
-	// maxClockSkew is how far in the future they may be: clocks of one machine differ by less.
-	maxClockSkew = 100 * time.Millisecond
-	// maxPlausible bounds the figures that are taken.
-	maxPlausible = 1e9
-)
-
 func (e *decayedMean) snapshot() DecayedMean { return DecayedMean{e.sum, e.samples, e.updatedAt} }
 
 // restore takes another's evidence where it is more than its own.
--- a/routing/state.go
+++ b/routing/state.go
@@ -3,11 +3,7 @@
 // What a Router remembers. All that is decided from it is in decide.go.
 
 import (
-	"math/rand/v2"
-	"slices"
 	"time"
-
-	"rampspread/internal/tokenbucket"
 )
 
 // requestState is where a request stands.
@@ -46,34 +42,6 @@
 	pendingPolls                       int          // of them, whose answer is still to come
 }
 
-// pendingAttempt is an attempt whose read or first token is still to come.
-type pendingAttempt struct {
-	request            RequestID
-	sentAt, expectedBy time.Duration
-}
-
-// replica is what this router knows of one replica.
-type replica struct {
-	Endpoint
-	role            Role
-	cell            *cellCapacity
-	cacheValidFrom  time.Duration // texts noted as kept before this are void
-	pending         []pendingAttempt
-	streams         int
-	lastResponse    time.Duration
-	health          []ewma      // by class, after that of all classes
-	queueDelay      decayedMean // readers: ms that reads took beyond the estimate common to all
-	firstTokenDelay decayedMean // writers: ms to the first token
-	fullUntil       time.Duration
-	pollWaiters     []RequestID // requests that wait for its load, which was asked for
-	reportedQueue   float64     // requests ahead of a new one, as told
-	loadReportedAt  time.Duration
-	slowStartCredit float64 // while cold: the part of a request that is due to it
-	reportedMemory  float64 // reported share of memory, negative: none
-	reportedBacklog float64 // reported thousands of tokens to read or fetch, negative: none
-	pollBudget      tokenbucket.Bucket
-}
-
 // cellCapacity sums up a cellCapacity's usable servers for one decision.
 type cellCapacity struct {
 	prefillCapacity, decodeCapacity float64 // capacity by the list
@@ -95,73 +63,6 @@
 	requests  decayedMean
 }
 
-// Router decides for one router instance.
-type Router struct {
-	cfg              Config
-	rng              *rand.Rand
-	now              time.Duration
-	actions          []Action
-	critical         []bool
-	tightestBudgetMS float64    // the smallest class aim in ms, times headroom
-	replicas         []*replica // by id
-	activeSubset
-	byID             map[EndpointID]*replica
-	cells            map[int]*cellCapacity
-	totalCapacity    cellCapacity // all servers
-	maxReady         [3]int       // most servers listed, by role
-	candidates       []candidate
-	requests         map[RequestID]*request
-	prefixCache      map[Key]*prefixEntry
-	sweptAt          time.Duration
-	prefillModel     latencyModel // of reads
-	commonQueueDelay decayedMean  // ms that all reads take over the fit of late: the wait common to all readers
-	estimateError    decayedMean  // ms that reads lie off their estimates
-	cacheHitRatio    decayedMean  // tokens found for each promised
-	decodeModel      latencyModel // of writers' first tokens
-	arrivals         decayedMean
-	perQueuedRequest decayedMean // ms a request ahead
-	tenantBuckets    []tokenbucket.Bucket
-	retryBucket      tokenbucket.Bucket
-	quotaShare       QuotaShare     // For is the time until which it holds
-	attemptLimits    []attemptLimit // attempts in force before each retune that an open request may have seen
-}
-
-// getOrCreate returns the map's value for a key, made on first use.
-func getOrCreate[K comparable, V any](m map[K]*V, key K) *V {
-	if m[key] == nil {
-		m[key] = new(V)
-	}
-	return m[key]
-}
-
-// removePending forgets an attempt that has had its answer.
-func (s *replica) removePending(id RequestID) {
-	s.pending = slices.DeleteFunc(s.pending, func(w pendingAttempt) bool { return w.request == id })
-}
-
-// takeActions hands out the actions of an event.
-func (r *Router) takeActions() []Action {
-	out := r.actions
-	r.actions = nil
-	return out
-}
-
-// applyLoad takes what a server told of its load at a time.
-func (s *replica) applyLoad(l *LoadReport, told time.Duration) {
-	s.reportedQueue, s.loadReportedAt = l.QueuedRequests+queuedPerFullSlots*max(l.SlotUtilization, 0), told
-	if s.reportedMemory = l.Memory; s.role != Prefill && l.QueuedRequests >= 1 {
-		s.fullUntil = max(s.fullUntil, told+queueFullBackoff)
-	}
-}
-
-const (
-	// peerLoadMaxAge is how long a load that another router heard serves: no longer than one that this router asked for. An
-	// older one sends all routers to where the queue was short.
-	peerLoadMaxAge = loadMaxAge
-	// peerFailureWeight is what another's word that a server is silent weighs, against one's own experience.
-	peerFailureWeight = transportFailureWeight / 2
-)
-
 // peerLoadReport takes what another router found out about a server, as evidence that fades with its age. Own evidence goes first:
 // a router that sees enough reads of its own knows which servers are slow, and a load alone does not tell that, so the
 // word is taken where this router would ask. It never makes a server count as alive here: the way from here may be cut, though another's is not.
@@ -181,8 +82,6 @@
 	}
 }
 
-func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
-
 // recordPrefix takes a text as kept from the moment it is sent, so that a flood of one text goes where it is
 // being read.
 func (r *Router) recordPrefix(key Key, id EndpointID, tokens int) {
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -5,13 +5,6 @@
 	"time"
 )
 
-const (
-	// A router looks at all servers where less than this part of its subset's is well,
-	minHealthyFraction = 0.5
-	// for so long, and then again at its own.
-	fallbackDuration = time.Second
-)
-
 // activeSubset is which servers a router looks at: all, or a subset. What it knows of the others it keeps.
 type activeSubset struct {
 	active        []*replica // by id
@@ -19,14 +12,14 @@
 	limited       bool          // near is the subset's
 	fallbackUntil time.Duration // until then near is all, since the subset is not well; 0: it is
 	// Most ready servers by role: of all, and of the subset.
-	maxReadyAll, maxReadySubset [3]int
+	maxReadyAll, maxReadySubset [roleCount]int
 }
 
 // assignSubset takes a subset.
 func (r *Router) assignSubset(e SubsetAssigned) {
 	subset := slices.Clone(e.Endpoints)
 	slices.Sort(subset)
-	r.subset, r.maxReadySubset, r.fallbackUntil = subset, [3]int{}, 0
+	r.subset, r.maxReadySubset, r.fallbackUntil = subset, [roleCount]int{}, 0
 	r.updateActive()
 }
 
@@ -44,7 +37,7 @@
 			near = append(near, s)
 		}
 	}
-	ready := [3]int{}
+	ready := [roleCount]int{}
 	raiseMaxReady(&ready, near)
 	if ready[Combined] == 0 && min(ready[Prefill], ready[Decode]) == 0 {
 		return
@@ -54,8 +47,8 @@
 }
 
 // raiseMaxReady raises the most of each role to what is ready now.
-func raiseMaxReady(most *[3]int, servers []*replica) {
-	count := [3]int{}
+func raiseMaxReady(most *[roleCount]int, servers []*replica) {
+	count := [roleCount]int{}
 	for _, s := range servers {
 		if s.State == Ready {
 			count[s.role]++
