--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -138,9 +138,7 @@
 
 // ApplyUpdate brings an endpoint list, keyed by name, up to date with an update from service discovery: a whole list
 // (full), or changes to it. Entries in state Gone are removed.
-//
-// The flag parameter stays until discovery and the other callers can move to an update type together.
-func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) { //revive:disable-line:flag-parameter
+func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) { //revive:disable-line:flag-parameter discovery's form
 	if full {
 		clear(list)
 	}
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -57,7 +57,7 @@
 }
 
 // Dispatch accepts a request and returns its one final answer. If the client's context ends first, the answer is
-// ClientGone, or one that was already on its way. Once Run has ended the answer is Failed, or ClientGone where the
+// ClientDisconnected, or one that was already on its way. Once Run has ended it is Failed, or ClientDisconnected where the
 // client's context has ended too.
 func (d *Dispatcher) Dispatch(client context.Context, req Request) Answer {
 	answer := make(chan Answer, 1)
--- a/routing/action.go
+++ b/routing/action.go
@@ -7,7 +7,7 @@
 
 // The actions.
 type (
-	// Send makes the next attempt of a request. Timeout 0 waits until the client disconnects.
+	// Send makes the next attempt of a request. Timeout 0: until the request's deadline.
 	Send struct {
 		Request  RequestID
 		Endpoint EndpointID
--- a/routing/event.go
+++ b/routing/event.go
@@ -52,7 +52,7 @@
 		Elapsed       time.Duration // since the attempt was sent
 		CachedTokens  int           // prompt tokens that the replica found in its prefix cache
 		StreamStarted bool          // the response had begun, so that a decode attempt has used up the prefill result
-		Final         bool          // the request is finished
+		Final         bool          // the request has its final answer already
 		Load          *LoadReport
 	}
 	// LoadPolled is the answer to a PollLoad. Load is nil if none came in time or the replica is unhealthy.
@@ -67,8 +67,8 @@
 		Load     *LoadReport
 		Age      time.Duration
 	}
-	// QuotaShare is this router's fraction of what all routers may do together (Budgets, tenants' quotas), valid for
-	// Duration. When it has expired and no other has come, Budgets.Fraction applies again. The host sees to it that
+	// QuotaShare is this router's fraction of what all routers may do together (Budgets, tenants' quotas), for the time
+	// ValidFor. When it has expired and no other has come, Budgets.Fraction applies again. The host sees to it that
 	// the fractions of all routers add up to at most 1.
 	QuotaShare struct {
 		Fraction float64
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,11 +1,11 @@
 // Package routing makes every decision of a router that serves LLM requests by disaggregated prefill and decode
 // replicas: admission, replica selection, retries, load polls and reservations.
 //
-// The main algorithm is predictive TTFT-budget admission control, after the paper
-// PAPER-iteration-14-predictive-ttft-0727 (idea 1, PredictiveSLOAdmission): the best time to first token (TTFT) over
-// all prefill replicas is estimated before any prefill; a non-critical request whose best estimate exceeds its budget
+// The main algorithm is predictive TTFT-budget admission control, after the paper "Iteration 14: Predictive TTFT-Budget
+// Admission Control" (PredictiveSLOAdmission): the best time to first token (TTFT) over all prefill replicas is
+// estimated before any prefill; a request whose best estimate exceeds its budget, which is larger for critical classes,
 // is rejected; the others go to the prefill replica with the lowest estimate and then to the decode replica with most
-// capacity in that replica's cell. Around it stand weighted rendezvous hashing (prefix locality), recursive least
+// capacity in that replica's cell (replicas with fast transfer between them, such as a rack). Around it stand weighted rendezvous hashing (prefix locality), recursive least
 // squares with exponential forgetting (latency models), slow start, outlier ejection and token buckets (quotas, retry
 // and poll budgets).
 //
@@ -14,8 +14,8 @@
 //
 // A Router is a deterministic state machine. It takes events with the time at which they happened and returns
 // actions. It has no clock, goroutine or I/O of its own, and routers share no memory. It owns the open requests, what
-// it has learned of replicas, and its random source. It is not safe for concurrent use: one goroutine of the host
-// calls it.
+// it has learned of replicas, and its random source. It is not safe for concurrent use: one goroutine of
+// its caller (package dispatch, or the simulator's adapter) calls it.
 package routing
 
 import (
