--- a/internal/fleet/lease/assign.go
+++ b/internal/fleet/lease/assign.go
@@ -7,35 +7,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxLoadFactor is how many times the mean number of tasks a member may own.
+// maxLoadFactor bounds the number of tasks that a member owns, as a multiple of the mean number of tasks per member.
 const maxLoadFactor = 1.25
 
-// Assignment says which member should own each task, and which one is the standby for it.
+// Assignment maps each task to the member that should own it, and to the standby for it.
 type Assignment struct {
 	Owner, Standby map[Task]string
 }
 
-// scoredMember is a member with its rank for one task.
+// scoredMember is a member with its score for one task.
 type scoredMember struct {
 	name  string
 	score uint64
 }
 
-// TaskOf is the task of a name, such as probe/s-5be2a07c.
+// TaskOf returns the task with the given name, such as probe/s-5be2a07c.
 func TaskOf(name string) Task { return Task(xxhash.Sum64String(name)) }
 
-// Score ranks the members for a task, the same at every process: rendezvous hashing (Thaler and Ravishankar 1998).
+// Score returns the rank of a member for a task, by rendezvous hashing (Thaler and Ravishankar 1998). Every process
+// computes the same score.
 func Score(task Task, member string) uint64 {
 	h := xxhash.NewWithSeed(uint64(task))
-	h.WriteString(member) // it cannot fail
+	h.WriteString(member) // never returns an error
 	return h.Sum64()
 }
 
 // Assign gives each task to the highest-scoring member that is below the load bound (rendezvous hashing with bounded
-// loads, after Mirrokni, Thorup and Zadimoghaddam 2018): no member owns more than 1.25 times the mean, or the mean
-// rounded up. The standby is the highest-scoring other member. The result is a function of the two sets alone, so
-// members with the same view agree. Adding or removing a member moves its own tasks, and at most 4 in 100 of the
-// others, where the bound changes.
+// loads, after Mirrokni, Thorup and Zadimoghaddam 2018): no member owns more than 1.25 times the mean, or more than the
+// mean rounded up where that is larger. The standby is the highest-scoring other member. The result depends only on the
+// two sets, so members with the same view agree. Adding or removing a member moves its own tasks, and where the load
+// bound changes, at most 4% of the other tasks.
 func Assign(tasks []Task, members []string) Assignment {
 	a := Assignment{map[Task]string{}, map[Task]string{}}
 	if len(members) == 0 {
--- a/internal/fleet/lease/assign_test.go
+++ b/internal/fleet/lease/assign_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Owners are balanced within 1.25 times the mean from 10 tasks a member on. A member that joins moves its own tasks and
-// at most 4 in 100 of the others.
+// With at least 10 tasks per member, no member owns more than 1.25 times the mean, or one task more than the mean. A
+// member that joins moves its own tasks and at most 4% of the others.
 func TestAssignmentIsBalancedAndStable(t *testing.T) {
 	var tasks []Task
 	for i := range 600 {
@@ -33,22 +33,22 @@
 				t.Errorf("%d members: %s owns %d, the mean is %.1f", n, m, l, mean)
 			}
 		}
-		// The new member's own tasks must move. Where the load bound changes, some of those that a full member had
-		// to pass on move too.
+		// The tasks of the new member must move. Where the load bound changes, some of the tasks move too that a member
+		// at the bound had to leave to others.
 		if n > 1 && float64(moved) > mean+0.04*float64(len(tasks))+2 {
-			t.Errorf("member %d moved %d tasks, of which its own are %.1f", n, moved, mean)
+			t.Errorf("adding member %d moved %d tasks; its own are %.1f", n, moved, mean)
 		}
 		before = a
 	}
 }
 
-// Members with the same sets agree, in whatever order they list them.
+// Members with the same tasks and the same view compute the same assignment, whatever the order of their lists.
 func TestAssignmentIsIndependentOfOrder(t *testing.T) {
 	a := Assign([]Task{3, 1, 2}, []string{"b", "a", "c"})
 	b := Assign([]Task{2, 3, 1}, []string{"c", "b", "a"})
 	for _, task := range []Task{1, 2, 3} {
 		if a.Owner[task] != b.Owner[task] || a.Standby[task] != b.Standby[task] || a.Owner[task] == "" {
-			t.Errorf("task %d: %s and %s", task, a.Owner[task], b.Owner[task])
+			t.Errorf("task %d has the owners %s and %s", task, a.Owner[task], b.Owner[task])
 		}
 	}
 }
--- a/internal/fleet/lease/fence.go
+++ b/internal/fleet/lease/fence.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// fenceTTL is how long a token fences lower ones off after the last result under it. All members but this one may have
-// lost what they knew, so that tokens start over; results of earlier leases that still arrive after this time are
-// too old to matter.
+// fenceTTL is how long lower tokens are rejected after the last accepted result. All other members may have lost their
+// state, so that their tokens start over; then their results must be accepted again after this time. Results of earlier
+// leases that arrive later than this are too old to matter.
 const fenceTTL = 10 * time.Second
 
-// Fence rejects results of leases that were followed by another. Its zero value has seen no result. It is not safe for
-// concurrent use.
+// Fence rejects results of leases that a later lease has replaced. Its zero value has seen no result. It is not safe
+// for concurrent use.
 type Fence struct{ lastAccepted map[Task]acceptedToken }
 
 type acceptedToken struct {
 	token uint64
-	at    time.Duration
+	at    time.Duration // time of the last accepted result under the token
 }
 
-// Accept reports whether a result under a lease's token is current, and if so remembers the token.
+// Accept reports whether a result under the token of a lease is current, and if so records the token.
 func (f *Fence) Accept(now time.Duration, task Task, token uint64) bool {
 	if f.lastAccepted == nil {
 		f.lastAccepted = map[Task]acceptedToken{}
@@ -31,7 +31,7 @@
 	return true
 }
 
-// HighestToken is the highest remembered token of any task.
+// HighestToken returns the highest recorded token of any task.
 func (f *Fence) HighestToken() (highest uint64) {
 	for _, last := range f.lastAccepted {
 		highest = max(highest, last.token)
@@ -39,7 +39,7 @@
 	return highest
 }
 
-// Retain forgets all tasks but the known ones.
+// Retain drops the tokens of all tasks for which known returns false.
 func (f *Fence) Retain(known func(Task) bool) {
 	maps.DeleteFunc(f.lastAccepted, func(task Task, _ acceptedToken) bool { return !known(task) })
 }
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -7,7 +7,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// Members name tasks by their hashes, and each computes the assignment alone, so all versions must compute the same one.
+// Members identify tasks by the hashes of their names, and each member computes the assignment on its own. So all
+// versions of the program must compute the same hashes, scores and assignment.
 func TestGoldenAssignment(t *testing.T) {
 	var tasks []Task
 	var text []byte
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,57 +1,59 @@
 // Package lease decides which member may carry out a task: a member acts only under a lease that a majority of the
-// configured voters have granted it, and stops, by its own clock, before they may grant the task to another.
+// configured voters have granted to it, and stops, by its own clock, before they may grant the task to another member.
 //
-// The algorithm is that of quorum leases with fencing tokens: Gray and Cheriton, "Leases" (SOSP 1989), with the grants
-// of a majority in place of those of one server, as in Paxos leases (Trencseni, Gazso, Reinhardt 2012), and with
+// The algorithm is quorum leases with fencing tokens: Gray and Cheriton, "Leases" (SOSP 1989), with grants from a
+// majority of voters instead of a single server, as in Paxos leases (Trencseni, Gazso, Reinhardt 2012), and with
 // increasing token numbers that receivers check (Chubby's sequencers, OSDI 2006).
 //
-//   - A voter grants a task to one candidate at a time, for Term from when the claim was received. A holder counts each
-//     grant from when it sent the claim, for Term less Margin; it may act while a majority's grants last. Any two
-//     majorities share a voter, so two holders could act at once only if that voter had granted both, or if clocks ran
-//     apart by more than Margin within a Term.
-//   - A voter that starts without memory grants nothing for Term and Margin: by then all that it may have granted has
-//     expired.
-//   - Each lease has a token, higher than any that a voter of its majority has granted for the task before. Whoever
-//     receives results rejects those with a lower token than it has seen (Fence), so that what a holder sent before
-//     its lease expired, and that arrives late, does not count as current.
+//   - A voter grants a task to one candidate at a time, for Term from the receipt of the claim. A holder counts each
+//     grant for Term minus Margin from the sending of the claim, and may act while grants from a majority are valid.
+//     Any two majorities share a voter, so two holders could act at once only if that voter had granted the task to
+//     both, or if clocks drifted apart by more than Margin within a Term.
+//   - A voter that starts without its earlier state grants nothing for Term plus Margin. By then every grant that it
+//     may have given before has expired.
+//   - Each lease has a token that is higher than any token that a voter of its majority has granted for the task
+//     before. A receiver of results rejects a result whose token is lower than one that it has already seen (see
+//     Fence). So a result that a holder sent before its lease expired, and that arrives late, does not count as
+//     current.
 //
-// Assign says which member should claim which task. The lease, not the assignment, is what makes acting safe.
+// Assign decides which member should claim which task. Safety comes from the lease, not from the assignment.
 //
-// The package does no I/O and has no clock; times are those of each process' own monotonic clock. Its types are not
+// The package does no I/O and has no clock; all times come from the process's own monotonic clock. Its types are not
 // safe for concurrent use.
 package lease
 
 import "time"
 
-// Task is work that one member does for the whole fleet: the hash of its name (TaskOf).
+// Task identifies work that one member does for the whole fleet. It is the hash of the name of the task (see TaskOf).
 type Task uint64
 
-// Limits are the times of leases, the same at all members.
+// Limits holds the durations of the lease protocol. All members use the same values.
 type Limits struct {
-	Term   time.Duration // of a grant
-	Margin time.Duration // by which a holder stops earlier; more than clocks run apart within a Term
-	Renew  time.Duration // between claims for the same task
+	Term   time.Duration // duration of a grant
+	Margin time.Duration // how much earlier than the voter a holder stops; must exceed the clock drift within a Term
+	Renew  time.Duration // interval between claims for the same task
 }
 
-// Candidate is one incarnation of a member: a later incarnation of the same name is another candidate.
+// Candidate identifies one incarnation of a member. A later incarnation of the same name is a different candidate.
 type Candidate struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Claim asks for a task, or for more time with it.
+// Claim requests a lease on a task, or the renewal of a lease.
 type Claim struct {
 	Task  Task
 	Token uint64
-	// Renew says that the candidate holds the task by a majority's grants as it sends this. So no other has held it
-	// since under a higher token, and a voter that had granted a higher one to a candidate without a majority may join
-	// in. Otherwise the lease would rest for good on the voters that granted it first, and fall with one of them.
+	// Renew reports that the candidate holds the task, with grants from a majority, when it sends the claim. So no
+	// other candidate can have held the task under a higher token meanwhile, and a voter that granted a higher token to
+	// a candidate without a majority may grant this claim too. Otherwise only the voters that granted the lease first
+	// could ever renew it, and the lease could end when one of them fails.
 	Renew bool
 }
 
-// Request is what a candidate sends to each voter.
+// Request is the message that a candidate sends to each voter.
 type Request struct {
-	Seq      uint64 // of this candidate
+	Seq      uint64 // sequence number among the requests of this candidate
 	From     Candidate
 	Claims   []Claim
 	Releases []Claim
@@ -61,14 +63,14 @@
 type Grant struct {
 	Task         Task
 	ClaimedToken uint64
-	Token        uint64 // the claimed token if granted, else the highest that the voter has granted
+	Token        uint64 // the claimed token if granted, else the highest token recorded for the task
 	Granted      bool
-	// Remaining is how long the grant to another candidate still lasts.
+	// Remaining is how much longer the grant to another candidate lasts.
 	Remaining time.Duration
 }
 
-// Reply answers a Request. A Reply to another incarnation of the same name is not for this one: the voter counts the
-// grants for that incarnation.
+// Reply answers a Request. A candidate ignores a Reply to another incarnation of the same name, because the voter
+// recorded the grants for that incarnation.
 type Reply struct {
 	Seq    uint64
 	To     Candidate
@@ -76,23 +78,23 @@
 	Grants []Grant
 }
 
-// Lease is a held lease as shown to operators.
+// Lease describes a held lease for operators.
 type Lease struct {
 	Task  Task
 	Token uint64
-	Since time.Duration
-	Until time.Duration // by which it must be renewed
+	Since time.Duration // time at which the lease was won
+	Until time.Duration // time by which the lease must be renewed
 }
 
-// Expired is a lease that ended.
+// Expired describes a lease that has ended.
 type Expired struct {
 	Task   Task
 	Token  uint64
 	At     time.Duration
-	Reason string // for operators
+	Reason string // shown to operators
 }
 
-// Reasons for which a lease ends, as operators read them.
+// Reasons for the end of a lease, as shown to operators.
 const (
 	reasonReassigned = "given to another"
 	reasonNotRenewed = "not renewed by most voters in time"
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -26,28 +26,28 @@
 
 var limits = Limits{Term: time.Second, Margin: 100 * time.Millisecond, Renew: 200 * time.Millisecond}
 
-// mutant is a fault built into the simulated code, which the checker has to catch.
+// mutant is a fault injected into the simulated code, which the checker must detect.
 type mutant struct {
 	name        string
-	firstSeed   int // with which the fault shows soon, so that the test takes seconds
+	firstSeed   int // first seed to try; the fault shows soon after it, so that the test takes seconds
 	noMargin    bool
-	noRecovery  bool // a voter that restarts without memory grants at once
+	noRecovery  bool // a voter that restarts without its state grants at once
 	noFence     bool
-	onlyAtStart bool // a lease is checked when it begins, and not before each action
+	onlyAtStart bool // a member checks its lease when it begins, and not before each action
 }
 
-// simNode is one member: a holder, and a voter if it is one of the first.
+// simNode is one member. It has a holder and, if it is one of the first members, a voter.
 type simNode struct {
 	name        string
 	incarnation uint64
 	up          bool
-	pausedUntil time.Duration // in true time
+	pausedUntil time.Duration // in simulated time
 	clockRate   float64
 	clockOffset time.Duration
 	holder      *Holder
 	voter       *Voter
 	wanted      map[Task]bool
-	startTokens map[Task]uint64 // tokens at the start of the leases, for the mutant onlyAtStart
+	startTokens map[Task]uint64 // tokens of the leases when they began, for the mutant onlyAtStart
 }
 
 // simMessage is a request, a reply, or a result of a task under a token.
@@ -56,40 +56,40 @@
 	from, to int
 	request  *Request
 	reply    *Reply
-	task     Task // of a result
-	token    uint64
+	task     Task   // task of a result; 0 in requests and replies
+	token    uint64 // token of a result
 }
 
-// sim plays members, voters, the network and the faults between them in simulated time.
+// sim simulates members, voters, the network and its faults.
 type sim struct {
-	rng      *rand.Rand
-	mutant   mutant
-	now      time.Duration // true time
-	nodes    []*simNode
-	voters   []string
-	cut      map[[2]int]bool // links that deliver nothing, by sender and receiver
-	cutUntil time.Duration
-	queue    []simMessage
-	maxDelay time.Duration
-	faultGap int // mean number of steps between faults
+	rng           *rand.Rand
+	mutant        mutant
+	now           time.Duration // simulated time; the clocks of the nodes deviate from it
+	nodes         []*simNode
+	voters        []string
+	cutLinks      map[[2]int]bool // links that deliver nothing, by sender and receiver
+	cutUntil      time.Duration
+	queue         []simMessage
+	maxDelay      time.Duration
+	faultInterval int // mean number of steps between faults
 
 	fence     Fence
-	lastToken map[Task]uint64        // the highest token of an accepted result
-	lastHeld  map[Task]time.Duration // when a member last held the task, or none could
-	maxGap    time.Duration          // longest time without a holder though a majority could be reached
-	results   int                    // accepted ones
+	lastToken map[Task]uint64        // highest token of the accepted results, by task
+	lastHeld  map[Task]time.Duration // last time at which a member held the task, or no member could hold it
+	maxGap    time.Duration          // longest time without a holder while all voters were healthy
+	results   int                    // number of accepted results
 }
 
 func newSim(seed uint64, m mutant) *sim {
 	s := &sim{
-		rng:       rand.New(rand.NewPCG(seed, 9)),
-		mutant:    m,
-		voters:    []string{"n0", "n1", "n2"},
-		cut:       map[[2]int]bool{},
-		maxDelay:  3 * time.Millisecond,
-		faultGap:  []int{150, 150, 600}[seed%3],
-		lastToken: map[Task]uint64{},
-		lastHeld:  map[Task]time.Duration{},
+		rng:           rand.New(rand.NewPCG(seed, 9)),
+		mutant:        m,
+		voters:        []string{"n0", "n1", "n2"},
+		cutLinks:      map[[2]int]bool{},
+		maxDelay:      3 * time.Millisecond,
+		faultInterval: []int{150, 150, 600}[seed%3],
+		lastToken:     map[Task]uint64{},
+		lastHeld:      map[Task]time.Duration{},
 	}
 	if seed%2 == 1 {
 		s.voters = append(s.voters, "n3", "n4")
@@ -101,10 +101,10 @@
 			clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour))),
 			wanted:      map[Task]bool{},
 		}
-		if s.rng.IntN(2) == 0 { // the bounds of what is allowed are the hardest
+		if s.rng.IntN(2) == 0 { // the extreme clock rates are the hardest case
 			n.clockRate = slowClock + (fastClock-slowClock)*float64(s.rng.IntN(2))
 		}
-		if seed%4 == 2 { // grants expire soonest at voters, and last longest at holders
+		if seed%4 == 2 { // grants expire earliest at voters, and last longest at holders
 			n.clockRate = slowClock
 			if i < len(s.voters) {
 				n.clockRate = fastClock
@@ -123,11 +123,11 @@
 	return n.clockOffset + time.Duration(float64(s.now)*n.clockRate)
 }
 
-// running reports whether a node can do anything now.
+// running reports whether a node is up and not paused.
 func (s *sim) running(n *simNode) bool { return n.up && s.now >= n.pausedUntil }
 
-// start starts a node anew; with memory, its voter goes on as it was.
-func (s *sim) start(i int, memory bool) {
+// start starts a new incarnation of a node. With keepVoter, its voter keeps its state.
+func (s *sim) start(i int, keepVoter bool) {
 	n := s.nodes[i]
 	n.up = true
 	n.incarnation++
@@ -137,9 +137,9 @@
 	}
 	n.holder = NewHolder(Candidate{n.name, n.incarnation}, s.voters, l, s.rng.Int64N)
 	n.startTokens = map[Task]uint64{}
-	if i < len(s.voters) && (n.voter == nil || !memory) {
+	if i < len(s.voters) && (n.voter == nil || !keepVoter) {
 		n.voter = NewVoter(n.name, l, s.clock(n))
-		if s.mutant.noRecovery || s.now == 0 { // at the very start nothing can have been granted
+		if s.mutant.noRecovery || s.now == 0 { // no grant can exist when the simulation starts
 			n.voter.recoveringUntil = 0
 		}
 		n.voter.ObserveToken(s.fence.HighestToken())
@@ -148,9 +148,9 @@
 	n.holder.SetWanted(s.clock(n), n.wanted)
 }
 
-// send loses, repeats, delays and reorders messages.
+// send queues a message, which it may lose, duplicate, delay or reorder.
 func (s *sim) send(m simMessage) {
-	if s.cut[[2]int{m.from, m.to}] || s.rng.IntN(20) == 0 {
+	if s.cutLinks[[2]int{m.from, m.to}] || s.rng.IntN(20) == 0 {
 		return
 	}
 	copies := 1
@@ -160,14 +160,14 @@
 	for range copies {
 		delay := time.Duration(s.rng.Int64N(int64(s.maxDelay)))
 		if s.rng.IntN(30) == 0 {
-			delay += time.Duration(s.rng.Int64N(int64(2 * time.Second))) // overtaken by others
+			delay += time.Duration(s.rng.Int64N(int64(2 * time.Second))) // other messages overtake it
 		}
 		m.due = s.now + delay
 		s.queue = append(s.queue, m)
 	}
 }
 
-// injectFault begins a fault, or ends one.
+// injectFault begins or ends a random fault.
 func (s *sim) injectFault() {
 	i := s.rng.IntN(len(s.nodes))
 	n := s.nodes[i]
@@ -184,13 +184,13 @@
 		s.partition(i)
 	case 4, 5:
 		if s.now > s.cutUntil {
-			clear(s.cut)
+			clear(s.cutLinks)
 		}
-	case 7, 8: // restarts at once
+	case 7, 8: // immediate restart
 		if n.up {
 			s.start(i, s.rng.IntN(2) == 0)
 		}
-	case 6: // views differ: any node may want any task
+	case 6: // views differ, so any node may want any task
 		task := Task(1 + s.rng.IntN(simTasks))
 		if n.wanted[task] {
 			delete(n.wanted, task)
@@ -203,7 +203,7 @@
 	}
 }
 
-// partition cuts node i off, or often one that holds a lease instead, in both directions or in one.
+// partition cuts off node i, or often a node that holds a lease instead, in one or both directions.
 func (s *sim) partition(i int) {
 	for j, other := range s.nodes {
 		if len(other.holder.Leases(s.clock(other))) > 0 && s.rng.IntN(2) == 0 {
@@ -214,13 +214,13 @@
 	direction := s.rng.IntN(3)
 	for j := range s.nodes {
 		if direction != onlyInbound {
-			s.cut[[2]int{i, j}] = true
+			s.cutLinks[[2]int{i, j}] = true
 		}
 		if direction != onlyOutbound {
-			s.cut[[2]int{j, i}] = true
+			s.cutLinks[[2]int{j, i}] = true
 		}
 	}
-	s.cutUntil = s.now + time.Duration(s.rng.Int64N(int64(3*time.Second))) // a lease may expire meanwhile
+	s.cutUntil = s.now + time.Duration(s.rng.Int64N(int64(3*time.Second))) // a lease may expire before this time
 }
 
 // mayAct reports whether a node would act on a task now, and under which token.
@@ -235,10 +235,10 @@
 	return token, ok
 }
 
-// step plays simStep and returns the violation that it found; empty: none.
+// step advances the simulation by simStep. It returns the violation that it found, or an empty string.
 func (s *sim) step() string {
 	s.now += simStep
-	if s.rng.IntN(s.faultGap) == 0 {
+	if s.rng.IntN(s.faultInterval) == 0 {
 		s.injectFault()
 	}
 	for _, m := range simtest.TakeDue(&s.queue, func(m simMessage) bool { return m.due <= s.now }) {
@@ -259,7 +259,7 @@
 	return ""
 }
 
-// deliver hands a message to its receiver.
+// deliver passes a message to its receiver.
 func (s *sim) deliver(m simMessage) string {
 	if m.task != 0 {
 		return s.deliverResult(m)
@@ -267,7 +267,7 @@
 	to := s.nodes[m.to]
 	if !s.running(to) {
 		if to.up {
-			m.due = to.pausedUntil // the kernel buffers it
+			m.due = to.pausedUntil // the kernel buffers messages to a paused process
 			s.queue = append(s.queue, m)
 		}
 		return ""
@@ -281,7 +281,7 @@
 	return ""
 }
 
-// deliverResult hands a result to its receiver, which never fails, and checks that tokens never decrease there.
+// deliverResult passes a result to the receiver, which never fails, and checks that the accepted tokens never decrease.
 func (s *sim) deliverResult(m simMessage) string {
 	accepted := s.fence.Accept(s.now, m.task, m.token)
 	if !accepted && !s.mutant.noFence {
@@ -295,7 +295,7 @@
 	return ""
 }
 
-// runNode lets a node observe tokens, follow what it wants, and claim.
+// runNode lets a node observe tokens, update its wanted tasks, and send its claims.
 func (s *sim) runNode(i int, n *simNode) {
 	if s.rng.IntN(25) == 0 { // members receive the results of all tasks
 		n.holder.ObserveToken(s.fence.HighestToken())
@@ -335,7 +335,7 @@
 	return ""
 }
 
-// sendResult sends a result at times, with a delay that may outlast the lease.
+// sendResult occasionally sends a result, with a delay that may exceed the lease.
 func (s *sim) sendResult(from int, task Task, token uint64) {
 	if s.rng.IntN(20) != 0 {
 		return
@@ -347,18 +347,19 @@
 	s.queue = append(s.queue, simMessage{due: s.now + delay, from: from, task: task, token: token})
 }
 
-// healthy reports whether no link is cut, and all voters run and grant.
+// healthy reports whether no link is cut, and all voters are running and not recovering.
 func (s *sim) healthy() bool {
 	for i := range s.voters {
 		if n := s.nodes[i]; !s.running(n) || n.voter.Recovering(s.clock(n)) {
 			return false
 		}
 	}
-	return len(s.cut) == 0
+	return len(s.cutLinks) == 0
 }
 
-// Under kills, restarts with and without memory, pauses, partitions, delay, loss, repeats, reordering and clocks that
-// run apart by up to 2%, two members never act on one task, and results are accepted in the order of tokens.
+// Two members never act on one task at the same time, and results are accepted in the order of their tokens. The
+// simulation has kills, restarts with and without the state of the voter, pauses, partitions, delayed, lost, duplicated
+// and reordered messages, and clocks that drift apart by up to 2%.
 func TestNeverTwoHolders(t *testing.T) {
 	worstGap, results := time.Duration(0), 0
 	for seed := range *simSeeds {
@@ -375,14 +376,14 @@
 	if results == 0 {
 		t.Error("no member ever acted")
 	}
-	// Up to seven claim a task here at once, and one message in twenty is lost; in a fleet it is the owner and one
-	// other.
+	// Up to seven members claim a task at once here, and one message in twenty is lost. In a real fleet only the owner
+	// and one other member claim a task.
 	if limit := 5 * limits.Term; worstGap > limit {
 		t.Errorf("no member held a task for %v though all voters were healthy, want at most %v", worstGap, limit)
 	}
 }
 
-// The same checker catches each fault that is built in.
+// The checker of TestNeverTwoHolders detects each injected fault.
 func TestCheckerCatchesMutants(t *testing.T) {
 	for _, m := range []mutant{
 		{name: "margin zero", firstSeed: 100, noMargin: true},
--- a/internal/fleet/lease/voter.go
+++ b/internal/fleet/lease/voter.go
@@ -9,21 +9,21 @@
 type Voter struct {
 	name            string
 	limits          Limits
-	recoveringUntil time.Duration // it grants nothing before
-	minToken        uint64        // the highest token that others know of
+	recoveringUntil time.Duration // the voter grants nothing before this time
+	minToken        uint64        // highest token that other members have seen, or that Compact has kept
 	grants          map[Task]*grant
 }
 
-// grant is a task's last grant. It ends at until, and remains as the memory of the highest token.
+// grant is the last grant for a task. It ends at until, and is kept afterwards to record the highest token.
 type grant struct {
-	to           Candidate
+	candidate    Candidate
 	token        uint64
-	highestToken uint64 // of all that were granted for the task
+	highestToken uint64 // highest token granted for the task, and at least minToken at the first claim
 	until        time.Duration
 }
 
-// NewVoter returns a voter without memory. It grants nothing until everything that an earlier incarnation of it may
-// have granted has expired.
+// NewVoter returns a voter without earlier state. It grants nothing until every grant that an earlier incarnation of it
+// may have given has expired.
 func NewVoter(name string, limits Limits, now time.Duration) *Voter {
 	return &Voter{
 		name:            name,
@@ -33,21 +33,22 @@
 	}
 }
 
-// ObserveToken notes the highest token that another member has seen, so that tokens grow over the voter's
-// incarnations. A grant that the voter remembers keeps its own highest token, or its holder could not renew it.
+// ObserveToken records the highest token that another member has seen, so that tokens keep growing across incarnations
+// of the voter. A grant that the voter has recorded keeps its own highest token; otherwise its holder could not renew
+// it.
 func (v *Voter) ObserveToken(token uint64) { v.minToken = max(v.minToken, token) }
 
-// Recovering reports whether the voter still waits for the grants of an earlier incarnation to expire.
+// Recovering reports whether the voter is still waiting for the grants of an earlier incarnation to expire.
 func (v *Voter) Recovering(now time.Duration) bool { return now < v.recoveringUntil }
 
-// HandleRequest answers a request; while the voter recovers, with no grants.
+// HandleRequest answers a request. While the voter is recovering, the reply contains no grants.
 func (v *Voter) HandleRequest(now time.Duration, request Request) Reply {
 	reply := Reply{Seq: request.Seq, To: request.From, Voter: v.name}
 	if v.Recovering(now) {
 		return reply
 	}
 	for _, c := range request.Releases {
-		if g := v.grants[c.Task]; g != nil && g.to == request.From && g.token == c.Token {
+		if g := v.grants[c.Task]; g != nil && g.candidate == request.From && g.token == c.Token {
 			g.until = min(g.until, now)
 		}
 	}
@@ -64,7 +65,7 @@
 		g = &grant{highestToken: v.minToken}
 		v.grants[c.Task] = g
 	}
-	sameLease := g.to == from && g.token == c.Token
+	sameLease := g.candidate == from && g.token == c.Token
 	grantedToOther := now < g.until
 	staleToken := c.Token <= g.highestToken && !c.Renew
 	if !sameLease && (grantedToOther || staleToken) {
@@ -75,12 +76,13 @@
 			Remaining:    max(g.until-now, 0),
 		}
 	}
-	g.to, g.token, g.highestToken = from, c.Token, max(g.highestToken, c.Token)
+	g.candidate, g.token, g.highestToken = from, c.Token, max(g.highestToken, c.Token)
 	g.until = now + v.limits.Term
 	return Grant{Task: c.Task, ClaimedToken: c.Token, Token: c.Token, Granted: true}
 }
 
-// Compact drops grants that expired more than age ago, of tasks that no longer exist; their tokens are remembered.
+// Compact drops the grants that expired more than age ago, which belong to tasks that no longer exist. It keeps their
+// highest token in minToken.
 func (v *Voter) Compact(now, age time.Duration) {
 	maps.DeleteFunc(v.grants, func(_ Task, g *grant) bool {
 		old := now-g.until > age
