--- a/internal/fleet/leasedtasks/golden_test.go
+++ b/internal/fleet/leasedtasks/golden_test.go
@@ -13,7 +13,7 @@
 	"rampspread/routing"
 )
 
-// goldenPoller notes the header that a replica is polled with, and answers with one report.
+// goldenPoller records the lease header that a replica is polled with, and always returns the same report.
 type goldenPoller struct{ lease string }
 
 func goldenLoad() *routing.LoadReport {
@@ -31,8 +31,9 @@
 func (goldenList) Peek(context.Context) (uint64, error) { return 300, nil }
 func (goldenList) Refresh()                             {}
 
-// Members hash the names of tasks to agree on leases; the name and the fencing token go to replicas in a header; results go
-// to all members.
+// The names of tasks, the header of polls and the encoding of results must be the same in all versions: members hash
+// the names to agree on leases, replicas receive the name and the fencing token in a header, and all members receive
+// the results.
 func TestGoldenResults(t *testing.T) {
 	poller := &goldenPoller{}
 	var applied []dispatch.PeerLoad
@@ -56,6 +57,6 @@
 	})
 	want := []dispatch.PeerLoad{{Name: "s-1", Load: goldenLoad(), Age: time.Second}, {Name: "s-2", Age: 2 * time.Second}}
 	if !reflect.DeepEqual(applied, want) || tasks.Malformed() != 0 {
-		t.Errorf("applied %+v, %d bad", applied, tasks.Malformed())
+		t.Errorf("applied %+v, %d malformed", applied, tasks.Malformed())
 	}
 }
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -1,8 +1,9 @@
-// Package leasedtasks implements the tasks that one member of the fleet does for all, under a lease: it polls a replica for
-// its load, or reads the version of discovery's endpoint list. Every member receives the results. Load reports go to the
-// dispatcher as evidence, and a member whose own endpoint list is older than the one found requests it again.
+// Package leasedtasks implements the tasks that one member of the fleet carries out for all members, under a lease:
+// polling a replica for its load, and reading the version of discovery's endpoint list. Every member receives the
+// results. It passes load reports to its dispatcher as evidence, and requests its endpoint list again if that list is
+// older than the version found.
 //
-// Tasks is the only type with state. It owns the addresses of the ready replicas and is safe for concurrent use.
+// Tasks is the only type with state. It holds the addresses of the ready replicas and is safe for concurrent use.
 package leasedtasks
 
 import (
@@ -20,35 +21,36 @@
 	"rampspread/routing"
 )
 
-// Names of tasks. Members hash them to agree on who holds a task's lease, so they are part of the protocol.
+// Names of tasks. Members hash these names to agree on who holds the lease of a task, so the names are part of the
+// protocol.
 const (
-	pollTaskPrefix = "probe/" // followed by a replica's name
+	pollTaskPrefix = "probe/" // followed by the name of a replica
 	listTask       = "list"
 )
 
 const (
 	pollInterval = 400 * time.Millisecond
-	// pollTimeout is as long as the dispatcher waits for a load that it polls itself.
+	// pollTimeout equals the time for which the dispatcher waits for the load of a replica that it polls itself.
 	pollTimeout  = 200 * time.Millisecond
 	listInterval = 2 * time.Second
 	listTimeout  = time.Second
-	// staleListGrace is how long the own endpoint list may be older than the one found before it is requested again: a
-	// newer one may be on its way.
+	// staleListGrace is how long this member's endpoint list may be older than the version found before the list is
+	// requested again. A newer list may already be on its way.
 	staleListGrace = 1500 * time.Millisecond
 )
 
 // LoadPoller polls replicas for their load.
 type LoadPoller interface {
-	// PollLoadFor polls a replica on behalf of the fleet; lease names the task and its fencing token. done is called once,
-	// with nil if no report came within the timeout.
+	// PollLoadFor polls a replica on behalf of the fleet; lease names the task and its fencing token. done is called
+	// once, with nil if no report arrives within the timeout.
 	PollLoadFor(lease string, to dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport))
 }
 
-// EndpointLists is this member's own connection to service discovery.
+// EndpointLists gives access to this member's own connection to service discovery.
 type EndpointLists interface {
 	// Version returns the version of the endpoint list that this member acts on.
 	Version() uint64
-	// Peek reads the version of discovery's present list, without the list.
+	// Peek reads the version of discovery's current list, without the list.
 	Peek(ctx context.Context) (version uint64, err error)
 	// Refresh requests the list again.
 	Refresh()
@@ -60,31 +62,31 @@
 	lists      EndpointLists
 	applyLoads func([]dispatch.PeerLoad) bool
 	now        func() time.Time
-	dropped    atomic.Int64 // load reports that the dispatcher's queue had no capacity for
-	bad        atomic.Int64 // results that could not be decoded
-	refreshed  atomic.Int64 // requests for the endpoint list after it was found stale
+	dropped    atomic.Int64 // load reports dropped because the dispatcher's queue was full
+	malformed  atomic.Int64 // results that could not be decoded
+	refreshed  atomic.Int64 // requests for the endpoint list because it was stale
 
 	mu         sync.Mutex
-	targets    map[string]dispatch.EndpointAddress // the ready replicas, by name
-	staleSince time.Time                           // since when the own list is older than the one found; zero if it is not
+	targets    map[string]dispatch.EndpointAddress // addresses of the ready replicas, by name
+	staleSince time.Time                           // when the own list became stale; zero if it is not
 }
 
-// New returns the tasks. applyLoads passes load reports to the dispatcher; it must not block, and returns false if they were
-// dropped. With a nil poller replicas are not polled.
+// New returns a Tasks. applyLoads passes load reports to the dispatcher; it must not block, and returns false if it
+// dropped them. If poller is nil, replicas are not polled.
 func New(poller LoadPoller, lists EndpointLists, applyLoads func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
 	return &Tasks{poller: poller, lists: lists, applyLoads: applyLoads, now: now, targets: map[string]dispatch.EndpointAddress{}}
 }
 
 // Malformed returns how many results could not be decoded.
-func (t *Tasks) Malformed() int64 { return t.bad.Load() }
+func (t *Tasks) Malformed() int64 { return t.malformed.Load() }
 
 // Refreshed returns how many times the endpoint list was requested again.
 func (t *Tasks) Refreshed() int64 { return t.refreshed.Load() }
 
-// Dropped returns how many load reports the dispatcher's queue had no capacity for.
+// Dropped returns how many load reports were dropped because the dispatcher's queue was full.
 func (t *Tasks) Dropped() int64 { return t.dropped.Load() }
 
-// UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
+// UpdateEndpoints applies an update of discovery's endpoint list: the full list, or only its changes.
 //
 //revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
 func (t *Tasks) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
@@ -132,7 +134,7 @@
 	t.pollLoad(task, fencingToken, done)
 }
 
-// peekList reads the version of discovery's list.
+// peekList reads the version of discovery's list and passes it to done, or nil if that fails.
 func (t *Tasks) peekList(done func([]byte)) {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
@@ -145,7 +147,7 @@
 	done(binary.AppendUvarint(nil, version))
 }
 
-// pollLoad polls the replica of a task, unless it is no longer ready.
+// pollLoad polls the replica of a task, unless the replica is no longer ready.
 func (t *Tasks) pollLoad(task string, fencingToken uint64, done func([]byte)) {
 	t.mu.Lock()
 	target, ok := t.targets[strings.TrimPrefix(task, pollTaskPrefix)]
@@ -168,7 +170,7 @@
 		}
 		load, err := decodeLoad(r.Data)
 		if err != nil {
-			t.bad.Add(1)
+			t.malformed.Add(1)
 			continue
 		}
 		loads = append(loads, dispatch.PeerLoad{Name: strings.TrimPrefix(r.Task, pollTaskPrefix), Load: load, Age: r.Age})
@@ -178,34 +180,35 @@
 	}
 }
 
-// handleListVersion requests the endpoint list again if it has been older than the one found for staleListGrace.
+// handleListVersion requests the endpoint list again if this member's list has been older than the version found for
+// staleListGrace.
 func (t *Tasks) handleListVersion(data []byte) {
-	found, n := binary.Uvarint(data)
+	foundVersion, n := binary.Uvarint(data)
 	if n <= 0 {
-		t.bad.Add(1)
+		t.malformed.Add(1)
 		return
 	}
-	if !t.staleForLong(found) {
+	if !t.staleBeyondGrace(foundVersion) {
 		return
 	}
 	t.refreshed.Add(1)
-	slog.Info("endpoint_list_stale", "own_version", t.lists.Version(), "found_version", found)
+	slog.Info("endpoint_list_stale", "own_version", t.lists.Version(), "found_version", foundVersion)
 	t.lists.Refresh()
 }
 
-// staleForLong notes whether the own list is older than the version found, and reports whether it has been so for
-// staleListGrace. If so, the time starts anew.
-func (t *Tasks) staleForLong(found uint64) bool {
+// staleBeyondGrace reports whether this member's list has been older than the version found for staleListGrace. It
+// records when the list became stale, and starts this time anew after it has returned true.
+func (t *Tasks) staleBeyondGrace(foundVersion uint64) bool {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	stale := t.lists.Version() < found
-	expired := stale && !t.staleSince.IsZero() && now.Sub(t.staleSince) >= staleListGrace
+	stale := t.lists.Version() < foundVersion
+	graceExpired := stale && !t.staleSince.IsZero() && now.Sub(t.staleSince) >= staleListGrace
 	switch {
-	case !stale || expired:
+	case !stale || graceExpired:
 		t.staleSince = time.Time{}
 	case t.staleSince.IsZero():
 		t.staleSince = now
 	}
-	return expired
+	return graceExpired
 }
--- a/internal/fleet/leasedtasks/leasedtasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -14,7 +14,7 @@
 	"rampspread/routing"
 )
 
-// fakeLists is a connection to a discovery service, which is down while its version is 0.
+// fakeLists is a fake connection to service discovery, which is down while discoveryVersion is 0.
 type fakeLists struct{ ownVersion, discoveryVersion, refreshes uint64 }
 
 func (l *fakeLists) Version() uint64 { return l.ownVersion }
@@ -26,7 +26,7 @@
 }
 func (l *fakeLists) Refresh() { l.refreshes++ }
 
-// fakePoller answers at once; the replica named dead does not report.
+// fakePoller answers at once. The replica named dead does not report its load.
 type fakePoller struct{ polls []string }
 
 var polledLoad = routing.LoadReport{QueuedRequests: 3, SlotUtilization: 0.5, Memory: 0.25, QueuedKiloTokens: -1}
@@ -41,7 +41,7 @@
 	done(&load)
 }
 
-// loadSink is a fake dispatcher; full makes it drop the loads that it receives.
+// loadSink is a fake dispatcher. If full is set, it reports the loads that it receives as dropped.
 type loadSink struct {
 	loads []dispatch.PeerLoad
 	full  bool
@@ -109,7 +109,7 @@
 	tasks, _, _ := newPollTasks()
 	tasks.HandleResults([]fleet.TaskResult{{Task: "probe/r", Data: []byte("garbage")}, {Task: "list"}})
 	if tasks.Malformed() != 2 {
-		t.Errorf("%d counted as bad", tasks.Malformed())
+		t.Errorf("%d counted as malformed", tasks.Malformed())
 	}
 }
 
@@ -126,7 +126,7 @@
 	}{
 		{0, 5, 0},
 		{time.Second, 5, 0},
-		{time.Second, 9, 0}, // the newer list has come
+		{time.Second, 9, 0}, // the newer list has arrived
 		{time.Second, 5, 0},
 		{time.Second, 5, 0},
 		{time.Second, 5, 1},
