--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// maxPendingClaims bounds the claims whose answers are awaited.
+// maxPendingClaims bounds the number of claims that still await answers.
 const maxPendingClaims = 32
 
-// Borrower claims for one incarnation of a member. It is not safe for concurrent use.
+// Borrower claims fractions of the quota for one incarnation of a member. It is not safe for concurrent use.
 //
-// A share passes through these steps: NextShare returns it, the caller begins to act by it and calls Confirm (or
-// Discard if it never will), and the next claims report its grants as in force.
+// A share passes through these steps: NextShare returns it; the caller begins to use it and calls Confirm, or calls
+// Discard if it will never use it; the next claims report the grants of the share as in force.
 type Borrower struct {
 	self        BorrowerID
 	voters      []string
 	limits      Limits
 	seq         uint64
 	nextClaim   time.Duration
-	pending     map[uint64]time.Duration // when the claims were sent that may still be answered, by Seq
-	grants      map[string]receivedGrant // the latest of each voter
+	pending     map[uint64]time.Duration // send times of the claims that may still be answered, by Seq
+	grants      map[string]receivedGrant // latest grant of each voter
 	inForce     Share
-	inForceSeqs map[string]uint64 // of the claims whose grants are in force, by voter
-	unconfirmed bool              // a share was returned by NextShare and is not confirmed yet
+	inForceSeqs map[string]uint64 // Seqs of the claims whose grants are in force, by voter
+	unconfirmed bool              // NextShare returned a share that is neither confirmed nor discarded yet
 	leaving     bool
 	leaveSent   bool
 }
@@ -34,7 +34,7 @@
 	until    time.Duration
 }
 
-// NewBorrower returns a Borrower that has the floor's part.
+// NewBorrower returns a Borrower whose share in force is the member's part of the floor.
 func NewBorrower(self BorrowerID, voters []string, limits Limits) *Borrower {
 	return &Borrower{
 		self:        self,
@@ -47,8 +47,7 @@
 	}
 }
 
-// Step returns the claim that is to be sent to every voter now; false means that there is none. Demand is in requests a
-// second.
+// Step returns the claim to send to every voter now, or false if there is none. demand is in requests per second.
 func (b *Borrower) Step(now time.Duration, demand float64) (Claim, bool) {
 	if now < b.nextClaim || b.leaveSent {
 		return Claim{}, false
@@ -69,27 +68,28 @@
 	return c, true
 }
 
-// HandleGrant takes a voter's grant. One to an unknown claim, to another incarnation, by an unconfigured voter or beyond
-// a slice is ignored. So is one that a later grant has overtaken: its voter may have been notified that the later one
-// is in force.
+// HandleGrant applies a voter's grant. It ignores a grant for an unknown claim or another incarnation, from a voter
+// that is not configured, or larger than a slice. It also ignores a grant that arrives after a later grant of the same
+// voter: this borrower may already have reported to the voter that the later one is in force.
 func (b *Borrower) HandleGrant(g Grant) {
 	sent, ok := b.pending[g.Seq]
 	if !ok || g.To != b.self || !slices.Contains(b.voters, g.Voter) {
 		return
 	}
-	inBounds := g.Fraction >= 0 && g.Fraction <= b.limits.slice()
+	inBounds := g.Fraction >= 0 && g.Fraction <= b.limits.sliceFraction()
 	if !inBounds || b.grants[g.Voter].seq >= g.Seq {
 		return
 	}
 	b.grants[g.Voter] = receivedGrant{g.Seq, g.Fraction, sent + b.limits.Term - b.limits.Margin}
 }
 
-// ReturnAll gives up all that is granted: the next share is the floor's part, and once that is confirmed the voters are
-// notified.
+// ReturnAll gives up all grants. The next share is the member's part of the floor; once that share is confirmed, the
+// next claim notifies the voters.
 func (b *Borrower) ReturnAll() { b.leaving, b.nextClaim = true, 0 }
 
-// NextShare returns a share that differs from the one in force in its fraction, its end or its grants; false means that
-// there is none, or that the last one is not confirmed yet. The caller reports what becomes of it by Confirm or Discard.
+// NextShare returns a share that differs from the one in force in its fraction, its end or its grants. It returns false
+// if there is none, or while the last returned share is neither confirmed nor discarded. The caller must call Confirm
+// or Discard for each returned share.
 func (b *Borrower) NextShare(now time.Duration) (Share, bool) {
 	if b.unconfirmed {
 		return Share{}, false
@@ -102,7 +102,8 @@
 	return next, true
 }
 
-// shareFromGrants adds up the floor's part and the latest grants that last for longer than Lead.
+// shareFromGrants returns the share that adds up the member's part of the floor and the latest grants that last longer
+// than Lead.
 func (b *Borrower) shareFromGrants(now time.Duration) Share {
 	s := Share{Fraction: b.limits.MinFraction(), seqs: map[string]uint64{}}
 	for _, voter := range slices.Sorted(maps.Keys(b.grants)) {
@@ -119,16 +120,16 @@
 	return s
 }
 
-// Confirm records that a share is acted by from now on.
+// Confirm records that a share is in use from now on.
 func (b *Borrower) Confirm(s Share) { b.unconfirmed, b.inForce, b.inForceSeqs = false, s, s.seqs }
 
-// Discard records that the last share of NextShare will never be acted by.
+// Discard records that the share last returned by NextShare will never be used.
 func (b *Borrower) Discard() { b.unconfirmed = false }
 
-// Until is when the share in force ends, unless it is renewed.
+// Until returns when the share in force ends unless it is renewed.
 func (b *Borrower) Until() time.Duration { return b.inForce.Until }
 
-// Fraction is the fraction that is acted by at a time.
+// Fraction returns the fraction that the member may use at the time now.
 func (b *Borrower) Fraction(now time.Duration) float64 {
 	return b.inForce.At(now, b.limits.MinFraction())
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -29,13 +29,14 @@
 			bad := good
 			c.change(&bad)
 			if bad.Validate() == nil {
-				t.Errorf("%+v passes", bad)
+				t.Errorf("%+v is accepted", bad)
 			}
 		})
 	}
 }
 
-// A voter that recovers counts the claims it receives: the first borrower afterwards is not granted the whole slice.
+// A recovering voter counts the claims that it receives, so that the first borrower to claim after recovery is not
+// granted the whole slice.
 func TestRecoveringVoterCountsClaims(t *testing.T) {
 	l := limits
 	l.Members, l.Voters = 4, 1
@@ -44,14 +45,14 @@
 		for i := range 4 {
 			c := Claim{From: BorrowerID{fmt.Sprint("n", i), 1}, Seq: seq, Demand: 30}
 			g, ok := v.HandleClaim(now, c)
-			if ok != (now >= l.Term+l.Margin) || ok && math.Abs(g.Fraction-l.slice()/4) > tolerance {
-				t.Fatalf("at %v member %d is granted %.3f of a slice of %.3f", now, i, g.Fraction, l.slice())
+			if ok != (now >= l.Term+l.Margin) || ok && math.Abs(g.Fraction-l.sliceFraction()/4) > tolerance {
+				t.Fatalf("at %v member %d is granted %.3f of a slice of %.3f", now, i, g.Fraction, l.sliceFraction())
 			}
 		}
 	}
 }
 
-// Whatever claims a voter receives in whatever order, it never has more outstanding than its slice.
+// A voter never has more outstanding than its slice, whatever claims it receives and in whatever order.
 func TestVoterNeverExceedsItsSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limits
@@ -72,8 +73,8 @@
 			}
 			g, _ := v.HandleClaim(now, c)
 			outstanding, _ := v.Outstanding(now)
-			if outstanding > l.slice()+tolerance || g.Fraction > l.slice()+tolerance || !(g.Fraction >= 0) {
-				t.Fatalf("%.4f is outstanding, and %.4f was granted, of a slice of %.4f", outstanding, g.Fraction, l.slice())
+			if outstanding > l.sliceFraction()+tolerance || g.Fraction > l.sliceFraction()+tolerance || !(g.Fraction >= 0) {
+				t.Fatalf("outstanding %.4f, granted %.4f, slice %.4f", outstanding, g.Fraction, l.sliceFraction())
 			}
 		}
 	})
@@ -105,7 +106,7 @@
 	b.HandleGrant(Grant{b.self, "n1", 2, 0.1})
 	b.HandleGrant(Grant{b.self, "n1", 1, 0.2})
 	if got := b.grants["n1"].fraction; got != 0.1 {
-		t.Errorf("%v of the overtaken grant counts", got)
+		t.Errorf("the fraction is %v, want 0.1 from the later grant", got)
 	}
 }
 
--- a/internal/fleet/quota/rate.go
+++ b/internal/fleet/quota/rate.go
@@ -5,16 +5,16 @@
 // rateWindow is the time constant of the moving average.
 const rateWindow = 2 * time.Second
 
-// Rate is an exponential moving average of events per second, from a count that only grows. Its zero value has seen
-// nothing.
+// Rate is an exponential moving average of events per second, computed from a count that only grows. Its zero value has
+// observed no count.
 type Rate struct {
-	count   int64
-	at      time.Duration
-	rate    float64
+	count   int64         // last observed count
+	at      time.Duration // time of the last observed count
+	rate    float64       // events per second
 	started bool
 }
 
-// Observe takes the count at a time and returns the rate; the first count gives 0.
+// Observe records the count at the time now and returns the rate. The first call returns 0.
 func (r *Rate) Observe(now time.Duration, count int64) float64 {
 	if !r.started {
 		r.started, r.count, r.at = true, count, now
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Share is a fraction to act by until a time, in the place of the previous one. Whoever acts by it calls
-// Borrower.Confirm once it does.
+// Share is the fraction that a member may use until a given time, in place of the previous share. A caller that begins
+// to use the share must call Borrower.Confirm.
 type Share struct {
-	Fraction float64       // of the whole, including the floor's part
-	Until    time.Duration // from then on only the floor's part holds, unless another share has come
-	seqs     map[string]uint64
+	Fraction float64           // fraction of the quota, including the member's part of the floor
+	Until    time.Duration     // from then on only the part of the floor may be used, unless another share has come
+	seqs     map[string]uint64 // Seq of the claim of the latest grant, by voter
 }
 
-// At is the share's fraction at a time; once the share has ended, at most minFraction, which a member has in any case.
+// At returns the fraction that may be used at the time now. Once the share has ended, this is at most minFraction,
+// which a member may use in any case.
 func (s Share) At(now time.Duration, minFraction float64) float64 {
 	if now < s.Until {
 		return s.Fraction
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -17,10 +17,10 @@
 
 const (
 	simStep = 2 * time.Millisecond
-	// tolerance is that of sums of fractions.
+	// tolerance allows for rounding errors in sums of fractions.
 	tolerance = 1e-9
-	// maxDemandDrawn bounds the drawn demand, in requests a second, of a member that is not hot.
-	maxDemandDrawn = 40
+	// maxRandomDemand bounds the random demand, in requests per second, of a member that is not hot.
+	maxRandomDemand = 40
 )
 
 var limits = Limits{
@@ -31,32 +31,32 @@
 	Floor:  0.25,
 }
 
-// mutant is a fault built into the simulated code, which the checker has to catch.
+// mutant is a fault injected into the simulated code, which the checker must detect.
 type mutant struct {
-	name          string
-	firstSeed     uint64 // with which the fault shows soon, so that the test takes seconds
-	growFirst     bool   // a grant counts for less before its borrower has reported that it shrank
-	noExpiry      bool   // a share is acted by for good
-	slicesByReach bool   // a voter cuts the pool by the voters that it reaches
-	noRecovery    bool   // a voter that restarts without memory grants at once
-	earlyConfirm  bool   // a borrower reports a share as in force when it is returned
-	noMargin      bool
-	noFloor       bool // the pool is the whole, whatever belongs to the members for good
+	name                    string
+	firstSeed               uint64 // first seed to try; the fault shows soon after it, so that the test takes seconds
+	growFirst               bool   // a grant counts with a smaller fraction before its borrower has reported that fraction
+	noExpiry                bool   // a share is used without an end
+	slicesByReachableVoters bool   // a voter computes its slice from the number of voters that it reaches
+	noRecovery              bool   // a voter that restarts without its state grants at once
+	earlyConfirm            bool   // a borrower reports a share as in force as soon as NextShare returns it
+	noMargin                bool
+	noFloor                 bool // voters grant from the whole quota, including the floor
 }
 
-// simNode is one member: a borrower, and a voter if it is one of the first.
+// simNode is one member. It has a borrower and, if it is one of the first members, a voter.
 type simNode struct {
 	id          BorrowerID
 	up          bool
-	pausedUntil time.Duration // in true time
+	pausedUntil time.Duration // in simulated time
 	clockRate   float64
 	clockOffset time.Duration
 	demand      float64
 	borrower    *Borrower
 	voter       *Voter
-	share       Share         // that its limiter acts by
-	next        *Share        // on its way to the limiter
-	nextAt      time.Duration // when it arrives there
+	share       Share         // share that the limiter of the node uses
+	nextShare   *Share        // share on its way to the limiter
+	nextShareAt time.Duration // when nextShare arrives at the limiter
 }
 
 type simMessage struct {
@@ -66,27 +66,27 @@
 	grant    *Grant
 }
 
-// sim plays members, voters, the network and the faults between them in simulated time.
+// sim simulates members, voters, the network and its faults.
 type sim struct {
-	rng      *rand.Rand
-	mutant   mutant
-	limits   Limits
-	now      time.Duration
-	nodes    []*simNode
-	voters   []string
-	cut      map[[2]int]bool // links that deliver nothing, by sender and receiver
-	queue    []simMessage
-	faultGap int     // mean number of steps between faults; 0: no faults
-	maxSum   float64 // the largest sum of fractions so far
+	rng           *rand.Rand
+	mutant        mutant
+	limits        Limits
+	now           time.Duration // simulated time; the clocks of the nodes deviate from it
+	nodes         []*simNode
+	voters        []string
+	cutLinks      map[[2]int]bool // links that deliver nothing, by sender and receiver
+	queue         []simMessage
+	faultInterval int     // mean number of steps between faults; 0 disables faults
+	maxSum        float64 // largest sum of the fractions in use so far
 }
 
 func newSim(seed uint64, members int, m mutant) *sim {
 	s := &sim{
-		rng:      rand.New(rand.NewPCG(seed, 0x5a)),
-		mutant:   m,
-		limits:   limits,
-		cut:      map[[2]int]bool{},
-		faultGap: []int{100, 300, 2000}[seed%3],
+		rng:           rand.New(rand.NewPCG(seed, 0x5a)),
+		mutant:        m,
+		limits:        limits,
+		cutLinks:      map[[2]int]bool{},
+		faultInterval: []int{100, 300, 2000}[seed%3],
 	}
 	voters := 3 + 2*int(seed%2)
 	s.limits.Members, s.limits.Voters = members, voters
@@ -98,7 +98,7 @@
 			id:          BorrowerID{Name: fmt.Sprint("n", i)},
 			clockRate:   0.99 + 0.02*float64(s.rng.IntN(2)),
 			clockOffset: time.Duration(s.rng.Int64N(int64(time.Hour))),
-			demand:      maxDemandDrawn * s.rng.Float64(),
+			demand:      maxRandomDemand * s.rng.Float64(),
 		})
 	}
 	for i := range s.nodes {
@@ -111,13 +111,14 @@
 	return n.clockOffset + time.Duration(float64(s.now)*n.clockRate)
 }
 
+// running reports whether a node is up and not paused.
 func (s *sim) running(n *simNode) bool { return n.up && s.now >= n.pausedUntil }
 
-// fraction is what a node acts by now.
+// fraction returns the fraction of the quota that a node uses now.
 func (s *sim) fraction(n *simNode) float64 { return n.share.At(s.clock(n), s.limits.MinFraction()) }
 
-// start starts a node anew; with memory, its voter goes on as it was.
-func (s *sim) start(i int, memory bool) {
+// start starts a new incarnation of a node. With keepVoter, its voter keeps its state.
+func (s *sim) start(i int, keepVoter bool) {
 	n := s.nodes[i]
 	n.up = true
 	n.id.Incarnation++
@@ -126,35 +127,35 @@
 		l.Margin = time.Nanosecond
 	}
 	n.borrower = NewBorrower(n.id, s.voters, l)
-	n.share, n.next = Share{Fraction: l.MinFraction()}, nil
-	if i >= len(s.voters) || n.voter != nil && memory {
+	n.share, n.nextShare = Share{Fraction: l.MinFraction()}, nil
+	if i >= len(s.voters) || n.voter != nil && keepVoter {
 		return
 	}
 	if s.mutant.noFloor {
 		l.Floor = 0
 	}
 	n.voter = NewVoter(n.id.Name, l, s.clock(n))
-	if s.mutant.noRecovery || s.now == 0 { // at the very start nothing can have been granted
+	if s.mutant.noRecovery || s.now == 0 { // no grant can exist when the simulation starts
 		n.voter.recoveringUntil = 0
 	}
 }
 
-// send loses, repeats, delays and reorders messages.
+// send queues a message, which it may lose, duplicate, delay or reorder.
 func (s *sim) send(m simMessage) {
-	if s.cut[[2]int{m.from, m.to}] || s.faultGap > 0 && s.rng.IntN(20) == 0 {
+	if s.cutLinks[[2]int{m.from, m.to}] || s.faultInterval > 0 && s.rng.IntN(20) == 0 {
 		return
 	}
 	copies := 1 + s.rng.IntN(20)/19
 	for range copies {
 		m.due = s.now + time.Duration(s.rng.Int64N(int64(3*time.Millisecond)))
-		if s.faultGap > 0 && s.rng.IntN(30) == 0 {
+		if s.faultInterval > 0 && s.rng.IntN(30) == 0 {
 			m.due += time.Duration(s.rng.Int64N(int64(2 * time.Second)))
 		}
 		s.queue = append(s.queue, m)
 	}
 }
 
-// injectFault begins a fault, ends one, or changes a demand.
+// injectFault begins or ends a random fault, or changes a demand.
 func (s *sim) injectFault() {
 	i := s.rng.IntN(len(s.nodes))
 	n := s.nodes[i]
@@ -165,31 +166,31 @@
 		s.start(i, s.rng.IntN(2) == 0)
 	case 3:
 		n.pausedUntil = s.now + time.Duration(s.rng.Int64N(int64(3*time.Second)))
-	case 4: // a partition into two sides, or cut in one direction only
+	case 4: // a partition into two sides, in both directions or only in one
 		oneWay := s.rng.IntN(2) == 0
 		s.partition(func(from int) bool { return !(oneWay && from%2 == 0) })
 	case 5:
-		clear(s.cut)
+		clear(s.cutLinks)
 	default:
-		n.demand = maxDemandDrawn * s.rng.Float64()
+		n.demand = maxRandomDemand * s.rng.Float64()
 		if s.rng.IntN(3) == 0 {
 			n.demand *= 8
 		}
 	}
 }
 
-// partition cuts the links between nodes of even and odd number, from the senders that are given.
+// partition cuts the links between even and odd nodes in the direction from the nodes that senders selects.
 func (s *sim) partition(senders func(from int) bool) {
 	for from := range s.nodes {
 		for to := range s.nodes {
 			if from%2 != to%2 && senders(from) {
-				s.cut[[2]int{from, to}] = true
+				s.cutLinks[[2]int{from, to}] = true
 			}
 		}
 	}
 }
 
-// sum is what all running processes act by at this instant, together.
+// sum returns the total fraction that all running processes use now.
 func (s *sim) sum() (sum float64) {
 	for _, n := range s.nodes {
 		switch {
@@ -203,10 +204,10 @@
 	return sum
 }
 
-// step plays simStep and returns the violation that it found; empty: none.
+// step advances the simulation by simStep. It returns the violation that it found, or an empty string.
 func (s *sim) step() string {
 	s.now += simStep
-	if s.faultGap > 0 && s.rng.IntN(s.faultGap) == 0 {
+	if s.faultInterval > 0 && s.rng.IntN(s.faultInterval) == 0 {
 		s.injectFault()
 	}
 	for _, m := range s.takeDue() {
@@ -219,13 +220,13 @@
 	}
 	sum := s.sum()
 	if s.maxSum = max(s.maxSum, sum); sum > 1+tolerance {
-		return fmt.Sprintf("all together act by %.4f of the whole at %v", sum, s.now)
+		return fmt.Sprintf("all members together use %.4f of the quota at %v", sum, s.now)
 	}
 	return ""
 }
 
-// takeDue takes the messages out of the queue that are due at a running node. Those to a paused node wait, and those to
-// one that is down are lost.
+// takeDue removes the messages that are due at running nodes from the queue and returns them. Messages to a paused node
+// stay in the queue, and due messages to a node that is down are lost.
 func (s *sim) takeDue() []simMessage {
 	var later, due []simMessage
 	for _, m := range s.queue {
@@ -239,17 +240,17 @@
 	return due
 }
 
-// deliver hands a message to its receiver.
+// deliver passes a message to its receiver.
 func (s *sim) deliver(m simMessage) {
 	to := s.nodes[m.to]
 	if m.grant != nil {
 		to.borrower.HandleGrant(*m.grant)
 		return
 	}
-	if s.mutant.slicesByReach {
+	if s.mutant.slicesByReachableVoters {
 		to.voter.limits.Voters = 0
 		for v := range s.voters {
-			if !s.cut[[2]int{v, m.to}] && s.nodes[v].up {
+			if !s.cutLinks[[2]int{v, m.to}] && s.nodes[v].up {
 				to.voter.limits.Voters++
 			}
 		}
@@ -265,17 +266,18 @@
 	}
 }
 
-// runNode lets a node's limiter apply the share that has arrived there, and its borrower return shares and claim.
+// runNode lets the limiter of a node apply a share that has arrived, and lets the borrower return a new share and send
+// a claim.
 func (s *sim) runNode(i int, n *simNode) {
 	now := s.clock(n)
-	if n.next != nil && s.now >= n.nextAt {
-		n.share = *n.next
+	if n.nextShare != nil && s.now >= n.nextShareAt {
+		n.share = *n.nextShare
 		if !s.mutant.earlyConfirm {
-			n.borrower.Confirm(*n.next)
+			n.borrower.Confirm(*n.nextShare)
 		}
-		n.next = nil
+		n.nextShare = nil
 	}
-	if n.next == nil {
+	if n.nextShare == nil {
 		s.sendShareToLimiter(n, now)
 	}
 	if c, ok := n.borrower.Step(now, n.demand); ok {
@@ -285,23 +287,23 @@
 	}
 }
 
-// sendShareToLimiter sends a new share on its way, if there is one.
+// sendShareToLimiter sends the next share, if there is one, to the limiter of a node with a random delay.
 func (s *sim) sendShareToLimiter(n *simNode, now time.Duration) {
 	share, ok := n.borrower.NextShare(now)
 	if !ok {
 		return
 	}
-	n.next, n.nextAt = &share, s.now+time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
-	if s.faultGap > 0 && s.rng.IntN(50) == 0 { // its core is busy
-		n.nextAt += time.Duration(s.rng.Int64N(int64(2 * time.Second)))
+	n.nextShare, n.nextShareAt = &share, s.now+time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
+	if s.faultInterval > 0 && s.rng.IntN(50) == 0 { // the core of the limiter is busy
+		n.nextShareAt += time.Duration(s.rng.Int64N(int64(2 * time.Second)))
 	}
 	if s.mutant.earlyConfirm {
 		n.borrower.Confirm(share)
 	}
 }
 
-// play plays on for a time, and fails the test at a violation.
-func (s *sim) play(t *testing.T, d time.Duration) {
+// advance runs the simulation for a duration, and fails the test at a violation.
+func (s *sim) advance(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := s.now + d; s.now < end; {
 		if violation := s.step(); violation != "" {
@@ -310,11 +312,12 @@
 	}
 }
 
-// simMembers is the size of the fleet for a seed.
+// simMembers returns the size of the simulated fleet for a seed.
 func simMembers(seed uint64) int { return 5 + int(seed)%6 }
 
-// Under kills, restarts with and without memory, pauses, partitions in both directions and in one, delay, loss, repeats,
-// reordering, a limiter that applies late, and clocks 2% apart, the fractions never add up to more than the whole.
+// The fractions that all members use never add up to more than 1. The simulation has kills, restarts with and without
+// the state of the voter, pauses, partitions in one and in both directions, delayed, lost, duplicated and reordered
+// messages, a limiter that applies shares late, and clocks that run at rates 2% apart.
 func TestSumOfFractionsNeverExceedsWhole(t *testing.T) {
 	maxSum := 0.0
 	for seed := range uint64(*simSeeds) {
@@ -326,18 +329,18 @@
 		}
 		maxSum = max(maxSum, s.maxSum)
 	}
-	t.Logf("%d seeds of %d steps: at most %.4f of the whole was acted by", *simSeeds, *simSteps, maxSum)
+	t.Logf("%d seeds of %d steps: at most %.4f of the quota was used at a time", *simSeeds, *simSteps, maxSum)
 	if maxSum < 0.9 {
-		t.Errorf("at most %.2f of the whole was ever used", maxSum)
+		t.Errorf("at most %.2f of the quota was ever used", maxSum)
 	}
 }
 
-// The same checker catches each fault that is built in.
+// The checker of TestSumOfFractionsNeverExceedsWhole detects each injected fault.
 func TestCheckerCatchesMutants(t *testing.T) {
 	for _, m := range []mutant{
 		{name: "grow before shrink", growFirst: true},
 		{name: "share without expiry", noExpiry: true},
-		{name: "slices by the voters within reach", slicesByReach: true},
+		{name: "slices by the voters within reach", slicesByReachableVoters: true},
 		{name: "voter without recovery", noRecovery: true},
 		{name: "share confirmed before it is in force", firstSeed: 20, earlyConfirm: true},
 		{name: "margin zero", firstSeed: 70, noMargin: true},
--- a/internal/fleet/quota/voter.go
+++ b/internal/fleet/quota/voter.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// evenWeight is the weight of an equal division of the slice, next to a weight of 1 for the division by demand. So a
-// member whose load has just begun has something to begin with.
+// evenWeight is the weight of dividing the slice evenly, relative to a weight of 1 for dividing it by demand. The even
+// part gives a member whose load has just begun a fraction to begin with.
 const evenWeight = 0.25
 
 // Voter grants fractions from its slice. It is not safe for concurrent use.
 type Voter struct {
 	name            string
 	limits          Limits
-	recoveringUntil time.Duration // it grants nothing before
+	recoveringUntil time.Duration // the voter grants nothing before this time
 	borrowers       map[BorrowerID]*borrower
 	lastSweep       time.Duration
-	// Sums over borrowers. Grants that ended since the last sweep are still in outstanding, which errs on the safe
-	// side.
+	// Sums over the borrowers. outstanding still includes grants that ended after the last sweep, so it may be too high
+	// but never too low.
 	outstanding float64
-	demand      float64 // of the active ones
-	active      int
+	demand      float64 // demand of the active borrowers
+	active      int     // number of active borrowers
 }
 
-// borrower is what a voter remembers of a Borrower.
+// borrower is a voter's record of a Borrower.
 type borrower struct {
-	seq         uint64 // of its last claim
-	lastClaim   time.Duration
-	active      bool // it claims, and is counted in the voter's demand and active
+	seq         uint64        // Seq of the last claim
+	lastClaim   time.Duration // when the last claim was received
+	active      bool          // the borrower still claims, and is counted in the demand and active of the Voter
 	demand      float64
-	grants      []outstandingGrant // by seq; it may act by any of them
-	outstanding float64            // the largest of them
+	grants      []outstandingGrant // outstanding grants, sorted by seq; the borrower may use any of them
+	outstanding float64            // largest fraction among the grants
 }
 
 type outstandingGrant struct {
@@ -41,8 +41,8 @@
 	until    time.Duration
 }
 
-// NewVoter returns a voter without memory. It grants nothing until everything that an earlier incarnation of it may
-// have granted has ended.
+// NewVoter returns a voter without earlier state. It grants nothing until every grant that an earlier incarnation of it
+// may have given has ended.
 func NewVoter(name string, limits Limits, now time.Duration) *Voter {
 	return &Voter{
 		name:            name,
@@ -52,20 +52,20 @@
 	}
 }
 
-// Recovering reports whether the voter still waits for the grants of an earlier incarnation to end.
+// Recovering reports whether the voter is still waiting for the grants of an earlier incarnation to end.
 func (v *Voter) Recovering(now time.Duration) bool { return now < v.recoveringUntil }
 
-// Outstanding is the fraction that is granted, at the most that the borrowers may act by, and the number of active
-// borrowers.
+// Outstanding returns the largest total fraction that the borrowers may use under this voter's grants, and the number
+// of active borrowers.
 func (v *Voter) Outstanding(now time.Duration) (sum float64, borrowers int) {
 	v.sweep(now)
 	return v.outstanding, v.active
 }
 
-// sweep drops grants that ended and borrowers that no longer claim, and computes the sums anew.
+// sweep drops the grants that have ended and the borrowers that no longer claim, and recomputes the sums.
 func (v *Voter) sweep(now time.Duration) {
 	v.lastSweep, v.outstanding, v.demand, v.active = now, 0, 0, 0
-	// In order, so that equal histories have equal sums.
+	// The borrowers are sorted, so that equal histories produce equal sums.
 	for _, id := range slices.SortedFunc(maps.Keys(v.borrowers), compareIDs) {
 		b := v.borrowers[id]
 		b.dropGrants(now, 0)
@@ -87,7 +87,7 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// dropGrants drops the grants that ended, and those before the one that is in force.
+// dropGrants drops the grants that have ended, and the grants before the one in force.
 func (b *borrower) dropGrants(now time.Duration, inForce uint64) {
 	b.grants = slices.DeleteFunc(b.grants, func(g outstandingGrant) bool { return now >= g.until || g.seq < inForce })
 	b.outstanding = 0
@@ -96,8 +96,8 @@
 	}
 }
 
-// HandleClaim answers a claim; false means that there is no answer. A claim that a later one has overtaken, or with a
-// demand out of bounds, changes nothing.
+// HandleClaim answers a claim, or returns false if there is no answer. It ignores a claim that arrives after a later
+// one, and a claim whose demand is out of range.
 func (v *Voter) HandleClaim(now time.Duration, c Claim) (Grant, bool) {
 	if !(c.Demand >= 0 && c.Demand <= maxDemand) {
 		return Grant{}, false
@@ -119,23 +119,24 @@
 		v.active--
 	}
 	b.seq, b.lastClaim, b.demand, b.active = c.Seq, now, c.Demand, !c.Leaving
-	if c.Leaving { // it acts by no grant
+	if c.Leaving { // the borrower uses no grants any more
 		b.grants, b.outstanding = nil, 0
 		return Grant{}, false
 	}
 	b.dropGrants(now, c.InForce[v.name])
 	v.demand += b.demand
 	v.active++
-	// Claims count while the voter recovers, or the first borrower to claim afterwards would get the whole slice.
+	// Claims count during recovery too; otherwise the first borrower to claim after recovery would get the whole slice.
 	if v.Recovering(now) {
 		return Grant{}, false
 	}
 	return v.grant(now, b, c), true
 }
 
-// grant grants a borrower, whose own grants are not in v.outstanding, its part of what remains of the slice.
+// grant grants a borrower its fair fraction, or the rest of the slice if that is less. The caller has subtracted the
+// borrower's own grants from v.outstanding.
 func (v *Voter) grant(now time.Duration, b *borrower, c Claim) Grant {
-	fraction := max(min(v.fairFraction(b), v.limits.slice()-v.outstanding), 0)
+	fraction := max(min(v.fairFraction(b), v.limits.sliceFraction()-v.outstanding), 0)
 	if fraction > 0 {
 		b.grants = append(b.grants, outstandingGrant{c.Seq, fraction, now + v.limits.Term})
 		b.outstanding = max(b.outstanding, fraction)
@@ -144,11 +145,12 @@
 	return Grant{c.From, v.name, c.Seq, fraction}
 }
 
-// fairFraction is a borrower's part of the slice, by its part of the demand and by the number of active borrowers.
+// fairFraction returns the fraction for a borrower, which depends on its part of the demand and on the number of active
+// borrowers.
 func (v *Voter) fairFraction(b *borrower) float64 {
 	n := float64(v.active)
 	if v.demand <= 0 {
-		return v.limits.slice() / n
+		return v.limits.sliceFraction() / n
 	}
-	return v.limits.slice() * (b.demand/v.demand + evenWeight/n) / (1 + evenWeight)
+	return v.limits.sliceFraction() * (b.demand/v.demand + evenWeight/n) / (1 + evenWeight)
 }
