--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Operators are shown these names.
+// The names of the states are shown to operators, so they must be the same in all versions.
 func TestGoldenStateNames(t *testing.T) {
 	for state, want := range map[State]string{
 		Unknown:     "unknown",
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,13 +1,13 @@
-// Package membership is the membership table of a process: it records what the process received from and about the
-// other members of the fleet, each event with its time, and yields a versioned view of them.
+// Package membership implements the membership table of a process. The table records what the process receives from and
+// about the other members of the fleet, each event with its time, and provides a versioned view of the members.
 //
 // The algorithm is a heartbeat failure detector with suspicion and incarnation numbers, as in SWIM (Das, Gupta,
-// Motivala, DSN 2002). The gossip itself, and with it the decision that a member joined or is lost, is memberlist's;
-// this package combines its events with the heartbeats that come straight from the members. A member is told apart
-// from an earlier process of the same name by its incarnation alone, never by wall clocks.
+// Motivala, DSN 2002). The memberlist library does the gossip, and decides by it whether a member has joined or is
+// lost; this package combines these events with the heartbeats that members send directly. Only the incarnation
+// distinguishes a member from an earlier process of the same name; wall clocks are never compared.
 //
-// The package does no I/O and has no clock, so that a simulation drives the same code as the processes. Times are
-// those of a clock that only advances and goes on while the process is stopped. A Table is not safe for concurrent
+// The package does no I/O and has no clock, so that a simulation drives the same code as the processes. All times come
+// from a clock that never goes back and that advances while the process is stopped. A Table is not safe for concurrent
 // use; a View is immutable.
 package membership
 
@@ -17,30 +17,31 @@
 	"time"
 )
 
-// maxConflicts is how many conflicts a Table remembers for operators; the oldest are dropped first.
+// maxConflicts bounds the number of conflicts that a Table keeps for operators. The oldest conflicts are dropped first.
 const maxConflicts = 16
 
-// Limits are the times by which a Table judges the other members.
+// Limits holds the times by which a Table determines the states of the other members.
 type Limits struct {
-	// HeartbeatInterval is the mean time between two heartbeats of a healthy member in a fleet of the given size.
+	// HeartbeatInterval returns the mean time between two heartbeats of a healthy member in a fleet of the given size.
 	HeartbeatInterval func(size int) time.Duration
-	// SuspectAfter is the number of heartbeat intervals without a heartbeat after which a member is suspect.
+	// SuspectAfter is the number of heartbeat intervals without a heartbeat after which a member becomes suspect.
 	SuspectAfter float64
-	// MaxTickGap is the longest pause between two ticks of a process that is merely busy; a longer one means that the
+	// MaxTickGap is the longest time between two ticks of a process that is merely busy. A longer time means that the
 	// process was stopped.
 	MaxTickGap time.Duration
 }
 
-// Table is the state of the failure detector of one process. It is not safe for concurrent use.
+// Table holds the state of the failure detector of one process. It is not safe for concurrent use.
 type Table struct {
 	limits  Limits
 	self    string
 	members map[string]*Member
 	version uint64
-	asOf    time.Duration
+	asOf    time.Duration // time of the last tick
 
-	// recovering is true from the start, and from the end of a long stop, until enough of the others were heard from
-	// again. awaited are the members that were active at the end of the stop and were not heard from since.
+	// recovering is true from the start of the process, and from the end of a long stop, until enough other members
+	// have been heard from. awaited holds the members that were active at the end of the stop and have not been heard
+	// from since.
 	recovering      bool
 	recoveringSince time.Duration
 	awaited         map[string]bool
@@ -48,10 +49,10 @@
 	conflicts    []Conflict
 	stale        int64
 	unconfigured int64
-	changed      bool
+	changed      bool // something other than a time has changed since the last call of Changed
 }
 
-// New returns a Table for the configured names, of which self is one. It begins in recovery, as after a long stop.
+// New returns a Table for the configured names, which include self. The table begins in recovery, as after a long stop.
 func New(self MemberInfo, names []string, limits Limits, now time.Duration) *Table {
 	t := &Table{
 		limits:          limits,
@@ -68,7 +69,7 @@
 	}
 	t.members[self.Name] = &Member{
 		MemberInfo:    self,
-		State:         stateOf(self),
+		State:         publishedState(self),
 		StateSince:    now,
 		LastHeartbeat: now,
 		Incarnations:  1,
@@ -76,8 +77,8 @@
 	return t
 }
 
-// stateOf is the state of a member that is known to run.
-func stateOf(info MemberInfo) State {
+// publishedState returns the state of a running member, which follows from what the member publishes.
+func publishedState(info MemberInfo) State {
 	switch {
 	case info.Leaving:
 		return Left
@@ -87,20 +88,20 @@
 	return Joining
 }
 
-// Stale counts the messages that were ignored since they came from an earlier incarnation, or from a member that was
-// given up.
+// Stale returns how many messages were ignored because they came from an earlier incarnation, or from a member that was
+// lost or had left.
 func (t *Table) Stale() int64 { return t.stale }
 
-// Unconfigured counts the messages that were ignored since their sender's name is not configured.
+// Unconfigured returns how many messages were ignored because the name of their sender is not configured.
 func (t *Table) Unconfigured() int64 { return t.unconfigured }
 
-// markChanged begins a new version of the view.
+// markChanged starts a new version of the view.
 func (t *Table) markChanged() {
 	t.version++
 	t.changed = true
 }
 
-// setState moves a member to a state.
+// setState changes the state of a member, and records the time if the state differs.
 func (t *Table) setState(m *Member, state State, now time.Duration) {
 	if m.State != state {
 		m.State, m.StateSince = state, now
@@ -108,8 +109,8 @@
 	}
 }
 
-// lookup returns the member that sent info, and counts a new incarnation of it; nil if the name is not configured or
-// the incarnation is an earlier one.
+// lookup returns the member that sent info, and counts a new incarnation of it. It returns nil, and counts the message
+// as ignored, if the name is not configured or the incarnation is an earlier one.
 func (t *Table) lookup(info MemberInfo, now time.Duration) *Member {
 	m := t.members[info.Name]
 	switch {
@@ -127,7 +128,7 @@
 	return m
 }
 
-// UpdateSelf replaces what this process publishes about itself; a lower incarnation is ignored.
+// UpdateSelf replaces what this process publishes about itself. It ignores info with a lower incarnation.
 func (t *Table) UpdateSelf(info MemberInfo, now time.Duration) {
 	m := t.members[t.self]
 	if info.Name != t.self || info.Incarnation < m.Incarnation {
@@ -137,13 +138,14 @@
 		t.markChanged()
 	}
 	m.MemberInfo, m.LastHeartbeat = info, now
-	t.setState(m, stateOf(info), now)
+	t.setState(m, publishedState(info), now)
 }
 
-// MarkJoined records that the gossip layer reports a member as present. It brings back a member that was given up.
+// MarkJoined records that the gossip layer reports a member as present. This brings back a member that was lost or had
+// left.
 func (t *Table) MarkJoined(info MemberInfo, now time.Duration) {
 	if info.Name == t.self {
-		return // no other process knows better than this one whether it runs
+		return // this process determines its own state; reports about it are ignored
 	}
 	m := t.lookup(info, now)
 	if m == nil {
@@ -151,11 +153,11 @@
 	}
 	m.MemberInfo, m.LastHeartbeat = info, now
 	delete(t.awaited, info.Name)
-	t.setState(m, stateOf(info), now)
+	t.setState(m, publishedState(info), now)
 }
 
-// Heartbeat records a heartbeat that came straight from a member. A late one does not bring back an incarnation that
-// was given up.
+// Heartbeat records a heartbeat that a member sent directly. A late heartbeat does not bring back an incarnation that
+// was lost or had left.
 func (t *Table) Heartbeat(info MemberInfo, now time.Duration) {
 	if info.Name == t.self {
 		return
@@ -165,7 +167,7 @@
 		t.MarkJoined(info, now)
 		return
 	}
-	if info.Leaving { // its leave notice came after the report that it is gone
+	if info.Leaving { // the leave notice arrived after the report of the loss
 		m.Leaving = true
 		t.setState(m, Left, now)
 		return
@@ -173,7 +175,7 @@
 	t.stale++
 }
 
-// MarkLost records that the gossip layer gave up an incarnation of a member.
+// MarkLost records that the gossip layer reports an incarnation of a member as lost.
 func (t *Table) MarkLost(name string, incarnation uint64, now time.Duration) {
 	m := t.members[name]
 	if m == nil || name == t.self {
@@ -191,8 +193,8 @@
 	t.setState(m, Unreachable, now)
 }
 
-// RecordConflict records that a second process claimed a name that is in use. A repeated conflict only updates its
-// time.
+// RecordConflict records that a second process claimed a name that is in use. A repeated conflict only updates the
+// recorded time.
 func (t *Table) RecordConflict(name, address string, now time.Duration) {
 	for i, c := range t.conflicts {
 		if c.Name == name && c.Address == address {
@@ -205,8 +207,8 @@
 	t.markChanged()
 }
 
-// Tick records that the process runs, and is to be called often. It detects that the process was stopped meanwhile,
-// and which members have sent no heartbeat for too long.
+// Tick records that the process is running; the caller must call it often. It detects whether the process was stopped
+// since the last tick, and which members have sent no heartbeat for too long.
 func (t *Table) Tick(now time.Duration) {
 	if now-t.asOf > t.limits.MaxTickGap {
 		t.beginRecovery(now)
@@ -215,7 +217,7 @@
 	t.members[t.self].LastHeartbeat = now
 	timeout := t.suspicionTimeout()
 	t.updateSuspicion(now, timeout)
-	// Recovery ends once at least half of the active members were heard from, or when waiting longer is of no use.
+	// Recovery ends once at least half of the active members have been heard from, or once waiting longer is of no use.
 	timedOut := now-t.recoveringSince > timeout
 	if t.recovering && (timedOut || now > t.recoveringSince && t.heardFromHalf()) {
 		t.recovering = false
@@ -223,8 +225,8 @@
 	}
 }
 
-// beginRecovery notes that the process was stopped until now. Meanwhile it could receive nothing, so the silence of
-// the others does not count against them.
+// beginRecovery records that the process was stopped until now. It could receive no heartbeats while it was stopped, so
+// the suspicion timeouts of the other members start anew.
 func (t *Table) beginRecovery(now time.Duration) {
 	t.recovering, t.recoveringSince = true, now
 	t.awaited = map[string]bool{}
@@ -253,7 +255,7 @@
 	}
 }
 
-// heardFromHalf reports whether at least half of the active members were heard from since recovery began.
+// heardFromHalf reports whether at least half of the active members have been heard from since recovery began.
 func (t *Table) heardFromHalf() bool {
 	others, missing := 0, len(t.awaited)
 	for name, m := range t.members {
@@ -264,8 +266,8 @@
 	return others > 0 && 2*missing <= others
 }
 
-// suspicionTimeout is how long a member may send no heartbeat before it is suspect. It grows with the number of
-// running members as the heartbeat interval does.
+// suspicionTimeout returns how long a member may send no heartbeat before it becomes suspect. It grows with the number
+// of running members, because the heartbeat interval does.
 func (t *Table) suspicionTimeout() time.Duration {
 	size := 0
 	for _, m := range t.members {
@@ -276,14 +278,14 @@
 	return time.Duration(t.limits.SuspectAfter * float64(t.limits.HeartbeatInterval(size)))
 }
 
-// Changed reports whether anything but times has changed since the previous call.
+// Changed reports whether anything other than times has changed since the previous call.
 func (t *Table) Changed() bool {
 	changed := t.changed
 	t.changed = false
 	return changed
 }
 
-// View is a copy of the current state.
+// View returns a copy of the current state.
 func (t *Table) View() View {
 	v := View{
 		Version:    t.version,
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -20,7 +20,7 @@
 	return New(servingMember("a", 1), []string{"a", "b", "c"}, limits, 0)
 }
 
-// tickUntil ticks as a process does that is not stopped.
+// tickUntil ticks the table at short intervals, like a process that is not stopped.
 func tickUntil(table *Table, from, to time.Duration) {
 	for at := from; at <= to; at += s / 4 {
 		table.Tick(at)
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		name         string
 		events       func(*Table)
-		want         State // of b at 10 s
+		want         State // state of b at 10 s
 		incarnations int
 	}{
 		{"without a heartbeat", func(*Table) {}, Unknown, 0},
@@ -122,8 +122,8 @@
 	}
 }
 
-// A process that was stopped detects it before it acts: its view is not fresh until half of the others have sent a
-// heartbeat again.
+// A process that was stopped must not act on its outdated view. The view is not fresh until half of the other members
+// have sent a heartbeat again, or until the suspicion timeout has passed.
 func TestViewIsNotFreshAfterStopUntilHalfOfTheOthersSentHeartbeats(t *testing.T) {
 	table := newTable()
 	heartbeats := func(at time.Duration) {
@@ -137,14 +137,14 @@
 	tickUntil(table, 0, 5*s)
 	heartbeats(5 * s)
 	if !table.View().Fresh(5*s, s) || table.View().Fresh(7*s, s) {
-		t.Error("a view is to be fresh within the given time, and no longer")
+		t.Error("a view must be fresh within the given time, and no longer")
 	}
 	old := table.View().Version
 	if table.Tick(20 * s); table.View().Fresh(20*s, s) || table.View().Version <= old {
 		t.Error("fresh right after a stop")
 	}
 	if stateOfMember(table, "b") != Alive {
-		t.Error("the time for which the process was stopped counts against another member")
+		t.Error("another member is no longer alive because this process was stopped")
 	}
 	table.Heartbeat(servingMember("b", 5), 20*s+s/2)
 	if table.Tick(20*s + s/2); !table.View().Fresh(20*s+s/2, s) {
@@ -166,7 +166,7 @@
 	table.MarkJoined(servingMember("x", 9), s)
 	table.Heartbeat(servingMember("x", 9), s)
 	table.MarkLost("x", 9, s)
-	// No other process decides that this one has left.
+	// Reports of other processes about this one are ignored.
 	table.MarkJoined(MemberInfo{Name: "a", Incarnation: 99, Leaving: true}, s)
 	table.MarkLost("a", 99, s)
 	if len(table.View().Members) != 3 || table.Unconfigured() != 2 || stateOfMember(table, "a") != Alive {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Whatever events come in whatever order: versions and incarnations never decrease, each change shows in the version,
+// For any sequence of events, versions and incarnations never decrease, each change of a member shows in the version,
 // and a returned view does not change.
 func TestVersionsAndIncarnationsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,21 +4,22 @@
 
 // View is the fleet as one process sees it at one time. It is immutable once returned.
 type View struct {
-	Version uint64        // grows with every change, and never decreases within an incarnation of the process
-	AsOf    time.Duration // the last time at which the view was known to hold
+	Version uint64        // increases with every change, and never decreases within an incarnation of the process
+	AsOf    time.Duration // last time at which the view was known to be valid
 	Self    string        // name of the process that has this view
-	Members []Member      // by name
-	// Recovering is true while the process, after its start or after a long stop, has not yet heard from enough of
-	// the others again.
+	Members []Member      // sorted by name
+	// Recovering is true while the process, after its start or after a long stop, has not heard from enough other
+	// members again.
 	Recovering bool
 	Conflicts  []Conflict
 }
 
-// Fresh reports whether a decision may rest on the view at a time: it was known to hold not longer than within ago,
-// and what was missed while the process was stopped has been received. Call it directly before each action.
+// Fresh reports whether a decision at the time now may be based on the view: the view was known to be valid no longer
+// than within ago, and the process is not recovering from its start or a long stop. Call it directly before each
+// action.
 func (v View) Fresh(now, within time.Duration) bool { return !v.Recovering && now-v.AsOf <= within }
 
-// ActiveMembers returns the members that work may be shared with, by name.
+// ActiveMembers returns the members that work may be shared with, sorted by name.
 func (v View) ActiveMembers() []Member {
 	var active []Member
 	for _, m := range v.Members {
@@ -29,9 +30,9 @@
 	return active
 }
 
-// Conflict is a name that two processes claimed at once.
+// Conflict describes a name that two processes claimed at once.
 type Conflict struct {
 	Name    string
-	Address string        // of the second process
-	At      time.Duration // last seen
+	Address string        // address of the second process
+	At      time.Duration // when the conflict was last seen
 }
