--- a/internal/fleet/versionskew/detector.go
+++ b/internal/fleet/versionskew/detector.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Detector assesses the fleet again and again. It goes by the last report of each member, so a member that is silent is
-// not lagging: package membership detects those. It is not safe for concurrent use.
+// Detector repeatedly assesses the members of the fleet. It uses the last report of each member, so a silent member
+// does not count as lagging; package membership detects silent members. A Detector is not safe for concurrent use.
 type Detector struct {
-	limits    Limits
-	members   map[string]*member
-	reached   []reachedVersion // list versions that a majority has reached, oldest first
-	overrides map[string]State
-	frozen    bool
-	last      Assessment
+	limits         Limits
+	members        map[string]*member
+	reached        []reachedVersion // list versions that a majority has reached, oldest first
+	overrides      map[string]State
+	frozen         bool
+	lastAssessment Assessment
 }
 
-// reachedVersion is a list version and when a majority was first seen to have it or a newer one.
+// reachedVersion is a list version, and the time at which a majority was first seen to have it or a newer one.
 type reachedVersion struct {
 	version uint64
 	at      time.Duration
@@ -27,37 +27,37 @@
 
 type member struct {
 	MemberStatus
-	currentSince time.Duration // meaningless if it lags
+	currentSince time.Duration // when the member became current; meaningless if it lags
 }
 
-// New returns a Detector that knows no members.
+// New returns a Detector without members.
 func New(limits Limits) *Detector {
 	return &Detector{
-		limits:    limits,
-		members:   map[string]*member{},
-		overrides: map[string]State{},
-		last:      Assessment{Members: map[string]MemberStatus{}},
+		limits:         limits,
+		members:        map[string]*member{},
+		overrides:      map[string]State{},
+		lastAssessment: Assessment{Members: map[string]MemberStatus{}},
 	}
 }
 
-// Freeze stops every change of a state while frozen is set.
+// Freeze suspends all changes of states while frozen is true.
 func (d *Detector) Freeze(frozen bool) { d.frozen = frozen }
 
-// Override sets a member's state by an operator's decision, Current or Fenced, until ClearOverride.
+// Override sets the state of a member to Current or Fenced, as an operator decided, until ClearOverride is called.
 func (d *Detector) Override(name string, s State) { d.overrides[name] = s }
 
-// ClearOverride leaves a member's state to the detector again.
+// ClearOverride ends an override, so that the detector determines the state of the member again.
 func (d *Detector) ClearOverride(name string) { delete(d.overrides, name) }
 
-// Assess assesses the active members. The reports must come from a fresh view of a majority: the caller does not call it
-// while it sees no member, or only a minority of the fleet. While frozen, or without reports, it returns the last
-// assessment.
+// Assess assesses the active members. The reports must come from a fresh view that includes a majority of the fleet:
+// the caller must not call Assess while it sees no member, or only a minority. While frozen, or without reports, Assess
+// returns the last assessment.
 func (d *Detector) Assess(now time.Duration, reports []Report) Assessment {
 	if d.frozen || len(reports) == 0 {
-		return d.last
+		return d.lastAssessment
 	}
 	a := Assessment{
-		ListVersion:    d.settledList(now, reports),
+		ListVersion:    d.settledListVersion(now, reports),
 		SettingsDigest: majoritySettings(reports),
 		Members:        map[string]MemberStatus{},
 	}
@@ -71,13 +71,14 @@
 	for name, m := range d.members {
 		a.Members[name] = m.MemberStatus
 	}
-	d.last = a
+	d.lastAssessment = a
 	return a
 }
 
-// settledList is the newest list version that a majority has had for Settle, or 0. It goes back only with a majority:
-// then no member lags behind what discovery no longer publishes.
-func (d *Detector) settledList(now time.Duration, reports []Report) uint64 {
+// settledListVersion returns the newest list version that a majority has had for SettleTime, or 0 if there is none. The
+// version decreases only when a majority goes back to an older list, so that no member lags behind a list that
+// discovery no longer publishes.
+func (d *Detector) settledListVersion(now time.Duration, reports []Report) uint64 {
 	versions := make([]uint64, len(reports))
 	for i, r := range reports {
 		versions[i] = r.ListVersion
@@ -90,18 +91,18 @@
 	}
 	newestSettled := 0
 	for i, r := range d.reached {
-		if now-r.at >= d.limits.Settle {
+		if now-r.at >= d.limits.SettleTime {
 			newestSettled = i
 		}
 	}
 	d.reached = d.reached[newestSettled:]
-	if now-d.reached[0].at < d.limits.Settle {
+	if now-d.reached[0].at < d.limits.SettleTime {
 		return 0
 	}
 	return d.reached[0].version
 }
 
-// majoritySettings is the settings digest of more than half of the members, or 0.
+// majoritySettings returns the settings digest of more than half of the members, or 0 if there is none.
 func majoritySettings(reports []Report) uint64 {
 	count := map[uint64]int{}
 	for _, r := range reports {
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// applyReport notes a member's report, and whether and since when the member lags.
+// applyReport records the report of a member, whether the member lags, and since when.
 func (d *Detector) applyReport(now time.Duration, r Report, a Assessment) {
 	m := d.members[r.Name]
 	if m == nil {
@@ -137,7 +138,7 @@
 	m.Reason = reason
 }
 
-// updateStates moves the members to their next states, and fences those that are due and that the limits allow.
+// updateStates moves the members to their next states, and fences members that are due as far as the limits allow.
 func (d *Detector) updateStates(now time.Duration, a *Assessment) {
 	lagging, fenced := 0, 0
 	for _, m := range d.members {
@@ -174,8 +175,8 @@
 	}
 }
 
-// nextState is the state that a member is in by how long it has lagged or been current. FenceDue says that it has lagged
-// for long enough to be fenced; until fence decides that, it is Restricted.
+// nextState returns the state that follows from how long a member has lagged or been current. fenceDue reports that the
+// member has lagged long enough to be fenced; the member stays Restricted until fence decides.
 func (d *Detector) nextState(now time.Duration, m *member) (next State, fenceDue bool) {
 	if m.Reason == "" {
 		if m.State <= Lagging || now-m.currentSince >= d.limits.RecoverAfter {
@@ -191,14 +192,15 @@
 		return Restricted, true
 	case lag >= d.limits.RestrictAfter:
 		return max(m.State, Restricted), false
-	case lag >= d.limits.Settle:
+	case lag >= d.limits.SettleTime:
 		return max(m.State, Lagging), false
 	}
 	return m.State, false
 }
 
-// fence fences the members that are due, those that have lagged longest first, as far as MaxFencedFraction allows; none
-// if half of the fleet lags. Lagging and fenced are the numbers of such members before.
+// fence fences the members that are due, in the order of how long they have lagged, as far as MaxFencedFraction allows.
+// It fences none if at least half of the fleet lags. lagging and fenced are the numbers of lagging and fenced members
+// before this assessment changed any state.
 func (d *Detector) fence(now time.Duration, due []*member, lagging, fenced int, a *Assessment) {
 	allowed := int(d.limits.MaxFencedFraction*float64(len(d.members))) - fenced
 	if 2*lagging >= len(d.members) {
--- a/internal/fleet/versionskew/golden_test.go
+++ b/internal/fleet/versionskew/golden_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Operators are shown these names, and read what is wrong with their file.
+// The names of the states are shown to operators, so they must be the same in all versions.
 func TestGoldenNames(t *testing.T) {
 	for state, want := range map[State]string{
 		Current:    "level",
@@ -19,9 +19,10 @@
 	}
 }
 
+// Operators read this error if the limits in their file are invalid, so its text must be the same in all versions.
 func TestGoldenLimitsError(t *testing.T) {
 	l := Limits{
-		Settle:            2 * time.Second,
+		SettleTime:        2 * time.Second,
 		RestrictAfter:     time.Second,
 		FenceAfter:        90 * time.Second,
 		RecoverAfter:      1500 * time.Millisecond,
--- a/internal/fleet/versionskew/versionskew_test.go
+++ b/internal/fleet/versionskew/versionskew_test.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-// fleet is a detector and the reports that it is given.
+// fleet holds a detector and the reports that it assesses.
 type fleet struct {
 	detector *Detector
 	now      time.Duration
@@ -25,7 +25,7 @@
 	return f
 }
 
-// run assesses for a time, and returns the last assessment.
+// run assesses the reports every 100 ms for a duration, and returns the last assessment.
 func (f *fleet) run(d time.Duration) (a Assessment) {
 	for end := f.now + d; f.now < end; {
 		f.now += 100 * time.Millisecond
@@ -41,7 +41,7 @@
 	}
 }
 
-// states is a letter for each member's state: current, lagging, restricted or fenced.
+// states returns one letter for the state of each member: current, lagging, restricted or fenced.
 func (a Assessment) states() (s string) {
 	for i := range len(a.Members) {
 		s += string("clrf"[a.Members[fmt.Sprint("n", i)].State])
@@ -49,7 +49,7 @@
 	return s
 }
 
-// expect checks an assessment's states and its fault; an empty fault means that there must be none.
+// expect checks the states and the fault of an assessment. An empty fault means that the assessment must have none.
 func expect(t *testing.T, condition string, a Assessment, states, fault string) {
 	t.Helper()
 	if a.states() != states || (fault == "") != (a.Fault == "") || !strings.Contains(a.Fault, fault) {
@@ -62,14 +62,14 @@
 	expect(t, "all current", f.run(5*second), "ccccc", "")
 	f.setList(6, 0, 1, 2, 3)
 	expect(t, "a change is being distributed", f.run(second), "ccccc", "")
-	expect(t, "one did not receive it", f.run(2500*time.Millisecond), "ccccl", "")
-	expect(t, "for long", f.run(2*second), "ccccr", "")
-	expect(t, "for longer", f.run(8*second), "ccccf", "")
+	expect(t, "one member did not receive the change", f.run(2500*time.Millisecond), "ccccl", "")
+	expect(t, "it has not received the change for long", f.run(2*second), "ccccr", "")
+	expect(t, "it has not received the change for even longer", f.run(8*second), "ccccf", "")
 	f.setList(6, 4)
-	expect(t, "it received it a moment ago", f.run(second), "ccccf", "")
-	expect(t, "some time ago", f.run(2*second), "ccccc", "")
+	expect(t, "it received the change a moment ago", f.run(second), "ccccf", "")
+	expect(t, "it received the change some time ago", f.run(2*second), "ccccc", "")
 
-	f.setList(7, 4) // one reports a version that no other does: it is wrong, or behind a partition
+	f.setList(7, 4) // only one member reports this version: it is wrong, or behind a partition
 	expect(t, "the newest single report", f.run(20*second), "ccccc", "")
 	f.setList(7, 0, 1)
 	f.setList(6, 3)
