--- a/internal/fleet/subset/capacity.go
+++ b/internal/fleet/subset/capacity.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// capacities returns how many of the given number of dispatchers each unit is assigned to, in proportion to its weight, in
-// whole numbers that add up to slots, or to dispatchers for each unit if that is less. Each unit is rounded with an offset
-// of its own (systematic rounding), so that one dispatcher or unit more changes the few capacities that it must, and not
-// the order of all remainders.
+// capacities returns how many dispatchers each unit is assigned to, in proportion to the weight of the unit and up to
+// the given number of dispatchers. The results are whole numbers that add up to slots, or to the number of dispatchers
+// times the number of units if that is less. Each unit is rounded with its own offset (systematic rounding). So one
+// dispatcher or unit more changes only the few capacities that must change; rounding the largest remainders up could
+// change many, since the order of the remainders changes.
 func capacities(names []string, weights []float64, dispatchers, slots int) []int {
 	slots = min(slots, dispatchers*len(names))
 	offsets := make([]float64, len(names))
@@ -22,8 +23,8 @@
 	return r.out
 }
 
-// quotas divides the slots among units in proportion to their weights, at most limit for each. What a heavy unit cannot
-// take goes to the others.
+// quotas divides the slots among the units in proportion to their weights, with at most limit slots for each unit. The
+// other units get the slots that a heavy unit cannot take.
 func quotas(weights []float64, limit, slots int) []float64 {
 	out := make([]float64, len(weights))
 	full := make([]bool, len(weights))
@@ -32,8 +33,8 @@
 	return out
 }
 
-// fillQuotas divides what full units leave of the slots among the others. It marks those that would exceed the limit as
-// full, and reports whether there are any, so that the division must be repeated.
+// fillQuotas divides the slots that the full units leave among the other units. It marks the units that would exceed
+// the limit as full, and reports whether there are any, so that the division must be repeated.
 func fillQuotas(out []float64, full []bool, weights []float64, limit, slots float64) (repeat bool) {
 	remaining, weightSum := slots, 0.0
 	for i, w := range weights {
@@ -55,21 +56,22 @@
 	return repeat
 }
 
-// The shift that makes rounded quotas add up is found by bisection in this range, which is wider than any rounding error.
+// Range and steps of the bisection that finds the shift with which the rounded quotas add up. The range is wider than
+// any rounding error.
 const (
 	maxShift       = 2.0
-	bisectionSteps = 60 // until the bounds are next to each other in float64
+	bisectionSteps = 60 // enough to make the two bounds adjacent float64 values
 )
 
 // rounding rounds quotas to whole numbers.
 type rounding struct {
 	quotas  []float64
-	offsets []float64 // by quota, from 0 up to 1
-	limit   int       // of each number
-	out     []int
+	offsets []float64 // offset in [0, 1) of each quota
+	limit   int       // maximum of each rounded number
+	out     []int     // rounded quotas
 }
 
-// roundTo rounds the quotas to numbers that add up to total, with the least shift that reaches it.
+// roundTo rounds the quotas to numbers that add up to total, with the smallest shift that reaches it.
 func (r *rounding) roundTo(total int) {
 	low, high := -maxShift, maxShift
 	for range bisectionSteps {
@@ -79,7 +81,8 @@
 			high = middle
 		}
 	}
-	// Two offsets may be as good as equal: the excess is then taken from the first units in order.
+	// Two offsets may be nearly equal, so that the sum exceeds the total. The excess is then taken from the first of
+	// these units, in order.
 	excess := r.roundShifted(high) - total
 	for i := 0; excess > 0 && i < len(r.out); i++ {
 		if r.quotas[i]+r.offsets[i]+low < float64(r.out[i]) && r.out[i] > 0 {
@@ -89,7 +92,7 @@
 	}
 }
 
-// roundShifted rounds each quota, plus its offset and a shift common to all, down, and returns the sum.
+// roundShifted adds to each quota its offset and the common shift, rounds it down, and returns the sum of the results.
 func (r *rounding) roundShifted(shift float64) (sum int) {
 	for i, q := range r.quotas {
 		r.out[i] = min(max(int(math.Floor(q+r.offsets[i]+shift)), 0), r.limit)
--- a/internal/fleet/subset/golden_test.go
+++ b/internal/fleet/subset/golden_test.go
@@ -7,12 +7,13 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// Each dispatcher computes the subsets on its own, and they are even only if all versions compute the same.
+// Each dispatcher computes the subsets on its own, so the subsets are even only if all versions of the program compute
+// the same result.
 func TestGoldenShares(t *testing.T) {
 	text := fmt.Appendf(nil, "score %016x, offset %.17g\n", score("n1", "0/0/0"), roundingOffset("0/0/0"))
 	lone := Replica{Name: "lone", Zone: 1, Cell: 99, CanPrefill: true, Weight: 1}
 	var uneven []Replica
-	for i, r := range cellsOf(12, 3) {
+	for i, r := range newCells(12, 3) {
 		r.Weight = 1 + float64(i%5)/4
 		uneven = append(uneven, r)
 	}
@@ -21,9 +22,9 @@
 		replicas    []Replica
 		dispatchers []Dispatcher
 	}{
-		{"even", cellsOf(12, 3), dispatchersOf(9, 3)},
-		{"uneven weights", uneven, dispatchersOf(7, 2)},
-		{"cells without writers", append(cellsOf(12, 4), lone), dispatchersOf(8, 4)},
+		{"even", newCells(12, 3), newDispatchers(9, 3)},
+		{"uneven weights", uneven, newDispatchers(7, 2)},
+		{"cells without writers", append(newCells(12, 4), lone), newDispatchers(8, 4)},
 	} {
 		assignment := Assign(c.replicas, c.dispatchers, Limits{MinPrefillReplicas: 8})
 		if assignment == nil {
@@ -31,7 +32,7 @@
 		}
 		for _, d := range c.dispatchers {
 			for _, fraction := range []float64{0, 0.4} {
-				names, err := assignment.Of(d.Name, fraction)
+				names, err := assignment.ReplicasOf(d.Name, fraction)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/fleet/subset/match.go
+++ b/internal/fleet/subset/match.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// match assigns perDispatcher units to each dispatcher, and each unit to as many dispatchers as its capacity says: the pairs
-// with the highest scores first, which is a stable matching and independent of the order of the names. allowed says which
-// pairs may be made; nil allows all. The result lists for each dispatcher the indices of its units by score, with those that
-// a repair added at the end.
+// match assigns perDispatcher units to each dispatcher, and each unit to as many dispatchers as its capacity allows. It
+// makes the pairs with the highest scores first, which yields a stable matching that is independent of the order of the
+// names. allowed reports whether a pair may be made; nil allows all pairs. The result lists the indices of the units of
+// each dispatcher by descending score, followed by the units that repair added.
 func match(dispatchers, units []string, perDispatcher int, capacity []int, allowed func(d, u int) bool) [][]int {
 	return matchBy(score, dispatchers, units, perDispatcher, capacity, allowed)
 }
 
-// matchBy is match with another score.
+// matchBy implements match with the given score function.
 func matchBy(
 	score func(dispatcher, unit string) uint64,
 	dispatchers, units []string, perDispatcher int, capacity []int, allowed func(d, u int) bool,
@@ -40,13 +40,14 @@
 	return m.assigned
 }
 
-// pair is a dispatcher and a unit, by index.
+// pair is a dispatcher and a unit, by index, with their score.
 type pair struct {
 	score            uint64
 	dispatcher, unit int32
 }
 
-// rankedPairs are the allowed pairs, the highest score first, and then in the order of the names.
+// rankedPairs returns the allowed pairs, the highest score first; pairs with equal scores are in the order of the
+// names.
 func rankedPairs(
 	score func(dispatcher, unit string) uint64, dispatchers, units []string, allowed func(d, u int) bool,
 ) []pair {
@@ -64,17 +65,18 @@
 	return pairs
 }
 
-// matching is a matching under construction. The greedy part can end with dispatchers that miss units while the units with
-// remaining capacity are those that they have already; repair completes it.
+// matching is a matching under construction. After the greedy part, some dispatchers can lack units while the only
+// units with remaining capacity are units that these dispatchers have already. repair completes such a matching.
 type matching struct {
-	assigned      [][]int // units by dispatcher
-	holders       [][]int // dispatchers by unit
-	capacity      []int   // remaining, by unit
+	assigned      [][]int // units of each dispatcher
+	holders       [][]int // dispatchers of each unit
+	capacity      []int   // remaining capacity of each unit
 	perDispatcher int
 	allowed       func(d, u int) bool
 }
 
-// canAssign reports whether a dispatcher may get a unit that it does not have.
+// canAssign reports whether a unit may be assigned to a dispatcher: the pair is allowed, and the dispatcher does not
+// have the unit yet.
 func (m *matching) canAssign(d, u int) bool {
 	return (m.allowed == nil || m.allowed(d, u)) && !slices.Contains(m.assigned[d], u)
 }
@@ -88,7 +90,7 @@
 	m.holders[u] = slices.DeleteFunc(m.holders[u], func(x int) bool { return x == d })
 }
 
-// repair assigns units to the dispatchers that miss some, as far as it can.
+// repair assigns units to the dispatchers that lack some, as far as possible.
 func (m *matching) repair() {
 	for d := range m.assigned {
 		for len(m.assigned[d]) < m.perDispatcher && (m.assignFree(d) || m.assignBySwap(d)) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// assignFree assigns a unit with remaining capacity to a dispatcher.
+// assignFree assigns a unit with remaining capacity to a dispatcher, and reports whether there was such a unit.
 func (m *matching) assignFree(d int) bool {
 	for u, remaining := range m.capacity {
 		if remaining > 0 && m.canAssign(d, u) {
@@ -108,8 +110,8 @@
 	return false
 }
 
-// assignBySwap assigns to a dispatcher a unit that another one gives up for a unit with remaining capacity (an augmenting
-// path of length three).
+// assignBySwap assigns to a dispatcher a unit that another dispatcher exchanges for a unit with remaining capacity (an
+// augmenting path of length three). It reports whether there was such a unit.
 func (m *matching) assignBySwap(d int) bool {
 	for free, remaining := range m.capacity {
 		if remaining <= 0 {
@@ -124,7 +126,8 @@
 	return false
 }
 
-// swap moves a unit from another dispatcher to d, and assigns the free unit to the other one.
+// swap moves a unit from another dispatcher to d, and assigns the free unit to the other dispatcher. It reports whether
+// there was such a unit.
 func (m *matching) swap(d, other, free int) bool {
 	for _, u := range m.assigned[other] {
 		if m.canAssign(d, u) {
--- a/internal/fleet/subset/match_test.go
+++ b/internal/fleet/subset/match_test.go
@@ -13,10 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-var ways = flag.Bool("subset.ways", false, "compare the algorithms at large sizes too")
+var largeSizes = flag.Bool("subset.ways", false, "compare the algorithms at large sizes too")
 
-// For all sizes, weights and orders, capacities add up and follow the weights within one and a shift common to all, and a
-// matching gives each dispatcher its number of different units and each unit its capacity.
+// For all sizes, weights and orders, the capacities add up to the number of slots, units of equal weight have
+// capacities that differ by at most one, and a matching gives each dispatcher its number of different units and fills
+// the capacity of each unit.
 func TestMatchingIsCompleteAndFillsCapacities(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var dispatchers, units []string
@@ -64,21 +65,21 @@
 	})
 }
 
-// matchingSize is a case of TestWays.
+// matchingSize is a problem size in TestWays.
 type matchingSize struct{ dispatchers, units, perDispatcher int }
 
-// algorithm is a way to assign units that TestWays compares.
+// algorithm is a method of assigning units that TestWays compares with others.
 type algorithm struct {
 	name  string
-	slack float64 // capacity beyond what is needed, as a fraction of it
+	slack float64 // capacity beyond what is needed, as a fraction of what is needed
 	score func(dispatcher, unit string) uint64
 }
 
-// ringScore orders units by their distance from a dispatcher on a hash ring.
+// ringScore ranks units by their distance from a dispatcher on a hash ring.
 func ringScore(dispatcher, unit string) uint64 { return score("", unit) - score("", dispatcher) }
 
-// matchSize matches units of equal weight, without the one of the given number.
-func (a algorithm) matchSize(size matchingSize, without int) pairSet {
+// assignUnits assigns units of equal weight; it omits the unit with the given number.
+func (a algorithm) assignUnits(size matchingSize, without int) pairSet {
 	var dispatchers, units []string
 	var weights []float64
 	for d := range size.dispatchers {
@@ -103,8 +104,9 @@
 	return out
 }
 
-// shuffleSize assigns units by rounds: each round of dispatchers divides a shuffled list of the units.
-func shuffleSize(size matchingSize, units int) pairSet {
+// assignByShuffle assigns units in rounds: the dispatchers of each round divide a shuffled list of the units among
+// them.
+func assignByShuffle(size matchingSize, units int) pairSet {
 	out := pairSet{}
 	perRound := units / size.perDispatcher
 	for d := range size.dispatchers {
@@ -117,12 +119,15 @@
 	return out
 }
 
+// noUnit is passed to assignUnits to omit no unit.
 const noUnit = -1
 
-// The algorithms that were considered, in figures: go test -run TestWays -v -args -subset.ways
+// Logs figures that compare the algorithms that were considered. The flag -subset.ways adds the large sizes:
+//
+//	go test -run TestWays -v -args -subset.ways
 func TestWays(t *testing.T) {
 	for _, size := range []matchingSize{{9, 12, 4}, {30, 20, 4}, {300, 25, 5}, {300, 100, 8}, {1000, 250, 10}} {
-		if testing.Short() || !*ways && size.dispatchers > 30 {
+		if testing.Short() || !*largeSizes && size.dispatchers > 30 {
 			continue
 		}
 		for _, a := range []algorithm{
@@ -138,11 +143,12 @@
 	}
 }
 
-// measureAlgorithm logs how even an algorithm is and how much it moves, and checks the evenness of the one that is used.
+// measureAlgorithm logs how evenly an algorithm assigns units, and how many pairs change when a unit or a dispatcher is
+// removed. It checks the evenness of the algorithm that the package uses.
 func measureAlgorithm(t *testing.T, a algorithm, size matchingSize) {
 	t.Helper()
 	started := time.Now()
-	before := a.matchSize(size, noUnit)
+	before := a.assignUnits(size, noUnit)
 	took := time.Since(started)
 	counts := make([]int, 0, size.units)
 	perUnit := countDispatchers(before)
@@ -154,26 +160,26 @@
 	leastMoved := 2 * float64(len(before)) / float64(size.units)
 	unitMoves, removals := 0.0, min(size.units, 10)
 	for without := range removals {
-		unitMoves += float64(changedPairs(before, a.matchSize(size, without))) / leastMoved / float64(removals)
+		unitMoves += float64(changedPairs(before, a.assignUnits(size, without))) / leastMoved / float64(removals)
 	}
 	smaller := size
 	smaller.dispatchers--
-	dispatcherMoves := float64(changedPairs(before, a.matchSize(smaller, noUnit))) / float64(size.perDispatcher)
-	t.Logf("%d dispatchers, %d units, %d each: %s: spread %d, most %.2f of the mean; "+
-		"a unit less moves %.1f of the least, a dispatcher less %.1f; %v",
+	dispatcherMoves := float64(changedPairs(before, a.assignUnits(smaller, noUnit))) / float64(size.perDispatcher)
+	t.Logf("%d dispatchers, %d units, %d each: %s: spread %d, maximum %.2f of the mean; "+
+		"removing a unit moves %.1f times the minimum, removing a dispatcher %.1f times; %v",
 		size.dispatchers, size.units, size.perDispatcher, a.name, spread, overMean,
 		unitMoves, dispatcherMoves, took.Round(10*time.Microsecond))
 	if a.slack == 0 && spread > 1 {
-		t.Errorf("a spread of %d", spread)
+		t.Errorf("the spread is %d, want at most 1", spread)
 	}
 }
 
-// measureShuffle logs the same of shuffled rounds. One unit less shuffles all anew.
+// measureShuffle logs the figures of assignByShuffle. Removing one unit changes the shuffled list of every round.
 func measureShuffle(t *testing.T, size matchingSize) {
 	t.Helper()
-	before, after := shuffleSize(size, size.units), shuffleSize(size, size.units-1)
+	before, after := assignByShuffle(size, size.units), assignByShuffle(size, size.units-1)
 	counts := slices.Sorted(maps.Values(countDispatchers(before)))
-	t.Logf("%d dispatchers, %d units, %d each: shuffles: %d to %d of a unit; a unit less moves %.1f of the least",
+	t.Logf("%d dispatchers, %d units, %d each: shuffles: %d to %d of a unit; a removed unit moves %.1f times the minimum",
 		size.dispatchers, size.units, size.perDispatcher, counts[0], counts[len(counts)-1],
 		float64(changedPairs(before, after))/(2*float64(len(before))/float64(size.units)))
 }
--- a/internal/fleet/subset/score.go
+++ b/internal/fleet/subset/score.go
@@ -2,22 +2,23 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// scoreSeed seeds the hash of pairs. All members must use the same.
+// scoreSeed seeds the hash of pairs. All members must use the same seed.
 const scoreSeed = 0x5ab5e7
 
-// score is the rendezvous score of a pair, the same at every process.
+// score returns the rendezvous score of a pair. Every process computes the same score.
 func score(dispatcher, unit string) uint64 {
 	h := xxhash.NewWithSeed(scoreSeed)
-	h.WriteString(dispatcher) // it cannot fail
+	h.WriteString(dispatcher) // never returns an error
 	h.WriteString("\x00")
 	h.WriteString(unit)
 	return h.Sum64()
 }
 
-// float64Bits is the precision of a float64's mantissa.
-const float64Bits = 53
+// mantissaBits is the precision of a float64.
+const mantissaBits = 53
 
-// roundingOffset is what a unit's capacity is rounded with, from 0 up to 1, by the unit's name.
+// roundingOffset returns the offset in [0, 1) for rounding the capacity of a unit. It depends only on the name of the
+// unit.
 func roundingOffset(unit string) float64 {
-	return float64(score("", unit)>>(64-float64Bits)) / (1 << float64Bits)
+	return float64(score("", unit)>>(64-mantissaBits)) / (1 << mantissaBits)
 }
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,13 +1,14 @@
 // Package subset computes deterministic subsets: which replicas a dispatcher polls, keeps connections to, and routes to
-// while enough of them are healthy. The result is a function of the endpoint list and the fleet's members alone, so
-// processes that know the same agree without communicating. The package does no I/O, has no clock and keeps no state; all
-// of its functions are safe for concurrent use, and so is an Assignment.
+// while enough of them are healthy. The result depends only on the endpoint list and the members of the fleet, so
+// processes with the same inputs agree without communicating. The package does no I/O, has no clock and keeps no state;
+// all of its functions are safe for concurrent use, and so is an Assignment.
 //
-// Replicas are assigned in units that stay whole: a cell, or a part of a large cell, with prefill replicas and the decode
-// replicas that take over their state. Each unit gets the number of dispatchers that its weight asks for, within one:
-// capacities are rounded to whole numbers that add up, and dispatchers and units are matched by their rendezvous scores, the
-// highest first (a greedy b-matching, which is stable in the sense of Gale and Shapley because both sides rank a pair
-// alike). Most of a dispatcher's units are in its own zone; some are not, so that a zone's loss leaves it some.
+// Replicas are assigned in units that stay whole: a cell, or a part of a large cell, with prefill replicas and the
+// decode replicas that take over their state. The number of dispatchers of each unit is proportional to the unit's
+// weight, within one: capacities are rounded to whole numbers that add up, and dispatchers and units are matched by
+// their rendezvous scores, the highest first (a greedy b-matching, which is stable in the sense of Gale and Shapley
+// because both sides rank a pair alike). Most of a dispatcher's units are in its own zone. Some are in other zones, so
+// that the dispatcher still has replicas if its zone is lost.
 package subset
 
 import (
@@ -28,55 +29,57 @@
 	Weight     float64
 }
 
-// Dispatcher is a member of the fleet among which replicas are divided.
+// Dispatcher is a member of the fleet to which replicas are assigned.
 type Dispatcher struct {
 	Name string
 	Zone int
 }
 
-// MinPrefillReplicasLimit is the least value of Limits.MinPrefillReplicas: fewer leave too little choice.
-const MinPrefillReplicasLimit = 4
+// MinPrefillReplicasLowerBound is the lowest valid value of Limits.MinPrefillReplicas. Fewer replicas leave a
+// dispatcher too little choice.
+const MinPrefillReplicasLowerBound = 4
 
-// maxPrefillReplicas is the greatest value of Limits.MinPrefillReplicas, beyond any endpoint list.
-const maxPrefillReplicas = 1 << 16
+// minPrefillReplicasUpperBound is the highest valid value of Limits.MinPrefillReplicas, which is larger than any
+// endpoint list.
+const minPrefillReplicasUpperBound = 1 << 16
 
-// Limits say how small a subset may be.
+// Limits sets the minimum size of a subset.
 type Limits struct {
-	// MinPrefillReplicas is how many prefill replicas a subset has at least, from LeastPrefillReplicas to 65,536. The decode
-	// replicas of their units come with them.
+	// MinPrefillReplicas is the minimum number of prefill replicas in a subset, from MinPrefillReplicasLowerBound to
+	// 65,536. The subset also has the decode replicas of their units.
 	MinPrefillReplicas int
 }
 
-// Validate reports a limit that is out of range.
+// Validate returns an error if a limit is out of range.
 func (l Limits) Validate() error {
-	if l.MinPrefillReplicas < MinPrefillReplicasLimit || l.MinPrefillReplicas > maxPrefillReplicas {
+	if l.MinPrefillReplicas < MinPrefillReplicasLowerBound || l.MinPrefillReplicas > minPrefillReplicasUpperBound {
 		return fmt.Errorf("subset: %d readers are not from %d to %d",
-			l.MinPrefillReplicas, MinPrefillReplicasLimit, maxPrefillReplicas)
+			l.MinPrefillReplicas, MinPrefillReplicasLowerBound, minPrefillReplicasUpperBound)
 	}
 	return nil
 }
 
 const (
-	// headroom is the capacity of a subset relative to its dispatcher's fraction of the traffic: a fifth of the subset may
-	// fail, and a fifth more traffic may come.
+	// headroom is the capacity of a subset relative to its dispatcher's fraction of the traffic: a fifth of the subset
+	// may fail, and the traffic may grow by a fifth.
 	headroom = 1.2 / 0.8
-	// maxSubsetFraction is the largest fraction of all units that a subset may have. Beyond it subsets save too little, and
-	// each dispatcher uses all replicas.
+	// maxSubsetFraction is the largest fraction of all units in a subset. Larger subsets save too little, so each
+	// dispatcher uses all replicas instead.
 	maxSubsetFraction = 0.75
 )
 
-// ErrNotMember reports a dispatcher that is not among those that replicas are divided among.
+// ErrNotMember is returned for a dispatcher that is not among the dispatchers to which replicas are assigned.
 var ErrNotMember = errors.New("subset: the dispatcher is not a member of the fleet")
 
-// Assignment divides the replicas among the dispatchers. It does not change once it is made.
+// Assignment assigns replicas to dispatchers. It is immutable.
 type Assignment struct {
-	units       []unit       // by name
-	dispatchers []Dispatcher // by name
-	assigned    [][]int      // by dispatcher: its units' indices
-	subsetUnits int          // units that each dispatcher gets
+	units          []unit       // sorted by name
+	dispatchers    []Dispatcher // sorted by name
+	assigned       [][]int      // indices of the assigned units, by dispatcher
+	unitsPerSubset int          // number of units assigned to each dispatcher
 }
 
-// Assign divides the replicas among the dispatchers. A nil result means that each dispatcher uses all replicas: there are
+// Assign assigns the replicas to the dispatchers. A nil result means that each dispatcher uses all replicas: there are
 // too few replicas, or too few dispatchers, for subsets.
 func Assign(replicas []Replica, dispatchers []Dispatcher, l Limits) *Assignment {
 	a := &Assignment{units: unitsOf(replicas), dispatchers: slices.Clone(dispatchers)}
@@ -85,10 +88,10 @@
 		return nil
 	}
 	unitCount := float64(len(a.units))
-	forChoice := float64(l.MinPrefillReplicas) / float64(medianPrefillReplicas(a.units))
-	forTraffic := headroom * unitCount / float64(len(dispatchers))
-	a.subsetUnits = int(math.Ceil(max(forChoice, forTraffic)))
-	if float64(a.subsetUnits) > maxSubsetFraction*unitCount {
+	unitsForChoice := float64(l.MinPrefillReplicas) / float64(medianPrefillReplicas(a.units))
+	unitsForTraffic := headroom * unitCount / float64(len(dispatchers))
+	a.unitsPerSubset = int(math.Ceil(max(unitsForChoice, unitsForTraffic)))
+	if float64(a.unitsPerSubset) > maxSubsetFraction*unitCount {
 		return nil
 	}
 	a.assigned = make([][]int, len(a.dispatchers))
@@ -96,8 +99,8 @@
 	return a
 }
 
-// medianPrefillReplicas is the median number of prefill replicas in a unit. With the mean, one replica more or less could
-// change the size of every subset.
+// medianPrefillReplicas returns the median number of prefill replicas in a unit. With the mean, one replica more or
+// less could change the size of every subset.
 func medianPrefillReplicas(units []unit) int {
 	counts := make([]int, 0, len(units))
 	for _, u := range units {
@@ -107,10 +110,11 @@
 	return counts[len(counts)/2]
 }
 
-// Of returns the sorted names of the replicas that a dispatcher uses, which has the given fraction of all traffic. One with
-// more than an even fraction gets more units, by its scores; the other dispatchers do not know of it, so these are not
-// evened out. The error is ErrNotMember.
-func (a *Assignment) Of(name string, trafficFraction float64) ([]string, error) {
+// ReplicasOf returns the sorted names of the replicas that the named dispatcher uses if it receives the given fraction
+// of all traffic. With more than an even fraction, the dispatcher gets additional units, chosen by its scores. The
+// additional units are not balanced, because the other dispatchers compute their subsets without them. The error is
+// ErrNotMember if the dispatcher is unknown.
+func (a *Assignment) ReplicasOf(name string, trafficFraction float64) ([]string, error) {
 	d, ok := slices.BinarySearchFunc(a.dispatchers, name, func(d Dispatcher, name string) int {
 		return cmp.Compare(d.Name, name)
 	})
@@ -131,7 +135,8 @@
 	return names, nil
 }
 
-// othersByScore are the units that a dispatcher does not have: those of its zone first, each group by score.
+// othersByScore returns the units that a dispatcher does not have: first the units of its own zone, then the others,
+// each group sorted by descending score.
 func (a *Assignment) othersByScore(d Dispatcher, assigned []int) []int {
 	var others []int
 	for u := range a.units {
--- a/internal/fleet/subset/unit.go
+++ b/internal/fleet/subset/unit.go
@@ -6,26 +6,27 @@
 	"slices"
 )
 
-// minUnitReplicas is how many prefill replicas, and how many decode replicas, a part of a large cell has at least.
+// minUnitReplicas is the minimum number of prefill replicas, and of decode replicas, in a part of a large cell.
 const minUnitReplicas = 4
 
 // unit is a group of replicas that is assigned to a dispatcher as a whole.
 type unit struct {
 	name            string
 	zone            int
-	weight          float64 // of all its replicas
+	weight          float64 // total weight of the replicas
 	prefillReplicas int
-	members         []string // names of its replicas
+	members         []string // names of the replicas
 }
 
-// location is what replicas are grouped by.
+// location is the key by which replicas are grouped into units.
 type location struct{ zone, cell int }
 
-// wholeZone is the cell of a location that stands for all cells of its zone.
+// wholeZone is the cell number in a location that covers all cells of its zone.
 const wholeZone = -1
 
-// unitsOf groups the replicas into units, sorted by name, that each have prefill and decode replicas: by cell, or by zone if
-// a cell lacks either. It returns nil if even a zone lacks either.
+// unitsOf groups the replicas into units that each have prefill and decode replicas, and returns the units sorted by
+// name. It groups by cell, or by zone if a cell lacks prefill or decode replicas. It returns nil if a zone lacks one of
+// them too.
 func unitsOf(replicas []Replica) []unit {
 	groups, complete := groupBy(replicas, func(r Replica) location { return location{r.Zone, r.Cell} })
 	if !complete {
@@ -35,14 +36,14 @@
 		return nil
 	}
 	var units []unit
-	for at, group := range groups {
-		units = append(units, split(fmt.Sprintf("%d/%d", at.zone, at.cell), at.zone, group)...)
+	for loc, group := range groups {
+		units = append(units, split(fmt.Sprintf("%d/%d", loc.zone, loc.cell), loc.zone, group)...)
 	}
 	slices.SortFunc(units, func(a, b unit) int { return cmp.Compare(a.name, b.name) })
 	return units
 }
 
-// groupBy groups replicas, and reports whether each group has prefill and decode replicas.
+// groupBy groups replicas by key, and reports whether each group has both prefill and decode replicas.
 func groupBy(replicas []Replica, key func(Replica) location) (groups map[location][]Replica, complete bool) {
 	groups = map[location][]Replica{}
 	for _, r := range replicas {
@@ -60,8 +61,9 @@
 func cannotPrefill(r Replica) bool { return !r.CanPrefill }
 func decodesOnly(r Replica) bool   { return r.CanDecode && !r.CanPrefill }
 
-// countStage counts the replicas of a stage. If there are none and all replicas can decode, all count, so that a group of
-// combined replicas has decode replicas. (A group that can only decode passes as having prefill replicas, too.)
+// countStage returns the number of replicas for which inStage returns true. If there are none and all replicas can
+// decode, it counts all replicas, so that a group of combined replicas has decode replicas. (A group of replicas that
+// can only decode therefore counts as having prefill replicas, too.)
 func countStage(group []Replica, inStage func(Replica) bool) (n int) {
 	allDecode := true
 	for _, r := range group {
@@ -76,8 +78,8 @@
 	return n
 }
 
-// split divides a group into as many units as it has replicas for, a power of two. So the units change only when the group
-// has doubled or halved, and one replica more or less changes one of them.
+// split divides a group into as many units as it has replicas for, always a power of two. So the units change only when
+// the group has doubled or halved, and one replica more or less changes one of them.
 func split(name string, zone int, group []Replica) []unit {
 	parts := 1
 	for 2*parts*minUnitReplicas <= min(countStage(group, canPrefill), countStage(group, decodesOnly)) {
@@ -92,7 +94,7 @@
 	return units
 }
 
-// distribute adds the selected replicas of a group to its units, evenly.
+// distribute divides the selected replicas of a group evenly among its units.
 func distribute(units []unit, group []Replica, selected func(Replica) bool) {
 	unitNames, evenWeights := make([]string, len(units)), make([]float64, len(units))
 	for i, u := range units {
--- a/internal/fleet/subset/zones.go
+++ b/internal/fleet/subset/zones.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// otherZonesFraction is the fraction of a subset that is in other zones than its dispatcher, where there are any.
+// otherZonesFraction is the fraction of a subset that is in other zones than the dispatcher, if there are other zones.
 const otherZonesFraction = 0.25
 
-// assignZones assigns units to dispatchers: in each zone its own, and then over all zones those of other zones.
+// assignZones assigns units to dispatchers: first, zone by zone, units of the dispatchers' own zone, and then units of
+// other zones across all zones.
 func (a *Assignment) assignZones() {
 	byZone := map[int][]int{}
 	for d, dispatcher := range a.dispatchers {
 		byZone[dispatcher.Zone] = append(byZone[dispatcher.Zone], d)
 	}
-	missing := make([]int, len(a.dispatchers)) // units of other zones, by dispatcher
+	missing := make([]int, len(a.dispatchers)) // number of units needed from other zones, by dispatcher
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		dispatchers, units := byZone[zone], a.unitsInZone(zone)
 		own := a.ownZoneUnits(len(units))
 		for _, d := range dispatchers {
-			missing[d] = a.subsetUnits - own
+			missing[d] = a.unitsPerSubset - own
 		}
 		if own > 0 {
 			a.assign(dispatchers, units, own, nil)
@@ -38,17 +39,18 @@
 	return units
 }
 
-// ownZoneUnits is how many units of its own zone, which has the given number, a dispatcher gets.
+// ownZoneUnits returns how many units a dispatcher gets from its own zone, which has inZone units.
 func (a *Assignment) ownZoneUnits(inZone int) int {
 	if inZone == len(a.units) {
-		return a.subsetUnits
+		return a.unitsPerSubset
 	}
-	others := int(math.Ceil(otherZonesFraction * float64(a.subsetUnits)))
-	return min(a.subsetUnits-others, inZone)
+	others := int(math.Ceil(otherZonesFraction * float64(a.unitsPerSubset)))
+	return min(a.unitsPerSubset-others, inZone)
 }
 
-// assignOtherZones assigns to each dispatcher the units that it misses, from other zones. Dispatchers of zones with
-// different numbers of units miss different numbers: each number is a matching of its own.
+// assignOtherZones assigns units of other zones to the dispatchers; missing is the number of units that each dispatcher
+// needs. Zones with different numbers of units need different numbers, so the dispatchers that need the same number are
+// matched together, one matching per number.
 func (a *Assignment) assignOtherZones(missing []int) {
 	byMissing := map[int][]int{}
 	for d, n := range missing {
@@ -66,13 +68,14 @@
 	}
 }
 
-// assign assigns to each of the given dispatchers the same number of the given units, in proportion to the units' weights.
-// allowed says which pairs may be made, by their positions in the two lists; nil allows all.
+// assign assigns the same number of the given units to each of the given dispatchers, in proportion to the weights of
+// the units. allowed reports whether a dispatcher may get a unit, by their positions in the two lists; nil allows all
+// pairs.
 func (a *Assignment) assign(dispatchers, units []int, perDispatcher int, allowed func(d, u int) bool) {
 	unitNames, weights := make([]string, len(units)), make([]float64, len(units))
 	for i, u := range units {
 		unitNames[i], weights[i] = a.units[u].name, a.units[u].weight
-		if allowed != nil { // in proportion to the dispatchers that may have the unit
+		if allowed != nil { // scale the weight by the fraction of the dispatchers that may get the unit
 			eligible := 0
 			for d := range dispatchers {
 				if allowed(d, i) {
--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -1,7 +1,7 @@
-// Package subsetter applies a dispatcher's subset of the replicas: its Controller follows discovery's endpoint list and the
-// fleet's members, and passes the dispatcher what package subset computes from them.
+// Package subsetter keeps a dispatcher's subset of the replicas up to date: its Controller watches discovery's endpoint
+// list and the members of the fleet, and passes the dispatcher the subset that package subset computes from them.
 //
-// The Controller owns the list of replicas that subsets are computed from. UpdateEndpoints and Status may be called from any
+// The Controller holds the replicas from which subsets are computed. UpdateEndpoints and Status may be called from any
 // goroutine; the computation runs in the goroutine of Run.
 package subsetter
 
@@ -19,13 +19,13 @@
 )
 
 const (
-	// updateInterval is how often the controller looks for changes. A new replica gets work from the dispatchers whose
-	// subsets it is in after this time at the latest.
+	// updateInterval is how often the controller checks for changes. A new replica gets work from the dispatchers whose
+	// subsets contain it after this time at the latest.
 	updateInterval = 500 * time.Millisecond
-	// departedMemberGrace is how long a member that is gone still counts. Most are back after a restart, and each change of
-	// the members moves some replicas of the others' subsets.
+	// departedMemberGrace is how long a departed member still counts. Most members return after a restart, and each
+	// change of the members changes some replicas in the subsets of the others.
 	departedMemberGrace = 10 * time.Second
-	// trafficTolerance is how much the traffic fraction must change for a new subset, relative to the last one.
+	// trafficTolerance is the change of the traffic fraction, relative to the last one, up to which the subset is kept.
 	trafficTolerance = 0.25
 	// defaultWeight replaces a weight that is not positive, as in package routing.
 	defaultWeight = 1
@@ -34,57 +34,58 @@
 // FleetView is the fleet as this process sees it.
 type FleetView struct {
 	View            membership.View
-	Now             time.Duration // on the view's clock
-	TrafficFraction float64       // this process's fraction of all traffic; 0 stands for an even one
-	Usable          bool          // the view may be acted on
+	Now             time.Duration // current time on the clock of the view
+	TrafficFraction float64       // fraction of all traffic that this process receives; 0 means an even fraction
+	Usable          bool          // whether the view may be acted on
 }
 
 // Controller keeps one dispatcher's subset up to date.
 type Controller struct {
-	limits    subset.Limits
-	self      string
-	zoneOf    func(name string) int
-	roles     []routing.Role // by kind
-	view      func() FleetView
-	setSubset func(names []string) bool
+	limits     subset.Limits
+	self       string
+	zoneNumber func(name string) int
+	roles      []routing.Role // role of each replica kind, by index of the kind
+	view       func() FleetView
+	setSubset  func(names []string) bool
 
 	mu       sync.Mutex
-	replicas map[string]subset.Replica // the ready ones, by name
-	changed  bool                      // the replicas, since the last computation
+	replicas map[string]subset.Replica // ready replicas, by name
+	changed  bool                      // whether replicas has changed since the last computation
 	status   Status
-	// What the last subset was computed for.
+	// Inputs of the last subset.
 	members         []subset.Dispatcher
 	trafficFraction float64
 }
 
-// Status is what operators are shown of a Controller.
+// Status describes the subset of a Controller for operators.
 type Status struct {
 	Self      string   `json:"self"`
-	Subset    []string `json:"kept"`    // names of its replicas; none: all
-	Endpoints int      `json:"of"`      // replicas on the list
-	Members   int      `json:"members"` // among which they are divided
-	Updates   int      `json:"times"`   // subsets that were passed to the dispatcher
-	TookMS    float64  `json:"took_ms"` // to compute the last one
+	Subset    []string `json:"kept"`    // names of the replicas in the subset; empty if all replicas are used
+	Endpoints int      `json:"of"`      // number of replicas on the list
+	Members   int      `json:"members"` // number of members to which the replicas are assigned
+	Updates   int      `json:"times"`   // number of subsets that were passed to the dispatcher
+	TookMS    float64  `json:"took_ms"` // duration of the last computation in milliseconds
 }
 
-// NewController returns a Controller that Run must drive. zoneOf returns the number of a zone in the settings, and roles are the
-// settings' roles by kind. setSubset takes the names of a subset, none for all replicas; it must not block, and returns
-// false if the dispatcher could not take them.
-func NewController(limits subset.Limits, self string, zoneOf func(name string) int, roles []routing.Role,
+// NewController returns a Controller; the caller must call Run to update the subset. zoneNumber returns the number of a
+// zone in the settings, and roles are the roles of the kinds in the settings. setSubset receives the names of the
+// replicas in a subset, or none if all replicas are used; it must not block, and returns false if the dispatcher could
+// not accept the names.
+func NewController(limits subset.Limits, self string, zoneNumber func(name string) int, roles []routing.Role,
 	view func() FleetView, setSubset func(names []string) bool) *Controller {
 	return &Controller{
-		limits:    limits,
-		self:      self,
-		zoneOf:    zoneOf,
-		roles:     roles,
-		view:      view,
-		setSubset: setSubset,
-		replicas:  map[string]subset.Replica{},
-		status:    Status{Self: self},
+		limits:     limits,
+		self:       self,
+		zoneNumber: zoneNumber,
+		roles:      roles,
+		view:       view,
+		setSubset:  setSubset,
+		replicas:   map[string]subset.Replica{},
+		status:     Status{Self: self},
 	}
 }
 
-// UpdateEndpoints applies discovery's endpoint list, full or as changes, like the dispatcher does.
+// UpdateEndpoints applies an update of discovery's endpoint list: the full list, or only its changes.
 //
 //revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
 func (c *Controller) UpdateEndpoints(full bool, entries []dispatch.Endpoint) {
@@ -105,7 +106,7 @@
 
 func replicaOf(e dispatch.Endpoint, role routing.Role) subset.Replica {
 	weight := e.Weight
-	if !(weight > 0) { // also if it is not a number
+	if !(weight > 0) { // also true if the weight is NaN
 		weight = defaultWeight
 	}
 	return subset.Replica{
@@ -118,7 +119,7 @@
 	}
 }
 
-// Run updates the subset at intervals until the context ends.
+// Run updates the subset at regular intervals until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	t := time.NewTicker(updateInterval)
 	defer t.Stop()
@@ -132,20 +133,20 @@
 	}
 }
 
-// dispatchers are the members among which replicas are divided: the active ones, and those that are gone for less than
-// departedMemberGrace.
+// dispatchers returns the members to which replicas are assigned: the active members, and the members that departed
+// less than departedMemberGrace ago.
 func (c *Controller) dispatchers(v FleetView) (out []subset.Dispatcher) {
 	for _, m := range v.View.Members {
 		gone := m.State == membership.Unreachable || m.State == membership.Left
 		if m.Active() || gone && v.Now-m.StateSince < departedMemberGrace {
-			out = append(out, subset.Dispatcher{Name: m.Name, Zone: c.zoneOf(m.Zone)})
+			out = append(out, subset.Dispatcher{Name: m.Name, Zone: c.zoneNumber(m.Zone)})
 		}
 	}
 	return out
 }
 
-// update passes the dispatcher a new subset if the list, the members or this member's traffic fraction have changed. While
-// the view may not be acted on, it changes nothing.
+// update passes the dispatcher a new subset if the endpoint list, the members or this member's traffic fraction have
+// changed. It changes nothing while the view must not be acted on.
 func (c *Controller) update() {
 	view := c.view()
 	if !view.Usable {
@@ -177,7 +178,7 @@
 	}
 }
 
-// takeChanges returns the present replicas, and whether anything differs from what the last subset was computed for.
+// takeChanges returns the current replicas, and whether any input differs from the inputs of the last subset.
 func (c *Controller) takeChanges(members []subset.Dispatcher, trafficFraction float64) (
 	replicas []subset.Replica, changed bool,
 ) {
@@ -196,13 +197,13 @@
 	return replicas, true
 }
 
-// compute returns the names of this dispatcher's replicas; none means all.
+// compute returns the names of this dispatcher's replicas, or none if it uses all replicas.
 func (c *Controller) compute(replicas []subset.Replica, members []subset.Dispatcher, trafficFraction float64) []string {
 	assignment := subset.Assign(replicas, members, c.limits)
 	if assignment == nil {
 		return nil
 	}
-	names, err := assignment.Of(c.self, trafficFraction)
+	names, err := assignment.ReplicasOf(c.self, trafficFraction)
 	if err != nil {
 		slog.Debug("subset_failed", "err", err) // this process is not active yet, or is leaving
 	}
