--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -131,5 +131,5 @@
 
 // Fraction returns the fraction that the member may use at the time now.
 func (b *Borrower) Fraction(now time.Duration) float64 {
-	return b.inForce.At(now, b.limits.MinFraction())
+	return b.inForce.FractionAt(now, b.limits.MinFraction())
 }
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -82,7 +82,7 @@
 	s := newStableFleet(t, 9, 9)
 	s.nodes[7].demand = 8 * 30
 	s.advance(t, 1500*time.Millisecond)
-	hot, other := s.nodes[7].share.At(s.clock(s.nodes[7]), 0), s.nodes[6].share.At(s.clock(s.nodes[6]), 0)
+	hot, other := s.nodes[7].share.FractionAt(s.clock(s.nodes[7]), 0), s.nodes[6].share.FractionAt(s.clock(s.nodes[6]), 0)
 	if hot < 0.3 || other < 0.02 || s.sum() < 0.95 {
 		t.Errorf("the hot member uses %.3f of the quota, another member %.3f, all members %.3f", hot, other, s.sum())
 	}
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -10,9 +10,9 @@
 	seqs     map[string]uint64 // Seq of the claim of the latest grant, by voter
 }
 
-// At returns the fraction that may be used at the time now. Once the share has ended, this is at most minFraction,
-// which a member may use in any case.
-func (s Share) At(now time.Duration, minFraction float64) float64 {
+// FractionAt returns the fraction that may be used at the time now. Once the share has ended, this is at most
+// minFraction, which a member may use in any case.
+func (s Share) FractionAt(now time.Duration, minFraction float64) float64 {
 	if now < s.Until {
 		return s.Fraction
 	}
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -115,7 +115,9 @@
 func (s *sim) running(n *simNode) bool { return n.up && s.now >= n.pausedUntil }
 
 // fraction returns the fraction of the quota that a node uses now.
-func (s *sim) fraction(n *simNode) float64 { return n.share.At(s.clock(n), s.limits.MinFraction()) }
+func (s *sim) fraction(n *simNode) float64 {
+	return n.share.FractionAt(s.clock(n), s.limits.MinFraction())
+}
 
 // start starts a new incarnation of a node. With keepVoter, its voter keeps its state.
 func (s *sim) start(i int, keepVoter bool) {
--- a/internal/fleet/subset/match_test.go
+++ b/internal/fleet/subset/match_test.go
@@ -79,14 +79,14 @@
 func ringScore(dispatcher, unit string) uint64 { return score("", unit) - score("", dispatcher) }
 
 // assignUnits assigns units of equal weight; it omits the unit with the given number.
-func (a algorithm) assignUnits(size matchingSize, without int) pairSet {
+func (a algorithm) assignUnits(size matchingSize, omitted int) pairSet {
 	var dispatchers, units []string
 	var weights []float64
 	for d := range size.dispatchers {
 		dispatchers = append(dispatchers, fmt.Sprint("n", d))
 	}
 	for u := range size.units {
-		if u != without {
+		if u != omitted {
 			units, weights = append(units, fmt.Sprint("c", u)), append(weights, 1)
 		}
 	}
@@ -159,8 +159,8 @@
 	overMean := float64(slices.Max(counts)) * float64(size.units) / float64(len(before))
 	leastMoved := 2 * float64(len(before)) / float64(size.units)
 	unitMoves, removals := 0.0, min(size.units, 10)
-	for without := range removals {
-		unitMoves += float64(changedPairs(before, a.assignUnits(size, without))) / leastMoved / float64(removals)
+	for omitted := range removals {
+		unitMoves += float64(changedPairs(before, a.assignUnits(size, omitted))) / leastMoved / float64(removals)
 	}
 	smaller := size
 	smaller.dispatchers--
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -238,22 +238,22 @@
 	replicas, members := newCells(100, 1), newDispatchers(300, 1)
 	before := pairsOf(t, Assign(replicas, members, Limits{MinPrefillReplicas: 30}))
 	pairsPerReplica := float64(len(before)) / float64(len(replicas))
-	one := changedPairs(before, pairsOf(t, Assign(replicas[1:], members, Limits{MinPrefillReplicas: 30})))
+	replicaDiff := changedPairs(before, pairsOf(t, Assign(replicas[1:], members, Limits{MinPrefillReplicas: 30})))
 	// The removed replica's own pairs change. Its cell has a tenth less weight, so the cell goes to fewer dispatchers.
-	if least := pairsPerReplica + 2*pairsPerReplica/10*10; float64(one) > 4*least {
-		t.Errorf("removing a replica changes %d pairs; its own are %.0f", one, pairsPerReplica)
+	if least := pairsPerReplica + 2*pairsPerReplica/10*10; float64(replicaDiff) > 4*least {
+		t.Errorf("removing a replica changes %d pairs; its own are %.0f", replicaDiff, pairsPerReplica)
 	}
-	cell := changedPairs(before, pairsOf(t, Assign(replicas[10:], members, Limits{MinPrefillReplicas: 30})))
-	if least := 2 * 10 * pairsPerReplica; float64(cell) > 4*least {
-		t.Errorf("removing a cell changes %d pairs; the minimum is %.0f", cell, least)
+	cellDiff := changedPairs(before, pairsOf(t, Assign(replicas[10:], members, Limits{MinPrefillReplicas: 30})))
+	if least := 2 * 10 * pairsPerReplica; float64(cellDiff) > 4*least {
+		t.Errorf("removing a cell changes %d pairs; the minimum is %.0f", cellDiff, least)
 	}
-	dispatcher := changedPairs(before, pairsOf(t, Assign(replicas, members[1:], Limits{MinPrefillReplicas: 30})))
-	if least := float64(len(before)) / 300; float64(dispatcher) > 12*least {
-		t.Errorf("removing a dispatcher changes %d pairs; the minimum is %.0f", dispatcher, least)
+	dispatcherDiff := changedPairs(before, pairsOf(t, Assign(replicas, members[1:], Limits{MinPrefillReplicas: 30})))
+	if least := float64(len(before)) / 300; float64(dispatcherDiff) > 12*least {
+		t.Errorf("removing a dispatcher changes %d pairs; the minimum is %.0f", dispatcherDiff, least)
 	}
 	t.Logf("changes of %d pairs: removing a replica %d (its own %.0f), a cell %d (at least %.0f), "+
 		"a dispatcher %d (at least %.0f)",
-		len(before), one, pairsPerReplica, cell, 20*pairsPerReplica, dispatcher, float64(len(before))/300)
+		len(before), replicaDiff, pairsPerReplica, cellDiff, 20*pairsPerReplica, dispatcherDiff, float64(len(before))/300)
 }
 
 // The overlap is the fraction of a dispatcher's subset that is in the subset of another dispatcher too. It tells how
