--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -1,24 +1,24 @@
-// Package idempotency decides which attempt may execute an idempotent request that must run at most once in the whole fleet.
-// An attempt claims the request's key at a majority of a fixed set of replicas before its first byte is sent, and every
-// later claim finds the first one. It is quorum voting (Gifford, "Weighted Voting for Replicated Data", 1979) with one vote
-// per replica, applied to write-once records.
+// Package idempotency decides which attempt may execute an idempotent request that must run at most once in the whole
+// fleet. An attempt claims the request's key at a majority of a fixed set of replicas before the first byte of the
+// request is sent, and every later claim finds the first one. The protocol is quorum voting (Gifford, "Weighted Voting
+// for Replicated Data", 1979) with one vote per replica, applied to write-once records.
 //
-// The package does no I/O and has no clock: replicas write to a Store that they are given, and callers pass the time in.
-// Nothing in it is safe for concurrent use; each Replica and each Round belongs to one goroutine at a time.
+// The package does no I/O and reads no clock: replicas write to a Store that they are given, and callers pass the time
+// in. Its types are not safe for concurrent use: only one goroutine at a time may use a Replica or a Round.
 //
-// The invariant: of all claims on a key, at most one ever has a majority. A replica grants one claim on a key, writes that
-// down before it answers, and rejects every other claim until the key has expired. Two majorities share a replica, which
-// would have had to grant twice.
+// The invariant is that of all claims on a key, at most one ever gets a majority. A replica grants one claim on a key,
+// stores the grant before it replies, and rejects every other claim until the key has expired. Any two majorities share
+// a replica, which would have to grant both claims.
 //
-//   - A replica that lost what it wrote is recovering: it does not vote until everything that it may have granted has
+//   - A replica that lost stored records is recovering: it does not vote until every claim that it may have granted has
 //     expired.
-//   - A claimant that did not get its majority never sends, and withdraws its claim. A withdrawn claim is never granted
-//     again, even if the packets arrive in another order.
-//   - A key expires once the replica has counted its retention in time of its own life. A clock that jumps changes
-//     nothing, and while a replica is down its keys do not age.
+//   - A claimant that did not get a majority never sends its request, and withdraws its claim. A withdrawn claim is not
+//     granted again, even if packets arrive in another order.
+//   - A key expires once the lifetime of the replica, which is the time that it has run over all restarts, has advanced
+//     by the retention. Steps of the wall clock have no effect, and keys do not age while the replica is down.
 //
-// What the package does not promise: while a majority of the replicas is down or recovering, nothing can be claimed. A
-// claimant that died leaves its key as one that may have run, whether it did or not.
+// Limitations: while a majority of the replicas is down or recovering, no key can be claimed. If a claimant dies, its
+// key counts as one whose request may have run, whether it ran or not.
 package idempotency
 
 import (
@@ -27,7 +27,7 @@
 	"time"
 )
 
-// Key is the keyed hash of the idempotency key that a client sent.
+// Key is the keyed hash of an idempotency key that a client sent.
 type Key [16]byte
 
 // Digest is the hash of the request body that a key was used with.
@@ -35,9 +35,9 @@
 
 // Attempt identifies one claim by one incarnation of a member. Another claim on the same key is another attempt.
 type Attempt struct {
-	Member      string // of the claiming member
-	Incarnation uint64 // of that member
-	Seq         uint64 // unique within the incarnation
+	Member      string // name of the claiming member
+	Incarnation uint64 // incarnation of the claiming member
+	Seq         uint64 // sequence number, unique within the incarnation
 }
 
 // State is the state of a key at a replica. A key without a record is free.
@@ -52,15 +52,15 @@
 
 // The states of a key.
 const (
-	InFlight   State = iota + 1 // claimed; its attempt may be executing
-	MayHaveRun                  // its attempt ended, or its deadline has passed, and the effect is unknown
-	Answered                    // its answer is known
+	InFlight   State = iota + 1 // claimed; the attempt may be executing
+	MayHaveRun                  // the attempt has ended or passed its deadline, and may have run
+	Answered                    // the attempt has run, and its answer is stored
 )
 
-// stateNames are shown to operators.
+// stateNames holds the names of the states as shown to operators.
 var stateNames = [...]string{InFlight: "out", MayHaveRun: "may have run", Answered: "answered"}
 
-// String returns the state's name as operators see it.
+// String returns the name of the state as shown to operators.
 func (s State) String() string {
 	if s < InFlight || s > Answered {
 		return "unknown"
@@ -68,20 +68,20 @@
 	return stateNames[s]
 }
 
-// Record is what a replica stores for a key. Its durations count the time that the replica has lived, over all its
-// restarts.
+// Record is what a replica stores for a key. Its times are lifetimes of the replica, which count the time that the
+// replica has run over all restarts.
 type Record struct {
 	Attempt         Attempt
 	Digest          Digest
 	State           State
-	WrittenAt       time.Duration // when the key was claimed
-	AttemptDeadline time.Duration // by then the attempt has ended
-	Answer          []byte        // set in state Answered
+	WrittenAt       time.Duration // lifetime at which the key was claimed
+	AttemptDeadline time.Duration // lifetime by which the attempt has ended
+	Answer          []byte        // answer to the request, set only in state Answered
 }
 
-// Store holds a replica's records across restarts. Its methods return only once what they write is durable.
+// Store keeps a replica's records across restarts. Its methods return only after their changes are durable.
 type Store interface {
-	// Get returns the record of a key; false means that there is none.
+	// Get returns the record of a key, and whether the key has one.
 	Get(Key) (Record, bool, error)
 	// Put writes the record of a key.
 	Put(Key, Record) error
@@ -91,11 +91,11 @@
 	Expire(before time.Duration, limit int) (remaining int, err error)
 }
 
-// Limits bound what a replica stores. They must be the same at all members.
+// Limits bounds what a replica stores. All members must have the same limits.
 type Limits struct {
-	Retention      time.Duration // how long a key is remembered
-	Entries        int           // keys that a replica stores at most
-	MaxAnswerBytes int           // size of the longest answer that is stored
+	Retention      time.Duration // time for which a key is stored
+	Entries        int           // maximum number of keys that a replica stores
+	MaxAnswerBytes int           // maximum size of a stored answer
 }
 
 // ErrAnswerTooLong reports an answer of more than Limits.MaxAnswerBytes.
@@ -104,13 +104,13 @@
 // Vote is a replica's reply to a claim.
 type Vote uint8
 
-// The votes. Their values travel between members.
+// The votes. Members send each other their values, which must not change.
 const (
-	VoteGranted    Vote = iota + 1 // the attempt has this replica
+	VoteGranted    Vote = iota + 1 // the replica grants the claim
 	VoteInFlight                   // another attempt holds the key and may be executing
 	VoteMayHaveRun                 // another attempt holds the key and may have run
 	VoteAnswered                   // another attempt has run, and its answer comes with the vote
 	VoteKeyReused                  // the key was used with another request body
 	VoteStoreFull                  // the replica cannot store another key
-	noVote                         // the replica is recovering or cannot write; it sends nothing
+	noVote                         // the replica is recovering or its store fails, so it does not reply
 )
--- a/internal/fleet/idempotency/replica.go
+++ b/internal/fleet/idempotency/replica.go
@@ -6,11 +6,13 @@
 )
 
 const (
-	// expireInterval is the time between two deletions of expired records.
+	// expireInterval is the minimum time between two deletions of expired records.
 	expireInterval = time.Second
-	// expireBatch is how many expired records one deletion removes at most. More makes claims wait longer for it.
+	// expireBatch is the maximum number of expired records that one deletion removes. Claims wait while it runs, so a
+	// larger batch delays them more.
 	expireBatch = 200
-	// withdrawnTTL is how long a withdrawn attempt is remembered: longer than a packet can be under way.
+	// withdrawnTTL is how long a withdrawn attempt is remembered, so that a claim of it that arrives later is not
+	// granted. It is longer than a packet can be in transit.
 	withdrawnTTL = time.Minute
 )
 
@@ -19,34 +21,36 @@
 
 // Replica votes on claims and stores the granted ones. It is not safe for concurrent use.
 type Replica struct {
-	limits         Limits
-	store          Store
-	recoveringTill time.Duration // in time that it has lived; it does not vote before
-	storedKeys     int           // as counted by the last expiry, and adjusted since
-	lastExpiry     time.Duration
-	withdrawn      map[Attempt]time.Duration // when each was withdrawn
+	limits          Limits
+	store           Store
+	recoveringUntil time.Duration // lifetime before which the replica does not vote
+	storedKeys      int           // number of stored keys at the last expiry, adjusted since
+	lastExpiry      time.Duration
+	withdrawn       map[Attempt]time.Duration // withdrawn attempts, with the lifetime at their withdrawal
 }
 
-// NewReplica returns a replica whose store holds everything that its earlier lives wrote, or that had no earlier life.
+// NewReplica returns a replica whose store holds every unexpired record that the replica has written, or that runs for
+// the first time.
 func NewReplica(limits Limits, store Store) *Replica {
 	return &Replica{limits: limits, store: store, withdrawn: map[Attempt]time.Duration{}}
 }
 
-// NewRecoveringReplica returns a replica whose store lost records. It does not vote until everything that it may have
-// granted before has expired, one retention after now. now is in time of the replica's life, which continues from what the
-// store knows of it.
+// NewRecoveringReplica returns a replica whose store lost records. It does not vote until one retention after now, when
+// every claim that it may have granted before has expired. now is a lifetime of the replica, which continues from the
+// lifetime that the store recorded.
 func NewRecoveringReplica(limits Limits, store Store, now time.Duration) *Replica {
 	r := NewReplica(limits, store)
-	r.recoveringTill = now + limits.Retention
+	r.recoveringUntil = now + limits.Retention
 	return r
 }
 
-// Recovering reports whether the replica does not vote yet, and for how much longer.
+// Recovering reports whether the replica is recovering, and for how much longer it does not vote.
 func (r *Replica) Recovering(now time.Duration) (remaining time.Duration, recovering bool) {
-	return max(r.recoveringTill-now, 0), now < r.recoveringTill
+	return max(r.recoveringUntil-now, 0), now < r.recoveringUntil
 }
 
-// expire forgets records and withdrawn attempts that are older than their retention.
+// expire deletes records that are older than the retention and forgets attempts that were withdrawn more than
+// withdrawnTTL ago, at most once per expireInterval.
 func (r *Replica) expire(now time.Duration) error {
 	if r.lastExpiry > 0 && now-r.lastExpiry < expireInterval {
 		return nil
@@ -64,8 +68,9 @@
 	return nil
 }
 
-// Claim votes on an attempt's claim of a key. maxDuration is how long from now the attempt can last. The answer is set for
-// VoteAnswered. After an error nothing may be sent to the claimant, since it is unknown what was written.
+// Claim votes on an attempt's claim on a key. maxDuration is the longest time from now that the attempt can last. The
+// answer is set only for VoteAnswered. After an error no vote may be sent to the claimant, since it is unknown whether
+// the record was written.
 func (r *Replica) Claim(now time.Duration, key Key, digest Digest, attempt Attempt, maxDuration time.Duration) (
 	vote Vote, answer []byte, err error,
 ) {
@@ -80,12 +85,12 @@
 		return noVote, nil, err
 	}
 	if found && now-record.WrittenAt >= r.limits.Retention {
-		found = false // it has expired and is not deleted yet
+		found = false // the record has expired, but is not deleted yet
 	}
 	_, withdrawn := r.withdrawn[attempt]
 	switch {
 	case found && record.Attempt == attempt:
-		return VoteGranted, nil, nil // its packet came twice
+		return VoteGranted, nil, nil // the claim was received again
 	case found && record.Digest != digest:
 		return VoteKeyReused, nil, nil
 	case found && record.State == Answered:
@@ -105,8 +110,9 @@
 	return VoteGranted, nil, nil
 }
 
-// Settle records how an attempt ended: with its answer, or nil if it may have run. It changes nothing if another attempt
-// holds the key, or if the answer is known already. The error is ErrAnswerTooLong or one of the store's.
+// Settle records how an attempt ended: with the given answer or, if it is nil, with an unknown result, in which case
+// the request may have run. Settle changes nothing if the attempt does not hold the key, or if an answer is already
+// stored. The error is ErrAnswerTooLong or an error of the store.
 func (r *Replica) Settle(key Key, attempt Attempt, answer []byte) error {
 	if len(answer) > r.limits.MaxAnswerBytes {
 		return ErrAnswerTooLong
@@ -122,8 +128,8 @@
 	return r.store.Put(key, record)
 }
 
-// Withdraw takes back the claim of an attempt that never ran and never will. A claim of it that is still under way is not
-// granted.
+// Withdraw cancels the claim of an attempt that has not run and never will. A claim of the attempt that is still in
+// transit will not be granted.
 func (r *Replica) Withdraw(now time.Duration, key Key, attempt Attempt) error {
 	r.withdrawn[attempt] = now
 	record, found, err := r.store.Get(key)
--- a/internal/fleet/idempotency/replica_test.go
+++ b/internal/fleet/idempotency/replica_test.go
@@ -10,7 +10,7 @@
 
 var errBroken = errors.New("broken")
 
-// memoryStore is a Store in memory; broken makes it fail.
+// memoryStore is a Store in memory, whose methods fail while broken is set.
 type memoryStore struct {
 	records map[Key]Record
 	broken  bool
@@ -67,7 +67,7 @@
 	l.Entries = 2
 	replica := NewReplica(l, newMemoryStore())
 	now := time.Second
-	want := func(key Key, d Digest, attempt Attempt, vote Vote) []byte {
+	expectVote := func(key Key, d Digest, attempt Attempt, vote Vote) []byte {
 		t.Helper()
 		got, answer, err := replica.Claim(now, key, d, attempt, time.Second)
 		if got != vote || err != nil {
@@ -75,31 +75,31 @@
 		}
 		return answer
 	}
-	want(keyA, digest(keyA), attempt1, VoteGranted)
-	want(keyA, digest(keyA), attempt1, VoteGranted)
-	want(keyA, digest(keyA), attempt2, VoteInFlight)
-	want(keyA, digest(keyB), attempt2, VoteKeyReused)
+	expectVote(keyA, digest(keyA), attempt1, VoteGranted)
+	expectVote(keyA, digest(keyA), attempt1, VoteGranted)
+	expectVote(keyA, digest(keyA), attempt2, VoteInFlight)
+	expectVote(keyA, digest(keyB), attempt2, VoteKeyReused)
 	replica.Settle(keyA, attempt2, []byte("of another attempt"))
 	replica.Settle(keyA, attempt1, []byte("answer"))
 	replica.Settle(keyA, attempt1, nil)
-	if got := want(keyA, digest(keyA), attempt2, VoteAnswered); string(got) != "answer" {
+	if got := expectVote(keyA, digest(keyA), attempt2, VoteAnswered); string(got) != "answer" {
 		t.Errorf("answered %q", got)
 	}
 	if err := replica.Settle(keyA, attempt1, make([]byte, l.MaxAnswerBytes+1)); !errors.Is(err, ErrAnswerTooLong) {
 		t.Errorf("a long answer: %v", err)
 	}
-	want(keyB, digest(keyB), attempt1, VoteGranted)
+	expectVote(keyB, digest(keyB), attempt1, VoteGranted)
 	now += 2 * time.Second
-	want(keyB, digest(keyB), attempt2, VoteMayHaveRun) // its deadline has passed
-	want(keyC, digest(keyC), attempt3, VoteStoreFull)
+	expectVote(keyB, digest(keyB), attempt2, VoteMayHaveRun) // the deadline of attempt1 has passed
+	expectVote(keyC, digest(keyC), attempt3, VoteStoreFull)
 	replica.Withdraw(now, keyB, attempt2)
-	want(keyB, digest(keyB), attempt2, VoteMayHaveRun)
+	expectVote(keyB, digest(keyB), attempt2, VoteMayHaveRun)
 	replica.Withdraw(now, keyB, attempt1)
-	want(keyC, digest(keyC), attempt3, VoteGranted)
+	expectVote(keyC, digest(keyC), attempt3, VoteGranted)
 	replica.Withdraw(now, keyC, attempt3)
-	want(keyC, digest(keyC), attempt3, VoteInFlight) // a claim that the withdrawal has overtaken
+	expectVote(keyC, digest(keyC), attempt3, VoteInFlight) // a claim that arrives after its withdrawal
 	now += l.Retention
-	want(keyA, digest(keyB), attempt4, VoteGranted) // expired
+	expectVote(keyA, digest(keyB), attempt4, VoteGranted) // the first record has expired
 }
 
 func TestReplicaDoesNotVoteIfItCannotWrite(t *testing.T) {
@@ -107,7 +107,7 @@
 	replica := NewReplica(limits, store)
 	store.broken = true
 	if _, _, err := replica.Claim(time.Second, Key{9}, Digest{}, attempt1, 0); err == nil {
-		t.Error("a replica that cannot write votes")
+		t.Error("a replica whose store fails voted")
 	}
 }
 
@@ -115,9 +115,9 @@
 	now := time.Minute
 	replica := NewRecoveringReplica(limits, newMemoryStore(), now)
 	if _, _, err := replica.Claim(now+limits.Retention-1, keyA, digest(keyA), attempt1, 0); err == nil {
-		t.Error("a replica without its records votes")
+		t.Error("a recovering replica voted before the retention had passed")
 	}
 	if vote, _, err := replica.Claim(now+limits.Retention, keyA, digest(keyA), attempt1, 0); vote != VoteGranted || err != nil {
-		t.Errorf("a replica that has waited: %v, %v", vote, err)
+		t.Errorf("after the retention: %v, %v", vote, err)
 	}
 }
--- a/internal/fleet/idempotency/round.go
+++ b/internal/fleet/idempotency/round.go
@@ -1,16 +1,16 @@
 package idempotency
 
-// rejections are the votes that tell of another attempt or request, the most informative first.
+// rejections lists the votes that report another attempt or another request body, the most informative vote first.
 var rejections = [...]Vote{VoteAnswered, VoteKeyReused, VoteMayHaveRun, VoteInFlight}
 
 // Round counts the votes on one claim at the claimant. It is not safe for concurrent use.
 type Round struct {
 	replicas int
-	votes    map[string]Vote // by replica
-	answer   []byte          // that came with VoteAnswered
+	votes    map[string]Vote // by name of the replica
+	answer   []byte          // answer that came with a VoteAnswered
 }
 
-// NewRound returns a round that votes of the given number of replicas decide.
+// NewRound returns a round that is decided by the votes of the given number of replicas.
 func NewRound(replicas int) *Round { return &Round{replicas: replicas, votes: map[string]Vote{}} }
 
 // Outcome is the result of a round.
@@ -18,13 +18,13 @@
 
 // The outcomes of a round.
 const (
-	Pending  Outcome = iota // not decided yet
-	Granted                 // the attempt may run, and no other ever will
-	Rejected                // another attempt holds the key, or the key was used with another body: the vote says which
-	NoQuorum                // a majority is out of reach, and no other attempt is known
+	Pending  Outcome = iota // the round is not decided yet
+	Granted                 // the attempt may run, and no other attempt will be granted until the key expires
+	Rejected                // another attempt holds the key, or the key was used with another body; the vote says which
+	NoQuorum                // a majority cannot be reached, and no replica reported another attempt
 )
 
-// AddVote counts a replica's vote. A second vote of the same replica and an unknown vote change nothing.
+// AddVote counts a replica's vote. It ignores further votes of the same replica, and unknown votes.
 func (r *Round) AddVote(replica string, vote Vote, answer []byte) {
 	if r.HasVote(replica) || vote < VoteGranted || vote > VoteStoreFull {
 		return
@@ -35,11 +35,11 @@
 	}
 }
 
-// HasVote reports whether a replica's vote was counted.
+// HasVote reports whether a vote of the replica was counted.
 func (r *Round) HasVote(replica string) bool { return r.votes[replica] != 0 }
 
-// Outcome returns the result of the votes so far, Pending while a majority is still possible. For Rejected it also returns
-// the most informative vote, and the answer that came with a VoteAnswered.
+// Outcome returns the result of the votes so far, which is Pending while a majority is still possible but not reached.
+// For Rejected it also returns the most informative vote, and the answer that came with a VoteAnswered.
 func (r *Round) Outcome() (Outcome, Vote, []byte) {
 	granted, missing := r.count(VoteGranted), r.replicas-len(r.votes)
 	if granted < r.majority() && granted+missing >= r.majority() {
@@ -48,13 +48,14 @@
 	return r.FinalOutcome()
 }
 
-// FinalOutcome is Outcome at the round's deadline: votes that are still missing count as not granted, so it is never
-// Pending.
+// FinalOutcome returns the result at the round's deadline, as Outcome does, but counts missing votes as not granted, so
+// the result is never Pending.
 func (r *Round) FinalOutcome() (Outcome, Vote, []byte) {
 	if r.count(VoteGranted) >= r.majority() {
 		return Granted, 0, nil
 	}
-	// One replica's vote for another attempt is enough not to run: that attempt may have its majority elsewhere.
+	// A single rejection is enough to prevent the attempt from running: the other attempt may have a majority at other
+	// replicas.
 	for _, vote := range rejections {
 		if r.count(vote) > 0 {
 			return Rejected, vote, r.answer
--- a/internal/fleet/idempotency/round_test.go
+++ b/internal/fleet/idempotency/round_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The outcome of a round follows from its votes, and at its deadline also from those that are missing.
+// The outcome of a round depends on its votes and, at its deadline, on the missing votes, which count as not granted.
 func TestVotesDetermineTheOutcomeOfARound(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -32,7 +32,7 @@
 			r := NewRound(c.replicas)
 			for i, v := range c.votes {
 				r.AddVote(fmt.Sprint(i), v, nil)
-				r.AddVote(fmt.Sprint(i), VoteGranted, nil) // its second vote changes nothing
+				r.AddVote(fmt.Sprint(i), VoteGranted, nil) // a second vote of the same replica is ignored
 			}
 			outcome := r.Outcome
 			if c.final {
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -28,25 +28,25 @@
 	mutantSteps      = 20_000
 )
 
-// mutant is a fault built into the code under test, which the checker has to catch.
+// mutant selects a fault to build into the protocol, which the simulation must detect.
 type mutant struct {
 	name                string
 	votesWithoutRecords bool // a replica that lost its store votes at once
 	noMajorityNeeded    bool // one replica's grant is enough
-	votesBeforeWriting  bool // a replica grants before it has written that down
+	votesBeforeWriting  bool // a replica grants a claim before it has stored the grant
 	withdrawsAfterRun   bool // a claim whose attempt ran is withdrawn
-	countsRepeatedVotes bool // one replica's vote counts as often as it arrives
+	countsRepeatedVotes bool // a replica's vote is counted each time it arrives
 }
 
 // simReplica is a replica that can be killed and restarted.
 type simReplica struct {
 	name             string
 	store            *memoryStore
-	unwritten        map[Key]Record // of the mutant that votes before writing
+	unwritten        map[Key]Record // records not stored yet, with the mutant votesBeforeWriting
 	replica          *Replica
 	up               bool
-	startedAt        time.Duration // in simulated time
-	previousLifetime time.Duration // its lifetime when it started
+	startedAt        time.Duration // simulated time
+	previousLifetime time.Duration // lifetime at startedAt
 }
 
 // simAttempt is an attempt and the round that decides on it.
@@ -56,40 +56,40 @@
 	member        int
 	round         *Round
 	deadline      time.Duration
-	over          bool
-	repeatedVotes int // of the mutant that counts them
+	decided       bool
+	repeatedVotes int // number of votes received, with the mutant countsRepeatedVotes
 }
 
-// simMessage is a message under way; deliver runs at the recipient.
+// simMessage is a message in transit; deliver runs at the recipient.
 type simMessage struct {
-	due      time.Duration
-	from, to int // members; the replicas are the first
+	due      time.Duration // simulated time of delivery
+	from, to int           // indices of members; the first members are the replicas
 	deliver  func()
 }
 
-// sim plays replicas, claimants, the network and the faults between them in simulated time.
+// sim simulates replicas, claimants, the network between them and faults, in simulated time.
 type sim struct {
-	rng      *rand.Rand
-	mutant   mutant
-	now      time.Duration
-	replicas []*simReplica
-	cut      map[[2]int]bool // links between members
-	queue    []simMessage
-	attempts []*simAttempt
-	seq      uint64
-	lastRun  map[Key]time.Duration
-	ran      int    // attempts that were granted
-	answered int    // claims that were answered by an earlier attempt's answer
-	keys     uint64 // in use so far
-	wrong    string // the violation that was found
+	rng       *rand.Rand
+	mutant    mutant
+	now       time.Duration
+	replicas  []*simReplica
+	cutLinks  map[[2]int]bool // links that are down, by sending and receiving member
+	queue     []simMessage    // messages in transit
+	attempts  []*simAttempt   // attempts whose round is not decided
+	seq       uint64
+	lastRun   map[Key]time.Duration // when the request of a key last ran
+	ran       int                   // attempts that were granted
+	answered  int                   // claims that were answered with an earlier attempt's answer
+	keys      uint64                // number of keys used so far
+	violation string                // the violation that was found
 }
 
 func newSim(seed uint64, m mutant) *sim {
 	s := &sim{
-		rng:     rand.New(rand.NewPCG(seed, 0xc1a1)),
-		mutant:  m,
-		cut:     map[[2]int]bool{},
-		lastRun: map[Key]time.Duration{},
+		rng:      rand.New(rand.NewPCG(seed, 0xc1a1)),
+		mutant:   m,
+		cutLinks: map[[2]int]bool{},
+		lastRun:  map[Key]time.Duration{},
 	}
 	for i := range 3 + 2*int(seed%2) {
 		r := &simReplica{name: fmt.Sprint("n", i), store: newMemoryStore()}
@@ -99,7 +99,7 @@
 	return s
 }
 
-// lifetime is how long a replica has lived.
+// lifetime returns how long a replica has run, over all restarts.
 func (s *sim) lifetime(r *simReplica) time.Duration { return r.previousLifetime + s.now - r.startedAt }
 
 func (s *sim) start(r *simReplica, storeIntact bool) {
@@ -117,7 +117,7 @@
 
 // send puts a message on the network, which may lose, repeat or delay it.
 func (s *sim) send(from, to int, deliver func()) {
-	if s.cut[[2]int{from, to}] || s.rng.IntN(20) == 0 {
+	if s.cutLinks[[2]int{from, to}] || s.rng.IntN(20) == 0 {
 		return
 	}
 	for range 1 + s.rng.IntN(15)/14 {
@@ -143,7 +143,7 @@
 	return d
 }
 
-// answerOf is the answer to the request that a key identifies.
+// answerOf returns the answer to the request that a key identifies.
 func answerOf(k Key) []byte { return []byte(fmt.Sprint("answer to ", k))[:simAnswerBytes] }
 
 // sendClaim sends an attempt's claim to all replicas.
@@ -159,23 +159,24 @@
 	}
 }
 
-// claimAt lets a replica vote on an attempt's claim.
+// claimAt returns a replica's vote on an attempt's claim. With the mutant votesBeforeWriting the replica writes to a
+// copy of its store, and the records are lost if it is restarted before step stores them.
 func (s *sim) claimAt(r *simReplica, a *simAttempt) (Vote, []byte, error) {
 	if !s.mutant.votesBeforeWriting {
 		return r.replica.Claim(s.lifetime(r), a.key, digest(a.key), a.attempt, simAttemptLength)
 	}
-	shadow := &memoryStore{records: maps.Clone(r.store.records)}
-	maps.Copy(shadow.records, r.unwritten)
+	storeCopy := &memoryStore{records: maps.Clone(r.store.records)}
+	maps.Copy(storeCopy.records, r.unwritten)
 	store := r.replica.store
-	r.replica.store = shadow
+	r.replica.store = storeCopy
 	vote, answer, err := r.replica.Claim(s.lifetime(r), a.key, digest(a.key), a.attempt, simAttemptLength)
 	r.replica.store = store
-	r.unwritten = shadow.records
+	r.unwritten = storeCopy.records
 	return vote, answer, err
 }
 
 func (s *sim) receiveVote(a *simAttempt, from string, vote Vote, answer []byte) {
-	if a.over {
+	if a.decided {
 		return
 	}
 	if s.mutant.countsRepeatedVotes {
@@ -186,7 +187,8 @@
 	s.conclude(a, a.round.Outcome)
 }
 
-// conclude acts on the outcome of an attempt's round.
+// conclude executes or withdraws an attempt according to the outcome of its round, and does nothing while it is
+// Pending.
 func (s *sim) conclude(a *simAttempt, roundOutcome func() (Outcome, Vote, []byte)) {
 	outcome, vote, answer := roundOutcome()
 	if s.mutant.noMajorityNeeded && slices.Contains(slices.Collect(maps.Values(a.round.votes)), VoteGranted) {
@@ -201,23 +203,23 @@
 		if vote == VoteAnswered {
 			s.answered++
 			if !bytes.Equal(answer, answerOf(a.key)) {
-				s.wrong = fmt.Sprintf("key %x was answered %q", a.key[:2], answer)
+				s.violation = fmt.Sprintf("key %x was answered %q", a.key[:2], answer)
 			}
 		}
 		s.withdraw(a)
 	}
-	a.over = true
+	a.decided = true
 }
 
-// execute runs a granted attempt, and checks that no other ran before.
+// execute runs a granted attempt, and checks that no other attempt of its key ran before.
 func (s *sim) execute(a *simAttempt) {
 	s.ran++
 	if last, ok := s.lastRun[a.key]; ok {
-		s.wrong = fmt.Sprintf("key %x ran %v after it had run", a.key[:2], s.now-last)
+		s.violation = fmt.Sprintf("key %x ran %v after it had run", a.key[:2], s.now-last)
 	}
 	s.lastRun[a.key] = s.now
 	var answer []byte
-	if s.rng.IntN(3) > 0 { // else its claimant dies, or the stream broke
+	if s.rng.IntN(3) > 0 { // otherwise the claimant died or the response stream broke
 		answer = answerOf(a.key)
 	}
 	for i := range s.replicas {
@@ -234,7 +236,7 @@
 	}
 }
 
-// startAttempt claims a key at a member: a new key, or one of the last few again.
+// startAttempt claims a key at a random member: a new key, or one of the last few keys again.
 func (s *sim) startAttempt() {
 	if s.keys == 0 || s.rng.IntN(3) == 0 {
 		s.keys++
@@ -251,16 +253,16 @@
 	s.attempts = append(s.attempts, a)
 	s.sendClaim(a)
 	if s.rng.IntN(2) == 0 {
-		s.sendClaim(a) // once more, as packets get lost
+		s.sendClaim(a) // a claim is sent again because packets may get lost
 	}
 }
 
-// injectFault kills or restarts a replica, or cuts or heals the network.
+// injectFault kills or restarts a replica, or partitions the network or ends its partition.
 func (s *sim) injectFault() {
 	r := s.replicas[s.rng.IntN(len(s.replicas))]
 	switch s.rng.IntN(6) {
 	case 0:
-		if r.up { // killed; it does not count the last part of its uptime
+		if r.up { // when killed, a replica may not have recorded the last part of its run time
 			r.previousLifetime += (s.now - r.startedAt) * time.Duration(s.rng.IntN(3)) / 2
 			r.up = false
 		}
@@ -272,12 +274,12 @@
 		for a := range simMembers {
 			for b := range simMembers {
 				if a%2 != b%2 && s.rng.IntN(4) > 0 {
-					s.cut[[2]int{a, b}] = true
+					s.cutLinks[[2]int{a, b}] = true
 				}
 			}
 		}
 	case 4, 5:
-		clear(s.cut)
+		clear(s.cutLinks)
 	}
 }
 
@@ -294,10 +296,10 @@
 		m.deliver()
 	}
 	s.attempts = slices.DeleteFunc(s.attempts, func(a *simAttempt) bool {
-		if !a.over && s.now >= a.deadline {
+		if !a.decided && s.now >= a.deadline {
 			s.conclude(a, a.round.FinalOutcome)
 		}
-		return a.over
+		return a.decided
 	})
 	if s.mutant.votesBeforeWriting && s.rng.IntN(500) == 0 {
 		for _, r := range s.replicas {
@@ -306,18 +308,19 @@
 			}
 		}
 	}
-	return s.wrong
+	return s.violation
 }
 
-// The faults are kills, lost stores, partitions, loss, repeats and reordering, with clients that claim a key again at other
-// members.
+// No key runs twice, and a claim is only answered with the answer to its own key, while replicas are killed and lose
+// their stores, the network is partitioned and loses, repeats and reorders messages, and clients claim keys again at
+// other members.
 func TestNoKeyRunsTwiceAndAnswersBelongToTheirKey(t *testing.T) {
 	ran, answered := 0, 0
 	for seed := range *simSeeds {
 		s := newSim(uint64(seed), mutant{})
 		for range *simSteps {
-			if wrong := s.step(); wrong != "" {
-				t.Fatalf("seed %d: %s", seed, wrong)
+			if violation := s.step(); violation != "" {
+				t.Fatalf("seed %d: %s", seed, violation)
 			}
 		}
 		ran, answered = ran+s.ran, answered+s.answered
@@ -325,10 +328,11 @@
 	t.Logf("%d seeds of %d steps: %d keys ran, %d claims were answered by the first attempt's answer", *simSeeds,
 		*simSteps, ran, answered)
 	if ran == 0 || answered == 0 {
-		t.Error("nothing ran, or nothing was answered again")
+		t.Error("no key ran, or no claim was answered by the first attempt's answer")
 	}
 }
 
+// The simulation detects each fault that is built into the protocol.
 func TestSimulationCatchesEachMutant(t *testing.T) {
 	for _, m := range []mutant{
 		{name: "replica votes without its records", votesWithoutRecords: true},
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -1,9 +1,9 @@
-// Package idempotencyquorum carries out what package idempotency decides: it claims idempotency keys at the fleet's
-// replicas, and is itself a replica where this process has a durable store. It owns the messages between members, their
-// timeouts and retransmissions, and the access to the store.
+// Package idempotencyquorum runs the protocol of package idempotency between the members of a fleet: it claims
+// idempotency keys at the fleet's replicas, and runs a replica if this process has a durable store. It owns the
+// messages between members, their timeouts and retransmissions, and the access to the store.
 //
-// Claims may be made from any goroutine; each waits in the goroutine that makes it. A replica's part runs in the goroutine
-// of Coordinator.Run alone, because it writes to the disk; messages for it pass through a bounded queue.
+// Claims may be made from any goroutine, and block it until they are decided. The replica runs only in the goroutine of
+// Coordinator.Run, because it writes to disk; messages for it pass through a bounded queue.
 package idempotencyquorum
 
 import (
@@ -19,54 +19,56 @@
 )
 
 const (
-	// claimTimeout is how long a claim waits for the votes of a majority. Without them it ends with NoQuorum.
+	// claimTimeout is how long a claim waits for votes to decide it. It then ends with Rejected or NoQuorum.
 	claimTimeout = 400 * time.Millisecond
-	// claimResendInterval is the time after which a claim is sent again to replicas that have not voted: packets get lost.
+	// claimResendInterval is the time after which a claim is sent again to replicas that have not voted, since packets
+	// may get lost.
 	claimResendInterval = 60 * time.Millisecond
-	// What follows a claim is not acknowledged, so it is sent several times.
+	// Settlements and withdrawals are not acknowledged, so each is sent notificationSends times.
 	notificationSends    = 3
 	notificationInterval = 250 * time.Millisecond
 )
 
 // Config is the configuration of a Coordinator.
 type Config struct {
-	Name        string   // of this member
-	Incarnation uint64   // of this process; a restart has a greater one
+	Name        string   // name of this member
+	Incarnation uint64   // incarnation of this process, greater after each restart
 	Replicas    []string // names of the replicas; this member may be one of them
-	Secret      []byte   // keys travel and are stored as hashes under it
+	Secret      []byte   // HMAC key for the hashes of idempotency keys that are sent and stored
 	Limits      idempotency.Limits
-	// Open opens this process's store; nil if this member is not a replica. While it returns an error, such as
-	// state.ErrLocked for a store that a process to be replaced still uses, it is called again.
+	// Open opens this process's store; it is nil if this member is not a replica. It is called again while it returns
+	// an error, such as state.ErrLocked while the process that this one replaces still uses the store.
 	Open func() (*state.Store, error)
-	// Send sends a message to another member; it may get lost. A large one does not fit into a packet.
+	// Send sends a message to another member. Messages may get lost. large is set if the message does not fit into one
+	// packet.
 	Send func(to string, message []byte, large bool)
 }
 
 // Coordinator claims keys for one process, and votes on claims if the process is a replica. Its methods are safe for
 // concurrent use; Run must be running for the process to vote.
 type Coordinator struct {
-	cfg      Config
-	requests chan message // for the replica of this process
-	dropped  atomic.Int64
-	bad      atomic.Int64
-	errs     atomic.Int64
-	outcomes [idempotency.NoQuorum + 1]atomic.Int64 // rounds by outcome
-	waited   atomic.Int64                           // ns, summed over granted claims
+	cfg         Config
+	requests    chan message                           // messages for the replica of this process
+	dropped     atomic.Int64                           // messages that did not fit into requests
+	malformed   atomic.Int64                           // malformed messages received
+	storeErrors atomic.Int64                           // errors of the store
+	outcomes    [idempotency.NoQuorum + 1]atomic.Int64 // number of rounds by outcome
+	grantWait   atomic.Int64                           // time in ns that granted claims waited, in total
 
 	mu     sync.Mutex
-	seq    uint64
-	rounds map[uint64]*round // under way, by sequence number
-	// Set once by Run's goroutine, which is the only one to use them afterwards except for Status.
+	seq    uint64            // sequence number of the last claim
+	rounds map[uint64]*round // undecided claims by sequence number
+	// The goroutine of Run sets these fields once. Afterwards only that goroutine and Status use them.
 	store             *state.Store
 	replica           *idempotency.Replica
 	startedRecovering bool
 }
 
-// round is a claim that waits for votes.
+// round counts the votes on a claim that is not decided yet.
 type round struct {
 	mu      sync.Mutex
 	votes   *idempotency.Round
-	changed chan struct{} // of capacity one: a vote was counted
+	changed chan struct{} // holds one element after a vote was counted
 }
 
 // New returns a Coordinator for the given configuration.
@@ -74,17 +76,18 @@
 	return &Coordinator{cfg: cfg, requests: make(chan message, requestQueueSize), rounds: map[uint64]*round{}}
 }
 
-// hash returns the form in which a client's idempotency key travels and is stored.
+// hash returns the keyed hash under which a client's idempotency key is sent and stored.
 func (c *Coordinator) hash(key string) (k idempotency.Key) {
 	h := hmac.New(sha256.New, c.cfg.Secret)
-	h.Write([]byte(key)) // it cannot fail
+	h.Write([]byte(key)) // never returns an error
 	copy(k[:], h.Sum(nil))
 	return k
 }
 
-// Claim asks the replicas whether an attempt of a key's request may run, and waits for the votes of a majority, for
-// claimTimeout at most. A claim that is not granted is withdrawn. maxDuration is how long the attempt can last from now.
-// The vote and the answer are those of idempotency.Round.Outcome; the attempt is needed to settle or withdraw the claim.
+// Claim claims a key for a new attempt at the replicas, and waits for votes that decide the claim, for at most
+// claimTimeout. A claim that is not granted is withdrawn. maxDuration is the longest time from now that the attempt can
+// last. The outcome, vote and answer are defined by idempotency.Round.Outcome; the caller passes the attempt to Settle
+// or Withdraw.
 func (c *Coordinator) Claim(key string, body []byte, maxDuration time.Duration) (
 	idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt,
 ) {
@@ -97,14 +100,14 @@
 	c.mu.Unlock()
 	c.outcomes[outcome].Add(1)
 	if outcome == idempotency.Granted {
-		c.waited.Add(int64(time.Since(started)))
+		c.grantWait.Add(int64(time.Since(started)))
 	} else {
 		c.notify(message{kind: kindWithdraw, attempt: attempt, key: claim.key})
 	}
 	return outcome, vote, answer, attempt
 }
 
-// newRound registers the round of a new attempt.
+// newRound creates a new attempt and registers its round.
 func (c *Coordinator) newRound() (*round, idempotency.Attempt) {
 	r := &round{votes: idempotency.NewRound(len(c.cfg.Replicas)), changed: make(chan struct{}, 1)}
 	c.mu.Lock()
@@ -115,7 +118,8 @@
 	return r, attempt
 }
 
-// await sends a claim, repeatedly, until its round is decided or its time is over.
+// await sends a claim every claimResendInterval until its round is decided or claimTimeout has passed, and returns the
+// outcome.
 func (c *Coordinator) await(r *round, claim message) (idempotency.Outcome, idempotency.Vote, []byte) {
 	timeout := time.NewTimer(claimTimeout)
 	defer timeout.Stop()
@@ -151,17 +155,18 @@
 	}
 }
 
-// Settle tells the replicas how an attempt ended: with its answer, or nil if it may have run. It does not wait.
+// Settle tells the replicas how an attempt ended: with the given answer or, if it is nil, with an unknown
+// result, in which case the request may have run. It does not block.
 func (c *Coordinator) Settle(key string, attempt idempotency.Attempt, answer []byte) {
 	c.notify(message{kind: kindSettle, attempt: attempt, key: c.hash(key), answer: answer, hasAnswer: answer != nil})
 }
 
-// Withdraw takes back the claim of an attempt that never ran. It does not wait.
+// Withdraw cancels the claim of an attempt that never ran. It does not block.
 func (c *Coordinator) Withdraw(key string, attempt idempotency.Attempt) {
 	c.notify(message{kind: kindWithdraw, attempt: attempt, key: c.hash(key)})
 }
 
-// notify sends a message to all replicas, several times over.
+// notify sends a message to all replicas, notificationSends times in total.
 func (c *Coordinator) notify(m message) {
 	for i := range notificationSends {
 		time.AfterFunc(time.Duration(i)*notificationInterval, func() {
@@ -172,7 +177,7 @@
 	}
 }
 
-// send sends a message to a member, which may be this one.
+// send sends a message to a member, which may be this process itself.
 func (c *Coordinator) send(to string, m message) {
 	if to == c.cfg.Name {
 		c.dispatch(m)
@@ -182,17 +187,17 @@
 	c.cfg.Send(to, b, len(b) > maxDatagramBytes)
 }
 
-// HandleMessage handles a message of another member. A malformed one is counted and dropped.
+// HandleMessage handles a message from another member. It counts and drops malformed messages.
 func (c *Coordinator) HandleMessage(b []byte) {
 	m, err := decode(b)
 	if err != nil {
-		c.bad.Add(1)
+		c.malformed.Add(1)
 		return
 	}
 	c.dispatch(m)
 }
 
-// dispatch passes a message to the claim that waits for it, or to the replica of this process.
+// dispatch passes a vote to the claim that waits for it, and any other message to the replica of this process.
 func (c *Coordinator) dispatch(m message) {
 	if m.kind == kindVote {
 		c.countVote(m)
@@ -205,9 +210,10 @@
 	}
 }
 
-// countVote counts a replica's vote in the round that it is for.
+// countVote counts a replica's vote in the round of its attempt. It ignores votes on claims that are no longer waiting.
 func (c *Coordinator) countVote(m message) {
-	// A vote on a claim of an earlier incarnation does not count for this one's claim of the same number.
+	// A vote on a claim of an earlier incarnation must not count for the claim with the same sequence number in this
+	// one.
 	isOwn := m.attempt.Member == c.cfg.Name && m.attempt.Incarnation == c.cfg.Incarnation
 	if !isOwn || !slices.Contains(c.cfg.Replicas, m.replica) {
 		return
--- a/internal/fleet/idempotencyquorum/coordinator_test.go
+++ b/internal/fleet/idempotencyquorum/coordinator_test.go
@@ -18,7 +18,7 @@
 
 var replicaNames = []string{"n0", "n1", "n2"}
 
-// network connects coordinators. It loses, repeats and reorders their messages while it is unreliable.
+// network connects coordinators. While unreliable is set, it loses, repeats and reorders their messages.
 type network struct {
 	mu         sync.Mutex
 	rng        *rand.Rand
@@ -50,7 +50,7 @@
 	n.unreliable = unreliable
 }
 
-// cut cuts the given members off, and connects all others.
+// cut disconnects the given members, and connects all others.
 func (n *network) cut(names ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// start starts a member. With a folder for its state it is a replica, and start waits until it serves.
+// start starts a member. If dir is set, the member is a replica with its state in dir, and start waits until it serves.
 func (n *network) start(t *testing.T, name, dir string, incarnation uint64, replicas ...string) *Coordinator {
 	t.Helper()
 	cfg := Config{
@@ -105,7 +105,7 @@
 	return c
 }
 
-// initState makes an empty state and returns its folder.
+// initState creates an empty state and returns its folder.
 func initState(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -115,7 +115,8 @@
 	return dir
 }
 
-// claimEverywhere claims a key at all members at once, settles what is granted, and returns how many were granted.
+// claimEverywhere claims a key at all members at once, settles granted claims with the answer, and returns how many
+// claims were granted.
 func claimEverywhere(members []*Coordinator, key string, answer []byte) (granted int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -134,7 +135,8 @@
 	return granted
 }
 
-// Members claim a key at once over an unreliable network, and replicas restart with their stores.
+// If members claim a key at once over an unreliable network, at most one claim is granted, and later claims get its
+// answer. After the replicas have restarted with their stores, the key is not granted again.
 func TestAtMostOneClaimIsGrantedAndOthersLearnItsAnswer(t *testing.T) {
 	n := newNetwork(t)
 	dirs := map[string]string{}
@@ -165,7 +167,7 @@
 		t.Fatal("nothing was granted")
 	}
 	n.setUnreliable(false)
-	for _, name := range replicaNames { // one after the other; then all know by their stores alone
+	for _, name := range replicaNames { // afterwards the replicas have only the records in their stores
 		n.stops[name]()
 		n.start(t, name, dirs[name], 2, replicaNames...)
 	}
@@ -180,7 +182,7 @@
 	}
 }
 
-// A claim without a majority ends within its time, and a replica that lost its store does not vote.
+// A claim that cannot get a majority ends by its timeout, and a replica that lost its store does not vote.
 func TestNothingIsGrantedWithoutAMajority(t *testing.T) {
 	n := newNetwork(t)
 	for _, name := range replicaNames {
@@ -201,7 +203,7 @@
 		outcome, _, _, _ := c.Claim("b", nil, time.Minute)
 		return outcome == idempotency.Granted
 	})
-	// Two replicas restart with empty folders: the one that has its records is no majority.
+	// Two replicas restart with empty folders, and the one that still has its records is no majority.
 	for _, name := range replicaNames[:2] {
 		n.stops[name]()
 		recovering := n.start(t, name, filepath.Join(t.TempDir(), "lost"), 2, replicaNames...)
@@ -225,7 +227,7 @@
 	if _, err := state.Open(dir, state.Identity{Fleet: "f", Name: "n0"}); !errors.Is(err, state.ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
-	n.stops["n0"]() // before it settled the attempt
+	n.stops["n0"]() // before the attempt is settled
 	second := n.start(t, "n0", dir, 2, "n0")
 	outcome, vote, _, _ := second.Claim("a", []byte("body"), time.Minute)
 	if outcome != idempotency.Rejected || vote != idempotency.VoteInFlight {
--- a/internal/fleet/idempotencyquorum/golden_test.go
+++ b/internal/fleet/idempotencyquorum/golden_test.go
@@ -11,7 +11,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// The tests of this file freeze the messages that members send each other about claims: members of other versions read them.
+// The tests in this file fix the encoding of the messages that members send each other about claims, since members of
+// other versions decode them.
 
 var (
 	goldenAttempt = idempotency.Attempt{Member: "n1", Incarnation: 1001, Seq: 3}
@@ -67,7 +68,8 @@
 	}
 }
 
-// A whole claim: the hash of its key and the digest of its body are compared by all members.
+// A claim sends the same bytes as other versions, including the hash of its key and the digest of its body, which all
+// members compare.
 func TestGoldenClaim(t *testing.T) {
 	var mu sync.Mutex
 	var sent []byte
--- a/internal/fleet/idempotencyquorum/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -11,25 +11,25 @@
 	"rampspread/internal/protofield"
 )
 
-// messageKind says what a message is for. The values travel between members.
+// messageKind is the kind of a message. Members send each other the values, which must not change.
 type messageKind uint64
 
 const (
 	kindClaim    messageKind = 1 // asks a replica for its vote
-	kindVote     messageKind = 2 // a replica's reply to a claim
+	kindVote     messageKind = 2 // replies to a claim
 	kindSettle   messageKind = 3 // tells a replica how an attempt ended
-	kindWithdraw messageKind = 4 // takes a claim back
+	kindWithdraw messageKind = 4 // cancels a claim
 )
 
-// Fields of a message, in the protobuf encoding. Unknown fields are skipped.
+// Field numbers of a message in the protobuf encoding. Unknown fields are ignored.
 const (
 	fieldKind        protowire.Number = 1
 	fieldClaimant    protowire.Number = 2 // name of the member that claims
-	fieldIncarnation protowire.Number = 3 // of that member
-	fieldSeq         protowire.Number = 4 // of the attempt
+	fieldIncarnation protowire.Number = 3 // incarnation of the claiming member
+	fieldSeq         protowire.Number = 4 // sequence number of the attempt
 	fieldKey         protowire.Number = 5
 	fieldDigest      protowire.Number = 6
-	fieldMaxDuration protowire.Number = 7 // of the attempt, in µs
+	fieldMaxDuration protowire.Number = 7 // longest time that the attempt can last, in µs
 	fieldReplica     protowire.Number = 8 // name of the replica that votes
 	fieldVote        protowire.Number = 9
 	fieldAnswer      protowire.Number = 10
@@ -39,22 +39,22 @@
 	maxDatagramBytes = 1200 // a larger message does not fit into one packet on every network
 	maxNameBytes     = 64
 	maxAnswerBytes   = 64 << 10
-	maxDurationBound = time.Hour // a claim's longer duration counts as this one
+	maxDurationBound = time.Hour // a longer maxDuration of a received claim is reduced to this value
 )
 
 var errMalformed = errors.New("idempotency: malformed message")
 
-// message is what members send each other about a claim. Which fields are set depends on its kind.
+// message is a message about a claim from one member to another. Its kind determines which fields are set.
 type message struct {
 	kind        messageKind
 	attempt     idempotency.Attempt
 	key         idempotency.Key
-	digest      idempotency.Digest // of kindClaim
-	maxDuration time.Duration      // of kindClaim: how long the attempt can last
-	replica     string             // of kindVote
-	vote        idempotency.Vote   // of kindVote
-	answer      []byte             // of kindVote and kindSettle
-	hasAnswer   bool               // an answer may be empty
+	digest      idempotency.Digest // kindClaim: hash of the request body
+	maxDuration time.Duration      // kindClaim: longest time that the attempt can last
+	replica     string             // kindVote: name of the replica that votes
+	vote        idempotency.Vote   // kindVote
+	answer      []byte             // kindVote and kindSettle: answer to the request, if hasAnswer
+	hasAnswer   bool               // distinguishes an empty answer from none
 }
 
 func (m message) encode() []byte {
@@ -83,7 +83,8 @@
 	hasKey, hasDigest bool
 }
 
-// decode reads a message. The error is errMalformed, or says which field cannot be read.
+// decode decodes a message. It returns errMalformed if a value is too long or a required field is missing, and the
+// decoding error if a field cannot be decoded.
 func decode(b []byte) (message, error) {
 	var d decoder
 	for len(b) > 0 {
@@ -107,7 +108,8 @@
 	return d.message, nil
 }
 
-// setBytes sets a field that has a length; false means that it is too long. A key or digest of another length is skipped.
+// setBytes sets a length-delimited field, and reports whether its length is within its limit. It ignores a key or
+// digest of the wrong length.
 func (d *decoder) setBytes(field protowire.Number, value []byte) (ok bool) {
 	switch field {
 	case fieldClaimant:
@@ -135,7 +137,7 @@
 	return true
 }
 
-// setNumber sets a field that is a number. An unknown vote is skipped.
+// setNumber sets a varint field. It ignores an unknown vote.
 func (d *decoder) setNumber(field protowire.Number, value uint64) {
 	switch field {
 	case fieldKind:
@@ -153,7 +155,7 @@
 	}
 }
 
-// complete reports whether the message has all fields that its kind needs.
+// complete reports whether the message has all fields that its kind requires.
 func (d *decoder) complete() bool {
 	if d.attempt.Member == "" || !d.hasKey {
 		return false
--- a/internal/fleet/idempotencyquorum/message_test.go
+++ b/internal/fleet/idempotencyquorum/message_test.go
@@ -9,7 +9,8 @@
 	"rampspread/internal/testutil"
 )
 
-// Valid messages decode to what was encoded; malformed ones are errors, are counted, and change nothing.
+// Valid messages decode to what was encoded. Malformed messages return an error and are counted, and no input decodes
+// to a message without a member or with an answer over the limit.
 func FuzzDecode(f *testing.F) {
 	attempt, key := idempotency.Attempt{Member: "n1", Incarnation: 5, Seq: 7}, idempotency.Key{1}
 	var encoded []string
--- a/internal/fleet/idempotencyquorum/replica.go
+++ b/internal/fleet/idempotencyquorum/replica.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// requestQueueSize is how many messages wait for this process's replica at most; more are dropped.
+	// requestQueueSize is the maximum number of messages that wait for this process's replica; further ones are
+	// dropped.
 	requestQueueSize = 256
-	// lifetimeInterval is how often the store records how long the replica has lived.
+	// lifetimeInterval is the time between two writes of the replica's lifetime to the store.
 	lifetimeInterval = 5 * time.Second
 	// openRetryInterval is the time between two attempts to open the store.
 	openRetryInterval = 300 * time.Millisecond
 )
 
-// Run opens the store, if this process is a replica, and serves claims until the context ends.
+// Run opens the store and serves claims until the context ends, if this process is a replica. Otherwise it returns at
+// once.
 func (c *Coordinator) Run(ctx context.Context) {
 	if c.cfg.Open == nil {
 		return
 	}
-	for !c.open() {
+	for !c.openStore() {
 		select {
 		case <-time.After(openRetryInterval):
 		case <-ctx.Done():
@@ -52,11 +54,11 @@
 	}
 }
 
-// open opens the store and reports whether that succeeded.
-func (c *Coordinator) open() bool {
+// openStore opens the store and reports whether that succeeded.
+func (c *Coordinator) openStore() bool {
 	store, err := c.cfg.Open()
 	if err != nil {
-		if !errors.Is(err, state.ErrLocked) && c.errs.Add(1) == 1 {
+		if !errors.Is(err, state.ErrLocked) && c.storeErrors.Add(1) == 1 {
 			slog.Warn("state_open_failed", "err", err)
 		}
 		return false
@@ -68,26 +70,28 @@
 	return true
 }
 
-// newReplica returns the replica of a store, and whether the store holds all that its earlier lives wrote.
+// newReplica returns the replica of a store, and whether the store holds every unexpired record that the replica has
+// written. If not, the replica is recovering.
 func newReplica(cfg Config, store *state.Store) (*idempotency.Replica, bool) {
 	complete, remaining := store.Complete(cfg.Limits.Retention)
 	if complete {
 		return idempotency.NewReplica(cfg.Limits, store), true
 	}
 	slog.Warn("state_lost", "member", cfg.Name, "recovering_for", remaining)
-	// A replica recovers for one retention from the time that it is given; what it lived since the loss counts.
+	// A recovering replica does not vote until one retention after the lifetime that it is given. This is the lifetime
+	// at the loss, so that the run time since the loss counts.
 	lostAt := store.Lifetime() + remaining - cfg.Limits.Retention
 	return idempotency.NewRecoveringReplica(cfg.Limits, store, lostAt), false
 }
 
 // storeFailed counts an error of the store, and logs the first.
 func (c *Coordinator) storeFailed(err error) {
-	if c.errs.Add(1) == 1 {
+	if c.storeErrors.Add(1) == 1 {
 		slog.Warn("state_failed", "err", err)
 	}
 }
 
-// serve handles a message for this process's replica. It may write to the disk.
+// serve handles a message for this process's replica. It may write to disk.
 func (c *Coordinator) serve(m message) {
 	now := c.store.Lifetime()
 	switch m.kind {
--- a/internal/hostos/faulty.go
+++ b/internal/hostos/faulty.go
@@ -10,60 +10,61 @@
 	"time"
 )
 
-// Faults are what a Faulty system does, as its file says it.
+// Faults describes the faults that a Faulty system injects, in the JSON form of its file.
 type Faults struct {
-	// WallStepMS is how far the wall clock has been stepped, in ms.
+	// WallStepMS is the offset that is added to the wall clock, in ms.
 	WallStepMS int64 `json:"wall_step_ms"`
-	// Fails says which calls fail.
+	// Fails maps kinds of system call to the failure injected into them.
 	Fails map[Op]Failure `json:"fails"`
 }
 
-// Failure makes calls of one kind fail.
+// Failure describes the failure injected into system calls of one kind.
 type Failure struct {
-	Errno int `json:"errno"`
-	Every int `json:"every"` // each so many-th call fails; 1: all
-	// DelayMS is how long such a call is held up, in ms. With no errno it goes on then.
+	Errno int `json:"errno"` // 0 only delays the call
+	Every int `json:"every"` // each Every-th call is affected; no call if Every is less than 1
+	// DelayMS is the delay in ms, after which an affected call fails with Errno or, if Errno is 0, proceeds.
 	DelayMS int `json:"delay_ms"`
 }
 
-// refreshEvery is how old what was read of the file may be.
-const refreshEvery = 10 * time.Millisecond
+// refreshInterval is the maximum age of the faults that were read from the file.
+const refreshInterval = 10 * time.Millisecond
 
-// Faulty is a machine that does what a file says, which may be changed at any time.
+// Faulty is a System that injects the faults described in a file, which may be replaced at any time.
 type Faulty struct {
 	path string
 
-	mu     sync.Mutex
-	read   time.Time
-	faults Faults
-	calls  map[Op]int
+	mu       sync.Mutex
+	lastRead time.Time // when the file was last read
+	faults   Faults
+	calls    map[Op]int // number of calls by kind, while the kind has a failure configured
 }
 
-// NewFaulty returns a machine that follows the file at path; while there is none it is sound.
+// NewFaulty returns a System that injects the faults described in the file at path, and none until the file exists.
 func NewFaulty(path string) *Faulty { return &Faulty{path: path, calls: map[Op]int{}} }
 
-// Set replaces the file at path, whole.
+// Set replaces the file at path atomically.
 func (f Faults) Set(path string) error {
 	text, err := json.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("faults: %w", err)
 	}
-	aside := filepath.Join(filepath.Dir(path), ".new-"+filepath.Base(path))
-	if err := os.WriteFile(aside, text, 0o600); err != nil {
+	temporary := filepath.Join(filepath.Dir(path), ".new-"+filepath.Base(path))
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return fmt.Errorf("faults: %w", err)
 	}
-	if err := os.Rename(aside, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return fmt.Errorf("faults: %w", err)
 	}
 	return nil
 }
 
-// refresh reads the file again if what was read is old; f.mu is held. A file that cannot be read changes nothing.
+// refresh rereads the file if refreshInterval has passed since the last read. f.mu must be held. If the file cannot be
+// read or decoded, the faults stay unchanged.
 func (f *Faulty) refresh() {
-	if time.Since(f.read) < refreshEvery {
+	if time.Since(f.lastRead) < refreshInterval {
 		return
 	}
-	f.read = time.Now()
+	f.lastRead = time.Now()
 	text, err := os.ReadFile(f.path)
 	if err != nil {
 		return
@@ -84,26 +85,26 @@
 
 // Before implements System.
 func (f *Faulty) Before(op Op) error {
-	fails, ok := f.due(op)
+	failure, ok := f.nextFailure(op)
 	if !ok {
 		return nil
 	}
-	time.Sleep(time.Duration(fails.DelayMS) * time.Millisecond)
-	if fails.Errno == 0 {
+	time.Sleep(time.Duration(failure.DelayMS) * time.Millisecond)
+	if failure.Errno == 0 {
 		return nil
 	}
-	return os.NewSyscallError(string(op), syscall.Errno(fails.Errno))
+	return os.NewSyscallError(string(op), syscall.Errno(failure.Errno))
 }
 
-// due counts a call and tells whether it fails, and how.
-func (f *Faulty) due(op Op) (Failure, bool) {
+// nextFailure counts a call of the given kind, and returns the failure to inject into it and whether there is one.
+func (f *Faulty) nextFailure(op Op) (Failure, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	fails, ok := f.faults.Fails[op]
-	if !ok || fails.Every < 1 {
-		return fails, false
+	failure, ok := f.faults.Fails[op]
+	if !ok || failure.Every < 1 {
+		return failure, false
 	}
 	f.calls[op]++
-	return fails, f.calls[op]%fails.Every == 0
+	return failure, f.calls[op]%failure.Every == 0
 }
--- a/internal/hostos/golden_test.go
+++ b/internal/hostos/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The file that says which calls fail is read by programs of other versions.
+// The faults file is written and read by programs of different versions, so its JSON form must not change.
 func TestGoldenFaults(t *testing.T) {
 	const text = `{"wall_step_ms":1,"fails":{"accept":{"errno":2,"every":3,"delay_ms":4},"connect":{"errno":5,"every":6,"delay_ms":7},` +
 		`"rename":{"errno":14,"every":15,"delay_ms":16},"sync":{"errno":11,"every":12,"delay_ms":13},"write":{"errno":8,"every":9,"delay_ms":10}}}`
--- a/internal/hostos/hostos.go
+++ b/internal/hostos/hostos.go
@@ -1,5 +1,6 @@
-// Package hostos is the host operating system behind an interface, so that tests can make it fail: the wall clock, which may be
-// stepped at any time, and the system calls that can fail. The program uses Real; tests and the soak use a Faulty one.
+// Package hostos puts the wall clock, which may be stepped at any time, and the system calls that can fail behind an
+// interface, so that faults can be injected. Real injects none; tests and soak runs use Faulty, which reads the faults
+// to inject from a file.
 package hostos
 
 import (
@@ -11,46 +12,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// Op is a kind of system call that can be made to fail.
+// Op identifies a kind of system call into which faults can be injected.
 type Op string
 
 // The kinds of system call.
 const (
-	Accept  Op = "accept"  // of a connection at a listening socket
-	Connect Op = "connect" // to a replica, from before the socket is made
-	Write   Op = "write"   // to a file
-	Sync    Op = "sync"    // of a file or a folder
+	Accept  Op = "accept"  // accepts a connection on a listening socket
+	Connect Op = "connect" // connects to a replica; faults are injected before the socket is created
+	Write   Op = "write"   // writes to a file
+	Sync    Op = "sync"    // syncs a file or a folder to disk
 	Rename  Op = "rename"
 )
 
-// System is the machine as the program sees it. It is safe for use by several goroutines.
+// System provides the wall clock and injects faults into system calls. It is safe for concurrent use.
 type System interface {
-	// Wall is the time of day. It has no monotonic reading: spans of time are never measured by it.
+	// Wall returns the wall clock time, without a monotonic clock reading. Code that measures durations must not use
+	// it.
 	Wall() time.Time
-	// Before is asked before a system call of this kind is made. An error takes the call's place.
+	// Before is called before each system call of the given kind. If it returns an error, the caller returns this error
+	// instead of making the system call.
 	Before(Op) error
 }
 
-type machine struct{}
+type realSystem struct{}
 
-// Real is the machine itself.
-func Real() System { return machine{} }
+// Real returns the System of the host, which injects no faults.
+func Real() System { return realSystem{} }
 
 // Wall implements System.
-func (machine) Wall() time.Time { return time.Now().Round(0) }
+func (realSystem) Wall() time.Time { return time.Now().Round(0) }
 
 // Before implements System.
-func (machine) Before(Op) error { return nil }
+func (realSystem) Before(Op) error { return nil }
 
-// Stamp is a moment by both clocks of a machine: the wall clock may be stepped, and the other begins anew with each boot. The tags are its
-// names in stored files, which other versions of the program read: they never change.
+// Stamp is a point in time on two clocks: the wall clock, which may be stepped, and the boot clock, which restarts with
+// each boot of the machine. Other versions of the program read stored stamps, so the JSON names must not change.
 type Stamp struct {
-	Wall   int64  `json:"Wall"`   // ns since 1970
-	Boot   int64  `json:"Boot"`   // ns since the machine started, asleep or not
-	BootID string `json:"BootID"` // of this start; empty: Boot is not known
+	Wall   int64  `json:"Wall"`   // ns since the Unix epoch
+	Boot   int64  `json:"Boot"`   // ns since boot, including time in suspend
+	BootID string `json:"BootID"` // identifies the boot; empty if Boot is unknown
 }
 
-// Now reads both clocks.
+// Now returns the current time on both clocks.
 func Now(s System) Stamp {
 	out := Stamp{Wall: s.Wall().UnixNano()}
 	var ts unix.Timespec
@@ -60,7 +63,8 @@
 	return out
 }
 
-// bootID names this start of the machine, which no process outlives: it is read once. Empty: it cannot be read.
+// bootID returns the kernel's identifier of the current boot, or "" if it cannot be read. It is read only once, since
+// no process survives a reboot.
 var bootID = sync.OnceValue(func() string {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -69,8 +73,8 @@
 	return strings.TrimSpace(string(id))
 })
 
-// Age is how long before now a stamp was: by the machine's own clock within one of its starts, whatever was done to the wall clock,
-// and by the wall clock else.
+// Age returns the time from s to now. If both stamps are from the same boot, it uses the boot clock, which steps of the
+// wall clock do not affect; otherwise it uses the wall clock.
 func (s Stamp) Age(now Stamp) time.Duration {
 	if s.BootID != "" && s.BootID == now.BootID {
 		return time.Duration(now.Boot - s.Boot)
