--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -1,9 +1,9 @@
-// Package atomicfile stores files that are there whole or not at all. A file is replaced by writing a temporary file
-// and renaming it (write, fsync, rename, fsync of the folder). A sealed file begins with a magic string that says what
-// it is, and ends with an xxhash of all before it.
+// Package atomicfile replaces files atomically: it writes a temporary file and renames it (write, fsync, rename, fsync
+// of the folder). A sealed file begins with a magic string that identifies its format, and ends with an xxhash of
+// everything before it.
 //
-// The functions may be called by several goroutines and processes at once: those that replace the same file exclude
-// each other by a lock on its temporary file. A Saver writes one file in the background.
+// The functions are safe for use by several goroutines and processes at once: callers that replace the same file
+// exclude each other by a lock on its temporary file. A Saver writes one file in the background.
 package atomicfile
 
 import (
@@ -19,10 +19,10 @@
 	"rampspread/internal/hostos"
 )
 
-// ErrCorrupt reports a file that is cut, damaged, too long or of another kind.
-var ErrCorrupt = errors.New("no whole file of this kind")
+// ErrCorrupt reports a file that is truncated, damaged, too long or of another format.
+var ErrCorrupt = errors.New("file is corrupt or of another format")
 
-// Durability says when a replaced file survives a crash of the machine.
+// Durability says whether a replaced file survives a crash of the machine.
 type Durability uint8
 
 const (
@@ -38,17 +38,17 @@
 	fileMode          = 0o600
 )
 
-// errLocked reports that another process held the temporary file for all of lockAttempts.
-var errLocked = errors.New("another process is writing it")
+// errLocked reports that another process kept the temporary file locked during all lockAttempts.
+var errLocked = errors.New("another process has locked the temporary file")
 
-// Replace writes a temporary file and renames it to path. After an error the whole content has to be written again:
-// what a failed sync was about is no longer known to be on disk, whatever a later sync returns.
+// Replace writes a temporary file and renames it to path. After an error the caller has to write the whole content
+// again: data whose sync failed may be missing on disk even if a later sync succeeds.
 func Replace(machine hostos.System, path string, content []byte, durability Durability) error {
 	temporary, err := openTemporary(path)
 	if err != nil {
 		return fmt.Errorf("atomicfile: %w", err)
 	}
-	defer temporary.Close() // which releases its lock
+	defer temporary.Close() // releases the lock
 	err = write(machine, temporary, content, durability)
 	if err == nil {
 		err = rename(machine, temporary.Name(), path)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Read reads a file of at most maxBytes bytes; a longer one is ErrCorrupt.
+// Read returns the content of a file. It returns ErrCorrupt if the file has more than maxBytes bytes.
 func Read(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 	if err := machine.Before(hostos.Sync); err != nil {
 		return err
 	}
-	return f.Sync() // before the renaming: a name that reaches the disk before its content would be a corrupt file
+	return f.Sync() // before the rename, since a crash that leaves the new name without its content corrupts the file
 }
 
 func rename(machine hostos.System, from, to string) error {
@@ -114,8 +114,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// openTemporary opens the one temporary file of path, empty and locked. Its name is always the same, so that what
-// killed processes left behind is overwritten and does not pile up.
+// openTemporary opens, locks and truncates the temporary file of path. Its name is always the same, so that files left
+// by killed processes are overwritten and do not accumulate.
 func openTemporary(path string) (*os.File, error) {
 	name := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".aside")
 	for range lockAttempts {
@@ -136,7 +136,8 @@
 	return nil, errLocked
 }
 
-// hasName reports whether an open file still has its name: another process may have renamed it since it was opened.
+// hasName reports whether an open file still has the given name. Another process may have renamed it since it was
+// opened.
 func hasName(f *os.File, name string) bool {
 	opened, err := f.Stat()
 	if err != nil {
--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -12,7 +12,7 @@
 	"rampspread/internal/testutil"
 )
 
-// A disk that hangs or fails blocks only the Saver, which saves the newest content once the disk recovers.
+// A disk that hangs or fails blocks only the goroutine of Run, which saves again once the disk recovers.
 func TestSaverRetriesAfterFailures(t *testing.T) {
 	var calls atomic.Int64
 	unblock := make(chan bool)
@@ -35,7 +35,7 @@
 	<-done
 }
 
-// A file is replaced whole, and where the new one cannot be written the old one remains.
+// A replaced file has exactly the new content. If the new content cannot be written, the old file remains.
 func TestReplaceIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for i, body := range []string{"one", "another one", ""} {
@@ -57,7 +57,7 @@
 	if _, err := Read(path, 3); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a file that is too long: %v", err)
 	}
-	// Where the new one cannot be written the old one remains, with no temporary file.
+	// If the new content cannot be written, the old file remains, without a temporary file.
 	if err := Replace(hostos.Real(), filepath.Join(path, "no folder"), nil, Synced); err == nil {
 		t.Error("written below a file")
 	}
--- a/internal/state/atomicfile/golden_test.go
+++ b/internal/state/atomicfile/golden_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A sealed file as 1ac8dd0 wrote it: the magic string, the body, and the xxhash of both, big-endian.
+// A sealed file as commit 1ac8dd0 wrote it: the magic string, the body and the big-endian xxhash of both. Programs of
+// other versions read sealed files, so the format must not change.
 const (
 	goldenMagic = "rampspread golden 1\n"
 	goldenBody  = "a body\x00\xff"
@@ -30,7 +31,8 @@
 	}
 }
 
-// Processes of different versions that replace one file exclude each other by a lock on this name.
+// Processes of different versions that replace the same file exclude each other by a lock on the temporary file, so its
+// name must not change.
 func TestGoldenTemporaryFileName(t *testing.T) {
 	dir := t.TempDir()
 	temporary, err := openTemporary(filepath.Join(dir, "file"))
--- a/internal/state/atomicfile/killed_writer_test.go
+++ b/internal/state/atomicfile/killed_writer_test.go
@@ -11,10 +11,11 @@
 	"rampspread/internal/testutil"
 )
 
-// writerPathVariable makes the test program a process that replaces the file which it names.
+// writerPathVariable is an environment variable. If it holds a path, the test program replaces the file at that path
+// instead of running tests.
 const writerPathVariable = "ATOMICFILE_WRITER_PATH"
 
-// TestMain also runs a process that replaces a file again and again until it is killed.
+// TestMain runs the tests or, if writerPathVariable is set, replaces a file repeatedly until the process is killed.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(writerPathVariable); path != "" {
 		for {
@@ -26,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// The temporary files of processes that were killed in the middle of a write do not pile up.
+// Temporary files of processes that were killed during a write do not accumulate.
 func TestKilledWritersLeaveOneFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
@@ -37,7 +38,7 @@
 			t.Fatal(err)
 		}
 		testutil.Eventually(t, "its first file", func() bool { _, err := os.Stat(path); return err == nil })
-		time.Sleep(20 * time.Millisecond) // into some later write
+		time.Sleep(20 * time.Millisecond) // so that the kill interrupts a later write
 		writer.Process.Kill()
 		writer.Wait()
 	}
--- a/internal/state/atomicfile/saver.go
+++ b/internal/state/atomicfile/saver.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// saveInterval is the least time between two saves: a rollout of many endpoints changes a list several times a second,
-// and each save waits for the disk.
+// saveInterval is the minimum time between two saves. A rollout of many endpoints changes a list several times a
+// second, and each save waits for the disk.
 const saveInterval = 200 * time.Millisecond
 
-// Saver saves something in the background after it has changed, so that nobody but the goroutine of Run waits for the disk.
+// Saver saves content in the background after it has changed, so that only the goroutine of Run waits for the disk.
 type Saver struct {
-	name    string // in the log
+	name    string // identifies the content in log lines
 	save    func() error
 	changed chan struct{} // holds one element if there are unsaved changes
 }
 
-// NewSaver returns a Saver, which does nothing until Run is called. save stores the current content; name is for the log.
+// NewSaver returns a Saver, which does nothing until Run is called. save stores the current content; name identifies
+// the content in log lines.
 func NewSaver(name string, save func() error) *Saver {
 	return &Saver{name: name, save: save, changed: make(chan struct{}, 1)}
 }
 
-// MarkDirty reports a change. It never blocks, and may be called by several goroutines.
+// MarkDirty reports that the content has changed. It never blocks, and is safe for concurrent use.
 func (s *Saver) MarkDirty() {
 	select {
 	case s.changed <- struct{}{}:
-	default: // it is marked already
+	default: // already marked
 	}
 }
 
-// Run saves changes until the context ends. Of consecutive failures the first is logged, and then the recovery.
+// Run saves changes until the context ends. It logs the first of consecutive failures, and the first success after
+// them.
 func (s *Saver) Run(ctx context.Context) {
 	failing := false
 	for {
@@ -45,7 +47,7 @@
 			s.logTransition(err)
 		}
 		if failing {
-			s.MarkDirty() // the disk may recover, and there may be no further change
+			s.MarkDirty() // retry even if the content does not change again
 		}
 		select {
 		case <-time.After(saveInterval):
@@ -55,7 +57,7 @@
 	}
 }
 
-// logTransition logs that saving has begun to fail or, with no error, that it has recovered.
+// logTransition logs that saving has begun to fail or, if err is nil, that it has recovered.
 func (s *Saver) logTransition(err error) {
 	if err != nil {
 		slog.Warn("state_save_failed", "what", s.name, "err", err)
--- a/internal/state/atomicfile/system_failure_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -10,8 +10,8 @@
 	"rampspread/internal/testutil"
 )
 
-// While writes, syncs or renames fail the file keeps its content, and the first replacement that succeeds writes all of
-// the next content: it relies on nothing of a write that failed, and nothing of that remains.
+// While writes, syncs or renames fail, the file keeps its old content. The next replacement that succeeds writes its
+// whole content, independently of the failed one, which leaves no file behind.
 func TestReplaceKeepsOldContentWhileSystemCallsFail(t *testing.T) {
 	for _, op := range []hostos.Op{hostos.Write, hostos.Sync, hostos.Rename} {
 		for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
--- a/internal/state/encoding.go
+++ b/internal/state/encoding.go
@@ -12,9 +12,9 @@
 	"rampspread/internal/protofield"
 )
 
-// Field numbers of a stored record, a protobuf message. They never change.
+// Field numbers of a stored record, which is a protobuf message. They must not change.
 const (
-	fieldAttemptName     = 1
+	fieldMember          = 1
 	fieldIncarnation     = 2
 	fieldSeq             = 3
 	fieldDigest          = 4
@@ -25,16 +25,16 @@
 )
 
 const (
-	checksumBytes = 8 // of the xxhash before a record
-	numberBytes   = 8 // of a number in an entry
-	// typicalRecordBytes is the capacity reserved for a record without its answer.
+	checksumBytes = 8 // size of the xxhash before a record
+	numberBytes   = 8 // size of an encoded number
+	// typicalRecordBytes is the initial buffer capacity for an encoded record without its answer.
 	typicalRecordBytes = 128
 )
 
-// encodeRecord serializes a record, preceded by its checksum.
+// encodeRecord encodes a record, preceded by its checksum.
 func encodeRecord(record idempotency.Record) []byte {
 	b := make([]byte, checksumBytes, typicalRecordBytes+len(record.Answer))
-	b = protofield.AppendBytes(b, fieldAttemptName, []byte(record.Attempt.Member))
+	b = protofield.AppendBytes(b, fieldMember, []byte(record.Attempt.Member))
 	b = protofield.AppendVarint(b, fieldIncarnation, record.Attempt.Incarnation)
 	b = protofield.AppendVarint(b, fieldSeq, record.Attempt.Seq)
 	b = protofield.AppendBytes(b, fieldDigest, record.Digest[:])
@@ -48,11 +48,11 @@
 	return b
 }
 
-// decodeRecord reads what encodeRecord wrote. A record whose checksum is wrong, that has no attempt's name or that has
-// an unknown state is ErrCorrupt. Fields that are unknown are skipped.
+// decodeRecord decodes a record that encodeRecord encoded. It returns ErrCorrupt if the checksum is wrong, the name of
+// the member is missing or the state is unknown, and ignores unknown fields.
 func decodeRecord(b []byte) (record idempotency.Record, err error) {
 	if len(b) < checksumBytes || xxhash.Sum64(b[checksumBytes:]) != binary.BigEndian.Uint64(b) {
-		return record, fmt.Errorf("%w: a record's checksum is off", ErrCorrupt)
+		return record, fmt.Errorf("%w: record has a wrong checksum", ErrCorrupt)
 	}
 	for b = b[checksumBytes:]; len(b) > 0; {
 		field, rest, err := protofield.Next(b)
@@ -68,14 +68,14 @@
 		}
 	}
 	if record.State < idempotency.InFlight || record.State > idempotency.Answered || record.Attempt.Member == "" {
-		return record, fmt.Errorf("%w: a record makes no sense", ErrCorrupt)
+		return record, fmt.Errorf("%w: record has no member or an unknown state", ErrCorrupt)
 	}
 	return record, nil
 }
 
 func setBytesField(record *idempotency.Record, field protofield.Field) {
 	switch field.Number {
-	case fieldAttemptName:
+	case fieldMember:
 		record.Attempt.Member = string(field.Bytes)
 	case fieldDigest:
 		if len(field.Bytes) == len(record.Digest) {
@@ -101,16 +101,16 @@
 	}
 }
 
-// writeTimeKey returns a record's key in the index by time written: the time, then the idempotency key. Its order is
-// that of time.
+// writeTimeKey returns a record's key in the index by write time: the time, followed by the idempotency key. The keys
+// sort by time.
 func writeTimeKey(writtenAt time.Duration, key idempotency.Key) []byte {
 	return append(encodeNumber(uint64(writtenAt)), key[:]...)
 }
 
-// encodeNumber encodes big-endian, so that the order of bytes is that of numbers.
+// encodeNumber encodes a number in big-endian order, so that encoded numbers sort by value.
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// decodeNumber decodes what encodeNumber returned; anything of another length is 0.
+// decodeNumber decodes a number that encodeNumber encoded. It returns 0 if b has another length.
 func decodeNumber(b []byte) uint64 {
 	if len(b) != numberBytes {
 		return 0
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -1,9 +1,8 @@
-// Package endpointcache stores the newest endpoint list that a process has acted on, for the process that follows it.
-// One that starts while service discovery is silent would otherwise act on the list of its configuration, and send to
-// endpoints that were known to be draining.
+// Package endpointcache stores the newest endpoint list that a process has applied, for the process that replaces it.
+// Without it, a process that starts while service discovery does not respond would use the list in its configuration,
+// and send requests to endpoints that are known to be draining.
 //
-// The package owns one file in the state folder and has no state in memory. Its functions may be called by several
-// goroutines.
+// The package owns one file in the state folder and has no state in memory. Its functions are safe for concurrent use.
 package endpointcache
 
 import (
@@ -18,15 +17,16 @@
 	"rampspread/internal/state/atomicfile"
 )
 
-// Cached is a stored list. The tags are the names in the file, which other versions of the program read: they never change.
+// Cached is a stored list. Other versions of the program read the file, so the JSON names must not change.
 type Cached struct {
 	Owner   Owner           `json:"Owner"`
 	SavedAt hostos.Stamp    `json:"At"`
 	Version uint64          `json:"Version"`
-	Entries json.RawMessage `json:"Entries"` // in the form of service discovery
+	Entries json.RawMessage `json:"Entries"` // endpoints in the encoding of service discovery
 }
 
-// Owner names the process that a list belongs to, and its source: versions of two discovery services cannot be compared.
+// Owner names the process that a list belongs to, and the discovery service that the list came from, since versions of
+// different discovery services cannot be compared.
 type Owner struct {
 	Fleet     string `json:"Fleet"`
 	Name      string `json:"Name"`
@@ -34,21 +34,22 @@
 }
 
 const (
-	// MaxAge bounds the age of a usable list: it replaces a discovery service that is silent at the start, not one that
-	// is gone.
+	// MaxAge is the maximum age of a usable list. A stored list is meant for a start while service discovery does not
+	// respond for a short time, not as a replacement for service discovery.
 	MaxAge = time.Hour
 
 	fileName = "newest.list"
 	magic    = "rampspread newest list 1\n"
-	maxBytes = 4 << 20 // a list is at most 3 MiB in the form of service discovery
+	maxBytes = 4 << 20 // a list in the encoding of service discovery has at most 3 MiB
 
 	folderMode = 0o700
 )
 
-// ErrUnusable reports a stored list that must not be used: corrupt, too old, from the future, or of another owner.
+// ErrUnusable reports a stored list that must not be used: it is corrupt, too old, saved in the future, or belongs to
+// another owner.
 var ErrUnusable = errors.New("endpointcache: unusable list")
 
-// Save replaces the list in a folder, which it creates if needed. The list is on disk when Save returns.
+// Save replaces the list in a folder, and creates the folder if necessary. The list is on disk when Save returns.
 func Save(machine hostos.System, dir string, list Cached) error {
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// Load reads the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must not
-// use it now.
+// Load returns the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must
+// not use it now.
 func Load(dir string, owner Owner, now hostos.Stamp) (Cached, error) {
 	sealed, err := atomicfile.Read(filepath.Join(dir, fileName), maxBytes)
 	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
@@ -83,10 +84,10 @@
 	}
 	switch age := list.SavedAt.Age(now); {
 	case list.Owner != owner:
-		return Cached{}, fmt.Errorf("%w: it is that of %q of %q at %s",
+		return Cached{}, fmt.Errorf("%w: it belongs to member %q of fleet %q with service discovery at %s",
 			ErrUnusable, list.Owner.Name, list.Owner.Fleet, list.Owner.Discovery)
 	case age < 0:
-		return Cached{}, fmt.Errorf("%w: it is from the future", ErrUnusable)
+		return Cached{}, fmt.Errorf("%w: it was saved in the future", ErrUnusable)
 	case age > MaxAge:
 		return Cached{}, fmt.Errorf("%w: it is %v old", ErrUnusable, age.Round(time.Second))
 	}
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -19,13 +19,13 @@
 	return Cached{Owner: testOwner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
 }
 
-// A list that is saved replaces the one before, and is loaded by its owner only.
+// A saved list replaces the previous list, and only its owner can load it.
 func TestSavedListIsLoadedByItsOwnerOnly(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
 	if _, err := Load(dir, testOwner, hostos.Now(hostos.Real())); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("in no folder: %v", err)
 	}
-	for version := range uint64(3) { // each replaces the one before
+	for version := range uint64(3) { // each list replaces the previous one
 		list := testList(hostos.Now(hostos.Real()))
 		list.Version = version
 		if err := Save(hostos.Real(), dir, list); err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// A file that is cut anywhere, or has any bit flipped, is refused.
+// A file that is truncated anywhere, or has a flipped bit in any byte, is refused.
 func TestCorruptListIsUnusable(t *testing.T) {
 	dir := t.TempDir()
 	if err := Save(hostos.Real(), dir, testList(hostos.Now(hostos.Real()))); err != nil {
@@ -78,7 +78,7 @@
 	load("another format", []byte(strings.Replace(string(good), "list 1", "list 2", 1)))
 }
 
-// The age counts by the machine's boot clock within one boot, and by the wall clock after a reboot.
+// The age of a list is measured by the boot clock within one boot of the machine, and by the wall clock after a reboot.
 func TestListIsUsableByAge(t *testing.T) {
 	hour := int64(time.Hour)
 	saved := hostos.Stamp{Wall: 100 * hour, Boot: 5 * hour, BootID: "a"}
--- a/internal/state/endpointcache/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -19,7 +19,8 @@
 	Entries: []byte(`[{"instanceId":"s1","cell":4}]`),
 }
 
-// The file that 1ac8dd0 wrote is found and read to the same values, and the same bytes are written.
+// The file that commit 1ac8dd0 wrote is found under its name and read to the same values, and the same bytes are
+// written.
 func TestGoldenFile(t *testing.T) {
 	written := t.TempDir()
 	if err := Save(hostos.Real(), written, goldenList); err != nil {
--- a/internal/state/entries.go
+++ b/internal/state/entries.go
@@ -8,12 +8,12 @@
 	"go.etcd.io/bbolt"
 )
 
-// entryWriter changes the entries of a state in one transaction, and keeps track of how the checksum of all entries changes.
-// That checksum is the exclusive or of the entries' checksums: it does not depend on their order, and adding or removing an
-// entry changes it without reading the others.
+// entryWriter changes the entries of a state in one transaction, and tracks the change of the checksum of all entries.
+// This checksum is the exclusive or of the checksums of the entries, so it does not depend on their order, and it can
+// be updated without reading the other entries when one is added or removed.
 type entryWriter struct {
 	tx            *bbolt.Tx
-	checksumDelta uint64 // to be combined with the stored checksum by exclusive or
+	checksumDelta uint64 // combined with the stored checksum by exclusive or
 }
 
 // update runs change in one transaction, which is synced to disk when update returns.
@@ -48,7 +48,7 @@
 	return b.Delete(key)
 }
 
-// checksumAll computes the checksum of all entries except the one that stores it.
+// checksumAll returns the checksum of all entries except the entry that stores it.
 func checksumAll(tx *bbolt.Tx) (checksum uint64, err error) {
 	for _, name := range buckets {
 		if err := tx.Bucket(name).ForEach(func(key, value []byte) error {
@@ -63,7 +63,8 @@
 	return checksum, nil
 }
 
-// entryChecksum returns the xxhash of an entry. Each part is preceded by its length, so that parts can't be shifted.
+// entryChecksum returns the xxhash of an entry. Each part is preceded by its length, so that bytes that move from one
+// part to the next change the hash.
 func entryChecksum(bucket, key, value []byte) uint64 {
 	digest := xxhash.New()
 	for _, part := range [][]byte{bucket, key, value} {
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -1,9 +1,8 @@
-// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing when
-// all members are killed at once: results of earlier leases would otherwise be taken for newer ones. It is the
-// high-water mark of a block allocator (hi/lo): the stored bound is ahead of all tokens observed, so that it is seldom
-// written.
+// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing even
+// if all members are killed at once. Otherwise results of earlier leases would be mistaken for newer ones. The bound is
+// the high-water mark of a block allocator (hi/lo): it is ahead of all observed tokens, so that it is seldom written.
 //
-// The package owns one file in the state folder. TokenFloor is safe for use by several goroutines.
+// The package owns one file in the state folder. TokenFloor is safe for concurrent use.
 package fencing
 
 import (
@@ -21,16 +20,16 @@
 	"rampspread/internal/state/atomicfile"
 )
 
-// TokenFloor stores the bound of one process.
+// TokenFloor maintains the stored bound of one process.
 type TokenFloor struct {
 	machine hostos.System
 	path    string
 	owner   Owner
-	initial uint64 // the bound that Open read
+	initial uint64 // bound that Open read, or 0
 	saver   *atomicfile.Saver
 
 	mu    sync.Mutex
-	bound uint64 // no token above it is observed before a greater one is stored
+	bound uint64 // bound to store, at least minReservation above every observed token
 }
 
 // Owner names the process whose bound is stored.
@@ -39,8 +38,7 @@
 	Name  string `json:"Name"`
 }
 
-// boundFile is the body of the file. The tags are the names in the file, which other versions of the program read: they
-// never change.
+// boundFile is the body of the file. Other versions of the program read the file, so the JSON names must not change.
 type boundFile struct {
 	Owner Owner  `json:"Owner"`
 	Bound uint64 `json:"Bound"`
@@ -51,18 +49,18 @@
 	magic    = "rampspread lease numbers 1\n"
 	maxBytes = 4 << 10
 
-	// reservation is how far the bound is ahead of the tokens observed: tokens grow with each takeover, a few a second
-	// at most, so the disk is written seldom and has hours to store a bound. A higher value makes tokens jump further
-	// at a restart.
+	// reservation is how far a new bound is ahead of the observed token. Tokens grow with each takeover, by a few a
+	// second at most, so the bound is seldom written and the disk has hours to store it. A higher value makes tokens
+	// jump further at a restart.
 	reservation = 1 << 16
-	// minReservation is the distance from the bound at which a greater one is stored.
+	// minReservation is the distance of a token from the bound below which a greater bound is stored.
 	minReservation = reservation / 2
 
 	folderMode = 0o700
 )
 
-// Open reads the bound in a folder, which need not exist. A bound that is corrupt or another owner's is refused with a
-// log line, and counts as none.
+// Open reads the bound in a folder, which need not exist. If the bound is corrupt or belongs to another owner, Open
+// logs the error and ignores the bound.
 func Open(machine hostos.System, dir string, owner Owner) *TokenFloor {
 	f := &TokenFloor{machine: machine, path: filepath.Join(dir, fileName), owner: owner}
 	f.saver = atomicfile.NewSaver("lease numbers", f.save)
@@ -78,10 +76,11 @@
 	return f
 }
 
-// Floor returns a token that no earlier process has observed a greater one than; 0 if nothing was stored.
+// Floor returns the bound that an earlier process stored, or 0 if there was none. No earlier process observed a greater
+// token.
 func (f *TokenFloor) Floor() uint64 { return f.initial }
 
-// Observe raises the bound if a token comes near it. It never waits for the disk.
+// Observe raises the bound if the token is less than minReservation below it. It never waits for the disk.
 func (f *TokenFloor) Observe(token uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +106,7 @@
 		return stored, fmt.Errorf("fencing: %w", err)
 	}
 	if stored.Owner != f.owner {
-		return stored, fmt.Errorf("fencing: the bound is that of %q of %q", stored.Owner.Name, stored.Owner.Fleet)
+		return stored, fmt.Errorf("fencing: the bound belongs to member %q of fleet %q", stored.Owner.Name, stored.Owner.Fleet)
 	}
 	return stored, nil
 }
--- a/internal/state/fencing/fencing_test.go
+++ b/internal/state/fencing/fencing_test.go
@@ -13,7 +13,7 @@
 
 var testOwner = Owner{"f", "n0"}
 
-// observeAndStore runs a process that observes a token, until its bound is on the disk.
+// observeAndStore runs a TokenFloor that observes a token, until the bound is on disk.
 func observeAndStore(t *testing.T, dir string, token uint64) {
 	t.Helper()
 	floor := Open(hostos.Real(), dir, testOwner)
@@ -29,7 +29,7 @@
 	<-done
 }
 
-// After any number of restarts the floor is above all tokens that were observed before.
+// After each restart the floor is greater than before, and not less than any token that was observed before.
 func TestFloorGrowsOverRestarts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
 	if n := Open(hostos.Real(), dir, testOwner); n.Floor() != 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A file that is cut or has a flipped bit anywhere counts as none.
+// A file that is truncated or has a flipped bit in any byte is ignored.
 func TestCorruptBoundIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	observeAndStore(t, dir, 5)
--- a/internal/state/fencing/golden_test.go
+++ b/internal/state/fencing/golden_test.go
@@ -15,7 +15,8 @@
 	goldenBound    = goldenObserved + 65536
 )
 
-// The file that 1ac8dd0 wrote is found and read to the same bound, and the same bytes are written.
+// The file that commit 1ac8dd0 wrote is found under its name and read to the same bound, and the same bytes are
+// written.
 func TestGoldenFile(t *testing.T) {
 	owner := Owner{Fleet: "golden-fleet", Name: "golden-name"}
 	written := t.TempDir()
@@ -38,7 +39,7 @@
 	}
 	for _, other := range []Owner{{Fleet: "other", Name: owner.Name}, {Fleet: owner.Fleet, Name: "other"}} {
 		if got := Open(hostos.Real(), existing, other).Floor(); got != 0 {
-			t.Errorf("%+v took another's bound %d", other, got)
+			t.Errorf("%+v accepted another owner's bound %d", other, got)
 		}
 	}
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -50,12 +50,12 @@
 	}
 )
 
-// writeGoldenState writes the state that the golden file holds, and returns the bytes of its file and a listing of its
-// entries.
+// writeGoldenState writes the state that is stored in the golden file, and returns the bytes of its file and a list of
+// its entries.
 func writeGoldenState(t *testing.T) (file []byte, entryList string) {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := Open(dir, goldenIdentity) // without Init, so it is marked as incomplete
+	s, err := Open(dir, goldenIdentity) // without Init, so the state is marked as incomplete
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	return file, entryList
 }
 
-// listEntries writes every bucket, key and value as a line.
+// listEntries returns a line with bucket, key and value for each entry.
 func listEntries(t *testing.T, db *bbolt.DB) string {
 	t.Helper()
 	var out strings.Builder
@@ -106,14 +106,14 @@
 	return out.String()
 }
 
-// What is written now has the buckets, keys and values of 1ac8dd0, byte for byte. The file around them is up to the
-// database, and may have its pages in another order.
+// Other versions of the program read the state, so its buckets, keys and values must equal those that commit 1ac8dd0
+// wrote, byte for byte. The order of pages in the file may differ, since the database chooses it.
 func TestGoldenEntriesAreWritten(t *testing.T) {
 	_, entryList := writeGoldenState(t)
 	golden.Text(t, "entries.txt", entryList)
 }
 
-// The database file that 1ac8dd0 wrote is sound, and is read to the same values.
+// The database file that commit 1ac8dd0 wrote is accepted, and the same values are read from it.
 func TestGoldenFileIsRead(t *testing.T) {
 	current, entryList := writeGoldenState(t)
 	file := golden.ReadSparseBytes(t, "filings.db.hex", current)
@@ -144,12 +144,12 @@
 	}); err != nil || !reflect.DeepEqual(got, goldenRecords) {
 		t.Errorf("read %+v, %v", got, err)
 	}
-	if remaining, err := s.Expire(30, 10); err != nil || remaining != 2 { // the one that was written at 29 ns is deleted
+	if remaining, err := s.Expire(30, 10); err != nil || remaining != 2 { // the record written at 29 ns is deleted
 		t.Errorf("%d remain, %v", remaining, err)
 	}
 }
 
-// One golden record sets every field, so that a new field cannot be missed.
+// The golden record in state Answered sets every field, so that a new field has to be added to the golden file.
 func TestGoldenRecordSetsEveryField(t *testing.T) {
 	for _, record := range goldenRecords {
 		if record.State != idempotency.Answered {
@@ -165,7 +165,7 @@
 	}
 }
 
-// Operators look for a refused state under this name.
+// Operators look for a corrupt state under this file name.
 func TestGoldenNameOfRefusedState(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, goldenFileName), nil, 0o600); err != nil {
--- a/internal/state/inflight/claim.go
+++ b/internal/state/inflight/claim.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// Kind says what a name identifies. Its value is the prefix of the marker's file name.
+// Kind says what a name identifies. Its value is the prefix of the name of the marker file.
 type Kind string
 
-// The kinds. A request is free once its process has ended; an idempotency key may have run by then, and stays.
+// The kinds. A request is free once its process has ended. An idempotency key stays claimed then, since it may have
+// run.
 const (
 	Request        Kind = "id-"
 	IdempotencyKey Kind = "key-"
@@ -23,20 +24,20 @@
 
 // The results.
 const (
-	Acquired    Claim = iota // this process holds it now; Release or MarkMayHaveRun must follow
-	HeldByOther              // another process has it in flight
-	MayHaveRun               // another process has carried it out, or ended while it was in flight
-	Unknown                  // the folder failed or did not answer in time
+	Acquired    Claim = iota // this process holds the name now, and must call Release or MarkMayHaveRun
+	HeldByOther              // another process has the name in flight
+	MayHaveRun               // another process may have executed the request, or ended while it was in flight
+	Unknown                  // the folder failed or did not respond in time
 )
 
-// errFolderTimeout reports that the folder did not answer within Table.timeout, or that too many lookups hang already.
-var errFolderTimeout = errors.New("the folder does not answer")
+// errFolderTimeout reports that the folder did not respond within Table.timeout, or that too many lookups are pending.
+var errFolderTimeout = errors.New("the folder does not respond")
 
-// nameHashBytes is how much of a name's hash is in its file name.
+// nameHashBytes is the number of bytes of a name's hash in the name of its marker file.
 const nameHashBytes = 16
 
-// fileName returns the name of a name's marker file.
-func fileName(kind Kind, name string) string {
+// markerFileName returns the name of the marker file for a name.
+func markerFileName(kind Kind, name string) string {
 	hash := sha256.Sum256([]byte(name))
 	return string(kind) + hex.EncodeToString(hash[:nameHashBytes])
 }
@@ -46,24 +47,25 @@
 	if t == nil {
 		return Acquired
 	}
-	file := fileName(kind, name)
+	file := markerFileName(kind, name)
 	t.mu.Lock()
 	t.held[file] = time.Now()
-	delete(t.mayHaveRun, file) // an earlier use of this name is forgotten
-	alone := !t.hasPeers && !(kind == IdempotencyKey && t.hasRemnants)
+	delete(t.mayHaveRun, file) // forgets an earlier use of this name
+	alone := !t.hasPeers && !(kind == IdempotencyKey && t.hasEndedPeers)
 	t.mu.Unlock()
 	if alone {
 		return Acquired
 	}
-	claim := t.claimInTime(kind, file)
+	claim := t.claimWithTimeout(kind, file)
 	if claim != Acquired {
 		t.release(file)
 	}
 	return claim
 }
 
-// claimInTime runs claimAmongPeers; the result is Unknown if it takes longer than the timeout, or if too many others hang.
-func (t *Table) claimInTime(kind Kind, file string) Claim {
+// claimWithTimeout runs claimAmongPeers. It returns Unknown if that takes longer than the timeout, or if there are
+// already maxPendingLookups pending lookups.
+func (t *Table) claimWithTimeout(kind Kind, file string) Claim {
 	select {
 	case t.lookups <- struct{}{}:
 	default:
@@ -71,7 +73,7 @@
 		return Unknown
 	}
 	result := make(chan Claim, 1)
-	go func() { // it ends when the folder answers
+	go func() { // ends when the folder responds
 		defer func() { <-t.lookups }()
 		result <- t.claimAmongPeers(kind, file)
 	}()
@@ -86,9 +88,10 @@
 	}
 }
 
-// claimAmongPeers writes the marker, and then looks for a peer's. The order matters: see the package comment.
+// claimAmongPeers writes the marker, and then looks for markers of peers. The package comment explains why the order
+// matters.
 func (t *Table) claimAmongPeers(kind Kind, file string) Claim {
-	if t.syncName(file) != nil {
+	if t.syncMarker(file) != nil {
 		return Unknown
 	}
 	peers, err := t.listPeers()
@@ -113,10 +116,10 @@
 	return Acquired
 }
 
-// Release ends a name that this process holds, when the request never ran or its result no longer matters.
+// Release releases a name that this process holds, because the request never ran or its result no longer matters.
 func (t *Table) Release(kind Kind, name string) {
 	if t != nil {
-		t.release(fileName(kind, name))
+		t.release(markerFileName(kind, name))
 	}
 }
 
@@ -126,18 +129,18 @@
 	delete(t.held, file)
 	delete(t.mayHaveRun, file)
 	if t.hasPeers {
-		// Run removes the marker: a disk that hangs must not hold up the end of a request.
+		// Run removes the marker, so that a hanging disk does not block the end of a request.
 		t.pendingSync = append(t.pendingSync, file)
 	}
 }
 
-// MarkMayHaveRun ends a request with an idempotency key that may have run: the key stays claimed for the retention. It
-// does nothing if this process does not hold the key.
+// MarkMayHaveRun records that the request with an idempotency key has ended and may have run. The key stays claimed for
+// the retention. MarkMayHaveRun does nothing if this process does not hold the key.
 func (t *Table) MarkMayHaveRun(name string) {
 	if t == nil {
 		return
 	}
-	file := fileName(IdempotencyKey, name)
+	file := markerFileName(IdempotencyKey, name)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.held[file]; !ok {
--- a/internal/state/inflight/clock_test.go
+++ b/internal/state/inflight/clock_test.go
@@ -10,7 +10,8 @@
 	"rampspread/internal/testutil"
 )
 
-// shiftModTimes makes the files in a folder look as if the wall clock had been stepped since they were written.
+// shiftModTimes changes the modification times in a folder as if the wall clock had been stepped since the files were
+// written.
 func shiftModTimes(t *testing.T, dir string, by time.Duration) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, e fs.DirEntry, err error) error {
@@ -29,7 +30,7 @@
 	}
 }
 
-// A step of the wall clock, forward or back, does not shorten the retention of an idempotency key that ran, nor extend
+// A step of the wall clock, forward or back, neither shortens the retention of an idempotency key that ran nor extends
 // it by much.
 func TestRetentionOfKeysIgnoresWallClockSteps(t *testing.T) {
 	for name, by := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
--- a/internal/state/inflight/golden_test.go
+++ b/internal/state/inflight/golden_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/hostos"
 )
 
-// Processes of different versions that run at the same time read one another's folders. The forms below are those of
-// 1ac8dd0, which are short enough for the source.
+// Processes of different versions that run at the same time read each other's folders, so the formats must not change.
+// The values below have the formats that commit 1ac8dd0 wrote.
 const goldenMarker = `{"Taken":{"Wall":1700000000000000001,"Boot":2000000000002,"BootID":"golden-boot"},"Ran":true}`
 
 var (
@@ -37,8 +37,8 @@
 	}
 }
 
-// The form of a marker that is written, and its age when it is read: by the boot clock after the same boot, by the wall
-// clock after another, and by the modification time in the form of the earliest version.
+// A marker is written in the fixed format. When it is read, its age is measured by the boot clock within one boot, by
+// the wall clock after a reboot, and by the modification time of the file if the earliest version wrote it.
 func TestGoldenMarkerFiles(t *testing.T) {
 	table, err := Start(hostos.Real(), t.TempDir(), "golden", testRetention)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// nearlyEqual allows for the delays of a busy machine.
+// nearlyEqual compares durations with a tolerance for delays on a busy machine.
 func nearlyEqual(got, want time.Duration) bool { return (got - want).Abs() < 20*time.Second }
 
 func TestGoldenFileNames(t *testing.T) {
@@ -122,7 +122,7 @@
 		Request:        "id-dd56de4137951d9c92681b03416ec15f",
 		IdempotencyKey: "key-dd56de4137951d9c92681b03416ec15f",
 	} {
-		if got := fileName(kind, "golden"); got != want {
+		if got := markerFileName(kind, "golden"); got != want {
 			t.Errorf("%s, not %s", got, want)
 		}
 	}
--- a/internal/state/inflight/marker.go
+++ b/internal/state/inflight/marker.go
@@ -9,24 +9,24 @@
 	"rampspread/internal/hostos"
 )
 
-// marker is the content of a name's file. The tags are the names in the file, which processes of other versions read:
-// they never change.
+// marker is the content of a marker file. Processes of other versions read the file, so the JSON names must not change.
 type marker struct {
 	AcquiredAt hostos.Stamp `json:"Taken"`
-	MayHaveRun bool         `json:"Ran"` // it has ended, and may have run
+	MayHaveRun bool         `json:"Ran"` // the request has ended and may have run
 }
 
-// legacyEnded is the whole content of an ended idempotency key's file in earlier versions, where the file's
-// modification time was the time of acquisition.
+// legacyEnded is the entire content of a marker file that an earlier version wrote for an idempotency key whose request
+// has ended. The modification time of such a file is the time of acquisition.
 const legacyEnded = "ran"
 
-// markerState is what is known of a name that another process has published.
+// markerState is the state of a name that another process has published.
 type markerState struct {
-	age        time.Duration // since it was acquired
-	mayHaveRun bool
+	age        time.Duration // time since the name was acquired
+	mayHaveRun bool          // the request has ended and may have run
 }
 
-// writeMarker publishes that a name was acquired at a time, and whether it has ended since and may have run.
+// writeMarker writes a marker file with the time of acquisition, and whether the request has ended since and may have
+// run.
 func (t *Table) writeMarker(path string, acquiredAt time.Time, mayHaveRun bool) error {
 	m := marker{AcquiredAt: hostos.Now(t.machine), MayHaveRun: mayHaveRun}
 	age := int64(time.Since(acquiredAt))
@@ -42,12 +42,12 @@
 	if err := os.WriteFile(path, content, fileMode); err != nil {
 		return err
 	}
-	return os.Chtimes(path, acquiredAt, acquiredAt) // for a process of an earlier version
+	return os.Chtimes(path, acquiredAt, acquiredAt) // for processes of an earlier version
 }
 
-// readMarker reads a name's file. Its age counts by the machine's boot clock: the wall clock may have been stepped, and
-// would make a key that has just run an old one. What cannot be read as of this version, as after a write that was cut
-// off, is aged by the file's modification time.
+// readMarker reads a marker file. Within one boot the age is measured by the boot clock, since a step of the wall clock
+// could make a key that has just run look old. If the content cannot be decoded, because an earlier version wrote the
+// file or a write was interrupted, the age is the time since the modification of the file.
 func (t *Table) readMarker(path string) (markerState, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/state/inflight/peers.go
+++ b/internal/state/inflight/peers.go
@@ -14,17 +14,18 @@
 // peer is the folder of another process.
 type peer struct {
 	dir   string
-	alive bool
+	alive bool // the process is running
 }
 
-// peerCount counts the folders of other processes.
+// peerCount is the number of folders of other processes.
 type peerCount struct {
-	alive int
-	ended int // with idempotency keys that may have run
+	alive int // processes that are running
+	ended int // processes that have ended and left idempotency keys that may have run
 }
 
 const (
-	// hiddenPrefix begins the names of folders that are not complete yet, or never will be.
+	// hiddenPrefix begins the names of folders that are incomplete, since their process is still creating them or was
+	// killed before it had created them.
 	hiddenPrefix    = "."
 	temporaryPrefix = hiddenPrefix + "new-"
 )
@@ -41,7 +42,8 @@
 	return n, err
 }
 
-// listPeers lists the folders of other processes, and removes those of ended processes that hold nothing any more.
+// listPeers lists the folders of other processes. It removes the folders of ended processes without idempotency keys
+// within their retention.
 func (t *Table) listPeers() ([]peer, error) {
 	entries, err := os.ReadDir(t.sharedDir)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return peers, nil
 }
 
-// countNotReady counts the processes that are alive and have not published what they have in flight.
+// countNotReady counts the peers that are running and have not published what they have in flight.
 func countNotReady(peers []peer) (n int) {
 	for _, p := range peers {
 		if _, err := os.Stat(filepath.Join(p.dir, readyFile)); p.alive && err != nil {
@@ -72,8 +74,9 @@
 	return n
 }
 
-// isAlive reports whether a folder's process holds its lock. A lock that cannot be opened, as when this process is out
-// of file descriptors, counts as held: the folder of a running process would otherwise be removed.
+// isAlive reports whether the process of a folder is running, which is the case while it holds the folder's lock. A
+// lock file that exists but cannot be opened, for example because this process is out of file descriptors, counts as
+// held, so that the folder of a running process is not removed.
 func isAlive(dir string) bool {
 	f, err := os.Open(filepath.Join(dir, lockFile))
 	if err != nil {
@@ -83,8 +86,8 @@
 	return unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil
 }
 
-// removeExpired removes the folder of an ended process unless it has idempotency keys within their retention. The
-// result is whether the folder remains.
+// removeExpired removes the folder of an ended process unless it has idempotency keys within their retention, and
+// reports whether the folder remains.
 func (t *Table) removeExpired(dir string) (remains bool) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/state/inflight/table.go
+++ b/internal/state/inflight/table.go
@@ -1,15 +1,16 @@
-// Package inflight keeps processes of one name on one machine, of which one is about to replace another, from carrying
-// out the same request twice. The processes share a folder. Each publishes there, as one marker file a name, the
-// requests and idempotency keys that it has in flight; while it is alone it writes no markers.
+// Package inflight prevents processes of one name on one machine from executing the same request twice while one
+// process replaces another. The processes share a folder, in which each publishes the names of the requests and
+// idempotency keys that it has in flight, as one marker file per name. A process without peers writes no markers.
 //
-// Protocol: a process that starts creates a folder of its own, locked (flock) for as long as it lives, and accepts no
-// clients before every process that was already running has published what it has in flight (WaitForPeers). From then
-// on each process writes its marker before it looks for those of others, as in Dekker's algorithm for mutual exclusion:
-// of two that claim the same name at once, at most one gets it, and possibly neither. A lock that is free shows that
-// its process has ended, however it ended. Its requests are then free, but its idempotency keys may have run, and stay
-// for their retention.
+// Protocol: a process that starts creates a folder of its own, which stays locked (flock) until the process ends, and
+// accepts no clients before every process that was already running has published what it has in flight (WaitForPeers).
+// From then on each process writes its marker before it looks for the markers of others, as in Dekker's algorithm for
+// mutual exclusion: if two processes claim the same name at once, at most one acquires it, and possibly neither does. A
+// free lock shows that the process of the folder has ended, for whatever reason. Its requests are then free, but its
+// idempotency keys may have run, and stay claimed for their retention.
 //
-// The package owns the shared folder. Stored names and forms don't change: processes of other versions read them.
+// The package owns the shared folder. Processes of other versions read the files, so their names and formats must not
+// change.
 package inflight
 
 import (
@@ -33,42 +34,44 @@
 	"rampspread/internal/hostos"
 )
 
-// Table holds what one process has in flight. A nil Table is one of a process that never has peers. It is safe for use
-// by several goroutines.
+// Table holds the names that one process has in flight. A nil Table behaves like the table of a process that never has
+// peers. Table is safe for concurrent use.
 type Table struct {
 	machine   hostos.System
 	sharedDir string
-	ownDir    string        // in sharedDir
-	retention time.Duration // of idempotency keys that may have run
-	lock      *os.File
-	timeout   time.Duration // for the folder to answer: folderTimeout, but in tests on busy machines
+	ownDir    string        // this process's folder in sharedDir
+	retention time.Duration // retention of idempotency keys that may have run
+	lock      *os.File      // lock file in ownDir, locked until the process ends
+	timeout   time.Duration // maximum time of a lookup: folderTimeout, longer in tests on busy machines
 	lookups   chan struct{} // holds one element for each lookup in the folder that has not returned
-	failures  atomic.Int64
+	failures  atomic.Int64  // failed or timed-out operations on the folder
 
-	published bool // readyFile exists; used by Start and Run's goroutine only
+	published bool // readyFile exists; used only by Start and the goroutine of Run
 
-	writing sync.Mutex // held while the marker of a name is synchronized, so that two changes of one name are written in turn
+	syncMu sync.Mutex // held while a marker is synchronized, so that changes of one name are written one after another
 
-	mu          sync.Mutex
-	held        map[string]time.Time // file name -> when it was acquired
-	mayHaveRun  map[string]bool      // those of held that have ended: idempotency keys only
-	pendingSync []string             // names that changed, and whose marker has yet to follow
-	hasPeers    bool                 // other processes are alive: what is held is published
-	hasRemnants bool                 // processes that have ended left idempotency keys
+	mu            sync.Mutex
+	held          map[string]time.Time // marker file name -> time of acquisition
+	mayHaveRun    map[string]bool      // marker file names in held whose request has ended: idempotency keys only
+	pendingSync   []string             // marker file names whose marker has yet to be synchronized
+	hasPeers      bool                 // other processes are running, so names in held are published
+	hasEndedPeers bool                 // ended processes left idempotency keys
 }
 
 const (
-	peerPollInterval  = 200 * time.Millisecond // between two checks which peers are alive
-	readyPollInterval = peerPollInterval / 4   // between two checks whether peers are ready
-	// peerWaitTimeout is how long a start waits for peers to publish; one that is stopped (SIGSTOP) never does.
+	peerPollInterval  = 200 * time.Millisecond // time between two checks which peers are running
+	readyPollInterval = peerPollInterval / 4   // time between two checks whether peers are ready
+	// peerWaitTimeout is how long a process that starts waits for peers to publish; a stopped peer (SIGSTOP) never
+	// does.
 	peerWaitTimeout = 2 * time.Second
-	// folderTimeout is how long a request waits for the folder: a disk that hangs must not hold up requests.
+	// folderTimeout is how long a request waits for the folder, so that a hanging disk does not block requests.
 	folderTimeout = 100 * time.Millisecond
-	// maxPendingLookups bounds the lookups that hang; beyond it a claim is Unknown at once.
+	// maxPendingLookups is the maximum number of lookups that have not returned. At the limit a claim is Unknown at
+	// once.
 	maxPendingLookups = 64
 
 	lockFile  = "lock"
-	readyFile = "shown" // all that the process has in flight is published, and will be
+	readyFile = "shown" // exists while the process publishes every name that it has in flight
 
 	sharedDirHashBytes = 8
 	startTimeBase      = 36
@@ -76,8 +79,8 @@
 	fileMode           = 0o600
 )
 
-// Start creates this process's folder below dir, under the name that the processes share. Idempotency keys that may
-// have run are remembered for retention.
+// Start creates this process's folder in a folder below dir that all processes of the given name share. retention is
+// how long idempotency keys that may have run stay claimed.
 func Start(machine hostos.System, dir, name string, retention time.Duration) (*Table, error) {
 	hash := sha256.Sum256([]byte(name)) // a name may hold characters that a path may not
 	sharedDir := filepath.Join(dir, "rampspread-"+hex.EncodeToString(hash[:sharedDirHashBytes])+".beside")
@@ -103,13 +106,13 @@
 		published:  true,
 		hasPeers:   true,
 	}
-	t.refresh() // before anything is acquired
+	t.refresh() // finds the peers before any name is acquired
 	return t, nil
 }
 
-// createOwnDir creates this process's folder with its lock, held, and the mark that it is ready, since nothing is in
-// flight yet. The lock is taken before the folder has its name: a folder whose lock is free is one of a process that
-// has ended.
+// createOwnDir creates this process's folder with a locked lock file and, since nothing is in flight yet, the ready
+// file. It takes the lock before it gives the folder its name, because a free lock shows peers that the process has
+// ended.
 func createOwnDir(sharedDir, ownDir string) (lock *os.File, err error) {
 	temporary, err := os.MkdirTemp(sharedDir, temporaryPrefix)
 	if err != nil {
@@ -133,8 +136,8 @@
 	return lock, os.Rename(temporary, ownDir)
 }
 
-// WaitForPeers returns when each process that is running has published what it has in flight, or has ended. The result
-// is the number of those that did not in time.
+// WaitForPeers waits until each running peer has published what it has in flight or has ended, for at most
+// peerWaitTimeout. It returns the number of peers that have done neither, or 0 if the folder cannot be read.
 func (t *Table) WaitForPeers(ctx context.Context) (notReady int) {
 	if t == nil {
 		return 0
@@ -163,8 +166,8 @@
 	}
 }
 
-// Run follows which peers start and end until the context ends. Then it publishes the idempotency keys that may have
-// run for the process that follows, and removes the rest.
+// Run checks periodically which peers are running until the context ends. It then publishes the idempotency keys that
+// may have run, for later processes, and releases all requests.
 func (t *Table) Run(ctx context.Context) {
 	tick := time.NewTicker(peerPollInterval)
 	defer tick.Stop()
@@ -179,11 +182,11 @@
 	}
 }
 
-// refresh finds out which peers are alive, and synchronizes the markers with what has changed.
+// refresh counts the peers, and synchronizes the markers that have to change.
 func (t *Table) refresh() {
 	peers, err := t.countPeers()
 	if err == nil && peers.alive == 0 && t.published {
-		// A process that starts in this moment may have seen the ready file, so peers are counted once more when it is gone.
+		// A process that starts now may have seen the ready file, so peers are counted again after its removal.
 		os.Remove(filepath.Join(t.ownDir, readyFile))
 		t.published = false
 		peers, err = t.countPeers()
@@ -194,7 +197,7 @@
 	}
 	changed := t.takePending(peers)
 	for _, name := range changed {
-		t.syncName(name)
+		t.syncMarker(name)
 	}
 	if peers.alive > 0 && !t.published {
 		if err := os.WriteFile(filepath.Join(t.ownDir, readyFile), nil, fileMode); err != nil {
@@ -206,8 +209,9 @@
 	}
 }
 
-// takePending forgets idempotency keys past their retention, and returns the names whose markers have to be
-// synchronized: those that changed, and all if peers came or went.
+// takePending forgets idempotency keys whose retention has ended, records which peers exist, and returns the names
+// whose markers have to be synchronized: names that changed, and all held names if the first peer came or the last peer
+// went.
 func (t *Table) takePending(peers peerCount) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -225,14 +229,14 @@
 			names = append(names, name)
 		}
 	}
-	t.hasPeers, t.hasRemnants = peers.alive > 0, peers.ended > 0
+	t.hasPeers, t.hasEndedPeers = peers.alive > 0, peers.ended > 0
 	return names
 }
 
-// syncName writes a name's marker if this process holds the name and has peers, and removes it otherwise.
-func (t *Table) syncName(name string) error {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+// syncMarker writes a name's marker if this process holds the name and has peers, and removes the marker otherwise.
+func (t *Table) syncMarker(name string) error {
+	t.syncMu.Lock()
+	defer t.syncMu.Unlock()
 	t.mu.Lock()
 	acquiredAt, held := t.held[name]
 	mayHaveRun, hasPeers := t.mayHaveRun[name], t.hasPeers
@@ -250,10 +254,11 @@
 	return err
 }
 
-// shutdown publishes the idempotency keys that may have run for the processes that follow, and releases the rest.
+// shutdown publishes the idempotency keys that may have run, for later processes, releases all requests, and unlocks
+// this process's folder.
 func (t *Table) shutdown() {
 	t.mu.Lock()
-	t.hasPeers = true // so that markers are written
+	t.hasPeers = true // makes syncMarker write markers
 	names, hasKeys := t.pendingSync, false
 	for name := range t.held {
 		names = append(names, name)
@@ -265,7 +270,7 @@
 	}
 	t.mu.Unlock()
 	for _, name := range names {
-		t.syncName(name)
+		t.syncMarker(name)
 	}
 	if !hasKeys {
 		os.RemoveAll(t.ownDir)
@@ -273,14 +278,14 @@
 	t.lock.Close()
 }
 
-// recordFailure counts a failure of the folder, and logs the first.
+// recordFailure counts a failed operation on the folder, and logs the first failure.
 func (t *Table) recordFailure(err error) {
 	if t.failures.Add(1) == 1 {
 		slog.Warn("peer_folder_failed", "err", err)
 	}
 }
 
-// HasPeers reports whether another process of this name is running, as of the last check.
+// HasPeers reports whether another process of this name was running at the last check.
 func (t *Table) HasPeers() bool {
 	if t == nil {
 		return false
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -20,11 +20,13 @@
 
 const testRetention = 2 * time.Second
 
-// peerDirVariable makes the test program a peer process that shares the folder which it names.
+// peerDirVariable is an environment variable. If it holds a folder, the test program runs as a peer process that shares
+// the folder, instead of running tests.
 const peerDirVariable = "INFLIGHT_PEER_DIR"
 
-// TestMain also runs the peer process: "acquire KIND NAME", "release KIND NAME" and "may-have-run NAME" on its standard
-// input, a claim for each on its standard output.
+// TestMain runs the tests or, if peerDirVariable is set, the peer process. This process reads the commands "acquire
+// KIND NAME", "release KIND NAME" and "may-have-run NAME" from standard input, and prints a claim for each to standard
+// output.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(peerDirVariable); dir != "" {
 		os.Exit(runPeerProcess(dir))
@@ -119,11 +121,11 @@
 	p.cmd.Wait()
 }
 
-// claimText is how a peer process prints a claim.
+// claimText returns a claim as a peer process prints it.
 func claimText(claim Claim) string { return fmt.Sprint(claim) }
 
-// What one process has in flight when another starts is known to that one before it acquires anything, and the other
-// way about; what is released is free again.
+// A process that starts cannot acquire a name that another process already has in flight, nor can the other process
+// acquire a name of the new one. Released names, and names of a killed process, are free again.
 func TestNameInFlightIsHeldByOneProcess(t *testing.T) {
 	dir := t.TempDir()
 	first := startProcess(t, dir)
@@ -147,7 +149,7 @@
 	}
 	first.request("release id- a")
 	testutil.Eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
-	second.kill() // its names are free then
+	second.kill() // frees its names
 	testutil.Eventually(t, "the name of the killed process to be free", func() bool {
 		return first.request("acquire id- c") == claimText(Acquired)
 	})
@@ -157,7 +159,8 @@
 	})
 }
 
-// An idempotency key that a process used, or had in flight when it ended, is known to the next for the retention of keys.
+// An idempotency key that a process used, or had in flight when it ended, counts as one that may have run in the next
+// process, until its retention ends.
 func TestIdempotencyKeysOutliveTheirProcess(t *testing.T) {
 	for _, end := range []string{"killed while it has a peer", "shut down alone"} {
 		t.Run(end, func(t *testing.T) {
@@ -195,15 +198,15 @@
 	}
 }
 
-// Three processes acquire the same names, at once or one before the others, while one after another is killed and
-// replaced: no name is ever held by two running processes, and the first to acquire a name gets it.
+// Three processes acquire the same names, either all at once or one before the others, while processes are killed and
+// replaced. No name is ever held by two running processes, and a process that is the first to acquire a name gets it.
 func TestConcurrentProcessesNeverShareAName(t *testing.T) {
 	dir, random := t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	processes := []*process{startProcess(t, dir), startProcess(t, dir), startProcess(t, dir)}
 	for round := range 120 {
 		name := fmt.Sprint("n", round)
 		got := make([]string, len(processes))
-		first := -1 // all at once: each may have seen another, so that none gets it
+		first := -1 // all at once: each may see another's marker, so that none acquires the name
 		if round%2 == 1 {
 			first = random.IntN(len(processes))
 			if got[first] = processes[first].request("acquire id- %s", name); got[first] != claimText(Acquired) {
@@ -231,7 +234,7 @@
 			i := random.IntN(len(processes))
 			processes[i].kill()
 			processes[i] = startProcess(t, dir)
-			// The new process knows what the others acquired last.
+			// The new process cannot acquire the name if another process holds it.
 			for j, g := range got {
 				if j != i && g == claimText(Acquired) && processes[i].request("acquire id- %s", name) != claimText(HeldByOther) {
 					t.Fatalf("the new process acquired %s, which another holds", name)
@@ -241,7 +244,8 @@
 	}
 }
 
-// While the folder fails claims are Unknown, within bounds of time and number, and nothing else is affected.
+// While the folder fails, or too many lookups are pending, claims are Unknown. They succeed again once the folder
+// responds.
 func TestClaimIsUnknownWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	peer := startProcess(t, dir)
@@ -253,11 +257,11 @@
 	if table.WaitForPeers(t.Context()) != 0 {
 		t.Error("the peer did not publish what it has in flight")
 	}
-	for range maxPendingLookups { // as if that many hung
+	for range maxPendingLookups { // simulates as many hanging lookups
 		table.lookups <- struct{}{}
 	}
 	if claim := table.Acquire(Request, "x"); claim != Unknown || table.Failures() == 0 {
-		t.Errorf("claim %d, failed %d", claim, table.Failures())
+		t.Errorf("with too many pending lookups: claim %d, %d failures", claim, table.Failures())
 	}
 	for range maxPendingLookups {
 		<-table.lookups
@@ -272,7 +276,7 @@
 	}
 	table.refresh()
 	if _, err := os.Stat(unreadable); err != nil {
-		t.Errorf("its folder was removed: %v", err)
+		t.Errorf("the folder of a peer whose lock cannot be opened was removed: %v", err)
 	}
 	os.RemoveAll(unreadable)
 	os.RemoveAll(table.ownDir)
--- a/internal/state/lock.go
+++ b/internal/state/lock.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// lockRetryInterval is the pause between two attempts to lock the file.
+// lockRetryInterval is the time between two attempts to lock the file.
 const lockRetryInterval = lockTimeout / 10
 
-// openVerified opens the database's file for bbolt, locked, and only if every page that bbolt would follow lies whole
-// inside the file. bbolt reads its file through unsafe pointers, so a flipped bit in a length leads it out of the
-// file's mapping: to a fault that no recover stops, or to whatever memory lies there.
+// openVerified opens and locks the database file for bbolt, and returns ErrCorrupt unless every page that bbolt would
+// read lies entirely within the file. bbolt reads the mapped file through unsafe pointers, so a flipped bit in a length
+// can make it read outside the mapping: that causes a fault that recover does not catch, or returns unrelated memory.
 func openVerified(path string, flag int, mode os.FileMode) (*os.File, error) {
 	f, err := os.OpenFile(path, flag, mode)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return f, nil
 }
 
-// lockAndVerify locks first, for a file that another process is writing need not be whole. bbolt locks the same open file
-// description again, which succeeds.
+// lockAndVerify locks and then verifies a file. It locks first, because a file that another process is writing may be
+// inconsistent. bbolt later locks the same open file description again, which succeeds.
 func lockAndVerify(f *os.File) error {
 	if err := lockExclusively(f); err != nil {
 		return err
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -12,7 +12,7 @@
 
 var _ idempotency.Store = (*Store)(nil)
 
-// Get implements idempotency.Store. A record that cannot be read is found, with ErrCorrupt.
+// Get implements idempotency.Store. For a record that cannot be decoded it returns true and ErrCorrupt.
 func (s *Store) Get(key idempotency.Key) (record idempotency.Record, found bool, err error) {
 	defer recoverCorruption(&err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -68,8 +68,7 @@
 	return nil
 }
 
-// Expire implements idempotency.Store: it deletes at most limit records that were written at or before a time, oldest
-// first, and returns the number of records that remain.
+// Expire implements idempotency.Store. It deletes the oldest records first.
 func (s *Store) Expire(before time.Duration, limit int) (remaining int, err error) {
 	defer recoverCorruption(&err)()
 	var expired [][]byte
@@ -91,13 +90,14 @@
 	return s.Keys(), nil
 }
 
-// Each calls visit with every key and record, in no specified order; a record that cannot be read is passed with its error.
+// Each calls visit with every key and record, in no specified order. For a record that cannot be decoded it passes the
+// error.
 func (s *Store) Each(visit func(idempotency.Key, idempotency.Record, error)) (err error) {
 	defer recoverCorruption(&err)()
 	return s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketRecords).ForEach(func(key, encoded []byte) error {
 			if len(key) != len(idempotency.Key{}) {
-				err := fmt.Errorf("%w: a key of %d bytes", ErrCorrupt, len(key))
+				err := fmt.Errorf("%w: key has %d bytes", ErrCorrupt, len(key))
 				visit(idempotency.Key{}, idempotency.Record{}, err)
 				return nil
 			}
@@ -108,7 +108,8 @@
 	})
 }
 
-// expiredWriteTimes returns at most limit keys of the index by time written, up to and including a time, oldest first.
+// expiredWriteTimes returns at most limit keys of the index by write time, for write times at or before the given time,
+// oldest first.
 func expiredWriteTimes(tx *bbolt.Tx, before time.Duration, limit int) (expired [][]byte) {
 	if before <= 0 {
 		return nil
@@ -124,7 +125,8 @@
 	return expired
 }
 
-// deleteExpired deletes the records that keys of the index by time written refer to, and returns how many there were.
+// deleteExpired deletes the records that the given keys of the index by write time refer to, and returns the number of
+// records deleted.
 func deleteExpired(w *entryWriter, writeTimes [][]byte) (deleted int, err error) {
 	for _, writeTime := range writeTimes {
 		n, err := deleteRecord(w, writeTime[numberBytes:])
@@ -135,7 +137,7 @@
 		if n > 0 {
 			continue
 		}
-		// The index entry has no record.
+		// The index entry refers to no record, so only the entry is deleted.
 		if err := w.delete(bucketWriteTimes, writeTime); err != nil {
 			return 0, err
 		}
@@ -143,7 +145,7 @@
 	return deleted, nil
 }
 
-// deleteRecord deletes a key's record and its entry in the index by time written. It returns the number of records
+// deleteRecord deletes a key's record and its entry in the index by write time. It returns the number of records
 // deleted, 0 or 1.
 func deleteRecord(w *entryWriter, key []byte) (deleted int, err error) {
 	encoded := w.tx.Bucket(bucketRecords).Get(key)
@@ -156,8 +158,8 @@
 	return 1, w.delete(bucketRecords, key)
 }
 
-// deleteWriteTime deletes the entry of an encoded record in the index by time written. A record that cannot be read
-// does not say where its entry is, which then remains until it expires.
+// deleteWriteTime deletes the entry of an encoded record in the index by write time. If the record cannot be decoded,
+// its write time is unknown, and the entry remains until it expires.
 func deleteWriteTime(w *entryWriter, key idempotency.Key, encoded []byte) error {
 	record, err := decodeRecord(encoded)
 	if err != nil {
--- a/internal/state/statetransfer/encoding.go
+++ b/internal/state/statetransfer/encoding.go
@@ -10,10 +10,10 @@
 	"rampspread/routing"
 )
 
-// magic begins an encoded snapshot. It never changes.
+// magic is the magic string at the start of an encoded snapshot. Other versions read it, so it must not change.
 const magic = "rampspread beliefs 1\n"
 
-// Encode serializes a snapshot with its owner, in the sealed form of package atomicfile.
+// Encode encodes a snapshot with its owner, in the sealed form of package atomicfile.
 func (e Exchange) Encode(snapshot routing.Snapshot) ([]byte, error) {
 	var body bytes.Buffer
 	encoder := gob.NewEncoder(&body)
@@ -26,7 +26,7 @@
 	return atomicfile.Seal(magic, body.Bytes()), nil
 }
 
-// Decode reads what Encode returned. The error is ErrUnusable.
+// Decode decodes a snapshot that Encode encoded. It returns ErrUnusable if the snapshot must not be used.
 func (e Exchange) Decode(encoded []byte) (routing.Snapshot, error) {
 	if len(encoded) > MaxBytes {
 		return routing.Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrUnusable, MaxBytes)
@@ -41,7 +41,7 @@
 		return routing.Snapshot{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
 	if owner.Name != e.Name || owner.Settings != e.Settings {
-		return routing.Snapshot{}, fmt.Errorf("%w: it is %q's, or of other settings", ErrUnusable, owner.Name)
+		return routing.Snapshot{}, fmt.Errorf("%w: it belongs to %q or was taken with other settings", ErrUnusable, owner.Name)
 	}
 	var record snapshotRecord
 	if err := decoder.Decode(&record); err != nil {
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -15,8 +15,8 @@
 	"rampspread/routing"
 )
 
-// Snapshots that processes of different versions exchange, on the disk and over the network, have the form that commit
-// 1ac8dd0 wrote: this magic string, then two gob values whose field names are those of the types below.
+// Processes of different versions exchange snapshots on disk and over the network, in the form that commit 1ac8dd0
+// wrote: this magic string, followed by two gob values with the field names of the types below.
 const (
 	goldenMagic    = "rampspread beliefs 1\n"
 	goldenName     = "golden"
@@ -115,7 +115,7 @@
 	}
 }
 
-// goldenOldSnapshot holds the values of goldenSnapshot.
+// goldenOldSnapshot returns the values of goldenSnapshot in the old types.
 func goldenOldSnapshot() oldSnapshot {
 	return oldSnapshot{
 		At:       101,
@@ -142,8 +142,9 @@
 
 func goldenExchange() Exchange { return Exchange{Name: goldenName, Settings: goldenSettings} }
 
-// The bytes that 1ac8dd0 wrote are read to the same values. They are not compared with what is written now: gob numbers
-// types by what the process encoded before, and writes the types' names, which no decoder uses.
+// The bytes that commit 1ac8dd0 wrote are read to the same values. They are not compared with the bytes written now,
+// since these depend on which types the process encoded before, and contain the names of the types, which no decoder
+// uses.
 func TestGoldenBytesAreRead(t *testing.T) {
 	current, err := goldenExchange().Encode(goldenSnapshot())
 	if err != nil {
@@ -159,7 +160,7 @@
 	}
 }
 
-// A program of 1ac8dd0 reads all fields of what this one writes.
+// A program of commit 1ac8dd0 can read all fields that this program writes.
 func TestGoldenEncodingIsReadByOldProgram(t *testing.T) {
 	encoded, err := goldenExchange().Encode(goldenSnapshot())
 	if err != nil {
@@ -180,7 +181,8 @@
 	}
 }
 
-// This program reads all fields of what one of 1ac8dd0 writes, and accepts it only under its own name and settings.
+// This program reads all fields that a program of commit 1ac8dd0 writes, and accepts only snapshots with its own name
+// and settings.
 func TestGoldenOldEncodingIsRead(t *testing.T) {
 	var body bytes.Buffer
 	encoder := gob.NewEncoder(&body)
@@ -205,7 +207,7 @@
 	}
 }
 
-// The values above set every field, so that one that is new or renamed cannot be missed.
+// The values above set every field, so that these tests cover each new or renamed field.
 func TestGoldenValuesSetEveryField(t *testing.T) {
 	for _, zero := range zeroFields("Snapshot", reflect.ValueOf(goldenSnapshot())) {
 		t.Errorf("%s is zero", zero)
@@ -215,7 +217,7 @@
 	}
 }
 
-// zeroFields returns the paths of all zero leaves of a value.
+// zeroFields returns the paths of all zero fields and elements of a value.
 func zeroFields(path string, v reflect.Value) (zero []string) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -237,7 +239,7 @@
 	return zero
 }
 
-// The serialized types have the fields of 1ac8dd0 and no others, by name and kind.
+// The serialized types have exactly the fields that they had in commit 1ac8dd0, by name and kind.
 func TestGoldenShapeOfRecords(t *testing.T) {
 	for _, pair := range [][2]reflect.Type{
 		{reflect.TypeFor[header](), reflect.TypeFor[oldHeader]()},
@@ -249,7 +251,7 @@
 	}
 }
 
-// shape writes a type as the names and kinds of its fields, without the names of types, which gob does not compare.
+// shape returns the names and kinds of a type's fields, without the names of types, which gob does not compare.
 func shape(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -267,7 +269,7 @@
 	}
 }
 
-// Processes of different versions meet at files of these names.
+// Processes of different versions exchange files with these names.
 func TestGoldenFileNames(t *testing.T) {
 	exchange := Exchange{Dir: "folder", Name: "a/b\x01c"}
 	for extension, want := range map[string]string{
--- a/internal/state/statetransfer/records.go
+++ b/internal/state/statetransfer/records.go
@@ -6,11 +6,12 @@
 	"rampspread/routing"
 )
 
-// The types below are the serialized form. Programs of other versions read it from the disk and over the network, and
-// gob finds a field by its name alone: one that is renamed is zero at the reader, with no error. So the field names
-// here never change, whatever becomes of the names in package routing.
+// The types below are the serialized form of a snapshot. Programs of other versions read it from disk and from the
+// network. gob matches fields by name only, so a renamed field would be zero at the reader, without an error. Therefore
+// the field names here must not change, even if the names in package routing do. The functions below map them to the
+// fields of package routing.
 type (
-	// header names the owner of the snapshot that follows it.
+	// header precedes a snapshot and names its owner.
 	header struct {
 		Name     string
 		Settings uint64
@@ -166,7 +167,8 @@
 	}
 }
 
-// convertAll converts each element; nil stays nil, as gob leaves a slice without elements.
+// convertAll converts each element of a slice. It returns nil for nil, since gob decodes a slice without elements as
+// nil.
 func convertAll[From, To any](from []From, convert func(From) To) []To {
 	if from == nil {
 		return nil
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -1,9 +1,10 @@
-// Package statetransfer lets a process start with the state that another of the same name on the same machine has
-// learned: the one that it replaces, or the one that ran before it. They share a folder, which need not survive a
-// reboot. A process that starts requests a snapshot by creating a file; the one that serves answers by replacing the
-// snapshot file atomically, and removes the request. The same encoding is sent between members of a fleet.
+// Package statetransfer lets a process start with the routing state that another process of the same name on the same
+// machine has learned: the process that it replaces, or the one that ran before it. The processes share a folder, which
+// need not survive a reboot. A process that starts requests a snapshot by creating a file. The process that serves
+// answers by replacing the snapshot file atomically, and then removes the request. Members of a fleet send each other
+// snapshots in the same encoding.
 //
-// The package owns the two files of a name. Exchange is a value without state of its own; one process at a time serves.
+// The package owns two files for each name. Exchange has no state of its own; at most one process at a time serves.
 package statetransfer
 
 import (
@@ -22,41 +23,43 @@
 	"rampspread/routing"
 )
 
-// Exchange is where processes of one name exchange snapshots.
+// Exchange exchanges snapshots between processes of one name.
 type Exchange struct {
-	Dir  string
-	Name string
-	// Settings is the fingerprint of the settings: a snapshot that was learned under others is unusable.
+	Dir  string // folder that the processes share
+	Name string // name of the processes, and owner of the snapshots
+	// Settings is the fingerprint of the settings. A snapshot that was taken with other settings is unusable.
 	Settings uint64
-	// Machine is the machine that the process runs on.
+	// Machine is the System through which files are written.
 	Machine hostos.System
 }
 
 const (
-	// MaxBytes bounds a snapshot file in bytes.
+	// MaxBytes is the maximum size of a snapshot file.
 	MaxBytes = 4 << 20
-	// MaxPrefixes bounds the number of prefix entries in a snapshot file.
+	// MaxPrefixes is the maximum number of prefix entries in a snapshot file.
 	MaxPrefixes = 10_000
 
-	// requestPollInterval is the time between two checks whether another process requests a snapshot.
+	// requestPollInterval is the time between two checks for a request of another process.
 	requestPollInterval = 500 * time.Millisecond
-	// periodicWriteInterval is the time between two snapshots without a request: a process that is killed cannot write one.
+	// periodicWriteInterval is the time between two snapshots that are written without a request, since a process that
+	// is killed cannot write one.
 	periodicWriteInterval = 5 * time.Second
-	// answerPollInterval is the time between two checks whether a request was answered, for at most answerTimeout.
+	// answerPollInterval is the time between two checks for the answer to a request, which end after answerTimeout.
 	answerPollInterval = 50 * time.Millisecond
 	answerTimeout      = 2 * time.Second
 
-	// The extensions of the two files, which processes of other versions use: they never change.
+	// The extensions of the two files. Processes of other versions use them, so they must not change.
 	snapshotExtension = ".beliefs"
 	requestExtension  = ".ask"
 
 	fileMode = 0o600
 )
 
-// ErrUnusable reports a snapshot that must not be used: another member's, of other settings, corrupt, or of a later program.
+// ErrUnusable reports a snapshot that must not be used: it belongs to another member, was taken with other settings, is
+// corrupt, or was written by a later version of the program.
 var ErrUnusable = errors.New("statetransfer: unusable snapshot")
 
-// path returns the path of a file of this name.
+// path returns the path of the file with the given extension.
 func (e Exchange) path(extension string) string {
 	name := strings.Map(func(r rune) rune { // a name may hold characters that a path may not
 		if r == os.PathSeparator || r < ' ' {
@@ -67,7 +70,7 @@
 	return filepath.Join(e.Dir, "rampspread-"+name+extension)
 }
 
-// Write replaces the snapshot file atomically. It is not synced: the file need not survive a reboot.
+// Write replaces the snapshot file atomically. It does not sync the file, which need not survive a reboot.
 func (e Exchange) Write(snapshot routing.Snapshot) error {
 	encoded, err := e.Encode(snapshot)
 	if err != nil {
@@ -94,9 +97,9 @@
 	return e.Decode(encoded)
 }
 
-// Request passes the existing snapshot to restore, and then requests a current one from a process of the same name that
-// may be serving. restore is called at most twice, the second time only with a newer snapshot. Request returns after
-// answerTimeout if no process serves.
+// Request passes the existing snapshot, if any, to restore, and then requests a current one from a process of the same
+// name. restore is called at most twice, the second time only with a newer snapshot. If no process serves, Request
+// returns after answerTimeout.
 func (e Exchange) Request(ctx context.Context, restore func(routing.Snapshot)) {
 	latest := e.restoreNewer(0, restore)
 	requestPath := e.path(requestExtension)
@@ -124,8 +127,8 @@
 	}
 }
 
-// restoreNewer passes the snapshot file to restore if it was taken after a time, and returns the time of the latest
-// snapshot.
+// restoreNewer passes the snapshot in the file to restore if it was taken after latest, and returns the time of the
+// latest snapshot that was restored.
 func (e Exchange) restoreNewer(latest time.Duration, restore func(routing.Snapshot)) time.Duration {
 	snapshot, err := e.Read()
 	switch {
@@ -140,10 +143,10 @@
 	return latest
 }
 
-// Serve writes the snapshot that take returns whenever another process requests one, and every periodicWriteInterval
-// without a request, until the context ends. It writes nothing while take's second result is false, so that a process
-// answers requests only once its own request has ended.
-func (e Exchange) Serve(ctx context.Context, take func() (routing.Snapshot, bool)) {
+// Serve writes the snapshot that takeSnapshot returns whenever another process requests one, and every
+// periodicWriteInterval without a request, until the context ends. It writes nothing while the second result of
+// takeSnapshot is false, so that a process answers requests only once its own request has ended.
+func (e Exchange) Serve(ctx context.Context, takeSnapshot func() (routing.Snapshot, bool)) {
 	tick := time.NewTicker(requestPollInterval)
 	defer tick.Stop()
 	lastWrite := time.Now()
@@ -158,7 +161,7 @@
 			continue
 		}
 		lastWrite = time.Now()
-		snapshot, ok := take()
+		snapshot, ok := takeSnapshot()
 		if !ok {
 			continue
 		}
--- a/internal/state/statetransfer/statetransfer_test.go
+++ b/internal/state/statetransfer/statetransfer_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// A snapshot that is written is read whole; one that is corrupt, cut, another member's or of other settings is
-// unusable, and never a panic.
+// A written snapshot is read completely. A snapshot that is corrupt, truncated, from another member or from other
+// settings is unusable, and does not cause a panic.
 func TestWrittenSnapshotIsReadAndOthersAreUnusable(t *testing.T) {
 	exchange := Exchange{Machine: hostos.Real(), Dir: t.TempDir(), Name: "n/0", Settings: 5}
 	if _, err := exchange.Read(); !errors.Is(err, os.ErrNotExist) {
@@ -41,7 +41,7 @@
 	}
 	otherSettings, otherName := exchange, exchange
 	otherSettings.Settings = 6
-	otherName.Name = "n_0" // which has the same file
+	otherName.Name = "n_0" // has the same file name as "n/0"
 	for _, other := range []Exchange{otherSettings, otherName} {
 		if _, err := other.Read(); !errors.Is(err, ErrUnusable) {
 			t.Errorf("%+v: %v", other, err)
@@ -67,8 +67,8 @@
 	}
 }
 
-// A request gets the existing snapshot and then a current one from the process that serves; if none serves it ends
-// after a timeout.
+// A request restores the existing snapshot and then a current one from the process that serves. If no process serves,
+// it ends after a timeout.
 func TestRequestIsAnsweredOrTimesOut(t *testing.T) {
 	exchange := Exchange{Machine: hostos.Real(), Dir: t.TempDir(), Name: "n0"}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -1,11 +1,11 @@
-// Package state stores the idempotency records that a process holds as one of the fleet's replicas, so that they survive a
-// restart. It owns one file, a bbolt database in a folder that the operator names.
+// Package state stores the idempotency records that a process holds as one of the fleet's replicas, so that they
+// survive a restart. It owns one file, a bbolt database in a folder that the operator configures.
 //
-// Durability: a write is in the file whole or not at all (bbolt commits copy-on-write pages by one meta page), and is synced
-// before the call returns. Integrity: each record has a checksum of its own, and all entries together have one. Before bbolt
-// opens the file its whole page structure is verified, and the file is refused if any page in use is damaged.
+// Durability: writes are atomic, since bbolt commits copy-on-write pages by writing one meta page, and are synced
+// before the call returns. Integrity: each record has a checksum, and a further checksum covers all entries. Before
+// bbolt opens the file, its whole page structure is verified, and the file is refused if any page in use is damaged.
 //
-// Concurrency: Store is safe for use by several goroutines. A lock on the file keeps other processes out.
+// Concurrency: Store is safe for concurrent use. A lock on the file excludes other processes.
 package state
 
 import (
@@ -22,22 +22,22 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Store is the stored state of one process. It implements idempotency.Store. It is safe for use by several goroutines.
+// Store is the stored state of one process. It implements idempotency.Store and is safe for concurrent use.
 type Store struct {
 	db     *bbolt.DB
-	opened time.Time // monotonic
+	opened time.Time // read with the monotonic clock
 
 	mu               sync.Mutex
-	previousLifetime time.Duration // the member's lifetime before opened, as far as it was recorded
+	previousLifetime time.Duration // recorded lifetime of the member when the store was opened
 	incomplete       bool          // an earlier state was lost: see Complete
-	keyCount         int           // records in the store
+	keyCount         int           // number of records in the store
 }
 
 const (
 	fileName = "filings.db"
-	// formatVersion is the version of the stored form. Version 1 had no checksum of all entries.
+	// formatVersion is the version of the file format. Version 1 had no checksum of all entries.
 	formatVersion = 2
-	// lockTimeout is how long Open waits for a process that holds the file.
+	// lockTimeout is how long Open waits for another process to release the lock of the file.
 	lockTimeout = 50 * time.Millisecond
 
 	folderMode = 0o700
@@ -45,19 +45,20 @@
 )
 
 var (
-	// ErrLocked reports that another process holds the folder.
+	// ErrLocked reports that another process has locked the file.
 	ErrLocked = errors.New("state: another process has the folder")
-	// ErrNotOwner reports that the state belongs to another member or another fleet, or was written by a later program.
+	// ErrNotOwner reports that the state belongs to another member or fleet, or was written by a later version of the
+	// program.
 	ErrNotOwner = errors.New("state: it is not this member's")
-	// ErrCorrupt reports that the file, or one record of it, cannot be read.
+	// ErrCorrupt reports that the file or a record in it is corrupt.
 	ErrCorrupt = errors.New("state: the file cannot be read")
 )
 
-// The buckets and the keys of the meta bucket, as stored. The literals never change.
+// The names of the buckets and the keys of the meta bucket. They are stored, so the literals must not change.
 var (
 	bucketMeta       = []byte("meta")
 	bucketRecords    = []byte("claims") // idempotency key -> record
-	bucketWriteTimes = []byte("ages")   // index by time written: see writeTimeKey
+	bucketWriteTimes = []byte("ages")   // index by write time: see writeTimeKey
 	buckets          = [][]byte{bucketMeta, bucketRecords, bucketWriteTimes}
 
 	keyFormat     = []byte("format")
@@ -65,49 +66,51 @@
 	keyName       = []byte("name")
 	keyLifetime   = []byte("lived")
 	keyIncomplete = []byte("lost") // present if an earlier state was lost: see Complete
-	keyChecksum   = []byte("sum")  // of all other entries: see entryWriter
+	keyChecksum   = []byte("sum")  // checksum of all other entries: see entryWriter
 )
 
-// history says whether a state that is created now may lack records that the member wrote earlier.
+// history says whether the member may have had an earlier state, whose records a newly created state lacks.
 type history uint8
 
 const (
 	historyComplete history = iota // the member never had a state
-	historyLost                    // the member may have had one
+	historyLost                    // the member may have had a state that was lost
 )
 
-// Init creates the state of a member that never had one, and marks it as complete. Without that mark a replica has to stay
-// silent until every record that it may have written has expired. It is an error if the folder has a state.
-func Init(dir string, who Identity) error {
+// Init creates the state of a member that never had one, and marks it as complete. A replica whose state is incomplete
+// does not vote until every record that it may have written has expired. Init returns an error if the folder has a
+// state.
+func Init(dir string, owner Identity) error {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("state: %s has a state already", dir)
 	}
-	s, err := open(dir, who, historyComplete)
+	s, err := open(dir, owner, historyComplete)
 	if err != nil {
 		return err
 	}
 	return s.Close()
 }
 
-// Open opens the state in a folder. If there is none it creates one that is marked as incomplete: Complete is false then.
-// The errors are ErrLocked, ErrNotOwner, ErrCorrupt or one of the file system.
-func Open(dir string, who Identity) (*Store, error) {
-	ifCreated := historyComplete
+// Open opens the state in a folder. If there is none, it creates one that is marked as incomplete: see Complete. The
+// error is ErrLocked, ErrNotOwner, ErrCorrupt or an error of the file system.
+func Open(dir string, owner Identity) (*Store, error) {
+	historyIfCreated := historyComplete
 	if _, err := os.Stat(filepath.Join(dir, fileName)); errors.Is(err, fs.ErrNotExist) {
-		ifCreated = historyLost
+		historyIfCreated = historyLost
 	}
-	return open(dir, who, ifCreated)
+	return open(dir, owner, historyIfCreated)
 }
 
-// OpenReadOnly opens an existing state in order to read it. The zero Identity accepts any owner.
-func OpenReadOnly(dir string, who Identity) (*Store, error) {
+// OpenReadOnly opens an existing state for reading; it creates none. The zero Identity accepts any owner.
+func OpenReadOnly(dir string, owner Identity) (*Store, error) {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return nil, fmt.Errorf("state: %s has none: %w", dir, err)
 	}
-	return open(dir, who, historyComplete)
+	return open(dir, owner, historyComplete)
 }
 
-// Quarantine renames a state that cannot be read, so that a new one can be created, and returns its new path.
+// Quarantine renames the file of a corrupt state, so that a new state can be created, and returns the new path of the
+// file.
 func Quarantine(dir string, now time.Time) (string, error) {
 	renamed := filepath.Join(dir, fmt.Sprintf("%s.bad-%d", fileName, now.Unix()))
 	if err := os.Rename(filepath.Join(dir, fileName), renamed); err != nil {
@@ -116,8 +119,8 @@
 	return renamed, nil
 }
 
-// open opens or creates the file; ifCreated is recorded in a state that is created.
-func open(dir string, who Identity, ifCreated history) (s *Store, err error) {
+// open opens or creates the file. If it creates a state, the state is marked according to historyIfCreated.
+func open(dir string, owner Identity, historyIfCreated history) (s *Store, err error) {
 	defer recoverCorruption(&err)()
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
@@ -135,7 +138,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	s = &Store{db: db, opened: time.Now()}
-	if err := s.loadOrInitialize(who, ifCreated); err != nil {
+	if err := s.loadOrInitialize(owner, historyIfCreated); err != nil {
 		db.Close()
 		return nil, err
 	}
@@ -155,14 +158,14 @@
 	s.keyCount += n
 }
 
-// Close records the lifetime and closes the file.
+// Close records the member's lifetime and closes the file.
 func (s *Store) Close() error {
 	err := s.RecordLifetime()
 	return errors.Join(err, s.db.Close())
 }
 
-// recoverCorruption turns the ways in which bbolt fails on a corrupt file, a panic or a fault in the file's memory mapping,
-// into ErrCorrupt. It is to be called at once, and the function that it returns deferred.
+// recoverCorruption converts a panic of bbolt on a corrupt file, or a fault in the file's memory mapping, to ErrCorrupt
+// in *err. Callers call it first and defer the function that it returns.
 func recoverCorruption(err *error) func() {
 	before := debug.SetPanicOnFault(true)
 	return func() {
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -28,7 +28,8 @@
 	return store
 }
 
-// What is written is found by the next process, to the last field, also after SIGKILL, since each write is synced.
+// The next process reads every field of each record that was written, even if the process that wrote it was killed,
+// since each write is synced.
 func TestRecordsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	if err := Init(dir, testIdentity); err != nil {
@@ -51,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	file, err := os.ReadFile(filepath.Join(dir, fileName)) // as a process that is killed now would leave it
+	file, err := os.ReadFile(filepath.Join(dir, fileName)) // the file that a process killed now would leave
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,8 +84,8 @@
 	}
 }
 
-// A state that Open had to create is incomplete until the member's lifetime reaches the retention of records; the wall
-// clock has no part in that. Init marks a state as complete, and refuses to replace one.
+// A state that Open created is incomplete until the member's lifetime reaches the retention of records, independently
+// of the wall clock. Init marks a state as complete, and fails if there is one already.
 func TestStateCreatedAfterLossIsIncompleteUntilRetention(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -104,7 +105,7 @@
 	}
 }
 
-// A folder that another process holds and another member's state are refused.
+// Open refuses a state that another process has locked and a state of another member.
 func TestOpenRefusesLockedAndForeignState(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -122,8 +123,8 @@
 	}
 }
 
-// stateImages writes n answered records of 280 bytes each, and returns the state's file before the first and after each
-// write.
+// stateImages writes n records with answers of 280 bytes each, and returns the content of the state's file before the
+// first write and after each write.
 func stateImages(t testing.TB, n byte) (images [][]byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -150,7 +151,7 @@
 	return images
 }
 
-// numberedKey returns a key of its own for each number.
+// numberedKey returns a distinct key for each number.
 func numberedKey(i uint64) idempotency.Key {
 	return idempotency.Key(append(encodeNumber(i), encodeNumber(i)...))
 }
@@ -164,8 +165,9 @@
 	}
 }
 
-// countKeysOf opens a state with the given file, and returns how many of the first n keys it has, each as it was written.
-func countKeysOf(t testing.TB, dir string, file []byte, n byte) (found int, err error) {
+// countIntactKeys opens a state with the given file content, and returns how many of the first n keys it has. It
+// reports a test failure for a key whose record differs from the one written.
+func countIntactKeys(t testing.TB, dir string, file []byte, n byte) (found int, err error) {
 	t.Helper()
 	path := filepath.Join(dir, fileName)
 	if err := os.WriteFile(path, file, 0o600); err != nil {
@@ -194,9 +196,9 @@
 	return found, nil
 }
 
-// A file that is cut, or has a flipped bit anywhere, is refused, or the bit is in a page that is not in use: never a
-// panic or a fault, and never a key less than was written. Before the file was verified, some of these bits led the
-// database out of its mapping, and the process died of it.
+// A file that is truncated or has a flipped bit is refused, unless the bit is in a page that is not in use. It never
+// causes a panic, a fault or the loss of a key. Without verification, some flipped bits make the database read outside
+// its mapping, which kills the process.
 func TestCorruptFileIsRefusedOrUnharmed(t *testing.T) {
 	const n = 40
 	images := stateImages(t, n)
@@ -204,7 +206,7 @@
 	refused, unharmed := 0, 0
 	check := func(what string, file []byte) {
 		t.Helper()
-		switch found, err := countKeysOf(t, dir, file, n); {
+		switch found, err := countIntactKeys(t, dir, file, n); {
 		case errors.Is(err, ErrCorrupt):
 			refused++
 		case err != nil || found != n:
@@ -224,7 +226,7 @@
 	for bit := 0; bit < len(good)*8; bit += 8*197 + 3 {
 		flip(bit)
 	}
-	// The numbers that the database follows are at the start of a page.
+	// The numbers that the database uses as references and lengths are at the start of a page.
 	for page := 0; page < len(good); page += os.Getpagesize() {
 		for bit := page * 8; bit < (page+128)*8; bit += 11 {
 			flip(bit)
@@ -245,10 +247,10 @@
 	}
 }
 
-// A crash between any two writes of a transaction leaves the state as before it or as after it. The database writes the
-// pages of a transaction, syncs them, writes one meta page, and syncs it; so on the disk may be any part of the pages,
-// in sectors, with the meta pages as they were, or all of them with the new one. The pages written are found by
-// comparing the file before and after.
+// A crash between any two writes of a transaction leaves the state from before or after the transaction. The database
+// writes the pages of a transaction, syncs them, writes one meta page, and syncs it. So after a crash the disk has
+// either any subset of the sectors of these pages with the old meta pages, or all of them with the new meta page. The
+// test finds the sectors that were written by comparing the file before and after.
 func TestCrashAtEveryWriteLeavesStateBeforeOrAfter(t *testing.T) {
 	const n, sector = 24, 512
 	images, dir := stateImages(t, n), t.TempDir()
@@ -268,14 +270,14 @@
 		check := func(what string, file []byte, want int) {
 			t.Helper()
 			crashes++
-			if found, err := countKeysOf(t, dir, file, n); err != nil || found != want {
+			if found, err := countIntactKeys(t, dir, file, n); err != nil || found != want {
 				t.Errorf("write %d, crash %s: %d keys, %v; want %d", i, what, found, err, want)
 			}
 		}
 		check("before the file grew", before, i-1)
 		partial := bytes.Clone(grown)
 		for k, at := range changed {
-			single := bytes.Clone(grown) // the disk may write any of them first
+			single := bytes.Clone(grown) // the disk may write any sector first
 			copy(single[at:at+sector], after[at:])
 			check(fmt.Sprint("with only sector ", at), single, i-1)
 			if copy(partial[at:at+sector], after[at:]); k%4 == 0 || k == len(changed)-1 {
@@ -287,7 +289,7 @@
 	t.Log(crashes, "crashes")
 }
 
-// A record is decoded to what was encoded, and one with a flipped bit is an error.
+// Decoding an encoded record returns the same record, and a flipped bit causes an error.
 func TestRecordEncodingRoundTrip(t *testing.T) {
 	states := []idempotency.State{idempotency.InFlight, idempotency.MayHaveRun, idempotency.Answered}
 	rapid.Check(t, func(t *rapid.T) {
@@ -324,12 +326,12 @@
 	})
 }
 
-// Verifying a file never panics, whatever is in it.
+// Verifying a file never panics and returns no error but ErrCorrupt, whatever the file contains.
 func FuzzVerify(f *testing.F) {
 	images := stateImages(f, 9)
 	f.Add(images[9][:8*os.Getpagesize()], uint32(8192), uint32(1))
 	f.Fuzz(func(t *testing.T, file []byte, at, value uint32) {
-		if n := uint32(len(file)); n > 4 { // mostly sound files with one number replaced
+		if n := uint32(len(file)); n > 4 { // mostly intact files with one number replaced
 			binary.LittleEndian.PutUint32(file[at%(n-3):], value)
 		}
 		if err := verifyFile(bytes.NewReader(file), int64(len(file))); err != nil && !errors.Is(err, ErrCorrupt) {
@@ -338,7 +340,7 @@
 	})
 }
 
-// The time that a synced write takes on this disk.
+// BenchmarkPut measures a synced write to the disk.
 func BenchmarkPut(b *testing.B) {
 	s, err := Open(b.TempDir(), testIdentity)
 	if err != nil {
@@ -359,7 +361,7 @@
 	}
 }
 
-// The time to verify and open a state of 20,000 answered records.
+// BenchmarkOpen measures verifying and opening a state of 20,000 answered records.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	s, err := Open(dir, testIdentity)
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// Layout of a bbolt file, version 2, as go.etcd.io/bbolt documents it. Numbers are in the machine's byte order; the
-// program runs on little-endian machines only.
+// Layout of a bbolt file, version 2, as documented in go.etcd.io/bbolt. Numbers are in the byte order of the machine;
+// the program runs on little-endian machines only.
 const (
 	boltMagic   = 0xED0CDAED
 	boltVersion = 2
@@ -31,8 +31,8 @@
 	offsetTransaction   = 48
 	offsetChecksum      = 56
 
-	// A branch or leaf page's header is followed by its elements, which say where keys and values begin, relative to
-	// themselves.
+	// A branch or leaf page's header is followed by its elements. They hold the positions of keys and values, relative
+	// to the start of the element.
 	elementSize = 16
 	// bucketHeaderSize is the size of the header before a nested bucket's inline page: root page 8, sequence 8 bytes.
 	bucketHeaderSize = 16
@@ -42,43 +42,44 @@
 	flagMeta   = 0x04
 	flagFree   = 0x10
 
-	flagBucketElement = 0x01 // of a leaf element: its value is a nested bucket
+	flagBucketElement = 0x01 // marks a leaf element whose value is a nested bucket
 
-	noFreelist           = ^uint64(0) // the file stores no list of free pages
-	freelistCountInBody  = 0xFFFF     // the header's count is too small: the list's first number is the count
+	noFreelist           = ^uint64(0) // value of the freelist field if the file stores no list of free pages
+	freelistCountInBody  = 0xFFFF     // value of the header's count if the list's first number is the actual count
 	freePageIDSize       = 8
 	metaPages            = 2             // pages 0 and 1
-	minPages             = metaPages + 2 // a root and a free list
+	minPages             = metaPages + 2 // meta pages, a root and a list of free pages
 	minPageSize          = 1 << 10
 	maxPageSize          = 1 << 16
 	maxDepth             = 32
 	freelistErrorSubject = "the list of free pages"
 )
 
-// fileVerifier walks through the B+ tree of a bbolt file and checks that it stays within the file.
+// fileVerifier walks the B+ tree of a bbolt file and checks that all of its pages lie within the file.
 type fileVerifier struct {
 	file      io.ReaderAt
 	pageSize  uint64 // bytes
-	pageCount uint64 // the high water mark: pages from it on are not in use
-	seen      map[uint64]bool
+	pageCount uint64 // high water mark: pages with this number or a greater one are not in use
+	visited   map[uint64]bool
 }
 
-// metaPage is the part of a meta page that is used here.
+// metaPage holds the fields of a meta page that the verification uses.
 type metaPage struct{ pageSize, root, freelist, pageCount, transaction uint64 }
 
-// keyRange bounds the keys of a page: from first up to, and without, end. A nil bound is none.
+// keyRange is the range of keys that a page may have, from first up to but excluding end. A nil bound is no bound.
 type keyRange struct{ first, end []byte }
 
 // pageElement is one element of a branch or leaf page.
 type pageElement struct {
 	key, value []byte
-	child      uint64 // of a branch page: the page with the keys from key on
-	isBucket   bool   // of a leaf page: value is a nested bucket
+	child      uint64 // branch page: number of the page that holds the keys from key on
+	isBucket   bool   // leaf page: value is a nested bucket
 }
 
-// verifyFile checks that a bbolt file is sound: both its meta pages, one transaction apart, and every page that the
-// newer one leads to. Both must be sound, since bbolt would go back by a transaction, and forget what was synced, where
-// only the older one is; a crash while a meta page is written leaves one or the other, for it lies within one sector.
+// verifyFile checks that a bbolt file is intact: both meta pages, which must be one transaction apart, and every page
+// that the newer meta page refers to. Both meta pages must be valid: if only the older one is, bbolt would revert to it
+// and lose the last synced transaction. A crash while a meta page is written leaves either the old or the new one
+// valid, since a meta page lies within one sector.
 func verifyFile(file io.ReaderAt, size int64) error {
 	first, err := readMetaPage(file, 0)
 	if err != nil {
@@ -99,7 +100,7 @@
 	if newest.pageCount < minPages || newest.pageCount > uint64(size)/newest.pageSize {
 		return fmt.Errorf("%w: %d pages do not fit in %d bytes", ErrCorrupt, newest.pageCount, size)
 	}
-	v := &fileVerifier{file: file, pageSize: newest.pageSize, pageCount: newest.pageCount, seen: map[uint64]bool{}}
+	v := &fileVerifier{file: file, pageSize: newest.pageSize, pageCount: newest.pageCount, visited: map[uint64]bool{}}
 	if err := v.verifyPage(newest.root, keyRange{}, 0); err != nil {
 		return err
 	}
@@ -109,7 +110,7 @@
 	return v.verifyFreelist(newest.freelist)
 }
 
-// readMetaPage reads the meta page at an offset in bytes, and checks its checksum.
+// readMetaPage reads the meta page at an offset in bytes, and checks its header, checksum and page size.
 func readMetaPage(file io.ReaderAt, offset int64) (metaPage, error) {
 	page := make([]byte, pageHeaderSize+metaSize)
 	if _, err := file.ReadAt(page, offset); err != nil {
@@ -137,12 +138,13 @@
 	}, nil
 }
 
-// corruptAt returns ErrCorrupt with the part of the file that is corrupt and what is wrong with it.
+// corruptAt returns ErrCorrupt wrapped with the part of the file that is corrupt and the problem with it.
 func corruptAt(part, problem string) error { return fmt.Errorf("%w: %s %s", ErrCorrupt, part, problem) }
 
 func pageName(id uint64) string { return fmt.Sprint("page ", id) }
 
-// readPage returns a page with its overflow pages, and marks them as used; a page that is used twice is an error.
+// readPage returns a page with its overflow pages, and marks them as visited. It returns an error if a page was visited
+// before.
 func (v *fileVerifier) readPage(id uint64) ([]byte, error) {
 	if id < metaPages || id >= v.pageCount {
 		return nil, corruptAt(pageName(id), "is not in it")
@@ -157,10 +159,10 @@
 		return nil, corruptAt(pageName(id), "has a wrong header")
 	}
 	for i := id; i <= id+overflow; i++ {
-		if v.seen[i] {
+		if v.visited[i] {
 			return nil, corruptAt(pageName(id), "is used twice")
 		}
-		v.seen[i] = true
+		v.visited[i] = true
 	}
 	page := make([]byte, (overflow+1)*v.pageSize)
 	if _, err := v.file.ReadAt(page, offset); err != nil {
@@ -169,7 +171,7 @@
 	return page, nil
 }
 
-// verifyPage verifies a page whose keys must lie within a range, and all pages that it leads to.
+// verifyPage verifies a page, whose keys must lie within a range, and all pages that it refers to.
 func (v *fileVerifier) verifyPage(id uint64, keys keyRange, depth int) error {
 	if depth > maxDepth {
 		return fmt.Errorf("%w: it is too deep", ErrCorrupt)
@@ -181,7 +183,7 @@
 	return v.verifyElements(page, keys, depth, pageName(id))
 }
 
-// verifyElements verifies the elements of a page, or of an inline page within a value, and follows them.
+// verifyElements verifies the elements of a page or of an inline page within a value, and all pages that they refer to.
 func (v *fileVerifier) verifyElements(page []byte, keys keyRange, depth int, name string) error {
 	elements, err := parsePage(page, keys, name)
 	if err != nil {
@@ -207,7 +209,7 @@
 }
 
 // verifyBucket verifies a nested bucket, which has a root page of its own or, if it is small, an inline page in its
-// value. The name is that of the page with the value.
+// value. name is the name of the page that holds the value.
 func (v *fileVerifier) verifyBucket(value []byte, depth int, name string) error {
 	if len(value) < bucketHeaderSize {
 		return corruptAt(name, "has a bucket that is cut")
@@ -218,7 +220,7 @@
 	return v.verifyElements(value[bucketHeaderSize:], keyRange{}, depth, name)
 }
 
-// parsePage reads the elements of a branch or leaf page, and checks that each lies inside the page, and that the keys
+// parsePage parses the elements of a branch or leaf page, and checks that they lie inside the page and that their keys
 // are in order and within a range.
 func parsePage(page []byte, keys keyRange, name string) ([]pageElement, error) {
 	if len(page) < pageHeaderSize {
@@ -236,7 +238,7 @@
 	}
 	elements := make([]pageElement, count)
 	for i := range elements {
-		// A key begins after the last element.
+		// Keys are stored after the last element.
 		element, problem := parse(page[pageHeaderSize+i*elementSize:], elementSize*(count-i))
 		if problem != "" {
 			return nil, corruptAt(name, problem)
@@ -249,8 +251,9 @@
 	return elements, nil
 }
 
-// parseBranchElement reads position 4, key size 4, child page 8 bytes. b goes from the element to the page's end, and
-// the key may not begin before minPosition. A problem that is not empty says what is wrong.
+// parseBranchElement parses an element of a branch page: position 4, key size 4, child page 8 bytes. b holds the page
+// from the element to the end, and the key must not begin before minPosition in b. The problem is empty if the element
+// is valid.
 func parseBranchElement(b []byte, minPosition int) (e pageElement, problem string) {
 	position, keySize := elementNumber(b, 0), elementNumber(b, 1)
 	e.child = binary.LittleEndian.Uint64(b[8:])
@@ -261,7 +264,8 @@
 	return e, ""
 }
 
-// parseLeafElement reads flags 4, position 4, key size 4, value size 4 bytes; see parseBranchElement.
+// parseLeafElement parses an element of a leaf page: flags 4, position 4, key size 4, value size 4 bytes. Its
+// parameters and results are those of parseBranchElement.
 func parseLeafElement(b []byte, minPosition int) (e pageElement, problem string) {
 	flags, position, keySize, valueSize := elementNumber(b, 0), elementNumber(b, 1), elementNumber(b, 2), elementNumber(b, 3)
 	if flags != 0 && flags != flagBucketElement {
@@ -285,7 +289,7 @@
 	return r.end == nil || bytes.Compare(key, r.end) < 0
 }
 
-// verifyFreelist checks that the pages in the list of free pages are in the file, once each, and not in use.
+// verifyFreelist checks that each page in the list of free pages lies in the file, is listed once and is not in use.
 func (v *fileVerifier) verifyFreelist(id uint64) error {
 	page, err := v.readPage(id)
 	if err != nil {
@@ -303,10 +307,10 @@
 	}
 	for i := range count {
 		free := binary.LittleEndian.Uint64(ids[i*freePageIDSize:])
-		if free < metaPages || free >= v.pageCount || v.seen[free] {
+		if free < metaPages || free >= v.pageCount || v.visited[free] {
 			return corruptAt(freelistErrorSubject, "names a page in use")
 		}
-		v.seen[free] = true
+		v.visited[free] = true
 	}
 	return nil
 }
