--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -53,7 +53,8 @@
 	// second at most, so the bound is seldom written and the disk has hours to store it. A higher value makes tokens
 	// jump further at a restart.
 	reservation = 1 << 16
-	// minReservation is the distance of a token from the bound below which a greater bound is stored.
+	// minReservation is the minimum distance between an observed token and the bound. When a token comes closer, a
+	// greater bound is stored.
 	minReservation = reservation / 2
 
 	folderMode = 0o700
--- a/internal/state/inflight/table.go
+++ b/internal/state/inflight/table.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// refresh counts the peers, and synchronizes the markers that have to change.
+// refresh counts the peers, synchronizes the markers of the names that takePending returns, and creates or removes the
+// ready file.
 func (t *Table) refresh() {
 	peers, err := t.countPeers()
 	if err == nil && peers.alive == 0 && t.published {
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -26,7 +26,7 @@
 // Exchange exchanges snapshots between processes of one name.
 type Exchange struct {
 	Dir  string // folder that the processes share
-	Name string // name of the processes, and owner of the snapshots
+	Name string // name that the processes share; a snapshot of another name is unusable
 	// Settings is the fingerprint of the settings. A snapshot that was taken with other settings is unusable.
 	Settings uint64
 	// Machine is the System through which files are written.
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -60,7 +60,7 @@
 	file      io.ReaderAt
 	pageSize  uint64 // bytes
 	pageCount uint64 // high water mark: pages with this number or a greater one are not in use
-	visited   map[uint64]bool
+	visited   map[uint64]bool // pages found so far, in use or free
 }
 
 // metaPage holds the fields of a meta page that the verification uses.
@@ -264,8 +264,8 @@
 	return e, ""
 }
 
-// parseLeafElement parses an element of a leaf page: flags 4, position 4, key size 4, value size 4 bytes. Its
-// parameters and results are those of parseBranchElement.
+// parseLeafElement parses an element of a leaf page: flags 4, position 4, key size 4, value size 4 bytes. See
+// parseBranchElement for b, minPosition and problem.
 func parseLeafElement(b []byte, minPosition int) (e pageElement, problem string) {
 	flags, position, keySize, valueSize := elementNumber(b, 0), elementNumber(b, 1), elementNumber(b, 2), elementNumber(b, 3)
 	if flags != 0 && flags != flagBucketElement {
