--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -58,8 +58,8 @@
 // fileVerifier walks the B+ tree of a bbolt file and checks that all of its pages lie within the file.
 type fileVerifier struct {
 	file      io.ReaderAt
-	pageSize  uint64 // bytes
-	pageCount uint64 // high water mark: pages with this number or a greater one are not in use
+	pageSize  uint64          // bytes
+	pageCount uint64          // high water mark: pages with this number or a greater one are not in use
 	visited   map[uint64]bool // pages found so far, in use or free
 }
 
