--- a/internal/state/atomicfile/atomicfile_test.go
+++ b/internal/state/atomicfile/atomicfile_test.go
@@ -59,7 +59,7 @@
 	}
 	// If the new content cannot be written, the old file remains, without a temporary file.
 	if err := Replace(hostos.Real(), filepath.Join(path, "no folder"), nil, Synced); err == nil {
-		t.Error("written below a file")
+		t.Error("Replace succeeded at a path below a file")
 	}
 	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
 		t.Errorf("%d files remain", len(files))
--- a/internal/state/atomicfile/system_failure_test.go
+++ b/internal/state/atomicfile/system_failure_test.go
@@ -22,7 +22,7 @@
 			}
 			machine.Fail(op, errno)
 			if err := Replace(machine, path, []byte("second"), Synced); err == nil {
-				t.Errorf("%s with %v: written", op, errno)
+				t.Errorf("%s with %v: Replace succeeded", op, errno)
 			}
 			if got, _ := os.ReadFile(path); string(got) != "first" {
 				t.Errorf("%s with %v left %q", op, errno, got)
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -56,7 +56,7 @@
 		return fmt.Errorf("endpointcache: %w", err)
 	}
 	if len(body) > maxBytes-len(magic)-atomicfile.SealBytes {
-		return fmt.Errorf("endpointcache: %d bytes, at most %d", len(body), maxBytes)
+		return fmt.Errorf("endpointcache: list has %d bytes, the maximum is %d", len(body), maxBytes)
 	}
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return fmt.Errorf("endpointcache: %w", err)
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -23,7 +23,7 @@
 func TestSavedListIsLoadedByItsOwnerOnly(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made")
 	if _, err := Load(dir, testOwner, hostos.Now(hostos.Real())); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("in no folder: %v", err)
+		t.Errorf("without a folder: %v", err)
 	}
 	for version := range uint64(3) { // each list replaces the previous one
 		list := testList(hostos.Now(hostos.Real()))
@@ -43,7 +43,7 @@
 	for _, other := range others {
 		_, err := Load(dir, other, hostos.Now(hostos.Real()))
 		if !errors.Is(err, ErrUnusable) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("of %+v: %v", other, err)
+			t.Errorf("loaded by %+v: %v", other, err)
 		}
 	}
 }
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -131,11 +131,11 @@
 	first := startProcess(t, dir)
 	for _, name := range []string{"a", "b"} {
 		if got := first.request("acquire id- %s", name); got != claimText(Acquired) {
-			t.Fatalf("alone: %s", got)
+			t.Fatalf("without peers: %s", got)
 		}
 	}
 	if files, _ := filepath.Glob(filepath.Join(dir, "*", "*", "id-*")); len(files) > 0 {
-		t.Errorf("alone it wrote %d markers", len(files))
+		t.Errorf("without peers it wrote %d markers", len(files))
 	}
 	second := startProcess(t, dir)
 	if got := second.request("acquire id- a"); got != claimText(HeldByOther) {
@@ -281,7 +281,7 @@
 	os.RemoveAll(unreadable)
 	os.RemoveAll(table.ownDir)
 	if claim := table.Acquire(Request, "y"); claim != Unknown {
-		t.Errorf("without a folder: claim %d", claim)
+		t.Errorf("without its own folder: claim %d", claim)
 	}
 	peer.end()
 	if _, err := Start(hostos.Real(), filepath.Join(dir, "none", "\x00"), "n0", testRetention); err == nil {
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	if len(encoded) > MaxBytes {
-		return fmt.Errorf("statetransfer: %d bytes, at most %d", len(encoded), MaxBytes)
+		return fmt.Errorf("statetransfer: snapshot has %d bytes, the maximum is %d", len(encoded), MaxBytes)
 	}
 	if err := atomicfile.Replace(e.Machine, e.path(snapshotExtension), encoded, atomicfile.Unsynced); err != nil {
 		return fmt.Errorf("statetransfer: %w", err)
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -177,7 +177,7 @@
 	s, err := Open(dir, testIdentity)
 	if err != nil {
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("not one line: %v", err)
+			t.Errorf("the error has several lines: %v", err)
 		}
 		return 0, err
 	}
