--- a/routing/action.go
+++ b/routing/action.go
@@ -2,31 +2,34 @@
 
 import "time"
 
-// Action is something that the router's host carries out. The host carries out the actions of an event in order.
+// Action is an instruction or a notification to the router's host. The host carries out the actions of an event in
+// order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send makes the next attempt of a request. Timeout 0: until the request's deadline.
+	// Send makes the next attempt of a request. A Timeout of 0 means that the attempt may last until the request's
+	// deadline.
 	Send struct {
 		Request  RequestID
 		Endpoint EndpointID
 		Timeout  time.Duration
 	}
-	// PollLoad asks a replica for its load; LoadPolled is the answer.
+	// PollLoad asks a replica for its load; LoadPolled reports the result.
 	PollLoad struct{ Endpoint EndpointID }
-	// Release releases each prefill result and slot that is reserved for the request and that no attempt waits for.
+	// Release releases each prefill result and slot that is reserved for the request and that no attempt is waiting
+	// for.
 	Release struct {
 		Request RequestID
 		Reason  ReleaseReason
 	}
-	// Reject is a final answer that promises that a retry by the client is harmless.
+	// Reject is a final answer which promises the client that a retry is harmless.
 	Reject struct {
 		Request    RequestID
 		RetryAfter time.Duration
 		Reason     Reason
 	}
-	// Fail is a final answer without that promise.
+	// Fail is a final answer which does not promise that a retry is harmless.
 	Fail struct {
 		Request RequestID
 		Reason  Reason
@@ -36,34 +39,34 @@
 		Request RequestID
 		Attempt int
 	}
-	// SetTimer asks for a TimerFired event.
+	// SetTimer requests a TimerFired event after a time.
 	SetTimer struct {
 		After time.Duration
 		Timer TimerID
 	}
-	// PrefillObserved tells what was estimated of a prefill attempt and what came of it. It asks for nothing, and is
-	// emitted only with Config.ObservePrefills.
+	// PrefillObserved reports the estimate and the outcome of a prefill attempt. The host need not act on it. The
+	// router emits it only if Config.ObservePrefills is set.
 	PrefillObserved struct {
 		Request      RequestID
 		Endpoint     EndpointID
 		Outcome      Outcome
-		Elapsed      time.Duration // since the attempt was sent
-		CachedTokens int           // found in the replica's prefix cache
+		Elapsed      time.Duration // time since the attempt was sent
+		CachedTokens int           // prompt tokens found in the replica's prefix cache
 		Estimate     PrefillEstimate
 	}
 )
 
-// PrefillEstimate is what a router expected of a prefill attempt when it sent it.
+// PrefillEstimate is a router's estimate for a prefill attempt at the time of sending it.
 type PrefillEstimate struct {
 	Session            Key
 	SharedPrefix       Key
 	PromptTokens       int
 	SharedPrefixTokens int
-	CachedTokens       int     // expected in the replica's prefix cache
-	QueueDelayMS       float64 // before the prefill begins
+	CachedTokens       int     // prompt tokens expected in the replica's prefix cache
+	QueueDelayMS       float64 // wait before the prefill begins
 	PrefillMS          float64
 	AttemptsAhead      int        // unfinished attempts of this router at the replica
-	Load               LoadReport // the report that the estimate used; all negative: it used none
+	Load               LoadReport // report that the estimate used; all values are negative if it used none
 }
 
 func (Send) action()            {}
@@ -82,10 +85,10 @@
 const (
 	AttemptsExhausted    Reason = "attempts_exhausted"
 	DeadlineExceeded     Reason = "deadline_exceeded"
-	RetryBudgetExhausted Reason = "retry_budget_exhausted" // the retry budget that all routers share
+	RetryBudgetExhausted Reason = "retry_budget_exhausted" // the retry budget shared by all routers is used up
 	NoPrefillReplica     Reason = "no_prefill_replica"
 	NoDecodeReplica      Reason = "no_decode_replica"
-	OverLatencyBudget    Reason = "over_latency_budget" // the first token would be late
+	OverLatencyBudget    Reason = "over_latency_budget" // the first token is estimated to arrive too late
 	MayHaveRun           Reason = "may_have_run"
 	UnknownClass         Reason = "unknown_class"
 )
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -1,16 +1,17 @@
 package routing
 
-// admit applies predictive TTFT-budget admission control (see the package comment) before every prefill. A critical
-// request passes within its own objective; any other passes if its best estimate is within the budget; if the prefill
-// alone exceeds the budget, the queue delay is judged alone.
+// admit applies predictive TTFT-budget admission control (see the package comment) before every prefill. It admits a
+// request if its best estimate is within the budget. If the prefill alone exceeds the budget, only the queue delay is
+// checked.
 //
 // The rules and what they protect against:
-//   - A request that comes back from a full or silent replica is judged again, so that it is not sent on into a jam,
-//     where it could only be late. This could do harm if the trouble of one replica looked like that of all.
-//   - The queue is shared, so its delay is held to the tightest class's budget; otherwise classes with a long budget
-//     would shut out those with a short one.
-//   - Critical requests pass only while most of their own objective remains, since a flood of them would make all late.
-//   - Requests beyond their tenant's quota have no critical pass and half the budget.
+//   - A request that returns from a full or silent replica is checked again, so that it is not sent into an overload,
+//     where it could only be late. This does harm if the failure of one replica looks like an overload of all.
+//   - The queue is shared, so its delay is limited by the budget of the class with the smallest objective; otherwise
+//     classes with a large budget would crowd out classes with a small one.
+//   - A critical request is limited only by its own objective, of which a fraction must remain: without that limit, a
+//     flood of critical requests would make all of them late.
+//   - A request beyond its tenant's quota is not treated as critical and has half the budget.
 func (r *Router) admit(req *request, queueDelayMS, prefillMS float64) bool {
 	budgetMS, maxQueueMS := toMS(req.ttftObjective)*latencyHeadroom, r.tightestBudgetMS
 	if req.overQuota {
@@ -23,8 +24,8 @@
 }
 
 // overQuota reports whether the requests that this router sent for a tenant have used up its fraction of the tenant's
-// quota. The fraction of one router among many is small and its traffic uneven, so the part of some seconds may arrive
-// at once. Rejected requests spend nothing; otherwise clients' retries would use up the quota.
+// quota. The fraction of one router among many is small and its traffic uneven, so several seconds' share may arrive at
+// once. Rejected requests do not count; otherwise clients' retries would use up the quota.
 func (r *Router) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(r.tenantBuckets) || r.cfg.TenantQuotas[tenant] <= 0 {
 		return false
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -7,9 +7,9 @@
 
 func TestOverloadRejectsBeforePrefill(t *testing.T) {
 	h := newHarness(t, nil)
-	for _, s := range h.r.replicas {
+	for _, replica := range h.r.replicas {
 		for i := range 200 {
-			s.pending = append(s.pending, pendingAttempt{request: RequestID(1000 + i), sentAt: h.now, expectedBy: h.now + time.Minute})
+			replica.pending = append(replica.pending, pendingAttempt{request: RequestID(1000 + i), sentAt: h.now, expectedBy: h.now + time.Minute})
 		}
 	}
 	acts := h.arrive(1, 0)
@@ -21,7 +21,7 @@
 	}
 }
 
-// A prefill that alone exceeds the budget is judged by its queue delay.
+// If the prefill alone exceeds the budget, only the queue delay is checked.
 func TestLongPrefillIsJudgedByQueueDelayAlone(t *testing.T) {
 	h := newHarness(t, nil)
 	h.r.prefillModel.prior = [3]float64{10, 900, 7}
@@ -30,8 +30,8 @@
 	}
 }
 
-// Among many routers a router's part of a tenant's quota is less than a request per second: the first requests are within
-// it, and rejected ones spend nothing of it.
+// Among many routers, a router's fraction of a tenant's quota is less than a request per second. The first requests
+// must still be within it, and rejected requests must not count against it.
 func TestTenantQuotaAmongManyRouters(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Routers = 200 })
 	if h.r.overQuota(1) {
@@ -50,12 +50,12 @@
 		t.Errorf("after rejections %.2f tokens remain, before them %.2f", got, before)
 	}
 	h.handle(time.Minute, TimerFired{})
-	n := 0
+	admitted := 0
 	for id := RequestID(100); !h.r.overQuota(1); id++ {
-		a := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, RemainingTime: 4 * time.Second}
-		h.handle(10*ms, AttemptEnded{Request: id, Endpoint: h.sentTo(h.handle(ms, a)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
-		if n++; n > 20 {
-			t.Fatal("never beyond its quota")
+		arrival := RequestArrived{Request: id, Tenant: 1, PromptTokens: 500, RemainingTime: 4 * time.Second}
+		h.handle(10*ms, AttemptEnded{Request: id, Endpoint: h.sentTo(h.handle(ms, arrival)), Outcome: PrefillDone, Elapsed: 10 * ms, Final: true})
+		if admitted++; admitted > 20 {
+			t.Fatal("the tenant never exceeds its quota")
 		}
 	}
 }
--- a/routing/badinput_test.go
+++ b/routing/badinput_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBadInputPoisonsNothing: requests and outcomes with any token counts, and load reports with any values, leave each
-// estimate finite and not negative and each coefficient within its bounds.
+// TestBadInputPoisonsNothing checks that requests and outcomes with any token counts, and load reports with any values,
+// leave each estimate finite and not negative and each coefficient within its bounds.
 func TestBadInputPoisonsNothing(t *testing.T) {
 	tokens := rapid.SampledFrom([]int{math.MinInt32, -1, 0, 1, 900, 60_000, 4_000_000_000, math.MaxInt32})
 	value := rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 0.5, 1e300})
@@ -63,8 +63,8 @@
 	})
 }
 
-// TestOverstatedPromptLengthIsNoSample: clients that claim prompts far longer than what they send do not teach the
-// router that tokens cost nothing.
+// TestOverstatedPromptLengthIsNoSample checks that clients which claim far longer prompts than they send do not lower
+// the learned cost of a token.
 func TestOverstatedPromptLengthIsNoSample(t *testing.T) {
 	h := newHarness(t, nil)
 	sample := func(promptTokens int, elapsed time.Duration) {
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestPrefixTableIsBounded: however many prefixes clients name, the table stays bounded and keeps the latest.
+// TestPrefixTableIsBounded checks that the prefix table stays bounded and keeps the latest prefix, however many
+// prefixes clients name.
 func TestPrefixTableIsBounded(t *testing.T) {
 	h := newHarness(t, nil)
 	const prefixes = maxPrefixEntries + maxPrefixEntries/2
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -1,9 +1,9 @@
 package routing
 
 // Budgets that all routers share: this router's fraction of them, in token buckets. The package that assigns the
-// fractions sees to their sum.
+// fractions ensures that they add up to at most 1.
 
-// ownFraction returns this router's part of a limit on what all routers do together, as of now.
+// ownFraction returns this router's current fraction of a limit on what all routers do together.
 func (r *Router) ownFraction(limit float64) float64 {
 	switch {
 	case r.now < r.quotaShare.ValidFor:
@@ -14,8 +14,9 @@
 	return limit / float64(r.cfg.Routers)
 }
 
-// withinPollBudget returns the replicas and spends a poll for each whose load is not known. If one of them has no poll
-// remaining it returns none: a choice among only some would keep a request from where its prefix is cached.
+// withinPollBudget returns the candidates and spends a poll for each one whose load is not known. If the budget of one
+// of them is used up, it returns none: a choice among only some of them would send a request away from its cached
+// prefix.
 func (r *Router) withinPollBudget(candidates []candidate) []candidate {
 	limit := r.cfg.Budgets.PollsPerReplica
 	if limit <= 0 {
@@ -42,22 +43,22 @@
 	return r.ownFraction(r.cfg.Budgets.RetriesPerSecond)*retryBurstSpan.Seconds() + retryBurstExtra
 }
 
-// withinRetryBudget reports whether a request that failed may be retried. It protects against a disturbance that is
-// multiplied by everyone's retries (a retry storm). A part of the budget is reserved for critical requests.
+// withinRetryBudget reports whether a request that failed may be retried. It prevents the retries of all routers from
+// amplifying a fault (a retry storm). A fraction of the budget is reserved for critical requests.
 func (r *Router) withinRetryBudget(req *request) bool {
 	budgets := r.cfg.Budgets
 	if !req.retrying || budgets.RetriesPerRequest <= 0 && budgets.RetriesPerSecond <= 0 {
 		return true
 	}
-	need, burst := 1.0, r.retryBurst()
+	requiredTokens, burst := 1.0, r.retryBurst()
 	if !r.critical[req.Class] {
-		need += criticalRetryShare * (burst - 1)
+		requiredTokens += criticalRetryShare * (burst - 1)
 	}
-	return r.retryBucket.Fill(r.now, r.ownFraction(budgets.RetriesPerSecond), burst) >= need
+	return r.retryBucket.Fill(r.now, r.ownFraction(budgets.RetriesPerSecond), burst) >= requiredTokens
 }
 
-// chargeBudgets charges an attempt to the budgets: a request's first attempt earns retries and counts against its
-// tenant's quota, a retry spends one.
+// chargeBudgets charges an attempt to the budgets: a request's first attempt adds to the retry budget and counts
+// against its tenant's quota; a retry spends one retry.
 func (r *Router) chargeBudgets(req *request) {
 	if req.retrying {
 		r.retryBucket.Spend()
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A router's fraction of a limit is that of its QuotaShare while it is valid, and Budgets.Fraction afterwards.
+// A router's fraction of a limit is the fraction of its QuotaShare while that is valid, and Budgets.Fraction
+// afterwards.
 func TestOwnFractionFollowsQuotaShareWhileItIsValid(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Routers, c.Budgets.Fraction = 4, 0.05 })
 	fraction := func() float64 { return h.r.ownFraction(100) }
@@ -24,7 +25,7 @@
 	if got := fraction(); got != 5 {
 		t.Errorf("%v after the share has expired, want 5", got)
 	}
-	h.handle(0, QuotaShare{Fraction: 0.9, ValidFor: -time.Second}) // it has expired on arrival
+	h.handle(0, QuotaShare{Fraction: 0.9, ValidFor: -time.Second}) // it has expired before it arrives
 	if got := fraction(); got != 5 {
 		t.Errorf("%v with a share that had expired, want 5", got)
 	}
@@ -34,7 +35,7 @@
 	}
 }
 
-// Many routers together poll a replica no more often than its budget allows, and send without a poll beyond that.
+// Many routers together poll a replica no more often than its budget allows, and beyond that send without a poll.
 func TestLoadPollsStayWithinBudgetOverAllRouters(t *testing.T) {
 	const routers, span = 100, 80 * time.Second
 	polls, sends := map[EndpointID]int{}, 0
@@ -59,7 +60,8 @@
 		}
 	}
 	for id, n := range polls {
-		// One per second, plus the burst of ten seconds and one per router; without a limit, two for each of 1,000 requests.
+		// One per second, plus the burst of ten seconds and one per router. Without a limit there would be two polls
+		// for each of 1,000 requests.
 		if most := int((span + pollBurstSpan).Seconds()) + routers; n > most {
 			t.Errorf("replica %d was polled %d times, want at most %d", id, n, most)
 		}
@@ -69,11 +71,11 @@
 	}
 }
 
-// Retries are a fraction of first attempts plus a few; beyond that a request is rejected at once with a Retry-After.
-// A part of the burst is reserved for critical requests.
+// Retries are limited to a fraction of first attempts plus a few; beyond that a request is rejected at once with a
+// Retry-After. A part of the burst is reserved for critical requests.
 func TestRetriesStayWithinBudgetAndReserveSomeForCritical(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
-		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4 a second, 3 at once
+		c.Budgets, c.MaxRetryAfter = Budgets{Fraction: 0.5, RetriesPerRequest: 0.1, RetriesPerSecond: 0.8}, 400*ms // 0.4/s, 3 at once
 	})
 	retried := map[bool]int{}
 	for id := RequestID(1); id <= 20; id++ {
@@ -96,14 +98,14 @@
 		t.Error("a critical request is not retried although a part is reserved for it")
 	}
 	h.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: h.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
-	h.handle(time.Minute, TimerFired{}) // the prefill replicas' failure levels have decayed too
+	h.handle(time.Minute, TimerFired{}) // meanwhile the prefill replicas' failure levels decay too
 	if acts := h.failPrefill(200, 0); !containsAction[Send](acts) {
 		t.Errorf("%+v: not retried although the budget has filled", acts)
 	}
 	unlimited := newHarness(t, nil)
 	for id := RequestID(1); id <= 20; id++ {
 		if !containsAction[Send](unlimited.failPrefill(id, 0)) {
-			t.Fatal("limited without a budget")
+			t.Fatal("a retry was refused although there is no budget")
 		}
 	}
 }
@@ -120,7 +122,7 @@
 	}
 }
 
-// Reconfigure keeps the budgets: they are those of all routers, not of one configuration.
+// Reconfigure keeps the budgets, because they apply to all routers and not to one configuration.
 func TestReconfigureKeepsBudgets(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
 	if err := h.r.Reconfigure(h.now, testConfig()); err != nil || h.r.cfg.Budgets.Fraction != 0.1 {
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// minCapacity keeps divisors away from 0.
+// minCapacity prevents divisions by 0.
 const minCapacity = 1e-9
 
-// cellCapacity sums up a cell's active replicas for one decision, in effective weights.
+// cellCapacity holds the capacity of a cell's active replicas for one decision, in effective weights.
 type cellCapacity struct {
-	prefillCapacity      float64 // of healthy prefill replicas
-	decodeCapacity       float64 // of healthy replicas that decode
-	readyPrefillCapacity float64 // of ready prefill replicas in any health: the cell's part of all prefills
+	prefillCapacity      float64 // capacity of healthy prefill replicas
+	decodeCapacity       float64 // capacity of healthy replicas that decode
+	readyPrefillCapacity float64 // capacity of ready prefill replicas, healthy or not
 	minDecodeWaitMS      float64 // least wait among healthy replicas that decode
 }
 
-// sumCapacity sums up the cells and the total for a decision about a class. It brings the latency models up to date
-// and switches between the subset and all replicas, in which case it sums up again.
+// sumCapacity computes the capacity of each cell and of all cells for a decision about a class. It brings the latency
+// models up to date. If it switches between the subset and all replicas, it computes the capacity again.
 func (r *Router) sumCapacity(class int) {
 	empty := cellCapacity{minDecodeWaitMS: math.Inf(1)}
 	for _, replica := range r.active {
@@ -48,11 +48,12 @@
 	}
 }
 
-// cellPreference returns the weight of a cell's prefill replicas by what its decode replicas can bear, and the part of
-// the requests prefilled there that its decode replicas can then take if all replicas are used evenly. One router among
-// many sees few of a cell's replicas busy, so the endpoint list must tell that a cell has too few decode replicas. It
-// could do harm where the weights of the endpoint list mean nothing.
-func (r *Router) cellPreference(c *cellCapacity) (preference, bearable float64) {
+// cellPreference returns two figures for a cell, under the assumption that all replicas are used evenly. preference is
+// the factor for the weight of the cell's prefill replicas; it is below 1 if the cell has too few decode replicas.
+// decodeCapacityRatio is the fraction of the requests prefilled in the cell that its decode replicas can then take; it
+// is above 1 if the cell has spare decode capacity. Both figures come from the endpoint list, because one router among
+// many sees few of a cell's replicas busy. They do harm if the weights on the endpoint list are meaningless.
+func (r *Router) cellPreference(c *cellCapacity) (preference, decodeCapacityRatio float64) {
 	ratio := math.Inf(1)
 	if c.prefillCapacity > 0 && r.totalCapacity.decodeCapacity > 0 {
 		ratio = c.decodeCapacity / r.totalCapacity.decodeCapacity * r.totalCapacity.prefillCapacity / c.prefillCapacity
--- a/routing/config.go
+++ b/routing/config.go
@@ -8,21 +8,21 @@
 // Config is the configuration of a Router. Reconfigure changes it while requests are open.
 type Config struct {
 	Classes           []Class
-	TenantQuotas      []float64 // by tenant: requests per second over all routers; 0 or less is no limit
+	TenantQuotas      []float64 // requests per second over all routers, by tenant; 0 or less means no limit
 	Kinds             []Kind
 	Zone              int           // zone of this router
 	Routers           int           // number of routers that share the replicas, at least 1
 	MaxAttempts       int           // attempts that one request may make, prefills and decodes together, at least 1
-	MaxRetryAfter     time.Duration // longest Retry-After of a Reject; 0: clients ignore Retry-After
-	ReservationTTL    time.Duration // a reserved prefill result or slot is used or released within this time
-	SlowStartInitial  float64       // fraction of its capacity that a replica starts with
-	SlowStartDuration time.Duration // a replica has its full capacity no later than this after its start
-	OverloadMultiple  float64       // a replica in slow start fails past this multiple of its capacity; 0: it never does
+	MaxRetryAfter     time.Duration // longest Retry-After of a Reject; 0 if clients ignore Retry-After
+	ReservationTTL    time.Duration // time within which a reserved prefill result or slot must be used or released
+	SlowStartInitial  float64       // fraction of its full capacity that a replica starts with
+	SlowStartDuration time.Duration // time after its start by which a replica has its full capacity
+	OverloadMultiple  float64       // multiple of its capacity past which a starting replica fails; 0 if it never fails
 	CanPollLoad       bool          // replicas answer PollLoad
-	CanCancel         bool          // Cancel is allowed
+	CanCancel         bool          // the router may emit Cancel
 	DecodeCanPrefill  bool          // decode replicas can prefill as well
 	Budgets           Budgets
-	ObservePrefills   bool // PrefillObserved is emitted for each prefill attempt
+	ObservePrefills   bool // the router emits PrefillObserved for each prefill attempt
 }
 
 // Class is the configuration of one class of requests.
@@ -31,11 +31,11 @@
 	TTFTObjectivePer1K time.Duration // added to TTFTObjective for each 1,000 prompt tokens
 	Weight             float64       // priority weight; the classes of the highest weight are critical
 	Idempotency        Idempotency
-	DedupScope         DedupScope    // IdempotentByKey: the replicas that deduplicate together
-	DedupWindow        time.Duration // IdempotentByKey: a duplicate is discarded for this long after the original
+	DedupScope         DedupScope    // IdempotentByKey only: replicas that discard duplicates together
+	DedupWindow        time.Duration // IdempotentByKey only: time for which duplicates of a request are discarded
 }
 
-// Idempotency says whether a request of a class may run more than once.
+// Idempotency states whether a request of a class may run more than once.
 type Idempotency uint8
 
 // The values of Idempotency.
@@ -73,16 +73,16 @@
 	Role Role
 }
 
-// Budgets limit what all routers do together. Each router gets a fraction of each limit (QuotaShare). A limit of 0
-// is no limit.
+// Budgets are limits on what all routers do together. Each router gets a fraction of each limit (QuotaShare). A limit
+// of 0 means no limit; retries are unlimited only if both limits on retries are 0.
 type Budgets struct {
-	Fraction          float64 // this router's fraction when no QuotaShare is valid; 0: an equal one, 1/Routers
-	PollsPerReplica   float64 // load polls that one replica gets per second, from all routers
-	RetriesPerRequest float64 // retries after a failure per request that was sent,
-	RetriesPerSecond  float64 // and retries per second in addition
+	Fraction          float64 // this router's fraction while no QuotaShare is valid; 0 means an equal one, 1/Routers
+	PollsPerReplica   float64 // load polls per second that one replica gets from all routers
+	RetriesPerRequest float64 // retries after a failure that each first attempt allows
+	RetriesPerSecond  float64 // retries per second that are allowed in addition
 }
 
-// Validate returns an error for the first setting that no Router can work with.
+// Validate returns an error for the first invalid setting.
 func (cfg Config) Validate() error {
 	if len(cfg.Classes) == 0 || cfg.Routers < 1 || cfg.MaxAttempts < 1 {
 		return errors.New("config: needs a class, a router and an attempt")
--- a/routing/config_test.go
+++ b/routing/config_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Unusual endpoint lists and configurations cause no panic, and a request gets its answer.
+// Unusual endpoint lists and configurations cause no panic, and a request is sent or rejected.
 func TestUnusualEndpointLists(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"empty":           nil,
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// decodeSelection is what a selection of a decode replica goes by.
+// decodeSelection holds the parameters of the selection of a decode replica for one request.
 type decodeSelection struct {
-	origin *replica // the prefill replica; nil: the request has not been prefilled, or the replica is unknown
+	origin *replica // the prefill replica; nil if the request has not been prefilled or the replica is unknown
 	zone   int      // the preferred zone
-	spill  bool     // the request leaves origin's cell for one with decode capacity to spare
+	spill  bool     // the request leaves origin's cell for a cell with spare decode capacity
 }
 
-// Parts of the first element of a decodeCost. A replica whose cost is higher by one of them is chosen only if there is
+// Terms of the first element of a decodeCost. A replica whose cost is higher by one of them is chosen only if there is
 // no other.
 const (
 	otherCellCost    = 1
@@ -24,20 +24,20 @@
 	unhealthyCost    = 8
 )
 
-// decodeCost orders decode replicas, lexicographically: the sum of the costs above, the wait in ms, the random order
+// decodeCost orders decode replicas lexicographically by the sum of the terms above, the wait in ms, the random order
 // in which spilled requests spread over cells, and the fill level.
 type decodeCost [4]float64
 
-// decodeChoice is the best replica so far. Each of several with the same cost is chosen with the same probability
-// (reservoir sampling).
+// decodeChoice holds the best replica so far. Among several replicas with the same cost, each is chosen with the same
+// probability (reservoir sampling).
 type decodeChoice struct {
 	replica *replica
 	cost    decodeCost
 	ties    int
 }
 
-// offer takes a replica into the choice.
-func (c *decodeChoice) offer(replica *replica, cost decodeCost, rng *rand.Rand) {
+// consider makes a replica the choice if its cost is lower, or at random if its cost is equal.
+func (c *decodeChoice) consider(replica *replica, cost decodeCost, rng *rand.Rand) {
 	order := slices.Compare(cost[:], c.cost[:])
 	switch {
 	case c.replica == nil || order < 0:
@@ -49,9 +49,10 @@
 	}
 }
 
-// bestDecodeReplica returns a decode replica for a request, or nil. It prefers one with capacity in the prefill
-// replica's cell, then one elsewhere, then any. The part of the requests that the cell's decode replicas cannot bear
-// goes to cells that have decode capacity to spare. A replica in slow start whose turn it is comes first.
+// bestDecodeReplica returns a decode replica for a request, or nil. It prefers a replica with capacity in the prefill
+// replica's cell, then one with capacity elsewhere, then any. The requests that exceed the capacity of the cell's
+// decode replicas spill to cells with spare decode capacity. A replica in slow start comes first if its credit allows
+// the request.
 func (r *Router) bestDecodeReplica(req *request) *replica {
 	r.sumCapacity(req.Class)
 	selection := r.newDecodeSelection(req)
@@ -61,7 +62,7 @@
 			continue
 		}
 		if r.inSlowStart(replica) {
-			if !r.takeDecodeSlowStartTurn(replica, req, selection) {
+			if !r.accrueDecodeSlowStartCredit(replica, req, selection) {
 				continue
 			}
 			replica.slowStartCredit--
@@ -69,19 +70,19 @@
 				return replica
 			}
 		}
-		best.offer(replica, r.decodeCostOf(replica, req, selection), r.rng)
+		best.consider(replica, r.decodeCostOf(replica, req, selection), r.rng)
 	}
 	return best.replica
 }
 
-// newDecodeSelection draws whether a request leaves the cell of its prefill replica.
+// newDecodeSelection decides at random whether a request leaves the cell of its prefill replica.
 func (r *Router) newDecodeSelection(req *request) decodeSelection {
 	origin := r.byID[req.prefillEndpoint]
 	if req.state != awaitingDecode || origin == nil {
 		return decodeSelection{zone: r.cfg.Zone}
 	}
-	_, bearable := r.cellPreference(origin.cell)
-	return decodeSelection{origin: origin, zone: origin.Zone, spill: r.rng.Float64() > bearable}
+	_, decodeCapacityRatio := r.cellPreference(origin.cell)
+	return decodeSelection{origin: origin, zone: origin.Zone, spill: r.rng.Float64() > decodeCapacityRatio}
 }
 
 // inOriginCell reports whether a replica is in the cell of the prefill replica.
@@ -101,23 +102,24 @@
 	return !fullForRequest
 }
 
-// takeDecodeSlowStartTurn is takeSlowStartTurn for a decode replica. Only requests that stay in its cell are offered
-// to it, unless no prefill replica of the cell is ready.
-func (r *Router) takeDecodeSlowStartTurn(replica *replica, req *request, selection decodeSelection) bool {
+// accrueDecodeSlowStartCredit calls accrueSlowStartCredit for a decode replica. Only requests that stay in the
+// replica's cell may use it, unless no prefill replica of the cell is ready.
+func (r *Router) accrueDecodeSlowStartCredit(replica *replica, req *request, selection decodeSelection) bool {
 	if replica.cell.readyPrefillCapacity <= 0 {
-		return r.takeSlowStartTurn(replica, req, 1, 0)
+		return r.accrueSlowStartCredit(replica, req, 1, 0)
 	}
 	if !selection.inOriginCell(replica) || selection.spill {
 		return false
 	}
-	// The fraction of all requests that the cell's prefill replicas send, also if those of other cells do not respond.
+	// The fraction of all requests that the cell's prefill replicas send. It is higher by healthy capacity than by
+	// ready capacity if the prefill replicas of other cells do not respond.
 	ready := replica.cell.readyPrefillCapacity / r.totalCapacity.readyPrefillCapacity
 	healthy := replica.cell.prefillCapacity / max(r.totalCapacity.prefillCapacity, minCapacity)
-	return r.takeSlowStartTurn(replica, req, max(ready, healthy), 0)
+	return r.accrueSlowStartCredit(replica, req, max(ready, healthy), 0)
 }
 
-// decodeCostOf returns the cost of a replica for the request. For a spilled request it draws the replica's place in
-// the order in which such requests spread: weighted by what the replica's cell has to spare.
+// decodeCostOf returns the cost of a replica for the request. For a spilled request it draws the replica's random
+// position in the spread, weighted by the spare decode capacity of the replica's cell.
 func (r *Router) decodeCostOf(replica *replica, req *request, selection decodeSelection) decodeCost {
 	cost, waitMS, spread := 0.0, r.decodeWaitMS(replica), 0.0
 	switch {
@@ -131,8 +133,8 @@
 	}
 	switch {
 	case selection.spill:
-		_, bearable := r.cellPreference(replica.cell)
-		spread = r.rng.ExpFloat64() / (replica.Weight * max(1-1/bearable, minCapacity))
+		_, decodeCapacityRatio := r.cellPreference(replica.cell)
+		spread = r.rng.ExpFloat64() / (replica.Weight * max(1-1/decodeCapacityRatio, minCapacity))
 		if replica.Zone != selection.zone {
 			spread *= otherZoneSpread
 		}
@@ -144,8 +146,8 @@
 	return decodeCost{cost, waitMS, spread, r.fillLevel(replica)}
 }
 
-// fillLevel returns how full a decode replica is: its reported memory where there is a report, plus own streams
-// relative to its capacity.
+// fillLevel returns how full a decode replica is. If the replica has reported its memory, that is the reported memory
+// plus a small term for this router's own load; otherwise it is the own load relative to the replica's capacity.
 func (r *Router) fillLevel(replica *replica) float64 {
 	ownLoad := float64(replica.streams+len(replica.pending)+1) / (replica.Weight * r.rampFraction(replica))
 	if replica.reportedMemory >= 0 && r.loadKnown(replica) {
@@ -154,8 +156,8 @@
 	return ownLoad
 }
 
-// decodeTimeout returns the timeout of a decode attempt. A silent replica is given up while there is time for another
-// one, where a retry is allowed; otherwise it has all the time until the deadline.
+// decodeTimeout returns the timeout of a decode attempt. Where a retry is allowed, the timeout leaves time to try
+// another replica if this one is silent; otherwise it is the time until the deadline.
 func (r *Router) decodeTimeout(req *request) time.Duration {
 	remaining := req.deadline - r.now
 	retryable := r.cfg.Classes[req.Class].Idempotency == Idempotent && req.attempts+1 < r.maxAttempts(req)
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -9,20 +9,22 @@
 	"time"
 )
 
-// The driver feeds a Router legal events drawn from a seed and checks five rules on its actions: (1) each request gets
-// exactly one answer, in time; (2) nothing runs twice that must not; (3) sends go to ready replicas only; (4) replicas
-// in slow start are not overloaded; (5) reservations do not outlast their time.
-// It is no model of replicas: outcomes and delays are drawn, whatever was sent.
+// The driver feeds a Router valid events drawn from a seed and checks five rules on its actions: (1) each request gets
+// exactly one answer, in time; (2) a request that must not run twice does not; (3) requests are sent to ready replicas
+// only; (4) replicas in slow start are not overloaded; (5) reservations do not outlast their TTL. The driver does not
+// model replicas: it draws outcomes and delays independently of what was sent.
 
 // slowStartWindow is the window in which sends to a replica in slow start are counted.
 const slowStartWindow = 3 * time.Second
 
+// scheduledEvent is a function to call at a time; seq orders events of the same time.
 type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// eventQueue is a heap of scheduled events, earliest first.
 type eventQueue []scheduledEvent
 
 func (a eventQueue) Len() int { return len(a) }
@@ -45,9 +47,9 @@
 type trackedRequest struct {
 	RequestArrived
 	deadline          time.Duration
-	attemptsOut       int // attempts without an outcome,
-	attemptsAtReplica int // those of them that have reached a running replica,
-	decodesAtReplica  int // and those among them at a decode replica, which use the prefill result
+	attemptsOut       int // attempts without an outcome
+	attemptsAtReplica int // attempts without an outcome that have reached a running replica
+	decodesAtReplica  int // of attemptsAtReplica, those at a decode replica, which use the prefill result
 	attempts          int
 	answered          bool
 	finished          bool
@@ -55,28 +57,29 @@
 	mayHaveRunAt      time.Duration
 	mayHaveRunOn      EndpointID
 	reserved          bool
-	lastArrivedEnd    time.Duration // end of the last attempt that arrived
+	lastReachedEnd    time.Duration // end of the last attempt that had reached a replica
 	streaming         bool
 }
 
+// driver is a random test run of one Router, which checks each action.
 type driver struct {
-	t          testing.TB
-	rng        *rand.Rand
-	cfg        Config
-	r          *Router
-	now        time.Duration
-	agenda     eventQueue
-	seq        int
-	requests   map[RequestID]*trackedRequest
-	replicas   map[EndpointID]*Endpoint
-	unhealthy  map[EndpointID]bool
-	coldSends  map[EndpointID][]time.Duration // sends in slow start
-	sends      int
-	intercept  func(Action) []Action // sees, and may replace, each action
-	violations []string
-	nextID     RequestID
-	counts     map[Outcome]int
-	maxReady   [2]int // most replicas ready at once since the router's start, by kind
+	t              testing.TB
+	rng            *rand.Rand
+	cfg            Config
+	r              *Router
+	now            time.Duration
+	queue          eventQueue
+	seq            int
+	requests       map[RequestID]*trackedRequest
+	replicas       map[EndpointID]*Endpoint
+	unhealthy      map[EndpointID]bool
+	slowStartSends map[EndpointID][]time.Duration // times of sends to a replica in slow start
+	sends          int
+	intercept      func(Action) []Action // receives each action and returns the actions to check in its place
+	violations     []string
+	nextID         RequestID
+	counts         map[Outcome]int
+	maxReady       [2]int // largest number of replicas ready at once since the router's start, by kind
 }
 
 func testConfig() Config {
@@ -104,19 +107,19 @@
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
 		requests: map[RequestID]*trackedRequest{}, replicas: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
-		coldSends: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
+		slowStartSends: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
 	}
 	d.restart()
 	return d
 }
 
-// restart replaces the router by a new one with the last endpoint list; open requests are dropped.
+// restart replaces the router by a new one with the last endpoint list. It drops the open requests.
 func (d *driver) restart() {
 	r, err := New(d.cfg, d.rng.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.r, d.agenda, d.requests = r, nil, map[RequestID]*trackedRequest{}
+	d.r, d.queue, d.requests = r, nil, map[RequestID]*trackedRequest{}
 	if len(d.replicas) == 0 {
 		for i := range 12 {
 			id := EndpointID(100 + 7*i)
@@ -132,9 +135,9 @@
 
 func (d *driver) countReady() {
 	n := [2]int{}
-	for _, s := range d.replicas {
-		if s.State == Ready {
-			n[s.Kind]++
+	for _, endpoint := range d.replicas {
+		if endpoint.State == Ready {
+			n[endpoint.Kind]++
 		}
 	}
 	for i := range n {
@@ -144,8 +147,8 @@
 
 func (d *driver) endpointList() []Endpoint {
 	var out []Endpoint
-	for _, s := range d.replicas {
-		out = append(out, *s)
+	for _, endpoint := range d.replicas {
+		out = append(out, *endpoint)
 	}
 	slices.SortFunc(out, func(a, b Endpoint) int { return int(a.ID) - int(b.ID) })
 	return out
@@ -153,14 +156,14 @@
 
 func (d *driver) after(dt time.Duration, do func()) {
 	d.seq++
-	heap.Push(&d.agenda, scheduledEvent{d.now + dt, d.seq, do})
+	heap.Push(&d.queue, scheduledEvent{d.now + dt, d.seq, do})
 }
 
 func (d *driver) run(until time.Duration) {
-	for len(d.agenda) > 0 && d.agenda[0].at < until {
-		x := heap.Pop(&d.agenda).(scheduledEvent)
-		d.now = x.at
-		x.do()
+	for len(d.queue) > 0 && d.queue[0].at < until {
+		next := heap.Pop(&d.queue).(scheduledEvent)
+		d.now = next.at
+		next.do()
 		d.checkReservations()
 	}
 }
@@ -173,56 +176,56 @@
 	d.after(time.Duration(d.rng.ExpFloat64()*40)*ms, d.arrive)
 	d.nextID++
 	remaining := time.Duration(500+d.rng.IntN(6000)) * ms
-	a := RequestArrived{
+	arrival := RequestArrived{
 		Request: d.nextID, Class: d.rng.IntN(len(d.cfg.Classes)), Tenant: d.rng.IntN(2),
 		Session: Key(d.rng.IntN(50)), SharedPrefix: Key(1000 + d.rng.IntN(5)), PromptTokens: 100 + d.rng.IntN(4000),
 		MaxOutputTokens: 200, RemainingTime: remaining,
 	}
-	a.SharedPrefixTokens = a.PromptTokens / 2
-	q := &trackedRequest{RequestArrived: a, deadline: d.now + remaining}
-	d.requests[a.Request] = q
-	d.handle(a)
-	id := a.Request
+	arrival.SharedPrefixTokens = arrival.PromptTokens / 2
+	req := &trackedRequest{RequestArrived: arrival, deadline: d.now + remaining}
+	d.requests[arrival.Request] = req
+	d.handle(arrival)
+	id := arrival.Request
 	if d.rng.IntN(10) == 0 {
 		d.after(time.Duration(d.rng.IntN(1500))*ms, func() {
-			if q := d.requests[id]; q != nil && !q.answered && !q.finished {
-				q.finished = true
+			if req := d.requests[id]; req != nil && !req.answered && !req.finished {
+				req.finished = true
 				d.handle(ClientGone{id})
 			}
 		})
 	}
 	d.after(remaining+8*ms, func() {
-		if q := d.requests[id]; q != nil && !q.answered && !q.finished && !q.streaming {
+		if req := d.requests[id]; req != nil && !req.answered && !req.finished && !req.streaming {
 			d.violation("rule 1: request %d has no answer in time", id)
-			q.finished = true
+			req.finished = true
 		}
 	})
 }
 
-// injectFault draws a change of a replica and of the endpoint list.
+// injectFault draws a change of a replica and reports it in the endpoint list.
 func (d *driver) injectFault() {
 	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.injectFault)
 	endpoints := d.endpointList()
-	s := d.replicas[endpoints[d.rng.IntN(len(endpoints))].ID]
+	endpoint := d.replicas[endpoints[d.rng.IntN(len(endpoints))].ID]
 	switch d.rng.IntN(6) {
 	case 0:
-		s.State = Draining
+		endpoint.State = Draining
 	case 1:
-		s.State = Gone
+		endpoint.State = Gone
 	case 2:
-		s.State, s.Started = Ready, d.now
-		d.coldSends[s.ID] = nil
+		endpoint.State, endpoint.Started = Ready, d.now
+		d.slowStartSends[endpoint.ID] = nil
 	case 3, 4:
-		s.State = Ready
+		endpoint.State = Ready
 	case 5:
-		d.unhealthy[s.ID] = !d.unhealthy[s.ID]
+		d.unhealthy[endpoint.ID] = !d.unhealthy[endpoint.ID]
 	}
 	d.countReady()
 	if d.rng.IntN(3) == 0 {
-		present := slices.DeleteFunc(d.endpointList(), func(s Endpoint) bool { return s.State == Gone })
+		present := slices.DeleteFunc(d.endpointList(), func(endpoint Endpoint) bool { return endpoint.State == Gone })
 		d.handle(EndpointUpdate{Full: true, Endpoints: present})
 	} else {
-		d.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
+		d.handle(EndpointUpdate{Endpoints: []Endpoint{*endpoint}})
 	}
 }
 
@@ -233,22 +236,22 @@
 			acts = d.intercept(a)
 		}
 		for _, a := range acts {
-			d.check(a)
+			d.checkAction(a)
 		}
 	}
 }
 
-func (d *driver) check(a Action) {
+func (d *driver) checkAction(a Action) {
 	switch a := a.(type) {
 	case Send:
 		d.checkSend(a)
 	case Release:
-		if q := d.requests[a.Request]; q != nil && q.decodesAtReplica == 0 {
-			q.reserved = false // a release does not take what an attempt waits for
+		if req := d.requests[a.Request]; req != nil && req.decodesAtReplica == 0 {
+			req.reserved = false // a release does not affect what an attempt is waiting for
 		}
 	case Reject:
-		if q := d.requests[a.Request]; q != nil && q.mayHaveRun &&
-			(d.cfg.Classes[q.Class].Idempotency == NonIdempotent || d.cfg.Classes[q.Class].DedupScope != DedupScopeAll) {
+		if req := d.requests[a.Request]; req != nil && req.mayHaveRun &&
+			(d.cfg.Classes[req.Class].Idempotency == NonIdempotent || d.cfg.Classes[req.Class].DedupScope != DedupScopeAll) {
 			d.violation("rule 2: request %d was rejected after it may have run", a.Request)
 		}
 		d.answer(a.Request)
@@ -260,119 +263,119 @@
 }
 
 func (d *driver) answer(id RequestID) {
-	q := d.requests[id]
-	if q == nil || q.answered || q.finished || q.attemptsOut > 0 {
+	req := d.requests[id]
+	if req == nil || req.answered || req.finished || req.attemptsOut > 0 {
 		d.violation("rule 1: request %d was answered twice, after its end or with an attempt out", id)
 		return
 	}
-	q.answered = true
+	req.answered = true
 }
 
 func (d *driver) checkSend(a Send) {
 	d.sends++
-	q, s := d.requests[a.Request], d.replicas[a.Endpoint]
-	if q == nil || q.answered || q.finished {
+	req, endpoint := d.requests[a.Request], d.replicas[a.Endpoint]
+	if req == nil || req.answered || req.finished {
 		d.violation("rule 1: request %d was sent after its end", a.Request)
 		return
 	}
-	if s == nil || s.State != Ready {
+	if endpoint == nil || endpoint.State != Ready {
 		d.violation("rule 3: request %d went to a replica that is not ready", a.Request)
 	}
-	if q.attemptsOut > 0 {
+	if req.attemptsOut > 0 {
 		d.violation("rule 2: request %d has two attempts out", a.Request)
 	}
-	if q.mayHaveRun && d.cfg.Kinds[s.Kind].Role != Prefill {
-		d.checkRetry(q, s)
+	if req.mayHaveRun && d.cfg.Kinds[endpoint.Kind].Role != Prefill {
+		d.checkRetry(req, endpoint)
 	}
-	if s.Started > 0 && d.now-s.Started < d.cfg.SlowStartDuration {
-		d.checkSlowStart(s)
+	if endpoint.Started > 0 && d.now-endpoint.Started < d.cfg.SlowStartDuration {
+		d.checkSlowStart(endpoint)
 	}
-	q.attemptsOut++
-	attempt := q.attempts
-	q.attempts++
-	if q.attempts > d.cfg.MaxAttempts {
+	req.attemptsOut++
+	attempt := req.attempts
+	req.attempts++
+	if req.attempts > d.cfg.MaxAttempts {
 		d.violation("request %d has more attempts than allowed", a.Request)
 	}
-	d.schedule(q, s, attempt, a.Timeout)
+	d.scheduleOutcome(req, endpoint, attempt, a.Timeout)
 }
 
-func (d *driver) checkRetry(q *trackedRequest, s *Endpoint) {
-	c, ranOn := d.cfg.Classes[q.Class], d.replicas[q.mayHaveRunOn]
+func (d *driver) checkRetry(req *trackedRequest, endpoint *Endpoint) {
+	class, ranOn := d.cfg.Classes[req.Class], d.replicas[req.mayHaveRunOn]
 	switch {
-	case c.Idempotency == Idempotent:
-	case c.Idempotency == NonIdempotent:
-		d.violation("rule 2: non-idempotent request %d was sent again after it may have run", q.Request)
-	case d.now > q.mayHaveRunAt+c.DedupWindow:
-		d.violation("rule 2: request %d was sent again after its deduplication window", q.Request)
-	case c.DedupScope == DedupScopeCell && s.Cell != ranOn.Cell, c.DedupScope == DedupScopeZone && s.Zone != ranOn.Zone:
-		d.violation("rule 2: request %d was sent again outside its deduplication scope", q.Request)
+	case class.Idempotency == Idempotent:
+	case class.Idempotency == NonIdempotent:
+		d.violation("rule 2: non-idempotent request %d was sent again after it may have run", req.Request)
+	case d.now > req.mayHaveRunAt+class.DedupWindow:
+		d.violation("rule 2: request %d was sent again after its deduplication window", req.Request)
+	case class.DedupScope == DedupScopeCell && endpoint.Cell != ranOn.Cell, class.DedupScope == DedupScopeZone && endpoint.Zone != ranOn.Zone:
+		d.violation("rule 2: request %d was sent again outside its deduplication scope", req.Request)
 	}
 }
 
-// checkSlowStart holds the sends to a replica in slow start to this router's even share of what the overload rule
-// allows, by the rate of arrivals.
-func (d *driver) checkSlowStart(s *Endpoint) {
-	sends := append(d.coldSends[s.ID], d.now)
+// checkSlowStart checks that the sends to a replica in slow start stay within this router's even share of what
+// OverloadMultiple allows, based on the rate of arrivals.
+func (d *driver) checkSlowStart(endpoint *Endpoint) {
+	sends := append(d.slowStartSends[endpoint.ID], d.now)
 	sends = slices.DeleteFunc(sends, func(at time.Duration) bool { return at < d.now-slowStartWindow })
-	d.coldSends[s.ID] = sends
-	age := float64(d.now-s.Started) / float64(d.cfg.SlowStartDuration)
+	d.slowStartSends[endpoint.ID] = sends
+	age := float64(d.now-endpoint.Started) / float64(d.cfg.SlowStartDuration)
 	ramp := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
-	// Arrivals per second for each replica of the role, by the most that were ever on this router's endpoint list: it
-	// cannot know of others.
-	evenRate := 25.0 / float64(d.maxReady[s.Kind])
+	// Arrivals per second for each replica of the role. It uses the largest number of replicas that were ever on this
+	// router's endpoint list, since the router has no information on others.
+	evenRate := 25.0 / float64(d.maxReady[endpoint.Kind])
 	allowed := d.cfg.OverloadMultiple*ramp*evenRate*slowStartWindow.Seconds() + 2
 	if float64(len(sends)) > allowed {
-		d.violation("rule 4: replica %d of kind %d in slow start got %d sends, allowed %.1f", s.ID, s.Kind, len(sends), allowed)
+		d.violation("rule 4: replica %d of kind %d in slow start got %d sends, allowed %.1f", endpoint.ID, endpoint.Kind, len(sends), allowed)
 	}
 }
 
-// schedule draws how an attempt ends.
-func (d *driver) schedule(q *trackedRequest, s *Endpoint, attempt int, timeout time.Duration) {
-	remaining := q.deadline - d.now
+// scheduleOutcome draws how an attempt ends.
+func (d *driver) scheduleOutcome(req *trackedRequest, endpoint *Endpoint, attempt int, timeout time.Duration) {
+	remaining := req.deadline - d.now
 	if timeout <= 0 || timeout > remaining {
 		timeout = remaining
 	}
 	elapsed := time.Duration(5+d.rng.IntN(300)) * ms
-	role := d.cfg.Kinds[s.Kind].Role
+	role := d.cfg.Kinds[endpoint.Kind].Role
 	outcomes := []Outcome{Errored, QueueFull, StateMissing, TimedOut, ConnectFailed, ConnectionReset, NotSent}
 	drawn := PrefillDone
 	if role != Prefill {
 		drawn = Served
 	}
-	if d.rng.IntN(5) == 0 || d.unhealthy[s.ID] {
+	if d.rng.IntN(5) == 0 || d.unhealthy[endpoint.ID] {
 		drawn = outcomes[d.rng.IntN(len(outcomes))]
 	}
 	if drawn == TimedOut || elapsed > timeout {
 		drawn, elapsed = TimedOut, timeout
 	}
-	arrives := drawn.reachedReplica() || drawn == ConnectionReset || drawn == TimedOut && d.rng.IntN(2) == 0
-	arrivesAtDecode := arrives && role != Prefill
-	if arrives {
-		q.attemptsAtReplica++
+	reachesReplica := drawn.reachedReplica() || drawn == ConnectionReset || drawn == TimedOut && d.rng.IntN(2) == 0
+	reachesDecode := reachesReplica && role != Prefill
+	if reachesReplica {
+		req.attemptsAtReplica++
 	}
-	if arrivesAtDecode {
-		q.decodesAtReplica++
+	if reachesDecode {
+		req.decodesAtReplica++
 	}
 	end := func(o Outcome, final bool) {
-		e := AttemptEnded{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Outcome: o, Elapsed: elapsed, CachedTokens: q.PromptTokens / 3}
+		e := AttemptEnded{Request: req.Request, Attempt: attempt, Endpoint: endpoint.ID, Outcome: o, Elapsed: elapsed, CachedTokens: req.PromptTokens / 3}
 		if d.rng.IntN(3) == 0 {
 			e.Load = &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1}
 		}
-		q.attemptsOut--
+		req.attemptsOut--
 		d.counts[o]++
-		q.finished = q.finished || final
-		e.Final = q.finished || q.answered
-		mayHaveCompleted := role == Prefill && arrives && (o == TimedOut || o == ConnectionReset) // it may have completed all the same
-		q.reserved = q.reserved && o != Served || o == PrefillDone || mayHaveCompleted
-		if arrivesAtDecode {
-			q.decodesAtReplica--
+		req.finished = req.finished || final
+		e.Final = req.finished || req.answered
+		mayHaveCompleted := role == Prefill && reachesReplica && (o == TimedOut || o == ConnectionReset) // it may have completed nevertheless
+		req.reserved = req.reserved && o != Served || o == PrefillDone || mayHaveCompleted
+		if reachesDecode {
+			req.decodesAtReplica--
 		}
-		if arrives {
-			q.attemptsAtReplica--
-			q.lastArrivedEnd = d.now
+		if reachesReplica {
+			req.attemptsAtReplica--
+			req.lastReachedEnd = d.now
 		}
-		if role != Prefill && !o.NeverRan() && !q.mayHaveRun {
-			q.mayHaveRun, q.mayHaveRunAt, q.mayHaveRunOn = true, d.now-elapsed, s.ID
+		if role != Prefill && !o.NeverRan() && !req.mayHaveRun {
+			req.mayHaveRun, req.mayHaveRunAt, req.mayHaveRunOn = true, d.now-elapsed, endpoint.ID
 		}
 		d.handle(e)
 	}
@@ -381,16 +384,16 @@
 		return
 	}
 	d.after(elapsed, func() {
-		if q.finished {
+		if req.finished {
 			end(Cancelled, false)
 			return
 		}
-		q.streaming = true
-		d.handle(FirstToken{Request: q.Request, Attempt: attempt, Endpoint: s.ID, Elapsed: elapsed})
+		req.streaming = true
+		d.handle(FirstToken{Request: req.Request, Attempt: attempt, Endpoint: endpoint.ID, Elapsed: elapsed})
 		d.after(time.Second, func() {
 			o := Served
 			if d.rng.IntN(10) == 0 {
-				o = ConnectionReset // a stream that breaks is final too
+				o = ConnectionReset // a broken stream is final too
 			}
 			end(o, true)
 		})
@@ -398,12 +401,12 @@
 }
 
 func (d *driver) checkReservations() {
-	for id, q := range d.requests {
-		if q.attemptsAtReplica == 0 && q.reserved && d.now > q.lastArrivedEnd+d.cfg.ReservationTTL+8*ms {
+	for id, req := range d.requests {
+		if req.attemptsAtReplica == 0 && req.reserved && d.now > req.lastReachedEnd+d.cfg.ReservationTTL+8*ms {
 			d.violation("rule 5: the reservation of request %d has outlasted its time", id)
-			q.reserved = false
+			req.reserved = false
 		}
-		if q.attemptsOut == 0 && !q.reserved && (q.answered || q.finished) && d.now > q.deadline+time.Second {
+		if req.attemptsOut == 0 && !req.reserved && (req.answered || req.finished) && d.now > req.deadline+time.Second {
 			delete(d.requests, id)
 		}
 	}
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// updateEndpoints takes a change of the endpoint list. A replica that has gone is forgotten once none of its attempts
-// is out.
+// updateEndpoints applies a change of the endpoint list. A replica that has gone is removed once none of its attempts
+// is in flight.
 func (r *Router) updateEndpoints(event EndpointUpdate) {
 	if event.Full {
 		for _, replica := range r.replicas {
@@ -26,7 +26,8 @@
 	r.updateActive()
 }
 
-// updateEndpoint takes one entry of the endpoint list. A new start of the replica's process resets what was learned.
+// updateEndpoint applies one entry of the endpoint list. If the replica's process was restarted, it resets the learned
+// state.
 func (r *Router) updateEndpoint(endpoint Endpoint) {
 	replica := r.byID[endpoint.ID]
 	if replica == nil {
@@ -43,12 +44,12 @@
 	if endpoint.Kind >= 0 && endpoint.Kind < len(r.cfg.Kinds) {
 		replica.role = r.cfg.Kinds[endpoint.Kind].Role
 	}
-	if !(replica.Weight > 0) { // NaN too
+	if !(replica.Weight > 0) { // also if Weight is NaN
 		replica.Weight = 1
 	}
 }
 
-// addReplica adds a replica of which nothing is known, in order of ID.
+// addReplica adds a replica without learned state, in order of ID.
 func (r *Router) addReplica(endpoint Endpoint) *replica {
 	added := &replica{Endpoint: endpoint}
 	added.resetStats(r)
--- a/routing/estimate_test.go
+++ b/routing/estimate_test.go
@@ -2,22 +2,22 @@
 
 import "testing"
 
-// TestSilentReplicaCountsAsBusy: a replica that does not answer a load poll in time is estimated to have requests
-// ahead, learns its wait from what it then takes, and an answer ends that.
+// TestSilentReplicaCountsAsBusy checks that a replica which does not answer a load poll in time is estimated to have
+// requests ahead, that its estimated wait follows the time which its prefill then takes, and that an answer ends this.
 func TestSilentReplicaCountsAsBusy(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.CanPollLoad = true })
 	h.arrive(1, 0)
 	silent := h.r.byID[1]
 	if h.r.pollUnanswered(silent) {
-		t.Error("silent before the poll is overdue")
+		t.Error("the poll counts as unanswered before its timeout")
 	}
 	acts := h.handle(pollTimeout, TimerFired{1})
 	if !h.r.pollUnanswered(silent) || !containsAction[Send](acts) {
-		t.Fatalf("after the time of the poll: %+v", acts)
+		t.Fatalf("after the timeout of the poll: %+v", acts)
 	}
 	req := h.r.requests[1]
 	queueDelayMS, _ := h.r.prefillEstimate(silent, 0, req)
-	if want := unansweredPollRequests * h.r.perQueuedRequestMS(); queueDelayMS < want {
+	if want := unansweredPollRequests * h.r.delayPerQueuedRequestMS(); queueDelayMS < want {
 		t.Errorf("queue delay %.0f ms, want at least %.0f", queueDelayMS, want)
 	}
 	h.handle(0, AttemptEnded{Request: 1, Endpoint: h.sentTo(acts), Outcome: PrefillDone, Elapsed: 3000 * ms})
@@ -30,23 +30,24 @@
 	}
 }
 
-// TestQueuedRequestsCostWhatPrefillsCost: a router that has seen no queue takes its own prefills' cost for that of a
-// request ahead.
+// TestQueuedRequestsCostWhatPrefillsCost checks that a router that has seen no queue takes the mean cost of its own
+// prefills as the queue delay per request ahead.
 func TestQueuedRequestsCostWhatPrefillsCost(t *testing.T) {
 	h := newHarness(t, nil)
-	if got := h.r.perQueuedRequestMS(); got != initialPerQueuedRequestMS {
+	if got := h.r.delayPerQueuedRequestMS(); got != initialDelayPerQueuedRequestMS {
 		t.Errorf("%.0f ms without a sample", got)
 	}
 	for id := range RequestID(20) {
 		h.completePrefill(id+1, 0)
 		h.r.prefillCost.add(h.now, 400)
 	}
-	if got := h.r.perQueuedRequestMS(); got < 150 || got > 400 {
+	if got := h.r.delayPerQueuedRequestMS(); got < 150 || got > 400 {
 		t.Errorf("%.0f ms, want between the prefills' costs and the added ones of 400 ms", got)
 	}
 }
 
-// TestCellWithoutDecodeReplicasAddsNoWait: its requests decode elsewhere, where nothing is full.
+// TestCellWithoutDecodeReplicasAddsNoWait checks that a cell without decode replicas adds no wait while decode replicas
+// elsewhere, where its requests decode, are not full.
 func TestCellWithoutDecodeReplicasAddsNoWait(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 3, Kind: 0, State: Ready, Cell: 7}}})
--- a/routing/event.go
+++ b/routing/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that happened and that a Router has to know of. Router.Handle takes it.
+// Event is an input of a Router, which Router.Handle processes.
 type Event interface{ event() }
 
 // Identifiers are opaque: they carry no meaning beyond equality and order.
@@ -21,68 +21,70 @@
 type (
 	// EndpointUpdate changes the endpoint list.
 	EndpointUpdate struct {
-		Full      bool // Endpoints replaces the list; otherwise it changes single entries
+		Full      bool // Endpoints replaces the whole list; otherwise it updates single entries
 		Endpoints []Endpoint
 	}
 	// RequestArrived is a client's request. The router gives it exactly one final answer.
 	RequestArrived struct {
 		Request            RequestID
 		Class              int // index into Config.Classes
-		Tenant             int // index into Config.TenantQuotas; any other value: no quota
+		Tenant             int // index into Config.TenantQuotas; out of range if no quota applies
 		Session            Key
-		SharedPrefix       Key // the prefix that the prompt shares with those of other requests
+		SharedPrefix       Key // prefix that the prompt shares with other requests' prompts
 		PromptTokens       int
 		SharedPrefixTokens int
 		MaxOutputTokens    int
-		RemainingTime      time.Duration // until the client's deadline
+		RemainingTime      time.Duration // time until the client's deadline
 	}
-	// FirstToken says that the response stream of a decode attempt has begun; the attempt goes on.
+	// FirstToken reports that the response stream of a decode attempt has begun. The attempt continues.
 	FirstToken struct {
 		Request  RequestID
-		Attempt  int // counts from 0
+		Attempt  int // number of the attempt, counted from 0
 		Endpoint EndpointID
-		Elapsed  time.Duration // since the attempt was sent
+		Elapsed  time.Duration // time since the attempt was sent
 	}
-	// AttemptEnded is the one outcome of an attempt.
+	// AttemptEnded reports the outcome of an attempt. Each attempt ends with exactly one AttemptEnded.
 	AttemptEnded struct {
 		Request       RequestID
-		Attempt       int // counts from 0
+		Attempt       int // number of the attempt, counted from 0
 		Endpoint      EndpointID
 		Outcome       Outcome
-		Elapsed       time.Duration // since the attempt was sent
+		Elapsed       time.Duration // time since the attempt was sent
 		CachedTokens  int           // prompt tokens that the replica found in its prefix cache
-		StreamStarted bool          // the response had begun, so that a decode attempt has used up the prefill result
-		Final         bool          // the request has its final answer already
+		StreamStarted bool          // the response had begun, so a decode attempt has consumed the prefill result
+		Final         bool          // the request already has its final answer
 		Load          *LoadReport
 	}
-	// LoadPolled is the answer to a PollLoad. Load is nil if none came in time or the replica is unhealthy.
+	// LoadPolled reports the result of a PollLoad. Load is nil if no answer came in time or the replica is unhealthy.
 	LoadPolled struct {
 		Endpoint EndpointID
 		Load     *LoadReport
 	}
-	// PeerLoadReport is what another router learned of a replica Age ago: its load, or nil if the replica reported
-	// none in time.
+	// PeerLoadReport is another router's observation of a replica's load, made Age ago. Load is nil if the replica did
+	// not report its load in time.
 	PeerLoadReport struct {
 		Endpoint EndpointID
 		Load     *LoadReport
 		Age      time.Duration
 	}
-	// QuotaShare is this router's fraction of what all routers may do together (Budgets, tenants' quotas), for the time
-	// ValidFor. When it has expired and no other has come, Budgets.Fraction applies again. The host sees to it that
-	// the fractions of all routers add up to at most 1.
+	// QuotaShare assigns this router a fraction of the limits that all routers share (Budgets and tenants' quotas). It
+	// is valid for the time ValidFor; after that Budgets.Fraction applies until the next QuotaShare. The host must
+	// ensure that the fractions of all routers add up to at most 1.
 	QuotaShare struct {
 		Fraction float64
 		ValidFor time.Duration
 	}
-	// SubsetAssigned names the replicas that the router uses as long as enough of them are healthy; none: all.
-	// Replicas that are not on the endpoint list count from the time when they are.
+	// SubsetAssigned assigns the replicas that the router uses while enough of them are healthy. An empty list assigns
+	// all replicas. A replica that is not yet on the endpoint list becomes part of the subset once it is listed.
 	SubsetAssigned struct{ Endpoints []EndpointID }
-	// ClientGone says that the client has disconnected or that the request was ended from outside.
+	// ClientGone reports that the client has disconnected or that the request was ended from outside the router.
 	ClientGone struct{ Request RequestID }
-	// TimerFired says that a timer is due.
+	// TimerFired reports that a timer is due.
 	TimerFired struct{ ID TimerID }
-	// SnapshotReceived is another router's learned state. The router takes each part of it that is younger than
-	// snapshotMaxAge, rests on more samples than its own and, for a replica, is of the same start of that replica.
+	// SnapshotReceived carries another router's learned state. The router ignores a snapshot that is older than
+	// snapshotMaxAge. It restores each mean and latency model that rests on more samples than its own, and each failure
+	// level and prefix entry that is more recent than its own. It restores the state of a replica only if the replica
+	// has not been restarted since.
 	SnapshotReceived struct{ Snapshot Snapshot }
 )
 
@@ -105,11 +107,11 @@
 	Cell    int
 	Kind    int // index into Config.Kinds
 	State   EndpointState
-	Weight  float64       // capacity relative to replicas of the same role; not positive: 1
-	Started time.Duration // time of the latest start; 0: long ago
+	Weight  float64       // capacity relative to replicas of the same role; 1 if not positive
+	Started time.Duration // time of the latest start; 0 if long ago
 }
 
-// EndpointState is the state of a replica by the endpoint list.
+// EndpointState is a replica's state on the endpoint list.
 type EndpointState uint8
 
 // The values of EndpointState.
@@ -127,7 +129,7 @@
 	Served Outcome = iota
 	Errored
 	QueueFull
-	StateMissing // the replica could not get the prefill result
+	StateMissing // the replica could not fetch the prefill result
 	TimedOut
 	ConnectFailed
 	ConnectionReset
@@ -141,7 +143,8 @@
 	return o == QueueFull || o == StateMissing || o == ConnectFailed || o == NotSent || o == PrefillDone
 }
 
-// reachedReplica reports whether the outcome proves that the attempt reached a running replica: there was a response.
+// reachedReplica reports whether the outcome proves that the attempt reached a running replica, that is, that the
+// replica responded.
 func (o Outcome) reachedReplica() bool {
 	switch o {
 	case Served, Errored, QueueFull, StateMissing, PrefillDone:
@@ -150,15 +153,15 @@
 	return false
 }
 
-// LoadReport is a replica's report of its load. A negative value is absent.
+// LoadReport is a replica's report of its load. A negative value means that the replica did not report it.
 type LoadReport struct {
 	Memory           float64 // fraction of memory in use
 	QueuedKiloTokens float64 // thousands of prompt tokens waiting to be prefilled or fetched
-	QueuedRequests   float64 // requests waiting
+	QueuedRequests   float64 // number of waiting requests
 	SlotUtilization  float64 // fraction of slots in use
 }
 
-// sanitized returns the report with each value that no replica can have as an absent one; nil stays nil.
+// sanitized returns a copy of the report in which every implausible value is marked as absent. It returns nil for nil.
 func (l *LoadReport) sanitized() *LoadReport {
 	if l == nil {
 		return nil
@@ -171,7 +174,7 @@
 	}
 }
 
-// plausibleOrAbsent returns a value of a load report, or -1 for one that is negative, NaN or too large.
+// plausibleOrAbsent returns a value of a load report, or -1 (absent) if the value is negative, NaN or too large.
 func plausibleOrAbsent(value float64) float64 {
 	if value >= 0 && value < maxPlausible {
 		return value
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,7 @@
 	"rampspread/routing"
 )
 
-// One request from its arrival to the end of its response stream.
+// This example follows one request from its arrival to the end of its response stream.
 func Example() {
 	r, err := routing.New(routing.Config{
 		Classes:     []routing.Class{{TTFTObjective: time.Second, Weight: 1}},
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// The golden hashes freeze every action of a run: its kind, its order, its time and its arguments. They are
-// computed over numbers, which no renaming of a Go type or field changes. Code that is only moved or
-// renamed leaves them as they are; a change of a decision changes them, and its commit says so.
+// The golden hashes cover every action of a run: its kind, order, time and arguments. They are computed over numbers,
+// which no renaming of a Go type or field changes. Moving or renaming code therefore leaves the hashes unchanged; a
+// change of a decision changes them, and its commit says so.
 
-// writeAction writes one action with its time as numbers: the kind, which is fixed here for good, and the
-// arguments in a fixed order. Reasons are omitted, since they only reach logs.
+// writeAction writes one action with its time as numbers: the kind, whose number must never change, and the arguments
+// in a fixed order. Reasons are omitted, since they only reach logs.
 func writeAction(w io.Writer, now time.Duration, a Action) {
 	switch a := a.(type) {
 	case Send:
@@ -31,7 +31,7 @@
 	case SetTimer:
 		writeNumbers(w, now, 7, int64(a.After), a.Timer)
 	default:
-		panic("an action without a number")
+		panic("writeAction: action type without a number")
 	}
 }
 
@@ -43,8 +43,8 @@
 	fmt.Fprintln(w)
 }
 
-// goldenSeeds are the hashes of runs of the plain driver.
-var goldenSeeds = map[uint64]uint64{1: 0xafe66201a5a4bfa0, 2: 0x5671eae8bac94f16, 3: 0x12985e7b85055b4c, 4: 0xdfec1f0f77f0fcba}
+// goldenHashes are the hashes, by seed, of runs of the driver without options.
+var goldenHashes = map[uint64]uint64{1: 0xafe66201a5a4bfa0, 2: 0x5671eae8bac94f16, 3: 0x12985e7b85055b4c, 4: 0xdfec1f0f77f0fcba}
 
 func TestGoldenDecisions(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -56,16 +56,16 @@
 			return []Action{a}
 		}
 		d.run(d.now + 40*time.Second)
-		if got := hash.Sum64(); got != goldenSeeds[seed] || actions < 1000 {
-			t.Errorf("seed %d: %d actions hash to %#x, want %#x", seed, actions, got, goldenSeeds[seed])
+		if got := hash.Sum64(); got != goldenHashes[seed] || actions < 1000 {
+			t.Errorf("seed %d: %d actions hash to %#x, want %#x", seed, actions, got, goldenHashes[seed])
 		}
 	}
 }
 
-// goldenPolledSeeds are the hashes of runs in which everything that is optional is on: load polling and its
-// answers, budgets and shares, a subset, reports of peers, a second router's learned state and a new
-// configuration. The learned state at the end is part of the hash.
-var goldenPolledSeeds = map[uint64]uint64{1: 0xdf174f0c96fcafa3, 2: 0xb91cad0fb4094f18, 3: 0xa6f40bdb6cb74da1, 4: 0x9e3f7b5da0eb769}
+// goldenHashesWithAllOptions are the hashes, by seed, of runs with every option: load polls and their answers, budgets
+// and quota shares, a subset, peers' load reports, a second router's snapshot, and a new configuration. The hash
+// includes the learned state at the end.
+var goldenHashesWithAllOptions = map[uint64]uint64{1: 0xdf174f0c96fcafa3, 2: 0xb91cad0fb4094f18, 3: 0xa6f40bdb6cb74da1, 4: 0x9e3f7b5da0eb769}
 
 func TestGoldenDecisionsWithAllOptions(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -77,21 +77,21 @@
 		d.intercept = func(a Action) []Action {
 			actions++
 			writeAction(hash, d.now, a)
-			if probe, ok := a.(PollLoad); ok {
-				d.answerPoll(probe.Endpoint)
+			if poll, ok := a.(PollLoad); ok {
+				d.answerPoll(poll.Endpoint)
 			}
 			return []Action{a}
 		}
 		d.after(2*time.Second, d.injectFleetEvent)
 		d.run(d.now + 40*time.Second)
 		fmt.Fprintf(hash, "%v", d.r.Snapshot(d.now, 100))
-		if got := hash.Sum64(); got != goldenPolledSeeds[seed] || actions < 1000 {
-			t.Errorf("seed %d: %d actions hash to %#x, want %#x", seed, actions, got, goldenPolledSeeds[seed])
+		if got := hash.Sum64(); got != goldenHashesWithAllOptions[seed] || actions < 1000 {
+			t.Errorf("seed %d: %d actions hash to %#x, want %#x", seed, actions, got, goldenHashesWithAllOptions[seed])
 		}
 	}
 }
 
-// drawLoad draws a load report, in which fields may be absent.
+// drawLoad draws a load report, in which values may be absent, or nil.
 func (d *driver) drawLoad() *LoadReport {
 	if d.rng.IntN(8) == 0 {
 		return nil
@@ -109,7 +109,7 @@
 	d.after(time.Duration(1+d.rng.IntN(60))*ms, func() { d.handle(LoadPolled{Endpoint: id, Load: load}) })
 }
 
-// injectFleetEvent draws one of the events that only members of a fleet see.
+// injectFleetEvent draws one of the events that only a router of a fleet receives.
 func (d *driver) injectFleetEvent() {
 	d.after(time.Duration(200+d.rng.IntN(800))*ms, d.injectFleetEvent)
 	endpoints := d.endpointList()
@@ -118,9 +118,9 @@
 		d.handle(QuotaShare{Fraction: d.rng.Float64(), ValidFor: time.Second})
 	case 1:
 		subset := SubsetAssigned{}
-		for _, s := range endpoints {
+		for _, endpoint := range endpoints {
 			if d.rng.IntN(3) > 0 {
-				subset.Endpoints = append(subset.Endpoints, s.ID)
+				subset.Endpoints = append(subset.Endpoints, endpoint.ID)
 			}
 		}
 		d.handle(subset)
@@ -128,12 +128,12 @@
 		age := time.Duration(d.rng.IntN(400)) * ms
 		d.handle(PeerLoadReport{Endpoint: endpoints[d.rng.IntN(len(endpoints))].ID, Load: d.drawLoad(), Age: age})
 	case 4:
-		learned := d.r.Snapshot(d.now, 20)
-		for i := range learned.Prefixes {
-			learned.Prefixes[i].UpdatedAt = d.now
-			learned.Prefixes[i].Requests.Count++
+		snapshot := d.r.Snapshot(d.now, 20)
+		for i := range snapshot.Prefixes {
+			snapshot.Prefixes[i].UpdatedAt = d.now
+			snapshot.Prefixes[i].Requests.Count++
 		}
-		d.handle(SnapshotReceived{Snapshot: learned})
+		d.handle(SnapshotReceived{Snapshot: snapshot})
 	case 5:
 		d.cfg.MaxAttempts = 4 + d.rng.IntN(2)
 		if err := d.r.Reconfigure(d.now, d.cfg); err != nil {
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// harness drives one Router step by step: prefill replicas 1 and 2 and decode replicas 11 and 12 in cell 0, decode
-// replica 13 in cell 1.
+// harness drives one Router step by step. It has prefill replicas 1 and 2 and decode replicas 11 and 12 in cell 0, and
+// decode replica 13 in cell 1.
 type harness struct {
 	*testing.T
 	r    *Router
 	now  time.Duration
-	last []Action // of the latest event
+	last []Action // actions of the latest event
 }
 
 func newHarness(t *testing.T, change func(*Config)) *harness {
@@ -42,7 +42,7 @@
 	return h.handle(ms, RequestArrived{Request: id, Class: class, Tenant: -1, Session: Key(id), PromptTokens: 1000, RemainingTime: 4 * time.Second})
 }
 
-// sentTo returns the replica of the first Send.
+// sentTo returns the replica of the first Send. It fails the test if there is none.
 func (h *harness) sentTo(acts []Action) EndpointID {
 	h.Helper()
 	for _, a := range acts {
@@ -63,7 +63,7 @@
 	return false
 }
 
-// completePrefill takes a request to the end of its prefill and returns its prefill and decode replicas.
+// completePrefill runs a request up to the end of its prefill and returns its prefill and decode replicas.
 func (h *harness) completePrefill(id RequestID, class int) (prefill, decode EndpointID) {
 	h.Helper()
 	prefill = h.sentTo(h.arrive(id, class))
@@ -71,20 +71,20 @@
 	return prefill, decode
 }
 
-// mixedEndpoints lists n replicas in cells of five; every third is a prefill replica.
+// mixedEndpoints returns n replicas in cells of five; every third is a prefill replica.
 func mixedEndpoints(n int) []Endpoint {
 	var out []Endpoint
 	for i := range n {
-		s := Endpoint{ID: EndpointID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
+		endpoint := Endpoint{ID: EndpointID(10 + i), Kind: 1, Cell: i / 5, Zone: i / 5 % 3, State: Ready, Weight: 1}
 		if i%3 == 0 {
-			s.Kind = 0
+			endpoint.Kind = 0
 		}
-		out = append(out, s)
+		out = append(out, endpoint)
 	}
 	return out
 }
 
-// failPrefill takes a request to a prefill replica to which the connection fails, and returns what follows.
+// failPrefill sends a request to a prefill replica, fails the connection to it, and returns the resulting actions.
 func (h *harness) failPrefill(id RequestID, class int) []Action {
 	h.Helper()
 	return h.handle(5*ms, AttemptEnded{Request: id, Endpoint: h.sentTo(h.arrive(id, class)), Outcome: ConnectFailed, Elapsed: 5 * ms})
--- a/routing/health.go
+++ b/routing/health.go
@@ -1,11 +1,11 @@
 package routing
 
-// Outlier ejection (as in Envoy, here with decaying failure levels in place of counts of consecutive errors): which
-// replicas may be sent requests, by the outcomes of earlier attempts.
+// Outlier ejection (as in Envoy, but with decaying failure levels instead of counts of consecutive errors): which
+// replicas may be sent requests, according to the outcomes of earlier attempts.
 
-// healthy reports whether a replica may be sent requests of a class. It protects against replicas that die, go silent
-// or fail fast, for all classes or for one: a high failure level ejects the replica, and one attempt at a time that is
-// safe to fail leads back.
+// healthy reports whether a replica may be sent requests of a class. It protects against replicas that die, become
+// silent or fail fast, for all classes or for one. A high failure level ejects the replica; at a lower one it gets one
+// attempt at a time, of a kind that may safely fail, which can restore its health.
 func (r *Router) healthy(replica *replica, class int) bool {
 	if replica.State != Ready {
 		return false
@@ -24,8 +24,8 @@
 	replica.health[0].update(r.now, 1, weight)
 }
 
-// recordClassFailure raises the failure level of a replica for one class alone: the replica has responded to others
-// since.
+// recordClassFailure raises the failure level of a replica for one class only, because the replica has responded to
+// other requests since.
 func (r *Router) recordClassFailure(replica *replica, class int, weight float64) {
 	replica.health[1+class].update(r.now, 1, weight)
 }
--- a/routing/latencymodel.go
+++ b/routing/latencymodel.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// latencyInputs are the inputs of a latencyModel: 1, thousands of tokens to process, own attempts ahead.
+// latencyInputs are the inputs of a latencyModel: 1, thousands of tokens to process, and this router's own attempts
+// ahead.
 type latencyInputs [3]float64
 
-// The indices of latencyInputs and of the coefficients that belong to them.
+// The indices of latencyInputs and of the corresponding coefficients.
 const (
 	baseInput = iota
 	kiloTokensInput
-	aheadInput
+	attemptsAheadInput
 )
 
-// latencyModel is a linear model of a time in ms, fit by recursive least squares with exponential forgetting and
-// ridge regularization towards a prior (S. Haykin, Adaptive Filter Theory). The prior counts for priorSamples samples,
-// so that inputs that do not vary leave the other coefficients where they were. The coefficients are bounded whatever
-// the samples are.
+// latencyModel is a linear model of a duration in ms. It is fitted by recursive least squares with exponential
+// forgetting and ridge regularization towards a prior (S. Haykin, Adaptive Filter Theory). The prior counts for
+// priorSamples samples, so that inputs that do not vary leave the other coefficients unchanged. The coefficients are
+// bounded whatever the samples are.
 type latencyModel struct {
 	normal          [3][3]float64 // decayed sum of products of the inputs
 	moments         [3]float64    // decayed sum of inputs times results
@@ -30,9 +31,9 @@
 	timeConstant    time.Duration
 }
 
-// newLatencyModel returns a model with the paper's coefficients, except that of the tokens.
+// newLatencyModel returns a model with the paper's coefficients, except the coefficient of the tokens.
 func newLatencyModel(perKiloTokenMS float64) latencyModel {
-	prior := [3]float64{initialPrefillBaseMS, perKiloTokenMS, initialStepMS}
+	prior := [3]float64{initialPrefillBaseMS, perKiloTokenMS, initialPerAttemptAheadMS}
 	return latencyModel{
 		coefficients:    prior,
 		prior:           prior,
@@ -42,32 +43,32 @@
 	}
 }
 
-// predict returns the model's time for the inputs, in ms.
+// predict returns the predicted duration for the inputs, in ms.
 func (f *latencyModel) predict(x latencyInputs) float64 {
 	return f.coefficients[0]*x[0] + f.coefficients[1]*x[1] + f.coefficients[2]*x[2]
 }
 
-// outlierLimit returns the largest sample, in ms, that is taken for the inputs.
+// outlierLimit returns the value, in ms, to which a sample for the inputs is limited.
 func (f *latencyModel) outlierLimit(x latencyInputs) float64 {
 	return outlierMultiple*f.predict(x) + outlierMarginMS
 }
 
-// add takes a sample of y ms.
-func (f *latencyModel) add(now time.Duration, inputs latencyInputs, result float64) {
+// add adds a sample of resultMS for the inputs.
+func (f *latencyModel) add(now time.Duration, inputs latencyInputs, resultMS float64) {
 	factor := decay(now-f.updatedAt, f.timeConstant)
 	f.updatedAt = now
 	for i := range inputs {
 		for j := range inputs {
 			f.normal[i][j] = f.normal[i][j]*factor + inputs[i]*inputs[j]
 		}
-		f.moments[i] = f.moments[i]*factor + inputs[i]*result
+		f.moments[i] = f.moments[i]*factor + inputs[i]*resultMS
 	}
 	f.solve(now)
 }
 
-// solve sets the coefficients from the samples, decayed to now, and the prior. A coefficient that leaves its bounds is
-// held at its bound and the others are solved for again, so that they make up for it (an active-set step of bounded
-// least squares).
+// solve computes the coefficients from the samples, decayed to now, and the prior. A coefficient that leaves its bounds
+// is fixed at its bound and the others are solved for again, so that they compensate for it (an active-set step of
+// bounded least squares).
 func (f *latencyModel) solve(now time.Duration) {
 	factor := decay(now-f.updatedAt, f.timeConstant)
 	matrix, vector := f.normal, f.moments
@@ -95,8 +96,8 @@
 	}
 }
 
-// solveLinear returns the solution of a system of linear equations, by Gaussian elimination. The diagonal must not
-// become 0, as that of a positive definite matrix does not.
+// solveLinear returns the solution of a system of linear equations by Gaussian elimination. No element of the diagonal
+// may become 0; for a positive definite matrix none does.
 func solveLinear(matrix [3][3]float64, vector [3]float64) [3]float64 {
 	for i := range vector {
 		for j := i + 1; j < len(vector); j++ {
@@ -116,9 +117,9 @@
 	return vector
 }
 
-// priorPerKiloTokenMS returns the prior cost of 1,000 uncached tokens: the least that a class's latency objective
-// allows for 1,000 tokens of prompt, which follows the speed of the replicas. A router that sees few prefills works
-// with the prior for most of its time.
+// priorPerKiloTokenMS returns the prior cost of 1,000 uncached tokens: the least time that a class's latency objective
+// allows for 1,000 prompt tokens, which reflects the speed of the replicas. The prior matters because a router that
+// sees few prefills uses it most of the time.
 func (cfg *Config) priorPerKiloTokenMS() float64 {
 	prior := math.Inf(1)
 	for _, class := range cfg.Classes {
--- a/routing/latencymodel_test.go
+++ b/routing/latencymodel_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLatencyModelStaysBounded: whatever the samples are, no coefficient is NaN, negative or beyond its bound. The
-// samples include none, one, equal ones, collinear inputs, a replica that is eight times slower and a jump in speed.
+// TestLatencyModelStaysBounded checks that no coefficient is NaN, negative or beyond its bound, whatever the samples
+// are. The samples include none, one, equal ones, collinear inputs, a replica that is eight times slower and a jump in
+// speed.
 func TestLatencyModelStaysBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newLatencyModel(rapid.Float64Range(0, maxMarginalCostMS).Draw(t, "prior"))
@@ -37,10 +38,11 @@
 	})
 }
 
-// TestLatencyModelMakesUpForABound: a coefficient that is held at 0 does not leave the others as if it were negative.
+// TestLatencyModelMakesUpForABound checks that when a coefficient is held at 0, the other coefficients are solved for
+// again instead of keeping values that fit a negative coefficient.
 func TestLatencyModelMakesUpForABound(t *testing.T) {
 	model := newLatencyModel(84)
-	for i := range 400 { // no base at all; the tokens never vary, so that only the sum of the coefficients is known
+	for i := range 400 { // all inputs are equal, so the samples fix only the sum of the terms
 		model.add(time.Duration(i)*20*ms, latencyInputs{1, 2, 0}, 100)
 	}
 	if predicted := model.predict(latencyInputs{1, 2, 0}); math.Abs(predicted-100) > 3 {
@@ -48,8 +50,8 @@
 	}
 }
 
-// TestTokenCostPriorComesFromTheObjectives: a new router takes the least allowance per 1,000 prompt tokens for the cost
-// of 1,000 tokens, and the paper's figure where no objective grows with the prompt.
+// TestTokenCostPriorComesFromTheObjectives checks the prior cost of 1,000 tokens: the least allowance per 1,000 prompt
+// tokens of any class, or the paper's value if no objective grows with the prompt.
 func TestTokenCostPriorComesFromTheObjectives(t *testing.T) {
 	for _, c := range []struct {
 		allowances []time.Duration
--- a/routing/learning.go
+++ b/routing/learning.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// recordOutcome learns from an outcome about the replica that it came from. The request was in state during.
-func (r *Router) recordOutcome(replica *replica, req *request, event AttemptEnded, during requestState) {
-	if during == prefilling {
+// recordOutcome updates the learned state from the outcome of an attempt at a replica. priorState is the request's
+// state before the outcome.
+func (r *Router) recordOutcome(replica *replica, req *request, event AttemptEnded, priorState requestState) {
+	if priorState == prefilling {
 		r.observePrefill(req, event)
 	}
 	switch event.Outcome {
@@ -16,41 +17,43 @@
 	case Errored:
 		r.recordFailure(replica, req.Class, errorWeight)
 	case ConnectFailed, ConnectionReset:
-		// Connections break one by one too: a replica that answers others meanwhile is not ejected at once.
+		// A single connection may break at a live replica: a replica that answers others meanwhile is not ejected at
+		// once.
 		weight := transportFailureWeight
 		if r.now-replica.lastResponse < aliveWindow {
 			weight = aliveFailureWeight
 		}
 		r.recordFailure(replica, req.Class, weight)
 	case TimedOut:
-		r.recordTimeout(replica, req, event, during)
+		r.recordTimeout(replica, req, event, priorState)
 	}
 	if event.Outcome == QueueFull {
 		replica.fullUntil = r.now + queueFullBackoff
-		if during == prefilling { // a full queue delays for longer than any class wants to wait
+		if priorState == prefilling { // a full queue counts as a delay of the smallest latency objective
 			event.Elapsed = fromMS(r.tightestBudgetMS / latencyHeadroom)
 			r.recordPrefill(replica, req, event)
 		}
 	}
 }
 
-// recordTimeout learns from a timeout. A prefill replica that has responded to others since the attempt was sent is
-// alive and has a queue: ejecting it would push its share on to the rest, which would then time out too, and the
-// estimate has already learned of the delay.
-func (r *Router) recordTimeout(replica *replica, req *request, event AttemptEnded, during requestState) {
-	if during == prefilling {
-		r.recordPrefill(replica, req, event) // it takes at least as long
+// recordTimeout updates the learned state from a timeout. A prefill replica that has responded to others since the
+// attempt was sent is alive and has a queue. Ejecting it would move its share of requests to the other replicas, which
+// would then time out too; its delay already counts in the estimate.
+func (r *Router) recordTimeout(replica *replica, req *request, event AttemptEnded, priorState requestState) {
+	if priorState == prefilling {
+		r.recordPrefill(replica, req, event) // the prefill would have taken at least this long
 	}
 	silent := replica.lastResponse < req.sentAt
 	switch {
-	case silent && (during == prefilling || during == decoding):
+	case silent && (priorState == prefilling || priorState == decoding):
 		r.recordFailure(replica, req.Class, transportFailureWeight)
-	case during == decoding:
+	case priorState == decoding:
 		r.recordClassFailure(replica, req.Class, transportFailureWeight)
 	}
 }
 
-// recordPrefill learns from how long a prefill took, or from its timeout or rejection. Ejected replicas teach nothing.
+// recordPrefill updates the learned state from the duration of a prefill, or from its timeout or rejection. Ejected
+// replicas only contribute to the cache hit ratio.
 func (r *Router) recordPrefill(replica *replica, req *request, event AttemptEnded) {
 	cachedTokens := event.CachedTokens
 	if event.Outcome != PrefillDone {
@@ -69,26 +72,26 @@
 	r.prefillCost.add(r.now, prefillMS)
 	replica.queueDelay.add(r.now, elapsedMS-expectedMS)
 	if req.reportedQueue >= minQueueForSample {
-		r.perQueuedRequest.add(r.now, elapsedMS*ramp/req.reportedQueue)
+		r.delayPerQueuedRequest.add(r.now, elapsedMS*ramp/req.reportedQueue)
 	}
 	if req.pollUnanswered {
 		r.unansweredDelay.add(r.now, max(elapsedMS*ramp-prefillMS, 0))
 	}
-	if event.Outcome == QueueFull { // no measured time, so it says less of the other replicas
+	if event.Outcome == QueueFull { // not a measured time, so it says less about the other replicas
 		elapsedMS = min(elapsedMS, outlierMultiple*expectedMS+outlierMarginMS)
 	}
 	r.estimateError.add(r.now, math.Abs(elapsedMS-expectedMS))
 	r.commonQueueDelay.add(r.now, elapsedMS-expectedMS+commonMS)
 	if ramp < 1 {
-		return // the replica's speed by now is not known
+		return // the replica's current speed is not known
 	}
 	if elapsedMS < (r.prefillModel.predict(inputs)-outlierMarginMS)/outlierMultiple {
-		return // the prompt cannot be as long as the client says; one such sample would outweigh all others
+		return // the client overstates the prompt's length; one such sample would outweigh all others
 	}
 	r.prefillModel.add(r.now, inputs, min(elapsedMS-commonMS, r.prefillModel.outlierLimit(inputs)))
 }
 
-// recordFirstToken learns from the time to the first token of a decode attempt.
+// recordFirstToken updates the learned state from the time to the first token of a decode attempt.
 func (r *Router) recordFirstToken(replica *replica, req *request, elapsedMS float64) {
 	replica.firstTokenDelay.add(r.now, elapsedMS)
 	inputs := latencyInputs{1, float64(req.PromptTokens) / 1000, req.ownAttemptsAhead}
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// The model follows its samples, keeps its bounds, and withstands outliers and inputs that do not vary.
+// The latency model fits its samples, and outliers or inputs that do not vary hardly move it.
 func TestLatencyModelFitsAndBoundsOutliers(t *testing.T) {
 	h := newHarness(t, nil)
-	f := &h.r.prefillModel
+	model := &h.r.prefillModel
 	for i := range 300 {
 		h.handle(20*ms, TimerFired{})
-		k, ahead := float64(i%7)/2, float64(i%4)
-		f.add(h.now, [3]float64{1, k, ahead}, 12+50*k+20*ahead)
+		kiloTokens, ahead := float64(i%7)/2, float64(i%4)
+		model.add(h.now, [3]float64{1, kiloTokens, ahead}, 12+50*kiloTokens+20*ahead)
 	}
 	for i, want := range []float64{12, 50, 20} {
-		if math.Abs(f.coefficients[i]-want) > 0.1*want {
-			t.Errorf("coefficient %d is %.1f, want about %.1f", i, f.coefficients[i], want)
+		if math.Abs(model.coefficients[i]-want) > 0.1*want {
+			t.Errorf("coefficient %d is %.1f, want about %.1f", i, model.coefficients[i], want)
 		}
 	}
-	id, s := RequestID(1000), h.r.byID[1]
-	h.r.recordPrefill(s, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
-	if y := f.predict([3]float64{1, 1, 0}); y > 150 {
-		t.Errorf("one outlier moved the estimate to %.0f ms", y)
+	id, replica := RequestID(1000), h.r.byID[1]
+	h.r.recordPrefill(replica, &request{RequestArrived: RequestArrived{Request: id, PromptTokens: 1000}}, AttemptEnded{Outcome: PrefillDone, Elapsed: time.Hour})
+	if predictedMS := model.predict([3]float64{1, 1, 0}); predictedMS > 150 {
+		t.Errorf("one outlier moved the estimate to %.0f ms", predictedMS)
 	}
 	for range 1000 {
 		h.handle(20*ms, TimerFired{})
-		f.add(h.now, [3]float64{1, 2, 0}, 80)
+		model.add(h.now, [3]float64{1, 2, 0}, 80)
 	}
-	if y := f.predict([3]float64{1, 2, 0}); math.Abs(y-80) > 4 || f.coefficients[2] > 60 {
-		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", y, f.coefficients)
+	if predictedMS := model.predict([3]float64{1, 2, 0}); math.Abs(predictedMS-80) > 4 || model.coefficients[2] > 60 {
+		t.Errorf("inputs that do not vary: %.1f ms, coefficients %v", predictedMS, model.coefficients)
 	}
 }
 
-// Where replicas report their backlog, it replaces the queue delay of own attempts.
+// If a replica reports its backlog, the backlog replaces the queue delay of own attempts.
 func TestReportedBacklogIsTheQueueDelay(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
@@ -45,7 +45,7 @@
 	}
 }
 
-// A prefill replica with a full queue counts as slow although it responds at once.
+// A prefill replica with a full queue responds at once but counts as slow.
 func TestFullPrefillReplicaIsAvoided(t *testing.T) {
 	h := newHarness(t, nil)
 	first := h.sentTo(h.arrive(1, 0))
@@ -57,25 +57,25 @@
 	}
 }
 
-// The delay common to all replicas applies to one that this router has not used yet, and decays soon.
+// The delay common to all replicas applies to a replica that this router has not used yet, and decays soon.
 func TestCommonQueueDelayAppliesToUnknownReplicaAndDecays(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Routers = 100 })
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: mixedEndpoints(60)})
-	fresh := h.r.replicas[0]
-	q := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
+	unused := h.r.replicas[0]
+	req := &request{RequestArrived: RequestArrived{PromptTokens: 1000}}
 	h.r.sumCapacity(0)
-	before, _ := h.r.prefillEstimate(fresh, 0, q)
+	before, _ := h.r.prefillEstimate(unused, 0, req)
 	for id := range RequestID(6) {
 		s := h.r.replicas[3+3*id]
-		h.r.recordPrefill(s, q, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
+		h.r.recordPrefill(s, req, AttemptEnded{Outcome: PrefillDone, Elapsed: 900 * ms})
 	}
 	h.r.sumCapacity(0)
-	if after, _ := h.r.prefillEstimate(fresh, 0, q); after < before+300 {
+	if after, _ := h.r.prefillEstimate(unused, 0, req); after < before+300 {
 		t.Errorf("the delay went from %.0f to %.0f ms, want it to follow the others", before, after)
 	}
 	h.handle(2*modelTimeConstant, TimerFired{})
 	h.r.sumCapacity(0)
-	if after, _ := h.r.prefillEstimate(fresh, 0, q); after > before+80 {
+	if after, _ := h.r.prefillEstimate(unused, 0, req); after > before+80 {
 		t.Errorf("the delay is still %.0f ms", after)
 	}
 }
@@ -97,18 +97,18 @@
 	}
 }
 
-// The delay per queued request is learned from prefills: a queue that is acceptable at first is too long once prefills
-// behind such queues have taken three times as long as estimated.
+// The queue delay per request ahead is learned from prefills: a queue that is acceptable at first is too long once
+// prefills behind such queues have taken three times as long as estimated.
 func TestLearnsDelayPerQueuedRequest(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-	admitted := func(id RequestID, after time.Duration) bool {
+	admitted := func(id RequestID, prefillTime time.Duration) bool {
 		acts := h.arrive(id, 0)
 		for i := 0; i < len(acts); i++ {
 			switch a := acts[i].(type) {
 			case PollLoad:
 				acts = append(acts, h.handle(ms, LoadPolled{a.Endpoint, &LoadReport{QueuedRequests: 5}})...)
 			case Send:
-				h.handle(after, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: after, Final: true})
+				h.handle(prefillTime, AttemptEnded{Request: id, Endpoint: a.Endpoint, Outcome: PrefillDone, Elapsed: prefillTime, Final: true})
 				return true
 			}
 		}
@@ -126,7 +126,7 @@
 	h = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
 		if !admitted(id+1, 200*ms) {
-			t.Errorf("request %d was rejected although the queue is short in time", id+1)
+			t.Errorf("request %d was rejected although prefills behind the queue are fast", id+1)
 		}
 	}
 }
--- a/routing/loadpoll.go
+++ b/routing/loadpoll.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// pollLoads polls the prefill replicas of the lowest rendezvous ranks, or some replicas that decode in the prefill
-// replica's cell, for their load, and reports whether the request has to wait for the answers. Ranks keep a request
-// where its prefix is cached, at all routers alike; loads tell which of these few replicas is overloaded (the power of
-// two choices). Where all of them are busy the next ranks follow, so that a prefix that is popular with all routers
-// together spreads over as many replicas as it needs. A router that sees enough prefills of each replica does not poll.
+// pollLoads polls the prefill replicas with the lowest rendezvous ranks, or some replicas that decode in the prefill
+// replica's cell, for their load, and reports whether the request has to wait for the answers. Ranks, which are the
+// same at all routers, keep a request where its prefix is cached; loads show which of these few replicas is overloaded
+// (the power of two choices). If all of them are busy, the replicas with the next ranks are polled, so that a prefix
+// that is popular with all routers together spreads over as many replicas as it needs. A router that sees enough
+// prefills of each replica does not poll.
 func (r *Router) pollLoads(req *request) bool {
-	if !r.cfg.CanPollLoad || !r.wantsPoll(req) || r.samplesPerReplica() >= minSamplesPerReplica {
+	if !r.cfg.CanPollLoad || !r.needsLoadPoll(req) || r.samplesPerReplica() >= minSamplesPerReplica {
 		return false
 	}
 	r.sumCapacity(req.Class)
@@ -39,24 +40,24 @@
 	return req.pendingPolls > 0
 }
 
-// wantsPoll reports whether the request still needs loads: it has polled no replica yet, or it is to be prefilled and
-// each of those that it polled is busy for longer than an average prefill takes.
-func (r *Router) wantsPoll(req *request) bool {
+// needsLoadPoll reports whether the request needs another round of polls: it has polled no replica yet, or it awaits a
+// prefill and each replica that it polled is busy for longer than an average prefill takes.
+func (r *Router) needsLoadPoll(req *request) bool {
 	if req.pollCandidates == nil {
 		return true
 	}
 	if req.pollRounds >= maxPollRounds || req.state != awaitingPrefill || !req.selectsByPoll() {
 		return false
 	}
-	longest := r.meanPrefillMS()
+	busyThresholdMS := r.meanPrefillMS()
 	return !slices.ContainsFunc(req.pollCandidates, func(id EndpointID) bool {
 		replica := r.byID[id]
-		return replica != nil && r.loadFresh(replica) && replica.reportedQueue*r.perQueuedRequestMS() <= longest
+		return replica != nil && r.loadFresh(replica) && replica.reportedQueue*r.delayPerQueuedRequestMS() <= busyThresholdMS
 	})
 }
 
-// pollRank returns a replica's rank among those that may be polled for a request, and whether it is one of them. It
-// always makes one random draw, whether the rank is random or not.
+// pollRank returns a replica's rank among the replicas that may be polled for a request, and whether it is one of them.
+// It always makes one random draw, even if the rank is not random.
 func (r *Router) pollRank(replica *replica, req *request, replicaCount float64, origin *replica) (rank float64, ok bool) {
 	random := r.rng.Float64()
 	atFullCapacity := r.rampFraction(replica) == 1
@@ -69,8 +70,8 @@
 	return r.rendezvousRank(replica, req, replicaCount), true
 }
 
-// lowestRanked moves the count candidates of the lowest ranks, or all, to the front, in their order, and returns them.
-// It does not sort the list, which is large, for the sake of a few.
+// lowestRanked moves the count candidates with the lowest ranks, or all if there are fewer, to the front in order of
+// rank and returns them. It does not sort the whole list, which is long compared with count.
 func lowestRanked(candidates []candidate, count int) []candidate {
 	count = min(count, len(candidates))
 	for i := range count {
@@ -85,7 +86,7 @@
 	return candidates[:count]
 }
 
-// loadPolled takes a replica's load, and goes on with the requests that waited for no other.
+// loadPolled stores a replica's load and continues the requests that were waiting for this answer only.
 func (r *Router) loadPolled(event LoadPolled) {
 	replica := r.byID[event.Endpoint]
 	if replica == nil {
@@ -110,10 +111,10 @@
 	}
 }
 
-// peerLoadReport takes what another router learned of a replica, as evidence that fades with its age. Own evidence
-// takes precedence: a router that sees enough prefills of its own knows which replicas are slow, which a load alone
-// does not tell, so a report is used only where this router would poll. It never makes a replica count as alive here:
-// the path from here may be cut although the peer's is not.
+// peerLoadReport applies another router's observation of a replica, with less weight the older it is. Own observations
+// take precedence: a router that sees enough prefills of its own measures which replicas are slow, which a load report
+// does not show, so a peer's report is used only where this router would poll. It never makes a replica count as alive
+// here, because the path from this router may be cut although the peer's path is not.
 func (r *Router) peerLoadReport(event PeerLoadReport) {
 	replica := r.byID[event.Endpoint]
 	reportedAt := r.now - event.Age
@@ -134,18 +135,19 @@
 // loadFresh reports whether a replica's load report is recent enough for use.
 func (r *Router) loadFresh(replica *replica) bool { return r.now-replica.loadReportedAt <= loadMaxAge }
 
-// pollUnanswered reports whether a replica has not answered the latest load poll for pollTimeout, or for so long that
-// the poll was given up a moment ago.
+// pollUnanswered reports whether a replica has not answered the latest load poll for pollTimeout, or whether an
+// unanswered poll ended less than loadMaxAge ago.
 func (r *Router) pollUnanswered(replica *replica) bool {
 	overdue := len(replica.pollWaiters) > 0 && r.now-replica.pollSentAt >= pollTimeout
 	return overdue || r.now < replica.silentUntil
 }
 
-// loadKnown reports whether a replica's load report may be used: where loads are not polled, reports come with
+// loadKnown reports whether a replica's load report may be used. Where loads are not polled, reports arrive with
 // outcomes and the latest one counts whatever its age.
 func (r *Router) loadKnown(replica *replica) bool { return !r.cfg.CanPollLoad || r.loadFresh(replica) }
 
-// reportedQueueOf returns how many requests are ahead of a new one by a replica's load report, or 0 without one.
+// reportedQueueOf returns how many requests are ahead of a new one according to a replica's load report, or 0 without a
+// report.
 func (r *Router) reportedQueueOf(replica *replica) float64 {
 	if r.loadKnown(replica) {
 		return replica.reportedQueue
--- a/routing/loadpoll_test.go
+++ b/routing/loadpoll_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// A router with few samples per replica polls the two of the lowest ranks and sends to the one with the shorter queue;
-// nothing is sent before both have answered or the poll has timed out, and a replica that does not answer gets nothing.
+// A router with few samples per replica polls the two prefill replicas with the lowest ranks and sends to the one with
+// the shorter queue. It sends nothing before both have answered or the poll has timed out, and nothing to a replica
+// that does not answer.
 func TestLoadPollBeforePrefill(t *testing.T) {
-	start := func() (*harness, []EndpointID) {
+	newPolledHarness := func() (*harness, []EndpointID) {
 		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 		var polled []EndpointID
 		for _, a := range h.arrive(1, 0) {
@@ -31,7 +32,7 @@
 		return h, polled
 	}
 	for first := range pollCandidateCount {
-		h, polled := start()
+		h, polled := newPolledHarness()
 		if acts := h.handle(ms, LoadPolled{polled[first], &LoadReport{QueuedRequests: 0}}); len(acts) != 0 {
 			t.Errorf("after one answer: %+v", acts)
 		}
@@ -42,7 +43,7 @@
 			t.Errorf("the next went to %d, want the report to be used for a while", s)
 		}
 	}
-	h, polled := start()
+	h, polled := newPolledHarness()
 	h.handle(ms, LoadPolled{polled[0], nil})
 	if s := h.sentTo(h.handle(pollTimeout, TimerFired{1})); s == polled[0] {
 		t.Errorf("went to %d, which did not answer", s)
@@ -50,7 +51,7 @@
 	if acts := h.handle(ms, LoadPolled{polled[1], &LoadReport{}}); len(acts) != 0 {
 		t.Errorf("a late answer: %+v", acts)
 	}
-	h, polled = start()
+	h, polled = newPolledHarness()
 	for _, id := range polled {
 		h.handle(0, LoadPolled{id, &LoadReport{QueuedRequests: 500}})
 	}
@@ -59,11 +60,11 @@
 	}
 }
 
-// TestBusyReplicasAreFollowedByTheNextRanks: while all polled replicas have queues the next ranks are polled, each
-// replica once, for maxPollRounds rounds; the request goes to the first that is idle. A timer of an earlier round does
-// not end a later one.
+// TestBusyReplicasAreFollowedByTheNextRanks checks that while all polled replicas have queues, the replicas with the
+// next ranks are polled, each replica once, for maxPollRounds rounds. The request goes to the first replica that is
+// idle. A timer of an earlier round does not end a later one.
 func TestBusyReplicasAreFollowedByTheNextRanks(t *testing.T) {
-	start := func() (*harness, []EndpointID) {
+	newPolledHarness := func() (*harness, []EndpointID) {
 		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
 		for id := range EndpointID(10) {
 			h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 20 + id, Kind: 0, State: Ready}}})
@@ -71,7 +72,7 @@
 		return h, polledEndpoints(h.arrive(1, 0))
 	}
 	busy := &LoadReport{QueuedRequests: 9}
-	h, polled := start()
+	h, polled := newPolledHarness()
 	seen := slices.Clone(polled)
 	for round := 2; round <= maxPollRounds; round++ {
 		h.handle(ms, LoadPolled{polled[0], busy})
@@ -93,7 +94,7 @@
 		t.Errorf("polled %v, want %d different replicas", seen, want)
 	}
 
-	h, polled = start()
+	h, polled = newPolledHarness()
 	h.handle(ms, LoadPolled{polled[0], busy})
 	if to := h.sentTo(h.handle(ms, LoadPolled{polled[1], &LoadReport{}})); to != polled[1] {
 		t.Errorf("went to %d, not to %d, which was idle in the first round", to, polled[1])
@@ -111,12 +112,12 @@
 	return polled
 }
 
-// Before a decode attempt the decode replicas of the cell are polled: one with queued requests is not used, and where
-// all have them the request leaves the cell.
+// Before a decode attempt the decode replicas of the cell are polled. A replica with queued requests is not used; if
+// all have queued requests, the request leaves the cell.
 func TestLoadPollBeforeDecode(t *testing.T) {
 	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
 		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
-		h.r.rng = rand.New(rand.NewPCG(2, 2)) // with this draw the request is not one that is spilled to another cell
+		h.r.rng = rand.New(rand.NewPCG(2, 2)) // with this seed the request does not spill to another cell
 		h.arrive(1, 0)
 		h.handle(ms, LoadPolled{1, &LoadReport{}})
 		s := h.sentTo(h.handle(ms, LoadPolled{2, &LoadReport{}}))
@@ -136,7 +137,7 @@
 	}
 }
 
-// A router with enough samples does not poll, and neither does one whose configuration forbids it.
+// A router with enough samples per replica does not poll, and neither does a router whose configuration forbids it.
 func TestNoLoadPollWithEnoughSamplesOrByConfig(t *testing.T) {
 	h := newHarness(t, nil)
 	h.sentTo(h.arrive(1, 0))
@@ -150,27 +151,27 @@
 	}
 }
 
-// A peer's load report replaces a poll, expires, and yields to a later own report. A peer's report of a silent replica
-// weighs less than own experience, and no report of a peer makes a replica count as alive.
+// A peer's load report replaces a poll and expires, and a later own report takes precedence. A peer's report of a
+// silent replica weighs less than an own observation, and no report of a peer makes a replica count as alive.
 func TestPeerLoadReport(t *testing.T) {
-	newPolling := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
+	newPollingHarness := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
 	report := func(h *harness, age time.Duration, queue1, queue2 float64) {
 		h.handle(0, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: queue1}, Age: age})
 		h.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{QueuedRequests: queue2}, Age: age})
 	}
-	for _, short := range []EndpointID{1, 2} {
-		h := newPolling()
-		report(h, 100*ms, 20*float64(short-1), 20*float64(2-short))
-		if acts := h.arrive(1, 0); containsAction[PollLoad](acts) || h.sentTo(acts) != short {
-			t.Errorf("with reports of 0.1 s ago: %+v, want a send to %d", acts, short)
+	for _, idle := range []EndpointID{1, 2} {
+		h := newPollingHarness()
+		report(h, 100*ms, 20*float64(idle-1), 20*float64(2-idle))
+		if acts := h.arrive(1, 0); containsAction[PollLoad](acts) || h.sentTo(acts) != idle {
+			t.Errorf("with reports of 0.1 s ago: %+v, want a send to %d", acts, idle)
 		}
 	}
-	h := newPolling()
+	h := newPollingHarness()
 	report(h, peerLoadMaxAge+ms, 0, 20)
 	if acts := h.arrive(1, 0); !containsAction[PollLoad](acts) {
 		t.Errorf("with expired reports: %+v", acts)
 	}
-	h = newPolling()
+	h = newPollingHarness()
 	report(h, 0, 0, 0)
 	if acts := h.handle(peerLoadMaxAge, TimerFired{}); len(acts) != 0 {
 		t.Errorf("%+v", acts)
@@ -179,19 +180,19 @@
 		t.Errorf("after the reports have expired: %+v", acts)
 	}
 
-	h = newPolling()
+	h = newPollingHarness()
 	h.handle(0, LoadPolled{1, &LoadReport{QueuedRequests: 7}})
 	h.handle(100*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 400 * ms})
-	if s := h.r.byID[1]; s.reportedQueue != 7 {
-		t.Errorf("a peer's older report of %v replaced the own one", s.reportedQueue)
+	if replica := h.r.byID[1]; replica.reportedQueue != 7 {
+		t.Errorf("a peer's older report of %v replaced the own one", replica.reportedQueue)
 	}
 	h.handle(200*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 50 * ms})
-	if s := h.r.byID[1]; s.reportedQueue != 1 {
-		t.Errorf("a peer's newer report was not used: %v", s.reportedQueue)
+	if replica := h.r.byID[1]; replica.reportedQueue != 1 {
+		t.Errorf("a peer's newer report was not used: %v", replica.reportedQueue)
 	}
 
-	h = newPolling()
-	for range 50 { // with enough own samples it knows which replica is slow, which says more than a queue
+	h = newPollingHarness()
+	for range 50 { // with enough own samples the router measures which replica is slow, which a queue does not show
 		h.r.estimateError.add(h.now, 0)
 	}
 	report(h, 0, 0, 20)
@@ -199,23 +200,23 @@
 		t.Errorf("with %v samples per replica a peer's report was used", h.r.samplesPerReplica())
 	}
 
-	h = newPolling()
-	s := h.r.byID[2]
-	alive, health := s.lastResponse, s.health[0].current(h.now)
+	h = newPollingHarness()
+	replica := h.r.byID[2]
+	responseBefore, health := replica.lastResponse, replica.health[0].current(h.now)
 	h.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
-	worse := s.health[0].current(h.now)
+	levelAfterPeerReport := replica.health[0].current(h.now)
 	h.handle(0, LoadPolled{1, nil})
-	if own := h.r.byID[1].health[0].current(h.now); worse <= health || worse >= own || s.lastResponse != alive {
-		t.Errorf("failure level %v, %v by a peer's report, %v by own experience; last response %v after %v", health, worse, own, s.lastResponse, alive)
+	if levelAfterOwnPoll := h.r.byID[1].health[0].current(h.now); levelAfterPeerReport <= health || levelAfterPeerReport >= levelAfterOwnPoll || replica.lastResponse != responseBefore {
+		t.Errorf("failure level %v, %v by a peer's report, %v by own experience; last response %v after %v", health, levelAfterPeerReport, levelAfterOwnPoll, replica.lastResponse, responseBefore)
 	}
 	h.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{}, Age: 0})
-	if s.lastResponse != alive {
+	if replica.lastResponse != responseBefore {
 		t.Error("a peer's report made a replica count as alive")
 	}
-	s.lastResponse = h.now
-	before := s.health[0].current(h.now)
+	replica.lastResponse = h.now
+	before := replica.health[0].current(h.now)
 	h.handle(0, PeerLoadReport{Endpoint: 2, Load: nil, Age: 100 * ms})
-	if s.health[0].current(h.now) != before {
+	if replica.health[0].current(h.now) != before {
 		t.Error("a peer's report counted although the replica has responded here since")
 	}
 	h.handle(0, PeerLoadReport{Endpoint: 99, Load: &LoadReport{}})
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -1,7 +1,7 @@
 package routing
 
-// noteEstimate keeps what a request's prefill attempt was estimated at, for observePrefill.
-func (r *Router) noteEstimate(req *request, best candidate) {
+// recordEstimate stores the estimate of a request's prefill attempt for observePrefill.
+func (r *Router) recordEstimate(req *request, best candidate) {
 	if !r.cfg.ObservePrefills {
 		return
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-// observePrefill tells how a prefill attempt compares with its estimate.
+// observePrefill emits the outcome of a prefill attempt together with its estimate.
 func (r *Router) observePrefill(req *request, event AttemptEnded) {
 	if !r.cfg.ObservePrefills {
 		return
--- a/routing/observe_test.go
+++ b/routing/observe_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestObservePrefills: with the option each end of a prefill attempt tells what was estimated, and nothing else changes.
+// TestObservePrefills checks that with the option, the end of each prefill attempt reports what was estimated, also
+// after a reconfiguration without the option.
 func TestObservePrefills(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.ObservePrefills = true })
 	replica := h.sentTo(h.arrive(1, 0))
@@ -25,7 +26,7 @@
 	}
 }
 
-// TestPrefillsAreNotObservedByDefault: without the option no PrefillObserved is emitted.
+// TestPrefillsAreNotObservedByDefault checks that without the option no PrefillObserved is emitted.
 func TestPrefillsAreNotObservedByDefault(t *testing.T) {
 	h := newHarness(t, nil)
 	h.completePrefill(1, 0)
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// candidate is a replica in a selection, with its estimate. Score and rank decide among candidates only, not on
+// candidate is a replica in a selection, with its estimate. Score and rank only order the candidates and do not affect
 // admission.
 type candidate struct {
 	*replica
 	queueDelayMS float64
 	prefillMS    float64
-	scoreMS      float64 // the estimate with handicaps; lower is better
-	rank         float64 // rendezvous rank, which decides among near-equal scores; lower is better
+	scoreMS      float64 // the estimate with penalties; lower is better
+	rank         float64 // rendezvous rank, which decides between nearly equal scores; lower is better
 }
 
-// healthFilter says which replicas a selection considers.
+// healthFilter selects the replicas that a selection considers.
 type healthFilter uint8
 
 const (
 	healthyOnly healthFilter = iota
-	anyHealth                // bad health is only a handicap
+	anyHealth                // poor health only adds a penalty
 )
 
-// bestPrefillReplica returns the prefill replica with the lowest estimate; near-equal ones go by rank. Bad health alone
-// never leaves a request without a replica: if no healthy one is eligible, the others are considered.
+// bestPrefillReplica returns the prefill replica with the lowest estimate; rank decides between nearly equal ones. If
+// no healthy replica is eligible, it considers the unhealthy ones, so that poor health alone never leaves a request
+// without a replica.
 func (r *Router) bestPrefillReplica(req *request) (candidate, bool) {
 	r.sumCapacity(req.Class)
 	replicaCount := r.prefixReplicaCount(req)
@@ -42,7 +43,8 @@
 	return candidate{}, false
 }
 
-// lowestPrefillEstimate returns the best candidate among the replicas that pass the filter, or one without a replica.
+// lowestPrefillEstimate returns the best candidate among the replicas that pass the filter, or a candidate without a
+// replica.
 func (r *Router) lowestPrefillEstimate(req *request, filter healthFilter, replicaCount float64) candidate {
 	lowestMS := math.Inf(1)
 	r.candidates = r.candidates[:0]
@@ -69,8 +71,8 @@
 	return *best
 }
 
-// canPrefill reports whether a replica may be sent the request's prefill. It takes the request's slow-start turn at a
-// replica in slow start, which is never used as one of bad health.
+// canPrefill reports whether a replica may be sent the request's prefill. For a replica in slow start it accrues the
+// request's slow-start credit. With filter anyHealth it excludes replicas in slow start.
 func (r *Router) canPrefill(replica *replica, req *request, filter healthFilter) bool {
 	if replica.role != Prefill || replica.State != Ready {
 		return false
@@ -84,15 +86,17 @@
 	if req.selectsByPoll() && !r.polledFor(replica, req) {
 		return false
 	}
-	return !r.inSlowStart(replica) || r.takeSlowStartTurn(replica, req, 1, r.slowStartAllowance(req))
+	return !r.inSlowStart(replica) || r.accrueSlowStartCredit(replica, req, 1, r.slowStartAllowance(req))
 }
 
-// polledFor reports whether a replica was polled for the request and its load is known, if only by its silence.
+// polledFor reports whether a replica was polled for the request and either its load is known or its poll is
+// unanswered.
 func (r *Router) polledFor(replica *replica, req *request) bool {
 	return slices.Contains(req.pollCandidates, replica.ID) && (r.loadFresh(replica) || r.pollUnanswered(replica))
 }
 
-// selectsByPoll reports whether the request goes to one of the replicas that were polled for it: on its first attempt.
+// selectsByPoll reports whether the request goes to one of the replicas that were polled for it. Only its first attempt
+// does.
 func (req *request) selectsByPoll() bool { return req.pollCandidates != nil && req.attempts == 0 }
 
 // estimateCandidate sets the estimate, score and rank of a candidate's replica.
@@ -113,22 +117,22 @@
 	}
 }
 
-// estimateToleranceMS returns the difference of estimates that counts as none, in ms: a part of the usual error, which
-// shrinks as this router sees more of each replica.
+// estimateToleranceMS returns the difference up to which estimates count as equal, in ms. It is a fraction of the usual
+// error and shrinks as this router sees more prefills of each replica.
 func (r *Router) estimateToleranceMS() float64 {
 	confidence := 1 + r.samplesPerReplica()/priorSamples
 	return estimateErrorTolerance * r.estimateError.mean(r.now, 0, priorSamples) / confidence
 }
 
-// prefillTimeout returns the timeout of a prefill attempt with an estimate. Where no time or attempt remains for
-// another replica it is all the time until the deadline.
+// prefillTimeout returns the timeout of a prefill attempt with an estimate. If no time or attempt remains for another
+// replica, it is the time until the deadline.
 func (r *Router) prefillTimeout(req *request, estimateMS float64) time.Duration {
 	remaining := req.deadline - r.now
 	errorMS := r.estimateError.mean(r.now, 0, priorSamples)
 	timeout := fromMS(prefillTimeoutFactor*estimateMS+errorMS) + prefillTimeoutGrace
 	timeout = min(timeout, max(remaining/2, prefillTimeoutGrace))
 	noTimeForRetry := r.now+timeout+fromMS(estimateMS)+prefillTimeoutGrace > req.deadline
-	if noTimeForRetry || req.attempts+1+attemptsPerPass > r.maxAttempts(req) {
+	if noTimeForRetry || req.attempts+1+attemptsFromPrefill > r.maxAttempts(req) {
 		return remaining
 	}
 	return timeout
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// prefixEntry is what the router knows of a session or a shared prefix.
+// prefixEntry is this router's state of a session or a shared prefix.
 type prefixEntry struct {
 	endpoint  EndpointID // replica of the latest prefill
-	tokens    int        // tokens that it cached; 0: unknown
+	tokens    int        // tokens that the replica cached; 0 if unknown
 	updatedAt time.Duration
-	requests  decayedMean // its count is the number of recent requests
+	requests  decayedMean // its count is the number of recent requests; its sum is not used
 }
 
-// countArrival counts a request towards all arrivals and the popularity of its shared prefix.
+// countArrival counts a request towards all arrivals and towards the popularity of its shared prefix.
 func (r *Router) countArrival(req *request) {
 	r.arrivals.add(r.now, 0)
 	if req.SharedPrefix != 0 {
@@ -24,8 +24,8 @@
 	}
 }
 
-// sweepPrefixCache removes the entries that have not been used for a long time, every sweepInterval. While there are
-// more than maxPrefixEntries it also removes those that have been unused for longest.
+// sweepPrefixCache removes the expired entries every sweepInterval. While there are more than maxPrefixEntries, it also
+// removes the least recently used entries.
 func (r *Router) sweepPrefixCache() {
 	full := len(r.prefixCache) > maxPrefixEntries
 	if !full && r.now-r.sweptAt < sweepInterval {
@@ -40,7 +40,7 @@
 	}
 }
 
-// removePrefixesUnusedFor removes the entries that have not been used for longer than a time.
+// removePrefixesUnusedFor removes the entries that have not been used for longer than maxAge.
 func (r *Router) removePrefixesUnusedFor(maxAge time.Duration) {
 	oldest := r.now - maxAge
 	maps.DeleteFunc(r.prefixCache, func(_ Key, entry *prefixEntry) bool {
@@ -48,8 +48,8 @@
 	})
 }
 
-// recordPrefix records a prefix as cached from the moment when it is sent, so that a flood of requests with one prefix
-// goes where it is being prefilled.
+// recordPrefix records a prefix as cached from the time when a request with it is sent, so that a burst of requests
+// with one prefix goes to the replica that is prefilling it.
 func (r *Router) recordPrefix(key Key, id EndpointID, tokens int) {
 	if key == 0 {
 		return
@@ -58,7 +58,7 @@
 	entry.endpoint, entry.tokens, entry.updatedAt = id, tokens, r.now
 }
 
-// forgetPrefixes drops the expectation that a replica which has failed a request's prefill has cached its prefixes.
+// forgetPrefixes stops expecting that a replica which has failed a request's prefill has cached the request's prefixes.
 func (r *Router) forgetPrefixes(req *request, id EndpointID) {
 	for _, key := range []Key{req.Session, req.SharedPrefix} {
 		if entry := r.prefixCache[key]; entry != nil && entry.endpoint == id {
@@ -67,10 +67,11 @@
 	}
 }
 
-// expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache: by what this
-// router has sent there and, where the replica's rank is that of a replica for the shared prefix, by what other routers
-// will have sent there. A request that goes by polled loads does not count on others: its router sees too few requests to
-// know a popular prefix from a rare one, which nobody has sent there, and its rank alone decides between equal queues.
+// expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache. It counts the
+// tokens that this router has sent there and, if the rank marks the replica as a replica for the shared prefix, the
+// tokens that other routers will have sent there. A request that is placed by polled loads does not count on other
+// routers: this router sees too few requests to tell a popular prefix from a rare one, which no router has sent there,
+// and the rank alone decides between equal queues.
 func (r *Router) expectedCachedTokens(replica *replica, req *request, rank float64) int {
 	tokens := max(
 		r.recordedTokens(req.Session, req.PromptTokens, replica),
@@ -82,7 +83,7 @@
 	return int(tokens * r.cacheHitRatio.mean(r.now, 1, priorSamples))
 }
 
-// recordedTokens returns the tokens of a prefix, up to a limit, that this router has sent to a replica, decayed with
+// recordedTokens returns how many tokens of a prefix, up to limit, this router has sent to a replica, decayed with
 // time. There is no entry for key 0.
 func (r *Router) recordedTokens(key Key, limit int, replica *replica) float64 {
 	entry := r.prefixCache[key]
@@ -92,8 +93,8 @@
 	return max(0, decay(r.now-entry.updatedAt, prefixCacheTimeConstant)*float64(min(entry.tokens, limit)))
 }
 
-// prefixReplicaCount returns how many prefill replicas should cache the request's shared prefix, by its share of the
-// arrivals. It is a power of two, so that routers whose counts differ somewhat agree on it.
+// prefixReplicaCount returns how many prefill replicas should cache the request's shared prefix, based on its share of
+// the arrivals. It is a power of two, so that routers whose counts differ slightly agree on it.
 func (r *Router) prefixReplicaCount(req *request) float64 {
 	share := 0.0
 	if entry := r.prefixCache[req.SharedPrefix]; entry != nil {
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -8,18 +8,18 @@
 func TestCachedPrefixAttractsRequest(t *testing.T) {
 	h := newHarness(t, nil)
 	h.r.recordPrefix(77, 2, 900)
-	a := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, RemainingTime: 4 * time.Second}
-	if got := h.sentTo(h.handle(ms, a)); got != 2 {
+	arrival := RequestArrived{Request: 1, Tenant: -1, Session: 77, PromptTokens: 1000, RemainingTime: 4 * time.Second}
+	if got := h.sentTo(h.handle(ms, arrival)); got != 2 {
 		t.Errorf("went to %d, want the replica that has the session cached", got)
 	}
 	h.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, State: Ready, Started: h.now}}})
-	if n := h.r.expectedCachedTokens(h.r.byID[2], &request{RequestArrived: a}, notPrefixReplicaRank); n != 0 {
+	if n := h.r.expectedCachedTokens(h.r.byID[2], &request{RequestArrived: arrival}, notPrefixReplicaRank); n != 0 {
 		t.Errorf("%d tokens are expected at a replica that has restarted", n)
 	}
 }
 
-// Routers that do not communicate and differ in their seeds still send a session, and a prefix that is not popular, to
-// the same prefill replica, so that it is found in the cache.
+// Routers that do not communicate and have different seeds must send a session, and a prefix that is not popular, to
+// the same prefill replica, so that the prefix is found in the cache.
 func TestRoutersAgreeOnPrefillReplicaOfAPrefix(t *testing.T) {
 	prefillReplica := func(seed uint64, id RequestID, session Key) EndpointID {
 		cfg := testConfig()
@@ -53,49 +53,50 @@
 		list[i].Zone = 0
 	}
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
-	to := map[EndpointID]int{}
+	sends := map[EndpointID]int{}
 	for id := range RequestID(300) {
-		a := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, RemainingTime: 4 * time.Second}
+		arrival := RequestArrived{Request: id + 1, Tenant: -1, Session: Key(1000 + id), PromptTokens: 2500, RemainingTime: 4 * time.Second}
 		if id%2 == 0 {
-			a.SharedPrefix, a.SharedPrefixTokens = 7, 2000
+			arrival.SharedPrefix, arrival.SharedPrefixTokens = 7, 2000
 		}
-		s := h.sentTo(h.handle(300*ms, a))
-		if a.SharedPrefix != 0 && id > 100 {
-			to[s]++
+		prefillReplica := h.sentTo(h.handle(300*ms, arrival))
+		if arrival.SharedPrefix != 0 && id > 100 {
+			sends[prefillReplica]++
 		}
-		h.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
+		h.handle(30*ms, AttemptEnded{Request: id + 1, Endpoint: prefillReplica, Outcome: PrefillDone, Elapsed: 30 * ms, CachedTokens: 2000, Final: true})
 	}
-	if len(to) < 8 {
-		t.Errorf("half of all requests went to %d of 20 prefill replicas", len(to))
+	if len(sends) < 8 {
+		t.Errorf("half of all requests went to %d of 20 prefill replicas", len(sends))
 	}
 }
 
-// The requests that a cell's only decode replica cannot bear go to cells with decode capacity to spare.
+// Requests that exceed the capacity of a cell's only decode replica go to cells with spare decode capacity.
 func TestCellWithLittleDecodeCapacitySpills(t *testing.T) {
 	h := newHarness(t, nil)
 	var list []Endpoint
 	for i := range 10 {
-		s := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
+		endpoint := Endpoint{ID: EndpointID(10 + i), Cell: i / 5, State: Ready, Weight: 1}
 		if i == 4 || i > 5 { // cell 0: four prefill replicas, one decode; cell 1: one prefill, four decode
-			s.Kind = 1
+			endpoint.Kind = 1
 		}
-		list = append(list, s)
+		list = append(list, endpoint)
 	}
 	h.handle(0, EndpointUpdate{Full: true, Endpoints: list})
-	n := map[EndpointID]int{}
+	decodes := map[EndpointID]int{}
 	for id := range RequestID(500) {
 		_, decodeReplica := h.completePrefill(id+1, 0)
 		h.handle(20*ms, FirstToken{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Elapsed: 20 * ms})
 		h.handle(ms, AttemptEnded{Request: id + 1, Attempt: 1, Endpoint: decodeReplica, Outcome: Served, Final: true})
-		n[decodeReplica]++
+		decodes[decodeReplica]++
 	}
-	if n[14] > 175 || n[14] < 50 {
-		t.Errorf("the only decode replica of the cell got %d of 500, an even share is 100", n[14])
+	if decodes[14] > 175 || decodes[14] < 50 {
+		t.Errorf("the only decode replica of the cell got %d of 500, an even share is 100", decodes[14])
 	}
 }
 
-// TestPolledRequestsCountOnOwnPrefillsOnly: a rank alone makes no prefix cached for a request that goes by polled
-// loads, as it does for one that goes by estimates; what this router has sent counts for both.
+// TestPolledRequestsCountOnOwnPrefillsOnly checks which cached tokens are expected. For a request that is placed by
+// estimates, a low rank is enough to expect the shared prefix in the cache. For a request that is placed by polled
+// loads it is not; only what this router has sent counts.
 func TestPolledRequestsCountOnOwnPrefillsOnly(t *testing.T) {
 	h := newHarness(t, nil)
 	req := &request{RequestArrived: RequestArrived{SharedPrefix: 5, SharedPrefixTokens: 700, PromptTokens: 1000}}
--- a/routing/reconfigure_test.go
+++ b/routing/reconfigure_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A request that is open at a reconfiguration keeps the rules of its arrival: a non-idempotent one is not retried when
-// the name of its class now means an idempotent class, and none makes more attempts than the smallest limit in force
-// since it arrived. A new class applies at once, and a reconfiguration that would renumber the classes fails.
+// A request that is open during a reconfiguration keeps the rules under which it arrived. A non-idempotent request is
+// not retried if the name of its class now means an idempotent class, and a request makes no more attempts than the
+// smallest limit that has been in force since it arrived. A new class applies at once. A reconfiguration that would
+// renumber the classes fails.
 func TestReconfigureKeepsRulesOfOpenRequests(t *testing.T) {
 	h := newHarness(t, nil)
 	_, decodeReplica := h.completePrefill(1, 1) // non-idempotent
@@ -24,7 +25,7 @@
 	if acts := h.arrive(2, 5); !containsAction[Send](acts) {
 		t.Errorf("the new class: %+v", acts)
 	}
-	// The limit is two attempts: after a prefill that failed not enough remain for another one and a decode.
+	// The limit is two attempts: after a failed prefill, too few remain for another prefill and a decode.
 	if acts := h.handle(30*ms, AttemptEnded{Request: 3, Attempt: 1, Endpoint: h.sentTo(h.arrive(3, 0)), Outcome: ConnectFailed}); containsAction[Send](acts) {
 		t.Errorf("a third attempt where the limit is two: %+v", acts)
 	}
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// notPrefixReplicaRank is above the rank of each replica for a request's shared prefix and not above any other rank.
+// notPrefixReplicaRank is a lower bound for the ranks of replicas that are not among a request's prefix replicas. The
+// ranks of the prefix replicas are below it.
 const notPrefixReplicaRank = 1e6
 
-// rendezvousRank orders the prefill replicas for a request by weighted rendezvous (highest random weight) hashing
-// (D. Thaler, C. Ravishankar: Using Name-Based Mappings to Increase Hit Rates; the weighted form divides an exponential
-// variate by the weight). Lower is better. All routers get the same order, so that prefixes are found in the cache
-// without communication: the replicas for the shared prefix, of which there are replicaCount, come first, in an order
-// by session; then the others. It could do harm where one prefix has more requests than its replicas can take before
-// its popularity is known.
+// rendezvousRank returns a prefill replica's rank for a request; lower is better. It uses weighted rendezvous (highest
+// random weight) hashing (D. Thaler, C. Ravishankar: Using Name-Based Mappings to Increase Hit Rates; the weighted form
+// divides an exponential variate by the weight). All routers compute the same order, so that prefixes are found in the
+// cache without communication: the replicas for the shared prefix, of which there are about replicaCount, come first,
+// in an order by session; then the others. This does harm if one prefix has more requests than its replicas can take
+// before its popularity is known.
 func (r *Router) rendezvousRank(replica *replica, req *request, replicaCount float64) float64 {
 	preference, _ := r.cellPreference(replica.cell)
 	weight := r.effectiveWeight(replica) * preference
@@ -33,8 +34,8 @@
 	float64Bits = 53
 )
 
-// exponentialDraw returns an exponential variate that depends on the key and the replica alone: by inversion from a
-// uniform one, which is their SplitMix64 hash.
+// exponentialDraw returns an exponential variate that depends only on the key and the replica. It applies inversion to
+// a uniform variate, the SplitMix64 hash of both.
 func exponentialDraw(key Key, id EndpointID) float64 {
 	hash := uint64(key) ^ (uint64(id)+1)*splitMixIncrement
 	hash = (hash ^ hash>>30) * splitMixMultiplier1
--- a/routing/rendezvous_test.go
+++ b/routing/rendezvous_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// placementRouter returns a router with prefill replicas of IDs 1 to count, except those that skip holds, in cells of
-// five with a decode replica each.
+// placementRouter returns a router with prefill replicas with the IDs 1 to count, except those for which skip returns
+// true, in cells of five with a decode replica each.
 func placementRouter(t *testing.T, count int, skip func(EndpointID) bool) *Router {
 	t.Helper()
 	r, err := New(testConfig(), 1)
@@ -28,8 +28,8 @@
 	return r
 }
 
-// home returns the replica of the lowest rank for a request.
-func (r *Router) home(req *request) EndpointID {
+// lowestRankedReplica returns the replica with the lowest rank for a request.
+func (r *Router) lowestRankedReplica(req *request) EndpointID {
 	best, lowest := EndpointID(0), math.Inf(1)
 	for _, replica := range r.active {
 		if replica.role != Prefill {
@@ -42,47 +42,48 @@
 	return best
 }
 
-// TestRoutersAgreeOnPlacement: routers whose lists differ by a few of 1,000 replicas look for almost all prefixes at the
-// same replica: what moves when replicas leave or join is near the part that those replicas had.
+// TestRoutersAgreeOnPlacement checks that routers whose endpoint lists differ by a few of 1,000 replicas place almost
+// all prefixes at the same replica. The fraction of prefixes that move when replicas leave or join must be close to the
+// fraction that those replicas had.
 func TestRoutersAgreeOnPlacement(t *testing.T) {
 	const replicas, prefixes = 1000, 1000
 	for _, missing := range []int{0, 1, 10, 100} {
-		whole := placementRouter(t, replicas, func(EndpointID) bool { return false })
-		less := placementRouter(t, replicas, func(id EndpointID) bool { return int(id)%replicas < missing })
+		complete := placementRouter(t, replicas, func(EndpointID) bool { return false })
+		reduced := placementRouter(t, replicas, func(id EndpointID) bool { return int(id)%replicas < missing })
 		moved := 0
 		for i := range prefixes {
 			req := &request{RequestArrived: RequestArrived{Session: Key(7*i + 1), SharedPrefix: Key(i + 1), SharedPrefixTokens: 100}}
-			if whole.home(req) != less.home(req) {
+			if complete.lowestRankedReplica(req) != reduced.lowestRankedReplica(req) {
 				moved++
 			}
 		}
-		least := float64(missing) / replicas
-		if share := float64(moved) / prefixes; share > 1.5*least+0.005 || missing > 0 && share < least/2-0.005 {
-			t.Errorf("%d of %d replicas differ: %.4f of the prefixes moved, %.4f at least", missing, replicas, share, least)
+		missingShare := float64(missing) / replicas
+		if share := float64(moved) / prefixes; share > 1.5*missingShare+0.005 || missing > 0 && share < missingShare/2-0.005 {
+			t.Errorf("%d of %d replicas differ: %.4f of the prefixes moved, %.4f at least", missing, replicas, share, missingShare)
 		}
 	}
 }
 
-// TestSessionsOfAPrefixKeepTheirReplica: all routers send the turns of one session of a popular prefix to one replica,
-// and its sessions to several.
+// TestSessionsOfAPrefixKeepTheirReplica checks that all routers send the requests of one session of a popular prefix to
+// one replica, and the sessions of that prefix to several replicas.
 func TestSessionsOfAPrefixKeepTheirReplica(t *testing.T) {
-	one := placementRouter(t, 100, func(EndpointID) bool { return false })
-	other := placementRouter(t, 100, func(EndpointID) bool { return false })
+	first := placementRouter(t, 100, func(EndpointID) bool { return false })
+	second := placementRouter(t, 100, func(EndpointID) bool { return false })
 	used := map[EndpointID]bool{}
 	for session := range Key(200) {
-		for _, r := range []*Router{one, other} { // their counts of the prefix differ, but not by a power of two
+		for _, r := range []*Router{first, second} { // their counts of the prefix differ by less than a power of two
 			r.countArrival(&request{RequestArrived: RequestArrived{SharedPrefix: 5}})
 		}
 		if session < 50 {
 			continue
 		}
 		req := &request{RequestArrived: RequestArrived{Session: session + 1, SharedPrefix: 5, SharedPrefixTokens: 100}}
-		used[one.home(req)] = true
-		if one.home(req) != other.home(req) {
+		used[first.lowestRankedReplica(req)] = true
+		if first.lowestRankedReplica(req) != second.lowestRankedReplica(req) {
 			t.Errorf("session %d has two replicas", session)
 		}
 	}
 	if len(used) < 20 {
-		t.Errorf("a prefix of all requests is at %d of 100 replicas", len(used))
+		t.Errorf("a prefix that all requests share is placed at %d of 100 replicas", len(used))
 	}
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -7,43 +7,43 @@
 	"rampspread/internal/tokenbucket"
 )
 
-// replica is what this router knows of one replica.
+// replica is this router's state of one replica.
 type replica struct {
 	Endpoint
 	role Role
 	cell *cellCapacity
 
-	pending      []pendingAttempt // oldest first
-	streams      int              // attempts whose response stream has begun
+	pending      []pendingAttempt // attempts without a first token or an outcome yet, oldest first
+	streams      int              // number of attempts whose response stream has begun
 	lastResponse time.Duration
-	health       []ewma        // failure levels: of all classes, then by class
-	fullUntil    time.Duration // it counts as full until then
+	health       []ewma        // failure levels: for all classes together, then by class
+	fullUntil    time.Duration // time until which the replica counts as full
 
-	cacheValidFrom  time.Duration // prefixes recorded before this time are void
-	queueDelay      decayedMean   // prefill: ms that prefills took beyond the estimate common to all replicas
-	firstTokenDelay decayedMean   // decode: ms to the first token
+	cacheValidFrom  time.Duration // prefixes recorded before this time are no longer cached
+	queueDelay      decayedMean   // prefill replicas: ms by which prefills exceeded the estimate common to all replicas
+	firstTokenDelay decayedMean   // decode replicas: ms to the first token
 
-	load            LoadReport // the latest report, as it was given
-	reportedQueue   float64    // requests ahead of a new one, as of loadReportedAt
+	load            LoadReport // latest load report, as received
+	reportedQueue   float64    // requests ahead of a new one at loadReportedAt
 	loadReportedAt  time.Duration
-	reportedMemory  float64       // fraction of memory in use; negative: none reported
-	reportedBacklog float64       // thousands of tokens to prefill or fetch; negative: none reported
-	pollWaiters     []RequestID   // requests that wait for the answer to a load poll
-	pollSentAt      time.Duration // of the latest load poll
-	silentUntil     time.Duration // it counts as silent until then, since a load poll ended without an answer
+	reportedMemory  float64       // fraction of memory in use; negative if not reported
+	reportedBacklog float64       // thousands of tokens to prefill or fetch; negative if not reported
+	pollWaiters     []RequestID   // requests that wait for the answer to the load poll
+	pollSentAt      time.Duration // time of the latest load poll
+	silentUntil     time.Duration // time until which the replica counts as silent after an unanswered load poll
 	pollBudget      tokenbucket.Bucket
 
-	slowStartCredit float64 // in slow start: requests, or the part of one, that it may be sent
+	slowStartCredit float64 // in slow start: number of requests, possibly fractional, that it may be sent
 }
 
-// pendingAttempt is an attempt without an outcome or first token yet.
+// pendingAttempt is an attempt without a first token or an outcome yet.
 type pendingAttempt struct {
 	request            RequestID
 	sentAt, expectedBy time.Duration
 }
 
-// resetStats drops what was learned of a replica's last process: its prefix cache is void, and its failures are not
-// those of the new one.
+// resetStats discards the state learned from a replica's previous process: the new process has an empty prefix cache,
+// and earlier failures do not count against it.
 func (rep *replica) resetStats(r *Router) {
 	rep.cacheValidFrom, rep.fullUntil = r.now, 0
 	rep.reportedMemory, rep.reportedBacklog = -1, -1
@@ -59,7 +59,7 @@
 	rep.pending = slices.DeleteFunc(rep.pending, func(p pendingAttempt) bool { return p.request == id })
 }
 
-// applyLoad takes a load report of a time.
+// applyLoad stores a load report that was made at reportedAt.
 func (rep *replica) applyLoad(load *LoadReport, reportedAt time.Duration) {
 	rep.reportedQueue = load.QueuedRequests + queuedPerFullSlots*max(load.SlotUtilization, 0)
 	rep.loadReportedAt = reportedAt
--- a/routing/request.go
+++ b/routing/request.go
@@ -6,8 +6,8 @@
 //
 //	awaitingPrefill --> prefilling --> awaitingDecode --> decoding --> streaming --> closed
 //
-// A request gets one final answer. It is closed, that is, removed from Router.requests, when it has been answered and
-// no attempt is out. The transitions, with the functions that make them:
+// A request gets exactly one final answer. It is closed (removed from Router.requests) once it has been answered
+// and no attempt is in flight. The transitions, with the functions that make them:
 //
 //	state            event                                           next state
 //	(none)           RequestArrived (requestArrived)                 awaitingPrefill
@@ -20,7 +20,7 @@
 //	decoding         FirstToken (firstToken)                         streaming
 //	decoding         failed, prefill result usable (decodeEnded)     awaitingDecode
 //	decoding         failed, prefill result lost (retryPrefill)      awaitingPrefill
-//	streaming        failed, as decoding (decodeEnded)               awaitingDecode or awaitingPrefill
+//	streaming        failed, as in decoding (decodeEnded)            awaitingDecode or awaitingPrefill
 //	with attempt     final outcome (attemptEnded)                    closed
 //	with attempt     ClientGone (clientDisconnected)                 abandoned
 //	abandoned        outcome of the attempt (attemptEnded)           closed
@@ -32,54 +32,54 @@
 type requestState uint8
 
 const (
-	awaitingPrefill requestState = iota // no attempt out, not prefilled
-	prefilling                          // an attempt at a prefill replica is out
-	awaitingDecode                      // its prefill result is reserved at the prefill replica, no attempt out
-	decoding                            // an attempt at a decode replica is out
+	awaitingPrefill requestState = iota // not prefilled, no attempt in flight
+	prefilling                          // an attempt at a prefill replica is in flight
+	awaitingDecode                      // prefill result reserved at the prefill replica, no attempt in flight
+	decoding                            // an attempt at a decode replica is in flight, without a first token yet
 	streaming                           // the response stream has begun
-	abandoned                           // the client has disconnected; the attempt's outcome is still to come
+	abandoned                           // the client has disconnected; the attempt's outcome is outstanding
 )
 
 const (
-	// attemptsPerPass is the number of attempts that a request needs from the start: a prefill and a decode.
-	attemptsPerPass = 2
-	// minSelectionRetries is the number of further looks for a replica that must fit into the remaining time for a
-	// request to wait.
+	// attemptsFromPrefill is the number of attempts that a request needs from its prefill on: a prefill and a decode.
+	attemptsFromPrefill = 2
+	// minSelectionRetries is the number of retries of a replica selection that must fit into the remaining time; if
+	// fewer fit, the request is ended at once.
 	minSelectionRetries = 2
 	// retryAfterJitter is the fraction of Retry-After that is random.
 	retryAfterJitter = 0.5
 )
 
-// request is an open request.
+// request is the state of an open request.
 type request struct {
 	RequestArrived
 	state         requestState
 	arrivedAt     time.Duration
 	deadline      time.Duration
-	ttftObjective time.Duration // latency objective for the first token, from arrivedAt on
-	overQuota     bool          // it is beyond its tenant's quota
+	ttftObjective time.Duration // latency objective for the first token, measured from arrivedAt
+	overQuota     bool          // the request exceeds its tenant's quota
 
-	attempts        int          // made so far
+	attempts        int          // number of attempts made so far
 	retrying        bool         // the next attempt repeats a stage after a failure
-	failedEndpoints []EndpointID // replicas that failed the request
+	failedEndpoints []EndpointID // replicas at which an attempt of the request failed
 	reservation     reservation
 	prefillEndpoint EndpointID // replica of the latest prefill
 
-	// The attempt that is out.
+	// The attempt in flight.
 	endpoint             EndpointID
 	sentAt               time.Duration
-	expectedCachedTokens int             // prefill: prompt tokens expected in the replica's prefix cache
-	estimate             PrefillEstimate // prefill: with Config.ObservePrefills
-	reportedQueue        float64         // prefill: requests ahead, by the replica's load report
-	pollUnanswered       bool            // prefill: the replica had not answered a load poll in time
-	ownAttemptsAhead     float64         // pending attempts of this router at the replica
+	expectedCachedTokens int             // prefill only: prompt tokens expected in the replica's prefix cache
+	estimate             PrefillEstimate // prefill only: set if Config.ObservePrefills is set
+	reportedQueue        float64         // prefill only: requests ahead, from the replica's load report
+	pollUnanswered       bool            // prefill only: the replica had not answered a load poll in time
+	ownAttemptsAhead     float64         // earlier pending attempts of this router at the replica
 
 	// The selection of the next replica.
-	selectionStart time.Duration // time of its first look; selections that are repeated get no slow-start turn
-	pollCandidates []EndpointID  // replicas whose load is known or has been polled for the request; nil: not polled yet
-	pendingPolls   int           // polls without an answer yet
-	pollRounds     int           // how often replicas were polled for the next attempt
-	pollDeadline   time.Duration // until then the request waits for the answers
+	selectionStart time.Duration // time of its first try; only the first try may use a replica in slow start
+	pollCandidates []EndpointID  // replicas whose load is known or was polled for the request; nil if none yet
+	pendingPolls   int           // number of polls not answered yet
+	pollRounds     int           // number of poll rounds for the next attempt
+	pollDeadline   time.Duration // time until which the request waits for the answers
 
 	// The first attempt that may have run, if any.
 	mayHaveRun   bool
@@ -87,7 +87,7 @@
 	mayHaveRunOn EndpointID
 }
 
-// requestArrived opens a request: it enters awaitingPrefill.
+// requestArrived opens a request in state awaitingPrefill and takes its first step.
 func (r *Router) requestArrived(event RequestArrived) {
 	if r.requests[event.Request] != nil {
 		return
@@ -97,12 +97,12 @@
 		return
 	}
 	class := r.cfg.Classes[event.Class]
-	perPrompt := time.Duration(float64(class.TTFTObjectivePer1K) * float64(event.PromptTokens) / 1000)
+	promptAllowance := time.Duration(float64(class.TTFTObjectivePer1K) * float64(event.PromptTokens) / 1000)
 	req := &request{
 		RequestArrived: event,
 		arrivedAt:      r.now,
 		deadline:       r.now + event.RemainingTime,
-		ttftObjective:  class.TTFTObjective + perPrompt,
+		ttftObjective:  class.TTFTObjective + promptAllowance,
 		overQuota:      r.overQuota(event.Tenant),
 		selectionStart: r.now,
 	}
@@ -112,7 +112,7 @@
 	r.advance(req)
 }
 
-// advance takes the next step of a request that has no attempt out.
+// advance takes the next step of a request that has no attempt in flight.
 func (r *Router) advance(req *request) {
 	if req.attempts >= r.maxAttempts(req) {
 		r.rejectOrFail(req, AttemptsExhausted, 0)
@@ -135,7 +135,7 @@
 
 // startPrefill applies the admission test and sends the request to the prefill replica with the lowest estimate.
 func (r *Router) startPrefill(req *request) {
-	if req.attempts+attemptsPerPass > r.maxAttempts(req) {
+	if req.attempts+attemptsFromPrefill > r.maxAttempts(req) {
 		r.rejectOrFail(req, AttemptsExhausted, 0)
 		return
 	}
@@ -162,14 +162,15 @@
 	req.ownAttemptsAhead = float64(len(replica.pending))
 	req.reportedQueue = r.reportedQueueOf(replica)
 	req.pollUnanswered = r.pollUnanswered(replica)
-	r.noteEstimate(req, best)
+	r.recordEstimate(req, best)
 	r.recordPrefix(req.Session, replica.ID, req.PromptTokens)
 	r.recordPrefix(req.SharedPrefix, replica.ID, req.SharedPrefixTokens)
 	expectedBy := r.now + time.Duration(expectedPrefillFactor*float64(estimate)) + expectedPrefillGrace
 	r.send(req, replica, r.prefillTimeout(req, estimateMS), expectedBy)
 }
 
-// startDecode sends a prefilled request to the decode replica with most capacity in the cell of its prefill replica.
+// startDecode sends a request to the decode replica with the most capacity, preferably in the cell of its prefill
+// replica.
 func (r *Router) startDecode(req *request) {
 	if r.pollLoads(req) {
 		return
@@ -183,17 +184,17 @@
 	r.send(req, replica, r.decodeTimeout(req), r.now+minDecodeTimeout)
 }
 
-// retryLater lets a request that found no replica wait for a moment, unless its reservation would expire at limit or
-// its time would run out.
-func (r *Router) retryLater(req *request, why Reason, limit time.Duration) {
+// retryLater sets a timer to repeat a selection that found no replica. It ends the request instead if too little time
+// remains before limit or before the request's deadline.
+func (r *Router) retryLater(req *request, reason Reason, limit time.Duration) {
 	if r.now+minSelectionRetries*selectionRetryInterval >= min(limit, req.deadline-answerMargin) {
-		r.rejectOrFail(req, why, 0)
+		r.rejectOrFail(req, reason, 0)
 		return
 	}
 	r.emit(SetTimer{selectionRetryInterval, TimerID(req.Request)})
 }
 
-// send makes an attempt, which counts as overdue after expectedBy. Every Send comes from here.
+// send makes an attempt, which counts as overdue after expectedBy. It is the only function that emits Send.
 func (r *Router) send(req *request, replica *replica, timeout, expectedBy time.Duration) {
 	r.chargeBudgets(req)
 	req.endpoint, req.sentAt = replica.ID, r.now
@@ -202,8 +203,8 @@
 	r.emit(Send{req.Request, replica.ID, timeout})
 }
 
-// firstToken moves a request from decoding to streaming. The reservation ends by itself with the first event of the
-// stream.
+// firstToken moves a request from decoding to streaming. The reservation ends with the first event of the stream,
+// without a Release.
 func (r *Router) firstToken(event FirstToken) {
 	req := r.requests[event.Request]
 	if req == nil || req.state != decoding || event.Attempt != req.attempts-1 {
@@ -217,7 +218,7 @@
 	}
 }
 
-// attemptEnded learns from the end of an attempt and takes the request's next step.
+// attemptEnded updates the learned state from the end of an attempt and takes the request's next step.
 func (r *Router) attemptEnded(event AttemptEnded) {
 	replica := r.byID[event.Endpoint]
 	if replica != nil && event.Load != nil {
@@ -227,26 +228,26 @@
 	if req == nil || event.Attempt != req.attempts-1 || req.state == awaitingPrefill || req.state == awaitingDecode {
 		return
 	}
-	during := req.state
+	priorState := req.state
 	req.selectionStart = r.now
-	if during != streaming {
-		req.updateReservation(r.now, event.Outcome, during)
+	if priorState != streaming {
+		req.updateReservation(r.now, event.Outcome, priorState)
 	}
 	if replica != nil {
-		if during == streaming {
+		if priorState == streaming {
 			replica.streams--
 		}
 		replica.removePending(req.Request)
-		r.recordOutcome(replica, req, event, during)
+		r.recordOutcome(replica, req, event, priorState)
 	}
 	switch {
-	case during == abandoned || event.Final:
-		if event.Outcome != Served || during == abandoned {
+	case priorState == abandoned || event.Final:
+		if event.Outcome != Served || priorState == abandoned {
 			r.release(req, LateOutcome)
 		}
 		delete(r.requests, req.Request)
 		return
-	case during == prefilling:
+	case priorState == prefilling:
 		r.prefillEnded(req, event)
 	default:
 		r.decodeEnded(req, event)
@@ -256,8 +257,8 @@
 	}
 }
 
-// prefillEnded moves a request from prefilling to awaitingDecode, or back to awaitingPrefill after a failure. A
-// prefill has no effect however it ends, so another replica may always be tried.
+// prefillEnded moves a request from prefilling to awaitingDecode, or back to awaitingPrefill after a failure. A prefill
+// has no lasting effect however it ends, so another replica may always be tried.
 func (r *Router) prefillEnded(req *request, event AttemptEnded) {
 	if event.Outcome == PrefillDone {
 		req.state, req.pollCandidates, req.pollRounds = awaitingDecode, nil, 0
@@ -274,18 +275,18 @@
 	r.advance(req)
 }
 
-// decodeEnded moves a request from decoding or streaming back to awaitingDecode or awaitingPrefill after a failure, or
-// ends it where a retry is not allowed.
+// decodeEnded moves a request from decoding or streaming back to awaitingDecode or awaitingPrefill after a failure. If
+// a retry is not allowed, it ends the request.
 func (r *Router) decodeEnded(req *request, event AttemptEnded) {
 	if !event.Outcome.NeverRan() && !req.mayHaveRun {
 		req.mayHaveRun, req.mayHaveRunAt, req.mayHaveRunOn = true, req.sentAt, event.Endpoint
 	}
 	req.retrying = true
 	idempotency := r.cfg.Classes[req.Class].Idempotency
-	canRepeatPrefill := idempotency == Idempotent && req.attempts+attemptsPerPass <= r.maxAttempts(req)
+	canRepeatPrefill := idempotency == Idempotent && req.attempts+attemptsFromPrefill <= r.maxAttempts(req)
 	if event.Outcome == StateMissing || event.StreamStarted && canRepeatPrefill {
-		// The prefill result may be gone or only out of reach: it must not stay reserved meanwhile. Another decode
-		// replica could not find it, and that attempt would be missing for the second prefill.
+		// The prefill result may be lost or merely unreachable, so it must not stay reserved. Another decode replica
+		// could not fetch it either, and trying one would use up an attempt that the second prefill needs.
 		r.retryPrefill(req)
 		return
 	}
@@ -294,7 +295,7 @@
 		r.rejectOrFail(req, MayHaveRun, 0)
 		return
 	}
-	if req.reservation.releasedWhileDecoding { // the prefill result may be gone
+	if req.reservation.releasedWhileDecoding { // the release may have discarded the prefill result
 		r.retryPrefill(req)
 		return
 	}
@@ -302,16 +303,17 @@
 	r.advance(req)
 }
 
-// retryPrefill releases what may remain of a request's reservation and moves it to awaitingPrefill. The host sends the
-// prefill after the release has arrived, which would otherwise release the new prefill's result.
+// retryPrefill releases what may remain of a request's reservation and moves the request to awaitingPrefill. The host
+// sends the new prefill only after the release has arrived; otherwise the release would discard the new prefill's
+// result.
 func (r *Router) retryPrefill(req *request) {
 	r.release(req, BeforePrefillRetry)
 	req.state, req.reservation.releasedWhileDecoding = awaitingPrefill, false
 	r.advance(req)
 }
 
-// reservationExpired moves a request whose reservation has just been released from awaitingDecode to awaitingPrefill.
-// A decode attempt that is out goes on; if it arrives after the release, it finds no prefill result.
+// reservationExpired moves a request whose reservation has just been released from awaitingDecode to awaitingPrefill. A
+// decode attempt in flight continues; if it arrives after the release, it finds no prefill result.
 func (r *Router) reservationExpired(req *request) {
 	switch req.state {
 	case awaitingDecode:
@@ -322,7 +324,7 @@
 	}
 }
 
-// timerFired goes on with a request that waited, or checks its reservation.
+// timerFired continues a request that was waiting, or checks the request's reservation.
 func (r *Router) timerFired(id TimerID) {
 	req := r.requests[RequestID(id&^releaseTimerFlag)]
 	switch {
@@ -331,16 +333,16 @@
 		r.releaseIfExpired(req)
 	case req.state == awaitingPrefill || req.state == awaitingDecode:
 		if req.pendingPolls > 0 && r.now < req.pollDeadline {
-			return // the timer of earlier polls
+			return // the timer belongs to an earlier poll round
 		}
-		if req.pendingPolls > 0 { // the answers did not come in time
+		if req.pendingPolls > 0 { // the answers did not arrive in time
 			req.pendingPolls, req.selectionStart = 0, r.now
 		}
 		r.advance(req)
 	}
 }
 
-// clientDisconnected closes a request without an attempt; one with an attempt out moves to abandoned.
+// clientDisconnected closes a request without an attempt in flight; a request with one moves to abandoned.
 func (r *Router) clientDisconnected(id RequestID) {
 	req := r.requests[id]
 	switch {
@@ -359,22 +361,22 @@
 	req.state = abandoned
 }
 
-// rejectOrFail ends a request that has no attempt out. It is rejected where the promise holds that a retry is
-// harmless, and failed otherwise. The Retry-After of a rejection is about the time, excessMS, by which the request
-// would have been late, with jitter so that not all clients come back at once.
-func (r *Router) rejectOrFail(req *request, why Reason, excessMS float64) {
+// rejectOrFail ends a request that has no attempt in flight. It rejects the request if a retry by the client is
+// harmless, and fails it otherwise. The Retry-After of a rejection is based on excessMS, the time by which the request
+// would have been late, with jitter so that clients do not all retry at once.
+func (r *Router) rejectOrFail(req *request, reason Reason, excessMS float64) {
 	class := r.cfg.Classes[req.Class]
 	deduplicated := class.Idempotency == IdempotentByKey && class.DedupScope == DedupScopeAll
 	if req.mayHaveRun && class.Idempotency != Idempotent && !deduplicated {
-		r.finish(req, Fail{req.Request, why})
+		r.finish(req, Fail{req.Request, reason})
 		return
 	}
 	retryAfter := min(fromMS(max(excessMS, 0)), r.cfg.MaxRetryAfter)
 	jittered := (1 - retryAfterJitter + r.rng.Float64()*retryAfterJitter) * float64(retryAfter)
-	r.finish(req, Reject{req.Request, time.Duration(jittered), why})
+	r.finish(req, Reject{req.Request, time.Duration(jittered), reason})
 }
 
-// finish closes a request with its final answer. It is the only place that answers an open request.
+// finish closes a request with its final answer. It is the only function that answers an open request.
 func (r *Router) finish(req *request, answer Action) {
 	if req.attempts > 0 {
 		r.release(req, AfterAnswer)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -49,15 +49,15 @@
 
 func TestClientGoneCancelsAndReleases(t *testing.T) {
 	h := newHarness(t, nil)
-	s := h.sentTo(h.arrive(1, 0))
+	prefillReplica := h.sentTo(h.arrive(1, 0))
 	if !containsAction[Cancel](h.handle(ms, ClientGone{1})) {
 		t.Error("the prefill was not cancelled")
 	}
-	acts := h.handle(ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Final: true})
+	acts := h.handle(ms, AttemptEnded{Request: 1, Endpoint: prefillReplica, Outcome: PrefillDone, Final: true})
 	if !reflect.DeepEqual(acts, []Action{Release{1, LateOutcome}}) || len(h.r.requests) != 0 {
 		t.Errorf("got %+v, want only the release", acts)
 	}
-	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: s}, FirstToken{Request: 1},
+	for _, ev := range []Event{TimerFired{1}, ClientGone{1}, AttemptEnded{Request: 1, Endpoint: prefillReplica}, FirstToken{Request: 1},
 		AttemptEnded{Request: 8, Endpoint: 99}} {
 		if acts := h.handle(-time.Second, ev); len(acts) != 0 {
 			t.Errorf("%T of a closed request or unknown replica: %+v", ev, acts)
@@ -78,10 +78,10 @@
 // If all decode replicas drain between prefill and decode, the reservation is released within its TTL.
 func TestReservationIsReleasedWithoutDecodeReplica(t *testing.T) {
 	h := newHarness(t, nil)
-	s := h.sentTo(h.arrive(1, 1))
+	prefillReplica := h.sentTo(h.arrive(1, 1))
 	h.handle(ms, EndpointUpdate{Endpoints: []Endpoint{{ID: 11, Kind: 1, State: Draining}, {ID: 12, Kind: 1, State: Gone},
 		{ID: 13, Kind: 1, State: Draining}}})
-	acts := h.handle(20*ms, AttemptEnded{Request: 1, Endpoint: s, Outcome: PrefillDone, Elapsed: 20 * ms})
+	acts := h.handle(20*ms, AttemptEnded{Request: 1, Endpoint: prefillReplica, Outcome: PrefillDone, Elapsed: 20 * ms})
 	for start := h.now; !containsAction[Release](acts); acts = h.handle(selectionRetryInterval, TimerFired{1}) {
 		if !containsAction[SetTimer](acts) || containsAction[Send](acts) || h.now > start+h.r.cfg.ReservationTTL {
 			t.Fatalf("after %v: %+v", h.now-start, acts)
@@ -116,8 +116,8 @@
 	}
 }
 
-// The admission test applies to every prefill: a request that returns from a full or silent replica is not
-// forwarded to an overloaded one.
+// The admission test applies to every prefill attempt: a request that returns from a full or silent replica is not sent
+// on into an overload.
 func TestPrefillRetryPassesAdmissionAgain(t *testing.T) {
 	h := newHarness(t, nil)
 	first := h.sentTo(h.arrive(1, 0))
@@ -157,8 +157,8 @@
 	}
 }
 
-// A decode attempt that broke after its stream had begun has used up the prefill result: an idempotent request is
-// prefilled again at once, as long as attempts remain, and any other is not sent again.
+// A decode attempt that breaks after its stream has begun has consumed the prefill result. An idempotent request is
+// prefilled again at once if enough attempts remain; any other request is not sent again.
 func TestBrokenStreamRetriesPrefill(t *testing.T) {
 	h := newHarness(t, nil)
 	_, decodeReplica := h.completePrefill(1, 0)
@@ -168,7 +168,8 @@
 	}
 }
 
-// Clients that are rejected in a jam must not come back together, nor later than MaxRetryAfter.
+// Retry-After has jitter, so that clients that are rejected in an overload do not all retry at the same time, and it
+// does not exceed MaxRetryAfter.
 func TestRetryAfterHasJitter(t *testing.T) {
 	h := newHarness(t, nil)
 	var least, most time.Duration
@@ -186,15 +187,15 @@
 	}
 }
 
-// A request that may have run is not sent again so late that a process that stalls for 0.15 s would write it after the
-// replicas have stopped discarding its duplicates.
+// A request that may have run is not sent again shortly before its deduplication window ends: a process that stalls for
+// 0.15 s would write it after the replicas have stopped discarding its duplicates.
 func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
 	for remaining, retried := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
 		h := newHarness(t, func(c *Config) { c.Classes[2].DedupWindow = 3 * time.Second })
 		_, decodeReplica := h.completePrefill(1, 2)
 		acts := h.handle(3*time.Second-remaining, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset, Elapsed: 3*time.Second - remaining})
 		if containsAction[Send](acts) != retried {
-			t.Errorf("with %v of the window left: %+v", remaining, acts)
+			t.Errorf("%v before the end of the window: %+v", remaining, acts)
 		}
 	}
 }
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -4,28 +4,28 @@
 
 // reservation is what may be reserved for a request at some replica: a prefill result at its prefill replica, or a
 // slot. It must be used or released within Config.ReservationTTL. The time runs while no attempt is known to have
-// reached a running replica; that an attempt was sent does not prove that, only a response does.
+// reached a running replica. Sending an attempt does not prove that it arrived; only a response does.
 type reservation struct {
 	mayExist              bool          // something may be reserved and is not known to have been released
-	since                 time.Duration // if mayExist: when the time began to run
+	since                 time.Duration // if mayExist: time from which the TTL is counted
 	timerSet              bool          // a release timer is pending
-	releasedWhileDecoding bool          // released while a decode attempt was out, which may then find no prefill result
+	releasedWhileDecoding bool          // released during a decode attempt, which may then find no prefill result
 }
 
-// releaseTimerFlag marks the TimerIDs of release timers; timers without it let a request look for a replica again.
+// releaseTimerFlag marks the TimerIDs of release timers. Timers without it make a request continue its selection.
 const releaseTimerFlag TimerID = 1 << 63
 
-// releaseDeadline returns when a request's reservation must be released unless an attempt is known to have arrived by
-// then.
+// releaseDeadline returns the time at which a request's reservation must be released unless an attempt is known to have
+// arrived by then.
 func (r *Router) releaseDeadline(req *request) time.Duration {
 	return req.reservation.since + time.Duration(reservationReleaseFraction*float64(r.cfg.ReservationTTL))
 }
 
-// updateReservation takes the end of an attempt that was out in a state, prefilling or decoding. An attempt that did
-// not arrive leaves the time running. Of one that timed out or broke off it is unknown whether it arrived and what it
-// reserved.
-func (req *request) updateReservation(now time.Duration, o Outcome, during requestState) {
-	decode := during == decoding
+// updateReservation applies the outcome of an attempt that was in flight in state priorState, prefilling or decoding.
+// An attempt that did not arrive leaves the time running. If an attempt timed out or broke off, it is unknown whether
+// it arrived and what it reserved.
+func (req *request) updateReservation(now time.Duration, o Outcome, priorState requestState) {
+	decode := priorState == decoding
 	switch {
 	case o == Served, o == StateMissing && decode:
 		req.reservation.mayExist = false
@@ -39,13 +39,13 @@
 }
 
 // release releases everything that is reserved for a request.
-func (r *Router) release(req *request, why ReleaseReason) {
+func (r *Router) release(req *request, reason ReleaseReason) {
 	req.reservation.mayExist = false
-	r.emit(Release{req.Request, why})
+	r.emit(Release{req.Request, reason})
 }
 
-// scheduleRelease sets the timer by which the reservation is released in time whatever becomes of the attempt that is
-// out.
+// scheduleRelease sets the timer by which the reservation is released in time, whatever the outcome of the attempt in
+// flight.
 func (r *Router) scheduleRelease(req *request) {
 	if !req.reservation.mayExist || req.reservation.timerSet {
 		return
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// releaseDelay takes a request to its decode attempts, each of which fails to connect after attemptDuration, and returns
-// how long after its prefill the reservation was released; the second result is false if it never was.
+// releaseDelay runs a request up to its decode attempts, each of which fails to connect after attemptDuration. It
+// returns how long after the prefill the reservation was released; the second result is false if it never was.
 func (h *harness) releaseDelay(id RequestID, class int, attemptDuration time.Duration) (time.Duration, bool) {
 	h.completePrefill(id, class)
 	var timers []scheduledTimer
@@ -51,23 +51,23 @@
 
 func timersOf(acts []Action, now time.Duration) (out []scheduledTimer) {
 	for _, a := range acts {
-		if w, ok := a.(SetTimer); ok {
-			out = append(out, scheduledTimer{now + w.After, w.Timer})
+		if timer, ok := a.(SetTimer); ok {
+			out = append(out, scheduledTimer{now + timer.After, timer.Timer})
 		}
 	}
 	return out
 }
 
-// The time of a reservation runs on while attempts do not arrive: neither an attempt without a response nor one that
-// could not connect stops or restarts it.
+// The TTL of a reservation keeps running while attempts do not arrive: neither an attempt without a response nor an
+// attempt that could not connect stops or restarts it.
 func TestReservationIsReleasedWithinTTL(t *testing.T) {
-	for name, each := range map[string]time.Duration{"no response": time.Hour, "connections fail late": 200 * ms, "connections fail": 80 * ms} {
+	for name, attemptDuration := range map[string]time.Duration{"no response": time.Hour, "connections fail late": 200 * ms, "connections fail": 80 * ms} {
 		t.Run(name, func(t *testing.T) {
 			for class := range 2 {
 				h := newHarness(t, nil)
-				within := h.r.cfg.ReservationTTL
-				if took, ok := h.releaseDelay(1, class, each); !ok || took > within {
-					t.Errorf("class %d: released %t, after %v, want within %v", class, ok, took, within)
+				ttl := h.r.cfg.ReservationTTL
+				if took, ok := h.releaseDelay(1, class, attemptDuration); !ok || took > ttl {
+					t.Errorf("class %d: released %t, after %v, want within %v", class, ok, took, ttl)
 				}
 			}
 		})
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -8,14 +8,15 @@
 )
 
 func TestRulesHoldOverLongRandomRuns(t *testing.T) {
-	// With seeds 20 and 46 decode replicas in slow start once got more than their share: the fraction of all requests that
-	// their cell's prefill replicas send was computed from weights, and those of other cells did not respond.
+	// Seeds 20 and 46 guard against overloading decode replicas in slow start: the fraction of all requests that their
+	// cell's prefill replicas send was once computed from weights, while the prefill replicas of other cells did not
+	// respond.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 20, 46} {
 		d := newDriver(t, seed)
 		for d.now < time.Hour+10*time.Minute {
 			d.run(d.now + time.Minute)
 			if seed%2 == 1 {
-				d.restart() // the router is killed and restarted with its last endpoint list
+				d.restart() // the router is restarted with its last endpoint list
 			}
 		}
 		if len(d.violations) > 0 {
@@ -38,7 +39,8 @@
 	}
 }
 
-// The checks can fail: each way of tampering with the actions is detected as the rule that it breaks.
+// The driver detects each broken rule: each way of tampering with the actions is reported as a violation of the rule
+// that it breaks.
 func TestDriverDetectsEachBrokenRule(t *testing.T) {
 	for rule, tamper := range map[string]func(d *driver) func(Action) []Action{
 		"rule 1": func(*driver) func(Action) []Action {
@@ -75,7 +77,7 @@
 				if s, ok := a.(Send); ok {
 					for _, x := range d.endpointList() {
 						if x.State == Ready && x.Kind == d.replicas[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
-							s.Endpoint = x.ID // herd to the replica that started last
+							s.Endpoint = x.ID // send to a replica that has just started
 						}
 					}
 					return []Action{s}
@@ -96,12 +98,13 @@
 		d.intercept = tamper(d)
 		d.run(d.now + 10*time.Minute)
 		if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == rule }) {
-			t.Errorf("a broken %s was not detected (%d violations)", rule, len(d.violations))
+			t.Errorf("a violation of %s was not detected (%d violations)", rule, len(d.violations))
 		}
 	}
 }
 
-// A router that takes an attempt for arrived as soon as it was sent is detected too.
+// The driver detects a router that treats an attempt as arrived as soon as it was sent, and so never releases an
+// expired reservation.
 func TestDriverDetectsMissingReleaseOfExpiredReservation(t *testing.T) {
 	d := newDriver(t, 3)
 	d.intercept = func(a Action) []Action {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -1,8 +1,8 @@
 package routing
 
-// Slow start (as in NGINX and Envoy): what a replica that has just started may be sent.
+// Slow start (as in NGINX and Envoy): how many requests a replica that has just started may be sent.
 
-// rampFraction returns the fraction of its capacity that a replica surely has by now: it rises linearly from
+// rampFraction returns the fraction of its full capacity that a replica has at least. It rises linearly from
 // Config.SlowStartInitial to 1 during Config.SlowStartDuration.
 func (r *Router) rampFraction(replica *replica) float64 {
 	age := r.now - replica.Started
@@ -16,8 +16,8 @@
 // inSlowStart reports whether a replica has less than its full capacity.
 func (r *Router) inSlowStart(replica *replica) bool { return r.rampFraction(replica) < 1 }
 
-// effectiveWeight returns a replica's weight against others of its role. The overload rule leaves a prefill replica in
-// slow start capacity for more than its ramp fraction.
+// effectiveWeight returns a replica's weight relative to other replicas of its role. A prefill replica in slow start
+// has a higher weight than its ramp fraction, because Config.OverloadMultiple allows it more load than that.
 func (r *Router) effectiveWeight(replica *replica) float64 {
 	if replica.role == Prefill {
 		return replica.Weight * min(slowStartWeightFactor*r.rampFraction(replica), 1)
@@ -25,25 +25,26 @@
 	return replica.Weight * r.rampFraction(replica)
 }
 
-// takeSlowStartTurn reports whether a request may use a replica in slow start. It protects such replicas from being
-// overloaded by all routers together: of the requests that are offered to it, which are the fraction offered of all
-// requests, a fixed part may use it. Each router counts that part from a random start, so that all together stay at a
-// fixed part of the replica's even share of all requests. The router may send allowance requests ahead of that. It
-// could do harm when few replicas except those in slow start remain.
-func (r *Router) takeSlowStartTurn(replica *replica, req *request, offered, allowance float64) bool {
+// accrueSlowStartCredit adds the credit of one request to a replica in slow start and reports whether the request may
+// use the replica. It prevents all routers together from overloading such replicas: of the requests offered to the
+// replica, which are offeredFraction of all requests, a fixed fraction may use it. Each router counts that fraction
+// from a random start, so that all routers together keep to a fixed fraction of the replica's even share of all
+// requests. The router may send allowance requests ahead of that. The limit does harm if few replicas remain that are
+// not in slow start.
+func (r *Router) accrueSlowStartCredit(replica *replica, req *request, offeredFraction, allowance float64) bool {
 	firstOfStage := req.attempts == 0 || req.attempts == 1 && req.state == awaitingDecode
 	if !firstOfStage || r.now != req.selectionStart {
-		return false // further attempts and repeated selections get no more turns than the first
+		return false // retries and repeated selections earn no credit and may not use the replica
 	}
 	replicaCount := float64(max(r.maxReady[replica.role], 1))
 	evenShare := slowStartShare * r.cfg.OverloadMultiple * r.rampFraction(replica) / replicaCount
-	replica.slowStartCredit = min(replica.slowStartCredit+evenShare/offered, maxSlowStartCredit-allowance)
+	replica.slowStartCredit = min(replica.slowStartCredit+evenShare/offeredFraction, maxSlowStartCredit-allowance)
 	return replica.slowStartCredit+allowance >= 1
 }
 
 // slowStartAllowance returns how many requests this router may send to a prefill replica in slow start ahead of its
-// part: one with a prefix that is known, since the ranks bound what all routers send there at once; of one with a new
-// prefix this router's part of what chance may add.
+// credit. If the prefix is known, it is 1, since the ranks limit what all routers send to the replica at once. If the
+// prefix is new, it is this router's fraction of newPrefixAllowance.
 func (r *Router) slowStartAllowance(req *request) float64 {
 	if entry := r.prefixCache[req.SharedPrefix]; entry == nil || entry.requests.count(r.now) > knownPrefixRequests {
 		return 1
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// A replica starts during a burst of 1.5 times the traffic of 20, 30 or 300 routers, some of which see several times the
-// mean traffic. In any window all together send it no more than the allowed number N plus what chance may add,
-// 2 sqrt(N) + 2. The replica is a prefill replica, also one on which a new prefix of a quarter of all requests hashes
-// (more than the operators' pages name), or a decode replica, also one whose cell gets all requests since the prefill
-// replicas of other cells do not respond.
+// The test guards against overloading a replica in slow start. The replica starts during a burst of 1.5 times the
+// traffic of 20, 30 or 300 routers, some of which see several times the mean traffic. In any window, all routers
+// together may send it at most the allowed number N plus 2 sqrt(N) + 2 for chance. The replica is a prefill replica, or
+// a prefill replica to which a new prefix of a quarter of all requests hashes (more than the operators' pages state),
+// or a decode replica, or a decode replica whose cell gets all requests because the prefill replicas of other cells do
+// not respond.
 func TestSlowStartUnderBurstFromManyRouters(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -40,14 +41,14 @@
 			}
 		}
 	}
-	// The check can fail: routers configured as one of three send too much.
+	// The check detects an overload: routers that are each configured as one of three send too much.
 	if worst, _ := overloadUnderBurst(t, -300, 0.25, false, false, 1); worst <= 1 {
-		t.Errorf("three hundred routers configured as three pass as %.2f of what is allowed", worst)
+		t.Errorf("300 routers, each configured as one of three: at worst %.2f of what is allowed", worst)
 	}
 }
 
-// overloadUnderBurst returns the largest ratio in any window of the sends to a replica in slow start to the allowed
-// number, and the number of all these sends. With a negative number of routers there are as many, each configured as
+// overloadUnderBurst returns the largest ratio, in any window, of the sends to a replica in slow start to the allowed
+// number, and the total number of these sends. If routers is negative, there are -routers routers, each configured as
 // one of three.
 func overloadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
 	t.Helper()
@@ -62,16 +63,16 @@
 	for i := range 16 { // four cells of two prefill and two decode replicas
 		endpoints = append(endpoints, Endpoint{ID: EndpointID(10 + i), Cell: i / 4, Kind: i % 2, State: Ready, Weight: 1})
 	}
-	var all []*Router
-	var routersByTraffic []int // indices of routers, each as often as its share of the traffic
+	var allRouters []*Router
+	var routersByTraffic []int // indices of routers; each occurs in proportion to its traffic
 	for i := range routers {
 		r, err := New(cfg, seed<<16|uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
-		all = append(all, r)
-		for range 1 + 5*(i%5/4) { // each fifth router sees six times as much as the others
+		allRouters = append(allRouters, r)
+		for range 1 + 5*(i%5/4) { // every fifth router sees six times as much traffic as the others
 			routersByTraffic = append(routersByTraffic, i)
 		}
 	}
@@ -86,8 +87,8 @@
 		}
 	}
 	var sent []time.Duration
-	handle := func(r *Router, q *RequestArrived) {
-		events := []Event{*q}
+	handle := func(r *Router, arrival *RequestArrived) {
+		events := []Event{*arrival}
 		for at := 0; at < len(events); at++ {
 			for _, a := range r.Handle(now, events[at], nil) {
 				s, ok := a.(Send)
@@ -97,17 +98,17 @@
 				if s.Endpoint == started.ID && started.Started > 0 {
 					sent, total = append(sent, now), total+1
 				}
-				o, endpoint := PrefillDone, endpoints[s.Endpoint-10]
+				outcome, endpoint := PrefillDone, endpoints[s.Endpoint-10]
 				if endpoint.Kind == 1 {
-					o = Served
+					outcome = Served
 				} else if otherCellsFail && endpoint.Cell > 0 && started.Started > 0 {
-					o = ConnectFailed
+					outcome = ConnectFailed
 				}
-				events = append(events, AttemptEnded{Request: q.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: o, Elapsed: 40 * ms, Final: o == Served})
+				events = append(events, AttemptEnded{Request: arrival.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: outcome, Elapsed: 40 * ms, Final: outcome == Served})
 			}
 		}
 	}
-	burstStart := now + 20*time.Second // by then the routers know the traffic
+	burstStart := now + 20*time.Second // by then the routers have seen enough traffic
 	for id := RequestID(1); now < burstStart+cfg.SlowStartDuration; id++ {
 		gap := rng.ExpFloat64() / rate
 		if now > burstStart {
@@ -116,29 +117,29 @@
 		now += time.Duration(gap * float64(time.Second))
 		if now >= burstStart && started.Started == 0 {
 			started.Started = now
-			for _, r := range all {
+			for _, r := range allRouters {
 				r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
 			}
 		}
-		shared := Key(100 + rng.IntN(16)) // prefixes that all routers know
+		shared := Key(100 + rng.IntN(16)) // prefixes that all routers have seen
 		if started.Started > 0 && rng.Float64() < hotShare {
 			shared = hotPrefix
 		}
-		handle(all[routersByTraffic[rng.IntN(len(routersByTraffic))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
+		handle(allRouters[routersByTraffic[rng.IntN(len(routersByTraffic))]], &RequestArrived{Request: id, Tenant: -1, Session: Key(rng.Uint64() | 1), SharedPrefix: shared, SharedPrefixTokens: 15, PromptTokens: 20,
 			RemainingTime: 4 * time.Second})
 		for len(sent) > 0 && sent[0] < now-slowStartWindow {
 			sent = sent[1:]
 		}
 		if started.Started > 0 {
 			ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-started.Started)/float64(cfg.SlowStartDuration)
-			n := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // a replica can take at least the even share
-			worst = max(worst, float64(len(sent))/(n+2*math.Sqrt(n)+2))
+			allowed := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // the replica can take the even share
+			worst = max(worst, float64(len(sent))/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
 	return worst, total
 }
 
-// A new router that has only an endpoint list limits a replica in slow start at once.
+// A new router that has only an endpoint list limits the sends to a replica in slow start at once.
 func TestSlowStartLimitsNewPrefillReplica(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.SlowStartDuration = 10 * time.Second })
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 2, Kind: 0, State: Ready, Started: h.now}}})
@@ -162,20 +163,21 @@
 	}
 }
 
-// Two hundred routers that learn of one new replica together send it no more than is allowed in any window, from the
-// first moment on: none may count as if it were alone.
+// Two hundred routers that get the endpoint of one new replica together send it no more than is allowed in any window,
+// from the first moment on. This fails if a router counts as the only one.
 func TestSlowStartWithManyRoutersFromStart(t *testing.T) {
 	if worst, sent := overloadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
 	}
-	// The check can fail: requests that all hash to the replica are too many.
+	// The check detects an overload: requests that all hash to the replica are too many.
 	if worst, _ := overloadFromStart(t, true); worst <= 1 {
-		t.Errorf("one session for all requests passes as %.2f of what is allowed", worst)
+		t.Errorf("one session for all requests: at worst %.2f of what is allowed", worst)
 	}
 }
 
-// overloadFromStart returns the largest ratio in any window of the sends to a replica in slow start to the allowed
-// number, and the number of all these sends. With singleSession all requests are of one session, which hashes to it.
+// overloadFromStart returns the largest ratio, in any window, of the sends to a replica in slow start to the allowed
+// number, and the total number of these sends. With singleSession, all requests belong to one session, which hashes to
+// that replica.
 func overloadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
 	t.Helper()
 	const routers, rate = 200, 200.0 // requests per second at all routers
@@ -191,30 +193,30 @@
 	}
 	started := &endpoints[19]
 	started.Started = now
-	var all []*Router
+	var allRouters []*Router
 	for i := range routers {
 		r, err := New(cfg, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Handle(now, EndpointUpdate{Full: true, Endpoints: endpoints}, nil)
-		all = append(all, r)
+		allRouters = append(allRouters, r)
 	}
 	var sent []time.Duration
 	rng := rand.New(rand.NewPCG(1, 2))
-	ownSession := Key(1)
+	sessionOfStarted := Key(1)
 	for i := 0; i < 19; i++ {
-		if exponentialDraw(ownSession, endpoints[i].ID) < exponentialDraw(ownSession, started.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
-			ownSession, i = ownSession+1, -1
+		if exponentialDraw(sessionOfStarted, endpoints[i].ID) < exponentialDraw(sessionOfStarted, started.ID)/(slowStartWeightFactor*cfg.SlowStartInitial) {
+			sessionOfStarted, i = sessionOfStarted+1, -1
 		}
 	}
 	for id := RequestID(1); id < 2000; id++ {
 		session := Key(id)
 		if singleSession {
-			session = ownSession
+			session = sessionOfStarted
 		}
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		r := all[rng.IntN(routers)]
+		r := allRouters[rng.IntN(routers)]
 		for _, a := range r.Handle(now, RequestArrived{Request: id, Tenant: -1, Session: session, PromptTokens: 20, RemainingTime: 4 * time.Second}, nil) {
 			s, ok := a.(Send)
 			if !ok {
@@ -224,7 +226,7 @@
 				sent = append(sent, now)
 				total++
 			}
-			elapsed := 400 * ms // the others are slow, so that all routers would prefer this one
+			elapsed := 400 * ms // the other replicas are slow, so that all routers prefer the new one
 			if s.Endpoint == started.ID {
 				elapsed = 40 * ms
 			}
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Snapshot is a router's learned state, from which another router begins: one that replaces it, or one that starts.
-// Times are of a clock that both share (see Shift).
+// Snapshot is a router's learned state. Another router starts with it: a replacement of the router, or an additional
+// one. Times refer to a clock that both share (see Shift).
 type Snapshot struct {
 	TakenAt          time.Duration
 	Prefill, Decode  LatencyModel
@@ -39,7 +39,7 @@
 		Value float64
 		At    time.Duration
 	}
-	// PrefixCacheEntry says where a prefix is cached and how many requests have it.
+	// PrefixCacheEntry states where a prefix is cached and how many requests have it.
 	PrefixCacheEntry struct {
 		Key       Key
 		Endpoint  EndpointID
@@ -47,21 +47,21 @@
 		UpdatedAt time.Duration
 		Requests  DecayedMean
 	}
-	// EndpointStats is what is known of one replica's process. It is void for another start of the replica.
+	// EndpointStats is the learned state of one replica's process. It does not apply after a restart of the replica.
 	EndpointStats struct {
 		ID              EndpointID
 		Started         time.Duration
 		CacheValidFrom  time.Duration
 		LastResponse    time.Duration
-		Health          []EWMA // failure levels: of all classes, then by class
+		Health          []EWMA // failure levels: for all classes together, then by class
 		QueueDelay      DecayedMean
 		FirstTokenDelay DecayedMean
 		SlowStartCredit float64
 	}
 )
 
-// Shift adds a duration to all times of a snapshot, for a machine whose clock differs. It leaves the replicas' starts,
-// which the endpoint list tells.
+// Shift adds a duration to all times of a snapshot, for a machine whose clock differs. It does not change the replicas'
+// start times, because they come from the endpoint list.
 func (snapshot *Snapshot) Shift(by time.Duration) {
 	snapshot.TakenAt += by
 	snapshot.Prefill.At += by
@@ -87,7 +87,8 @@
 	}
 }
 
-// Snapshot returns the router's learned state at time now, with at most maxPrefixes prefixes: the ones used last.
+// Snapshot returns the router's learned state at time now. It contains at most maxPrefixes prefixes, the most recently
+// used ones.
 func (r *Router) Snapshot(now time.Duration, maxPrefixes int) Snapshot {
 	r.now = max(now, r.now)
 	snapshot := Snapshot{
@@ -98,7 +99,7 @@
 		EstimateError:    r.estimateError.snapshot(),
 		CacheHitRatio:    r.cacheHitRatio.snapshot(),
 		Arrivals:         r.arrivals.snapshot(),
-		PerQueuedRequest: r.perQueuedRequest.snapshot(),
+		PerQueuedRequest: r.delayPerQueuedRequest.snapshot(),
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.prefixCache)) {
 		entry := r.prefixCache[key]
@@ -145,7 +146,7 @@
 
 func (f *latencyModel) snapshot() LatencyModel { return LatencyModel{f.normal, f.moments, f.updatedAt} }
 
-// restore takes another router's learned state, where it is recent.
+// restore adopts another router's learned state if it is recent.
 func (r *Router) restore(snapshot Snapshot) {
 	if age := r.now - snapshot.TakenAt; age > snapshotMaxAge || age < -maxClockSkew {
 		return
@@ -156,10 +157,10 @@
 	r.estimateError.restore(r.now, snapshot.EstimateError)
 	r.cacheHitRatio.restore(r.now, snapshot.CacheHitRatio)
 	r.arrivals.restore(r.now, snapshot.Arrivals)
-	r.perQueuedRequest.restore(r.now, snapshot.PerQueuedRequest)
+	r.delayPerQueuedRequest.restore(r.now, snapshot.PerQueuedRequest)
 	restored := map[EndpointID]bool{}
 	for _, stats := range snapshot.Endpoints {
-		if s := r.byID[stats.ID]; s != nil && r.sameStart(s, stats) {
+		if s := r.byID[stats.ID]; s != nil && r.sameIncarnation(s, stats) {
 			restored[stats.ID] = true
 			r.restoreStats(s, stats)
 		}
@@ -171,14 +172,16 @@
 	}
 }
 
-// sameStart reports whether stats are of the replica's current process. The endpoint list of each router's process
-// tells the start, so it differs only by the clocks to which they convert it.
-func (r *Router) sameStart(replica *replica, stats EndpointStats) bool {
+// sameIncarnation reports whether stats belong to the replica's current process. Each router gets the replica's start
+// time from the endpoint list and converts it to its own clock, so two start times of one process differ only by clock
+// skew.
+func (r *Router) sameIncarnation(replica *replica, stats EndpointStats) bool {
 	skew := max(replica.Started-stats.Started, stats.Started-replica.Started)
 	return skew <= maxClockSkew && stats.CacheValidFrom <= r.now
 }
 
-// restorePrefix takes an entry that is plausible and not expired; of the place of a prefix the later one counts.
+// restorePrefix adopts an entry that is plausible and not expired. If both routers have a replica for the prefix, the
+// one that was recorded later counts.
 func (r *Router) restorePrefix(entry PrefixCacheEntry) {
 	oldest := r.now - prefixExpiryMultiple*popularityTimeConstant
 	if entry.Key == 0 || entry.Tokens < 0 || entry.UpdatedAt > r.now || entry.lastUsed() < oldest {
@@ -192,8 +195,8 @@
 	}
 }
 
-// restoreStats takes what another router has learned of a replica, where it is plausible and more or later than what
-// this router knows.
+// restoreStats adopts another router's learned state of a replica where it is plausible and either rests on more
+// samples or is more recent than this router's own.
 func (r *Router) restoreStats(replica *replica, stats EndpointStats) {
 	replica.cacheValidFrom = min(replica.cacheValidFrom, stats.CacheValidFrom)
 	replica.queueDelay.restore(r.now, stats.QueueDelay)
@@ -202,7 +205,7 @@
 		replica.lastResponse = max(replica.lastResponse, stats.LastResponse)
 	}
 	if r.inSlowStart(replica) && plausible(stats.SlowStartCredit) {
-		// What the other router has sent counts.
+		// The lower credit counts, because it includes what the other router has sent.
 		replica.slowStartCredit = min(replica.slowStartCredit, stats.SlowStartCredit)
 	}
 	for i := range min(len(replica.health), len(stats.Health)) {
@@ -210,14 +213,14 @@
 	}
 }
 
-// restore takes another router's average if it is plausible and later than the own one.
+// restore adopts another router's average if it is plausible and more recent than its own.
 func (a *ewma) restore(now time.Duration, other EWMA) {
 	if other.Value >= 0 && other.Value <= 1 && other.At > a.updatedAt && other.At <= now {
 		a.value, a.updatedAt = other.Value, other.At
 	}
 }
 
-// restore takes another router's samples if they are plausible and more than the own ones.
+// restore adopts another router's samples if they are plausible and more than its own.
 func (m *decayedMean) restore(now time.Duration, other DecayedMean) {
 	if !plausible(other.Sum, other.Count) || other.Count < 0 || other.At > now {
 		return
@@ -227,12 +230,12 @@
 	}
 }
 
-// restore takes another router's samples if they are plausible and more than the own ones.
+// restore adopts another router's samples if they are plausible and more than its own.
 func (f *latencyModel) restore(now time.Duration, other LatencyModel) {
 	if other.At > now || !other.plausible() {
 		return
 	}
-	// The element of the base input, which is 1, is the number of samples.
+	// The element for the base input, which is always 1, is the number of samples.
 	samples := other.Normal[baseInput][baseInput] * decay(now-other.At, f.timeConstant)
 	if samples > f.normal[baseInput][baseInput]*decay(now-f.updatedAt, f.timeConstant) {
 		f.normal, f.moments, f.updatedAt = other.Normal, other.Moments, other.At
@@ -240,7 +243,8 @@
 	}
 }
 
-// plausible reports whether all sums are, and the diagonal, a sum of squares, is not negative.
+// plausible reports whether all sums are plausible and the elements on the diagonal, which are sums of squares, are not
+// negative.
 func (m *LatencyModel) plausible() bool {
 	for i := range m.Normal {
 		if !plausible(m.Normal[i][:]...) || m.Normal[i][i] < 0 {
@@ -250,7 +254,7 @@
 	return plausible(m.Moments[:]...)
 }
 
-// plausible reports whether no figure is NaN or so large that no router could have learned it.
+// plausible reports whether no value is NaN or too large for a router to have learned it.
 func plausible(figures ...float64) bool {
 	return !slices.ContainsFunc(figures, func(x float64) bool { return !(x > -maxPlausible && x < maxPlausible) })
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// activeSubset is the set of replicas that a router uses: all, or an assigned subset. Subsetting bounds the number of
-// connections and lets each router see more of each replica that it uses. The router keeps what it knows of the
-// others.
+// activeSubset is the set of replicas that a router uses: all replicas, or an assigned subset. Subsetting bounds the
+// number of connections and lets each router see more of each replica that it uses. The router keeps its state of the
+// other replicas.
 type activeSubset struct {
-	active        []*replica // in order of ID
+	active        []*replica // sorted by ID
 	subset        []EndpointID
-	limited       bool          // active is the subset
-	fallbackUntil time.Duration // active is all until then, since the subset is not healthy; 0: no fallback
-	// The most replicas that were ready at once, by role: of all, and of the subset.
+	usingSubset   bool          // whether active is the subset
+	fallbackUntil time.Duration // time until which an unhealthy subset is replaced by all replicas; 0 if none
+	// Largest number of replicas that were ready at once, by role: among all replicas, and among the subset.
 	maxReadyAll, maxReadySubset [roleCount]int
 }
 
-// assignSubset takes a subset; an empty one is all replicas.
+// assignSubset applies an assigned subset; an empty one means all replicas.
 func (r *Router) assignSubset(e SubsetAssigned) {
 	subset := slices.Clone(e.Endpoints)
 	slices.Sort(subset)
@@ -26,9 +26,9 @@
 }
 
 // updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset without a
-// replica for prefill or without one for decode counts as none.
+// ready replica for prefill or without a ready replica for decode is ignored.
 func (r *Router) updateActive() {
-	r.active, r.limited = r.replicas, false
+	r.active, r.usingSubset = r.replicas, false
 	raiseMaxReady(&r.maxReadyAll, r.replicas)
 	r.maxReady = r.maxReadyAll
 	if len(r.subset) == 0 || r.fallbackUntil > 0 {
@@ -45,7 +45,7 @@
 		return
 	}
 	raiseMaxReady(&r.maxReadySubset, active)
-	r.active, r.limited, r.maxReady = active, true, r.maxReadySubset
+	r.active, r.usingSubset, r.maxReady = active, true, r.maxReadySubset
 }
 
 // countReady returns the number of ready replicas by role.
@@ -58,21 +58,21 @@
 	return count
 }
 
-// raiseMaxReady raises the maxima by role to the number of replicas that are ready now.
-func raiseMaxReady(most *[roleCount]int, replicas []*replica) {
+// raiseMaxReady raises each maximum by role to the number of replicas that are ready now.
+func raiseMaxReady(maxima *[roleCount]int, replicas []*replica) {
 	count := countReady(replicas)
-	for role := range most {
-		most[role] = max(most[role], count[role])
+	for role := range maxima {
+		maxima[role] = max(maxima[role], count[role])
 	}
 }
 
-// toggleFallback switches to all replicas where sumCapacity found too little of the subset healthy, and back to the
-// subset after fallbackDuration. It reports whether the capacity has to be summed up again.
+// toggleFallback switches to all replicas if sumCapacity found too little of the subset healthy, and back to the subset
+// after fallbackDuration. It reports whether it switched, in which case the capacity has to be computed again.
 func (r *Router) toggleFallback() bool {
 	switch {
 	case r.fallbackUntil > 0 && r.now >= r.fallbackUntil:
 		r.fallbackUntil = 0
-	case r.limited && r.subsetUnhealthy():
+	case r.usingSubset && r.subsetUnhealthy():
 		r.fallbackUntil = r.now + fallbackDuration
 	default:
 		return false
@@ -81,8 +81,8 @@
 	return true
 }
 
-// subsetUnhealthy reports whether too little of the subset's prefill or decode capacity is healthy, by the sums that
-// sumCapacity has just made.
+// subsetUnhealthy reports whether too little of the subset's prefill or decode capacity is healthy, according to the
+// latest result of sumCapacity.
 func (r *Router) subsetUnhealthy() bool {
 	readyDecodeCapacity := 0.0
 	for _, replica := range r.active {
