--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// newLargeHarness returns a harness with n replicas: prefill from 1 on and decode from 1001 on, ten in a cell.
-func newLargeHarness(t testing.TB, n int) *harness {
+// newLargeHarness returns a harness with replicaCount replicas: prefill replicas with IDs from 1 and decode replicas
+// with IDs from 1001, ten replicas in a cell.
+func newLargeHarness(t testing.TB, replicaCount int) *harness {
 	t.Helper()
 	cfg := testConfig()
 	r, err := New(cfg, 1)
@@ -18,7 +19,7 @@
 	h := &harness{r: r, now: time.Hour}
 	h.T, _ = t.(*testing.T)
 	var list []Endpoint
-	for i := range n / 2 {
+	for i := range replicaCount / 2 {
 		list = append(list,
 			Endpoint{ID: EndpointID(1 + i), Kind: 0, State: Ready, Cell: i / 5},
 			Endpoint{ID: EndpointID(1001 + i), Kind: 1, State: Ready, Cell: i / 5},
@@ -28,6 +29,7 @@
 	return h
 }
 
+// subsetOfCells returns the assignment of all replicas of some cells of newLargeHarness.
 func subsetOfCells(cells ...int) (s SubsetAssigned) {
 	for _, c := range cells {
 		for i := range 5 {
@@ -37,7 +39,7 @@
 	return s
 }
 
-// serveRequest takes one request from its arrival to its answer and returns its replicas.
+// serveRequest runs one request from its arrival to its answer and returns its replicas.
 func (h *harness) serveRequest(id RequestID) (prefill, decode EndpointID, ok bool) {
 	send := func(acts []Action) (EndpointID, bool) {
 		for _, a := range acts {
@@ -58,7 +60,7 @@
 	return prefill, decode, true
 }
 
-// A router uses its subset only, and all of it, and uses all replicas when its subset is empty.
+// A router uses only its subset, and every replica of it. If its subset is empty, it uses all replicas.
 func TestRouterUsesExactlyItsSubset(t *testing.T) {
 	h := newLargeHarness(t, 200)
 	subset := subsetOfCells(2, 7)
@@ -76,16 +78,16 @@
 	}
 	h.handle(0, SubsetAssigned{})
 	for id := RequestID(1001); id <= 1100; id++ {
-		r, _, _ := h.serveRequest(id)
-		used[r] = true
+		replica, _, _ := h.serveRequest(id)
+		used[replica] = true
 	}
 	if len(used) < 60 {
 		t.Errorf("%d replicas used without a subset", len(used))
 	}
 }
 
-// Where less than half of a subset is healthy, by failures or by the endpoint list, the router uses all replicas; when
-// the subset is healthy again it returns to it.
+// If less than half of a subset is healthy, because of failures or the endpoint list, the router uses all replicas. It
+// returns to the subset once the subset is healthy again.
 func TestUnhealthySubsetFallsBackToAllReplicas(t *testing.T) {
 	for _, by := range []string{"list", "failures"} {
 		h := newLargeHarness(t, 100)
@@ -103,9 +105,9 @@
 			}
 		}
 		for id := RequestID(10); id < 40; id++ {
-			r, w, ok := h.serveRequest(id)
-			if !ok || slices.Contains(subset.Endpoints, r) || slices.Contains(subset.Endpoints, w) {
-				t.Fatalf("%s: request %d went to %d and %d, %t", by, id, r, w, ok)
+			r, decodeReplica, ok := h.serveRequest(id)
+			if !ok || slices.Contains(subset.Endpoints, r) || slices.Contains(subset.Endpoints, decodeReplica) {
+				t.Fatalf("%s: request %d went to %d and %d, %t", by, id, r, decodeReplica, ok)
 			}
 		}
 		if by == "list" {
@@ -122,50 +124,50 @@
 			h.handle(2*time.Minute, TimerFired{}) // the failure levels decay
 		}
 		h.serveRequest(50) // its selection ends the fallback
-		r, w, ok := h.serveRequest(51)
-		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, w) {
-			t.Errorf("%s: after the recovery it went to %d and %d, %t", by, r, w, ok)
+		r, decodeReplica, ok := h.serveRequest(51)
+		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, decodeReplica) {
+			t.Errorf("%s: after the recovery it went to %d and %d, %t", by, r, decodeReplica, ok)
 		}
 	}
 }
 
-// A subset without a decode replica, or of unknown replicas, counts as none.
+// A subset without a decode replica, or of unknown replicas, is ignored.
 func TestSubsetWithoutARoleIsIgnored(t *testing.T) {
 	for _, s := range []SubsetAssigned{{Endpoints: []EndpointID{1, 2, 3}}, {Endpoints: []EndpointID{777}}} {
 		h := newLargeHarness(t, 100)
 		h.handle(0, s)
-		if _, _, ok := h.serveRequest(1); !ok || h.r.limited {
-			t.Errorf("%v: limited %t", s, h.r.limited)
+		if _, _, ok := h.serveRequest(1); !ok || h.r.usingSubset {
+			t.Errorf("%v: using the subset %t", s, h.r.usingSubset)
 		}
 	}
 }
 
-// Routers with subsets together send a replica in slow start no more than routers without would: the share that a router
-// may send is relative to its own subset.
+// Routers with subsets together send a replica in slow start no more than routers without subsets would: the share that
+// a router may send is relative to the size of its own subset.
 func TestSlowStartShareCountsSubsetOnly(t *testing.T) {
-	all, limited := newLargeHarness(t, 200), newLargeHarness(t, 200)
-	limited.handle(0, subsetOfCells(0, 1))
+	withoutSubset, withSubset := newLargeHarness(t, 200), newLargeHarness(t, 200)
+	withSubset.handle(0, subsetOfCells(0, 1))
 	evenShare := func(h *harness) float64 { return 1 / float64(h.r.maxReady[Prefill]) }
-	// Ten routers with a tenth of the cells each, or ten with all of them.
-	if one, of := evenShare(limited), evenShare(all); one*10/100 > of+1e-9 {
-		t.Errorf("the share per replica is %v with a tenth of the replicas, %v with all", one, of)
+	// Ten routers that use a tenth of the cells each are compared with ten that use all of them.
+	if shareWithSubset, shareWithoutSubset := evenShare(withSubset), evenShare(withoutSubset); shareWithSubset*10/100 > shareWithoutSubset+1e-9 {
+		t.Errorf("the share per replica is %v with a tenth of the replicas, %v with all", shareWithSubset, shareWithoutSubset)
 	}
-	if limited.r.maxReady[Prefill] != 10 || all.r.maxReady[Prefill] != 100 {
-		t.Errorf("%v and %v replicas count", limited.r.maxReady, all.r.maxReady)
+	if withSubset.r.maxReady[Prefill] != 10 || withoutSubset.r.maxReady[Prefill] != 100 {
+		t.Errorf("%v and %v replicas count", withSubset.r.maxReady, withoutSubset.r.maxReady)
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ replicas, cells int }{{10, 0}, {100, 0}, {1000, 0}, {100, 4}, {1000, 4}} {
 		b.Run(fmt.Sprintf("%d-replicas-subset-%d", c.replicas, c.cells*10), func(b *testing.B) {
-			w := newLargeHarness(b, c.replicas)
+			h := newLargeHarness(b, c.replicas)
 			if c.cells > 0 {
-				w.handle(0, subsetOfCells(0, 3, 5, 8))
+				h.handle(0, subsetOfCells(0, 3, 5, 8))
 			}
 			id := RequestID(0)
 			for b.Loop() {
 				id++
-				if _, _, ok := w.serveRequest(id); !ok {
+				if _, _, ok := h.serveRequest(id); !ok {
 					b.Fatal("not served")
 				}
 			}
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -9,260 +9,270 @@
 	// latencyHeadroom is the fraction of its latency objective that a request's estimate may take (the paper's
 	// headroom). Raising it admits more requests, of which more are late.
 	latencyHeadroom = 0.5
-	// criticalHeadroom is the same for critical classes. Raising it lets a flood of critical requests make all late.
+	// criticalHeadroom is the fraction of its latency objective that a critical request's estimate may take. Raising it
+	// lets a flood of critical requests make all of them late.
 	criticalHeadroom = 0.75
-	// overQuotaDivisor divides the budget of a request beyond its tenant's quota. Raising it rejects more of these.
+	// overQuotaDivisor divides the latency budget of a request beyond its tenant's quota. Raising it rejects more of
+	// these requests.
 	overQuotaDivisor = 2
-	// quotaBurstSpan is the time for whose part of a tenant's quota requests may arrive at once. Raising it tolerates
-	// more uneven traffic and larger bursts.
+	// quotaBurstSpan gives the burst of a tenant's quota: as many requests as the quota allows in this time may arrive
+	// at once. Raising it tolerates more uneven traffic and larger bursts.
 	quotaBurstSpan = 5 * time.Second
-	// quotaBurstExtra is the number of requests that may arrive at once in addition. Raising it tolerates more
-	// uneven traffic where this router's part of the quota is small.
+	// quotaBurstExtra is the number of requests that may arrive at once beyond the burst of quotaBurstSpan. Raising it
+	// tolerates more uneven traffic where this router's fraction of the quota is small.
 	quotaBurstExtra = 3.0
 )
 
-// Latency models: prior values, taken from the paper and refit from observed prefills, and how fast they are forgotten.
+// Latency models: prior values, which are taken from the paper and refit from observed prefills, and the decay of
+// samples.
 const (
-	// initialPrefillBaseMS is the prior cost of a prefill. Raising it makes a new router more cautious.
+	// initialPrefillBaseMS is the prior fixed cost of a prefill. Raising it makes a new router more cautious.
 	initialPrefillBaseMS = 6.91042
 	// initialPrefillPerKiloTokenMS is the prior cost of 1,000 uncached tokens where no class's objective grows with the
 	// prompt (priorPerKiloTokenMS). Raising it makes a new router favour cached prefixes more.
 	initialPrefillPerKiloTokenMS = 17.67
-	// initialStepMS is the prior cost of each own unfinished prefill ahead. Raising it makes a new router spread more.
-	initialStepMS = 7.0
-	// maxPrefillBaseMS bounds the fitted base; beyond it a delay is a wait, not a cost of the prefill. Raising it lets
-	// a common wait pass for a cost.
+	// initialPerAttemptAheadMS is the prior cost of each unfinished prefill of this router ahead at the replica.
+	// Raising it makes a new router spread requests more.
+	initialPerAttemptAheadMS = 7.0
+	// maxPrefillBaseMS bounds the fitted fixed cost; a larger delay is a wait, not a cost of the prefill. Raising it
+	// lets more of a common wait count as a cost.
 	maxPrefillBaseMS = 100.0
-	// maxMarginalCostMS bounds the other fitted coefficients. Raising it admits wilder fits.
+	// maxMarginalCostMS bounds the other fitted coefficients. Raising it admits more extreme fits.
 	maxMarginalCostMS = 1000
-	// modelTimeConstant is the time constant of the models and of most means. Raising it gives smoother estimates that
-	// follow changes later.
+	// modelTimeConstant is the time constant of the latency models and of most means. Raising it gives smoother
+	// estimates that follow changes later.
 	modelTimeConstant = 10 * time.Second
-	// priorSamples is the number of samples that a prior or pooled value counts for. Raising it makes a replica's own
-	// samples count later.
+	// priorSamples is the number of samples that a prior or pooled value counts for. Raising it gives a replica's own
+	// samples less weight.
 	priorSamples = 2.0
-	// commonDelayTimeConstant is that of the wait common to all prefill replicas. Raising it keeps rejecting longer
-	// after a jam.
+	// commonDelayTimeConstant is the time constant of the wait common to all prefill replicas. Raising it keeps
+	// rejecting for longer after an overload.
 	commonDelayTimeConstant = 3 * time.Second
-	// commonDelayPriorSamples is the number of samples that a common wait of zero counts for. Raising it makes a jam
-	// show later.
+	// commonDelayPriorSamples is the number of samples that a common wait of zero counts for. Raising it detects an
+	// overload later.
 	commonDelayPriorSamples = 0.3
-	// decodeWaitTimeConstant is that of a decode replica's observed wait. Raising it keeps a replica that was slow out
-	// of use for longer before it is tried again.
+	// decodeWaitTimeConstant is the time constant of a decode replica's observed wait. Raising it avoids a replica that
+	// was slow for longer before it is tried again.
 	decodeWaitTimeConstant = 2 * time.Second
-	// initialPerQueuedRequestMS is the prior wait per request ahead of a router that has sent no prefill yet. Raising it
-	// makes a new router reject at shorter queues.
-	initialPerQueuedRequestMS = 60.0
-	// unansweredPollRequests is the number of requests that are assumed ahead at a replica which does not answer a load
-	// poll in time: more than the two that such replicas have in the mean, since some have many and a request that waits
-	// for those is late. Raising it sends less to busy replicas, and more to ones that have not cached the prefix.
+	// initialDelayPerQueuedRequestMS is the prior queue delay per request ahead, for a router that has sent no prefill
+	// yet. Raising it makes a new router reject at shorter queues.
+	initialDelayPerQueuedRequestMS = 60.0
+	// unansweredPollRequests is the number of requests that are assumed to be ahead at a replica which does not answer
+	// a load poll in time. Such replicas have two on average; the value is higher because some have many, and a request
+	// that waits behind those is late. Raising it sends less to busy replicas, and more to replicas that have not
+	// cached the prefix.
 	unansweredPollRequests = 4.0
-	// minQueueForSample is the reported queue from which on a prefill is a sample of the wait per request ahead.
-	// Raising it gives fewer and better samples.
+	// minQueueForSample is the least reported queue at which a prefill is a sample of the queue delay per request
+	// ahead. Raising it gives fewer and better samples.
 	minQueueForSample = 2
-	// minCachedTokensForSample is the number of expected cached tokens beyond which a prefill is a sample of the cache
+	// minCachedTokensForSample is the number of expected cached tokens above which a prefill is a sample of the cache
 	// hit ratio. Raising it gives fewer and better samples.
 	minCachedTokensForSample = 200
-	// outlierMultiple and outlierMarginMS bound a sample: to this multiple of the model's value plus this margin. A
-	// prefill that is faster than the model's value by as much is no sample. Raising either lets single outliers move the
-	// models more.
+	// outlierMultiple and outlierMarginMS bound a sample: it counts as at most outlierMultiple times the model's
+	// prediction plus outlierMarginMS. A prefill that is faster than the prediction by the same measure is not a
+	// sample. Raising either lets single outliers move the models more.
 	outlierMultiple = 4
 	outlierMarginMS = 100
 )
 
 // Prefix locality: which prefill replicas have a prompt's prefix in their cache.
 const (
-	// prefixCacheTimeConstant is that of the probability that a prefix is still cached. Raising it sends requests
-	// after prefixes that may have been evicted.
+	// prefixCacheTimeConstant is the time constant with which the probability decays that a prefix is still cached.
+	// Raising it sends more requests to replicas that may have evicted their prefix.
 	prefixCacheTimeConstant = 30 * time.Second
-	// popularityTimeConstant is that of the arrivals from which a prefix's share of requests is counted. Raising it
-	// follows changes of popularity later.
+	// popularityTimeConstant is the time constant of the arrivals from which a prefix's share of requests is counted.
+	// Raising it follows changes of popularity later.
 	popularityTimeConstant = 60 * time.Second
-	// popularityPriorRequests is a number of arrivals with another prefix that is assumed. Raising it makes a prefix
-	// count as popular later.
+	// popularityPriorRequests is the number of assumed arrivals without the prefix in its share of requests. Raising it
+	// makes a prefix count as popular later.
 	popularityPriorRequests = 10.0
 	// prefixExpiryMultiple is the number of popularityTimeConstants after which an unused prefix is forgotten. Raising
 	// it takes more memory.
 	prefixExpiryMultiple = 2
-	// sweepInterval is the time between sweeps of the prefix table. Raising it takes more memory and less time.
+	// sweepInterval is the time between sweeps of the prefix table. Raising it takes more memory and less CPU time.
 	sweepInterval = 5 * time.Second
-	// maxPrefixEntries bounds the prefix table, at some 200 bytes an entry. Raising it remembers more prefixes of a router
-	// that has more requests than this within the time for which a prefix is remembered.
+	// maxPrefixEntries bounds the prefix table, at about 200 bytes per entry. Raising it lets a router remember more
+	// prefixes if more than this many are used before they expire.
 	maxPrefixEntries = 1 << 16
-	// maxPrefixShare is the largest part of a replica's even share of requests that one prefix may take at one replica.
-	// Raising it gives a prefix fewer replicas.
+	// maxPrefixShare is the largest fraction of a replica's even share of requests that one prefix may take at one
+	// replica. Raising it gives a prefix fewer replicas.
 	maxPrefixShare = 0.3
-	// minCellPreference is the least weight of a prefill replica by the capacity of its cell's decode replicas.
-	// Raising it keeps more prefills at cells that have too few decode replicas.
+	// minCellPreference is the least factor by which a cell with too few decode replicas reduces the weight of its
+	// prefill replicas. Raising it keeps more prefills in such cells.
 	minCellPreference = 0.7
 )
 
-// Selection of a prefill replica: which estimates count as equal, and handicaps.
+// Selection of a prefill replica: which estimates count as equal, and penalties.
 const (
-	// minEstimateToleranceMS is a difference of estimates that counts as none. Raising it favours prefix locality over
-	// estimates.
+	// minEstimateToleranceMS is the least tolerance: estimates that differ by less count as equal. Raising it favours
+	// prefix locality over estimates.
 	minEstimateToleranceMS = 20.0
-	// estimateErrorTolerance is the part of the usual error of estimates that counts as no difference. Raising it
-	// does the same where estimates are bad.
+	// estimateErrorTolerance is the tolerance as a fraction of the usual error of estimates. Raising it favours prefix
+	// locality over estimates where estimates are inaccurate.
 	estimateErrorTolerance = 0.8
-	// crossZonePenaltyMS is the handicap of a replica in another zone. Raising it keeps more requests in the zone.
+	// crossZonePenaltyMS is the penalty for a replica in another zone. Raising it keeps more requests in the zone.
 	crossZonePenaltyMS = 60.0
-	// failedBeforePenaltyMS is the handicap of a replica that has failed the request. Raising it tries the same replica
-	// again later.
+	// failedBeforePenaltyMS is the penalty for a replica at which the request has failed. Raising it makes a retry at
+	// the same replica less likely.
 	failedBeforePenaltyMS = 1000
-	// failureLevelPenaltyMS is the handicap, per unit of failure level, where only unhealthy replicas remain. Raising
-	// it makes health count for more than the estimate.
+	// failureLevelPenaltyMS is the penalty per unit of failure level when only unhealthy replicas remain. Raising it
+	// gives health more weight against the estimate.
 	failureLevelPenaltyMS = 1000
 )
 
 // Selection of a decode replica: when one counts as full.
 const (
-	// nearFullMemoryFraction is the reported memory beyond which a decode replica adds to the wait. Raising it fills
-	// replicas more before requests are rejected.
+	// nearFullMemoryFraction is the reported fraction of memory above which a decode replica adds to the wait. Raising
+	// it fills replicas more before requests are rejected.
 	nearFullMemoryFraction = 0.90
-	// nearFullWaitMS is the time to the first token beyond which a decode replica adds to the wait. Raising it
-	// tolerates slower replicas.
+	// nearFullWaitMS is the time to the first token above which a decode replica adds to the wait. Raising it tolerates
+	// slower replicas.
 	nearFullWaitMS = 150.0
 	// queueFullBackoff is the time for which a replica counts as full after QueueFull. Raising it leaves capacity
-	// unused; lowering it runs into more full queues.
+	// unused; lowering it sends more requests to full queues.
 	queueFullBackoff = 300 * ms
-	// otherZoneSpread is the handicap of another zone's replicas when a request leaves its cell. Raising it keeps
-	// more of these in the zone.
+	// otherZoneSpread is the factor by which replicas of another zone are handicapped when a request leaves its cell.
+	// Raising it keeps more of these requests in the zone.
 	otherZoneSpread = 3
-	// ownLoadDivisor scales the own streams of a replica that reports its memory, so that they only break ties.
-	// Raising it makes them count less.
+	// ownLoadDivisor scales down the router's own load at a replica that reports its memory, so that it only breaks
+	// ties. Raising it gives the own load less weight.
 	ownLoadDivisor = 1000
 )
 
-// Slow start: what a replica that has just started is sent.
+// Slow start: how many requests a replica that has just started is sent.
 const (
 	// minSlowStartInitial bounds Config.SlowStartInitial from below. Raising it sends more to a replica at its start.
 	minSlowStartInitial = 0.05
-	// slowStartShare is the part of what the overload rule allows that a replica in slow start gets at an even load.
-	// Raising it fills new replicas sooner and risks to overload them.
+	// slowStartShare is the fraction of the load allowed by Config.OverloadMultiple that a replica in slow start gets
+	// when load is even. Raising it fills new replicas sooner and is more likely to overload them.
 	slowStartShare = 0.45
-	// newPrefixAllowance is the number of requests with a new prefix by which all routers together may be ahead of
-	// that part, for chance. Raising it sends more of a new prefix to a replica in slow start at once.
+	// newPrefixAllowance is the number of requests with a new prefix by which all routers together may exceed that
+	// fraction, to allow for chance. Raising it sends more requests with a new prefix to a replica in slow start at
+	// once.
 	newPrefixAllowance = 4.0
-	// knownPrefixRequests is the number of recent requests beyond which a prefix is known. Raising it holds more
-	// requests to newPrefixAllowance.
+	// knownPrefixRequests is the number of recent requests above which a prefix counts as known. Raising it makes
+	// newPrefixAllowance apply to more requests.
 	knownPrefixRequests = 1.5
-	// maxSlowStartCredit is the most credit, allowance included, that a replica collects. Raising it allows larger
+	// maxSlowStartCredit is the most credit, allowance included, that a replica accumulates. Raising it allows larger
 	// bursts to a replica in slow start.
 	maxSlowStartCredit = 2
 	// slowStartWeightFactor is the weight of a prefill replica in slow start per unit of its ramp fraction. Raising it
-	// gives it more prefixes.
+	// assigns more prefixes to the replica.
 	slowStartWeightFactor = 1.5
 )
 
-// Load polling: asking replicas for their load where a router sees too few prefills of its own.
+// Load polling: when a router that sees few prefills of its own asks replicas for their load.
 const (
 	// minSamplesPerReplica is the number of recent prefills per replica below which a router polls. Raising it polls
-	// more.
+	// more often.
 	minSamplesPerReplica = 1.0
 	// pollCandidateCount is the number of replicas polled for a request. Raising it finds shorter queues and loses
 	// prefix locality.
 	pollCandidateCount = 2
-	// maxPollRounds is how often replicas are polled for one prefill while all that were polled are busy. Raising it
-	// spreads popular prefixes further, and delays requests while all replicas are busy.
+	// maxPollRounds is the number of times that replicas are polled for one prefill while all polled replicas are busy.
+	// Raising it spreads popular prefixes over more replicas, and delays requests while all replicas are busy.
 	maxPollRounds = 2
-	// pollTimeout is the time that a request waits for the answers. Raising it delays requests behind dead replicas.
+	// pollTimeout is the time that a request waits for the answers. Raising it delays requests when replicas are dead.
 	pollTimeout = 40 * ms
-	// loadMaxAge is the age up to which a report is used. Raising it polls less and herds more.
+	// loadMaxAge is the age up to which a report is used. Raising it polls less, and sends more requests at once to
+	// replicas that reported a short queue (herding).
 	loadMaxAge = 250 * ms
-	// peerLoadMaxAge is the age up to which a peer's report is used: no longer than an own one. With an older one all
-	// routers would send to where the queue was short. Raising it herds more.
+	// peerLoadMaxAge is the age up to which a peer's report is used. It is no longer than for an own report: with an
+	// older one all routers would send to the replica whose queue was short then. Raising it causes more herding.
 	peerLoadMaxAge = loadMaxAge
-	// queuedPerFullSlots is the number of queued requests that full slots stand for. Raising it avoids busy replicas
-	// more.
+	// queuedPerFullSlots is the number of queued requests that fully used slots count as. Raising it avoids busy
+	// replicas more.
 	queuedPerFullSlots = 4.0
 )
 
 // Timers and timeouts of requests and attempts.
 const (
-	// selectionRetryInterval is the time after which a request that found no replica looks again. Raising it delays
+	// selectionRetryInterval is the time after which a selection that found no replica is repeated. Raising it delays
 	// such requests.
 	selectionRetryInterval = 30 * ms
 	// answerMargin is how long before its deadline a waiting request is answered. Raising it gives up sooner.
 	answerMargin = 15 * ms
-	// prefillTimeoutFactor and prefillTimeoutGrace make a prefill's timeout: this multiple of its estimate plus this
-	// grace. Raising either leaves a silent replica later.
+	// prefillTimeoutFactor and prefillTimeoutGrace give a prefill's timeout: the factor times its estimate plus the
+	// grace time. Raising either gives up on a silent replica later.
 	prefillTimeoutFactor = 3.0
 	prefillTimeoutGrace  = 900 * ms
-	// expectedPrefillFactor and expectedPrefillGrace make the time after which a prefill counts as overdue. Raising
-	// either notices a slow replica later.
+	// expectedPrefillFactor and expectedPrefillGrace give the time after which a prefill counts as overdue: the factor
+	// times its estimate plus the grace time. Raising either detects a slow replica later.
 	expectedPrefillFactor = 1.5
 	expectedPrefillGrace  = 100 * ms
-	// minDecodeTimeout is the least timeout of a decode attempt that may be retried. Raising it leaves a silent replica
-	// later.
+	// minDecodeTimeout is the least timeout of a decode attempt that may be retried. Raising it gives up on a silent
+	// replica later.
 	minDecodeTimeout = 800 * ms
-	// maxProcessStall is how much sooner than its end a deduplication window counts as over: a process may stall for
-	// 0.15 s between a decision and the bytes that follow from it, and its connection may have to settle. Raising it
-	// gives up more retries that would have been safe.
+	// maxProcessStall is how much sooner than its end a deduplication window counts as over. A process may stall for
+	// 0.15 s between a decision and writing the bytes that follow from it, and a connection may have to be idle for a
+	// moment before its next call. Raising it rules out more retries that would have been safe.
 	maxProcessStall = 200 * ms
-	// reservationReleaseFraction is the part of Config.ReservationTTL after which a reservation is released; the rest
-	// is for the release to arrive. Raising it risks reservations that outlast their time.
+	// reservationReleaseFraction is the fraction of Config.ReservationTTL after which a reservation is released; the
+	// rest of the time allows the release to arrive. Raising it risks that reservations outlast their TTL.
 	reservationReleaseFraction = 0.8
 )
 
 // Outlier ejection: when a replica counts as unhealthy. A failure level is between 0 and 1.
 const (
-	// ejectionThreshold is the failure level from which on a replica is ejected; from half of it on it gets one attempt
-	// at a time. Raising it keeps failing replicas in use for longer.
+	// ejectionThreshold is the failure level at which a replica is ejected; from half of it the replica gets one
+	// attempt at a time. Raising it keeps failing replicas in use for longer.
 	ejectionThreshold = 0.45
 	// errorWeight is the weight of an error response in the failure level. Raising it ejects sooner.
 	errorWeight = 0.25
-	// transportFailureWeight is that of a failed connect, a reset or a timeout. Raising it ejects sooner.
+	// transportFailureWeight is the weight of a failed connect, a reset or a timeout in the failure level. Raising it
+	// ejects sooner.
 	transportFailureWeight = 0.5
-	// peerFailureWeight is that of a peer's report that a replica is silent, against this router's own experience.
-	// Raising it believes peers more.
+	// peerFailureWeight is the weight of a peer's report that a replica is silent. It is lower than the weight of this
+	// router's own observation. Raising it relies more on peers.
 	peerFailureWeight = transportFailureWeight / 2
-	// aliveFailureWeight is that of a broken connection at a replica that has responded within aliveWindow. Raising it
-	// ejects live replicas whose connections break one by one.
+	// aliveFailureWeight is the weight of a broken connection at a replica that has responded within aliveWindow.
+	// Raising it ejects more live replicas whose connections break one at a time.
 	aliveFailureWeight = 0.2
 	// aliveWindow is the time for which a response shows that a replica is alive. Raising it ejects later.
 	aliveWindow = 500 * ms
-	// successWeight is the weight of a success. Raising it readmits sooner.
+	// successWeight is the weight of a success in the failure level. Raising it readmits sooner.
 	successWeight = 0.3
-	// healthTimeConstant is that of the failure level. Raising it readmits later.
+	// healthTimeConstant is the time constant of the failure level's decay. Raising it readmits later.
 	healthTimeConstant = 10 * time.Second
 )
 
 // Budgets that all routers share: bursts.
 const (
-	// pollBurstSpan is the time for whose part of the poll budget polls may be sent at once, since a router that starts
-	// knows no load. Raising it allows larger bursts.
+	// pollBurstSpan gives the burst of the poll budget: as many polls as the budget allows in this time may be sent at
+	// once, since a router that starts has no load reports. Raising it allows larger bursts.
 	pollBurstSpan = 10 * time.Second
-	// pollBurstExtra is the number of polls in addition, however small the part: the least that can be polled. Raising
-	// it allows larger bursts.
+	// pollBurstExtra is the number of polls that may be sent at once beyond the burst of pollBurstSpan, so that a
+	// router with a small fraction of the budget can poll at all. Raising it allows larger bursts.
 	pollBurstExtra = 1.0
-	// retryBurstSpan is the time for whose part of the retry budget retries may be sent at once. Raising it allows
-	// larger bursts.
+	// retryBurstSpan gives the burst of the retry budget: as many retries as the budget allows in this time may be sent
+	// at once. Raising it allows larger bursts.
 	retryBurstSpan = 5 * time.Second
-	// retryBurstExtra is the number of retries in addition. Raising it allows larger bursts.
+	// retryBurstExtra is the number of retries that may be sent at once beyond the burst of retryBurstSpan. Raising it
+	// allows larger bursts.
 	retryBurstExtra = 1.0
-	// criticalRetryShare is the part of the burst that is reserved for critical requests. Raising it rejects more
-	// retries of others.
+	// criticalRetryShare is the fraction of the burst that is reserved for critical requests. Raising it rejects more
+	// retries of other requests.
 	criticalRetryShare = 0.5
 )
 
 // Subsetting: when a router uses all replicas instead of its subset.
 const (
-	// minHealthyFraction is the healthy part of a subset's capacity below which the router uses all replicas. Raising
-	// it leaves the subset sooner.
+	// minHealthyFraction is the healthy fraction of a subset's capacity below which the router uses all replicas.
+	// Raising it leaves the subset sooner.
 	minHealthyFraction = 0.5
-	// fallbackDuration is the time after which it looks at its subset again. Raising it returns later.
+	// fallbackDuration is the time after which the router checks its subset again. Raising it returns to the subset
+	// later.
 	fallbackDuration = time.Second
 )
 
 // Snapshots of learned state.
 const (
-	// snapshotMaxAge is the age up to which a snapshot is restored: most of what it holds has decayed by then. Raising
-	// it restores older state.
+	// snapshotMaxAge is the age up to which a snapshot is restored: most of its content has decayed by then. Raising it
+	// restores older state.
 	snapshotMaxAge = 30 * time.Second
-	// maxClockSkew is how far in the future a snapshot may be: clocks of one machine differ by less. Raising it
-	// tolerates worse clocks.
+	// maxClockSkew is how far in the future a snapshot may be taken: the clocks of one machine differ by less. Raising
+	// it tolerates larger clock differences.
 	maxClockSkew = 100 * ms
-	// maxPlausible bounds the restored figures. Raising it accepts more corrupt ones.
+	// maxPlausible bounds the values of snapshots and load reports. Raising it accepts more corrupt values.
 	maxPlausible = 1e9
 )
