--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -43,7 +43,7 @@
 	}
 	for id := range RequestID(50) {
 		if !containsAction[Reject](h.handle(ms, RequestArrived{Request: id + 1, Tenant: 1, PromptTokens: 500, RemainingTime: 4 * time.Second})) {
-			t.Fatal("not rejected")
+			t.Fatal("the request was not rejected")
 		}
 	}
 	if got := h.r.tenantBuckets[1].Tokens(); got < before {
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -118,7 +118,7 @@
 	}
 	_, decodeReplica := h.completePrefill(10, 1)
 	if acts := h.handle(ms, AttemptEnded{Request: 10, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset}); containsAction[Reject](acts) || containsAction[Send](acts) || !containsAction[Fail](acts) {
-		t.Errorf("%+v", acts)
+		t.Errorf("got %+v, want a failure", acts)
 	}
 }
 
@@ -126,7 +126,7 @@
 func TestReconfigureKeepsBudgets(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Budgets = Budgets{Fraction: 0.1, RetriesPerRequest: 0.2} })
 	if err := h.r.Reconfigure(h.now, testConfig()); err != nil || h.r.cfg.Budgets.Fraction != 0.1 {
-		t.Errorf("%+v, %v", h.r.cfg.Budgets, err)
+		t.Errorf("budgets after the reconfiguration: %+v, error %v", h.r.cfg.Budgets, err)
 	}
 }
 
@@ -135,7 +135,7 @@
 		cfg := testConfig()
 		cfg.Budgets = budgets
 		if cfg.Validate() == nil {
-			t.Errorf("%+v passes", budgets)
+			t.Errorf("Validate accepted %+v", budgets)
 		}
 	}
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -78,7 +78,7 @@
 type Budgets struct {
 	Fraction          float64 // this router's fraction while no QuotaShare is valid; 0 means an equal one, 1/Routers
 	PollsPerReplica   float64 // load polls per second that one replica gets from all routers
-	RetriesPerRequest float64 // retries after a failure that each first attempt allows
+	RetriesPerRequest float64 // retries after a failure that are allowed per first attempt
 	RetriesPerSecond  float64 // retries per second that are allowed in addition
 }
 
--- a/routing/config_test.go
+++ b/routing/config_test.go
@@ -18,7 +18,7 @@
 		cfg := testConfig()
 		change(&cfg)
 		if r, err := New(cfg, 1); err == nil || r != nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -111,8 +111,8 @@
 	if !selection.inOriginCell(replica) || selection.spill {
 		return false
 	}
-	// The fraction of all requests that the cell's prefill replicas send. It is higher by healthy capacity than by
-	// ready capacity if the prefill replicas of other cells do not respond.
+	// The fraction of all requests that the cell's prefill replicas send. If the prefill replicas of other cells do not
+	// respond, the fraction by healthy capacity is the larger one.
 	ready := replica.cell.readyPrefillCapacity / r.totalCapacity.readyPrefillCapacity
 	healthy := replica.cell.prefillCapacity / max(r.totalCapacity.prefillCapacity, minCapacity)
 	return r.accrueSlowStartCredit(replica, req, max(ready, healthy), 0)
@@ -136,7 +136,7 @@
 		_, decodeCapacityRatio := r.cellPreference(replica.cell)
 		spread = r.rng.ExpFloat64() / (replica.Weight * max(1-1/decodeCapacityRatio, minCapacity))
 		if replica.Zone != selection.zone {
-			spread *= otherZoneSpread
+			spread *= otherZoneSpreadFactor
 		}
 	case replica.Zone != selection.zone:
 		cost += otherZoneCost
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -47,7 +47,7 @@
 type trackedRequest struct {
 	RequestArrived
 	deadline          time.Duration
-	attemptsOut       int // attempts without an outcome
+	attemptsInFlight  int // attempts without an outcome
 	attemptsAtReplica int // attempts without an outcome that have reached a running replica
 	decodesAtReplica  int // of attemptsAtReplica, those at a decode replica, which use the prefill result
 	attempts          int
@@ -78,7 +78,7 @@
 	intercept      func(Action) []Action // receives each action and returns the actions to check in its place
 	violations     []string
 	nextID         RequestID
-	counts         map[Outcome]int
+	outcomeCounts  map[Outcome]int
 	maxReady       [2]int // largest number of replicas ready at once since the router's start, by kind
 }
 
@@ -107,7 +107,7 @@
 	d := &driver{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cfg: testConfig(), now: time.Hour,
 		requests: map[RequestID]*trackedRequest{}, replicas: map[EndpointID]*Endpoint{}, unhealthy: map[EndpointID]bool{},
-		slowStartSends: map[EndpointID][]time.Duration{}, counts: map[Outcome]int{},
+		slowStartSends: map[EndpointID][]time.Duration{}, outcomeCounts: map[Outcome]int{},
 	}
 	d.restart()
 	return d
@@ -168,7 +168,7 @@
 	}
 }
 
-func (d *driver) violation(format string, args ...any) {
+func (d *driver) recordViolation(format string, args ...any) {
 	d.violations = append(d.violations, fmt.Sprintf(format, args...))
 }
 
@@ -196,7 +196,7 @@
 	}
 	d.after(remaining+8*ms, func() {
 		if req := d.requests[id]; req != nil && !req.answered && !req.finished && !req.streaming {
-			d.violation("rule 1: request %d has no answer in time", id)
+			d.recordViolation("rule 1: request %d has no answer in time", id)
 			req.finished = true
 		}
 	})
@@ -252,20 +252,20 @@
 	case Reject:
 		if req := d.requests[a.Request]; req != nil && req.mayHaveRun &&
 			(d.cfg.Classes[req.Class].Idempotency == NonIdempotent || d.cfg.Classes[req.Class].DedupScope != DedupScopeAll) {
-			d.violation("rule 2: request %d was rejected after it may have run", a.Request)
+			d.recordViolation("rule 2: request %d was rejected after it may have run", a.Request)
 		}
-		d.answer(a.Request)
+		d.recordAnswer(a.Request)
 	case Fail:
-		d.answer(a.Request)
+		d.recordAnswer(a.Request)
 	case SetTimer:
 		d.after(a.After, func() { d.handle(TimerFired{a.Timer}) })
 	}
 }
 
-func (d *driver) answer(id RequestID) {
+func (d *driver) recordAnswer(id RequestID) {
 	req := d.requests[id]
-	if req == nil || req.answered || req.finished || req.attemptsOut > 0 {
-		d.violation("rule 1: request %d was answered twice, after its end or with an attempt out", id)
+	if req == nil || req.answered || req.finished || req.attemptsInFlight > 0 {
+		d.recordViolation("rule 1: request %d was answered twice, after its end or with an attempt out", id)
 		return
 	}
 	req.answered = true
@@ -275,14 +275,14 @@
 	d.sends++
 	req, endpoint := d.requests[a.Request], d.replicas[a.Endpoint]
 	if req == nil || req.answered || req.finished {
-		d.violation("rule 1: request %d was sent after its end", a.Request)
+		d.recordViolation("rule 1: request %d was sent after its end", a.Request)
 		return
 	}
 	if endpoint == nil || endpoint.State != Ready {
-		d.violation("rule 3: request %d went to a replica that is not ready", a.Request)
+		d.recordViolation("rule 3: request %d went to a replica that is not ready", a.Request)
 	}
-	if req.attemptsOut > 0 {
-		d.violation("rule 2: request %d has two attempts out", a.Request)
+	if req.attemptsInFlight > 0 {
+		d.recordViolation("rule 2: request %d has two attempts out", a.Request)
 	}
 	if req.mayHaveRun && d.cfg.Kinds[endpoint.Kind].Role != Prefill {
 		d.checkRetry(req, endpoint)
@@ -290,11 +290,11 @@
 	if endpoint.Started > 0 && d.now-endpoint.Started < d.cfg.SlowStartDuration {
 		d.checkSlowStart(endpoint)
 	}
-	req.attemptsOut++
+	req.attemptsInFlight++
 	attempt := req.attempts
 	req.attempts++
 	if req.attempts > d.cfg.MaxAttempts {
-		d.violation("request %d has more attempts than allowed", a.Request)
+		d.recordViolation("request %d has more attempts than allowed", a.Request)
 	}
 	d.scheduleOutcome(req, endpoint, attempt, a.Timeout)
 }
@@ -304,11 +304,11 @@
 	switch {
 	case class.Idempotency == Idempotent:
 	case class.Idempotency == NonIdempotent:
-		d.violation("rule 2: non-idempotent request %d was sent again after it may have run", req.Request)
+		d.recordViolation("rule 2: non-idempotent request %d was sent again after it may have run", req.Request)
 	case d.now > req.mayHaveRunAt+class.DedupWindow:
-		d.violation("rule 2: request %d was sent again after its deduplication window", req.Request)
+		d.recordViolation("rule 2: request %d was sent again after its deduplication window", req.Request)
 	case class.DedupScope == DedupScopeCell && endpoint.Cell != ranOn.Cell, class.DedupScope == DedupScopeZone && endpoint.Zone != ranOn.Zone:
-		d.violation("rule 2: request %d was sent again outside its deduplication scope", req.Request)
+		d.recordViolation("rule 2: request %d was sent again outside its deduplication scope", req.Request)
 	}
 }
 
@@ -325,7 +325,7 @@
 	evenRate := 25.0 / float64(d.maxReady[endpoint.Kind])
 	allowed := d.cfg.OverloadMultiple*ramp*evenRate*slowStartWindow.Seconds() + 2
 	if float64(len(sends)) > allowed {
-		d.violation("rule 4: replica %d of kind %d in slow start got %d sends, allowed %.1f", endpoint.ID, endpoint.Kind, len(sends), allowed)
+		d.recordViolation("rule 4: replica %d of kind %d in slow start got %d sends, allowed %.1f", endpoint.ID, endpoint.Kind, len(sends), allowed)
 	}
 }
 
@@ -361,11 +361,11 @@
 		if d.rng.IntN(3) == 0 {
 			e.Load = &LoadReport{Memory: d.rng.Float64(), QueuedKiloTokens: -1}
 		}
-		req.attemptsOut--
-		d.counts[o]++
+		req.attemptsInFlight--
+		d.outcomeCounts[o]++
 		req.finished = req.finished || final
 		e.Final = req.finished || req.answered
-		mayHaveCompleted := role == Prefill && reachesReplica && (o == TimedOut || o == ConnectionReset) // it may have completed nevertheless
+		mayHaveCompleted := role == Prefill && reachesReplica && (o == TimedOut || o == ConnectionReset) // the prefill may have completed anyway
 		req.reserved = req.reserved && o != Served || o == PrefillDone || mayHaveCompleted
 		if reachesDecode {
 			req.decodesAtReplica--
@@ -403,10 +403,10 @@
 func (d *driver) checkReservations() {
 	for id, req := range d.requests {
 		if req.attemptsAtReplica == 0 && req.reserved && d.now > req.lastReachedEnd+d.cfg.ReservationTTL+8*ms {
-			d.violation("rule 5: the reservation of request %d has outlasted its time", id)
+			d.recordViolation("rule 5: the reservation of request %d has outlasted its time", id)
 			req.reserved = false
 		}
-		if req.attemptsOut == 0 && !req.reserved && (req.answered || req.finished) && d.now > req.deadline+time.Second {
+		if req.attemptsInFlight == 0 && !req.reserved && (req.answered || req.finished) && d.now > req.deadline+time.Second {
 			delete(d.requests, id)
 		}
 	}
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -9,9 +9,9 @@
 // decode replica 13 in cell 1.
 type harness struct {
 	*testing.T
-	r    *Router
-	now  time.Duration
-	last []Action // actions of the latest event
+	r           *Router
+	now         time.Duration
+	lastActions []Action // actions of the latest event
 }
 
 func newHarness(t *testing.T, change func(*Config)) *harness {
@@ -34,8 +34,8 @@
 
 func (h *harness) handle(dt time.Duration, ev Event) []Action {
 	h.now += dt
-	h.last = h.r.Handle(h.now, ev, nil)
-	return h.last
+	h.lastActions = h.r.Handle(h.now, ev, nil)
+	return h.lastActions
 }
 
 func (h *harness) arrive(id RequestID, class int) []Action {
--- a/routing/health_test.go
+++ b/routing/health_test.go
@@ -18,7 +18,7 @@
 	}
 	h.handle(healthTimeConstant, TimerFired{})
 	if !h.r.healthy(replica, 1) {
-		t.Error("not readmitted")
+		t.Error("the replica was not readmitted")
 	}
 	for range 4 {
 		h.r.recordSuccess(replica, 0)
@@ -67,7 +67,7 @@
 	}
 	h.handle(3*healthTimeConstant, TimerFired{})
 	if !h.r.healthy(replica, 1) {
-		t.Error("not readmitted")
+		t.Error("the replica was not readmitted")
 	}
 }
 
@@ -95,12 +95,12 @@
 	replica := h.r.byID[decodeReplica]
 	h.r.recordSuccess(replica, 0)
 	h.handle(20*ms, AttemptEnded{Request: 1, Attempt: 1, Endpoint: decodeReplica, Outcome: ConnectionReset})
-	replica.pending = []pendingAttempt{{request: 9}} // it may not be probed
+	replica.pending = []pendingAttempt{{request: 9}} // with a pending attempt the replica may not be probed
 	if !h.r.healthy(replica, 0) {
-		t.Error("ejected after one reset")
+		t.Error("the replica was ejected after one reset")
 	}
 	h.r.recordOutcome(replica, &request{}, AttemptEnded{Outcome: ConnectionReset}, decoding)
 	if h.r.healthy(replica, 0) {
-		t.Error("not ejected after two")
+		t.Error("the replica was not ejected after two resets")
 	}
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -92,7 +92,7 @@
 		}
 		h.r.byID[1].reportedBacklog = -1 // one prefill replica without a report
 		if s, _ := h.completePrefill(1, 0); s != 1 && s != 2 {
-			t.Errorf("%v: sent to %d", x, s)
+			t.Errorf("load value %v: sent to %d, want a prefill replica", x, s)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		}
 	}
 	if admittedCount == 0 || admittedCount > 10 {
-		t.Errorf("%d of 20 were admitted", admittedCount)
+		t.Errorf("%d of 20 requests were admitted", admittedCount)
 	}
 	h = newHarness(t, func(c *Config) { c.CanPollLoad = true })
 	for id := range RequestID(20) {
--- a/routing/loadpoll_test.go
+++ b/routing/loadpoll_test.go
@@ -20,7 +20,7 @@
 				polled = append(polled, a.Endpoint)
 			case SetTimer:
 				if a.After != pollTimeout || a.Timer != 1 {
-					t.Errorf("timer %+v", a)
+					t.Errorf("got timer %+v, want the poll timeout of request 1", a)
 				}
 			default:
 				t.Errorf("before any answer: %+v", a)
@@ -49,7 +49,7 @@
 		t.Errorf("went to %d, which did not answer", s)
 	}
 	if acts := h.handle(ms, LoadPolled{polled[1], &LoadReport{}}); len(acts) != 0 {
-		t.Errorf("a late answer: %+v", acts)
+		t.Errorf("a late answer caused actions: %+v", acts)
 	}
 	h, polled = newPolledHarness()
 	for _, id := range polled {
@@ -174,7 +174,7 @@
 	h = newPollingHarness()
 	report(h, 0, 0, 0)
 	if acts := h.handle(peerLoadMaxAge, TimerFired{}); len(acts) != 0 {
-		t.Errorf("%+v", acts)
+		t.Errorf("a timer caused actions: %+v", acts)
 	}
 	if acts := h.arrive(1, 0); !containsAction[PollLoad](acts) {
 		t.Errorf("after the reports have expired: %+v", acts)
--- a/routing/observe_test.go
+++ b/routing/observe_test.go
@@ -12,7 +12,7 @@
 	}
 	h.handle(20*ms, AttemptEnded{Request: 1, Endpoint: replica, Outcome: PrefillDone, Elapsed: 20 * ms, CachedTokens: 16})
 	var got []PrefillObserved
-	for _, action := range h.last {
+	for _, action := range h.lastActions {
 		if observed, ok := action.(PrefillObserved); ok {
 			got = append(got, observed)
 		}
@@ -30,7 +30,7 @@
 func TestPrefillsAreNotObservedByDefault(t *testing.T) {
 	h := newHarness(t, nil)
 	h.completePrefill(1, 0)
-	if containsAction[PrefillObserved](h.last) {
-		t.Errorf("observed: %+v", h.last)
+	if containsAction[PrefillObserved](h.lastActions) {
+		t.Errorf("observed: %+v", h.lastActions)
 	}
 }
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -35,7 +35,7 @@
 				return s.Endpoint
 			}
 		}
-		t.Fatal("no send")
+		t.Fatal("the request was not sent")
 		return 0
 	}
 	for seed := range uint64(20) {
--- a/routing/request.go
+++ b/routing/request.go
@@ -169,8 +169,7 @@
 	r.send(req, replica, r.prefillTimeout(req, estimateMS), expectedBy)
 }
 
-// startDecode sends a request to the decode replica with the most capacity, preferably in the cell of its prefill
-// replica.
+// startDecode sends a request to the decode replica that bestDecodeReplica selects.
 func (r *Router) startDecode(req *request) {
 	if r.pollLoads(req) {
 		return
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -3,7 +3,7 @@
 import "time"
 
 // reservation is what may be reserved for a request at some replica: a prefill result at its prefill replica, or a
-// slot. It must be used or released within Config.ReservationTTL. The time runs while no attempt is known to have
+// slot. It must be used or released within Config.ReservationTTL. The TTL runs while no attempt is known to have
 // reached a running replica. Sending an attempt does not prove that it arrived; only a response does.
 type reservation struct {
 	mayExist              bool          // something may be reserved and is not known to have been released
@@ -22,7 +22,7 @@
 }
 
 // updateReservation applies the outcome of an attempt that was in flight in state priorState, prefilling or decoding.
-// An attempt that did not arrive leaves the time running. If an attempt timed out or broke off, it is unknown whether
+// An attempt that did not arrive leaves the TTL running. If an attempt timed out or broke off, it is unknown whether
 // it arrived and what it reserved.
 func (req *request) updateReservation(now time.Duration, o Outcome, priorState requestState) {
 	decode := priorState == decoding
--- a/routing/reservation_test.go
+++ b/routing/reservation_test.go
@@ -12,13 +12,13 @@
 	var timers []scheduledTimer
 	reservedAt := h.now
 	failAt, attempt, decode := reservedAt+attemptDuration, 1, h.r.requests[id].endpoint
-	timers = append(timers, timersOf(h.last, h.now)...)
+	timers = append(timers, timersOf(h.lastActions, h.now)...)
 	for h.now < reservedAt+2*time.Second {
 		next := failAt
 		at := -1
-		for i, d := range timers {
-			if d.at < next {
-				next, at = d.at, i
+		for i, pending := range timers {
+			if pending.at < next {
+				next, at = pending.at, i
 			}
 		}
 		var acts []Action
--- a/routing/router.go
+++ b/routing/router.go
@@ -51,7 +51,7 @@
 
 	prefillModel          latencyModel // predicts the duration of prefills
 	decodeModel           latencyModel // predicts the time to the first token of decode attempts
-	commonQueueDelay      decayedMean  // ms by which recent prefills exceeded prefillModel: the common wait
+	commonQueueDelay      decayedMean  // ms by which recent prefills exceeded the model: the wait common to all replicas
 	estimateError         decayedMean  // absolute error of prefill estimates, in ms
 	cacheHitRatio         decayedMean  // tokens found in the prefix cache per token expected there
 	delayPerQueuedRequest decayedMean  // ms of queue delay per request queued ahead
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestRulesHoldOverLongRandomRuns(t *testing.T) {
-	// Seeds 20 and 46 guard against overloading decode replicas in slow start: the fraction of all requests that their
-	// cell's prefill replicas send was once computed from weights, while the prefill replicas of other cells did not
+	// With seeds 20 and 46, decode replicas in slow start are overloaded if the fraction of all requests that their
+	// cell's prefill replicas send is computed from weights alone while the prefill replicas of other cells do not
 	// respond.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 20, 46} {
 		d := newDriver(t, seed)
@@ -26,7 +26,7 @@
 			t.Errorf("seed %d: only %d sends", seed, d.sends)
 		}
 		for o := Served; o <= PrefillDone; o++ {
-			if d.counts[o] == 0 {
+			if d.outcomeCounts[o] == 0 {
 				t.Errorf("seed %d: outcome %d never occurred", seed, o)
 			}
 		}
@@ -62,9 +62,9 @@
 		"rule 3": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.endpointList() {
-						if x.State != Ready && x.Kind == d.replicas[s.Endpoint].Kind {
-							s.Endpoint = x.ID
+					for _, endpoint := range d.endpointList() {
+						if endpoint.State != Ready && endpoint.Kind == d.replicas[s.Endpoint].Kind {
+							s.Endpoint = endpoint.ID
 						}
 					}
 					return []Action{s}
@@ -75,9 +75,9 @@
 		"rule 4": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.endpointList() {
-						if x.State == Ready && x.Kind == d.replicas[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
-							s.Endpoint = x.ID // send to a replica that has just started
+					for _, endpoint := range d.endpointList() {
+						if endpoint.State == Ready && endpoint.Kind == d.replicas[s.Endpoint].Kind && endpoint.Started > d.now-2*time.Second {
+							s.Endpoint = endpoint.ID // send to a replica that has just started
 						}
 					}
 					return []Action{s}
@@ -115,7 +115,7 @@
 	}
 	d.run(d.now + 10*time.Minute)
 	if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == "rule 5" }) {
-		t.Errorf("not detected (%d violations)", len(d.violations))
+		t.Errorf("the missing release was not detected (%d violations)", len(d.violations))
 	}
 }
 
@@ -132,6 +132,6 @@
 		return string(out)
 	}
 	if a, b := trace(), trace(); a != b || len(a) < 1000 {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed differ, or they are too short")
 	}
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -89,8 +89,8 @@
 	var sent []time.Duration
 	handle := func(r *Router, arrival *RequestArrived) {
 		events := []Event{*arrival}
-		for at := 0; at < len(events); at++ {
-			for _, a := range r.Handle(now, events[at], nil) {
+		for attempt := 0; attempt < len(events); attempt++ {
+			for _, a := range r.Handle(now, events[attempt], nil) {
 				s, ok := a.(Send)
 				if !ok {
 					continue
@@ -104,7 +104,7 @@
 				} else if otherCellsFail && endpoint.Cell > 0 && started.Started > 0 {
 					outcome = ConnectFailed
 				}
-				events = append(events, AttemptEnded{Request: arrival.Request, Attempt: at, Endpoint: s.Endpoint, Outcome: outcome, Elapsed: 40 * ms, Final: outcome == Served})
+				events = append(events, AttemptEnded{Request: arrival.Request, Attempt: attempt, Endpoint: s.Endpoint, Outcome: outcome, Elapsed: 40 * ms, Final: outcome == Served})
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 		}
 		if started.Started > 0 {
 			ramp := cfg.SlowStartInitial + (1-cfg.SlowStartInitial)*float64(now-started.Started)/float64(cfg.SlowStartDuration)
-			allowed := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // the replica can take the even share
+			allowed := cfg.OverloadMultiple * ramp * rate / 8 * slowStartWindow.Seconds() // a replica can take at least the even share
 			worst = max(worst, float64(len(sent))/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
@@ -159,7 +159,7 @@
 	h := newHarness(t, func(c *Config) { c.OverloadMultiple = 0 })
 	h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 2, State: Ready, Started: h.now}}})
 	if s := h.sentTo(h.arrive(1, 0)); s != 2 {
-		t.Errorf("went to %d", s)
+		t.Errorf("the request went to replica %d, want replica 2", s)
 	}
 }
 
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -23,7 +23,7 @@
 
 // The parts of a Snapshot.
 type (
-	// LatencyModel holds the decayed sums of a least-squares fit: the normal matrix A and the vector B.
+	// LatencyModel holds the decayed sums of a least-squares fit: the normal matrix and the moment vector.
 	LatencyModel struct {
 		Normal  [3][3]float64
 		Moments [3]float64
@@ -160,9 +160,9 @@
 	r.delayPerQueuedRequest.restore(r.now, snapshot.PerQueuedRequest)
 	restored := map[EndpointID]bool{}
 	for _, stats := range snapshot.Endpoints {
-		if s := r.byID[stats.ID]; s != nil && r.sameIncarnation(s, stats) {
+		if replica := r.byID[stats.ID]; replica != nil && r.sameIncarnation(replica, stats) {
 			restored[stats.ID] = true
-			r.restoreStats(s, stats)
+			r.restoreStats(replica, stats)
 		}
 	}
 	for _, entry := range snapshot.Prefixes {
--- a/routing/subset_test.go
+++ b/routing/subset_test.go
@@ -69,12 +69,12 @@
 	for id := RequestID(1); id <= 300; id++ {
 		prefillReplica, decodeReplica, ok := h.serveRequest(id)
 		if !ok || !slices.Contains(subset.Endpoints, prefillReplica) || !slices.Contains(subset.Endpoints, decodeReplica) {
-			t.Fatalf("request %d went to %d and %d, %t", id, prefillReplica, decodeReplica, ok)
+			t.Fatalf("request %d went to %d and %d, served: %t", id, prefillReplica, decodeReplica, ok)
 		}
 		used[prefillReplica], used[decodeReplica] = true, true
 	}
 	if len(used) != 20 {
-		t.Errorf("%d of 20 were used", len(used))
+		t.Errorf("%d of the subset's 20 replicas were used", len(used))
 	}
 	h.handle(0, SubsetAssigned{})
 	for id := RequestID(1001); id <= 1100; id++ {
@@ -89,13 +89,13 @@
 // If less than half of a subset is healthy, because of failures or the endpoint list, the router uses all replicas. It
 // returns to the subset once the subset is healthy again.
 func TestUnhealthySubsetFallsBackToAllReplicas(t *testing.T) {
-	for _, by := range []string{"list", "failures"} {
+	for _, cause := range []string{"list", "failures"} {
 		h := newLargeHarness(t, 100)
 		subset := subsetOfCells(1, 4)
 		h.handle(0, subset)
 		h.serveRequest(1)
 		for _, id := range subset.Endpoints {
-			if by == "list" {
+			if cause == "list" {
 				h.handle(0, EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: Gone}}})
 				continue
 			}
@@ -107,10 +107,10 @@
 		for id := RequestID(10); id < 40; id++ {
 			r, decodeReplica, ok := h.serveRequest(id)
 			if !ok || slices.Contains(subset.Endpoints, r) || slices.Contains(subset.Endpoints, decodeReplica) {
-				t.Fatalf("%s: request %d went to %d and %d, %t", by, id, r, decodeReplica, ok)
+				t.Fatalf("%s: request %d went to %d and %d, served: %t", cause, id, r, decodeReplica, ok)
 			}
 		}
-		if by == "list" {
+		if cause == "list" {
 			var returned []Endpoint
 			for _, id := range subset.Endpoints {
 				kind := 0
@@ -126,7 +126,7 @@
 		h.serveRequest(50) // its selection ends the fallback
 		r, decodeReplica, ok := h.serveRequest(51)
 		if !ok || !slices.Contains(subset.Endpoints, r) || !slices.Contains(subset.Endpoints, decodeReplica) {
-			t.Errorf("%s: after the recovery it went to %d and %d, %t", by, r, decodeReplica, ok)
+			t.Errorf("%s: after the recovery a request went to %d and %d, served: %t", cause, r, decodeReplica, ok)
 		}
 	}
 }
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -69,8 +69,8 @@
 	// hit ratio. Raising it gives fewer and better samples.
 	minCachedTokensForSample = 200
 	// outlierMultiple and outlierMarginMS bound a sample: it counts as at most outlierMultiple times the model's
-	// prediction plus outlierMarginMS. A prefill that is faster than the prediction by the same measure is not a
-	// sample. Raising either lets single outliers move the models more.
+	// prediction plus outlierMarginMS. A prefill that is so fast that the prediction exceeds its duration by the same
+	// bound is not a sample. Raising either lets single outliers move the models more.
 	outlierMultiple = 4
 	outlierMarginMS = 100
 )
@@ -131,9 +131,9 @@
 	// queueFullBackoff is the time for which a replica counts as full after QueueFull. Raising it leaves capacity
 	// unused; lowering it sends more requests to full queues.
 	queueFullBackoff = 300 * ms
-	// otherZoneSpread is the factor by which replicas of another zone are handicapped when a request leaves its cell.
-	// Raising it keeps more of these requests in the zone.
-	otherZoneSpread = 3
+	// otherZoneSpreadFactor multiplies the spread position of replicas in another zone when a request leaves its cell;
+	// a lower position is better. Raising it keeps more of these requests in the zone.
+	otherZoneSpreadFactor = 3
 	// ownLoadDivisor scales down the router's own load at a replica that reports its memory, so that it only breaks
 	// ties. Raising it gives the own load less weight.
 	ownLoadDivisor = 1000
@@ -146,9 +146,9 @@
 	// slowStartShare is the fraction of the load allowed by Config.OverloadMultiple that a replica in slow start gets
 	// when load is even. Raising it fills new replicas sooner and is more likely to overload them.
 	slowStartShare = 0.45
-	// newPrefixAllowance is the number of requests with a new prefix by which all routers together may exceed that
-	// fraction, to allow for chance. Raising it sends more requests with a new prefix to a replica in slow start at
-	// once.
+	// newPrefixAllowance is the number of requests with a new prefix by which all routers together may exceed
+	// slowStartShare, to allow for chance. Raising it sends more requests with a new prefix to a replica in slow start
+	// at once.
 	newPrefixAllowance = 4.0
 	// knownPrefixRequests is the number of recent requests above which a prefix counts as known. Raising it makes
 	// newPrefixAllowance apply to more requests.
