--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -60,8 +60,8 @@
 		}
 	}
 	for id, n := range polls {
-		// One per second, plus the burst of ten seconds and one per router. Without a limit there would be two polls
-		// for each of 1,000 requests.
+		// The limit is one per second, plus the burst of ten seconds and one per router. Without a limit there would be
+		// two polls for each of 1,000 requests.
 		if most := int((span + pollBurstSpan).Seconds()) + routers; n > most {
 			t.Errorf("replica %d was polled %d times, want at most %d", id, n, most)
 		}
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -320,8 +320,8 @@
 	d.slowStartSends[endpoint.ID] = sends
 	age := float64(d.now-endpoint.Started) / float64(d.cfg.SlowStartDuration)
 	ramp := d.cfg.SlowStartInitial + (1-d.cfg.SlowStartInitial)*age
-	// Arrivals per second for each replica of the role. It uses the largest number of replicas that were ever on this
-	// router's endpoint list, since the router has no information on others.
+	// evenRate is the rate of arrivals for each replica of the role. It uses the largest number of replicas that were
+	// ever on this router's endpoint list, since the router has no information on others.
 	evenRate := 25.0 / float64(d.maxReady[endpoint.Kind])
 	allowed := d.cfg.OverloadMultiple*ramp*evenRate*slowStartWindow.Seconds() + 2
 	if float64(len(sends)) > allowed {
