--- a/routing/config_test.go
+++ b/routing/config_test.go
@@ -18,12 +18,12 @@
 		cfg := testConfig()
 		change(&cfg)
 		if r, err := New(cfg, 1); err == nil || r != nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
 
-// Unusual endpoint lists and configurations cause no panic, and a request gets its answer.
+// Unusual endpoint lists and configurations cause no panic, and a request is sent or rejected.
 func TestUnusualEndpointLists(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"empty":           nil,
--- a/routing/observe_test.go
+++ b/routing/observe_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestObservePrefills: with the option each end of a prefill attempt tells what was estimated, and nothing else changes.
+// TestObservePrefills checks that with the option, the end of each prefill attempt reports what was estimated, also
+// after a reconfiguration without the option.
 func TestObservePrefills(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.ObservePrefills = true })
 	replica := h.sentTo(h.arrive(1, 0))
@@ -11,7 +12,7 @@
 	}
 	h.handle(20*ms, AttemptEnded{Request: 1, Endpoint: replica, Outcome: PrefillDone, Elapsed: 20 * ms, CachedTokens: 16})
 	var got []PrefillObserved
-	for _, action := range h.last {
+	for _, action := range h.lastActions {
 		if observed, ok := action.(PrefillObserved); ok {
 			got = append(got, observed)
 		}
@@ -25,11 +26,11 @@
 	}
 }
 
-// TestPrefillsAreNotObservedByDefault: without the option no PrefillObserved is emitted.
+// TestPrefillsAreNotObservedByDefault checks that without the option no PrefillObserved is emitted.
 func TestPrefillsAreNotObservedByDefault(t *testing.T) {
 	h := newHarness(t, nil)
 	h.completePrefill(1, 0)
-	if containsAction[PrefillObserved](h.last) {
-		t.Errorf("observed: %+v", h.last)
+	if containsAction[PrefillObserved](h.lastActions) {
+		t.Errorf("observed: %+v", h.lastActions)
 	}
 }
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -8,14 +8,15 @@
 )
 
 func TestRulesHoldOverLongRandomRuns(t *testing.T) {
-	// With seeds 20 and 46 decode replicas in slow start once got more than their share: the fraction of all requests that
-	// their cell's prefill replicas send was computed from weights, and those of other cells did not respond.
+	// With seeds 20 and 46, decode replicas in slow start are overloaded if the fraction of all requests that their
+	// cell's prefill replicas send is computed from weights alone while the prefill replicas of other cells do not
+	// respond.
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 20, 46} {
 		d := newDriver(t, seed)
 		for d.now < time.Hour+10*time.Minute {
 			d.run(d.now + time.Minute)
 			if seed%2 == 1 {
-				d.restart() // the router is killed and restarted with its last endpoint list
+				d.restart() // the router is restarted with its last endpoint list
 			}
 		}
 		if len(d.violations) > 0 {
@@ -25,7 +26,7 @@
 			t.Errorf("seed %d: only %d sends", seed, d.sends)
 		}
 		for o := Served; o <= PrefillDone; o++ {
-			if d.counts[o] == 0 {
+			if d.outcomeCounts[o] == 0 {
 				t.Errorf("seed %d: outcome %d never occurred", seed, o)
 			}
 		}
@@ -38,7 +39,8 @@
 	}
 }
 
-// The checks can fail: each way of tampering with the actions is detected as the rule that it breaks.
+// The driver detects each broken rule: each way of tampering with the actions is reported as a violation of the rule
+// that it breaks.
 func TestDriverDetectsEachBrokenRule(t *testing.T) {
 	for rule, tamper := range map[string]func(d *driver) func(Action) []Action{
 		"rule 1": func(*driver) func(Action) []Action {
@@ -60,9 +62,9 @@
 		"rule 3": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.endpointList() {
-						if x.State != Ready && x.Kind == d.replicas[s.Endpoint].Kind {
-							s.Endpoint = x.ID
+					for _, endpoint := range d.endpointList() {
+						if endpoint.State != Ready && endpoint.Kind == d.replicas[s.Endpoint].Kind {
+							s.Endpoint = endpoint.ID
 						}
 					}
 					return []Action{s}
@@ -73,9 +75,9 @@
 		"rule 4": func(d *driver) func(Action) []Action {
 			return func(a Action) []Action {
 				if s, ok := a.(Send); ok {
-					for _, x := range d.endpointList() {
-						if x.State == Ready && x.Kind == d.replicas[s.Endpoint].Kind && x.Started > d.now-2*time.Second {
-							s.Endpoint = x.ID // herd to the replica that started last
+					for _, endpoint := range d.endpointList() {
+						if endpoint.State == Ready && endpoint.Kind == d.replicas[s.Endpoint].Kind && endpoint.Started > d.now-2*time.Second {
+							s.Endpoint = endpoint.ID // send to a replica that has just started
 						}
 					}
 					return []Action{s}
@@ -96,12 +98,13 @@
 		d.intercept = tamper(d)
 		d.run(d.now + 10*time.Minute)
 		if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == rule }) {
-			t.Errorf("a broken %s was not detected (%d violations)", rule, len(d.violations))
+			t.Errorf("a violation of %s was not detected (%d violations)", rule, len(d.violations))
 		}
 	}
 }
 
-// A router that takes an attempt for arrived as soon as it was sent is detected too.
+// The driver detects a router that treats an attempt as arrived as soon as it was sent, and so never releases an
+// expired reservation.
 func TestDriverDetectsMissingReleaseOfExpiredReservation(t *testing.T) {
 	d := newDriver(t, 3)
 	d.intercept = func(a Action) []Action {
@@ -112,7 +115,7 @@
 	}
 	d.run(d.now + 10*time.Minute)
 	if !slices.ContainsFunc(d.violations, func(s string) bool { return s[:6] == "rule 5" }) {
-		t.Errorf("not detected (%d violations)", len(d.violations))
+		t.Errorf("the missing release was not detected (%d violations)", len(d.violations))
 	}
 }
 
@@ -129,6 +132,6 @@
 		return string(out)
 	}
 	if a, b := trace(), trace(); a != b || len(a) < 1000 {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed differ, or they are too short")
 	}
 }
