--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -12,8 +12,8 @@
 
 // host holds the instances of one process; they share nothing but the numbered directories.
 type host struct {
-	instances map[uint16]*instance
-	banks     map[uint16][]routing.Endpoint // the directories by their numbers
+	instances   map[uint16]*instance
+	directories map[uint16][]routing.Endpoint // the directories by their numbers
 
 	// Buffers that are used again for each batch.
 	frame   []byte
@@ -27,7 +27,7 @@
 }
 
 func newHost() *host {
-	return &host{instances: map[uint16]*instance{}, banks: map[uint16][]routing.Endpoint{}}
+	return &host{instances: map[uint16]*instance{}, directories: map[uint16][]routing.Endpoint{}}
 }
 
 // answerNext reads one batch and returns the encoded reply, which is valid until the next call. It returns io.EOF at the
@@ -40,7 +40,7 @@
 	reply := simcodec.Reply{Number: batch.Number}
 	now := config.FromMS(batch.Now)
 	for i, event := range batch.Events {
-		if reply.Actions, err = h.handle(now, event, reply.Actions); err != nil {
+		if reply.Actions, err = h.handleEvent(now, event, reply.Actions); err != nil {
 			return nil, fmt.Errorf("batch %d, record %d: %w", batch.Number, i, err)
 		}
 	}
@@ -48,14 +48,14 @@
 	return h.frame, err
 }
 
-// handle applies an event of the process, or passes an event to the router of its instance; it appends the actions to out.
-func (h *host) handle(now time.Duration, event any, out []any) ([]any, error) {
+// handleEvent applies an event of the process, or passes an event to the router of its instance; it appends the actions to out.
+func (h *host) handleEvent(now time.Duration, event any, out []any) ([]any, error) {
 	switch e := event.(type) {
 	case simcodec.Directory:
-		h.banks[e.Bank] = endpoints(e.Records)
+		h.directories[e.Bank] = translateEntries(e.Records)
 		return out, nil
 	case simcodec.Init:
-		return out, h.start(e)
+		return out, h.startInstance(e)
 	case simcodec.Detach:
 		if h.instances[e.Router] == nil {
 			return nil, neverStartedError(e.Router)
@@ -63,16 +63,16 @@
 		delete(h.instances, e.Router)
 		return out, nil
 	}
-	id := instanceOf(event)
+	id := instanceID(event)
 	target := h.instances[id]
 	if target == nil {
 		return nil, neverStartedError(id)
 	}
-	routed, err := h.translateEvent(target, event)
-	if err != nil || routed == nil {
+	routerEvent, err := h.translateEvent(target, event)
+	if err != nil || routerEvent == nil {
 		return out, err
 	}
-	h.actions = target.router.Handle(now, routed, h.actions[:0])
+	h.actions = target.router.Handle(now, routerEvent, h.actions[:0])
 	for _, action := range h.actions {
 		out = append(out, translateAction(id, action))
 	}
@@ -81,8 +81,8 @@
 
 func neverStartedError(id uint16) error { return fmt.Errorf("router %d was never started", id) }
 
-// start makes a new instance, in place of an earlier one with its number.
-func (h *host) start(e simcodec.Init) error {
+// startInstance makes a new instance, in place of an earlier one with its number.
+func (h *host) startInstance(e simcodec.Init) error {
 	settings, err := config.ParseSettings(e.Conf)
 	if err != nil {
 		return fmt.Errorf("router %d: %w", e.Router, err)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// instanceOf is the number of the instance that an event is for.
-func instanceOf(event any) uint16 {
+// instanceID is the number of the instance that an event is for.
+func instanceID(event any) uint16 {
 	switch e := event.(type) {
 	case simcodec.Fleet:
 		return e.Router
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -21,8 +21,8 @@
 	"limits": {"mostTries": 5, "cancelling": true, "retryAfter": true, "maxRetryAfterMs": 1000},
 	"rules": {"coldFrom": 0.3, "coldMs": 9000, "fallMultiple": 2.5, "tipAfterMs": 3000}}`
 
-// directory is the event of a list of replicas, prefill and decode in turn.
-func directory(bank uint16, ids ...uint32) []any {
+// directoryEvents is the event of a list of replicas, prefill and decode in turn.
+func directoryEvents(bank uint16, ids ...uint32) []any {
 	var entries []simcodec.Entry
 	for i, id := range ids {
 		entries = append(entries, simcodec.Entry{Condition: 1, Bay: 1, PowerHint: 1, Worker: id, Shape: uint8(i % 2)})
@@ -30,8 +30,8 @@
 	return []any{simcodec.Directory{Bank: bank, Records: entries}}
 }
 
-// play feeds a host batches, 2 ms apart, and returns the actions of each.
-func play(t *testing.T, batches ...[]any) [][]any {
+// runBatches feeds a host batches, 2 ms apart, and returns the actions of each.
+func runBatches(t *testing.T, batches ...[]any) [][]any {
 	t.Helper()
 	var in, out bytes.Buffer
 	for i, events := range batches {
@@ -55,19 +55,19 @@
 	return actions
 }
 
-// start is the events that start an instance with the directory 1.
-func start(id uint16) []any {
+// startEvents is the events that startEvents an instance with the directory 1.
+func startEvents(id uint16) []any {
 	return []any{simcodec.Init{Router: id, Seed: 7, Conf: []byte(settingsJSON)}, simcodec.Fleet{Router: id, Form: formCached, Bank: 1}}
 }
 
-func order(id uint16, request uint64) simcodec.Order {
+func orderEvent(id uint16, request uint64) simcodec.Order {
 	return simcodec.Order{Router: id, OpID: request, Talk: request, ExpiresInMs: 4000, InputLen: 500, MaxOut: 100}
 }
 
 func TestRequestGoesToPrefillThenDecode(t *testing.T) {
-	got := play(t, nil,
-		append(directory(1, 50, 60), start(3)...),
-		[]any{order(3, 9)},
+	got := runBatches(t, nil,
+		append(directoryEvents(1, 50, 60), startEvents(3)...),
+		[]any{orderEvent(3, 9)},
 		[]any{simcodec.Response{Router: 3, OpID: 9, DelaySeenMs: 2, RC: outcomePrefillDone, Worker: 50}},
 		[]any{simcodec.Accepted{Router: 3, OpID: 9, Hop: 1, Worker: 60, DelaySeenMs: 2}},
 		[]any{simcodec.Response{Router: 3, OpID: 9, DelaySeenMs: 90, Final: 1, Hop: 1, Worker: 60}})
@@ -93,10 +93,10 @@
 
 // A bank that is reused within one batch means the last directory before each use.
 func TestReusedBankMeansLastDirectory(t *testing.T) {
-	events := append(directory(1, 50, 60), start(3)...)
-	events = append(events, directory(1, 70, 80)...)
-	events = append(events, start(4)...)
-	got := play(t, append(events, order(3, 1), order(4, 2)))
+	events := append(directoryEvents(1, 50, 60), startEvents(3)...)
+	events = append(events, directoryEvents(1, 70, 80)...)
+	events = append(events, startEvents(4)...)
+	got := runBatches(t, append(events, orderEvent(3, 1), orderEvent(4, 2)))
 	first, second := got[0][0].(simcodec.Send), got[0][1].(simcodec.Send)
 	if first.Worker != 50 || second.Worker != 70 {
 		t.Errorf("sent to %d and %d, want 50 and 70", first.Worker, second.Worker)
@@ -105,15 +105,15 @@
 
 // Instances act the same whether or not they share a process.
 func TestInstancesInOneProcessAreIndependent(t *testing.T) {
-	script := func(ids ...uint16) [][]any {
-		batches := [][]any{directory(1, 50, 60, 51, 61, 52, 62)}
+	makeBatches := func(ids ...uint16) [][]any {
+		batches := [][]any{directoryEvents(1, 50, 60, 51, 61, 52, 62)}
 		for _, id := range ids {
-			batches[0] = append(batches[0], start(id)...)
+			batches[0] = append(batches[0], startEvents(id)...)
 		}
 		for request := uint64(1); request < 40; request++ {
 			var events []any
 			for _, id := range ids {
-				events = append(events, order(id, request*10+uint64(id)))
+				events = append(events, orderEvent(id, request*10+uint64(id)))
 			}
 			batches = append(batches, events)
 		}
@@ -129,18 +129,18 @@
 		}
 		return sends
 	}
-	both, one, two := play(t, script(1, 2)...), play(t, script(1)...), play(t, script(2)...)
-	if len(sendsOf(1, one)) == 0 || !reflect.DeepEqual(sendsOf(1, both), sendsOf(1, one)) ||
-		!reflect.DeepEqual(sendsOf(2, both), sendsOf(2, two)) {
+	both, onlyFirst, onlySecond := runBatches(t, makeBatches(1, 2)...), runBatches(t, makeBatches(1)...), runBatches(t, makeBatches(2)...)
+	if len(sendsOf(1, onlyFirst)) == 0 || !reflect.DeepEqual(sendsOf(1, both), sendsOf(1, onlyFirst)) ||
+		!reflect.DeepEqual(sendsOf(2, both), sendsOf(2, onlySecond)) {
 		t.Error("sharing a process changed the actions")
 	}
 }
 
 func TestServeFailsOnInvalidEvents(t *testing.T) {
 	for want, events := range map[string][]any{
-		"router 5 was never started": {order(5, 1)},
-		"unknown list number 9":      append(append(directory(1, 50), start(3)...), simcodec.Fleet{Router: 3, Bank: 9}),
-		"unknown outcome 99":         append(append(directory(1, 50), start(3)...), simcodec.Response{Router: 3, RC: 99}),
+		"router 5 was never started": {orderEvent(5, 1)},
+		"unknown list number 9":      append(append(directoryEvents(1, 50), startEvents(3)...), simcodec.Fleet{Router: 3, Bank: 9}),
+		"unknown outcome 99":         append(append(directoryEvents(1, 50), startEvents(3)...), simcodec.Response{Router: 3, RC: 99}),
 		"settings":                   {simcodec.Init{Router: 3, Conf: []byte("{")}},
 		"needs a class":              {simcodec.Init{Router: 3, Conf: []byte("{}")}},
 	} {
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -26,7 +26,7 @@
 const (
 	outcomeServed          = 0
 	outcomeErrored         = 1
-	outcomeFull            = 2
+	outcomeQueueFull       = 2
 	outcomeTimedOut        = 3
 	outcomeConnectFailed   = 4
 	outcomeConnectionReset = 5
@@ -35,8 +35,8 @@
 	outcomePrefillDone     = 202
 )
 
-// detailNoState is the detail of outcomeFull that says that there was no prefill state to fetch.
-const detailNoState = 1
+// detailStateMissing is the detail of outcomeFull that says that there was no prefill state to fetch.
+const detailStateMissing = 1
 
 // maxTokens bounds counts of tokens, so that they fit an int.
 const maxTokens = 1e9
@@ -50,9 +50,9 @@
 func (h *host) translateEvent(target *instance, event any) (routing.Event, error) {
 	switch e := event.(type) {
 	case simcodec.Fleet:
-		return h.endpointUpdate(e)
+		return h.translateFleet(e)
 	case simcodec.Order:
-		return requestArrived(e), nil
+		return translateOrder(e), nil
 	case simcodec.ClientGone:
 		return routing.ClientGone{Request: routing.RequestID(e.OpID)}, nil
 	case simcodec.Accepted:
@@ -61,28 +61,28 @@
 			Endpoint: routing.EndpointID(e.Worker), Elapsed: config.FromMS(e.DelaySeenMs),
 		}, nil
 	case simcodec.Response:
-		return attemptEnded(target.settings, e)
+		return translateResponse(target.settings, e)
 	case simcodec.Reminder:
 		return routing.TimerFired{ID: routing.TimerID(e.Ref)}, nil
 	}
 	return nil, nil
 }
 
-func (h *host) endpointUpdate(e simcodec.Fleet) (routing.Event, error) {
+func (h *host) translateFleet(e simcodec.Fleet) (routing.Event, error) {
 	if e.Form == formFailed {
 		return nil, nil
 	}
 	if e.Form > formFailed {
 		return nil, fmt.Errorf("unknown list form %d", e.Form)
 	}
-	list, ok := h.banks[e.Bank]
+	list, ok := h.directories[e.Bank]
 	if !ok {
 		return nil, fmt.Errorf("unknown list number %d", e.Bank)
 	}
 	return routing.EndpointUpdate{Full: e.Form != formDelta, Endpoints: list}, nil
 }
 
-func requestArrived(e simcodec.Order) routing.Event {
+func translateOrder(e simcodec.Order) routing.Event {
 	return routing.RequestArrived{
 		Request: routing.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
 		Session: routing.Key(e.Talk), SharedPrefix: routing.Key(e.SharedPrefix),
@@ -91,19 +91,19 @@
 	}
 }
 
-func attemptEnded(settings *config.Settings, e simcodec.Response) (routing.Event, error) {
-	result, err := translateOutcome(e.RC, e.Detail)
+func translateResponse(settings *config.Settings, e simcodec.Response) (routing.Event, error) {
+	outcome, err := translateOutcome(e.RC, e.Detail)
 	if err != nil {
 		return nil, err
 	}
 	return routing.AttemptEnded{
 		Request: routing.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: routing.EndpointID(e.Worker),
-		Outcome: result, Elapsed: config.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
+		Outcome: outcome, Elapsed: config.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
 		Load: settings.LoadReport(e.Load),
 	}, nil
 }
 
-func endpoints(entries []simcodec.Entry) []routing.Endpoint {
+func translateEntries(entries []simcodec.Entry) []routing.Endpoint {
 	translated := make([]routing.Endpoint, len(entries))
 	for i, entry := range entries {
 		translated[i] = routing.Endpoint{
@@ -122,8 +122,8 @@
 		return routing.Served, nil
 	case outcomeErrored:
 		return routing.Errored, nil
-	case outcomeFull:
-		if detail == detailNoState {
+	case outcomeQueueFull:
+		if detail == detailStateMissing {
 			return routing.StateMissing, nil
 		}
 		return routing.QueueFull, nil
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -13,9 +13,9 @@
 	Send(spec AttemptSpec, observer AttemptObserver) Attempt
 	// PollLoad polls an endpoint's load and calls onReport once, from any goroutine. The report is nil if the endpoint
 	// gave none within the limit.
-	PollLoad(endpoint EndpointAddress, limit time.Duration, onReport func(*routing.LoadReport))
+	PollLoad(endpoint EndpointAddress, timeout time.Duration, onReport func(*routing.LoadReport))
 	// Release releases what is reserved for the call's request, through the first of the targets that answers.
-	Release(call UpstreamCall, through []EndpointAddress)
+	Release(call UpstreamCall, targets []EndpointAddress)
 }
 
 // Attempt is one call in flight at an endpoint.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -72,33 +72,33 @@
 // sendAttempt makes an attempt that the Router wants, if its preconditions hold. One whose preconditions do not hold
 // ends as NotSent, which has cost no endpoint anything.
 func (d *Dispatcher) sendAttempt(action routing.Send) {
-	q, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
-	if q == nil {
+	req, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
+	if req == nil {
 		return
 	}
 	now := d.now()
-	timeout := q.deadline - now
+	timeout := req.deadline - now
 	if action.Timeout > 0 {
 		timeout = min(timeout, action.Timeout)
 	}
-	a := &attempt{dispatcher: d, request: q, number: len(q.attempts), endpoint: endpoint, sentAt: now}
+	a := &attempt{dispatcher: d, request: req, number: len(req.attempts), endpoint: endpoint, sentAt: now}
 	facts := d.attemptFacts(a, timeout)
-	q.attempts = append(q.attempts, a)
+	req.attempts = append(req.attempts, a)
 	if reason := facts.Check(); reason != precondition.Allowed {
 		d.endUnsent(a, reason)
 		return
 	}
 	if a.number > 0 {
-		slog.Info("further_attempt", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(),
-			"may_have_run", q.execution.mayHaveRun)
+		slog.Info("further_attempt", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(),
+			"may_have_run", req.execution.mayHaveRun)
 	}
 	d.counters.Attempts++
 	a.upstreamAttempt = d.upstream.Send(AttemptSpec{
-		Call:        q.Call,
+		Call:        req.Call,
 		Target:      endpoint.EndpointAddress,
 		Timeout:     timeout,
-		ClientGone:  q.ClientGone,
-		MayHaveRun:  facts.Executes && q.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
+		ClientGone:  req.ClientGone,
+		MayHaveRun:  facts.Executes && req.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
 		DedupWindow: facts.DedupWindow,
 	}, a)
 	a.timeoutTimer = time.AfterFunc(timeout, func() { d.post(func() { d.abortAttempt(a, routing.TimedOut) }) })
@@ -106,17 +106,17 @@
 
 // attemptFacts gathers what the preconditions of an attempt go by. The attempt is not yet among its request's.
 func (d *Dispatcher) attemptFacts(a *attempt, timeout time.Duration) precondition.Attempt {
-	q := a.request
+	req := a.request
 	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
 	return precondition.Attempt{
-		Answered:        q.answered(),
-		ClientGone:      q.clientGone(),
+		Answered:        req.answered(),
+		ClientGone:      req.clientGone(),
 		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
 		RemainingTime:   timeout,
-		AttemptInFlight: q.hasAttemptInFlight(),
+		AttemptInFlight: req.hasAttemptInFlight(),
 		Executes:        a.executes(),
-		MayHaveRun:      q.execution.mayHaveRun,
-		Idempotency:     d.config.Classes[q.Class].Idempotency,
+		MayHaveRun:      req.execution.mayHaveRun,
+		Idempotency:     d.config.Classes[req.Class].Idempotency,
 		InDedupScope:    inDedupScope,
 		DedupWindow:     dedupWindow,
 	}
@@ -142,15 +142,15 @@
 
 // endUnsent ends an attempt whose preconditions do not hold.
 func (d *Dispatcher) endUnsent(a *attempt, reason precondition.Reason) {
-	q := a.request
-	slog.Info("not_sent", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
+	req := a.request
+	slog.Info("not_sent", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
 	switch reason {
 	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired:
-		d.violations.Record(precondition.OperationSend, reason, q.Call.ID) // the Router should not have wanted it
+		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have wanted it
 	}
 	d.endAttempt(a, AttemptResult{Outcome: routing.NotSent})
 	if reason == precondition.ClientDisconnected {
-		d.clientDisconnected(q)
+		d.clientDisconnected(req)
 	}
 }
 
@@ -167,17 +167,17 @@
 // firstToken makes the attempt's stream the request's final answer, and reports false if the attempt was given up or
 // the request has its answer.
 func (d *Dispatcher) firstToken(a *attempt, s Stream) (accepted bool) {
-	q := a.request
-	if a.state != attemptInFlight || q.answered() {
+	req := a.request
+	if a.state != attemptInFlight || req.answered() {
 		return false // it counts as in flight until its connection is closed, and its end is reported then
 	}
 	a.state = attemptStreaming
 	a.timeoutTimer.Stop()
 	a.endpoint.lastResponse = d.now()
 	d.counters.Served++
-	d.reply(q, Answer{Kind: Served, Stream: s})
+	d.reply(req, Answer{Kind: Served, Stream: s})
 	d.handleEvent(routing.FirstToken{
-		Request: q.id, Attempt: a.number, Endpoint: a.endpoint.ID, Elapsed: d.now() - a.sentAt,
+		Request: req.id, Attempt: a.number, Endpoint: a.endpoint.ID, Elapsed: d.now() - a.sentAt,
 	})
 	return true
 }
@@ -195,12 +195,12 @@
 	if a.timeoutTimer != nil {
 		a.timeoutTimer.Stop()
 	}
-	q := a.request
-	q.execution.recordEnd(a, result.Outcome)
+	req := a.request
+	req.execution.recordEnd(a, result.Outcome)
 	d.recordResponse(a, result.Outcome)
 	d.counters.countOutcome(result.Outcome)
 	streamed := stateBefore == attemptStreaming
-	d.logLostAttempt(a, result.Outcome, streamed)
+	d.logFailedAttempt(a, result.Outcome, streamed)
 	if streamed && result.Outcome != routing.Served {
 		d.counters.BrokenStreams++
 	}
@@ -209,13 +209,13 @@
 		endpoint = a.endpoint.ID
 	}
 	d.handleEvent(routing.AttemptEnded{
-		Request: q.id, Attempt: a.number, Endpoint: endpoint, Outcome: result.Outcome, Elapsed: d.now() - a.sentAt,
-		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: q.answered(), Load: result.Load,
+		Request: req.id, Attempt: a.number, Endpoint: endpoint, Outcome: result.Outcome, Elapsed: d.now() - a.sentAt,
+		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: req.answered(), Load: result.Load,
 	})
-	if q.state == requestCompleting && !q.hasExecutingAttempt() {
-		d.answerDisconnected(q) // nothing is in flight that could still run to completion
+	if req.state == requestCompleting && !req.hasExecutingAttempt() {
+		d.answerDisconnected(req) // nothing is in flight that could still run to completion
 	}
-	d.forget(q)
+	d.removeIfDone(req)
 }
 
 // recordResponse notes whether an attempt's endpoint has responded. Where its end was not observed, what it reserved
@@ -225,15 +225,15 @@
 	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
 		a.endpoint.lastResponse = d.now()
 	case routing.TimedOut, routing.Cancelled, routing.ConnectionReset:
-		a.request.lostAttempt = true
+		a.request.unobservedEnd = true
 		if a.endpoint.prefillOnly && a.endpoint.lastResponse < a.sentAt {
-			d.followLostPrefill(a)
+			d.startLostPrefillReleases(a)
 		}
 	}
 }
 
-// logLostAttempt logs an attempt that brought neither an answer nor a sound refusal.
-func (d *Dispatcher) logLostAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
+// logFailedAttempt logs an attempt that brought neither an answer nor a sound refusal.
+func (d *Dispatcher) logFailedAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
 	switch outcome {
 	case routing.Served, routing.PrefillDone, routing.QueueFull:
 		return
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -46,29 +46,29 @@
 // outcomeName names an outcome in logs and in keys of the counters' line, which programs read.
 func outcomeName(outcome routing.Outcome) string { return outcomeNames[outcome] }
 
-func (n *Counters) countOutcome(outcome routing.Outcome) {
-	if n.Outcomes == nil {
-		n.Outcomes = map[string]int{}
+func (c *Counters) countOutcome(outcome routing.Outcome) {
+	if c.Outcomes == nil {
+		c.Outcomes = map[string]int{}
 	}
-	n.Outcomes[outcomeName(outcome)]++
+	c.Outcomes[outcomeName(outcome)]++
 }
 
 // countUnserved counts an answer that is Rejected or Failed.
-func (n *Counters) countUnserved(kind AnswerKind) {
+func (c *Counters) countUnserved(kind AnswerKind) {
 	switch kind {
 	case Rejected:
-		n.Rejected++
+		c.Rejected++
 	case Failed:
-		n.Failed++
+		c.Failed++
 	}
 }
 
 // Counters returns a copy of the counters. It is empty if the context or the dispatcher ended first.
 func (d *Dispatcher) Counters(ctx context.Context) Counters {
 	counters, _ := query(ctx, d, func() Counters {
-		n := d.counters
-		n.Outcomes, n.Open, n.Endpoints = maps.Clone(n.Outcomes), len(d.requests), len(d.endpoints)
-		return n
+		c := d.counters
+		c.Outcomes, c.Open, c.Endpoints = maps.Clone(c.Outcomes), len(d.requests), len(d.endpoints)
+		return c
 	})
 	return counters
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -58,11 +58,11 @@
 	endpoints       map[routing.EndpointID]*endpointRecord
 	endpointsByName map[string]*endpointRecord
 
-	actionBuffer  []routing.Action // reused for each event
-	pendingEvents []routing.Event  // the event in progress, and those that follow from carrying out its actions
-	pendingForget []*request       // answered requests that forget looks at once no event is pending
-	abandoned     bool             // AbandonPending was called: every new request is rejected
-	counters      Counters
+	actionBuffer    []routing.Action // reused for each event
+	pendingEvents   []routing.Event  // the event in progress, and those that follow from carrying out its actions
+	pendingRemovals []*request       // answered requests that forget looks at once no event is pending
+	abandoned       bool             // AbandonPending was called: every new request is rejected
+	counters        Counters
 
 	accepted        atomic.Int64 // equals counters.Accepted
 	pendingReleases atomic.Int64 // second releases that are scheduled
@@ -71,7 +71,7 @@
 // New returns a Dispatcher that Run must drive. seed seeds the Router's random draws; violations may be nil. It fails
 // if the Router refuses the configuration.
 func New(
-	cfg routing.Config, seed uint64, upstream Upstream, machine hostos.System, violations *precondition.ViolationCounter,
+	cfg routing.Config, seed uint64, upstream Upstream, hostSystem hostos.System, violations *precondition.ViolationCounter,
 ) (*Dispatcher, error) {
 	router, err := routing.New(cfg, seed)
 	if err != nil {
@@ -81,10 +81,10 @@
 		router:          router,
 		config:          cfg,
 		upstream:        upstream,
-		system:          machine,
+		system:          hostSystem,
 		violations:      violations,
 		startedAt:       time.Now(),
-		epochOffset:     time.Duration(machine.Wall().UnixNano()),
+		epochOffset:     time.Duration(hostSystem.Wall().UnixNano()),
 		mailbox:         make(chan func(), mailboxCapacity),
 		stopped:         make(chan struct{}),
 		requests:        map[routing.RequestID]*request{},
@@ -98,8 +98,8 @@
 	defer close(d.stopped)
 	for {
 		select {
-		case run := <-d.mailbox:
-			run()
+		case work := <-d.mailbox:
+			work()
 		case <-ctx.Done():
 			return
 		}
@@ -130,18 +130,18 @@
 // query calls read on the owner and returns its result. It fails with the context's error, or with errStopped. Any
 // goroutine but the owner may call it.
 func query[T any](ctx context.Context, d *Dispatcher, read func() T) (T, error) {
-	var none T
+	var zero T
 	result := make(chan T, 1)
 	if !d.post(func() { result <- read() }) {
-		return none, errStopped
+		return zero, errStopped
 	}
 	select {
 	case got := <-result:
 		return got, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	case <-d.stopped:
-		return none, errStopped
+		return zero, errStopped
 	}
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -23,9 +23,9 @@
 	}
 	// A request whose stream breaks has its answer: nothing more is sent, not even a release.
 	decode.end(routing.ConnectionReset)
-	n := dispatcher.Counters(t.Context())
-	if n.Open != 0 || n.BrokenStreams != 1 || n.Served != 1 || len(upstream.sends)+len(upstream.releases) > 0 {
-		t.Errorf("counters %+v, %d sends, %d releases", n, len(upstream.sends), len(upstream.releases))
+	counters := dispatcher.Counters(t.Context())
+	if counters.Open != 0 || counters.BrokenStreams != 1 || counters.Served != 1 || len(upstream.sends)+len(upstream.releases) > 0 {
+		t.Errorf("counters %+v, %d sends, %d releases", counters, len(upstream.sends), len(upstream.releases))
 	}
 }
 
@@ -82,9 +82,9 @@
 				t.Error("a stream was accepted after the answer")
 			}
 			attempt.end(routing.ConnectionReset)
-			n := dispatcher.Counters(t.Context())
-			if n.Open != 0 || n.DeadlineForced+n.Rejected+n.Failed != 1 || len(upstream.sends) > 0 {
-				t.Errorf("counters %+v, %d more sends", n, len(upstream.sends))
+			counters := dispatcher.Counters(t.Context())
+			if counters.Open != 0 || counters.DeadlineForced+counters.Rejected+counters.Failed != 1 || len(upstream.sends) > 0 {
+				t.Errorf("counters %+v, %d more sends", counters, len(upstream.sends))
 			}
 			// What the prefill may have reserved is released, and again once it must have shown.
 			<-upstream.releases
@@ -125,8 +125,8 @@
 	<-upstream.aborts
 	attempt.end(routing.PrefillDone) // the prefill won the race against the close
 	<-upstream.releases
-	if n := dispatcher.Counters(t.Context()); n.Open != 0 || n.ClientGone != 1 || len(upstream.sends) > 0 {
-		t.Errorf("counters %+v, %d more sends", n, len(upstream.sends))
+	if counters := dispatcher.Counters(t.Context()); counters.Open != 0 || counters.ClientGone != 1 || len(upstream.sends) > 0 {
+		t.Errorf("counters %+v, %d more sends", counters, len(upstream.sends))
 	}
 }
 
@@ -134,7 +134,7 @@
 // disconnected: a prefill, a decode, and the second attempt of either.
 func TestWaitingAttemptIsWithdrawnWhenClientDisconnects(t *testing.T) {
 	outcomes := func(all ...routing.Outcome) []routing.Outcome { return all }
-	for name, before := range map[string][]routing.Outcome{
+	for name, earlierOutcomes := range map[string][]routing.Outcome{
 		"prefill":        nil,
 		"second prefill": outcomes(routing.ConnectFailed),
 		"decode":         outcomes(routing.PrefillDone),
@@ -145,7 +145,7 @@
 			client, disconnect := context.WithCancel(t.Context())
 			answer := dispatchAsync(client, dispatcher, idempotentClass, time.Minute)
 			attempt := <-upstream.sends
-			for _, outcome := range before {
+			for _, outcome := range earlierOutcomes {
 				attempt.end(outcome)
 				attempt = <-upstream.sends
 			}
@@ -153,15 +153,15 @@
 			if a := <-answer; a.Kind != dispatch.ClientDisconnected {
 				t.Fatalf("answer %+v", a)
 			}
-			from := <-upstream.withdrawals
-			if from != attempt.endpoint || len(upstream.withdrawals) > 0 || len(upstream.aborts) > 0 {
+			withdrawnFrom := <-upstream.withdrawals
+			if withdrawnFrom != attempt.endpoint || len(upstream.withdrawals) > 0 || len(upstream.aborts) > 0 {
 				t.Errorf("withdrawn from %s, sent to %s; %d more withdrawn, %d aborted",
-					from, attempt.endpoint, len(upstream.withdrawals), len(upstream.aborts))
+					withdrawnFrom, attempt.endpoint, len(upstream.withdrawals), len(upstream.aborts))
 			}
 			attempt.end(routing.ConnectFailed)
 			<-upstream.releases
-			if n := dispatcher.Counters(t.Context()); n.Open != 0 || len(upstream.sends) > 0 {
-				t.Errorf("%d open, %d more sends", n.Open, len(upstream.sends))
+			if counters := dispatcher.Counters(t.Context()); counters.Open != 0 || len(upstream.sends) > 0 {
+				t.Errorf("%d open, %d more sends", counters.Open, len(upstream.sends))
 			}
 		})
 	}
@@ -187,8 +187,8 @@
 	if a := <-later; a.Kind != dispatch.Rejected || a.RetryAfter <= 0 {
 		t.Errorf("a later request was answered %+v", a)
 	}
-	if n := dispatcher.Counters(t.Context()); n.Open != 0 || len(upstream.sends) > 0 {
-		t.Errorf("%d open, %d more sends", n.Open, len(upstream.sends))
+	if counters := dispatcher.Counters(t.Context()); counters.Open != 0 || len(upstream.sends) > 0 {
+		t.Errorf("%d open, %d more sends", counters.Open, len(upstream.sends))
 	}
 }
 
@@ -213,8 +213,8 @@
 			decode.end(routing.ConnectionReset)
 		}
 	}
-	if n := dispatcher.Counters(t.Context()); n.Open != 0 || n.Served+n.ClientGone != rounds {
-		t.Errorf("counters %+v", n)
+	if counters := dispatcher.Counters(t.Context()); counters.Open != 0 || counters.Served+counters.ClientGone != rounds {
+		t.Errorf("counters %+v", counters)
 	}
 }
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -20,22 +20,22 @@
 
 // endpointUpdate is a message to the owner.
 type endpointUpdate struct {
-	complete bool // entries are the whole list; otherwise they are changes to it
-	entries  []Endpoint
+	isFullList bool // entries are the whole list; otherwise they are changes to it
+	entries    []Endpoint
 }
 
 // UpdateEndpoints applies a new endpoint list (full), or changes to the current one.
 func (d *Dispatcher) UpdateEndpoints(full bool, entries []Endpoint) {
-	d.post(func() { d.applyEndpointUpdate(endpointUpdate{complete: full, entries: entries}) })
+	d.post(func() { d.applyEndpointUpdate(endpointUpdate{isFullList: full, entries: entries}) })
 }
 
 func (d *Dispatcher) applyEndpointUpdate(update endpointUpdate) {
-	if update.complete {
+	if update.isFullList {
 		for _, record := range d.endpoints {
 			record.state = routing.Gone
 		}
 	}
-	event := routing.EndpointUpdate{Full: update.complete}
+	event := routing.EndpointUpdate{Full: update.isFullList}
 	for _, e := range update.entries {
 		record := d.findOrAddEndpoint(e.Name)
 		record.Addr, record.state = e.Addr, e.State
@@ -52,8 +52,8 @@
 // withdrawFromLeavingEndpoints withdraws attempts that still wait for their connection to an endpoint that is draining
 // or gone. A request counts as sent from its first byte, which may be written long after the routing decision.
 func (d *Dispatcher) withdrawFromLeavingEndpoints() {
-	for _, q := range d.requests {
-		for _, a := range q.attempts {
+	for _, req := range d.requests {
+		for _, a := range req.attempts {
 			if a.beforeFirstToken() && a.endpoint.state != routing.Ready {
 				a.upstreamAttempt.Withdraw()
 			}
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -92,8 +92,8 @@
 			unrelated := dispatch.Endpoint{Name: "w2", Kind: decodeKind, State: routing.Draining, Weight: 1}
 			dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{unrelated})
 			update(dispatcher, attempt.endpoint)
-			if from := <-upstream.withdrawals; from != attempt.endpoint || len(upstream.withdrawals) > 0 {
-				t.Errorf("withdrawn from %s, and %d more; sent to %s", from, len(upstream.withdrawals), attempt.endpoint)
+			if withdrawnFrom := <-upstream.withdrawals; withdrawnFrom != attempt.endpoint || len(upstream.withdrawals) > 0 {
+				t.Errorf("withdrawn from %s, and %d more; sent to %s", withdrawnFrom, len(upstream.withdrawals), attempt.endpoint)
 			}
 			attempt.end(routing.ConnectFailed)
 			next := <-upstream.sends
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -27,10 +27,10 @@
 		d.pendingEvents = d.pendingEvents[1:]
 	}
 	d.pendingEvents = nil
-	for _, q := range d.pendingForget {
-		d.forget(q)
+	for _, req := range d.pendingRemovals {
+		d.removeIfDone(req)
 	}
-	d.pendingForget = d.pendingForget[:0]
+	d.pendingRemovals = d.pendingRemovals[:0]
 }
 
 func (d *Dispatcher) executeAction(action routing.Action) {
@@ -46,8 +46,8 @@
 	case routing.Fail:
 		d.rejectOrFail(a.Request, a.Reason, Answer{Kind: Failed})
 	case routing.Cancel:
-		if q := d.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
-			d.abortAttempt(q.attempts[a.Attempt], routing.Cancelled)
+		if req := d.requests[a.Request]; req != nil && a.Attempt < len(req.attempts) {
+			d.abortAttempt(req.attempts[a.Attempt], routing.Cancelled)
 		}
 	case routing.SetTimer:
 		time.AfterFunc(a.After, func() { d.post(func() { d.handleEvent(routing.TimerFired{ID: a.Timer}) }) })
@@ -76,8 +76,8 @@
 // logPrefill logs how a prefill attempt compares with its estimate. It happens only with routing.Config.ObservePrefills.
 func (d *Dispatcher) logPrefill(a routing.PrefillObserved) {
 	id, server := "", ""
-	if q := d.requests[a.Request]; q != nil {
-		id = q.Call.ID
+	if req := d.requests[a.Request]; req != nil {
+		id = req.Call.ID
 	}
 	if endpoint := d.endpoints[a.Endpoint]; endpoint != nil {
 		server = endpoint.Name
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -10,9 +10,9 @@
 // Reconfigure gives the Router a new configuration while requests are open. It returns once the Router has taken or
 // refused it; the error is the Router's, the context's, or says that the dispatcher is stopped.
 func (d *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
-	refusal, err := query(ctx, d, func() error { return d.reconfigure(cfg) })
+	rejection, err := query(ctx, d, func() error { return d.reconfigure(cfg) })
 	if err == nil {
-		err = refusal
+		err = rejection
 	}
 	if err != nil {
 		return fmt.Errorf("reconfigure dispatcher: %w", err)
--- a/internal/dispatch/releases.go
+++ b/internal/dispatch/releases.go
@@ -31,20 +31,20 @@
 // releaseReservation releases what is reserved for a request, and once more after secondReleaseDelay if an attempt's
 // end was not observed.
 func (d *Dispatcher) releaseReservation(id routing.RequestID, reason routing.ReleaseReason) {
-	q := d.requests[id]
-	if q == nil || q.state == requestServed {
+	req := d.requests[id]
+	if req == nil || req.state == requestServed {
 		return // from the first token on the endpoints release by themselves, and nothing more is sent
 	}
-	d.sendRelease(q, reason)
-	if !q.lostAttempt {
+	d.sendRelease(req, reason)
+	if !req.unobservedEnd {
 		return
 	}
 	d.pendingReleases.Add(1)
 	time.AfterFunc(secondReleaseDelay, func() {
 		posted := d.post(func() {
 			defer d.pendingReleases.Add(-1)
-			if q.answered() {
-				d.sendRelease(q, reason)
+			if req.answered() {
+				d.sendRelease(req, reason)
 			}
 		})
 		if !posted {
@@ -53,8 +53,8 @@
 	})
 }
 
-// followLostPrefill releases again and again what a lost prefill may reserve later, once its request is answered.
-func (d *Dispatcher) followLostPrefill(a *attempt) { d.scheduleLostPrefillRelease(a, d.now()) }
+// startLostPrefillReleases releases again and again what a lost prefill may reserve later, once its request is answered.
+func (d *Dispatcher) startLostPrefillReleases(a *attempt) { d.scheduleLostPrefillRelease(a, d.now()) }
 
 func (d *Dispatcher) scheduleLostPrefillRelease(a *attempt, endedAt time.Duration) {
 	release := func() {
@@ -69,18 +69,18 @@
 }
 
 // sendRelease sends one release, through endpoints that have responded lately.
-func (d *Dispatcher) sendRelease(q *request, reason routing.ReleaseReason) {
+func (d *Dispatcher) sendRelease(req *request, reason routing.ReleaseReason) {
 	d.counters.Releases++
 	if reason == routing.ReservationExpired {
 		d.counters.ExpiredReservations++
-		slog.Info("released", "id", q.Call.ID, "reason", reason, "attempts", len(q.attempts),
-			"server", q.lastEndpointName())
+		slog.Info("released", "id", req.Call.ID, "reason", reason, "attempts", len(req.attempts),
+			"server", req.lastEndpointName())
 	}
-	var through []EndpointAddress
+	var targets []EndpointAddress
 	for _, record := range interleaveByZoneAndRole(d.mostRecentlyResponsive(maxReleaseTargets)) {
-		through = append(through, record.EndpointAddress)
+		targets = append(targets, record.EndpointAddress)
 	}
-	d.upstream.Release(q.Call, through)
+	d.upstream.Release(req.Call, targets)
 }
 
 // interleaveByZoneAndRole sorts endpoints in place so that those of different zones and roles alternate: a zone, or all
@@ -92,9 +92,9 @@
 	}
 	groupSizes, rankInGroup := map[group]int{}, map[*endpointRecord]int{}
 	for _, record := range endpoints {
-		of := group{record.zone, record.prefillOnly}
-		rankInGroup[record] = groupSizes[of]
-		groupSizes[of]++
+		key := group{record.zone, record.prefillOnly}
+		rankInGroup[record] = groupSizes[key]
+		groupSizes[key]++
 	}
 	slices.SortStableFunc(endpoints, func(a, b *endpointRecord) int { return cmp.Compare(rankInGroup[a], rankInGroup[b]) })
 	return endpoints
@@ -103,16 +103,16 @@
 // mostRecentlyResponsive returns at most limit endpoints that the list does not have as gone, the one that responded
 // last first. It selects instead of sorting a large list for the sake of a few.
 func (d *Dispatcher) mostRecentlyResponsive(limit int) []*endpointRecord {
-	order := func(a, b *endpointRecord) int {
+	compareRecency := func(a, b *endpointRecord) int {
 		return cmp.Or(cmp.Compare(b.lastResponse, a.lastResponse), strings.Compare(a.Name, b.Name))
 	}
 	var selected []*endpointRecord
 	for _, record := range d.endpoints {
-		if record.state == routing.Gone || len(selected) == limit && order(selected[limit-1], record) <= 0 {
+		if record.state == routing.Gone || len(selected) == limit && compareRecency(selected[limit-1], record) <= 0 {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(selected, record, order)
-		selected = slices.Insert(selected, at, record)
+		index, _ := slices.BinarySearchFunc(selected, record, compareRecency)
+		selected = slices.Insert(selected, index, record)
 		selected = selected[:min(len(selected), limit)]
 	}
 	return selected
--- a/internal/dispatch/releases_test.go
+++ b/internal/dispatch/releases_test.go
@@ -73,16 +73,16 @@
 		Call: chatCall("lost"), PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond),
 	})
 	answeredAt := time.Now()
-	const late = time.Second // after the answer
+	const lateAfter = time.Second // after the answer
 	releasesBefore := 0
 	testutil.Eventually(t, "a release long after the answer", func() bool {
 		n := deployment.Decode.Releases("lost")
-		if time.Since(answeredAt) < late {
+		if time.Since(answeredAt) < lateAfter {
 			releasesBefore = n
 		}
-		return n > releasesBefore || time.Since(answeredAt) > 4*late
+		return n > releasesBefore || time.Since(answeredAt) > 4*lateAfter
 	})
 	if n := deployment.Decode.Releases("lost"); n == releasesBefore || releasesBefore == 0 {
-		t.Errorf("%d releases within %v, %d in all", releasesBefore, late, n)
+		t.Errorf("%d releases within %v, %d in all", releasesBefore, lateAfter, n)
 	}
 }
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -42,7 +42,7 @@
 	answer        chan Answer // buffered for the one final answer
 	state         requestState
 	execution     possibleExecution
-	lostAttempt   bool   // the end of an attempt was not observed, so that its reservation may show only later
+	unobservedEnd bool   // the end of an attempt was not observed, so that its reservation may show only later
 	reason        string // why it was rejected or failed, for logs
 	deadline      time.Duration
 	deadlineTimer *time.Timer
@@ -61,15 +61,15 @@
 // client's context has ended too.
 func (d *Dispatcher) Dispatch(client context.Context, req Request) Answer {
 	answer := make(chan Answer, 1)
-	q := &request{Request: req, clientContext: client, answer: answer}
-	if !d.post(func() { d.acceptRequest(q) }) {
+	pending := &request{Request: req, clientContext: client, answer: answer}
+	if !d.post(func() { d.acceptRequest(pending) }) {
 		return Answer{Kind: Failed}
 	}
 	select {
 	case a := <-answer:
 		return a
 	case <-client.Done():
-		d.post(func() { d.clientDisconnected(q) })
+		d.post(func() { d.clientDisconnected(pending) })
 	case <-d.stopped:
 		return Answer{Kind: Failed}
 	}
@@ -89,151 +89,151 @@
 func (d *Dispatcher) AbandonPending() {
 	d.post(func() {
 		d.abandoned = true
-		for _, q := range d.requests {
-			if !q.answered() {
-				d.abandonRequest(q)
+		for _, req := range d.requests {
+			if !req.answered() {
+				d.abandonRequest(req)
 			}
 		}
 	})
 }
 
-func (d *Dispatcher) acceptRequest(q *request) {
+func (d *Dispatcher) acceptRequest(req *request) {
 	now := d.now()
 	d.lastRequestID++
-	q.id, q.deadline = d.lastRequestID, d.clockTime(q.Deadline)
-	d.requests[q.id] = q
+	req.id, req.deadline = d.lastRequestID, d.clockTime(req.Deadline)
+	d.requests[req.id] = req
 	d.counters.Accepted++
 	d.accepted.Add(1)
-	remaining := q.deadline - now
+	remaining := req.deadline - now
 	// The guard behind the Router: whatever it does, the client is answered by the deadline.
-	q.deadlineTimer = time.AfterFunc(remaining, func() { d.post(func() { d.deadlineReached(q) }) })
+	req.deadlineTimer = time.AfterFunc(remaining, func() { d.post(func() { d.deadlineReached(req) }) })
 	if d.abandoned {
-		d.abandonRequest(q)
+		d.abandonRequest(req)
 		return
 	}
-	if q.clientGone() {
-		d.clientDisconnected(q)
+	if req.clientGone() {
+		d.clientDisconnected(req)
 		return
 	}
 	d.handleEvent(routing.RequestArrived{
-		Request: q.id, Class: q.Class, Tenant: q.Tenant, Session: q.Session, SharedPrefix: q.SharedPrefix,
-		PromptTokens: q.PromptTokens, SharedPrefixTokens: q.SharedPrefixTokens, MaxOutputTokens: q.MaxOutputTokens,
+		Request: req.id, Class: req.Class, Tenant: req.Tenant, Session: req.Session, SharedPrefix: req.SharedPrefix,
+		PromptTokens: req.PromptTokens, SharedPrefixTokens: req.SharedPrefixTokens, MaxOutputTokens: req.MaxOutputTokens,
 		RemainingTime: remaining,
 	})
 }
 
 // deadlineReached aborts the attempts in flight, and answers the request if the Router does not within deadlineGrace.
-func (d *Dispatcher) deadlineReached(q *request) {
-	for _, a := range q.attempts {
+func (d *Dispatcher) deadlineReached(req *request) {
+	for _, a := range req.attempts {
 		d.abortAttempt(a, routing.TimedOut)
 	}
-	if q.answered() {
+	if req.answered() {
 		return
 	}
-	time.AfterFunc(deadlineGrace, func() { d.post(func() { d.failAfterDeadline(q) }) })
+	time.AfterFunc(deadlineGrace, func() { d.post(func() { d.failAfterDeadline(req) }) })
 }
 
-func (d *Dispatcher) failAfterDeadline(q *request) {
-	if q.answered() {
+func (d *Dispatcher) failAfterDeadline(req *request) {
+	if req.answered() {
 		return
 	}
 	d.counters.DeadlineForced++
-	d.terminate(q, Answer{Kind: Failed})
+	d.answerAndCancel(req, Answer{Kind: Failed})
 }
 
 // abandonRequest rejects a request that was never sent, and fails any other.
-func (d *Dispatcher) abandonRequest(q *request) {
+func (d *Dispatcher) abandonRequest(req *request) {
 	answer := Answer{Kind: Failed}
-	if len(q.attempts) == 0 {
+	if len(req.attempts) == 0 {
 		answer = Answer{Kind: Rejected, RetryAfter: defaultRetryAfter}
 	}
 	d.counters.countUnserved(answer.Kind)
-	d.terminate(q, answer)
+	d.answerAndCancel(req, answer)
 }
 
 // clientDisconnected ends a request whose client has disconnected. A RunToCompletion request stays unanswered while an
 // attempt is in flight that may execute it.
-func (d *Dispatcher) clientDisconnected(q *request) {
-	if q.state != requestOpen {
+func (d *Dispatcher) clientDisconnected(req *request) {
+	if req.state != requestOpen {
 		return
 	}
 	d.counters.ClientGone++
-	if q.RunToCompletion && q.hasExecutingAttempt() {
-		q.state = requestCompleting
-		d.withdrawPendingAttempts(q)
+	if req.RunToCompletion && req.hasExecutingAttempt() {
+		req.state = requestCompleting
+		d.withdrawPendingAttempts(req)
 		return
 	}
-	d.answerDisconnected(q)
+	d.answerDisconnected(req)
 }
 
 // answerDisconnected gives a request whose client has disconnected its final answer, which for a RunToCompletion
 // request says whether it may have been executed.
-func (d *Dispatcher) answerDisconnected(q *request) {
+func (d *Dispatcher) answerDisconnected(req *request) {
 	kind := ClientDisconnected
-	if q.RunToCompletion && (q.execution.mayHaveRun || q.hasExecutingAttempt()) {
+	if req.RunToCompletion && (req.execution.mayHaveRun || req.hasExecutingAttempt()) {
 		kind = Failed
 	}
-	d.terminate(q, Answer{Kind: kind})
+	d.answerAndCancel(req, Answer{Kind: kind})
 }
 
 // rejectOrFail gives the final answer that the Router has decided on, unless the request has one already.
 func (d *Dispatcher) rejectOrFail(id routing.RequestID, reason routing.Reason, answer Answer) {
-	q := d.requests[id]
-	if q == nil || q.answered() {
+	req := d.requests[id]
+	if req == nil || req.answered() {
 		return
 	}
 	d.counters.countUnserved(answer.Kind)
-	q.reason = string(reason)
-	d.reply(q, answer)
-	d.forget(q)
+	req.reason = string(reason)
+	d.reply(req, answer)
+	d.removeIfDone(req)
 }
 
-// terminate answers a request without a decision of the Router, which then cancels the attempts in flight where they
+// answerAndCancel answers a request without a decision of the Router, which then cancels the attempts in flight where they
 // may be cancelled. An attempt that still waits for its connection must not begin in any case: nobody waits for its
 // answer.
-func (d *Dispatcher) terminate(q *request, answer Answer) {
-	d.reply(q, answer)
-	d.handleEvent(routing.ClientGone{Request: q.id})
-	d.withdrawPendingAttempts(q)
-	d.forget(q)
+func (d *Dispatcher) answerAndCancel(req *request, answer Answer) {
+	d.reply(req, answer)
+	d.handleEvent(routing.ClientGone{Request: req.id})
+	d.withdrawPendingAttempts(req)
+	d.removeIfDone(req)
 }
 
 // reply gives the one final answer. It does not wait, since the channel is buffered.
-func (d *Dispatcher) reply(q *request, answer Answer) {
-	if reason := (precondition.FinalAnswer{Answered: q.answered()}).Check(); reason != precondition.Allowed {
-		d.violations.Record(precondition.OperationAnswer, reason, q.Call.ID)
+func (d *Dispatcher) reply(req *request, answer Answer) {
+	if reason := (precondition.FinalAnswer{Answered: req.answered()}).Check(); reason != precondition.Allowed {
+		d.violations.Record(precondition.OperationAnswer, reason, req.Call.ID)
 		return
 	}
 	if answer.Kind == Served {
-		q.state = requestServed
+		req.state = requestServed
 	} else {
-		q.state = requestAnswered
-		slog.Info("unserved", "id", q.Call.ID, "kind", answer.Kind, "reason", q.reason,
-			"remaining", q.deadline-d.now(), "attempts", len(q.attempts))
+		req.state = requestAnswered
+		slog.Info("unserved", "id", req.Call.ID, "kind", answer.Kind, "reason", req.reason,
+			"remaining", req.deadline-d.now(), "attempts", len(req.attempts))
 	}
-	q.answer <- answer
+	req.answer <- answer
 }
 
-// forget drops an answered request once none of its attempts is in flight. It waits until the Router has handled all
+// removeIfDone drops an answered request once none of its attempts is in flight. It waits until the Router has handled all
 // pending events, since a release of the request may still follow from them.
-func (d *Dispatcher) forget(q *request) {
-	if !q.answered() {
+func (d *Dispatcher) removeIfDone(req *request) {
+	if !req.answered() {
 		return
 	}
 	if len(d.pendingEvents) > 0 {
-		d.pendingForget = append(d.pendingForget, q)
+		d.pendingRemovals = append(d.pendingRemovals, req)
 		return
 	}
-	if q.hasAttemptInFlight() {
+	if req.hasAttemptInFlight() {
 		return
 	}
-	delete(d.requests, q.id)
-	q.deadlineTimer.Stop() // it would retain the request and its body until a deadline that may be an hour away
+	delete(d.requests, req.id)
+	req.deadlineTimer.Stop() // it would retain the request and its body until a deadline that may be an hour away
 }
 
 // withdrawPendingAttempts withdraws the attempts of a request that still wait for their connection.
-func (d *Dispatcher) withdrawPendingAttempts(q *request) {
-	for _, a := range q.attempts {
+func (d *Dispatcher) withdrawPendingAttempts(req *request) {
+	for _, a := range req.attempts {
 		if a.beforeFirstToken() {
 			a.upstreamAttempt.Withdraw()
 		}
@@ -241,17 +241,17 @@
 }
 
 // answered reports whether the request has its final answer.
-func (q *request) answered() bool { return q.state == requestServed || q.state == requestAnswered }
+func (r *request) answered() bool { return r.state == requestServed || r.state == requestAnswered }
 
 // clientGone reports whether the request's client has disconnected.
-func (q *request) clientGone() bool {
-	return q.state == requestCompleting || q.clientContext.Err() != nil || q.ClientGone != nil && q.ClientGone()
+func (r *request) clientGone() bool {
+	return r.state == requestCompleting || r.clientContext.Err() != nil || r.ClientGone != nil && r.ClientGone()
 }
 
 // hasExecutingAttempt reports whether an attempt is in flight that may execute the request: one that does more than
 // prefill.
-func (q *request) hasExecutingAttempt() bool {
-	for _, a := range q.attempts {
+func (r *request) hasExecutingAttempt() bool {
+	for _, a := range r.attempts {
 		if a.state != attemptEnded && a.executes() {
 			return true
 		}
@@ -260,8 +260,8 @@
 }
 
 // hasAttemptInFlight reports whether an attempt has not ended.
-func (q *request) hasAttemptInFlight() bool {
-	for _, a := range q.attempts {
+func (r *request) hasAttemptInFlight() bool {
+	for _, a := range r.attempts {
 		if a.state != attemptEnded {
 			return true
 		}
@@ -270,11 +270,11 @@
 }
 
 // lastEndpointName is the name of the last attempt's endpoint, for logs.
-func (q *request) lastEndpointName() string {
-	if len(q.attempts) == 0 {
+func (r *request) lastEndpointName() string {
+	if len(r.attempts) == 0 {
 		return noEndpointName
 	}
-	return q.attempts[len(q.attempts)-1].endpointName()
+	return r.attempts[len(r.attempts)-1].endpointName()
 }
 
 // recordEnd takes an attempt's end. Only the first attempt that may have executed the request counts.
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -12,7 +12,7 @@
 // A wall clock that is stepped neither ends an endpoint's slow start nor begins one anew, whether the endpoint was
 // reported before the step or after it.
 func TestEndpointAgeSurvivesClockStep(t *testing.T) {
-	const hour, moment, tolerance = time.Hour, 2 * time.Second, 500 * time.Millisecond
+	const hour, shortAge, tolerance = time.Hour, 2 * time.Second, 500 * time.Millisecond
 	for _, c := range []struct {
 		name             string
 		step             time.Duration // of the wall clock
@@ -21,14 +21,14 @@
 		startedAfterStep bool          // the endpoint starts after the step, by the stepped clock
 		want             time.Duration
 	}{
-		{name: "reported before a step forward", step: hour, reportedBefore: true, age: moment, want: moment},
-		{name: "reported before a step back", step: -hour, reportedBefore: true, age: moment, want: moment},
-		{name: "started before a step forward, reported after it", step: hour, age: moment, want: moment},
-		{name: "started before a step back, reported after it", step: -hour, age: moment, want: moment},
+		{name: "reported before a step forward", step: hour, reportedBefore: true, age: shortAge, want: shortAge},
+		{name: "reported before a step back", step: -hour, reportedBefore: true, age: shortAge, want: shortAge},
+		{name: "started before a step forward, reported after it", step: hour, age: shortAge, want: shortAge},
+		{name: "started before a step back, reported after it", step: -hour, age: shortAge, want: shortAge},
 		{name: "started after a step forward", step: hour, startedAfterStep: true},
 		{name: "started after a step back", step: -hour, startedAfterStep: true},
 		{name: "warm, reported before a step back", step: -hour, reportedBefore: true, age: 30 * hour, want: 30 * hour},
-		{name: "no step", reportedBefore: true, age: moment, want: moment},
+		{name: "no step", reportedBefore: true, age: shortAge, want: shortAge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			machine := testutil.NewFakeSystem()
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -115,13 +115,13 @@
 }
 
 func TestViolationCounterCountsByReason(t *testing.T) {
-	var none *ViolationCounter
-	none.Record(OperationSend, AttemptInFlight, "a")
+	var nilCounter *ViolationCounter
+	nilCounter.Record(OperationSend, AttemptInFlight, "a")
 	var counter ViolationCounter
 	counter.Record(OperationSend, AttemptInFlight, "a")
 	counter.Record(OperationSend, AttemptInFlight, "b")
 	counter.Record(OperationClose, RequestUnanswered, "")
-	if none.Total() != 0 || counter.Total() != 3 || counter.String() != " violation_copy_out=2 violation_unanswered=1" {
+	if nilCounter.Total() != 0 || counter.Total() != 3 || counter.String() != " violation_copy_out=2 violation_unanswered=1" {
 		t.Errorf("%d, %q", counter.Total(), counter.String())
 	}
 }
--- a/internal/simcodec/frame_test.go
+++ b/internal/simcodec/frame_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// fromHex decodes hexadecimal parts with spaces.
-func fromHex(t testing.TB, parts ...string) []byte {
+// decodeHex decodes hexadecimal parts with spaces.
+func decodeHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
@@ -24,14 +24,14 @@
 func batchFrame(t testing.TB, record []byte) []byte {
 	t.Helper()
 	length := hex.EncodeToString([]byte{0, 0, 0, byte(12 + len(record))})
-	return append(fromHex(t, "00000001", length, "40c06e2000000000 0000000c"), record...)
+	return append(decodeHex(t, "00000001", length, "40c06e2000000000 0000000c"), record...)
 }
 
 // replyFrame is the reply of one record to the batch with the number 12.
 func replyFrame(t testing.TB, record []byte) []byte {
 	t.Helper()
 	length := hex.EncodeToString([]byte{0, 0, 0, byte(8 + len(record))})
-	return append(fromHex(t, length, "00000001 0000000c"), record...)
+	return append(decodeHex(t, length, "00000001 0000000c"), record...)
 }
 
 // handwrittenEvents and handwrittenActions are records written by hand from the protocol's page, one of each code.
@@ -82,7 +82,7 @@
 		t.Fatalf("%d handwritten events, %d codes", len(handwrittenEvents), len(eventTypes))
 	}
 	for _, c := range handwrittenEvents {
-		encoded := batchFrame(t, fromHex(t, c.hex))
+		encoded := batchFrame(t, decodeHex(t, c.hex))
 		batch, err := ReadBatch(bytes.NewReader(encoded))
 		if err != nil {
 			t.Fatalf("%T: %v", c.want, err)
@@ -102,7 +102,7 @@
 		t.Fatalf("%d handwritten actions, %d codes", len(handwrittenActions), len(actionTypes))
 	}
 	for _, c := range handwrittenActions {
-		encoded := replyFrame(t, fromHex(t, c.hex))
+		encoded := replyFrame(t, decodeHex(t, c.hex))
 		reply, err := ReadReply(bytes.NewReader(encoded))
 		if err != nil {
 			t.Fatalf("%T: %v", c.want, err)
@@ -134,7 +134,7 @@
 
 func TestReadBatchRejectsInvalidFrames(t *testing.T) {
 	for name, encoded := range invalidBatches {
-		batch, err := ReadBatch(bytes.NewReader(fromHex(t, encoded)))
+		batch, err := ReadBatch(bytes.NewReader(decodeHex(t, encoded)))
 		if err == nil || errors.Is(err, io.EOF) || batch != nil {
 			t.Errorf("%s: got %v, %v", name, batch, err)
 		}
@@ -147,10 +147,10 @@
 // A batch that can be read is written as the same bytes.
 func FuzzReadBatch(f *testing.F) {
 	for _, encoded := range invalidBatches {
-		f.Add(fromHex(f, encoded))
+		f.Add(decodeHex(f, encoded))
 	}
 	for _, c := range handwrittenEvents {
-		f.Add(batchFrame(f, fromHex(f, c.hex)))
+		f.Add(batchFrame(f, decodeHex(f, c.hex)))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		batch, err := ReadBatch(bytes.NewReader(in))
--- a/internal/simcodec/golden_test.go
+++ b/internal/simcodec/golden_test.go
@@ -47,8 +47,8 @@
 	Retract{Router: 0xf01, OpID: 0xf02, Hop: 0xf03},
 }
 
-// goldenBytes reads a file of hexadecimal lines.
-func goldenBytes(t *testing.T, name string) []byte {
+// readHexFile reads a file of hexadecimal lines.
+func readHexFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if len(goldenEvents) != len(eventTypes) {
 		t.Fatalf("%d events, %d codes", len(goldenEvents), len(eventTypes))
 	}
-	want, encoded := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, goldenBytes(t, "batch.hex")
+	want, encoded := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, readHexFile(t, "batch.hex")
 	if got, err := ReadBatch(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
@@ -78,7 +78,7 @@
 	if len(goldenActions) != len(actionTypes) {
 		t.Fatalf("%d actions, %d codes", len(goldenActions), len(actionTypes))
 	}
-	want, encoded := Reply{Number: 19, Actions: goldenActions}, goldenBytes(t, "reply.hex")
+	want, encoded := Reply{Number: 19, Actions: goldenActions}, readHexFile(t, "reply.hex")
 	if got, err := ReadReply(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
--- a/internal/simcodec/record.go
+++ b/internal/simcodec/record.go
@@ -61,7 +61,7 @@
 		if len(data) < width {
 			return nil, errFieldsLength
 		}
-		bits := bigEndian(data[:width])
+		bits := decodeBigEndian(data[:width])
 		data = data[width:]
 		switch field := record.Field(i); field.Kind() {
 		case reflect.Float32:
@@ -80,8 +80,8 @@
 	return data, nil
 }
 
-// bigEndian reads a number as wide as data.
-func bigEndian(data []byte) uint64 {
+// decodeBigEndian reads a number as wide as data.
+func decodeBigEndian(data []byte) uint64 {
 	var number uint64
 	for _, b := range data {
 		number = number<<8 | uint64(b)
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -7,16 +7,16 @@
 // Bucket is a token bucket (leaky bucket as a meter). The zero value is a bucket that is full at its first Fill. It is not safe for
 // use by several goroutines at once.
 type Bucket struct {
-	tokens   float64
-	filledAt time.Duration
-	started  bool
+	tokens      float64
+	filledAt    time.Duration
+	initialized bool
 }
 
 // Fill adds the tokens that have accrued since the last call, at rate tokens per second and up to capacity, and returns the number of
 // tokens in the bucket. A time before that of the last call adds nothing.
 func (b *Bucket) Fill(now time.Duration, rate, capacity float64) float64 {
-	if !b.started {
-		b.started = true
+	if !b.initialized {
+		b.initialized = true
 		b.tokens = capacity
 	} else {
 		accrued := rate * max(now-b.filledAt, 0).Seconds()
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -16,10 +16,10 @@
 		bucket, now, accrued, spent := Bucket{}, time.Hour, 0.0, 0.0
 		capacity := rapid.Float64Range(1, 5).Draw(t, "capacity")
 		for i := range 50 {
-			past := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "past"))
+			elapsed := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "past"))
 			rate := rapid.Float64Range(0, 20).Draw(t, "rate")
-			if now += past; i > 0 {
-				accrued += rate * past.Seconds()
+			if now += elapsed; i > 0 {
+				accrued += rate * elapsed.Seconds()
 			}
 			if bucket.Fill(now, rate, capacity) >= 1 {
 				bucket.Spend()
