--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -7,55 +7,56 @@
 	"rampspread/routing"
 )
 
-// Upstream sends calls to endpoints. None of its methods blocks, since the dispatcher's owner calls them.
+// Upstream sends calls to endpoints. Its methods must not block, since the dispatcher's owner calls them.
 type Upstream interface {
-	// Send makes one attempt and reports on it to the observer.
+	// Send starts one attempt and reports its events to the observer.
 	Send(spec AttemptSpec, observer AttemptObserver) Attempt
-	// PollLoad polls an endpoint's load and calls onReport once, from any goroutine. The report is nil if the endpoint
-	// gave none within the limit.
+	// PollLoad polls an endpoint for its load and calls onReport once, from any goroutine but the owner. The report is
+	// nil if the endpoint sent none within the timeout.
 	PollLoad(endpoint EndpointAddress, timeout time.Duration, onReport func(*routing.LoadReport))
-	// Release releases what is reserved for the call's request, through the first of the targets that answers.
+	// Release releases the reservations of the call's request. It sends the release to the targets until one answers.
 	Release(call UpstreamCall, targets []EndpointAddress)
 }
 
 // Attempt is one call in flight at an endpoint.
 type Attempt interface {
-	// Abort stops waiting for the call. The attempt's end is reported once its connection is closed.
+	// Abort ends the attempt by closing its connection. The end is reported when the connection is closed.
 	Abort()
-	// Withdraw ends an attempt of which no byte has been written, as one that could not connect. If the attempt is
-	// being written, Withdraw only prevents it from being written again on another connection. It does not wait.
+	// Withdraw ends the attempt if no byte of it has been written; the attempt then ends as one that could not connect.
+	// If writing has begun, Withdraw only prevents the attempt from being written again on another connection. It does
+	// not wait.
 	Withdraw()
 }
 
 // AttemptObserver receives the events of one attempt. Its methods may be called from any goroutine but the
-// dispatcher's owner: FirstToken waits for the owner, Ended only while the mailbox is full.
+// dispatcher's owner, since they may wait for the owner: FirstToken always does, Ended only while the mailbox is full.
 type AttemptObserver interface {
-	// FirstToken offers the attempt's stream as the request's final answer. If it returns true the stream goes to the
-	// client; otherwise the attempt must be given up.
+	// FirstToken offers the attempt's stream as the request's final answer. If it returns true, the stream goes to the
+	// client; otherwise the caller must abort the attempt.
 	FirstToken(Stream) bool
-	// Ended is called once, when nothing remains of the attempt on its connection. No FirstToken follows it.
+	// Ended is called once, when the connection carries nothing more of the attempt. No call of FirstToken follows.
 	Ended(AttemptResult)
 }
 
-// AttemptSpec is one attempt to be made.
+// AttemptSpec describes an attempt to send.
 type AttemptSpec struct {
 	Call    UpstreamCall
 	Target  EndpointAddress
-	Timeout time.Duration // of the whole attempt
-	// ClientGone checks whether the client has disconnected. It does not wait; nil: that cannot be checked.
+	Timeout time.Duration // limit for the whole attempt
+	// ClientGone reports whether the client has disconnected. It does not wait. It is nil if this cannot be checked.
 	ClientGone func() bool
-	// MayHaveRun says that the request may have been executed and that the endpoints discard repeats of it. They do so for
-	// DedupWindow from now; without MayHaveRun the window has no meaning.
-	MayHaveRun  bool
+	// MayHaveRun says that an earlier attempt may have executed the request and that the endpoint discards repeats.
+	MayHaveRun bool
+	// DedupWindow is how long from now the endpoint still discards repeats. It has no meaning without MayHaveRun.
 	DedupWindow time.Duration
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome       routing.Outcome
-	CachedTokens  int                 // prompt tokens found in the endpoint's prefix cache
-	StreamStarted bool                // the answer had begun, and then it broke
-	Load          *routing.LoadReport // nil: the answer had none
+	CachedTokens  int                 // number of prompt tokens found in the endpoint's prefix cache
+	StreamStarted bool                // whether the stream had begun before it broke
+	Load          *routing.LoadReport // load report in the response, or nil if there was none
 }
 
 // EndpointAddress is the address of a listed endpoint.
@@ -65,16 +66,16 @@
 	Addr string // host:port
 }
 
-// UpstreamCall is what is forwarded to the endpoints for one request, unchanged.
+// UpstreamCall is the part of a request that is forwarded unchanged to the endpoints.
 type UpstreamCall struct {
-	ID          string // the request's, also in logs
+	ID          string // ID of the request, also in logs
 	Method      string
 	Target      string // the HTTP request target
-	ContentType string // of the body
+	ContentType string // content type of Body
 	Body        []byte
 }
 
-// Request is what a frontend has accepted from a client.
+// Request is a request that a frontend has received from a client.
 type Request struct {
 	Call               UpstreamCall
 	Class              int // index into the configuration's classes
@@ -84,60 +85,60 @@
 	PromptTokens       int
 	SharedPrefixTokens int
 	MaxOutputTokens    int
-	Deadline           time.Time // the final answer is given by then
-	// ClientGone checks on the connection whether the client has closed it, which the client's context may show a
-	// moment later. It does not wait; nil: only the context shows it.
+	Deadline           time.Time // time by which the final answer is due
+	// ClientGone reports whether the client has closed its connection. It checks the connection itself, since the
+	// client's context may be cancelled a moment later. It does not wait. If it is nil, only the context is checked.
 	ClientGone func() bool
-	// RunToCompletion lets an attempt that was sent run to its end though the client has disconnected. No further
-	// attempt begins then.
+	// RunToCompletion lets an attempt that is in flight when the client disconnects continue to its end. No further
+	// attempt is started then.
 	RunToCompletion bool
 }
 
-// AnswerKind is how a request was answered.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
-// The kinds of a final answer.
+// The values of AnswerKind.
 const (
-	Failed   AnswerKind = iota // promises nothing: the request may have been executed
-	Rejected                   // promises that a retry is harmless
-	Served                     // Stream holds the answer
-	// ClientDisconnected says that the client disconnected first. For a RunToCompletion request it also says that the request
-	// was not executed: one that may have been is Failed.
+	Failed   AnswerKind = iota // the request may have been executed
+	Rejected                   // a retry by the client is harmless
+	Served                     // Answer.Stream holds the answer
+	// ClientDisconnected means that the client disconnected before the answer. For a RunToCompletion request it also
+	// means that the request was not executed; if it may have been executed, the answer is Failed.
 	ClientDisconnected
 )
 
 var kindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientDisconnected: "client_gone"}
 
-// String is the kind's name in logs.
+// String returns the name of the kind in logs.
 func (k AnswerKind) String() string { return kindNames[k] }
 
-// Answer is the one final answer to a request.
+// Answer is the final answer to a request. Each request has exactly one.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration // for Rejected; positive
-	Stream     Stream        // for Served
+	RetryAfter time.Duration // positive for Rejected, otherwise unused
+	Stream     Stream        // set only for Served
 }
 
-// Stream is an endpoint's answer from its first event on. Read returns io.EOF only after the whole answer. Whoever
-// holds the stream must close it.
+// Stream is an endpoint's answer, starting with its first event. Read returns io.EOF only after the whole answer. The
+// receiver of the stream must close it.
 type Stream interface {
 	io.ReadCloser
 }
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Name    string // identifies the endpoint
+	Name    string // unique name of the endpoint
 	Addr    string // host:port
 	Zone    int
 	Kind    int // index into the configuration's kinds
 	Cell    int
 	State   routing.EndpointState
 	Weight  float64
-	Started time.Time // of its process; zero: long ago
+	Started time.Time // start time of the process; the zero time means long ago
 }
 
-// ApplyUpdate brings an endpoint list, keyed by name, up to date with an update from service discovery: a whole list
-// (full), or changes to it. Entries in state Gone are removed.
+// ApplyUpdate applies an update from service discovery to an endpoint list, which is keyed by name. If full is true,
+// entries replace the list; otherwise they are changes to it. Entries in state Gone are removed.
 func ApplyUpdate(list map[string]Endpoint, full bool, entries []Endpoint) { //revive:disable-line:flag-parameter discovery's form
 	if full {
 		clear(list)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,16 +9,16 @@
 	"rampspread/routing"
 )
 
-// noEndpointName replaces in logs the name of an endpoint that is not listed.
+// noEndpointName is logged instead of an endpoint's name if there is no endpoint.
 const noEndpointName = "none"
 
 // attemptState is the state of an attempt, with these transitions:
 //
 //	attemptInFlight -> attemptStreaming   its stream has become the request's final answer (firstToken)
-//	attemptInFlight -> attemptAborted     it was given up (abortAttempt)
-//	attemptInFlight, attemptStreaming, attemptAborted -> attemptEnded   (endAttempt)
+//	attemptInFlight -> attemptAborted     the dispatcher has aborted it (abortAttempt)
+//	attemptInFlight, attemptStreaming, attemptAborted -> attemptEnded   its end has been reported (endAttempt)
 //
-// An aborted attempt counts as in flight until its connection is closed, and its end is reported only then.
+// An aborted attempt counts as in flight until its connection is closed; its end is reported only then.
 type attemptState uint8
 
 const (
@@ -28,18 +28,18 @@
 	attemptEnded
 )
 
-// attempt is one call of a request that was sent, or was to be sent, to an endpoint. It is the AttemptObserver of its
-// own call.
+// attempt is one try of a request at one endpoint, whether or not it could be sent. It is the AttemptObserver of the
+// upstream attempt.
 type attempt struct {
 	dispatcher      *Dispatcher
 	request         *request
-	number          int             // index in the request's attempts
-	endpoint        *endpointRecord // nil: the endpoint was not listed, and the attempt has ended unsent
+	number          int             // index into the request's attempts
+	endpoint        *endpointRecord // nil if the endpoint was not listed, so that the attempt was not sent
 	sentAt          time.Duration
-	upstreamAttempt Attempt     // nil: it was never sent
-	timeoutTimer    *time.Timer // nil: it was never sent
+	upstreamAttempt Attempt     // nil if the attempt was not sent
+	timeoutTimer    *time.Timer // nil if the attempt was not sent
 	state           attemptState
-	abortOutcome    routing.Outcome // how an aborted attempt ends, if it may have run
+	abortOutcome    routing.Outcome // outcome of an aborted attempt that ends with ConnectionReset
 }
 
 // FirstToken implements AttemptObserver.
@@ -53,15 +53,16 @@
 	a.dispatcher.post(func() { a.dispatcher.endAttempt(a, result) })
 }
 
-// beforeFirstToken reports whether the attempt has not ended and has brought no first token.
+// beforeFirstToken reports whether the attempt has neither ended nor had its first token.
 func (a *attempt) beforeFirstToken() bool {
 	return a.state == attemptInFlight || a.state == attemptAborted
 }
 
-// executes reports whether the attempt, where it reaches its endpoint, carries out the request, as a prefill does not.
+// executes reports whether the attempt executes the request if it reaches its endpoint. A prefill does not execute the
+// request.
 func (a *attempt) executes() bool { return a.endpoint != nil && !a.endpoint.prefillOnly }
 
-// endpointName is the name of the attempt's endpoint, for logs.
+// endpointName returns the name of the attempt's endpoint, for logs.
 func (a *attempt) endpointName() string {
 	if a.endpoint == nil {
 		return noEndpointName
@@ -69,8 +70,8 @@
 	return a.endpoint.Name
 }
 
-// sendAttempt makes an attempt that the Router wants, if its preconditions hold. One whose preconditions do not hold
-// ends as NotSent, which has cost no endpoint anything.
+// sendAttempt sends an attempt that the Router has decided on, if its preconditions hold. Otherwise the attempt ends as
+// NotSent, and no endpoint has received anything.
 func (d *Dispatcher) sendAttempt(action routing.Send) {
 	req, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
 	if req == nil {
@@ -104,7 +105,8 @@
 	a.timeoutTimer = time.AfterFunc(timeout, func() { d.post(func() { d.abortAttempt(a, routing.TimedOut) }) })
 }
 
-// attemptFacts gathers what the preconditions of an attempt go by. The attempt is not yet among its request's.
+// attemptFacts returns the facts that decide whether an attempt may be sent. It must be called before the attempt is
+// appended to its request's attempts.
 func (d *Dispatcher) attemptFacts(a *attempt, timeout time.Duration) precondition.Attempt {
 	req := a.request
 	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
@@ -122,8 +124,9 @@
 	}
 }
 
-// remainingDedupWindow is for how long yet the attempt's endpoint discards repeats of what may have run. inScope is
-// false if it does not discard them at all, or if nothing may have run.
+// remainingDedupWindow returns how much longer the attempt's endpoint discards repeats of the attempt that may have
+// executed the request. inScope is false if the endpoint does not discard repeats of that attempt, or if no attempt may
+// have executed the request.
 func (d *Dispatcher) remainingDedupWindow(a *attempt) (remaining time.Duration, inScope bool) {
 	class, execution := d.config.Classes[a.request.Class], a.request.execution
 	if execution.endpoint == nil || a.endpoint == nil {
@@ -146,7 +149,7 @@
 	slog.Info("not_sent", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
 	switch reason {
 	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired:
-		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have wanted it
+		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have decided on it
 	}
 	d.endAttempt(a, AttemptResult{Outcome: routing.NotSent})
 	if reason == precondition.ClientDisconnected {
@@ -154,8 +157,8 @@
 	}
 }
 
-// abortAttempt gives an attempt up. It counts as in flight until its connection is closed: what is sent elsewhere
-// before that would be a second copy.
+// abortAttempt aborts an attempt in flight. The attempt counts as in flight until its connection is closed, since an
+// attempt sent to another endpoint before that could be a second execution of the request.
 func (d *Dispatcher) abortAttempt(a *attempt, outcome routing.Outcome) {
 	if a.state != attemptInFlight {
 		return
@@ -164,12 +167,12 @@
 	a.upstreamAttempt.Abort()
 }
 
-// firstToken makes the attempt's stream the request's final answer, and reports false if the attempt was given up or
-// the request has its answer.
+// firstToken makes the attempt's stream the request's final answer. It returns false if the attempt was aborted or the
+// request already has its final answer.
 func (d *Dispatcher) firstToken(a *attempt, s Stream) (accepted bool) {
 	req := a.request
 	if a.state != attemptInFlight || req.answered() {
-		return false // it counts as in flight until its connection is closed, and its end is reported then
+		return false // the attempt counts as in flight until its connection is closed and its end is reported
 	}
 	a.state = attemptStreaming
 	a.timeoutTimer.Stop()
@@ -182,7 +185,7 @@
 	return true
 }
 
-// endAttempt takes an attempt's one outcome.
+// endAttempt records the outcome of an attempt. Calls after the first have no effect.
 func (d *Dispatcher) endAttempt(a *attempt, result AttemptResult) {
 	if a.state == attemptEnded {
 		return
@@ -213,13 +216,14 @@
 		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: req.answered(), Load: result.Load,
 	})
 	if req.state == requestCompleting && !req.hasExecutingAttempt() {
-		d.answerDisconnected(req) // nothing is in flight that could still run to completion
+		d.answerDisconnected(req) // no attempt is in flight that could still complete the request
 	}
 	d.removeIfDone(req)
 }
 
-// recordResponse notes whether an attempt's endpoint has responded. Where its end was not observed, what it reserved
-// may show only later; a prefill whose endpoint has been silent since it was sent is followed up.
+// recordResponse records whether an attempt's endpoint has responded. If the end of the attempt was not observed, its
+// reservation may be made only later. If that attempt was a prefill and its endpoint has not responded since it was
+// sent, the reservation is released repeatedly.
 func (d *Dispatcher) recordResponse(a *attempt, outcome routing.Outcome) {
 	switch outcome {
 	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
@@ -232,7 +236,8 @@
 	}
 }
 
-// logFailedAttempt logs an attempt that brought neither an answer nor a sound refusal.
+// logFailedAttempt logs an attempt that ended with an outcome other than Served, PrefillDone and QueueFull. streamed
+// says whether the attempt had its first token.
 func (d *Dispatcher) logFailedAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
 	switch outcome {
 	case routing.Served, routing.PrefillDone, routing.QueueFull:
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,26 +7,26 @@
 	"rampspread/routing"
 )
 
-// Counters are totals since the start, except the gauges.
+// Counters holds totals since the start of the process, and two gauges.
 type Counters struct {
-	Accepted        int // requests
+	Accepted        int // accepted requests
 	Attempts        int // attempts that were sent
-	LoadPolls       int
-	Releases        int
-	PeerLoadReports int // load reports of other dispatchers
+	LoadPolls       int // load polls sent to endpoints
+	Releases        int // releases that were sent
+	PeerLoadReports int // load reports received from other dispatchers
 
-	ExpiredReservations int // releases because nothing proved in time that an attempt had reached its endpoint
+	ExpiredReservations int // releases sent because nothing had proved in time that an attempt had reached its endpoint
 
 	Served         int // requests answered with a stream
 	Rejected       int // requests answered Rejected
 	Failed         int // requests answered Failed, by the Router or by AbandonPending
 	ClientGone     int // requests whose client disconnected before the final answer
-	DeadlineForced int // requests that the Router had not answered by their deadline
+	DeadlineForced int // requests failed because the Router gave no answer within deadlineGrace of their deadline
 	BrokenStreams  int // streams that broke after their first token
 
-	Outcomes map[string]int // ended attempts, by the name of their outcome; nil: none has ended
+	Outcomes map[string]int // ended attempts by outcome name, or nil if none has ended
 
-	Open      int // gauge: requests that are not forgotten
+	Open      int // gauge: requests without a final answer or with an attempt in flight
 	Endpoints int // gauge: listed endpoints
 }
 
@@ -43,7 +43,8 @@
 	routing.PrefillDone:     "read",
 }
 
-// outcomeName names an outcome in logs and in keys of the counters' line, which programs read.
+// outcomeName returns the name of an outcome in logs and in the keys of the counters line. Programs parse that line, so
+// the names must not change.
 func outcomeName(outcome routing.Outcome) string { return outcomeNames[outcome] }
 
 func (c *Counters) countOutcome(outcome routing.Outcome) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// Counters returns a copy of the counters. It is empty if the context or the dispatcher ended first.
+// Counters returns a copy of the counters. The copy is empty if the context is done or Run has ended first.
 func (d *Dispatcher) Counters(ctx context.Context) Counters {
 	counters, _ := query(ctx, d, func() Counters {
 		c := d.counters
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,24 +1,25 @@
-// Package dispatch runs one routing.Router against real traffic. The Router decides and has no I/O of its own; this
-// package feeds it events with the time at which they happened and carries out the actions that it returns: it sends
-// attempts, polls loads, releases reservations, sets timers and gives the final answers. It knows no wire format:
-// frontends call [Dispatcher.Dispatch], and replicas are reached through the interface [Upstream].
+// Package dispatch runs one routing.Router against real traffic. The Router makes the decisions and does no I/O; this
+// package passes events to it, each with its time, and executes the actions that it returns: it sends attempts, polls
+// endpoints for their load, releases reservations, sets timers and gives the final answers. The package is independent
+// of any wire format: frontends call [Dispatcher.Dispatch], and endpoints are reached through the interface [Upstream].
 //
-// A [Dispatcher] is an actor: the goroutine of [Dispatcher.Run] is the only one that touches the Router, the table of
-// open requests, the endpoint list and the counters. Every other goroutine reaches that state through the mailbox, a
-// bounded queue of functions that Run calls one after the other.
+// A [Dispatcher] is an actor: one goroutine, the owner, runs [Dispatcher.Run] and is the only one that accesses the
+// Router, the table of open requests, the endpoint list and the counters. Other goroutines access that state through
+// the mailbox, a bounded queue of functions that Run calls one after the other.
 //
 // The owner never blocks. It calls Upstream methods, which do not wait, and sends only on channels that have a free
-// slot. It never posts to its own mailbox, which might be full and would then never be emptied: what is to happen
-// later is posted by a timer's goroutine. Unexported methods of Dispatcher run on the owner, unless their comment says
-// otherwise.
+// slot. It never posts to its own mailbox: if the mailbox were full, the post would wait for the owner itself and never
+// return. Work that the owner schedules for later is posted by a timer's goroutine. Unexported methods of Dispatcher
+// run on the owner, unless their comment says otherwise.
 //
-// Exported methods may be called from any goroutine but the owner, thus not from the callback of SetQuotaShare:
+// Exported methods may be called from any goroutine but the owner. The callback of SetQuotaShare runs on the owner and
+// therefore must not call them.
 //   - Dispatch waits for the request's final answer; Reconfigure, Counters and Snapshot wait for their result.
 //   - UpdateEndpoints, AbandonPending, Restore and RestoreFromPeer wait only while the mailbox is full.
-//   - ApplyPeerLoads, SetQuotaShare and SetSubset never wait, and report false while the mailbox is full.
+//   - ApplyPeerLoads, SetQuotaShare and SetSubset never wait, and return false if the mailbox is full.
 //   - Accepted and PendingReleases are atomic reads.
 //
-// Upstream calls the methods of AttemptObserver and the callback of PollLoad from goroutines of its own.
+// Upstream calls the methods of AttemptObserver and the callback of PollLoad from its own goroutines.
 package dispatch
 
 import (
@@ -33,43 +34,43 @@
 	"rampspread/routing"
 )
 
-// mailboxCapacity bounds the functions that wait for the owner.
+// mailboxCapacity is the maximum number of functions queued for the owner.
 const mailboxCapacity = 4096
 
-// errStopped says that Run has ended.
+// errStopped is returned by calls that the owner cannot serve because Run has ended.
 var errStopped = errors.New("dispatcher is stopped")
 
-// Dispatcher owns a Router and carries out its actions. Only the goroutine of Run touches its fields, except those
+// Dispatcher owns a Router and executes its actions. Only the goroutine of Run accesses its fields, except the fields
 // that never change after New, the mailbox and the atomic counters.
 type Dispatcher struct {
 	router     *routing.Router
-	config     routing.Config // in force
+	config     routing.Config // current configuration of the Router
 	upstream   Upstream
 	system     hostos.System
 	violations *precondition.ViolationCounter
 
 	startedAt   time.Time
-	epochOffset time.Duration // wall clock time at startedAt, since 1970
+	epochOffset time.Duration // wall clock time at startedAt, as the time since 1970
 	mailbox     chan func()
-	stopped     chan struct{} // closed once Run has ended
+	stopped     chan struct{} // closed when Run returns
 
 	lastRequestID   routing.RequestID
 	requests        map[routing.RequestID]*request
 	endpoints       map[routing.EndpointID]*endpointRecord
 	endpointsByName map[string]*endpointRecord
 
-	actionBuffer    []routing.Action // reused for each event
-	pendingEvents   []routing.Event  // the event in progress, and those that follow from carrying out its actions
-	pendingRemovals []*request       // answered requests that forget looks at once no event is pending
-	abandoned       bool             // AbandonPending was called: every new request is rejected
+	actionBuffer    []routing.Action // buffer reused for each event
+	pendingEvents   []routing.Event  // event being handled, followed by the events that its actions have caused
+	pendingRemovals []*request       // answered requests to pass to removeIfDone when no event is pending
+	abandoned       bool             // set by AbandonPending: every new request is rejected
 	counters        Counters
 
 	accepted        atomic.Int64 // equals counters.Accepted
-	pendingReleases atomic.Int64 // second releases that are scheduled
+	pendingReleases atomic.Int64 // number of second releases that are scheduled
 }
 
-// New returns a Dispatcher that Run must drive. seed seeds the Router's random draws; violations may be nil. It fails
-// if the Router refuses the configuration.
+// New returns a Dispatcher, which handles nothing until Run is called. seed seeds the Router's random number generator;
+// violations may be nil. New fails if the Router rejects the configuration.
 func New(
 	cfg routing.Config, seed uint64, upstream Upstream, hostSystem hostos.System, violations *precondition.ViolationCounter,
 ) (*Dispatcher, error) {
@@ -93,7 +94,7 @@
 	}, nil
 }
 
-// Run makes the calling goroutine the owner until the context ends. It must be called once.
+// Run makes the calling goroutine the owner until the context is done. It must be called exactly once.
 func (d *Dispatcher) Run(ctx context.Context) {
 	defer close(d.stopped)
 	for {
@@ -106,8 +107,8 @@
 	}
 }
 
-// post passes work to the owner. It waits while the mailbox is full, and reports false once Run has ended. Any
-// goroutine but the owner may call it.
+// post passes work to the owner. It waits while the mailbox is full, and returns false if Run has ended. Any goroutine
+// but the owner may call it.
 func (d *Dispatcher) post(work func()) (posted bool) {
 	select {
 	case d.mailbox <- work:
@@ -117,7 +118,7 @@
 	}
 }
 
-// tryPost passes work to the owner if the mailbox has a free slot, and reports false if it has none. It never waits.
+// tryPost passes work to the owner if the mailbox has a free slot, and returns false otherwise. It never waits.
 func (d *Dispatcher) tryPost(work func()) (posted bool) {
 	select {
 	case d.mailbox <- work:
@@ -127,8 +128,8 @@
 	}
 }
 
-// query calls read on the owner and returns its result. It fails with the context's error, or with errStopped. Any
-// goroutine but the owner may call it.
+// query calls read on the owner and returns its result. It returns the context's error if the context is done first,
+// and errStopped if Run has ended. Any goroutine but the owner may call it.
 func query[T any](ctx context.Context, d *Dispatcher, read func() T) (T, error) {
 	var zero T
 	result := make(chan T, 1)
@@ -145,9 +146,9 @@
 	}
 }
 
-// now is the Router's clock: the time since 1970 as the wall clock had it at the start, advanced by the monotonic
-// clock, so that it never jumps when the wall clock is stepped.
+// now returns the time on the Router's clock: the wall clock time at the start (since 1970) plus the time elapsed since
+// then by the monotonic clock. It does not jump when the wall clock is stepped.
 func (d *Dispatcher) now() time.Duration { return d.epochOffset + time.Since(d.startedAt) }
 
-// clockTime converts a time with a monotonic reading of this process to the Router's clock.
+// clockTime converts a time that has a monotonic clock reading of this process to the Router's clock.
 func (d *Dispatcher) clockTime(t time.Time) time.Duration { return d.epochOffset + t.Sub(d.startedAt) }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -63,8 +63,8 @@
 	<-answer
 }
 
-// At the deadline a silent attempt is aborted. The answer comes when its connection is closed, and even if that is never
-// reported. Whatever comes afterwards changes nothing.
+// At the deadline a silent attempt is aborted. The answer comes when its connection is closed, and even if that is
+// never reported. Whatever comes afterwards changes nothing.
 func TestSilentAttemptIsAbortedAtDeadline(t *testing.T) {
 	for name, endReported := range map[string]bool{"end reported": true, "end not reported": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -8,23 +8,24 @@
 	"rampspread/routing"
 )
 
-// endpointRecord is what the dispatcher knows of one listed endpoint.
+// endpointRecord is the dispatcher's state of one listed endpoint.
 type endpointRecord struct {
 	EndpointAddress
 	state        routing.EndpointState
 	zone, cell   int
-	prefillOnly  bool          // an attempt here does not execute the request
-	lastResponse time.Duration // when an attempt here last got an answer, by the Router's clock
+	prefillOnly  bool          // whether attempts at this endpoint only prefill and do not execute the request
+	lastResponse time.Duration // time of the last response to an attempt, on the Router's clock
 	started      startTime
 }
 
-// endpointUpdate is a message to the owner.
+// endpointUpdate holds the arguments of UpdateEndpoints for the owner.
 type endpointUpdate struct {
-	isFullList bool // entries are the whole list; otherwise they are changes to it
+	isFullList bool // whether entries is the full list and not only changes to it
 	entries    []Endpoint
 }
 
-// UpdateEndpoints applies a new endpoint list (full), or changes to the current one.
+// UpdateEndpoints replaces the endpoint list by entries if full is true, and otherwise applies entries as changes to
+// it.
 func (d *Dispatcher) UpdateEndpoints(full bool, entries []Endpoint) {
 	d.post(func() { d.applyEndpointUpdate(endpointUpdate{isFullList: full, entries: entries}) })
 }
@@ -44,13 +45,15 @@
 		entry.Started = d.startTime(record, e.Started)
 		event.Endpoints = append(event.Endpoints, entry)
 	}
-	d.withdrawFromLeavingEndpoints() // before the Router learns of the list: what it sends from then on goes by the new one
+	// This comes before the Router handles the update: attempts that the Router sends afterwards follow the new list.
+	d.withdrawFromLeavingEndpoints()
 	d.handleEvent(event)
 	d.pruneGoneEndpoints()
 }
 
-// withdrawFromLeavingEndpoints withdraws attempts that still wait for their connection to an endpoint that is draining
-// or gone. A request counts as sent from its first byte, which may be written long after the routing decision.
+// withdrawFromLeavingEndpoints withdraws the attempts that are still waiting for a connection to an endpoint that is
+// draining or gone. A request counts as sent when its first byte is written, which may be long after the routing
+// decision.
 func (d *Dispatcher) withdrawFromLeavingEndpoints() {
 	for _, req := range d.requests {
 		for _, a := range req.attempts {
@@ -61,8 +64,9 @@
 	}
 }
 
-// findOrAddEndpoint returns the record of a name. The ID is a hash of the name, so that it is the same at every
-// dispatcher: the Router's random draws depend on it. A collision takes the next free ID.
+// findOrAddEndpoint returns the record of the endpoint with the given name, and adds it if there is none. The ID is a
+// hash of the name, so that all dispatchers use the same ID: the Router's random draws depend on it. If the ID is
+// taken, the endpoint gets the next free one.
 func (d *Dispatcher) findOrAddEndpoint(name string) *endpointRecord {
 	if record := d.endpointsByName[name]; record != nil {
 		return record
@@ -78,8 +82,8 @@
 	return record
 }
 
-// pruneGoneEndpoints forgets endpoints that are gone. Each replacement has a name of its own, so the list would
-// otherwise grow for as long as the process runs. Attempts in flight hold the record that they need.
+// pruneGoneEndpoints removes the records of endpoints that are gone. Each replacement endpoint has a new name, so the
+// list would otherwise grow for as long as the process runs. Attempts in flight keep a pointer to their record.
 func (d *Dispatcher) pruneGoneEndpoints() {
 	for id, record := range d.endpoints {
 		if record.state == routing.Gone {
@@ -89,7 +93,7 @@
 	}
 }
 
-// isPrefillKind reports whether endpoints of a kind only prefill prompts. Unknown kinds do not.
+// isPrefillKind reports whether endpoints of a kind only prefill prompts. It returns false for an unknown kind.
 func (d *Dispatcher) isPrefillKind(kind int) bool {
 	return kind >= 0 && kind < len(d.config.Kinds) && d.config.Kinds[kind].Role == routing.Prefill
 }
--- a/internal/dispatch/estimates_test.go
+++ b/internal/dispatch/estimates_test.go
@@ -40,8 +40,8 @@
 	return true
 }
 
-// TestPrefillEstimatesAreLogged: with ObservePrefills each end of a prefill attempt is logged with the request's id, the
-// replica's name, what came of it and what was expected.
+// TestPrefillEstimatesAreLogged: with ObservePrefills each end of a prefill attempt is logged with the request's id,
+// the replica's name, what came of it and what was expected.
 func TestPrefillEstimatesAreLogged(t *testing.T) {
 	var log lockedBuffer
 	defer slog.SetDefault(slog.Default())
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -9,15 +9,15 @@
 	"rampspread/routing"
 )
 
-// loadPollTimeout bounds the wait for an endpoint's load report; the Router does not wait for that long.
+// loadPollTimeout is the limit for an endpoint to answer a load poll. The Router itself waits less long.
 const loadPollTimeout = 200 * time.Millisecond
 
-// handleEvent gives the Router an event and carries out the actions that it returns, and handles the events that follow
-// from those at once. A nested call only queues its event: the outermost call handles events in order.
+// handleEvent passes an event to the Router and executes the actions that it returns. An action may cause another call
+// of handleEvent: the nested call only queues its event, and the outermost call handles the queued events in order.
 func (d *Dispatcher) handleEvent(event routing.Event) {
 	d.pendingEvents = append(d.pendingEvents, event)
 	if len(d.pendingEvents) > 1 {
-		return // the loop below is running further up the stack
+		return // the outermost call, further up the stack, handles the event
 	}
 	for len(d.pendingEvents) > 0 {
 		d.actionBuffer = d.router.Handle(d.now(), d.pendingEvents[0], d.actionBuffer[:0])
@@ -33,6 +33,7 @@
 	d.pendingRemovals = d.pendingRemovals[:0]
 }
 
+// executeAction executes one action of the Router.
 func (d *Dispatcher) executeAction(action routing.Action) {
 	switch a := action.(type) {
 	case routing.Send:
@@ -58,8 +59,8 @@
 	}
 }
 
-// pollLoad polls an endpoint's load. The poll of an endpoint that is not listed has no result, which a goroutine of its
-// own reports, since the owner must not post.
+// pollLoad polls an endpoint for its load. If the endpoint is not listed, the poll reports no load. It does so on a new
+// goroutine, since the owner must not post to its own mailbox.
 func (d *Dispatcher) pollLoad(id routing.EndpointID) {
 	onReport := func(load *routing.LoadReport) {
 		d.post(func() { d.handleEvent(routing.LoadPolled{Endpoint: id, Load: load}) })
@@ -73,7 +74,8 @@
 	d.upstream.PollLoad(endpoint.EndpointAddress, loadPollTimeout, onReport)
 }
 
-// logPrefill logs how a prefill attempt compares with its estimate. It happens only with routing.Config.ObservePrefills.
+// logPrefill logs the result of a prefill attempt together with its estimate. The Router returns the action only if
+// routing.Config.ObservePrefills is set.
 func (d *Dispatcher) logPrefill(a routing.PrefillObserved) {
 	id, server := "", ""
 	if req := d.requests[a.Request]; req != nil {
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -7,16 +7,16 @@
 	"rampspread/routing"
 )
 
-// PeerLoad is the result of a load poll by another dispatcher.
+// PeerLoad is the result of a load poll that another dispatcher made.
 type PeerLoad struct {
-	Name string              // the endpoint's
-	Load *routing.LoadReport // nil: the endpoint did not answer the poll in time
-	Age  time.Duration       // since the poll
+	Name string              // name of the endpoint
+	Load *routing.LoadReport // nil if the endpoint did not answer the poll in time
+	Age  time.Duration       // time since the poll
 }
 
-// ApplyPeerLoads passes load reports of other dispatchers to the Router; reports on endpoints that are not listed are
-// ignored. It never waits: while the mailbox is full the reports are dropped, since they would be stale by the time
-// a slot is free, and false is returned.
+// ApplyPeerLoads passes load reports of other dispatchers to the Router. It ignores reports on endpoints that are not
+// listed. It never waits: if the mailbox is full, it drops the reports and returns false, since the reports would be
+// stale by the time a slot is free.
 func (d *Dispatcher) ApplyPeerLoads(reports []PeerLoad) bool {
 	receivedAt := time.Now()
 	return d.tryPost(func() {
@@ -31,9 +31,9 @@
 	})
 }
 
-// SetQuotaShare sets this dispatcher's fraction (0 to 1) of what all dispatchers may do together, for the given
-// duration from now. Once it is in force applied is called from the owner, which it must not block. It never waits:
-// false is returned while the mailbox is full.
+// SetQuotaShare sets this dispatcher's fraction (0 to 1) of the quotas and budgets that all dispatchers share, for the
+// given duration from now. Once the Router uses the fraction, the owner calls applied, which must not block.
+// SetQuotaShare never waits: it returns false if the mailbox is full.
 func (d *Dispatcher) SetQuotaShare(fraction float64, duration time.Duration, applied func()) bool {
 	receivedAt := time.Now()
 	return d.tryPost(func() {
@@ -42,8 +42,9 @@
 	})
 }
 
-// SetSubset restricts the Router to the endpoints of these names while enough of them are healthy; no names: no
-// restriction. Names that are not listed are ignored. It never waits: false is returned while the mailbox is full.
+// SetSubset restricts the Router to the endpoints with the given names while enough of them are healthy. An empty list
+// removes the restriction. Names that are not in the endpoint list are ignored. SetSubset never waits: it returns false
+// if the mailbox is full.
 func (d *Dispatcher) SetSubset(names []string) bool {
 	return d.tryPost(func() {
 		var ids []routing.EndpointID
@@ -56,20 +57,21 @@
 	})
 }
 
-// Snapshot is what the Router has learned, with at most maxPrefixes prefixes. It reports false if the context or the
-// dispatcher ended first.
+// Snapshot returns a snapshot of the Router's estimates and statistics with at most maxPrefixes prefixes. It returns
+// false if the context is done or Run has ended first.
 func (d *Dispatcher) Snapshot(ctx context.Context, maxPrefixes int) (routing.Snapshot, bool) {
 	snapshot, err := query(ctx, d, func() routing.Snapshot { return d.router.Snapshot(d.now(), maxPrefixes) })
 	return snapshot, err == nil
 }
 
-// Restore gives the Router what another process of this machine has learned. Both have the same clock.
+// Restore passes the Router a snapshot that another process on this machine has taken. The snapshot's times need no
+// conversion, since both processes have the same clock.
 func (d *Dispatcher) Restore(snapshot routing.Snapshot) {
 	d.post(func() { d.handleEvent(routing.SnapshotReceived{Snapshot: snapshot}) })
 }
 
-// RestoreFromPeer is Restore for a snapshot that a process of another machine has just taken: the time at which it was
-// taken by that machine's clock is equated with this dispatcher's current time.
+// RestoreFromPeer passes the Router a snapshot that a process on another machine has just taken. The clocks of the two
+// machines may differ, so all times in the snapshot are shifted as if it had been taken now by this dispatcher's clock.
 func (d *Dispatcher) RestoreFromPeer(snapshot routing.Snapshot) {
 	d.post(func() {
 		snapshot.Shift(d.now() - snapshot.TakenAt)
--- a/internal/dispatch/reconfigure.go
+++ b/internal/dispatch/reconfigure.go
@@ -7,8 +7,8 @@
 	"rampspread/routing"
 )
 
-// Reconfigure gives the Router a new configuration while requests are open. It returns once the Router has taken or
-// refused it; the error is the Router's, the context's, or says that the dispatcher is stopped.
+// Reconfigure passes the Router a new configuration; requests may be open. It returns when the Router has applied or
+// rejected the configuration. The error is that of the Router or the context, or errStopped if Run has ended.
 func (d *Dispatcher) Reconfigure(ctx context.Context, cfg routing.Config) error {
 	rejection, err := query(ctx, d, func() error { return d.reconfigure(cfg) })
 	if err == nil {
@@ -20,6 +20,7 @@
 	return nil
 }
 
+// reconfigure applies a configuration, except its kinds.
 func (d *Dispatcher) reconfigure(cfg routing.Config) error {
 	if err := d.router.Reconfigure(d.now(), cfg); err != nil {
 		return err
--- a/internal/dispatch/releases.go
+++ b/internal/dispatch/releases.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// maxReleaseTargets is how many endpoints one release may be tried through. With the pauses that Upstream makes
-	// between them the last one is still reached in time.
+	// maxReleaseTargets is the maximum number of endpoints through which one release is tried. Upstream pauses between
+	// two endpoints, and with this number the release still reaches the last one in time.
 	maxReleaseTargets = 24
-	// secondReleaseDelay is when a release is repeated after an attempt whose end was not observed: a prefill that
-	// succeeds just as its connection is given up leaves a reservation that the first release may have overtaken. By
-	// the second release the prefill has certainly noticed the close.
+	// secondReleaseDelay is the time between the first release and the second one, which follows an attempt whose end
+	// was not observed. A prefill that succeeds just as its connection is closed may make its reservation after the
+	// first release has arrived. When the second release arrives, the endpoint has certainly detected the close.
 	secondReleaseDelay = 120 * time.Millisecond
-	// lostPrefillReleaseInterval and lostPrefillReleasePeriod: a prefill that is given up while its endpoint is silent
-	// may succeed long after that, since the close does not reach the endpoint either. What it reserves is released
-	// again at each interval, until the period is over or the endpoint responds.
+	// lostPrefillReleaseInterval is the time between two releases after a prefill whose connection was closed while its
+	// endpoint was silent. Such a prefill may succeed and make its reservation long afterwards, since the endpoint does
+	// not receive the close either.
 	lostPrefillReleaseInterval = 400 * time.Millisecond
-	lostPrefillReleasePeriod   = 5 * time.Second
+	// lostPrefillReleasePeriod is the time after which these releases stop. They stop earlier if the endpoint responds.
+	lostPrefillReleasePeriod = 5 * time.Second
 )
 
-// PendingReleases is the number of second releases that are scheduled. It may be called from any goroutine.
+// PendingReleases returns the number of second releases that are scheduled. It may be called from any goroutine.
 func (d *Dispatcher) PendingReleases() int64 { return d.pendingReleases.Load() }
 
-// releaseReservation releases what is reserved for a request, and once more after secondReleaseDelay if an attempt's
-// end was not observed.
+// releaseReservation releases the reservations of a request. It releases them a second time after secondReleaseDelay if
+// the end of an attempt was not observed.
 func (d *Dispatcher) releaseReservation(id routing.RequestID, reason routing.ReleaseReason) {
 	req := d.requests[id]
 	if req == nil || req.state == requestServed {
-		return // from the first token on the endpoints release by themselves, and nothing more is sent
+		return // after the first token the endpoints release the reservations without a release call
 	}
 	d.sendRelease(req, reason)
 	if !req.unobservedEnd {
@@ -53,9 +54,11 @@
 	})
 }
 
-// startLostPrefillReleases releases again and again what a lost prefill may reserve later, once its request is answered.
+// startLostPrefillReleases starts periodic releases of the reservation that a prefill may still make, since its end was
+// not observed. None is sent before the request has its final answer.
 func (d *Dispatcher) startLostPrefillReleases(a *attempt) { d.scheduleLostPrefillRelease(a, d.now()) }
 
+// scheduleLostPrefillRelease schedules the next periodic release for a prefill whose connection was closed at endedAt.
 func (d *Dispatcher) scheduleLostPrefillRelease(a *attempt, endedAt time.Duration) {
 	release := func() {
 		if a.request.answered() {
@@ -68,7 +71,7 @@
 	time.AfterFunc(lostPrefillReleaseInterval, func() { d.post(release) })
 }
 
-// sendRelease sends one release, through endpoints that have responded lately.
+// sendRelease sends one release through the endpoints that have responded most recently.
 func (d *Dispatcher) sendRelease(req *request, reason routing.ReleaseReason) {
 	d.counters.Releases++
 	if reason == routing.ReservationExpired {
@@ -83,8 +86,8 @@
 	d.upstream.Release(req.Call, targets)
 }
 
-// interleaveByZoneAndRole sorts endpoints in place so that those of different zones and roles alternate: a zone, or all
-// endpoints of a role, may have become unreachable a moment ago. Within a zone and role the order stays.
+// interleaveByZoneAndRole sorts endpoints in place so that endpoints of different zones and roles alternate: all
+// endpoints of a zone or of a role may just have become unreachable. It keeps the order within a zone and role.
 func interleaveByZoneAndRole(endpoints []*endpointRecord) []*endpointRecord {
 	type group struct {
 		zone        int
@@ -100,8 +103,8 @@
 	return endpoints
 }
 
-// mostRecentlyResponsive returns at most limit endpoints that the list does not have as gone, the one that responded
-// last first. It selects instead of sorting a large list for the sake of a few.
+// mostRecentlyResponsive returns at most limit endpoints that are not gone, sorted by the time of their last response,
+// latest first. It selects them without sorting the whole endpoint list, which may be large.
 func (d *Dispatcher) mostRecentlyResponsive(limit int) []*endpointRecord {
 	compareRecency := func(a, b *endpointRecord) int {
 		return cmp.Or(cmp.Compare(b.lastResponse, a.lastResponse), strings.Compare(a.Name, b.Name))
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -10,55 +10,56 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After of a rejected client for which the Router has no estimate: a client that
-	// gets none may be back at once.
+	// defaultRetryAfter is the Retry-After of a rejection for which the Router has no estimate. A client that gets no
+	// Retry-After might retry at once.
 	defaultRetryAfter = 200 * time.Millisecond
-	// deadlineGrace is how long the Router has at the deadline to answer by itself, once the request's attempts have
-	// been aborted.
+	// deadlineGrace is the time that the Router has after the deadline to answer a request whose attempts have been
+	// aborted.
 	deadlineGrace = 8 * time.Millisecond
 )
 
-// requestState is the state of a request on its way to its one final answer, with these transitions:
+// requestState is the state of a request, with these transitions:
 //
-//	requestOpen -> requestServed       an attempt's stream goes to the client (firstToken)
+//	requestOpen -> requestServed       an attempt's stream is the final answer (firstToken)
 //	requestOpen -> requestCompleting   the client has disconnected; an attempt runs to completion (clientDisconnected)
-//	requestOpen, requestCompleting -> requestAnswered   any other final answer (reply)
+//	requestOpen, requestCompleting -> requestAnswered   the final answer is not a stream (reply)
 //
-// forget drops a request in requestServed or requestAnswered once none of its attempts is in flight.
+// removeIfDone removes a request in requestServed or requestAnswered once none of its attempts is in flight.
 type requestState uint8
 
 const (
-	requestOpen       requestState = iota // it has no final answer, and its client waits for one
-	requestCompleting                     // it has no final answer, and its client has disconnected
-	requestServed                         // its final answer is a stream
-	requestAnswered                       // its final answer is any other
+	requestOpen       requestState = iota // no final answer yet, and the client is connected
+	requestCompleting                     // no final answer yet, and the client has disconnected
+	requestServed                         // the final answer is a stream
+	requestAnswered                       // the final answer is not a stream
 )
 
-// request is a client's request from its acceptance until no attempt of it is in flight any more.
+// request is an accepted request. It exists until it has its final answer and none of its attempts is in flight.
 type request struct {
 	Request
 	id            routing.RequestID
 	clientContext context.Context
-	answer        chan Answer // buffered for the one final answer
+	answer        chan Answer // receives the one final answer; its buffer has one slot
 	state         requestState
 	execution     possibleExecution
-	unobservedEnd bool   // the end of an attempt was not observed, so that its reservation may show only later
-	reason        string // why it was rejected or failed, for logs
+	unobservedEnd bool   // whether the end of an attempt was not observed, so that its reservation may be made later
+	reason        string // reason for the rejection or failure, for logs
 	deadline      time.Duration
 	deadlineTimer *time.Timer
-	attempts      []*attempt // in the order in which the Router wanted them; the index is the attempt's number
+	attempts      []*attempt // in the order of the Router's decisions, indexed by attempt.number
 }
 
-// possibleExecution is the first attempt of a request that may have executed it.
+// possibleExecution describes the first attempt that may have executed the request. It is the zero value if there is no
+// such attempt.
 type possibleExecution struct {
 	mayHaveRun bool
 	sentAt     time.Duration
 	endpoint   *endpointRecord
 }
 
-// Dispatch accepts a request and returns its one final answer. If the client's context ends first, the answer is
-// ClientDisconnected, or one that was already on its way. Once Run has ended it is Failed, or ClientDisconnected where the
-// client's context has ended too.
+// Dispatch accepts a request, waits for its final answer and returns it. If the client's context is done first,
+// Dispatch tells the owner and still waits for the owner's answer, which is ClientDisconnected in most cases. If Run
+// ends before the answer, Dispatch returns Failed, or ClientDisconnected if the client's context was done before.
 func (d *Dispatcher) Dispatch(client context.Context, req Request) Answer {
 	answer := make(chan Answer, 1)
 	pending := &request{Request: req, clientContext: client, answer: answer}
@@ -81,11 +82,11 @@
 	}
 }
 
-// Accepted is the number of requests accepted since the start. It may be called from any goroutine.
+// Accepted returns the number of requests accepted since the start. It may be called from any goroutine.
 func (d *Dispatcher) Accepted() int64 { return d.accepted.Load() }
 
-// AbandonPending gives every open request its final answer, releases what is reserved for it, and rejects all requests
-// that come from now on: the process is about to be killed, and no other process can release what it leaves reserved.
+// AbandonPending gives every open request its final answer, releases its reservations, and rejects all requests that
+// arrive afterwards. It is for a process that is about to be killed: no other process could release its reservations.
 func (d *Dispatcher) AbandonPending() {
 	d.post(func() {
 		d.abandoned = true
@@ -97,6 +98,7 @@
 	})
 }
 
+// acceptRequest adds a request to the table of open requests and passes it to the Router.
 func (d *Dispatcher) acceptRequest(req *request) {
 	now := d.now()
 	d.lastRequestID++
@@ -105,7 +107,7 @@
 	d.counters.Accepted++
 	d.accepted.Add(1)
 	remaining := req.deadline - now
-	// The guard behind the Router: whatever it does, the client is answered by the deadline.
+	// This timer guarantees an answer shortly after the deadline even if the Router gives none.
 	req.deadlineTimer = time.AfterFunc(remaining, func() { d.post(func() { d.deadlineReached(req) }) })
 	if d.abandoned {
 		d.abandonRequest(req)
@@ -122,7 +124,8 @@
 	})
 }
 
-// deadlineReached aborts the attempts in flight, and answers the request if the Router does not within deadlineGrace.
+// deadlineReached aborts the attempts in flight. If the Router gives no answer within deadlineGrace, the request is
+// then answered as Failed.
 func (d *Dispatcher) deadlineReached(req *request) {
 	for _, a := range req.attempts {
 		d.abortAttempt(a, routing.TimedOut)
@@ -133,6 +136,7 @@
 	time.AfterFunc(deadlineGrace, func() { d.post(func() { d.failAfterDeadline(req) }) })
 }
 
+// failAfterDeadline fails a request that the Router has not answered within deadlineGrace.
 func (d *Dispatcher) failAfterDeadline(req *request) {
 	if req.answered() {
 		return
@@ -151,8 +155,8 @@
 	d.answerAndCancel(req, answer)
 }
 
-// clientDisconnected ends a request whose client has disconnected. A RunToCompletion request stays unanswered while an
-// attempt is in flight that may execute it.
+// clientDisconnected ends a request whose client has disconnected. A RunToCompletion request gets no answer as long as
+// an attempt that may execute it is in flight.
 func (d *Dispatcher) clientDisconnected(req *request) {
 	if req.state != requestOpen {
 		return
@@ -166,8 +170,8 @@
 	d.answerDisconnected(req)
 }
 
-// answerDisconnected gives a request whose client has disconnected its final answer, which for a RunToCompletion
-// request says whether it may have been executed.
+// answerDisconnected answers a request whose client has disconnected. The answer is ClientDisconnected, or Failed for a
+// RunToCompletion request that may have been executed.
 func (d *Dispatcher) answerDisconnected(req *request) {
 	kind := ClientDisconnected
 	if req.RunToCompletion && (req.execution.mayHaveRun || req.hasExecutingAttempt()) {
@@ -176,7 +180,7 @@
 	d.answerAndCancel(req, Answer{Kind: kind})
 }
 
-// rejectOrFail gives the final answer that the Router has decided on, unless the request has one already.
+// rejectOrFail gives the final answer that the Router has decided on, unless the request already has one.
 func (d *Dispatcher) rejectOrFail(id routing.RequestID, reason routing.Reason, answer Answer) {
 	req := d.requests[id]
 	if req == nil || req.answered() {
@@ -188,9 +192,9 @@
 	d.removeIfDone(req)
 }
 
-// answerAndCancel answers a request without a decision of the Router, which then cancels the attempts in flight where they
-// may be cancelled. An attempt that still waits for its connection must not begin in any case: nobody waits for its
-// answer.
+// answerAndCancel answers a request without a decision of the Router. The Router then cancels the attempts in flight,
+// if the configuration lets it cancel attempts. Attempts that still wait for a connection are withdrawn in any case,
+// since their result is no longer needed.
 func (d *Dispatcher) answerAndCancel(req *request, answer Answer) {
 	d.reply(req, answer)
 	d.handleEvent(routing.ClientGone{Request: req.id})
@@ -198,7 +202,8 @@
 	d.removeIfDone(req)
 }
 
-// reply gives the one final answer. It does not wait, since the channel is buffered.
+// reply gives a request its final answer. A second answer is recorded as a violation and dropped. reply does not wait,
+// since the channel is buffered.
 func (d *Dispatcher) reply(req *request, answer Answer) {
 	if reason := (precondition.FinalAnswer{Answered: req.answered()}).Check(); reason != precondition.Allowed {
 		d.violations.Record(precondition.OperationAnswer, reason, req.Call.ID)
@@ -214,8 +219,9 @@
 	req.answer <- answer
 }
 
-// removeIfDone drops an answered request once none of its attempts is in flight. It waits until the Router has handled all
-// pending events, since a release of the request may still follow from them.
+// removeIfDone removes a request from the table of open requests if it is answered and none of its attempts is in
+// flight. While events are pending the check is deferred, since the Router may still release the request's reservations
+// in response to them.
 func (d *Dispatcher) removeIfDone(req *request) {
 	if !req.answered() {
 		return
@@ -228,10 +234,10 @@
 		return
 	}
 	delete(d.requests, req.id)
-	req.deadlineTimer.Stop() // it would retain the request and its body until a deadline that may be an hour away
+	req.deadlineTimer.Stop() // the timer would keep the request and its body in memory until the deadline, maybe for an hour
 }
 
-// withdrawPendingAttempts withdraws the attempts of a request that still wait for their connection.
+// withdrawPendingAttempts withdraws the attempts of a request that still wait for a connection.
 func (d *Dispatcher) withdrawPendingAttempts(req *request) {
 	for _, a := range req.attempts {
 		if a.beforeFirstToken() {
@@ -248,8 +254,7 @@
 	return r.state == requestCompleting || r.clientContext.Err() != nil || r.ClientGone != nil && r.ClientGone()
 }
 
-// hasExecutingAttempt reports whether an attempt is in flight that may execute the request: one that does more than
-// prefill.
+// hasExecutingAttempt reports whether an attempt is in flight that may execute the request, which a prefill does not.
 func (r *request) hasExecutingAttempt() bool {
 	for _, a := range r.attempts {
 		if a.state != attemptEnded && a.executes() {
@@ -259,7 +264,7 @@
 	return false
 }
 
-// hasAttemptInFlight reports whether an attempt has not ended.
+// hasAttemptInFlight reports whether any attempt has not ended.
 func (r *request) hasAttemptInFlight() bool {
 	for _, a := range r.attempts {
 		if a.state != attemptEnded {
@@ -269,7 +274,7 @@
 	return false
 }
 
-// lastEndpointName is the name of the last attempt's endpoint, for logs.
+// lastEndpointName returns the name of the last attempt's endpoint, for logs.
 func (r *request) lastEndpointName() string {
 	if len(r.attempts) == 0 {
 		return noEndpointName
@@ -277,7 +282,7 @@
 	return r.attempts[len(r.attempts)-1].endpointName()
 }
 
-// recordEnd takes an attempt's end. Only the first attempt that may have executed the request counts.
+// recordEnd records an ended attempt if it is the first that may have executed the request.
 func (e *possibleExecution) recordEnd(a *attempt, outcome routing.Outcome) {
 	if !a.executes() || outcome.NeverRan() || e.mayHaveRun {
 		return
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// startTime is when an endpoint's process was started.
+// startTime is the time at which an endpoint's process was started.
 type startTime struct {
-	reported time.Time     // as the endpoint list has it
-	at       time.Duration // by the Router's clock
+	reported time.Time     // time given in the endpoint list
+	at       time.Duration // same time on the Router's clock
 }
 
-// maxClockSkew is how far ahead of this machine's wall clock a reported start may lie without the wall clock having
-// been stepped back.
+// maxClockSkew is the largest time by which a reported start may lie ahead of this machine's wall clock because of
+// clock skew between machines. A start further ahead means that the wall clock was stepped back.
 const maxClockSkew = time.Second
 
-// startTime converts an endpoint's reported start to the Router's clock; 0 means long ago. A start that is reported
-// again has the same converted time: only the first report is compared with the clocks, since the wall clock may be
-// stepped while the endpoint is in its slow start.
+// startTime converts an endpoint's reported start to the Router's clock. It returns 0 for a zero time, which means that
+// the endpoint started long ago. The conversion is made once per start: if the same start is reported again, the result
+// is the same, since the wall clock may be stepped while the endpoint is in its slow start.
 func (d *Dispatcher) startTime(record *endpointRecord, reported time.Time) time.Duration {
 	if reported.IsZero() {
 		record.started = startTime{}
@@ -26,10 +26,11 @@
 	return record.started.at
 }
 
-// endpointAge is the time since a reported start, by the more careful (lower) reading of two clocks: the wall clock,
-// and the Router's clock, which has counted real time since this process's start. They differ once the wall clock has
-// been stepped. A start that lies ahead of the wall clock was reported by the clock as it was before a step back, so
-// that only the Router's clock counts. The age is never negative.
+// endpointAge returns the time since a reported start, or 0 if the start is in the future. It is the lower of two ages,
+// one by the wall clock and one by the Router's clock, which advances monotonically since the start of this process.
+// The two differ if the wall clock has been stepped; the lower one errs towards a longer slow start. A start that lies
+// more than maxClockSkew ahead of the wall clock was reported before the clock was stepped back, so only the Router's
+// clock is used for it.
 func (d *Dispatcher) endpointAge(reported time.Time) time.Duration {
 	byWallClock := d.system.Wall().Sub(reported)
 	byRouterClock := d.now() - time.Duration(reported.UnixNano())
--- a/internal/precondition/golden_test.go
+++ b/internal/precondition/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The name of a reason is sent to clients and is part of counter keys, so that it never changes.
+// The names of reasons are sent to clients and are part of counter keys, so they must not change.
 func TestGoldenReasons(t *testing.T) {
 	want := map[Reason]string{
 		Allowed:            "allowed",
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -1,12 +1,13 @@
-// Package precondition is the one place that says whether an action may be taken now: a request accepted, an attempt
-// made, its first byte written, a client's connection closed, a final answer given. Each action has a struct of facts,
-// whose Check evaluates a fixed list of guards; the first that does not hold is the Reason. Whoever is about to act
-// gathers the facts at that moment, calls Check, and acts only if the Reason is Allowed.
+// Package precondition decides, in one place for the whole program, whether an action may be taken now. The actions are
+// accepting a request, sending an attempt, writing its first byte, closing a client's connection and giving a final
+// answer. Each action has a struct of facts, whose Check method evaluates a fixed list of conditions and returns the
+// Reason for the first one that forbids the action. Callers gather the facts immediately before the action, call Check,
+// and act only if it returns Allowed.
 //
-// An action that should never have been attempted, since an earlier stage should have prevented it, is a violation of
-// an invariant, and is counted by a [ViolationCounter].
+// If an earlier stage should already have prevented the action, an invariant is violated. A [ViolationCounter] counts
+// these violations.
 //
-// The facts and checks are pure values without I/O, clock or state; a ViolationCounter is safe for concurrent use.
+// The checks do no I/O, read no clock and keep no state. A ViolationCounter is safe for concurrent use.
 package precondition
 
 import (
@@ -15,26 +16,26 @@
 	"rampspread/routing"
 )
 
-// Reason says why an action may not be taken. Allowed, the zero value, says that it may.
+// Reason is the reason why an action may not be taken. The zero value, Allowed, means that the action may be taken.
 type Reason uint8
 
-// The reasons. Their names reach clients and are part of the counters' names.
+// The values of Reason. Their names are sent to clients and are part of counter names.
 const (
 	Allowed            Reason = iota
 	ClientDisconnected        // the client has closed its connection
 	AlreadyAnswered           // the request has its final answer
 	DeadlineExceeded          // no time remains
 	EndpointLeaving           // the endpoint is draining, gone or not listed
-	Withdrawn                 // the attempt was withdrawn before its first byte
+	Withdrawn                 // the attempt was withdrawn before its first byte was written
 	AttemptInFlight           // another attempt of the request has not ended
-	MayHaveRun                // the request may have been executed, and must not be again at this endpoint
-	DedupWindowExpired        // the endpoints no longer discard repeats of what may have been executed
-	ShuttingDown              // the process may be killed before it could answer
-	Draining                  // the operator began to drain so long ago that new requests are not accepted any more
-	Evicted                   // the connection was closed in favor of another
+	MayHaveRun                // the request may have been executed and must not be executed again at this endpoint
+	DedupWindowExpired        // the endpoints no longer discard repeats of the attempt that may have been executed
+	ShuttingDown              // the process may be killed before it can answer
+	Draining                  // the drain began so long ago that new requests are no longer accepted
+	Evicted                   // the connection was closed to free capacity for another one
 	RequestUnanswered         // a request of the connection has no answer yet
-	RequestArriving           // a request is being received on the connection, or was received and is not parsed yet
-	UnreadBytes               // bytes have arrived on the connection that were not read
+	RequestArriving           // a request on the connection is being received, or is received but not parsed yet
+	UnreadBytes               // bytes that arrived on the connection have not been read
 	reasonCount
 )
 
@@ -56,7 +57,7 @@
 	UnreadBytes:        "unread",
 }
 
-// String is the reason's name in answers to clients, logs and counters; "unknown" for a value that is no reason.
+// String returns the reason's name in answers to clients, logs and counter names, or "unknown" for an invalid value.
 func (r Reason) String() string {
 	if r >= reasonCount {
 		return "unknown"
@@ -64,19 +65,19 @@
 	return reasonNames[r]
 }
 
-// MaxStall is how long a process may stall between reading its clock and writing. A dedup window is therefore treated
-// as over that much earlier.
+// MaxStall is the longest time that a process is assumed to stall between reading its clock and writing. Dedup windows
+// are treated as ending earlier by this time.
 const MaxStall = 150 * time.Millisecond
 
-// Accept holds the facts when a request has been received completely.
+// Accept holds the facts for accepting a request that has been received completely.
 type Accept struct {
 	ClientGone   bool
-	Evicted      bool // its connection was closed in favor of another
-	ShuttingDown bool // it came so late after SIGTERM that it might be unanswered at the process's end
-	Draining     bool // it came too late after the operator began to drain
+	Evicted      bool // the request's connection was closed to free capacity for another one
+	ShuttingDown bool // the request arrived so long after SIGTERM that the process might end before it can answer
+	Draining     bool // the request arrived too long after the drain began
 }
 
-// Check reports whether the request may be accepted.
+// Check returns Allowed if the request may be accepted, and otherwise the reason why not.
 func (r Accept) Check() Reason {
 	switch {
 	case r.Evicted:
@@ -91,21 +92,21 @@
 	return Allowed
 }
 
-// Attempt holds the facts when an attempt of a request is to be made.
+// Attempt holds the facts for sending an attempt of a request.
 type Attempt struct {
 	Answered        bool
 	ClientGone      bool
 	EndpointLeaving bool          // the endpoint is draining, gone or not listed
-	RemainingTime   time.Duration // until the request's deadline or the attempt's timeout
+	RemainingTime   time.Duration // time until the request's deadline or the attempt's timeout, whichever is earlier
 	AttemptInFlight bool          // another attempt of the request has not ended
-	Executes        bool          // an attempt at this endpoint executes the request, as a prefill does not
+	Executes        bool          // an attempt at this endpoint executes the request; a prefill does not
 	MayHaveRun      bool          // an earlier attempt may have executed the request
 	Idempotency     routing.Idempotency
-	InDedupScope    bool          // for IdempotentByKey: the endpoint discards repeats of what may have run,
-	DedupWindow     time.Duration // and for how long yet
+	InDedupScope    bool          // the endpoint discards repeats of the earlier attempt; used for IdempotentByKey only
+	DedupWindow     time.Duration // how much longer it discards them; used for IdempotentByKey only
 }
 
-// Check reports whether the attempt may be made.
+// Check returns Allowed if the attempt may be sent, and otherwise the reason why not.
 func (a Attempt) Check() Reason {
 	repeat := a.Executes && a.MayHaveRun && a.Idempotency != routing.Idempotent
 	switch {
@@ -127,17 +128,17 @@
 	return Allowed
 }
 
-// FirstByte holds the facts when an attempt's first byte is to be written. Its connection may have been established
-// long after the attempt was allowed.
+// FirstByte holds the facts for writing the first byte of an attempt. They are checked again at that moment, since the
+// connection may have been established long after Attempt.Check allowed the attempt.
 type FirstByte struct {
 	Withdrawn     bool
 	ClientGone    bool
-	RemainingTime time.Duration // until the attempt's timeout
-	MayHaveRun    bool          // an earlier attempt may have run, so that DedupWindow counts
-	DedupWindow   time.Duration // for how long yet the endpoint discards repeats of what may have run
+	RemainingTime time.Duration // time until the attempt's timeout
+	MayHaveRun    bool          // an earlier attempt may have executed the request, so that DedupWindow is checked
+	DedupWindow   time.Duration // how much longer the endpoint discards repeats of that attempt
 }
 
-// Check reports whether the byte may be written.
+// Check returns Allowed if the byte may be written, and otherwise the reason why not.
 func (b FirstByte) Check() Reason {
 	switch {
 	case b.Withdrawn:
@@ -152,28 +153,28 @@
 	return Allowed
 }
 
-// Cause is why the dispatcher's side is to close a client's connection.
+// Cause is the reason for closing a client's connection from the dispatcher's side.
 type Cause uint8
 
-// The causes.
+// The values of Cause.
 const (
-	ForCapacity Cause = iota // another connection needs its capacity
-	ForDrain                 // the operator drains the process
-	AtShutdown               // the process shuts down
+	ForCapacity Cause = iota // the connection's capacity is needed for another one
+	ForDrain                 // the process is being drained
+	AtShutdown               // the process is shutting down
 )
 
-// CloseConnection holds the facts when the dispatcher's side is to close a client's connection.
+// CloseConnection holds the facts for closing a client's connection from the dispatcher's side.
 type CloseConnection struct {
 	Cause                 Cause
-	RequestInProgress     bool          // a request on it is being answered
-	AwaitingBytes         bool          // all that was read has been parsed, and makes no complete request
-	PartialRequest        bool          // a part of a request has been read, or none has ever come
-	Idle                  time.Duration // since its last byte
-	PartialRequestTimeout time.Duration // how long the rest of a request is awaited
-	UnreadBytes           bool          // bytes have arrived that were not read
+	RequestInProgress     bool          // a request of the connection is being answered
+	AwaitingBytes         bool          // all bytes read have been parsed and do not form a complete request
+	PartialRequest        bool          // part of a request has been read, or no request has ever arrived
+	Idle                  time.Duration // time since the last byte
+	PartialRequestTimeout time.Duration // limit for the wait for the rest of a request
+	UnreadBytes           bool          // bytes that have arrived have not been read
 }
 
-// Check reports whether the connection may be closed.
+// Check returns Allowed if the connection may be closed, and otherwise the reason why not.
 func (c CloseConnection) Check() Reason {
 	switch {
 	case c.RequestInProgress:
@@ -181,19 +182,19 @@
 	case !c.AwaitingBytes:
 		return RequestArriving
 	case c.PartialRequest && (c.Cause == AtShutdown || c.Idle < c.PartialRequestTimeout):
-		return RequestArriving // at shutdown a time limit of its own ends the request, with an answer
+		return RequestArriving // at shutdown a separate time limit ends the request with an answer
 	case c.UnreadBytes && c.Cause != AtShutdown:
-		return UnreadBytes // at shutdown what was not read is not accepted: the client sends it again
+		return UnreadBytes // at shutdown unread requests are not accepted: the client sends them again
 	}
 	return Allowed
 }
 
-// FinalAnswer holds the facts when a request's final answer is to be given.
+// FinalAnswer holds the facts for giving a request's final answer.
 type FinalAnswer struct {
-	Answered bool // the request has one already
+	Answered bool // the request already has a final answer
 }
 
-// Check reports whether the answer may be given.
+// Check returns Allowed if the answer may be given, and otherwise the reason why not.
 func (a FinalAnswer) Check() Reason {
 	if a.Answered {
 		return AlreadyAnswered
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -7,10 +7,10 @@
 	"rampspread/routing"
 )
 
-// checker is any of the facts.
+// checker is implemented by each struct of facts.
 type checker interface{ Check() Reason }
 
-// checkCase is a set of facts and the reason that is expected.
+// checkCase holds a struct of facts and the Reason that its Check is expected to return.
 type checkCase struct {
 	name  string
 	facts checker
--- a/internal/precondition/violations.go
+++ b/internal/precondition/violations.go
@@ -7,24 +7,24 @@
 	"sync/atomic"
 )
 
-// ViolationCounter counts violations by reason. It is safe for concurrent use. A nil ViolationCounter counts nothing,
-// but Record still logs.
+// ViolationCounter counts violated invariants by reason. It is safe for concurrent use. With a nil ViolationCounter,
+// Record logs violations without counting them.
 type ViolationCounter struct {
 	counts [reasonCount]atomic.Int64
 }
 
-// Operation is the action of a violation.
+// Operation is the action that violated an invariant.
 type Operation string
 
-// The operations, as logs name them.
+// The values of Operation, which appear in logs.
 const (
-	OperationSend   Operation = "send"   // of an attempt
-	OperationClose  Operation = "close"  // of a client's connection
-	OperationAnswer Operation = "answer" // a request's final answer
+	OperationSend   Operation = "send"   // sending an attempt
+	OperationClose  Operation = "close"  // closing a client's connection
+	OperationAnswer Operation = "answer" // giving a final answer
 )
 
-// Record logs and counts that an operation would have broken an invariant, or has broken it: an earlier stage should
-// have prevented it. id names the request, or the connection's remote address.
+// Record logs and counts an operation that has violated an invariant, or would have if a check had not stopped it. id
+// is the ID of the request or the remote address of the connection.
 func (c *ViolationCounter) Record(operation Operation, reason Reason, id string) {
 	slog.Error("violation", "operation", string(operation), "reason", reason.String(), "id", id)
 	if c != nil && reason < reasonCount {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Total is the number of violations.
+// Total returns the number of violations.
 func (c *ViolationCounter) Total() (total int64) {
 	if c == nil {
 		return 0
@@ -43,7 +43,7 @@
 	return total
 }
 
-// String is the counters that are not 0, in the form of the program's line of counters, each after a space.
+// String returns the counters that are not 0 in the format of the program's counters line, each preceded by a space.
 func (c *ViolationCounter) String() string {
 	if c == nil {
 		return ""
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -7,16 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// roundingSlack is what sums of floating-point tokens may be off by.
+// roundingSlack is the tolerance for rounding errors in sums of floating-point token counts.
 const roundingSlack = 1e-9
 
-// A bucket lets through no more than its rate and its initial tokens, however the rate changes.
+// The number of tokens spent never exceeds the initial tokens plus the tokens accrued at the rate, even if the rate
+// changes at each step.
 func TestBucketLetsThroughNoMoreThanItsRateAndInitialTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bucket, now, accrued, spent := Bucket{}, time.Hour, 0.0, 0.0
 		capacity := rapid.Float64Range(1, 5).Draw(t, "capacity")
 		for i := range 50 {
-			elapsed := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "past"))
+			elapsed := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "elapsed"))
 			rate := rapid.Float64Range(0, 20).Draw(t, "rate")
 			if now += elapsed; i > 0 {
 				accrued += rate * elapsed.Seconds()
@@ -27,7 +28,7 @@
 			}
 		}
 		if spent > accrued+capacity+roundingSlack {
-			t.Fatalf("%v tokens spent, of %.2f accrued and %.2f at first", spent, accrued, capacity)
+			t.Fatalf("%v tokens spent, but only %.2f accrued and %.2f initial tokens", spent, accrued, capacity)
 		}
 	})
 }
