--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -10,17 +10,17 @@
 	"rampspread/routing"
 )
 
-// host holds the instances of one process; they share nothing but the numbered directories.
+// host holds the instances of one process. They share only the directories.
 type host struct {
 	instances   map[uint16]*instance
-	directories map[uint16][]routing.Endpoint // the directories by their numbers
+	directories map[uint16][]routing.Endpoint // endpoint lists by directory number (Bank)
 
-	// Buffers that are used again for each batch.
+	// Buffers that are reused for each batch.
 	frame   []byte
 	actions []routing.Action
 }
 
-// instance is one router with the settings that its events are translated by.
+// instance is one router together with its settings, which the translation of its events needs.
 type instance struct {
 	router   *routing.Router
 	settings *config.Settings
@@ -30,8 +30,8 @@
 	return &host{instances: map[uint16]*instance{}, directories: map[uint16][]routing.Endpoint{}}
 }
 
-// answerNext reads one batch and returns the encoded reply, which is valid until the next call. It returns io.EOF at the
-// end of the input.
+// answerNext reads one batch and returns the encoded reply, which is valid until the next call. It returns io.EOF at
+// the end of the input.
 func (h *host) answerNext(r io.Reader) ([]byte, error) {
 	batch, err := simcodec.ReadBatch(r)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return h.frame, err
 }
 
-// handleEvent applies an event of the process, or passes an event to the router of its instance; it appends the actions to out.
+// handleEvent appends the actions that follow from an event to out. It handles Directory, Init and Detach itself and
+// passes any other event to the router of its instance.
 func (h *host) handleEvent(now time.Duration, event any, out []any) ([]any, error) {
 	switch e := event.(type) {
 	case simcodec.Directory:
@@ -81,7 +82,7 @@
 
 func neverStartedError(id uint16) error { return fmt.Errorf("router %d was never started", id) }
 
-// startInstance makes a new instance, in place of an earlier one with its number.
+// startInstance adds a new instance. It replaces an earlier instance with the same number.
 func (h *host) startInstance(e simcodec.Init) error {
 	settings, err := config.ParseSettings(e.Conf)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// instanceID is the number of the instance that an event is for.
+// instanceID returns the number of the instance that an event belongs to.
 func instanceID(event any) uint16 {
 	switch e := event.(type) {
 	case simcodec.Fleet:
--- a/cmd/simhost/host_test.go
+++ b/cmd/simhost/host_test.go
@@ -13,7 +13,7 @@
 	"rampspread/routing"
 )
 
-// settingsJSON is the settings of each instance.
+// settingsJSON holds the settings of each instance.
 const settingsJSON = `{"az": 0, "balancers": 2,
 	"classes": [{"effect": "retryable", "group": "all", "importance": 1, "promiseMs": 1000}],
 	"familyInfo": {"dutyByKind": ["read", "write"], "releaseWithinMs": 500,
@@ -21,7 +21,7 @@
 	"limits": {"mostTries": 5, "cancelling": true, "retryAfter": true, "maxRetryAfterMs": 1000},
 	"rules": {"coldFrom": 0.3, "coldMs": 9000, "fallMultiple": 2.5, "tipAfterMs": 3000}}`
 
-// directoryEvents is the event of a list of replicas, prefill and decode in turn.
+// directoryEvents returns the event that defines a directory. Its replicas are alternately prefill and decode replicas.
 func directoryEvents(bank uint16, ids ...uint32) []any {
 	var entries []simcodec.Entry
 	for i, id := range ids {
@@ -30,7 +30,7 @@
 	return []any{simcodec.Directory{Bank: bank, Records: entries}}
 }
 
-// runBatches feeds a host batches, 2 ms apart, and returns the actions of each.
+// runBatches passes batches to a new host, 2 ms apart, and returns the actions of each batch.
 func runBatches(t *testing.T, batches ...[]any) [][]any {
 	t.Helper()
 	var in, out bytes.Buffer
@@ -55,7 +55,7 @@
 	return actions
 }
 
-// startEvents is the events that startEvents an instance with the directory 1.
+// startEvents returns the events that start an instance with directory 1.
 func startEvents(id uint16) []any {
 	return []any{simcodec.Init{Router: id, Seed: 7, Conf: []byte(settingsJSON)}, simcodec.Fleet{Router: id, Form: formCached, Bank: 1}}
 }
@@ -77,7 +77,7 @@
 			switch a := a.(type) {
 			case simcodec.Send:
 				sentTo = append(sentTo, a.Worker)
-			case simcodec.Schedule: // after the prefill: whether its state has been fetched
+			case simcodec.Schedule: // the timer after which the router checks that the prefill state has been fetched
 				if len(sentTo) != 2 {
 					t.Errorf("a timer after %d sends", len(sentTo))
 				}
@@ -91,7 +91,8 @@
 	}
 }
 
-// A bank that is reused within one batch means the last directory before each use.
+// If a directory number is defined twice within one batch, each use of the number refers to the latest definition
+// before it.
 func TestReusedBankMeansLastDirectory(t *testing.T) {
 	events := append(directoryEvents(1, 50, 60), startEvents(3)...)
 	events = append(events, directoryEvents(1, 70, 80)...)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Instances act the same whether or not they share a process.
+// An instance returns the same actions whether it runs alone or shares a process with another instance.
 func TestInstancesInOneProcessAreIndependent(t *testing.T) {
 	makeBatches := func(ids ...uint16) [][]any {
 		batches := [][]any{directoryEvents(1, 50, 60, 51, 61, 52, 62)}
@@ -129,7 +130,8 @@
 		}
 		return sends
 	}
-	both, onlyFirst, onlySecond := runBatches(t, makeBatches(1, 2)...), runBatches(t, makeBatches(1)...), runBatches(t, makeBatches(2)...)
+	both, onlyFirst, onlySecond := runBatches(t, makeBatches(1, 2)...),
+		runBatches(t, makeBatches(1)...), runBatches(t, makeBatches(2)...)
 	if len(sendsOf(1, onlyFirst)) == 0 || !reflect.DeepEqual(sendsOf(1, both), sendsOf(1, onlyFirst)) ||
 		!reflect.DeepEqual(sendsOf(2, both), sendsOf(2, onlySecond)) {
 		t.Error("sharing a process changed the actions")
@@ -176,7 +178,8 @@
 	}
 }
 
-// A report may be shorter or longer than the list of its fields, or have no values; unknown fields are ignored.
+// A load report may have fewer or more values than the settings have fields, or none. Values of unknown fields are
+// ignored.
 func TestLoadReportByFields(t *testing.T) {
 	loadReport := func(fields []string, values []float32) *routing.LoadReport {
 		var settings config.Settings
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost is the adapter between the simulator and package routing: it runs many independent routers in one
-// process, reads batches of events from standard input and writes one reply of actions for each to standard output. It
-// translates and makes no decisions. It runs on one goroutine.
+// Command simhost is the adapter between the simulator and package routing. It runs many independent routers in one
+// process, reads batches of events from standard input and writes one reply of actions per batch to standard output. It
+// translates events and actions and makes no decisions. It uses a single goroutine.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// serve answers batches until the end of the input.
+// serve reads batches from in and writes their replies to out until the end of the input.
 func serve(in io.Reader, out io.Writer) error {
 	reader, h := bufio.NewReaderSize(in, inputBufferBytes), newHost()
 	for {
--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -8,21 +8,21 @@
 	"rampspread/routing"
 )
 
-// Forms of a Fleet event.
+// The values of Form in a Fleet event.
 const (
-	formDelta  = 0 // changed entries only
-	formFull   = 1
-	formCached = 2 // the full list as the instance knew it last, possibly outdated
-	formFailed = 3 // discovery failed; there is no list
+	formDelta  = 0 // the directory contains only changed entries
+	formFull   = 1 // the directory is the full list
+	formCached = 2 // the directory is the full list that the instance had last; it may be outdated
+	formFailed = 3 // discovery failed; there is no directory
 )
 
-// Conditions of a directory's entries. Any other one is taken as gone.
+// The values of Condition in a directory's entries. Any other value is treated as gone.
 const (
 	conditionReady    = 1
 	conditionDraining = 2
 )
 
-// Outcomes of an attempt, the RC of a Response.
+// Outcomes of an attempt: the values of RC in a Response.
 const (
 	outcomeServed          = 0
 	outcomeErrored         = 1
@@ -35,10 +35,11 @@
 	outcomePrefillDone     = 202
 )
 
-// detailStateMissing is the detail of outcomeFull that says that there was no prefill state to fetch.
+// detailStateMissing is the value of Detail that, with outcomeQueueFull, means that there was no prefill state to
+// fetch.
 const detailStateMissing = 1
 
-// maxTokens bounds counts of tokens, so that they fit an int.
+// maxTokens is the maximum of token counts, so that they fit in an int.
 const maxTokens = 1e9
 
 var endpointStates = map[uint8]routing.EndpointState{
@@ -46,7 +47,7 @@
 	conditionDraining: routing.Draining,
 }
 
-// translateEvent translates an event of one instance; the result is nil for an event that the router does not use.
+// translateEvent translates an event of one instance. It returns nil for an event that the router does not use.
 func (h *host) translateEvent(target *instance, event any) (routing.Event, error) {
 	switch e := event.(type) {
 	case simcodec.Fleet:
@@ -68,6 +69,7 @@
 	return nil, nil
 }
 
+// translateFleet returns nil if discovery failed, since the endpoint list does not change then.
 func (h *host) translateFleet(e simcodec.Fleet) (routing.Event, error) {
 	if e.Form == formFailed {
 		return nil, nil
@@ -103,6 +105,7 @@
 	}, nil
 }
 
+// translateEntries translates the entries of a Directory.
 func translateEntries(entries []simcodec.Entry) []routing.Endpoint {
 	translated := make([]routing.Endpoint, len(entries))
 	for i, entry := range entries {
@@ -115,7 +118,7 @@
 	return translated
 }
 
-// translateOutcome translates an attempt's outcome and its detail.
+// translateOutcome translates the RC and Detail of a Response.
 func translateOutcome(code uint8, detail uint32) (routing.Outcome, error) {
 	switch code {
 	case outcomeServed:
@@ -143,8 +146,8 @@
 	return 0, fmt.Errorf("unknown outcome %d", code)
 }
 
-// translateAction translates an action of one instance. An action that the protocol has no record for declares the
-// instance failed.
+// translateAction translates an action of one instance. For an action that has no record in the protocol it returns a
+// Die, which reports that the instance has failed.
 func translateAction(id uint16, action routing.Action) any {
 	switch a := action.(type) {
 	case routing.Send:
@@ -163,7 +166,7 @@
 	return simcodec.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", action)}
 }
 
-// tokenCount is a number of tokens from the wire; 0 for one that is not positive.
+// tokenCount converts a token count from the wire. It returns 0 if the count is not positive or NaN.
 func tokenCount(tokens float32) int {
 	if !(tokens > 0) {
 		return 0
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -20,7 +20,7 @@
 
 // Attempt is one call in flight at an endpoint.
 type Attempt interface {
-	// Abort ends the attempt by closing its connection. The end is reported when the connection is closed.
+	// Abort cancels the call and does not wait. The attempt's end is reported when its connection is closed.
 	Abort()
 	// Withdraw ends the attempt if no byte of it has been written; the attempt then ends as one that could not connect.
 	// If writing has begun, Withdraw only prevents the attempt from being written again on another connection. It does
@@ -89,8 +89,8 @@
 	// ClientGone reports whether the client has closed its connection. It checks the connection itself, since the
 	// client's context may be cancelled a moment later. It does not wait. If it is nil, only the context is checked.
 	ClientGone func() bool
-	// RunToCompletion lets an attempt that is in flight when the client disconnects continue to its end. No further
-	// attempt is started then.
+	// RunToCompletion lets an attempt that has been sent continue to its end after the client has disconnected. No
+	// further attempt is started then.
 	RunToCompletion bool
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -21,7 +21,7 @@
 	if a := <-answer; a.Kind != dispatch.Served || a.Stream == nil {
 		t.Fatalf("answer %+v", a)
 	}
-	// A request whose stream breaks has its answer: nothing more is sent, not even a release.
+	// The stream is the request's final answer: when it breaks, neither another attempt nor a release is sent.
 	decode.end(routing.ConnectionReset)
 	counters := dispatcher.Counters(t.Context())
 	if counters.Open != 0 || counters.BrokenStreams != 1 || counters.Served != 1 || len(upstream.sends)+len(upstream.releases) > 0 {
@@ -29,7 +29,8 @@
 	}
 }
 
-// A non-idempotent request that may have run is not sent again, and its answer promises nothing.
+// A non-idempotent request that may have been executed must not be sent again: it could be executed twice. Its
+// answer is Failed, which does not say that a retry is harmless.
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for name, outcome := range map[string]routing.Outcome{
 		"connection reset": routing.ConnectionReset,
@@ -49,7 +50,8 @@
 	}
 }
 
-// A non-idempotent request that surely never reached its decode replica goes to another.
+// A non-idempotent request is sent to another decode replica if the connection to the first one failed, since it cannot
+// have been executed then.
 func TestNonIdempotentRequestThatNeverRanIsRetried(t *testing.T) {
 	upstream, dispatcher := startDispatcher(t)
 	answer := dispatchAsync(t.Context(), dispatcher, nonIdempotentClass, time.Minute)
@@ -63,8 +65,8 @@
 	<-answer
 }
 
-// At the deadline a silent attempt is aborted. The answer comes when its connection is closed, and even if that is
-// never reported. Whatever comes afterwards changes nothing.
+// An attempt without a response is aborted at the deadline. The request is answered when the attempt's end is reported,
+// and also if it is never reported. Streams and ends that are reported after the answer have no effect.
 func TestSilentAttemptIsAbortedAtDeadline(t *testing.T) {
 	for name, endReported := range map[string]bool{"end reported": true, "end not reported": false} {
 		t.Run(name, func(t *testing.T) {
@@ -86,30 +88,30 @@
 			if counters.Open != 0 || counters.DeadlineForced+counters.Rejected+counters.Failed != 1 || len(upstream.sends) > 0 {
 				t.Errorf("counters %+v, %d more sends", counters, len(upstream.sends))
 			}
-			// What the prefill may have reserved is released, and again once it must have shown.
+			// The possible reservation of the prefill is released twice, since the end of the prefill was not observed.
 			<-upstream.releases
 			<-upstream.releases
 		})
 	}
 }
 
-// An attempt that timed out counts as in flight until its connection is closed, so the next one waits for that, also
-// where a stream comes for it in that moment.
+// An attempt that timed out counts as in flight until its connection is closed, and no further attempt is sent before
+// that. Otherwise two attempts could execute the request. A stream that arrives after the timeout is not accepted.
 func TestNoSecondAttemptBeforeConnectionIsClosed(t *testing.T) {
 	upstream, dispatcher := startDispatcher(t)
 	dispatchAsync(t.Context(), dispatcher, nonIdempotentClass, 30*time.Second)
 	attempt := <-upstream.sends
-	<-upstream.aborts // the Router's timeout for a prefill
+	<-upstream.aborts // the Router's timeout for a prefill has passed
 	if attempt.observer.FirstToken(fakeStream{}) {
 		t.Error("a stream was accepted after the timeout")
 	}
 	dispatcher.Counters(t.Context())
 	if len(upstream.sends) > 0 {
-		t.Fatal("a copy was sent while the first attempt was in flight")
+		t.Fatal("a second attempt was sent while the first one was in flight")
 	}
 	attempt.end(routing.ConnectionReset)
 	if next := <-upstream.sends; next.endpoint == attempt.endpoint {
-		t.Errorf("the prefill went to %s again", next.endpoint)
+		t.Errorf("the second prefill was sent to %s again", next.endpoint)
 	}
 }
 
@@ -123,15 +125,15 @@
 		t.Fatalf("answer %+v", a)
 	}
 	<-upstream.aborts
-	attempt.end(routing.PrefillDone) // the prefill won the race against the close
+	attempt.end(routing.PrefillDone) // the prefill succeeded before its connection was closed
 	<-upstream.releases
 	if counters := dispatcher.Counters(t.Context()); counters.Open != 0 || counters.ClientGone != 1 || len(upstream.sends) > 0 {
 		t.Errorf("counters %+v, %d more sends", counters, len(upstream.sends))
 	}
 }
 
-// Where attempts may not be cancelled, one that still waits for its connection does not begin once its client has
-// disconnected: a prefill, a decode, and the second attempt of either.
+// If the configuration forbids cancelling attempts, an attempt that still waits for a connection is withdrawn when its
+// client disconnects, so that it does not run without a client. This holds for prefills, decodes and retries of both.
 func TestWaitingAttemptIsWithdrawnWhenClientDisconnects(t *testing.T) {
 	outcomes := func(all ...routing.Outcome) []routing.Outcome { return all }
 	for name, earlierOutcomes := range map[string][]routing.Outcome{
@@ -167,8 +169,8 @@
 	}
 }
 
-// A process that is about to be killed answers what is open, ends what is in flight, releases what is reserved, and
-// accepts nothing more.
+// AbandonPending is called when the process is about to be killed. It must answer open requests, abort attempts in
+// flight, release reservations and reject new requests, since no process could do so afterwards.
 func TestAbandonPendingAnswersOpenRequestsAndRejectsNewOnes(t *testing.T) {
 	upstream, dispatcher := startDispatcher(t)
 	answer := dispatchAsync(t.Context(), dispatcher, nonIdempotentClass, 30*time.Second)
@@ -192,7 +194,8 @@
 	}
 }
 
-// A first token races the client's disconnect: one of them wins, and a stream that lost is refused.
+// If the first token and the client's disconnect happen at the same time, exactly one of them determines the answer:
+// the stream is accepted if and only if the answer is Served.
 func TestFirstTokenRacesDisconnect(t *testing.T) {
 	const rounds = 50
 	upstream, dispatcher := startDispatcher(t)
@@ -218,13 +221,13 @@
 	}
 }
 
-// Load reports of other dispatchers reach the Router by name, unknown endpoints are ignored, and nobody waits for a
-// free slot of the mailbox.
+// ApplyPeerLoads finds endpoints by name, ignores unknown ones, and returns false instead of waiting when the mailbox
+// is full.
 func TestPeerLoadsNeverWait(t *testing.T) {
 	_, dispatcher := startDispatcher(t)
 	reports := []dispatch.PeerLoad{{Name: "r1", Load: &routing.LoadReport{QueuedRequests: 1}}, {Name: "unknown"}}
 	if !dispatcher.ApplyPeerLoads(reports) {
-		t.Fatal("an empty mailbox was full")
+		t.Fatal("the mailbox was reported full although it was empty")
 	}
 	if n := dispatcher.Counters(t.Context()); n.PeerLoadReports != 1 {
 		t.Errorf("counters %+v", n)
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -24,8 +24,7 @@
 	entries    []Endpoint
 }
 
-// UpdateEndpoints replaces the endpoint list by entries if full is true, and otherwise applies entries as changes to
-// it.
+// UpdateEndpoints replaces the endpoint list if full is true, and otherwise applies entries as changes to the list.
 func (d *Dispatcher) UpdateEndpoints(full bool, entries []Endpoint) {
 	d.post(func() { d.applyEndpointUpdate(endpointUpdate{isFullList: full, entries: entries}) })
 }
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -12,8 +12,8 @@
 	"rampspread/routing"
 )
 
-// A list that is reported again, as after discovery has moved, changes nothing: what was learned of an endpoint stays,
-// and so does how much of its slow start's budget is used up.
+// Discovery may report the same endpoint list again, for example after it has moved to another server. This must not
+// reset an endpoint's statistics or the used part of its slow start's budget.
 func TestRepeatedListChangesNothing(t *testing.T) {
 	_, dispatcher := startDispatcher(t)
 	list := []dispatch.Endpoint{
@@ -25,17 +25,18 @@
 		dispatcher.UpdateEndpoints(true, list)
 		snapshot, ok := dispatcher.Snapshot(t.Context(), 0)
 		if !ok || len(snapshot.Endpoints) != len(list) {
-			t.Fatalf("%d endpoints, %t", len(snapshot.Endpoints), ok)
+			t.Fatalf("Snapshot: %d endpoints, ok %t", len(snapshot.Endpoints), ok)
 		}
 		if n == 0 {
 			first = snapshot.Endpoints
 		} else if !reflect.DeepEqual(first, snapshot.Endpoints) {
-			t.Fatalf("repeated:\n%+v\nat first:\n%+v", snapshot.Endpoints, first)
+			t.Fatalf("after the repeated list:\n%+v\nafter the first list:\n%+v", snapshot.Endpoints, first)
 		}
 	}
 }
 
-// Nothing remains of endpoints that are gone, nor of answered requests, however far their deadlines are.
+// Records of endpoints that are gone and answered requests must not stay in memory, even if a request's deadline is far
+// ahead. The deadline's timer would keep the request and its body in memory if it were not stopped.
 func TestGoneEndpointsAndAnsweredRequestsAreForgotten(t *testing.T) {
 	upstream, dispatcher := startDispatcher(t)
 	for n := range 100 {
@@ -68,8 +69,8 @@
 	})
 }
 
-// An attempt that waits for its connection while its endpoint begins to drain, or is missing from a whole list, is
-// withdrawn, and the request goes elsewhere; other attempts are not touched.
+// An attempt that waits for a connection is withdrawn when its endpoint begins to drain, is gone or is missing from a
+// full list, and the request is sent to another endpoint. Updates of other endpoints do not withdraw the attempt.
 func TestWaitingAttemptIsWithdrawnFromLeavingEndpoint(t *testing.T) {
 	for name, update := range map[string]func(d *dispatch.Dispatcher, leaving string){
 		"draining": func(d *dispatch.Dispatcher, leaving string) {
@@ -93,7 +94,8 @@
 			dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{unrelated})
 			update(dispatcher, attempt.endpoint)
 			if withdrawnFrom := <-upstream.withdrawals; withdrawnFrom != attempt.endpoint || len(upstream.withdrawals) > 0 {
-				t.Errorf("withdrawn from %s, and %d more; sent to %s", withdrawnFrom, len(upstream.withdrawals), attempt.endpoint)
+				t.Errorf("withdrawn from %s and %d more withdrawals; the attempt was sent to %s",
+					withdrawnFrom, len(upstream.withdrawals), attempt.endpoint)
 			}
 			attempt.end(routing.ConnectFailed)
 			next := <-upstream.sends
--- a/internal/dispatch/estimates_test.go
+++ b/internal/dispatch/estimates_test.go
@@ -14,7 +14,7 @@
 	"rampspread/routing"
 )
 
-// lockedBuffer is a buffer for a log that other goroutines write.
+// lockedBuffer is a log buffer that several goroutines may use at once.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -40,8 +40,8 @@
 	return true
 }
 
-// TestPrefillEstimatesAreLogged: with ObservePrefills each end of a prefill attempt is logged with the request's id,
-// the replica's name, what came of it and what was expected.
+// With ObservePrefills the end of each prefill attempt is logged with the request's ID, the replica's name, the
+// observed result and the estimate.
 func TestPrefillEstimatesAreLogged(t *testing.T) {
 	var log lockedBuffer
 	defer slog.SetDefault(slog.Default())
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -22,8 +22,9 @@
 	nonIdempotentClass = 1
 )
 
-// fakeUpstream is an Upstream whose attempts end only as the test decides. Its channels record the dispatcher's calls:
-// the attempts that it sends, the endpoints' names for aborts and withdrawals, the requests' IDs for releases.
+// fakeUpstream is an Upstream whose attempts end only when the test ends them. Its channels record the dispatcher's
+// calls: the attempts sent, the names of the endpoints of aborted and withdrawn attempts, and the IDs of the requests
+// whose reservations are released.
 type fakeUpstream struct {
 	sends       chan sentAttempt
 	aborts      chan string
@@ -31,13 +32,14 @@
 	withdrawals chan string
 }
 
+// sentAttempt is an attempt that the dispatcher has sent.
 type sentAttempt struct {
 	endpoint string
 	observer dispatch.AttemptObserver
 }
 
 func newFakeUpstream() *fakeUpstream {
-	const capacity = 64 // more calls than any test provokes
+	const capacity = 64 // more calls than any test causes
 	return &fakeUpstream{
 		sends:       make(chan sentAttempt, capacity),
 		aborts:      make(chan string, capacity),
@@ -57,7 +59,7 @@
 	u.releases <- call.ID
 }
 
-// PollLoad implements dispatch.Upstream: no endpoint answers.
+// PollLoad implements dispatch.Upstream. No endpoint reports its load.
 func (u *fakeUpstream) PollLoad(_ dispatch.EndpointAddress, _ time.Duration, onReport func(*routing.LoadReport)) {
 	go onReport(nil)
 }
@@ -73,10 +75,10 @@
 // Withdraw implements dispatch.Attempt.
 func (a fakeAttempt) Withdraw() { a.upstream.withdrawals <- a.endpoint }
 
-// fakeStream is a stream that nobody reads.
+// fakeStream is a stream that must not be read.
 type fakeStream struct{ io.ReadCloser }
 
-// readyEndpoint is a list entry that takes requests.
+// readyEndpoint returns an entry of the endpoint list in state Ready.
 func readyEndpoint(name string, kind int) dispatch.Endpoint {
 	return dispatch.Endpoint{Name: name, Kind: kind, State: routing.Ready, Weight: 1}
 }
@@ -87,7 +89,7 @@
 	return startDispatcherWith(t, hostos.Real(), func(*routing.Config) {})
 }
 
-// startDispatcherWith is startDispatcher on a machine, with changes to the configuration.
+// startDispatcherWith does the same as startDispatcher with the given system and a changed configuration.
 func startDispatcherWith(
 	t *testing.T, machine hostos.System, change func(*routing.Config),
 ) (*fakeUpstream, *dispatch.Dispatcher) {
@@ -119,7 +121,7 @@
 	return config
 }
 
-// dispatchAsync dispatches a request whose deadline is after the timeout, and returns where its answer comes.
+// dispatchAsync dispatches a request whose deadline is the timeout from now, and returns a channel with its answer.
 func dispatchAsync(
 	client context.Context, dispatcher *dispatch.Dispatcher, class int, timeout time.Duration,
 ) <-chan dispatch.Answer {
@@ -131,7 +133,7 @@
 	return answer
 }
 
-// finishPrefill lets the next attempt, a prefill, succeed.
+// finishPrefill receives the next attempt that is sent, which must be a prefill, and ends it with PrefillDone.
 func (u *fakeUpstream) finishPrefill() {
 	(<-u.sends).observer.Ended(dispatch.AttemptResult{Outcome: routing.PrefillDone})
 }
--- a/internal/dispatch/releases_test.go
+++ b/internal/dispatch/releases_test.go
@@ -10,12 +10,12 @@
 	"rampspread/internal/testutil"
 )
 
-// maxReservationTime is how long a reservation may last while no attempt has reached a running replica: 300 ms by the
-// settings and 300 ms more, which the protocol's page adds for real sockets.
+// maxReservationTime is the longest time that a reservation may last if no attempt reaches a running replica. It is the
+// sum of 300 ms from the settings and 300 ms that the protocol specification adds for real sockets.
 const maxReservationTime = 600 * time.Millisecond
 
-// listenSilently listens on an address whose connections nobody accepts or reads: what is written to them is taken by
-// this machine's kernel, and never reaches a running replica.
+// listenSilently listens on an address without accepting or reading connections. The kernel buffers all data written to
+// them, so the data never reaches a running replica.
 func listenSilently(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 	return listener.Addr().String()
 }
 
-// silentEndpoint is a list entry of a replica that never runs what is sent to it.
+// silentEndpoint returns the list entry of a replica that never reads what is sent to it.
 func silentEndpoint(t *testing.T, name string, kind int) dispatch.Endpoint {
 	t.Helper()
 	endpoint := readyEndpoint(name, kind)
@@ -38,8 +38,8 @@
 	return dispatch.UpstreamCall{ID: id, Method: "POST", Target: "/v1/chat/completions", Body: []byte("{}")}
 }
 
-// A prefill's reservation is released in time though a decode for it is in flight, if that decode never reaches a
-// running replica.
+// A prefill's reservation is released in time even if a decode for it is in flight, as long as the decode has not
+// reached a running replica. Otherwise the reservation would last as long as the decode waits.
 func TestReservationIsReleasedWhenDecodeNeverArrives(t *testing.T) {
 	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass} {
 		t.Run(name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// What a prefill may reserve that was given up while its replica was silent is released again and again: the close does
-// not reach the replica either, and the prefill may succeed long after it.
+// A silent replica does not receive the close of a prefill's connection, so the prefill may succeed and make a
+// reservation long afterwards. The release is therefore repeated after the answer.
 func TestLostPrefillIsReleasedAgain(t *testing.T) {
 	t.Parallel()
 	deployment := testutil.NewDeployment(t, testutil.ServePrefill, testutil.NeverRespond)
@@ -73,7 +73,7 @@
 		Call: chatCall("lost"), PromptTokens: 100, Deadline: time.Now().Add(200 * time.Millisecond),
 	})
 	answeredAt := time.Now()
-	const lateAfter = time.Second // after the answer
+	const lateAfter = time.Second // time after the answer from which a release counts as late
 	releasesBefore := 0
 	testutil.Eventually(t, "a release long after the answer", func() bool {
 		n := deployment.Decode.Releases("lost")
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -234,7 +234,7 @@
 		return
 	}
 	delete(d.requests, req.id)
-	req.deadlineTimer.Stop() // the timer would keep the request and its body in memory until the deadline, maybe for an hour
+	req.deadlineTimer.Stop() // it would keep the request and its body in memory until the deadline, maybe for an hour
 }
 
 // withdrawPendingAttempts withdraws the attempts of a request that still wait for a connection.
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -9,16 +9,16 @@
 	"rampspread/routing"
 )
 
-// A wall clock that is stepped neither ends an endpoint's slow start nor begins one anew, whether the endpoint was
-// reported before the step or after it.
+// A step of the wall clock changes neither the age of an endpoint that was reported before the step nor the age of one
+// that is first reported after it. A wrong age would end an endpoint's slow start too early or start it again.
 func TestEndpointAgeSurvivesClockStep(t *testing.T) {
 	const hour, shortAge, tolerance = time.Hour, 2 * time.Second, 500 * time.Millisecond
 	for _, c := range []struct {
 		name             string
-		step             time.Duration // of the wall clock
-		reportedBefore   bool          // the endpoint is reported before the step, and again after it
-		age              time.Duration // of the endpoint, before the step
-		startedAfterStep bool          // the endpoint starts after the step, by the stepped clock
+		step             time.Duration // step of the wall clock
+		reportedBefore   bool          // whether the endpoint is reported before the step and again after it
+		age              time.Duration // age of the endpoint before the step
+		startedAfterStep bool          // whether the endpoint starts after the step, by the stepped clock
 		want             time.Duration
 	}{
 		{name: "reported before a step forward", step: hour, reportedBefore: true, age: shortAge, want: shortAge},
@@ -41,7 +41,7 @@
 				dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{endpoint})
 				snapshot, ok := dispatcher.Snapshot(t.Context(), 0)
 				if !ok || len(snapshot.Endpoints) != 1 {
-					t.Fatalf("%d endpoints, %t", len(snapshot.Endpoints), ok)
+					t.Fatalf("Snapshot: %d endpoints, ok %t", len(snapshot.Endpoints), ok)
 				}
 				return snapshot.TakenAt - snapshot.Endpoints[0].Started
 			}
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -153,7 +153,7 @@
 	return Allowed
 }
 
-// Cause is the reason for closing a client's connection from the dispatcher's side.
+// Cause is the purpose for which the dispatcher's side closes a client's connection.
 type Cause uint8
 
 // The values of Cause.
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -30,7 +30,7 @@
 
 func TestAcceptIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
-		{"no fact against it", Accept{}, Allowed},
+		{"no condition forbids it", Accept{}, Allowed},
 		{"evicted comes before client gone", Accept{Evicted: true, ClientGone: true}, Evicted},
 		{"client gone", Accept{ClientGone: true}, ClientDisconnected},
 		{"shutting down", Accept{ShuttingDown: true}, ShuttingDown},
@@ -52,7 +52,7 @@
 		})
 	}
 	runChecks(t, []checkCase{
-		{"no fact against it", allowed, Allowed},
+		{"no condition forbids it", allowed, Allowed},
 		{"answered", with(func(a *Attempt) { a.Answered = true }), AlreadyAnswered},
 		{"client gone", with(func(a *Attempt) { a.ClientGone = true }), ClientDisconnected},
 		{"endpoint leaving", with(func(a *Attempt) { a.EndpointLeaving = true }), EndpointLeaving},
@@ -77,7 +77,7 @@
 
 func TestFirstByteIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
-		{"no fact against it", FirstByte{RemainingTime: 1}, Allowed},
+		{"no condition forbids it", FirstByte{RemainingTime: 1}, Allowed},
 		{"withdrawn", FirstByte{Withdrawn: true, RemainingTime: 1}, Withdrawn},
 		{"client gone", FirstByte{ClientGone: true, RemainingTime: 1}, ClientDisconnected},
 		{"no time remaining", FirstByte{}, DeadlineExceeded},
--- a/internal/simcodec/frame.go
+++ b/internal/simcodec/frame.go
@@ -1,9 +1,10 @@
-// Package simcodec encodes and decodes the frames of the simulator's binary protocol: batches of events to the adapter,
-// replies of actions from it. Numbers are big-endian and fields are not padded; a record is a code, the length of its
-// fields, and the fields in the order of a struct's, which are read and written by reflection. The names of events,
-// actions and their fields are the protocol's own.
+// Package simcodec encodes and decodes the frames of the simulator's binary protocol. The simulator sends batches of
+// events to the adapter (command simhost), which answers each batch with a reply of actions. Numbers are big-endian and
+// fields are not padded. An event or action is a record: a code, the length of its fields, and the fields in the order
+// of the struct, which are read and written by reflection. The simulator's protocol defines the names of events,
+// actions and their fields.
 //
-// The package makes no decisions and owns no state; its functions may be called from any goroutine.
+// The package makes no decisions and has no state; its functions may be called from any goroutine.
 package simcodec
 
 import (
@@ -16,32 +17,32 @@
 )
 
 const (
-	// maxFrameBytes bounds the body of a frame; a longer one is taken for corrupt input.
+	// maxFrameBytes is the maximum length of a frame's body. A longer body is treated as corrupt input.
 	maxFrameBytes = 256 << 20
-	// maxClockMs bounds the absolute value of a batch's clock.
+	// maxClockMs is the maximum absolute value of a batch's clock, in milliseconds.
 	maxClockMs = 1e12
 )
 
-// A batch's header is the number of its records and the length of what follows; then come the clock and the number of
-// the batch. A reply's header is the length of what follows; then come the number of its records and of the batch.
+// A batch consists of a header (number of records, length of the body) and a body (clock, batch number, records). A
+// reply consists of a header (length of the body) and a body (number of records, batch number, records).
 const (
 	uint32Bytes      = 4
 	batchHeaderBytes = 2 * uint32Bytes
 	batchClockBytes  = 8
-	batchPrefixBytes = batchClockBytes + uint32Bytes // of the body
+	batchPrefixBytes = batchClockBytes + uint32Bytes // part of the body before the records
 	replyHeaderBytes = uint32Bytes
-	replyPrefixBytes = 2 * uint32Bytes // of the body
+	replyPrefixBytes = 2 * uint32Bytes // part of the body before the records
 )
 
-// Batch is one frame of events. Its events are the event types of this package, by value.
+// Batch is one frame of events. Each element of Events has one of the event types of this package, not a pointer type.
 type Batch struct {
 	Now    float64 // the simulator's clock in milliseconds
 	Number uint32
 	Events []any
 }
 
-// Reply is one frame of actions, the answer to the batch of the same number. Its actions are the action types of this
-// package, by value.
+// Reply is one frame of actions, the answer to the batch with the same number. Each element of Actions has one of the
+// action types of this package, not a pointer type.
 type Reply struct {
 	Number  uint32
 	Actions []any
@@ -102,8 +103,8 @@
 	return reply, nil
 }
 
-// readBody reads the body of a frame. Its buffer grows only as the bytes arrive, so that a corrupt length allocates
-// nothing.
+// readBody reads the body of a frame. Its buffer grows as the bytes arrive, so that a corrupt length does not cause a
+// large allocation.
 func readBody(r io.Reader, length uint32) ([]byte, error) {
 	if length > maxFrameBytes {
 		return nil, fmt.Errorf("frame of %d bytes is over the limit of %d", length, maxFrameBytes)
@@ -115,7 +116,7 @@
 	return body.Bytes(), nil
 }
 
-// AppendReply appends an encoded reply to a buffer. It fails if an action has no code.
+// AppendReply appends an encoded reply to a buffer. It fails if the type of an action has no code.
 func AppendReply(out []byte, reply Reply) ([]byte, error) {
 	start := len(out)
 	out = append(out, make([]byte, replyHeaderBytes+replyPrefixBytes)...)
@@ -130,7 +131,7 @@
 	return out, nil
 }
 
-// AppendBatch appends an encoded batch to a buffer. It fails if an event has no code.
+// AppendBatch appends an encoded batch to a buffer. It fails if the type of an event has no code.
 func AppendBatch(out []byte, batch Batch) ([]byte, error) {
 	start := len(out)
 	out = append(out, make([]byte, batchHeaderBytes+batchPrefixBytes)...)
--- a/internal/simcodec/frame_test.go
+++ b/internal/simcodec/frame_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// decodeHex decodes hexadecimal parts with spaces.
+// decodeHex joins the parts and decodes them from hexadecimal. Spaces are ignored.
 func decodeHex(t testing.TB, parts ...string) []byte {
 	t.Helper()
 	decoded, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
@@ -20,21 +20,21 @@
 	return decoded
 }
 
-// batchFrame is a batch of one record, at the clock 8412.25 and with the number 12.
+// batchFrame returns an encoded batch with one record, the clock 8412.25 and the number 12.
 func batchFrame(t testing.TB, record []byte) []byte {
 	t.Helper()
 	length := hex.EncodeToString([]byte{0, 0, 0, byte(12 + len(record))})
 	return append(decodeHex(t, "00000001", length, "40c06e2000000000 0000000c"), record...)
 }
 
-// replyFrame is the reply of one record to the batch with the number 12.
+// replyFrame returns an encoded reply with one record and the number 12.
 func replyFrame(t testing.TB, record []byte) []byte {
 	t.Helper()
 	length := hex.EncodeToString([]byte{0, 0, 0, byte(8 + len(record))})
 	return append(decodeHex(t, length, "00000001 0000000c"), record...)
 }
 
-// handwrittenEvents and handwrittenActions are records written by hand from the protocol's page, one of each code.
+// handwrittenEvents and handwrittenActions hold one record per code, encoded by hand from the protocol's specification.
 var handwrittenEvents = []struct {
 	hex  string
 	want any
@@ -144,7 +144,7 @@
 	}
 }
 
-// A batch that can be read is written as the same bytes.
+// FuzzReadBatch checks that encoding a decoded batch yields the bytes that it was decoded from.
 func FuzzReadBatch(f *testing.F) {
 	for _, encoded := range invalidBatches {
 		f.Add(decodeHex(f, encoded))
--- a/internal/simcodec/golden_test.go
+++ b/internal/simcodec/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// goldenEvents and goldenActions hold each record once, by the names of its fields, each field with a value of its own,
-// so that a field's name is tied to its place on the wire. The bytes are in testdata.
+// goldenEvents and goldenActions hold one record of each type. Each field is set by name to a different value, so that
+// swapped fields fail the golden tests. The expected bytes are in testdata.
 var goldenEvents = []any{
 	Init{Router: 0x101, Seed: 0x102, Conf: []byte("{}")},
 	Directory{Bank: 0x201, Records: []Entry{
@@ -47,7 +47,7 @@
 	Retract{Router: 0xf01, OpID: 0xf02, Hop: 0xf03},
 }
 
-// readHexFile reads a file of hexadecimal lines.
+// readHexFile returns the bytes of a testdata file that contains lines of hexadecimal digits.
 func readHexFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
--- a/internal/simcodec/messages.go
+++ b/internal/simcodec/messages.go
@@ -2,28 +2,31 @@
 
 import "reflect"
 
-// Events, with their fields in the order of the wire. Times are in milliseconds; Router is the instance concerned, OpID
-// the request, Worker the replica, Hop the index of the attempt.
+// Events, with their fields in wire order. Times are in milliseconds. Router is the number of the instance, OpID the
+// number of the request, Worker the number of the replica, and Hop the index of the attempt. The tag "count" gives the
+// width in bytes of a slice's element count on the wire.
 type (
-	// Init starts an instance: Conf is the settings in JSON.
+	// Init starts an instance. Conf holds its settings in JSON, Seed the seed of its random number generator.
 	Init struct {
 		Router uint16
 		Seed   uint64
 		Conf   []byte `count:"4"`
 	}
-	// Directory is a list of replicas, numbered by Bank and shared by all instances of the process.
+	// Directory is a list of replicas, which all instances of the process share. Bank is its number.
 	Directory struct {
 		Bank    uint16
 		Records []Entry `count:"4"`
 	}
-	// Fleet applies a Directory to an instance; Form says whether it is a delta, a full or cached list, or failed.
+	// Fleet applies the Directory with the number Bank to an instance. Form says whether the Directory is a delta, a
+	// full list or a cached list, or whether discovery failed.
 	Fleet struct {
 		Router uint16
 		Form   uint8
 		Gen    uint64
 		Bank   uint16
 	}
-	// Order is a client's request. Priority is its class, Team its tenant, Talk its session.
+	// Order is a client's request. Priority is its class, Team its tenant, Talk its session, NPrefix the number of
+	// tokens in its shared prefix.
 	Order struct {
 		Router       uint16
 		OpID         uint64
@@ -38,14 +41,14 @@
 		MaxOut       float32
 		Attrs        uint8
 	}
-	// Detach says that an instance was killed.
+	// Detach reports that an instance was killed.
 	Detach struct{ Router uint16 }
-	// ClientGone says that a client has disconnected.
+	// ClientGone reports that a client has disconnected.
 	ClientGone struct {
 		Router uint16
 		OpID   uint64
 	}
-	// Accepted says that a streamed answer has started.
+	// Accepted reports that a streamed answer has started.
 	Accepted struct {
 		Router      uint16
 		OpID        uint64
@@ -53,7 +56,7 @@
 		Worker      uint32
 		DelaySeenMs float64
 	}
-	// Response is the end of an attempt. RC is its outcome; Final is set if the request has ended.
+	// Response reports the end of an attempt. RC is its outcome. Final is not 0 if the request has ended.
 	Response struct {
 		Router      uint16
 		OpID        uint64
@@ -65,7 +68,7 @@
 		Worker      uint32
 		Load        []float32 `count:"1"`
 	}
-	// Pong is the result of a Poll.
+	// Pong reports the result of a Poll.
 	Pong struct {
 		Router      uint16
 		Worker      uint32
@@ -73,18 +76,18 @@
 		DelaySeenMs float64
 		Load        []float32 `count:"1"`
 	}
-	// Reminder is a timer that has fired.
+	// Reminder reports that the timer Ref has fired.
 	Reminder struct {
 		Router uint16
 		Ref    uint64
 	}
-	// NeighbourSays is a message of a peer instance.
+	// NeighbourSays is a message from the peer instance Who.
 	NeighbourSays struct {
 		Router   uint16
 		Who      uint32
 		Contents []byte `count:"2"`
 	}
-	// SeatNews answers a PrePair: whether the place is reserved.
+	// SeatNews answers a PrePair and says whether the slot is reserved.
 	SeatNews struct {
 		Router uint16
 		OpID   uint64
@@ -95,22 +98,22 @@
 	}
 )
 
-// Actions, with their fields in the order of the wire. Times are in milliseconds.
+// Actions, with their fields in wire order. Times are in milliseconds. Fields that events have too mean the same here.
 type (
-	// Send starts an attempt, whose timeout is PatienceMs.
+	// Send starts an attempt with the timeout PatienceMs.
 	Send struct {
 		Router     uint16
 		OpID       uint64
 		Worker     uint32
 		PatienceMs float64
 	}
-	// Schedule sets a timer, which fires as a Reminder.
+	// Schedule sets the timer Ref, which fires after SpanMs as a Reminder.
 	Schedule struct {
 		Router uint16
 		SpanMs float64
 		Ref    uint64
 	}
-	// Surrender is the final answer 'failed'.
+	// Surrender gives the final answer "failed".
 	Surrender struct {
 		Router uint16
 		OpID   uint64
@@ -121,7 +124,7 @@
 		NeighbourID uint32
 		Contents    []byte `count:"2"`
 	}
-	// PrePair reserves a place at a decode replica.
+	// PrePair reserves a slot at a decode replica.
 	PrePair struct {
 		Router uint16
 		OpID   uint64
@@ -129,22 +132,22 @@
 	}
 	// GetList requests the full endpoint list from discovery.
 	GetList struct{ Router uint16 }
-	// Die declares that the decision code has failed.
+	// Die reports that the instance has failed.
 	Die struct {
 		Router  uint16
 		Message []byte `count:"2"`
 	}
-	// Poll requests a load report of a replica, which comes as a Pong.
+	// Poll requests a load report from a replica, which arrives as a Pong.
 	Poll struct {
 		Router uint16
 		Worker uint32
 	}
-	// DropState releases the state and the place that are reserved for a request.
+	// DropState releases the prefill state and the slot that are reserved for a request.
 	DropState struct {
 		Router uint16
 		OpID   uint64
 	}
-	// Listen subscribes to discovery.
+	// Listen switches the subscription to discovery on or off.
 	Listen struct {
 		Router uint16
 		Enable uint8
@@ -159,12 +162,12 @@
 		Router uint16
 		Worker uint32
 	}
-	// Bounce ends a running stream in an orderly way, so that it can resume elsewhere.
+	// Bounce ends a running stream gracefully, so that it can resume at another replica.
 	Bounce struct {
 		Router uint16
 		OpID   uint64
 	}
-	// Refuse is the final answer 'rejected'; StayAwayMs is its Retry-After.
+	// Refuse gives the final answer "rejected". StayAwayMs is its Retry-After.
 	Refuse struct {
 		Router     uint16
 		OpID       uint64
@@ -178,7 +181,7 @@
 	}
 )
 
-// eventTypes and actionTypes are the types by their codes on the wire. The two spaces of codes are independent.
+// eventTypes and actionTypes map codes on the wire to types. Events and actions use the same codes independently.
 var eventTypes = map[uint8]reflect.Type{
 	16: reflect.TypeFor[Fleet](), 17: reflect.TypeFor[SeatNews](), 18: reflect.TypeFor[Pong](),
 	19: reflect.TypeFor[Directory](), 20: reflect.TypeFor[Init](), 21: reflect.TypeFor[Reminder](),
@@ -196,6 +199,7 @@
 
 var eventCodes, actionCodes = invert(eventTypes), invert(actionTypes)
 
+// invert returns the map from types to codes.
 func invert(types map[uint8]reflect.Type) map[reflect.Type]uint8 {
 	codes := make(map[reflect.Type]uint8, len(types))
 	for code, t := range types {
@@ -204,8 +208,8 @@
 	return codes
 }
 
-// Entry is one replica of a Directory. Condition is its lifecycle state, Bay its cell, Shape its kind of machine,
-// PowerHint its weight.
+// Entry is one replica of a Directory. Condition is its lifecycle state, Bay its cell, Shape its kind, PowerHint its
+// weight, and LastStartMs the time at which its process was started.
 type Entry struct {
 	Zone        uint8
 	Condition   uint8
--- a/internal/simcodec/record.go
+++ b/internal/simcodec/record.go
@@ -9,7 +9,7 @@
 	"reflect"
 )
 
-// recordHeaderBytes are a record's code and the length of its fields.
+// recordHeaderBytes is the size of a record's code and length.
 const recordHeaderBytes = 1 + uint32Bytes
 
 var (
@@ -17,7 +17,7 @@
 	errCount        = errors.New("count disagrees with its length")
 )
 
-// decodeRecords decodes exactly count records, whose types are given by their codes.
+// decodeRecords decodes count records, which must fill data completely. types maps codes to record types.
 func decodeRecords(data []byte, count uint32, types map[uint8]reflect.Type) ([]any, error) {
 	var records []any
 	for i := range count {
@@ -45,7 +45,7 @@
 	return records, nil
 }
 
-// decodeRecord sets a struct's fields from the whole of data.
+// decodeRecord sets a struct's fields from data, which must contain nothing else.
 func decodeRecord(data []byte, record reflect.Value) error {
 	rest, err := decodeFields(data, record)
 	if err == nil && len(rest) > 0 {
@@ -54,7 +54,8 @@
 	return err
 }
 
-// decodeFields sets a struct's fields from the front of data and returns the rest. A slice is preceded by its count.
+// decodeFields sets a struct's fields from the front of data and returns the rest. On the wire a slice is preceded by
+// the number of its elements.
 func decodeFields(data []byte, record reflect.Value) ([]byte, error) {
 	for i := range record.NumField() {
 		width := wireWidth(record.Type().Field(i))
@@ -80,7 +81,7 @@
 	return data, nil
 }
 
-// decodeBigEndian reads a number as wide as data.
+// decodeBigEndian decodes all bytes of data as one number.
 func decodeBigEndian(data []byte) uint64 {
 	var number uint64
 	for _, b := range data {
@@ -89,7 +90,7 @@
 	return number
 }
 
-// decodeSlice sets a slice of count bytes, float32s or entries from the front of data and returns the rest.
+// decodeSlice sets a slice of count bytes, float32s or structs from the front of data and returns the rest.
 func decodeSlice(data []byte, slice reflect.Value, count uint64) ([]byte, error) {
 	if count > uint64(len(data)/elementWidth(slice.Type().Elem())) {
 		return nil, errCount
@@ -116,7 +117,7 @@
 	return data, nil
 }
 
-// elementWidth is the number of bytes that a slice's element takes on the wire. The fields of a struct are packed.
+// elementWidth returns the size of a slice's element on the wire in bytes. The fields of a struct are not padded.
 func elementWidth(element reflect.Type) int {
 	if element.Kind() != reflect.Struct {
 		return int(element.Size())
@@ -128,8 +129,8 @@
 	return width
 }
 
-// wireWidth is the number of bytes that a field takes on the wire; for a slice, that its count takes, which is the
-// digit in the tag "count".
+// wireWidth returns the size of a field on the wire in bytes. For a slice it returns the size of the element count,
+// which is the digit in the tag "count".
 func wireWidth(field reflect.StructField) int {
 	if field.Type.Kind() == reflect.Slice {
 		return int(field.Tag.Get("count")[0] - '0')
@@ -137,7 +138,7 @@
 	return int(field.Type.Size())
 }
 
-// appendRecords encodes records, whose codes are given by their types.
+// appendRecords appends encoded records to out. codes maps record types to codes.
 func appendRecords(out []byte, records []any, codes map[reflect.Type]uint8) ([]byte, error) {
 	for _, record := range records {
 		value := reflect.ValueOf(record)
@@ -153,7 +154,7 @@
 	return out, nil
 }
 
-// appendFields encodes a struct's fields.
+// appendFields appends the encoded fields of a struct to out.
 func appendFields(out []byte, record reflect.Value) []byte {
 	for i := range record.NumField() {
 		field, width := record.Field(i), wireWidth(record.Type().Field(i))
@@ -172,7 +173,7 @@
 	return out
 }
 
-// appendElements encodes a slice's elements: structs, float32s or bytes.
+// appendElements appends the encoded elements of a slice to out. The elements are structs, float32s or bytes.
 func appendElements(out []byte, slice reflect.Value) []byte {
 	for i := range slice.Len() {
 		switch element := slice.Index(i); element.Kind() {
@@ -187,7 +188,7 @@
 	return out
 }
 
-// appendBigEndian encodes the lowest bytes of a number.
+// appendBigEndian appends the lowest width bytes of a number to out.
 func appendBigEndian(out []byte, number uint64, width int) []byte {
 	for shift := 8 * (width - 1); shift >= 0; shift -= 8 {
 		out = append(out, byte(number>>shift))
