--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -39,7 +39,7 @@
 // fetch.
 const detailStateMissing = 1
 
-// maxTokens is the maximum of token counts, so that they fit in an int.
+// maxTokens limits token counts so that they fit in an int.
 const maxTokens = 1e9
 
 var endpointStates = map[uint8]routing.EndpointState{
@@ -69,7 +69,8 @@
 	return nil, nil
 }
 
-// translateFleet returns nil if discovery failed, since the endpoint list does not change then.
+// translateFleet translates a Fleet event. It returns nil if discovery failed, since the endpoint list is unchanged
+// then.
 func (h *host) translateFleet(e simcodec.Fleet) (routing.Event, error) {
 	if e.Form == formFailed {
 		return nil, nil
@@ -166,7 +167,7 @@
 	return simcodec.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", action)}
 }
 
-// tokenCount converts a token count from the wire. It returns 0 if the count is not positive or NaN.
+// tokenCount converts a token count from the wire. It returns 0 if the count is NaN or not positive.
 func tokenCount(tokens float32) int {
 	if !(tokens > 0) {
 		return 0
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -89,8 +89,8 @@
 	// ClientGone reports whether the client has closed its connection. It checks the connection itself, since the
 	// client's context may be cancelled a moment later. It does not wait. If it is nil, only the context is checked.
 	ClientGone func() bool
-	// RunToCompletion lets an attempt that has been sent continue to its end after the client has disconnected. No
-	// further attempt is started then.
+	// RunToCompletion lets a sent attempt that may execute the request continue to its end after the client has
+	// disconnected. No further attempt is started then.
 	RunToCompletion bool
 }
 
@@ -107,10 +107,10 @@
 	ClientDisconnected
 )
 
-var kindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientDisconnected: "client_gone"}
+var answerKindNames = [...]string{Failed: "failed", Rejected: "rejected", Served: "served", ClientDisconnected: "client_gone"}
 
 // String returns the name of the kind in logs.
-func (k AnswerKind) String() string { return kindNames[k] }
+func (k AnswerKind) String() string { return answerKindNames[k] }
 
 // Answer is the final answer to a request. Each request has exactly one.
 type Answer struct {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -170,7 +170,7 @@
 }
 
 // AbandonPending is called when the process is about to be killed. It must answer open requests, abort attempts in
-// flight, release reservations and reject new requests, since no process could do so afterwards.
+// flight, release reservations and reject new requests, since no other process can do so afterwards.
 func TestAbandonPendingAnswersOpenRequestsAndRejectsNewOnes(t *testing.T) {
 	upstream, dispatcher := startDispatcher(t)
 	answer := dispatchAsync(t.Context(), dispatcher, nonIdempotentClass, 30*time.Second)
--- a/internal/dispatch/starttime.go
+++ b/internal/dispatch/starttime.go
@@ -9,7 +9,7 @@
 }
 
 // maxClockSkew is the largest time by which a reported start may lie ahead of this machine's wall clock because of
-// clock skew between machines. A start further ahead means that the wall clock was stepped back.
+// clock skew between machines. A start further ahead is taken to mean that the wall clock was stepped back.
 const maxClockSkew = time.Second
 
 // startTime converts an endpoint's reported start to the Router's clock. It returns 0 for a zero time, which means that
@@ -29,7 +29,7 @@
 // endpointAge returns the time since a reported start, or 0 if the start is in the future. It is the lower of two ages,
 // one by the wall clock and one by the Router's clock, which advances monotonically since the start of this process.
 // The two differ if the wall clock has been stepped; the lower one errs towards a longer slow start. A start that lies
-// more than maxClockSkew ahead of the wall clock was reported before the clock was stepped back, so only the Router's
+// more than maxClockSkew ahead of the wall clock was measured before the clock was stepped back, so only the Router's
 // clock is used for it.
 func (d *Dispatcher) endpointAge(reported time.Time) time.Duration {
 	byWallClock := d.system.Wall().Sub(reported)
--- a/internal/simcodec/messages.go
+++ b/internal/simcodec/messages.go
@@ -98,7 +98,8 @@
 	}
 )
 
-// Actions, with their fields in wire order. Times are in milliseconds. Fields that events have too mean the same here.
+// Actions, with their fields in wire order. Times are in milliseconds. Fields that also occur in events have the same
+// meaning.
 type (
 	// Send starts an attempt with the timeout PatienceMs.
 	Send struct {
@@ -181,7 +182,7 @@
 	}
 )
 
-// eventTypes and actionTypes map codes on the wire to types. Events and actions use the same codes independently.
+// eventTypes and actionTypes map codes on the wire to types. The codes of events and actions overlap but are unrelated.
 var eventTypes = map[uint8]reflect.Type{
 	16: reflect.TypeFor[Fleet](), 17: reflect.TypeFor[SeatNews](), 18: reflect.TypeFor[Pong](),
 	19: reflect.TypeFor[Directory](), 20: reflect.TypeFor[Init](), 21: reflect.TypeFor[Reminder](),
