--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -8,25 +8,25 @@
 	"rampspread/routing"
 )
 
-// Forms of a Fleet event.
+// The values of Form in a Fleet event.
 const (
-	formDelta  = 0 // changed entries only
-	formFull   = 1
-	formCached = 2 // the full list as the instance knew it last, possibly outdated
-	formFailed = 3 // discovery failed; there is no list
+	formDelta  = 0 // the directory contains only changed entries
+	formFull   = 1 // the directory is the full list
+	formCached = 2 // the directory is the full list that the instance had last; it may be outdated
+	formFailed = 3 // discovery failed; there is no directory
 )
 
-// Conditions of a directory's entries. Any other one is taken as gone.
+// The values of Condition in a directory's entries. Any other value is treated as gone.
 const (
 	conditionReady    = 1
 	conditionDraining = 2
 )
 
-// Outcomes of an attempt, the RC of a Response.
+// Outcomes of an attempt: the values of RC in a Response.
 const (
 	outcomeServed          = 0
 	outcomeErrored         = 1
-	outcomeFull            = 2
+	outcomeQueueFull       = 2
 	outcomeTimedOut        = 3
 	outcomeConnectFailed   = 4
 	outcomeConnectionReset = 5
@@ -35,10 +35,11 @@
 	outcomePrefillDone     = 202
 )
 
-// detailNoState is the detail of outcomeFull that says that there was no prefill state to fetch.
-const detailNoState = 1
+// detailStateMissing is the value of Detail that, with outcomeQueueFull, means that there was no prefill state to
+// fetch.
+const detailStateMissing = 1
 
-// maxTokens bounds counts of tokens, so that they fit an int.
+// maxTokens limits token counts so that they fit in an int.
 const maxTokens = 1e9
 
 var endpointStates = map[uint8]routing.EndpointState{
@@ -46,13 +47,13 @@
 	conditionDraining: routing.Draining,
 }
 
-// translateEvent translates an event of one instance; the result is nil for an event that the router does not use.
+// translateEvent translates an event of one instance. It returns nil for an event that the router does not use.
 func (h *host) translateEvent(target *instance, event any) (routing.Event, error) {
 	switch e := event.(type) {
 	case simcodec.Fleet:
-		return h.endpointUpdate(e)
+		return h.translateFleet(e)
 	case simcodec.Order:
-		return requestArrived(e), nil
+		return translateOrder(e), nil
 	case simcodec.ClientGone:
 		return routing.ClientGone{Request: routing.RequestID(e.OpID)}, nil
 	case simcodec.Accepted:
@@ -61,28 +62,30 @@
 			Endpoint: routing.EndpointID(e.Worker), Elapsed: config.FromMS(e.DelaySeenMs),
 		}, nil
 	case simcodec.Response:
-		return attemptEnded(target.settings, e)
+		return translateResponse(target.settings, e)
 	case simcodec.Reminder:
 		return routing.TimerFired{ID: routing.TimerID(e.Ref)}, nil
 	}
 	return nil, nil
 }
 
-func (h *host) endpointUpdate(e simcodec.Fleet) (routing.Event, error) {
+// translateFleet translates a Fleet event. It returns nil if discovery failed, since the endpoint list is unchanged
+// then.
+func (h *host) translateFleet(e simcodec.Fleet) (routing.Event, error) {
 	if e.Form == formFailed {
 		return nil, nil
 	}
 	if e.Form > formFailed {
 		return nil, fmt.Errorf("unknown list form %d", e.Form)
 	}
-	list, ok := h.banks[e.Bank]
+	list, ok := h.directories[e.Bank]
 	if !ok {
 		return nil, fmt.Errorf("unknown list number %d", e.Bank)
 	}
 	return routing.EndpointUpdate{Full: e.Form != formDelta, Endpoints: list}, nil
 }
 
-func requestArrived(e simcodec.Order) routing.Event {
+func translateOrder(e simcodec.Order) routing.Event {
 	return routing.RequestArrived{
 		Request: routing.RequestID(e.OpID), Class: int(e.Priority), Tenant: int(e.Team),
 		Session: routing.Key(e.Talk), SharedPrefix: routing.Key(e.SharedPrefix),
@@ -91,19 +94,20 @@
 	}
 }
 
-func attemptEnded(settings *config.Settings, e simcodec.Response) (routing.Event, error) {
-	result, err := translateOutcome(e.RC, e.Detail)
+func translateResponse(settings *config.Settings, e simcodec.Response) (routing.Event, error) {
+	outcome, err := translateOutcome(e.RC, e.Detail)
 	if err != nil {
 		return nil, err
 	}
 	return routing.AttemptEnded{
 		Request: routing.RequestID(e.OpID), Attempt: int(e.Hop), Endpoint: routing.EndpointID(e.Worker),
-		Outcome: result, Elapsed: config.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
+		Outcome: outcome, Elapsed: config.FromMS(e.DelaySeenMs), CachedTokens: int(e.Detail), Final: e.Final != 0,
 		Load: settings.LoadReport(e.Load),
 	}, nil
 }
 
-func endpoints(entries []simcodec.Entry) []routing.Endpoint {
+// translateEntries translates the entries of a Directory.
+func translateEntries(entries []simcodec.Entry) []routing.Endpoint {
 	translated := make([]routing.Endpoint, len(entries))
 	for i, entry := range entries {
 		translated[i] = routing.Endpoint{
@@ -115,15 +119,15 @@
 	return translated
 }
 
-// translateOutcome translates an attempt's outcome and its detail.
+// translateOutcome translates the RC and Detail of a Response.
 func translateOutcome(code uint8, detail uint32) (routing.Outcome, error) {
 	switch code {
 	case outcomeServed:
 		return routing.Served, nil
 	case outcomeErrored:
 		return routing.Errored, nil
-	case outcomeFull:
-		if detail == detailNoState {
+	case outcomeQueueFull:
+		if detail == detailStateMissing {
 			return routing.StateMissing, nil
 		}
 		return routing.QueueFull, nil
@@ -143,8 +147,8 @@
 	return 0, fmt.Errorf("unknown outcome %d", code)
 }
 
-// translateAction translates an action of one instance. An action that the protocol has no record for declares the
-// instance failed.
+// translateAction translates an action of one instance. For an action that has no record in the protocol it returns a
+// Die, which reports that the instance has failed.
 func translateAction(id uint16, action routing.Action) any {
 	switch a := action.(type) {
 	case routing.Send:
@@ -163,7 +167,7 @@
 	return simcodec.Die{Router: id, Message: fmt.Appendf(nil, "action %T is not translated", action)}
 }
 
-// tokenCount is a number of tokens from the wire; 0 for one that is not positive.
+// tokenCount converts a token count from the wire. It returns 0 if the count is NaN or not positive.
 func tokenCount(tokens float32) int {
 	if !(tokens > 0) {
 		return 0
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,16 +9,16 @@
 	"rampspread/routing"
 )
 
-// noEndpointName replaces in logs the name of an endpoint that is not listed.
+// noEndpointName is logged instead of an endpoint's name if there is no endpoint.
 const noEndpointName = "none"
 
 // attemptState is the state of an attempt, with these transitions:
 //
 //	attemptInFlight -> attemptStreaming   its stream has become the request's final answer (firstToken)
-//	attemptInFlight -> attemptAborted     it was given up (abortAttempt)
-//	attemptInFlight, attemptStreaming, attemptAborted -> attemptEnded   (endAttempt)
+//	attemptInFlight -> attemptAborted     the dispatcher has aborted it (abortAttempt)
+//	attemptInFlight, attemptStreaming, attemptAborted -> attemptEnded   its end has been reported (endAttempt)
 //
-// An aborted attempt counts as in flight until its connection is closed, and its end is reported only then.
+// An aborted attempt counts as in flight until its connection is closed; its end is reported only then.
 type attemptState uint8
 
 const (
@@ -28,18 +28,18 @@
 	attemptEnded
 )
 
-// attempt is one call of a request that was sent, or was to be sent, to an endpoint. It is the AttemptObserver of its
-// own call.
+// attempt is one try of a request at one endpoint, whether or not it could be sent. It is the AttemptObserver of the
+// upstream attempt.
 type attempt struct {
 	dispatcher      *Dispatcher
 	request         *request
-	number          int             // index in the request's attempts
-	endpoint        *endpointRecord // nil: the endpoint was not listed, and the attempt has ended unsent
+	number          int             // index into the request's attempts
+	endpoint        *endpointRecord // nil if the endpoint was not listed, so that the attempt was not sent
 	sentAt          time.Duration
-	upstreamAttempt Attempt     // nil: it was never sent
-	timeoutTimer    *time.Timer // nil: it was never sent
+	upstreamAttempt Attempt     // nil if the attempt was not sent
+	timeoutTimer    *time.Timer // nil if the attempt was not sent
 	state           attemptState
-	abortOutcome    routing.Outcome // how an aborted attempt ends, if it may have run
+	abortOutcome    routing.Outcome // outcome of an aborted attempt that ends with ConnectionReset
 }
 
 // FirstToken implements AttemptObserver.
@@ -53,15 +53,16 @@
 	a.dispatcher.post(func() { a.dispatcher.endAttempt(a, result) })
 }
 
-// beforeFirstToken reports whether the attempt has not ended and has brought no first token.
+// beforeFirstToken reports whether the attempt has neither ended nor had its first token.
 func (a *attempt) beforeFirstToken() bool {
 	return a.state == attemptInFlight || a.state == attemptAborted
 }
 
-// executes reports whether the attempt, where it reaches its endpoint, carries out the request, as a prefill does not.
+// executes reports whether the attempt executes the request if it reaches its endpoint. A prefill does not execute the
+// request.
 func (a *attempt) executes() bool { return a.endpoint != nil && !a.endpoint.prefillOnly }
 
-// endpointName is the name of the attempt's endpoint, for logs.
+// endpointName returns the name of the attempt's endpoint, for logs.
 func (a *attempt) endpointName() string {
 	if a.endpoint == nil {
 		return noEndpointName
@@ -69,61 +70,63 @@
 	return a.endpoint.Name
 }
 
-// sendAttempt makes an attempt that the Router wants, if its preconditions hold. One whose preconditions do not hold
-// ends as NotSent, which has cost no endpoint anything.
+// sendAttempt sends an attempt that the Router has decided on, if its preconditions hold. Otherwise the attempt ends as
+// NotSent, and no endpoint has received anything.
 func (d *Dispatcher) sendAttempt(action routing.Send) {
-	q, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
-	if q == nil {
+	req, endpoint := d.requests[action.Request], d.endpoints[action.Endpoint]
+	if req == nil {
 		return
 	}
 	now := d.now()
-	timeout := q.deadline - now
+	timeout := req.deadline - now
 	if action.Timeout > 0 {
 		timeout = min(timeout, action.Timeout)
 	}
-	a := &attempt{dispatcher: d, request: q, number: len(q.attempts), endpoint: endpoint, sentAt: now}
+	a := &attempt{dispatcher: d, request: req, number: len(req.attempts), endpoint: endpoint, sentAt: now}
 	facts := d.attemptFacts(a, timeout)
-	q.attempts = append(q.attempts, a)
+	req.attempts = append(req.attempts, a)
 	if reason := facts.Check(); reason != precondition.Allowed {
 		d.endUnsent(a, reason)
 		return
 	}
 	if a.number > 0 {
-		slog.Info("further_attempt", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(),
-			"may_have_run", q.execution.mayHaveRun)
+		slog.Info("further_attempt", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(),
+			"may_have_run", req.execution.mayHaveRun)
 	}
 	d.counters.Attempts++
 	a.upstreamAttempt = d.upstream.Send(AttemptSpec{
-		Call:        q.Call,
+		Call:        req.Call,
 		Target:      endpoint.EndpointAddress,
 		Timeout:     timeout,
-		ClientGone:  q.ClientGone,
-		MayHaveRun:  facts.Executes && q.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
+		ClientGone:  req.ClientGone,
+		MayHaveRun:  facts.Executes && req.execution.mayHaveRun && facts.Idempotency == routing.IdempotentByKey,
 		DedupWindow: facts.DedupWindow,
 	}, a)
 	a.timeoutTimer = time.AfterFunc(timeout, func() { d.post(func() { d.abortAttempt(a, routing.TimedOut) }) })
 }
 
-// attemptFacts gathers what the preconditions of an attempt go by. The attempt is not yet among its request's.
+// attemptFacts returns the facts that decide whether an attempt may be sent. It must be called before the attempt is
+// appended to its request's attempts.
 func (d *Dispatcher) attemptFacts(a *attempt, timeout time.Duration) precondition.Attempt {
-	q := a.request
+	req := a.request
 	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
 	return precondition.Attempt{
-		Answered:        q.answered(),
-		ClientGone:      q.clientGone(),
+		Answered:        req.answered(),
+		ClientGone:      req.clientGone(),
 		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
 		RemainingTime:   timeout,
-		AttemptInFlight: q.hasAttemptInFlight(),
+		AttemptInFlight: req.hasAttemptInFlight(),
 		Executes:        a.executes(),
-		MayHaveRun:      q.execution.mayHaveRun,
-		Idempotency:     d.config.Classes[q.Class].Idempotency,
+		MayHaveRun:      req.execution.mayHaveRun,
+		Idempotency:     d.config.Classes[req.Class].Idempotency,
 		InDedupScope:    inDedupScope,
 		DedupWindow:     dedupWindow,
 	}
 }
 
-// remainingDedupWindow is for how long yet the attempt's endpoint discards repeats of what may have run. inScope is
-// false if it does not discard them at all, or if nothing may have run.
+// remainingDedupWindow returns how much longer the attempt's endpoint discards repeats of the attempt that may have
+// executed the request. inScope is false if the endpoint does not discard repeats of that attempt, or if no attempt may
+// have executed the request.
 func (d *Dispatcher) remainingDedupWindow(a *attempt) (remaining time.Duration, inScope bool) {
 	class, execution := d.config.Classes[a.request.Class], a.request.execution
 	if execution.endpoint == nil || a.endpoint == nil {
@@ -142,20 +145,20 @@
 
 // endUnsent ends an attempt whose preconditions do not hold.
 func (d *Dispatcher) endUnsent(a *attempt, reason precondition.Reason) {
-	q := a.request
-	slog.Info("not_sent", "id", q.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
+	req := a.request
+	slog.Info("not_sent", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
 	switch reason {
 	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired:
-		d.violations.Record(precondition.OperationSend, reason, q.Call.ID) // the Router should not have wanted it
+		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have decided on it
 	}
 	d.endAttempt(a, AttemptResult{Outcome: routing.NotSent})
 	if reason == precondition.ClientDisconnected {
-		d.clientDisconnected(q)
+		d.clientDisconnected(req)
 	}
 }
 
-// abortAttempt gives an attempt up. It counts as in flight until its connection is closed: what is sent elsewhere
-// before that would be a second copy.
+// abortAttempt aborts an attempt in flight. The attempt counts as in flight until its connection is closed, since an
+// attempt sent to another endpoint before that could be a second execution of the request.
 func (d *Dispatcher) abortAttempt(a *attempt, outcome routing.Outcome) {
 	if a.state != attemptInFlight {
 		return
@@ -164,25 +167,25 @@
 	a.upstreamAttempt.Abort()
 }
 
-// firstToken makes the attempt's stream the request's final answer, and reports false if the attempt was given up or
-// the request has its answer.
+// firstToken makes the attempt's stream the request's final answer. It returns false if the attempt was aborted or the
+// request already has its final answer.
 func (d *Dispatcher) firstToken(a *attempt, s Stream) (accepted bool) {
-	q := a.request
-	if a.state != attemptInFlight || q.answered() {
-		return false // it counts as in flight until its connection is closed, and its end is reported then
+	req := a.request
+	if a.state != attemptInFlight || req.answered() {
+		return false // the attempt counts as in flight until its connection is closed and its end is reported
 	}
 	a.state = attemptStreaming
 	a.timeoutTimer.Stop()
 	a.endpoint.lastResponse = d.now()
 	d.counters.Served++
-	d.reply(q, Answer{Kind: Served, Stream: s})
+	d.reply(req, Answer{Kind: Served, Stream: s})
 	d.handleEvent(routing.FirstToken{
-		Request: q.id, Attempt: a.number, Endpoint: a.endpoint.ID, Elapsed: d.now() - a.sentAt,
+		Request: req.id, Attempt: a.number, Endpoint: a.endpoint.ID, Elapsed: d.now() - a.sentAt,
 	})
 	return true
 }
 
-// endAttempt takes an attempt's one outcome.
+// endAttempt records the outcome of an attempt. Calls after the first have no effect.
 func (d *Dispatcher) endAttempt(a *attempt, result AttemptResult) {
 	if a.state == attemptEnded {
 		return
@@ -195,12 +198,12 @@
 	if a.timeoutTimer != nil {
 		a.timeoutTimer.Stop()
 	}
-	q := a.request
-	q.execution.recordEnd(a, result.Outcome)
+	req := a.request
+	req.execution.recordEnd(a, result.Outcome)
 	d.recordResponse(a, result.Outcome)
 	d.counters.countOutcome(result.Outcome)
 	streamed := stateBefore == attemptStreaming
-	d.logLostAttempt(a, result.Outcome, streamed)
+	d.logFailedAttempt(a, result.Outcome, streamed)
 	if streamed && result.Outcome != routing.Served {
 		d.counters.BrokenStreams++
 	}
@@ -209,31 +212,33 @@
 		endpoint = a.endpoint.ID
 	}
 	d.handleEvent(routing.AttemptEnded{
-		Request: q.id, Attempt: a.number, Endpoint: endpoint, Outcome: result.Outcome, Elapsed: d.now() - a.sentAt,
-		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: q.answered(), Load: result.Load,
+		Request: req.id, Attempt: a.number, Endpoint: endpoint, Outcome: result.Outcome, Elapsed: d.now() - a.sentAt,
+		CachedTokens: result.CachedTokens, StreamStarted: result.StreamStarted, Final: req.answered(), Load: result.Load,
 	})
-	if q.state == requestCompleting && !q.hasExecutingAttempt() {
-		d.answerDisconnected(q) // nothing is in flight that could still run to completion
+	if req.state == requestCompleting && !req.hasExecutingAttempt() {
+		d.answerDisconnected(req) // no attempt is in flight that could still complete the request
 	}
-	d.forget(q)
+	d.removeIfDone(req)
 }
 
-// recordResponse notes whether an attempt's endpoint has responded. Where its end was not observed, what it reserved
-// may show only later; a prefill whose endpoint has been silent since it was sent is followed up.
+// recordResponse records whether an attempt's endpoint has responded. If the end of the attempt was not observed, its
+// reservation may be made only later. If that attempt was a prefill and its endpoint has not responded since it was
+// sent, the reservation is released repeatedly.
 func (d *Dispatcher) recordResponse(a *attempt, outcome routing.Outcome) {
 	switch outcome {
 	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
 		a.endpoint.lastResponse = d.now()
 	case routing.TimedOut, routing.Cancelled, routing.ConnectionReset:
-		a.request.lostAttempt = true
+		a.request.unobservedEnd = true
 		if a.endpoint.prefillOnly && a.endpoint.lastResponse < a.sentAt {
-			d.followLostPrefill(a)
+			d.startLostPrefillReleases(a)
 		}
 	}
 }
 
-// logLostAttempt logs an attempt that brought neither an answer nor a sound refusal.
-func (d *Dispatcher) logLostAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
+// logFailedAttempt logs an attempt that ended with an outcome other than Served, PrefillDone and QueueFull. streamed
+// says whether the attempt had its first token.
+func (d *Dispatcher) logFailedAttempt(a *attempt, outcome routing.Outcome, streamed bool) {
 	switch outcome {
 	case routing.Served, routing.PrefillDone, routing.QueueFull:
 		return
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -7,10 +7,10 @@
 	"rampspread/routing"
 )
 
-// checker is any of the facts.
+// checker is implemented by each struct of facts.
 type checker interface{ Check() Reason }
 
-// checkCase is a set of facts and the reason that is expected.
+// checkCase holds a struct of facts and the Reason that its Check is expected to return.
 type checkCase struct {
 	name  string
 	facts checker
@@ -30,7 +30,7 @@
 
 func TestAcceptIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
-		{"no fact against it", Accept{}, Allowed},
+		{"no condition forbids it", Accept{}, Allowed},
 		{"evicted comes before client gone", Accept{Evicted: true, ClientGone: true}, Evicted},
 		{"client gone", Accept{ClientGone: true}, ClientDisconnected},
 		{"shutting down", Accept{ShuttingDown: true}, ShuttingDown},
@@ -52,7 +52,7 @@
 		})
 	}
 	runChecks(t, []checkCase{
-		{"no fact against it", allowed, Allowed},
+		{"no condition forbids it", allowed, Allowed},
 		{"answered", with(func(a *Attempt) { a.Answered = true }), AlreadyAnswered},
 		{"client gone", with(func(a *Attempt) { a.ClientGone = true }), ClientDisconnected},
 		{"endpoint leaving", with(func(a *Attempt) { a.EndpointLeaving = true }), EndpointLeaving},
@@ -77,7 +77,7 @@
 
 func TestFirstByteIsAllowedUnlessAFactIsAgainstIt(t *testing.T) {
 	runChecks(t, []checkCase{
-		{"no fact against it", FirstByte{RemainingTime: 1}, Allowed},
+		{"no condition forbids it", FirstByte{RemainingTime: 1}, Allowed},
 		{"withdrawn", FirstByte{Withdrawn: true, RemainingTime: 1}, Withdrawn},
 		{"client gone", FirstByte{ClientGone: true, RemainingTime: 1}, ClientDisconnected},
 		{"no time remaining", FirstByte{}, DeadlineExceeded},
@@ -115,13 +115,13 @@
 }
 
 func TestViolationCounterCountsByReason(t *testing.T) {
-	var none *ViolationCounter
-	none.Record(OperationSend, AttemptInFlight, "a")
+	var nilCounter *ViolationCounter
+	nilCounter.Record(OperationSend, AttemptInFlight, "a")
 	var counter ViolationCounter
 	counter.Record(OperationSend, AttemptInFlight, "a")
 	counter.Record(OperationSend, AttemptInFlight, "b")
 	counter.Record(OperationClose, RequestUnanswered, "")
-	if none.Total() != 0 || counter.Total() != 3 || counter.String() != " violation_copy_out=2 violation_unanswered=1" {
+	if nilCounter.Total() != 0 || counter.Total() != 3 || counter.String() != " violation_copy_out=2 violation_unanswered=1" {
 		t.Errorf("%d, %q", counter.Total(), counter.String())
 	}
 }
--- a/internal/simcodec/golden_test.go
+++ b/internal/simcodec/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// goldenEvents and goldenActions hold each record once, by the names of its fields, each field with a value of its own,
-// so that a field's name is tied to its place on the wire. The bytes are in testdata.
+// goldenEvents and goldenActions hold one record of each type. Each field is set by name to a different value, so that
+// swapped fields fail the golden tests. The expected bytes are in testdata.
 var goldenEvents = []any{
 	Init{Router: 0x101, Seed: 0x102, Conf: []byte("{}")},
 	Directory{Bank: 0x201, Records: []Entry{
@@ -47,8 +47,8 @@
 	Retract{Router: 0xf01, OpID: 0xf02, Hop: 0xf03},
 }
 
-// goldenBytes reads a file of hexadecimal lines.
-func goldenBytes(t *testing.T, name string) []byte {
+// readHexFile returns the bytes of a testdata file that contains lines of hexadecimal digits.
+func readHexFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if len(goldenEvents) != len(eventTypes) {
 		t.Fatalf("%d events, %d codes", len(goldenEvents), len(eventTypes))
 	}
-	want, encoded := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, goldenBytes(t, "batch.hex")
+	want, encoded := Batch{Now: 17.5, Number: 18, Events: goldenEvents}, readHexFile(t, "batch.hex")
 	if got, err := ReadBatch(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
@@ -78,7 +78,7 @@
 	if len(goldenActions) != len(actionTypes) {
 		t.Fatalf("%d actions, %d codes", len(goldenActions), len(actionTypes))
 	}
-	want, encoded := Reply{Number: 19, Actions: goldenActions}, goldenBytes(t, "reply.hex")
+	want, encoded := Reply{Number: 19, Actions: goldenActions}, readHexFile(t, "reply.hex")
 	if got, err := ReadReply(bytes.NewReader(encoded)); err != nil || !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
