--- a/internal/discovery/address.go
+++ b/internal/discovery/address.go
@@ -2,24 +2,25 @@
 
 import "sync"
 
-// address is where discovery is, and a signal to those that use it. It is safe for concurrent use.
+// address holds the address of discovery, and interrupts its users when they must stop using it. It is safe for
+// concurrent use.
 type address struct {
-	mu    sync.Mutex
-	addr  string
-	moved chan struct{} // closed by the next move or interrupt, and then replaced
+	mu          sync.Mutex
+	addr        string
+	interrupted chan struct{} // closed by the next move or interrupt, which also replaces it
 }
 
-func newAddress(addr string) *address { return &address{addr: addr, moved: make(chan struct{})} }
+func newAddress(addr string) *address { return &address{addr: addr, interrupted: make(chan struct{})} }
 
-// get returns the address, and a channel that is closed when it is to be used no more.
-func (a *address) get() (addr string, moved <-chan struct{}) {
+// get returns the address, and a channel that is closed when the caller must stop using the address and get it again.
+func (a *address) get() (addr string, interrupted <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.addr, a.moved
+	return a.addr, a.interrupted
 }
 
-// move changes the address. If that is another one than before it signals, and calls onMove before anybody can get the
-// new one.
+// move changes the address. If the new address differs from the old one, move signals the users of the old one, and
+// calls onMove before any caller of get can receive the new one.
 func (a *address) move(addr string, onMove func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,15 +32,15 @@
 	onMove()
 }
 
-// interrupt signals as a move does, without changing the address.
+// interrupt signals the users of the address as move does, without changing the address.
 func (a *address) interrupt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.signal()
 }
 
-// signal closes moved; the caller holds mu.
+// signal closes and replaces interrupted. The caller must hold mu.
 func (a *address) signal() {
-	close(a.moved)
-	a.moved = make(chan struct{})
+	close(a.interrupted)
+	a.interrupted = make(chan struct{})
 }
--- a/internal/discovery/api.go
+++ b/internal/discovery/api.go
@@ -15,15 +15,16 @@
 const (
 	serversPath = "/v1/servers"
 
-	// maxListSize is the limit in bytes for a list or a change: twice those of 3,200 long entries with deep indentation.
+	// maxListSize is the limit in bytes for a list or a change. It is twice the size of a list of 3,200 long entries
+	// with deep indentation.
 	maxListSize = 3 << 20
 	// listTimeout is the limit for fetching a whole list.
 	listTimeout = 2 * time.Second
-	// maxDiscardedBody is how much of an error's body is read so that its connection can be used again, in bytes.
+	// maxDiscardedBody is how many bytes of an error response's body are read so that its connection can be reused.
 	maxDiscardedBody = 4 << 10
 )
 
-// statusError says that discovery answered with another status than 200.
+// statusError is the error for a response of discovery whose status is not 200.
 type statusError int
 
 // Error implements error.
@@ -35,7 +36,7 @@
 	malformed *atomic.Int64
 }
 
-// list fetches the whole list.
+// list fetches the full list.
 func (c *apiClient) list(ctx context.Context, addr string) (list List, err error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -51,7 +52,8 @@
 	return list, nil
 }
 
-// watch opens a watch of the changes behind a version. The body goes on until the context ends or the watch is lost.
+// watch opens a watch of the changes after a version. The returned body continues until the context ends or the watch
+// is lost.
 func (c *apiClient) watch(ctx context.Context, addr string, version uint64) (io.ReadCloser, error) {
 	return c.get(ctx, addr, "?stream=1&index="+strconv.FormatUint(version, 10))
 }
@@ -73,6 +75,6 @@
 	return resp.Body, nil
 }
 
-// causeOr returns why the context ended, which says more than the error that its end brought about, and err if it has
-// not ended.
+// causeOr returns the cause of the context's end if it has ended, and else err. The cause is more informative than the
+// error that results from the end.
 func causeOr(ctx context.Context, err error) error { return cmp.Or(context.Cause(ctx), err) }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,40 +6,42 @@
 )
 
 const (
-	// The span that a backoff is drawn from is this long for each dispatcher of the fleet: minSpanPerDispatcher after
-	// the first failures, then doubled with each one up to maxSpanPerDispatcher. Raising them makes a fleet come back
-	// more slowly and poll discovery less.
+	// A backoff is drawn at random from a span whose length is the number of dispatchers in the fleet times one of
+	// these durations: minSpanPerDispatcher after the first failures, then doubled with each failure up to
+	// maxSpanPerDispatcher. Larger values make a fleet reconnect more slowly and poll discovery less.
 	minSpanPerDispatcher = 50 * time.Millisecond
 	maxSpanPerDispatcher = 400 * time.Millisecond
 
-	// failuresBeforeDoubling is how many failures in a row have the shortest span; maxDoublings only avoids an overflow.
+	// failuresBeforeDoubling is how many failures in a row use the shortest span. maxDoublings only prevents an
+	// overflow.
 	failuresBeforeDoubling = 2
 	maxDoublings           = 10
 
-	// maxBackoff bounds each backoff. A change counts as notified 6 s after discovery had it and could be reached,
-	// whatever became of the calls before. At the worst a call goes out just before that and is given up after
-	// silenceTimeout. With a backoff of this length behind it, 1 s remains for the call that brings the change and for a
-	// slow machine, and 500 ms in which it binds: so no backoff may be longer, however large the fleet is or however
-	// often discovery has failed.
+	// maxBackoff is the upper limit of each backoff, for any fleet size and any number of failures. A dispatcher counts
+	// as notified of a change 6 s after discovery had the change and could be reached, regardless of the results of
+	// earlier calls. In the worst case a call is sent just before that moment, and is aborted after silenceTimeout (2.5
+	// s). A backoff of 2 s after it leaves 1 s for the call that fetches the change, also on a slow machine, and 500
+	// ms, the drain deadline, in which the change must take effect.
 	maxBackoff = 2 * time.Second
 
-	maxFleetSize = 1 << 16 // so that no settings make a span overflow
+	maxFleetSize = 1 << 16 // prevents an overflow of the span for any settings
 
-	seedMask = 0x9e3779b97f4a7c15 // makes the generator's second word from the seed
+	seedMask = 0x9e3779b97f4a7c15 // derives the second word of the generator's seed from the first
 )
 
-// backoff draws the delays between attempts at discovery: randomized exponential backoff (full jitter) whose span also
-// grows with the fleet. Where discovery has to be polled, it serves all dispatchers with a fixed capacity and loses all
-// of them at once: with a fixed delay they would come back in step, be rejected together and keep it overloaded for
-// good. So each delay is drawn from a span that grows with the fleet and doubles while attempts fail, up to maxBackoff:
-// a larger fleet then polls more often, but still evenly over the span.
+// backoff draws the delays between attempts to reach discovery: randomized exponential backoff (full jitter) whose span
+// also grows with the fleet. A polled discovery serves all dispatchers with a fixed capacity, and all of them lose it
+// at the same moment. With a fixed delay they would all retry at the same time, be rejected together and keep discovery
+// overloaded permanently. So each delay is drawn from a span that grows with the fleet and doubles while attempts fail,
+// up to maxBackoff. Beyond that limit a larger fleet polls more often, but its calls are still spread evenly over the
+// span.
 //
-// It is used by one goroutine.
+// A backoff is used by one goroutine.
 type backoff struct {
-	rng       *rand.Rand
-	fleetSize func() float64 // how many dispatchers share discovery with this one
-	failures  int            // attempts in a row that ended
-	agent     time.Duration  // the delay where an agent of this machine answers at no cost; 0: there is none
+	rng        *rand.Rand
+	fleetSize  func() float64 // number of dispatchers that share discovery, including this one
+	failures   int            // number of attempts that ended since discovery last sent something
+	agentDelay time.Duration  // delay if discovery is an agent on this machine, which answers at no cost; else 0
 }
 
 func newBackoff(seed uint64, fleetSize func() float64) *backoff {
@@ -49,8 +51,8 @@
 // next counts a failure and draws the delay until the next attempt.
 func (b *backoff) next() time.Duration {
 	b.failures++
-	if b.agent > 0 {
-		return b.agent
+	if b.agentDelay > 0 {
+		return b.agentDelay
 	}
 	doublings := min(max(b.failures-failuresBeforeDoubling, 0), maxDoublings)
 	perDispatcher := min(minSpanPerDispatcher<<doublings, maxSpanPerDispatcher)
@@ -59,5 +61,5 @@
 	return time.Duration(b.rng.Int64N(int64(span)))
 }
 
-// reset is called when discovery has sent something.
+// reset restores the shortest span. It is called when discovery has sent something.
 func (b *backoff) reset() { b.failures = 0 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// notifiedWithin is when a change counts as notified after discovery had it and could be reached.
-	notifiedWithin = 6 * time.Second
-	// bindsWithin is what has to remain of that: the time in which the change binds.
-	bindsWithin = 500 * time.Millisecond
+	// notificationDeadline is the time after which a dispatcher counts as notified of a change, from the moment at
+	// which discovery has the change and can be reached.
+	notificationDeadline = 6 * time.Second
+	// drainDeadline is the part of notificationDeadline that must remain for the change to take effect.
+	drainDeadline = 500 * time.Millisecond
 )
 
-// A discovery serves a number of calls in a tenth of a second, and none in time once it gets far more. It loses all
-// dispatchers at once: they must all be back soon, without many more calls than they need. The two large fleets have to
-// be back in what remains of notifiedWithin; a discovery that serves them at all serves twice their even rate, and is
-// overloaded at four times that.
+// The simulated discovery serves a limited number of calls in each tenth of a second, and none of them if it receives
+// far more. All dispatchers lose it at once, and must all reconnect soon, without many more calls than they need. The
+// two large fleets must reconnect within the rest of notificationDeadline. Their discovery serves about twice the rate
+// of evenly spread calls, and is overloaded at four times the rate of evenly spread calls.
 func TestBackoffBringsTheWholeFleetBackWithoutOverload(t *testing.T) {
 	for _, c := range []struct {
 		fleet              int
-		capacity, overload int // calls in a tick
+		capacity, overload int // calls per tick
 		within             time.Duration
 	}{
 		{4, 2, 8, time.Second},
 		{80, 2, 8, 20 * time.Second},
-		{400, 40, 80, notifiedWithin - bindsWithin - silenceTimeout},
-		{1024, 103, 206, notifiedWithin - bindsWithin - silenceTimeout},
+		{400, 40, 80, notificationDeadline - drainDeadline - silenceTimeout},
+		{1024, 103, 206, notificationDeadline - drainDeadline - silenceTimeout},
 	} {
 		const tick = 100 * time.Millisecond
 		due, backoffs := make([]time.Duration, c.fleet), make([]*backoff, c.fleet)
@@ -33,7 +34,7 @@
 			backoffs[i] = newBackoff(uint64(i), func() float64 { return float64(c.fleet) })
 			due[i] = backoffs[i].next()
 		}
-		back, calls := 0, 0
+		reconnected, calls := 0, 0
 		for now := time.Duration(0); now < c.within; now += tick {
 			var calling []int
 			for i, at := range due {
@@ -45,21 +46,21 @@
 			for n, i := range calling {
 				if n < c.capacity && len(calling) <= c.overload {
 					due[i] = -1
-					back++
+					reconnected++
 				} else {
-					due[i] = now + tick + backoffs[i].next() // a call is answered, or not, by the tick's end
+					due[i] = now + tick + backoffs[i].next() // a call ends with its tick, answered or not
 				}
 			}
 		}
-		if back != c.fleet || calls > 4*c.fleet {
-			t.Errorf("fleet of %d: %d back after %d calls", c.fleet, back, calls)
+		if reconnected != c.fleet || calls > 4*c.fleet {
+			t.Errorf("fleet of %d: %d reconnected after %d calls", c.fleet, reconnected, calls)
 		}
 	}
 }
 
-// A discovery that comes back does not get its calls in step: of a fleet whose calls all failed in the same moment, and
-// failed so often that all spans are at their longest, no tenth of a second brings more than twice its even part of the
-// calls and some for chance.
+// When discovery recovers, the calls of a fleet must not arrive at the same time. After the calls of all dispatchers
+// failed at the same moment, and so often that their spans have reached the maximum, no tenth of a second may get more
+// than twice its even share of the calls, plus an allowance for chance.
 func TestBackoffsOfAFleetAreNotInStep(t *testing.T) {
 	for _, fleet := range []int{80, 350, 1024} {
 		ticks := make([]int, maxBackoff/(100*time.Millisecond))
@@ -78,30 +79,31 @@
 	}
 }
 
-// The span grows with failures in a row, up to its bound, and is the shortest again after a reset.
+// The span must grow with failures in a row up to its limit, and be the shortest again after a reset.
 func TestBackoffGrowsWithFailuresAndIsReset(t *testing.T) {
 	b := newBackoff(7, func() float64 { return 4 })
 	longest := time.Duration(0)
 	for range 200 {
-		p := b.next()
-		if p < 0 || p >= 4*maxSpanPerDispatcher {
-			t.Fatalf("backoff %v", p)
+		delay := b.next()
+		if delay < 0 || delay >= 4*maxSpanPerDispatcher {
+			t.Fatalf("backoff %v", delay)
 		}
-		longest = max(longest, p)
+		longest = max(longest, delay)
 	}
 	if longest < 3*maxSpanPerDispatcher {
 		t.Errorf("longest backoff %v", longest)
 	}
 	b.reset()
 	for range 50 {
-		if p := b.next(); p >= 4*minSpanPerDispatcher {
-			t.Errorf("backoff %v after a reset", p)
+		if delay := b.next(); delay >= 4*minSpanPerDispatcher {
+			t.Errorf("backoff %v after a reset", delay)
 		}
 		b.reset()
 	}
 }
 
-// The backoffs follow the present size of the fleet: when most dispatchers are gone, the others need not wait for all.
+// The backoffs must follow the current size of the fleet, so that the remaining dispatchers reconnect sooner when most
+// of the others are gone.
 func TestBackoffFollowsTheFleetSize(t *testing.T) {
 	size := 300.0
 	b := newBackoff(1, func() float64 { return size })
@@ -113,18 +115,18 @@
 		return longest
 	}
 	if all := longestOf100(); all < maxBackoff*9/10 || all >= maxBackoff {
-		t.Errorf("longest backoff of 300 %v", all)
+		t.Errorf("longest backoff in a fleet of 300: %v", all)
 	}
 	size = 10
 	if shrunk := longestOf100(); shrunk >= 10*minSpanPerDispatcher {
-		t.Errorf("longest backoff of the remaining 10 %v", shrunk)
+		t.Errorf("longest backoff of the remaining 10 dispatchers: %v", shrunk)
 	}
 }
 
-// A change that a failed call missed counts as notified 6 s after discovery had it and could be reached, however often
-// calls have failed and however large the fleet is: after a call of the longest kind and any backoff behind it, a second
-// remains for the call that brings the change, and the time in which it binds. Where an agent answers at no cost, all
-// backoffs are short.
+// A dispatcher counts as notified of a change 6 s after discovery had it and could be reached, regardless of the number
+// of failed calls and the size of the fleet. After the longest call and any backoff after it, 1 s must remain for the
+// call that fetches the change, and drainDeadline for the change to take effect. If discovery is a local agent, which
+// answers at no cost, all backoffs must be short.
 func TestBackoffAllowsForNotificationInTime(t *testing.T) {
 	for _, fleet := range []float64{4, 80, 160, 161, 350, 1024, 1 << 20} {
 		b := newBackoff(3, func() float64 { return fleet })
@@ -132,16 +134,16 @@
 			if n%25 == 0 {
 				b.reset()
 			}
-			if p := b.next(); max(silenceTimeout, listTimeout)+p > notifiedWithin-bindsWithin-time.Second {
-				t.Fatalf("fleet of %v, failure %d: a call may take %v, and a backoff of %v follows", fleet, b.failures, silenceTimeout, p)
+			if delay := b.next(); max(silenceTimeout, listTimeout)+delay > notificationDeadline-drainDeadline-time.Second {
+				t.Fatalf("fleet of %v, failure %d: a call may take %v, and then a backoff of %v", fleet, b.failures, silenceTimeout, delay)
 			}
 		}
 	}
 	b := newBackoff(3, func() float64 { return 1024 })
-	b.agent = 50 * time.Millisecond
+	b.agentDelay = 50 * time.Millisecond
 	for range 20 {
-		if p := b.next(); p != b.agent {
-			t.Fatalf("backoff %v at an agent", p)
+		if delay := b.next(); delay != b.agentDelay {
+			t.Fatalf("backoff %v with a local agent", delay)
 		}
 	}
 }
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -14,10 +14,10 @@
 	"rampspread/routing"
 )
 
-// endpointTable holds the replicas as they were last passed on. It is safe for concurrent use.
+// endpointTable holds the endpoint list as it was last passed on. It is safe for concurrent use.
 type endpointTable struct {
 	settings *config.Settings
-	version  atomic.Uint64 // changes under mu
+	version  atomic.Uint64 // written only with mu held
 
 	mu     sync.Mutex
 	byName map[string]dispatch.Endpoint
@@ -27,9 +27,9 @@
 	return &endpointTable{settings: settings, byName: map[string]dispatch.Endpoint{}}
 }
 
-// update brings the table up to date with a list, or with changes if full is not set. It returns the valid entries, and
-// how many were rejected. The new version can be read before the caller passes the entries on: their receiver may want
-// it.
+// update applies a full list to the table, or changes if full is false. It returns the entries to pass on, including
+// substitutes for rejected ones, and the number of rejected entries. It stores the new version before the caller passes
+// the entries on, because their receiver may read the version.
 func (t *endpointTable) update(list List, full bool) (entries []dispatch.Endpoint, rejected int) {
 	entries = make([]dispatch.Endpoint, 0, len(list.Instances))
 	t.mu.Lock()
@@ -52,8 +52,9 @@
 	return entries, rejected
 }
 
-// substitute returns what takes the place of a malformed entry, if anything does. A replica that is leaving is gone: that
-// binds, whatever else is wrong with its entry. Any other stays as it was, also in a whole list. The caller holds mu.
+// substitute returns the endpoint that replaces a malformed entry, if there is one. A replica whose entry says that it
+// is draining or gone is treated as gone, whatever else is wrong with the entry. Any other replica that the table has
+// stays as it was, also in an update with a full list. The caller must hold mu.
 func (t *endpointTable) substitute(malformed dispatch.Endpoint) (dispatch.Endpoint, bool) {
 	if malformed.Name == "" {
 		return dispatch.Endpoint{}, false
@@ -66,7 +67,7 @@
 	return known, ok
 }
 
-// encode returns the whole list in discovery's form, sorted by name.
+// encode returns the full list in discovery's format, sorted by name.
 func (t *endpointTable) encode() (List, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +82,7 @@
 	return list, nil
 }
 
-// RejectedEntriesError says that entries of a list could not be read.
+// RejectedEntriesError is the error for a list with entries that could not be read.
 type RejectedEntriesError struct{ Rejected int }
 
 // Error implements error.
--- a/internal/discovery/entry.go
+++ b/internal/discovery/entry.go
@@ -13,14 +13,14 @@
 	"rampspread/routing"
 )
 
-// maxStartedAtMS bounds the start times that make sense, in milliseconds since 1970 (the year 5138).
+// maxStartedAtMS is the upper limit of plausible start times, in milliseconds since 1970 (the year 5138).
 const maxStartedAtMS = 1e14
 
-// List is discovery's form of the list of replicas, or of changes to it.
+// List is the endpoint list, or changes to it, in discovery's format.
 type List struct {
-	Generation uint64            `json:"generation"` // the version
-	Reset      bool              `json:"reset"`      // it is a whole list
-	Instances  []json.RawMessage `json:"instances"`  // each an Instance; kept raw, so that one can be malformed alone
+	Generation uint64            `json:"generation"` // version of the list
+	Reset      bool              `json:"reset"`      // true for a full list, false for changes
+	Instances  []json.RawMessage `json:"instances"`  // each an Instance; raw, so that one alone can be malformed
 }
 
 // Instance is one entry of a List.
@@ -32,7 +32,7 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"` // ready, draining or gone
 	Weight      float64 `json:"weight"`
-	StartedAtMS float64 `json:"startedAtMs"` // since 1970; 0: not known
+	StartedAtMS float64 `json:"startedAtMs"` // start time in ms since 1970; 0 if unknown
 }
 
 const (
@@ -41,11 +41,11 @@
 	lifecycleGone     = "gone"
 )
 
-// parseEndpoint reads one entry. With an error the endpoint has at least the replica's name and lifecycle, or is zero if
-// they could not be read.
+// parseEndpoint parses one entry. If it returns an error, the endpoint has at least the replica's name and lifecycle,
+// or is zero if they could not be read.
 func parseEndpoint(settings *config.Settings, raw json.RawMessage) (dispatch.Endpoint, error) {
 	var instance Instance
-	typeErr := json.Unmarshal(raw, &instance) // the other fields are read all the same
+	typeErr := json.Unmarshal(raw, &instance) // fields after one of a wrong type are still read
 	state, ok := parseLifecycle(instance.Lifecycle)
 	if !ok || instance.ID == "" {
 		err := fmt.Errorf("entry %q: unknown lifecycle %q", instance.ID, instance.Lifecycle)
@@ -79,7 +79,7 @@
 	return endpoint, nil
 }
 
-// newInstance is the reverse of parseEndpoint.
+// newInstance converts an endpoint to discovery's format. It is the inverse of parseEndpoint.
 func newInstance(settings *config.Settings, endpoint dispatch.Endpoint) Instance {
 	instance := Instance{
 		ID:          endpoint.Name,
@@ -96,7 +96,7 @@
 	return instance
 }
 
-// parseLifecycle reads a lifecycle; false if it is unknown.
+// parseLifecycle parses a lifecycle and reports whether it is a valid one.
 func parseLifecycle(lifecycle string) (routing.EndpointState, bool) {
 	switch lifecycle {
 	case lifecycleReady:
@@ -109,7 +109,8 @@
 	return 0, false
 }
 
-// formatLifecycle is the reverse of parseLifecycle for the replicas of a whole list, which has none that are gone.
+// formatLifecycle returns the lifecycle for a state. A full list has no replicas in state Gone, so it handles only the
+// other states.
 func formatLifecycle(state routing.EndpointState) string {
 	switch state {
 	case routing.Ready:
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -16,7 +16,7 @@
 	`{"instanceId":"id-1","hostPort":"127.0.0.1:1","zone":"zone-b","machineType":"kind-b","cell":3,"lifecycle":"ready","weight":4.5,"startedAtMs":1700000000001.5},` +
 	`{"instanceId":"id-2","hostPort":"127.0.0.1:2","zone":"zone-a","machineType":"kind-a","cell":5,"lifecycle":"draining","weight":6.5,"startedAtMs":1700000000002}]}`
 
-// Discovery's form of a list, as it is read, passed on and written again.
+// A list in discovery's format must be read, passed on and written again without a difference.
 func TestGoldenList(t *testing.T) {
 	var l discovery.List
 	if err := json.Unmarshal([]byte(goldenList), &l); err != nil {
@@ -39,7 +39,7 @@
 	var got []dispatch.Endpoint
 	w := discovery.New("127.0.0.1:1", settings, 1, func(_ bool, entries []dispatch.Endpoint) { got = entries })
 	if err := w.Apply(l, true); err != nil || w.Version() != 2 {
-		t.Errorf("not read whole: %v, version %d", err, w.Version())
+		t.Errorf("list not read completely: %v, version %d", err, w.Version())
 	}
 	want := []dispatch.Endpoint{
 		{Name: "id-1", Addr: "127.0.0.1:1", State: routing.Ready, Zone: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMicro(1700000000001500)},
--- a/internal/discovery/large_test.go
+++ b/internal/discovery/large_test.go
@@ -15,18 +15,20 @@
 	"rampspread/internal/testutil"
 )
 
-// largest is the most replicas in the operators' acceptance gate, and some more because its entries may be longer than usual.
-const largest = 3200
+// maxReplicas is the largest number of replicas in the operators' acceptance gate, plus a margin because entries may be
+// longer than usual.
+const maxReplicas = 3200
 
-// The largest list is read whole when it comes indented, with long names and figures, by a call and on a watch.
+// The largest list must be read completely, both from a list call and on a watch, even if it is indented and has long
+// names and numbers.
 func TestLargestListIsReadWholeWhenIndented(t *testing.T) {
 	var entries []string
-	for i := range largest {
+	for i := range maxReplicas {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%016x-%04d","hostPort":"127.123.123.123:%d","zone":"wien","machineType":"prefill","cell":%d,`+
 			`"lifecycle":"ready","weight":0.9382716049382716,"startedAtMs":1700000000000.123}`, i, i, 10000+i, i))
 	}
 	var text bytes.Buffer
-	if err := json.Indent(&text, []byte(list(7, true, entries...)), "", "        "); err != nil {
+	if err := json.Indent(&text, []byte(listJSON(7, true, entries...)), "", "        "); err != nil {
 		t.Fatal(err)
 	}
 	for _, mode := range []string{"call", "watch"} {
@@ -46,7 +48,7 @@
 			got := make(chan int, 64)
 			w := discovery.New(s.Listener.Addr().String(), testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got <- len(e) })
 			if mode == "watch" {
-				w.Apply(discovery.List{Generation: 1, Instances: []json.RawMessage{[]byte(entry("s1", "ready"))}}, true)
+				w.Apply(discovery.List{Generation: 1, Instances: []json.RawMessage{[]byte(entryJSON("s1", "ready"))}}, true)
 				<-got
 			}
 			ctx, stop := context.WithCancel(t.Context())
@@ -55,11 +57,11 @@
 			defer func() { stop(); <-done }()
 			select {
 			case n := <-got:
-				if n != largest {
-					t.Errorf("%d entries of %d", n, largest)
+				if n != maxReplicas {
+					t.Errorf("%d entries of %d", n, maxReplicas)
 				}
 			case <-time.After(10 * time.Second):
-				t.Fatalf("a list of %d bytes did not come; %d made no sense", text.Len(), w.Malformed())
+				t.Fatalf("a list of %d bytes was not passed on; %d malformed", text.Len(), w.Malformed())
 			}
 		})
 	}
--- a/internal/discovery/ndjson.go
+++ b/internal/discovery/ndjson.go
@@ -8,21 +8,22 @@
 	"io"
 )
 
-// errMalformed says that what came on a watch is no JSON object of the expected form, or too large for one. What was cut
-// off gives io.EOF, io.ErrUnexpectedEOF or the connection's error instead.
-var errMalformed = errors.New("what came cannot be read")
+// errMalformed is the error for data on a watch that is not a JSON object of the expected form, or that is too large.
+// Truncated data results in io.EOF, io.ErrUnexpectedEOF or the connection's error instead.
+var errMalformed = errors.New("malformed watch data")
 
 const jsonSpace = " \t\r\n"
 
-// objectReader reads newline-delimited JSON: objects on a line each, as in ndjson, or indented over several. While
-// nothing changes, empty lines come as heartbeats. An object that has begun has to end before long and within
-// maxListSize bytes: one that goes on for ever would keep the watch open without a change.
+// objectReader reads a sequence of JSON objects, each on one line as in newline-delimited JSON (ndjson) or indented
+// over several lines. While nothing changes, discovery sends empty lines as heartbeats. An object that has begun must
+// end within maxListSize bytes, and soon: the bytes in the middle of an object do not call onProgress. An endless
+// object would otherwise keep the watch open without a change.
 type objectReader struct {
 	source         io.Reader
-	onProgress     func() // called for empty lines, and as an object begins and ends
+	onProgress     func() // called for empty lines, and when an object begins or ends
 	decoder        *json.Decoder
 	betweenObjects bool // no object has begun
-	remaining      int  // bytes that the object may still have
+	remaining      int  // number of bytes that the current object may still have
 }
 
 func newObjectReader(source io.Reader, onProgress func()) *objectReader {
@@ -31,12 +32,12 @@
 	return r
 }
 
-// next reads the next object. The error wraps errMalformed if the object makes no sense.
+// next reads the next object. The error wraps errMalformed if the object is invalid.
 func (r *objectReader) next(into any) error {
 	err := r.decoder.Decode(into)
 	if err == nil {
 		// What the decoder has buffered already belongs to the object that follows.
-		buffered, _ := io.ReadAll(r.decoder.Buffered()) // all in memory, so it cannot fail
+		buffered, _ := io.ReadAll(r.decoder.Buffered()) // cannot fail, since it reads only buffered bytes
 		r.betweenObjects = len(bytes.TrimLeft(buffered, jsonSpace)) == 0
 		r.remaining = maxListSize - len(buffered)
 		r.onProgress()
@@ -50,10 +51,10 @@
 	return err
 }
 
-// decoderSource is what the decoder reads from.
+// decoderSource is the io.Reader from which the decoder reads.
 type decoderSource struct{ *objectReader }
 
-// Read implements io.Reader. It drops empty lines: the decoder would buffer them all until the next object.
+// Read implements io.Reader. It drops empty lines, since the decoder would buffer all of them until the next object.
 func (s decoderSource) Read(p []byte) (int, error) {
 	for {
 		n, err := s.source.Read(p)
--- a/internal/discovery/ndjson_test.go
+++ b/internal/discovery/ndjson_test.go
@@ -11,8 +11,8 @@
 	"rampspread/internal/testutil"
 )
 
-// Objects come on a line each or indented, in pieces, with empty lines between them; what makes no sense gives another
-// error than what was cut off.
+// Objects must be read whether they are on one line or indented, arrive in pieces or have empty lines between them.
+// Malformed data and truncated data must result in different errors.
 func TestObjectReaderReadsObjectsHoweverTheyAreCut(t *testing.T) {
 	const text = "\n\n{\"generation\":1}\n\r\n{\n  \"generation\": 2,\n  \"reset\": true\n}\n\n{\"generation\":3}{\"generation\":4}\n"
 	for name, source := range map[string]io.Reader{
@@ -28,33 +28,33 @@
 			}
 		}
 		if err := r.next(&List{}); !errors.Is(err, io.EOF) || errors.Is(err, errMalformed) {
-			t.Errorf("%s: the end is %v", name, err)
+			t.Errorf("%s: error at the end %v, want io.EOF", name, err)
 		}
 		if progress < 4 {
 			t.Errorf("%s: progress reported %d times", name, progress)
 		}
 	}
 	for text, malformed := range map[string]bool{
-		`{"generation":1`:        false, // cut off
+		`{"generation":1`:        false, // truncated
 		`{"generation":"x"}`:     true,
 		`{cut`:                   true,
 		"]":                      true,
-		strings.Repeat("[", 2e6): true, // without end
+		strings.Repeat("[", 2e6): true, // never ends
 		`{"instances":["` + strings.Repeat("a", maxListSize) + `"]}`: true,
 	} {
 		if err := newObjectReader(strings.NewReader(text), func() {}).next(&List{}); err == nil || errors.Is(err, errMalformed) != malformed {
 			t.Errorf("%.40q: %v", text, err)
 		}
 	}
-	// Empty lines do not count towards the size of the object behind them, however many there are.
+	// Empty lines do not count towards the size of the next object, however many there are.
 	r := newObjectReader(io.MultiReader(strings.NewReader(strings.Repeat("\n", 2*maxListSize)), strings.NewReader(`{"generation":7}`)), func() {})
 	var got List
 	if err := r.next(&got); err != nil || got.Generation != 7 {
-		t.Errorf("behind many empty lines: %+v, %v", got, err)
+		t.Errorf("after many empty lines: %+v, %v", got, err)
 	}
 }
 
-// FuzzObjectReader checks that the same objects come out of the bytes however these are cut.
+// FuzzObjectReader checks that the same bytes result in the same objects, in whatever pieces the bytes arrive.
 func FuzzObjectReader(f *testing.F) {
 	for _, text := range testutil.CorruptedSeeds(5, fmt.Sprintf(listFormat, 1, true, "ready")+"\n\n"+fmt.Sprintf(listFormat, 2, false, "gone"), "{\n \"generation\": 3\n}\n") {
 		f.Add(text)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,12 +17,13 @@
 	"rampspread/routing"
 )
 
-// listFormat is a list of the replica s1, of a generation, whole or not, and with a lifecycle.
+// listFormat is the format of a list of the replica s1. Its arguments are the generation, whether the list is full, and
+// the lifecycle.
 const listFormat = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"s1","hostPort":"127.0.0.1:9000","zone":"wien",` +
 	`"machineType":"prefill","cell":3,"lifecycle":%q,"weight":1.0,"startedAtMs":0}]}` + "\n"
 
-// startWatcher starts a watcher of a fleet so large that its backoffs, where discovery had to be polled, would spread
-// over a minute without their bound. It returns a function for the state of s1.
+// startWatcher starts a watcher in a fleet so large that without maxBackoff its backoffs at a polled discovery would
+// spread over a minute. It also returns a function that returns the state of s1.
 func startWatcher(t *testing.T, addr, discovery string) (*Watcher, func() routing.EndpointState) {
 	t.Helper()
 	settings := testutil.Settings(t)
@@ -42,8 +43,9 @@
 	return w, func() routing.EndpointState { return routing.EndpointState(state.Load()) }
 }
 
-// eventuallySoon awaits a condition for a time well under the backoffs that the fleet of startWatcher would draw if its
-// discovery had to be polled, and well over what a call to an agent takes on a slow machine.
+// eventuallySoon checks that a condition becomes true within 3 s. That is well below the backoffs that the fleet of
+// startWatcher would draw if its discovery had to be polled, and well above the duration of a call to an agent on a
+// slow machine.
 func eventuallySoon(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	from := time.Now()
@@ -53,9 +55,9 @@
 	}
 }
 
-// A watch that falls silent, is reset or ends is opened anew at once where an agent of the same machine has the change:
-// it counts as notified whether or not a watch is open. Backoffs of up to 15 s at 300 dispatchers broke the drain rule
-// (scenarios herd+mass and join+mass, with all seeds).
+// A watch that falls silent, is reset or ends must be reopened at once if an agent on the same machine has the change,
+// since the dispatcher counts as notified whether or not a watch is open. Backoffs of up to 15 s with 300 dispatchers
+// violated the drain rule (scenarios herd+mass and join+mass, with all seeds).
 func TestLostWatchOfAnAgentIsOpenedAnewAtOnce(t *testing.T) {
 	for name, loseWatch := range map[string]func(http.ResponseWriter, *http.Request){
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -67,10 +69,10 @@
 			panic(http.ErrAbortHandler)
 		},
 		"an object without end": func(w http.ResponseWriter, r *http.Request) {
-			for r.Context().Err() == nil { // bytes come, but no change
+			for r.Context().Err() == nil { // bytes arrive, but no change
 				io.WriteString(w, "[")
 				http.NewResponseController(w).Flush()
-				time.Sleep(10 * time.Millisecond) // the pace of the bytes
+				time.Sleep(10 * time.Millisecond) // interval between the bytes
 			}
 		},
 	} {
@@ -95,8 +97,8 @@
 	}
 }
 
-// An agent that is unreachable, or accepts a call and never answers, is called again and again: what it has at its return
-// counts at once.
+// An agent that is unreachable, or that accepts a call and never responds, must be called again and again: the
+// dispatcher counts as notified of the agent's list as soon as the agent returns.
 func TestUnreachableAgentIsRetriedUntilItReturns(t *testing.T) {
 	addr := testutil.UnusedAddress(t)
 	w, state := startWatcher(t, addr, "push")
@@ -118,7 +120,7 @@
 	eventuallySoon(t, "the drain", func() bool { return state() == routing.Draining })
 }
 
-// Where discovery has to be polled, a fleet that lost it does not come back in step.
+// A fleet that lost a polled discovery must not reconnect all at the same time, so a dispatcher must not retry at once.
 func TestLostPolledDiscoveryIsNotRetriedAtOnce(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
@@ -130,9 +132,9 @@
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever became of the calls before: of a
-// fleet of 1,024 each dispatcher has it in 5.5 s, after a watch that falls silent and after calls that were refused,
-// rejected, cut, unanswered, or unanswered on a connection that had been idle.
+// A dispatcher counts as notified of a change 6 s after discovery had it and could be reached, regardless of the
+// results of earlier calls. In a fleet of 1,024, each dispatcher must have the change within 5.5 s after calls that
+// were unanswered, rejected, cut off or answered only in part.
 func TestNotifiedInTimeAfterAnyFailedCall(t *testing.T) {
 	for name, fail := range map[string]func(http.ResponseWriter, *http.Request){
 		"silent":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -182,7 +184,7 @@
 			from := time.Now()
 			for i := range notified {
 				testutil.Eventually(t, "the drain", func() bool { return notified[i].Load() != 0 })
-				if took := time.Unix(0, notified[i].Load()).Sub(from); took > notifiedWithin-bindsWithin {
+				if took := time.Unix(0, notified[i].Load()).Sub(from); took > notificationDeadline-drainDeadline {
 					t.Errorf("dispatcher %d was notified after %v", i, took)
 				}
 			}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,10 +1,10 @@
-// Package discovery follows the service discovery's list of replicas. It is the list-and-watch pattern, as in the client
-// of Kubernetes: a Watcher fetches the whole list, then watches it for changes from the version that it has, and starts
-// again after a backoff whenever the watch ends.
+// Package discovery follows the endpoint list of service discovery. It uses the list-and-watch pattern, as the client
+// of Kubernetes does: a Watcher fetches the full list, then watches it for changes after the version that it has, and
+// starts again after a backoff whenever the watch ends.
 //
-// The Watcher owns the endpoints as they were last passed on, and their version. Run is the one goroutine that fetches
-// and watches; all other methods are safe to call from any goroutine. The callback that takes the updates is called by
-// whoever calls Apply, UseInitialList or Run.
+// The Watcher owns the endpoint list as it was last passed on, and its version. Only the goroutine that calls Run
+// follows discovery; all other methods are safe for concurrent use. The callback that receives the updates is called in
+// the goroutine that calls Apply, UseInitialList or Run.
 package discovery
 
 import (
@@ -22,42 +22,43 @@
 )
 
 const (
-	// silenceTimeout ends a watch on which nothing comes. While nothing changes an empty line comes every 2 s, so a
-	// watch without one for this long is dead. A change that it misses counts as notified 6 s after the watch fell
-	// silent; where an agent has the change and lost discovery for a while, as soon as discovery is back.
+	// silenceTimeout ends a watch that receives nothing. While nothing changes, discovery sends an empty line every 2
+	// s, so a watch that receives nothing for this long is dead. The dispatcher counts as notified of a change that
+	// such a watch misses 6 s after the watch fell silent, or, if an agent has the change and had lost discovery for a
+	// while, as soon as discovery is back.
 	silenceTimeout = 2500 * time.Millisecond
 
 	dialTimeout = time.Second
 
-	// agentBackoffDivisor gives the share of the drain deadline that a backoff may take where an agent answers.
+	// agentBackoffDivisor is the divisor of the drain deadline that gives the backoff if discovery is a local agent.
 	agentBackoffDivisor = 10
 )
 
-var errSilent = errors.New("silent for too long")
+var errSilent = errors.New("watch received nothing within the silence timeout")
 
-// Watcher follows one discovery, at an address that may change.
+// Watcher follows one service discovery, whose address may change.
 type Watcher struct {
 	settings       *config.Settings
-	apply          func(full bool, entries []dispatch.Endpoint)
+	onUpdate       func(full bool, entries []dispatch.Endpoint)
 	api            *apiClient
 	address        *address
 	endpoints      *endpointTable
-	backoff        *backoff // only Run uses it
+	backoff        *backoff // used only by Run
 	silenceTimeout time.Duration
-	needsFullList  atomic.Bool // there is no list yet, or a change may be missing from it
+	needsFullList  atomic.Bool // no list has been received, or the list may lack a change
 	malformed      atomic.Int64
-	attempts       atomic.Int64  // times that Run has fetched or watched, or failed to
-	confirmed      chan struct{} // closed once discovery itself has sent its list; only Run closes it
+	attempts       atomic.Int64  // number of attempts of Run to list and watch
+	confirmed      chan struct{} // closed by Run once discovery itself has sent its list or a change
 }
 
-// New returns a Watcher of the discovery at an address (host:port). It passes each update to apply: the whole list if
-// full is set, else changes to it. The seed draws the backoffs.
+// New returns a Watcher of the discovery at an address (host:port). It passes each update to onUpdate: the full list if
+// full is true, otherwise changes to it. The seed determines the random backoffs.
 func New(
-	addr string, settings *config.Settings, seed uint64, apply func(full bool, entries []dispatch.Endpoint),
+	addr string, settings *config.Settings, seed uint64, onUpdate func(full bool, entries []dispatch.Endpoint),
 ) *Watcher {
 	w := &Watcher{
 		settings:       settings,
-		apply:          apply,
+		onUpdate:       onUpdate,
 		address:        newAddress(addr),
 		endpoints:      newEndpointTable(settings),
 		backoff:        newBackoff(seed, func() float64 { return float64(settings.Dispatchers) }),
@@ -73,27 +74,29 @@
 		},
 	}
 	if settings.PushesEndpoints() {
-		// An agent answers at once and at no cost, and what it has counts as notified whether or not a watch is open: a
-		// backoff takes only a tenth of the time in which that has to bind.
-		w.backoff.agent = settings.DrainDeadline() / agentBackoffDivisor
+		// An agent answers at once and at no cost, and the dispatcher counts as notified of each change that the agent
+		// has, whether or not a watch is open. So a backoff takes only a tenth of the time in which a change must take
+		// effect.
+		w.backoff.agentDelay = settings.DrainDeadline() / agentBackoffDivisor
 	}
 	w.needsFullList.Store(true)
 	return w
 }
 
-// SetFleetSize makes the backoffs follow the number of dispatchers that share discovery with this one. It must be called
-// before Run.
+// SetFleetSize sets the function that returns the number of dispatchers that share discovery, which determines the
+// backoffs. SetFleetSize must be called before Run.
 func (w *Watcher) SetFleetSize(size func() float64) { w.backoff.fleetSize = size }
 
-// MoveTo goes on at another address at once: the whole list is fetched there, and the present list holds until then.
+// MoveTo continues at another address at once. The full list is fetched there; until then the current list remains
+// valid.
 func (w *Watcher) MoveTo(addr string) {
 	w.address.move(addr, w.api.http.CloseIdleConnections)
 }
 
-// Refresh fetches the whole list anew at once, as after MoveTo: the present one may be old.
+// Refresh fetches the full list again at once, as after MoveTo, because the current one may be old.
 func (w *Watcher) Refresh() { w.address.interrupt() }
 
-// Address returns where discovery is now.
+// Address returns the current address of discovery.
 func (w *Watcher) Address() string {
 	addr, _ := w.address.get()
 	return addr
@@ -105,36 +108,36 @@
 // Version returns the version of the list that was passed on last.
 func (w *Watcher) Version() uint64 { return w.endpoints.version.Load() }
 
-// Confirmed returns a channel that is closed once discovery itself has sent its list: the one that a process starts with
-// may be old.
+// Confirmed returns a channel that is closed once discovery itself has sent its list or a change. The list that a
+// process starts with may be old.
 func (w *Watcher) Confirmed() <-chan struct{} { return w.confirmed }
 
-// CurrentList returns the whole list as it was passed on, in discovery's form.
+// CurrentList returns the full list as it was last passed on, in discovery's format.
 func (w *Watcher) CurrentList() (List, error) { return w.endpoints.encode() }
 
-// Peek fetches which version the list has at discovery now, and changes nothing.
+// Peek returns the current version of the list at discovery, without applying the list.
 func (w *Watcher) Peek(ctx context.Context) (version uint64, err error) {
 	list, err := w.api.list(ctx, w.Address())
 	return list.Generation, err
 }
 
-// UseInitialList passes on the list that the process starts with, which may be old. Where lists are pushed, the agent's
-// own list counts as notified from the first moment on and costs nothing, so the whole list is fetched there; elsewhere
-// the watch goes on from this one.
+// UseInitialList passes on the list that the process starts with, which may be old. If an agent pushes lists, the
+// dispatcher counts as notified of the agent's list from the start, and fetching it costs nothing, so Run fetches the
+// full list. Otherwise the watch continues from the version of the initial list.
 func (w *Watcher) UseInitialList(list List) {
-	_ = w.Apply(list, true) // the valid entries are better than none
+	_ = w.Apply(list, true) // rejected entries are ignored, since the valid ones are better than none
 	if w.settings.PushesEndpoints() {
 		w.needsFullList.Store(true)
 	}
 }
 
-// Apply passes on a list, or changes if full is not set, and makes its version the one that the watch goes on from. What
-// cannot be read is counted and skipped; a *RejectedEntriesError says how many entries that were.
+// Apply passes on a full list, or changes if full is false. The next watch continues from its version. Entries that
+// cannot be read are counted as malformed, and a *RejectedEntriesError returns their number.
 func (w *Watcher) Apply(list List, full bool) error {
 	entries, rejected := w.endpoints.update(list, full)
 	w.malformed.Add(int64(rejected))
-	w.apply(full, entries)
-	// A whole list without a replica is none to go on from: a watch from its version may never send anything.
+	w.onUpdate(full, entries)
+	// A full list without a replica is no basis for a watch: a watch from its version may never send anything.
 	w.needsFullList.Store(rejected > 0 || full && len(entries) == 0 || !full && w.needsFullList.Load())
 	if rejected > 0 {
 		return &RejectedEntriesError{Rejected: rejected}
@@ -142,8 +145,8 @@
 	return nil
 }
 
-// confirm applies what discovery itself has sent.
-func (w *Watcher) confirm(list List, full bool) error {
+// applyConfirmed applies a list, or changes, that discovery itself has sent, and closes confirmed.
+func (w *Watcher) applyConfirmed(list List, full bool) error {
 	err := w.Apply(list, full)
 	select {
 	case <-w.confirmed:
@@ -153,53 +156,55 @@
 	return err
 }
 
-// Run follows discovery until the context ends. Where discovery must be polled, many dispatchers lose it in the same
-// moment and share its capacity, so each one backs off for a random time, longer with each failure. The first attempt
-// is made at once: the list that a dispatcher starts with may be old, and a replica that is gone must get nothing more.
+// Run follows discovery until the context ends. If discovery must be polled, many dispatchers lose it at the same
+// moment and share its capacity, so each one backs off for a random time, which grows with each failure. The first
+// attempt is made at once: the list that a dispatcher starts with may be old, and a replica that is gone must not
+// receive further requests.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		addr, moved := w.address.get()
+		addr, interrupted := w.address.get()
 		w.attempts.Add(1)
-		err := w.follow(ctx, addr, moved)
+		err := w.listAndWatch(ctx, addr, interrupted)
 		if ctx.Err() != nil {
 			return
 		}
-		// A connection that was idle while the network was cut says nothing, and a second call that hangs on one would
-		// take longer than a change may.
+		// A connection that was idle while the network was down may hang without an error, and a second call that hangs
+		// would take longer than a change may take to arrive.
 		w.api.http.CloseIdleConnections()
 		delay := w.backoff.next()
-		if w.backoff.failures == 1 { // logging each failure would fill the log while an agent is away
+		if w.backoff.failures == 1 { // logging each failure would fill the log while an agent is unreachable
 			slog.Info("discovery_lost", "addr", addr, "backoff", delay, "err", err)
 		}
-		w.wait(ctx, moved, delay)
+		w.waitBackoff(ctx, interrupted, delay)
 	}
 }
 
-// wait waits for a backoff, or until discovery moves: the new one may count versions otherwise.
-func (w *Watcher) wait(ctx context.Context, moved <-chan struct{}, delay time.Duration) {
+// waitBackoff waits for a backoff, or until discovery moves or Refresh is called. The full list is needed then, since a
+// new discovery may count versions differently.
+func (w *Watcher) waitBackoff(ctx context.Context, interrupted <-chan struct{}, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-moved:
+	case <-interrupted:
 		w.needsFullList.Store(true)
 		w.backoff.reset()
-		if !w.settings.PushesEndpoints() { // all dispatchers are moved in the same moment
-			_, moved = w.address.get()
-			w.wait(ctx, moved, w.backoff.next())
+		if !w.settings.PushesEndpoints() { // all dispatchers are moved at the same moment
+			_, interrupted = w.address.get()
+			w.waitBackoff(ctx, interrupted, w.backoff.next())
 		}
 	case <-ctx.Done():
 	}
 }
 
-// follow lists and watches at one address until that fails or discovery moves. The watch goes on from the present
-// version, since a whole list costs discovery work for each of its lines; the list is fetched only where it is needed.
-func (w *Watcher) follow(ctx context.Context, addr string, moved <-chan struct{}) error {
+// listAndWatch lists and watches at one address until it fails or is interrupted. The watch continues from the current
+// version. The full list is fetched only if it is needed, since it costs discovery work for each of its lines.
+func (w *Watcher) listAndWatch(ctx context.Context, addr string, interrupted <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-moved:
+		case <-interrupted:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -209,19 +214,19 @@
 		if err != nil {
 			return err
 		}
-		_ = w.confirm(list, true) // needsFullList says so if an entry was rejected, and the watch goes on
+		_ = w.applyConfirmed(list, true) // needsFullList records whether an entry was rejected; watching continues
 	}
 	err := w.watch(ctx, addr)
 	select {
-	case <-moved:
+	case <-interrupted:
 		w.needsFullList.Store(true)
 	default:
 	}
 	return err
 }
 
-// watch applies changes until the watch ends, falls silent or brings what cannot be read. After the last of these a
-// change may be missing, so the whole list is fetched next.
+// watch applies changes until the watch ends, falls silent or sends data that cannot be read. Unreadable data may have
+// been a change, so the full list is fetched next.
 func (w *Watcher) watch(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -240,15 +245,16 @@
 	for {
 		var change List
 		if err := changes.next(&change); err != nil {
-			// A change that was cut off is sent again by its index; one that makes no sense might be no better then.
+			// A truncated change is sent again on the next watch from the same version. A malformed change might be
+			// malformed again, so the full list is fetched instead.
 			if errors.Is(err, errMalformed) {
 				w.malformed.Add(1)
 				w.needsFullList.Store(true)
 			}
 			return fmt.Errorf("discovery: watch: %w", causeOr(ctx, err))
 		}
-		if err := w.confirm(change, change.Reset); err != nil && !change.Reset {
-			return fmt.Errorf("discovery: watch: %w", err) // the whole list may have the rejected entries
+		if err := w.applyConfirmed(change, change.Reset); err != nil && !change.Reset {
+			return fmt.Errorf("discovery: watch: %w", err) // the full list may have these entries in a valid form
 		}
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,55 +19,57 @@
 	"rampspread/routing"
 )
 
-// entry is one entry of a list in discovery's form.
-func entry(id, state string) string {
+// entryJSON returns one entry of a list in discovery's format.
+func entryJSON(id, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:9000","zone":"wien","machineType":"prefill","cell":3,`+
 		`"lifecycle":%q,"weight":1.0,"startedAtMs":1700000000000}`, id, state)
 }
 
-// list is a list in discovery's form: whole if reset is set, else changes.
-func list(generation int, reset bool, entries ...string) string {
+// listJSON returns a list in discovery's format: a full list if reset is true, otherwise changes.
+func listJSON(generation int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`, generation, reset, strings.Join(entries, ","))
 }
 
-// update is what a Watcher passed on.
+// update is one update that a Watcher passed on.
 type update struct {
 	full    bool
 	entries []dispatch.Endpoint
 }
 
-// agent is a fake discovery: each watch gets the next of its scripts and then ends.
-type agent struct {
-	mu      sync.Mutex
-	whole   string
-	watches []string
-	queries []string
+// fakeDiscovery sends fullList for each list call. For each watch it sends the next of watchResponses and ends the
+// watch.
+type fakeDiscovery struct {
+	mu             sync.Mutex
+	fullList       string
+	watchResponses []string
+	queries        []string
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a.mu.Lock()
-	a.queries = append(a.queries, r.URL.RawQuery)
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	d.queries = append(d.queries, r.URL.RawQuery)
 	if r.URL.Query().Get("stream") == "" {
-		io.WriteString(w, a.whole)
-		a.mu.Unlock()
+		io.WriteString(w, d.fullList)
+		d.mu.Unlock()
 		return
 	}
 	text := ""
-	if len(a.watches) > 0 {
-		text, a.watches = a.watches[0], a.watches[1:]
+	if len(d.watchResponses) > 0 {
+		text, d.watchResponses = d.watchResponses[0], d.watchResponses[1:]
 	}
-	a.mu.Unlock()
+	d.mu.Unlock()
 	io.WriteString(w, text)
 }
 
-// The list is followed by the changes of the watch, which goes on from its version unless a change could not be read.
+// After the full list, a watch must continue from the list's version, and a later watch from the version of the last
+// change. After a change that could not be read, the full list must be fetched instead.
 func TestWatchGoesOnByVersionOrFetchesTheWholeList(t *testing.T) {
-	a := &agent{whole: list(41, true, entry("s1", "ready"), entry("s2", "ready")), watches: []string{
-		"\n" + list(42, false, entry("s1", "draining")) + "\n\n" + list(43, false, entry("s1", "gone")) + "\n",
-		"{cut\n" + list(44, false, entry("s3", "ready")) + "\n", // after a line that cannot be read the whole list is fetched
-		list(50, true, entry("s4", "ready")) + "\n",
+	fake := &fakeDiscovery{fullList: listJSON(41, true, entryJSON("s1", "ready"), entryJSON("s2", "ready")), watchResponses: []string{
+		"\n" + listJSON(42, false, entryJSON("s1", "draining")) + "\n\n" + listJSON(43, false, entryJSON("s1", "gone")) + "\n",
+		"{cut\n" + listJSON(44, false, entryJSON("s3", "ready")) + "\n", // a full list follows the malformed line
+		listJSON(50, true, entryJSON("s4", "ready")) + "\n",
 	}}
-	s := httptest.NewServer(a)
+	s := httptest.NewServer(fake)
 	defer s.Close()
 	updates := make(chan update, 64)
 	w := discovery.New(s.Listener.Addr().String(), testutil.Settings(t), 1, func(full bool, e []dispatch.Endpoint) {
@@ -83,7 +85,7 @@
 		state routing.EndpointState
 	}{
 		{true, "s1 s2", routing.Ready}, {false, "s1", routing.Draining}, {false, "s1", routing.Gone},
-		{true, "s1 s2", routing.Ready}, // the second watch could not be read
+		{true, "s1 s2", routing.Ready}, // full list after the unreadable line of the second watch
 		{true, "s4", routing.Ready},
 	} {
 		u := <-updates
@@ -95,20 +97,21 @@
 			t.Errorf("update %d: %+v, want %+v", i, u, want)
 		}
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	// The watch that ended goes on by index; only after the line that could not be read the whole list is fetched.
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	// After a watch that ended, the next one continues from the last version. Only after the line that could not be
+	// read the full list is fetched.
 	want := []string{"", "stream=1&index=41", "stream=1&index=43", "", "stream=1&index=41"}
-	if !slices.Equal(a.queries[:min(len(want), len(a.queries))], want) || w.Malformed() != 1 {
-		t.Errorf("queries %q, %d bad", a.queries, w.Malformed())
+	if !slices.Equal(fake.queries[:min(len(want), len(fake.queries))], want) || w.Malformed() != 1 {
+		t.Errorf("queries %q, %d malformed", fake.queries, w.Malformed())
 	}
 }
 
-// A dispatcher that starts with a list watches from its version: a whole fleet starting at once must not fetch the whole
-// list from discovery.
+// A dispatcher that starts with a list must watch from its version, so that a fleet whose dispatchers all start at once
+// does not fetch the full list from discovery.
 func TestWatchBeginsAfterTheInitialList(t *testing.T) {
-	a := &agent{watches: []string{list(42, false, entry("s1", "gone")) + "\n"}}
-	s := httptest.NewServer(a)
+	fake := &fakeDiscovery{watchResponses: []string{listJSON(42, false, entryJSON("s1", "gone")) + "\n"}}
+	s := httptest.NewServer(fake)
 	defer s.Close()
 	updates := make(chan update, 64)
 	settings := testutil.Settings(t)
@@ -116,7 +119,7 @@
 	w := discovery.New(s.Listener.Addr().String(), settings, 1, func(full bool, e []dispatch.Endpoint) {
 		updates <- update{full, e}
 	})
-	w.UseInitialList(discovery.List{Generation: 41, Instances: []json.RawMessage{json.RawMessage(entry("s1", "ready"))}})
+	w.UseInitialList(discovery.List{Generation: 41, Instances: []json.RawMessage{json.RawMessage(entryJSON("s1", "ready"))}})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
@@ -127,54 +130,56 @@
 	if u := <-updates; u.full || u.entries[0].State != routing.Gone {
 		t.Errorf("second update %+v", u)
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.queries[0] != "stream=1&index=41" {
-		t.Errorf("queries %q", a.queries)
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	if fake.queries[0] != "stream=1&index=41" {
+		t.Errorf("queries %q", fake.queries)
 	}
 }
 
-// Entries that cannot be read are counted and skipped, and do not affect the others.
+// Entries that cannot be read must be counted and skipped, and must not affect the other entries.
 func TestMalformedEntriesAreSkippedAndCounted(t *testing.T) {
 	var got []dispatch.Endpoint
 	w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 	var l discovery.List
-	good := entry("s1", "ready")
-	text := list(1, true, `7`, `{"instanceId":4}`, entry("s2", "asleep"), strings.Replace(good, "wien", "linz", 1),
+	good := entryJSON("s1", "ready")
+	text := listJSON(1, true, `7`, `{"instanceId":4}`, entryJSON("s2", "asleep"), strings.Replace(good, "wien", "linz", 1),
 		strings.Replace(good, "prefill", "m9", 1), strings.Replace(good, ":9000", "", 1), good)
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		t.Fatal(err)
 	}
 	w.Apply(l, true)
 	if len(got) != 1 || got[0].Name != "s1" || got[0].Cell != 3 || got[0].Started.UnixMilli() != 1700000000000 || w.Malformed() != 6 {
-		t.Errorf("got %+v, %d bad", got, w.Malformed())
+		t.Errorf("got %+v, %d malformed", got, w.Malformed())
 	}
 }
 
-// A replica that is leaving gets nothing more, whatever else in its entry makes no sense.
+// A replica that is draining or gone must not receive further requests, even if other fields of its entry are
+// malformed.
 func TestLeavingBindsInAMalformedEntry(t *testing.T) {
-	good := entry("s1", "draining")
+	good := entryJSON("s1", "draining")
 	for _, text := range []string{
 		strings.Replace(good, "wien", "linz", 1), strings.Replace(good, "prefill", "m9", 1), strings.Replace(good, ":9000", "", 1),
 		strings.Replace(good, `"cell":3`, `"cell":"x"`, 1), strings.Replace(good, `"weight":1.0`, `"weight":[]`, 1),
-		strings.Replace(entry("s1", "gone"), `"cell":3`, `"cell":"x"`, 1),
+		strings.Replace(entryJSON("s1", "gone"), `"cell":3`, `"cell":"x"`, 1),
 	} {
 		var got []dispatch.Endpoint
 		w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
 		err := w.Apply(discovery.List{Instances: []json.RawMessage{json.RawMessage(text)}}, false)
 		if len(got) != 1 || got[0].Name != "s1" || got[0].State != routing.Gone || !rejectedOne(err) || w.Malformed() != 1 {
-			t.Errorf("%s: taken as %+v, %v, %d bad", text, got, err, w.Malformed())
+			t.Errorf("%s: passed on as %+v, %v, %d malformed", text, got, err, w.Malformed())
 		}
 	}
 }
 
-// rejectedOne reports whether an error says that one entry was rejected.
+// rejectedOne reports whether an error is a RejectedEntriesError for exactly one entry.
 func rejectedOne(err error) bool {
 	var rejected *discovery.RejectedEntriesError
 	return errors.As(err, &rejected) && rejected.Rejected == 1
 }
 
-// A whole list in which a replica's entry makes no sense leaves that replica as it was; one that it does not name is gone.
+// A full list with a malformed entry must leave the replica of that entry as it was. A replica that the list does not
+// name must be removed.
 func TestReplicaWithAMalformedEntryStaysAsItWas(t *testing.T) {
 	var got []dispatch.Endpoint
 	w := discovery.New("", testutil.Settings(t), 1, func(_ bool, e []dispatch.Endpoint) { got = e })
@@ -184,18 +189,19 @@
 		}
 		return out
 	}
-	w.Apply(discovery.List{Instances: raw(entry("s1", "ready"), entry("s2", "ready"), entry("s3", "ready"))}, true)
-	w.Apply(discovery.List{Instances: raw(entry("s3", "draining"))}, false)
-	bad := func(id string) string { return strings.Replace(entry(id, "ready"), "wien", "linz", 1) }
+	w.Apply(discovery.List{Instances: raw(entryJSON("s1", "ready"), entryJSON("s2", "ready"), entryJSON("s3", "ready"))}, true)
+	w.Apply(discovery.List{Instances: raw(entryJSON("s3", "draining"))}, false)
+	bad := func(id string) string { return strings.Replace(entryJSON(id, "ready"), "wien", "linz", 1) }
 	w.Apply(discovery.List{Instances: raw(bad("s1"), bad("s3"), bad("s4"))}, true)
 	if len(got) != 2 || got[0].Name != "s1" || got[0].State != routing.Ready || got[0].Zone != 0 || got[1].Name != "s3" || got[1].State != routing.Draining {
-		t.Errorf("taken: %+v", got)
+		t.Errorf("passed on %+v", got)
 	}
 }
 
-// FuzzList checks that each entry of a list is passed on or counted as malformed, or both where it is leaving.
+// FuzzList checks that each entry of a list is passed on or counted as malformed, or both if its replica is draining or
+// gone.
 func FuzzList(f *testing.F) {
-	for _, text := range testutil.CorruptedSeeds(3, list(7, false, entry("s1", "ready"), entry("s2", "gone"))) {
+	for _, text := range testutil.CorruptedSeeds(3, listJSON(7, false, entryJSON("s1", "ready"), entryJSON("s2", "gone"))) {
 		f.Add(text)
 	}
 	settings := testutil.Settings(f)
@@ -207,26 +213,26 @@
 		n := 0
 		w := discovery.New("", settings, 1, func(_ bool, e []dispatch.Endpoint) { n = len(e) })
 		w.Apply(l, false)
-		// A replica that is leaving is passed on even from a malformed entry.
+		// A replica that is draining or gone is passed on even if its entry is malformed.
 		if bad := int(w.Malformed()); n > len(l.Instances) || bad > len(l.Instances) || n+bad < len(l.Instances) {
-			t.Errorf("%d taken and %d bad of %d", n, bad, len(l.Instances))
+			t.Errorf("%d passed on and %d malformed of %d", n, bad, len(l.Instances))
 		}
 	})
 }
 
-// A dispatcher that starts with a list of no replica fetches the whole list, since a watch from that list's version may
-// never send anything; with a replica on its list it only watches.
+// A dispatcher that starts with an empty list must fetch the full list, since a watch from the empty list's version may
+// never send anything. With a replica on the initial list it must only watch, unless discovery is a local agent.
 func TestEmptyInitialListIsNotWatchedFrom(t *testing.T) {
 	for _, c := range []struct{ discovery, initial, want string }{
-		{"ask", list(3, true), ""},
-		{"ask", list(3, true, entry("s1", "ready")), "stream=1&index=3"},
-		// An agent's list counts as notified from the first moment on, and costs nothing.
-		{"push", list(3, true, entry("s1", "ready")), ""},
+		{"ask", listJSON(3, true), ""},
+		{"ask", listJSON(3, true, entryJSON("s1", "ready")), "stream=1&index=3"},
+		// The dispatcher counts as notified of an agent's list from the start, and fetching it costs nothing.
+		{"push", listJSON(3, true, entryJSON("s1", "ready")), ""},
 	} {
 		settings := testutil.Settings(t)
 		settings.Discovery = c.discovery
-		a := &agent{whole: list(41, true, entry("s1", "ready"))}
-		s := httptest.NewServer(a)
+		fake := &fakeDiscovery{fullList: listJSON(41, true, entryJSON("s1", "ready"))}
+		s := httptest.NewServer(fake)
 		w := discovery.New(s.Listener.Addr().String(), settings, 1, func(bool, []dispatch.Endpoint) {})
 		var l discovery.List
 		if err := json.Unmarshal([]byte(c.initial), &l); err != nil {
@@ -236,12 +242,12 @@
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
-		testutil.Eventually(t, "the first call", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.queries) > 0 })
+		testutil.Eventually(t, "the first call", func() bool { fake.mu.Lock(); defer fake.mu.Unlock(); return len(fake.queries) > 0 })
 		stop()
 		<-done
 		s.Close()
-		if a.queries[0] != c.want {
-			t.Errorf("%s with %s: the first call was %q", c.discovery, c.initial, a.queries[0])
+		if fake.queries[0] != c.want {
+			t.Errorf("%s with %s: the first call was %q", c.discovery, c.initial, fake.queries[0])
 		}
 	}
 }
--- a/internal/importer/apache.go
+++ b/internal/importer/apache.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Range of Apache's loadfactor.
+// Valid range of Apache's loadfactor.
 const (
 	minLoadFactor = 1
 	maxLoadFactor = 100
@@ -17,7 +17,8 @@
 
 var defaultPorts = map[string]string{"http": "80", "https": "443", "ajp": "8009"}
 
-// parseApache reads BalancerMember lines, inside <Proxy balancer://NAME> or with the balancer as first argument.
+// parseApache reads BalancerMember lines. The balancer is the first argument of such a line or, without that argument,
+// is named by the enclosing <Proxy balancer://NAME> section.
 func parseApache(lines []logicalLine) ([]Member, error) {
 	var members []Member
 	section := "" // the balancer whose <Proxy> section is open
@@ -47,8 +48,7 @@
 	return strings.TrimSuffix(name, "/"), ok
 }
 
-// parseBalancerMember reads the arguments of one BalancerMember; the result is nil for a member that receives no
-// requests.
+// parseBalancerMember reads the arguments of one BalancerMember. It returns nil for a member that receives no requests.
 func parseBalancerMember(balancer string, args []string) (*Member, error) {
 	if len(args) > 0 {
 		if name, ok := balancerName(args[0]); ok {
@@ -82,7 +82,7 @@
 	return member, nil
 }
 
-// memberAddr is the host and port of a member's URL.
+// memberAddr returns the host and port of a member's URL.
 func memberAddr(argument string) (string, error) {
 	u, err := url.Parse(strings.Trim(argument, `"`))
 	if err != nil {
@@ -107,8 +107,8 @@
 }
 
 // applyStatus applies status flags and reports whether the member receives requests. Flags are set unless a minus sign
-// precedes them: D disabled, S stopped, N draining, H hot standby, R hot spare. Members in one of the last two states
-// receive no requests yet.
+// precedes them: D disabled, S stopped, N draining, H hot standby, R hot spare. Stopped members receive no requests;
+// hot standbys and hot spares receive none yet.
 func (m *Member) applyStatus(flags string) bool {
 	set := true
 	for _, flag := range strings.ToUpper(flags) {
--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -1,6 +1,6 @@
 // Package importer reads the members that Apache's balancer configuration (mod_proxy_balancer) and mod_jk's
-// workers.properties name, so that an operator can convert them into an endpoint list. It has no state; Parse may be
-// called from any goroutine.
+// workers.properties name, so that an operator can convert them into an endpoint list. The package has no state; Parse
+// is safe for concurrent use.
 package importer
 
 import (
@@ -11,20 +11,21 @@
 	"strings"
 )
 
-// maxLineBytes bounds a line after continued lines are joined, and a property's value after substitution.
+// maxLineBytes limits the length of a line after continued lines were joined, and of a property's value after
+// substitution.
 const maxLineBytes = 64 << 10
 
 // Member is one server that a file names.
 type Member struct {
-	Name     string // unique in its file
+	Name     string // unique within the file
 	Balancer string
 	Addr     string // host and port
 	Weight   float64
 	Draining bool // accepts no new requests
 }
 
-// Parse reads either kind of file: one with worker.* properties is mod_jk's, any other Apache's. It fails if the file
-// is invalid, if it names no member, or if it names one twice.
+// Parse reads a file in either format: a file with worker.* properties is read as mod_jk's, any other file as Apache's.
+// Parse fails if the file is invalid, if it names no member, or if it names a member twice.
 func Parse(r io.Reader) ([]Member, error) {
 	lines, err := readLogicalLines(r)
 	if err != nil {
@@ -55,7 +56,7 @@
 
 // logicalLine is a line with its continuations joined.
 type logicalLine struct {
-	number int // of its last physical line
+	number int // number of the last physical line
 	text   string
 }
 
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := importer.Parse(strings.NewReader(c.text))
 			if err != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got %+v, %v", got, err)
+				t.Errorf("got %+v, error %v", got, err)
 			}
 		})
 	}
@@ -82,13 +82,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := importer.Parse(strings.NewReader(c.text))
 			if err == nil || !strings.Contains(err.Error(), c.wantError) {
-				t.Errorf("%q: got %+v, %v", c.text, got, err)
+				t.Errorf("%q: got %+v, error %v", c.text, got, err)
 			}
 		})
 	}
 }
 
-// Every file either fails or has members, each with an address, a weight and a name.
+// FuzzParse checks that Parse either fails or returns members that each have an address, a weight of at least 1 and a
+// name.
 func FuzzParse(f *testing.F) {
 	for _, text := range testutil.CorruptedSeeds(6, apacheText, modJKText) {
 		f.Add(text)
@@ -96,11 +97,11 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		members, err := importer.Parse(strings.NewReader(text))
 		if (err == nil) != (len(members) > 0) {
-			t.Fatalf("%d members, %v", len(members), err)
+			t.Fatalf("%d members, error %v", len(members), err)
 		}
 		for _, m := range members {
 			if _, _, err := net.SplitHostPort(m.Addr); err != nil || !(m.Weight >= 1) || m.Name == "" {
-				t.Errorf("%+v, %v", m, err)
+				t.Errorf("invalid member %+v, address error %v", m, err)
 			}
 		}
 	})
--- a/internal/importer/modjk.go
+++ b/internal/importer/modjk.go
@@ -11,7 +11,7 @@
 const (
 	workerPrefix = "worker."
 	workerList   = workerPrefix + "list"
-	// maxReferences bounds a chain of references between workers, which may be a circle.
+	// maxReferences limits how many references between workers are followed, since they may be circular.
 	maxReferences = 8
 )
 
@@ -24,17 +24,17 @@
 	defaultWorkerActivation = "A" // active
 )
 
-// Worker types that are no servers.
+// Worker types that do not describe a server.
 const (
 	loadBalancerType = "lb"
 	statusType       = "status"
 )
 
-// workerProperties holds the properties of a file by their full names.
+// workerProperties maps the full names of a file's properties to their values.
 type workerProperties map[string]string
 
-// parseModJK reads worker properties: the members of each balancer in worker.list, and the workers listed there
-// themselves.
+// parseModJK reads worker properties. It returns the members of each balancer in worker.list, and the servers that
+// worker.list names directly.
 func parseModJK(lines []logicalLine) ([]Member, error) {
 	properties, err := parseProperties(lines)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return properties, nil
 }
 
-// substitute replaces $(NAME) by the property of that name, unless it is a worker's.
+// substitute replaces $(NAME) with the value of the property NAME, unless that is a worker property.
 func (p workerProperties) substitute(value string) string {
 	for name, replacement := range p {
 		if !strings.HasPrefix(name, workerPrefix) {
@@ -86,7 +86,8 @@
 	return value
 }
 
-// get returns an attribute of a worker, or else of the template that the worker refers to, or else the default.
+// get returns an attribute of a worker. If the worker does not set it, get follows the worker's reference to its
+// template, and returns the default if no template sets it either.
 func (p workerProperties) get(worker, attribute, defaultValue string) string {
 	for range maxReferences {
 		if value, ok := p[workerPrefix+worker+"."+attribute]; ok {
@@ -101,7 +102,7 @@
 	return defaultValue
 }
 
-// workersOf returns the workers of a listed balancer; for a listed server, the server alone.
+// workersOf returns the workers of a listed balancer, or only the listed name itself if it is a server.
 func (p workerProperties) workersOf(listed string) []string {
 	switch p.get(listed, "type", defaultWorkerType) {
 	case loadBalancerType:
@@ -112,7 +113,7 @@
 	return []string{listed}
 }
 
-// member returns the member that a worker describes; nil for a worker that is stopped.
+// member returns the member that a worker describes, or nil if the worker is stopped.
 func (p workerProperties) member(balancer, worker string) (*Member, error) {
 	port := p.get(worker, "port", defaultWorkerPort)
 	if _, err := parsePositive(port); err != nil {
@@ -134,7 +135,7 @@
 	return member, nil
 }
 
-// parsePositive reads a number from 1 to 65535.
+// parsePositive parses a number from 1 to 65535.
 func parsePositive(value string) (uint16, error) {
 	n, err := strconv.ParseUint(value, 10, 16)
 	if err != nil {
--- a/internal/protofield/protofield.go
+++ b/internal/protofield/protofield.go
@@ -1,11 +1,12 @@
 // Package protofield reads and writes protobuf messages field by field, for messages that are too small to justify
-// generated code. The encoding is that of https://protobuf.dev/programming-guides/encoding. It has no state; its
-// functions may be called from any goroutine.
+// generated code. The encoding is defined in https://protobuf.dev/programming-guides/encoding. The package has no
+// state; its functions are safe for concurrent use.
 package protofield
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// Field is one field of a message. Value is set for varints and 64-bit numbers, Bytes for length-delimited values.
+// Field is one field of a message. Value is set for varints and 64-bit numbers, Bytes is set for length-delimited
+// values.
 type Field struct {
 	Number   protowire.Number
 	WireType protowire.Type
@@ -13,8 +14,8 @@
 	Bytes    []byte // shares the memory of the message that was read
 }
 
-// Next reads the first field of a message and returns the rest of the message. A field that cannot be read completely is
-// an error. Fields of other wire types are skipped: they have neither Value nor Bytes.
+// Next reads the first field of a message and returns the rest of the message. It returns an error if the field is
+// truncated or invalid. For a field of another wire type, such as a 32-bit number, it sets neither Value nor Bytes.
 func Next(b []byte) (f Field, rest []byte, err error) {
 	var n int
 	if f.Number, f.WireType, n = protowire.ConsumeTag(b); n < 0 {
--- a/internal/protofield/protofield_test.go
+++ b/internal/protofield/protofield_test.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Fields are read as they were written, in order; a message that is cut within a field fails at that field.
+// Next must return the fields in the order in which they were written, and fail on a message that ends within a field.
 func TestNextReadsWrittenFieldsAndRejectsCutOnes(t *testing.T) {
 	message := AppendBytes(AppendVarint(nil, 3, 1<<60), 4, []byte("text"))
 	message = protowire.AppendFixed64(protowire.AppendTag(message, 5, protowire.Fixed64Type), 7)
@@ -25,7 +25,7 @@
 		want := wants[i]
 		if err != nil || got.Number != want.Number || got.WireType != want.WireType || got.Value != want.Value ||
 			!bytes.Equal(got.Bytes, want.Bytes) {
-			t.Fatalf("field %d is %+v, %v", i, got, err)
+			t.Fatalf("field %d: got %+v, error %v", i, got, err)
 		}
 		rest = next
 	}
@@ -35,7 +35,7 @@
 			_, rest, err = Next(rest)
 		}
 		if (err == nil) != boundaries[cut] {
-			t.Errorf("cut at %d: %v", cut, err)
+			t.Errorf("message truncated to %d bytes: error %v", cut, err)
 		}
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// closeDelay is what a close takes to reach the replica: a few milliseconds between a deployment's machines, like
-	// a request, and it may be overtaken by a request that goes to another replica.
+	// closeDelay is the time that the close of a connection takes to reach the replica. Between the machines of a
+	// deployment it takes a few milliseconds, as a request does, and a request to another replica may overtake it.
 	closeDelay = 10 * time.Millisecond
-	// maxStaleConns is how many connections may turn out to be closed before a call counts as failed.
+	// maxStaleConns is how many stale connections an attempt may replace before it counts as failed. A connection is
+	// stale if it was used before and turns out to be closed.
 	maxStaleConns = 3
 )
 
 // attempt is one call of a request at one replica. It implements dispatch.Attempt.
 //
-// Its lifecycle:
+// Its states, and the functions or types that implement them:
 //
 //	waiting for a release of the same call    awaitRelease
 //	waiting for a connection                  requestState waitingForConn
@@ -32,21 +33,22 @@
 //	streaming (status 200)                    stream
 //	ended                                     AttemptObserver.Ended, which is called exactly once
 //
-// While used connections turn out to be closed before the last byte was written, the attempt goes back to waiting for a
-// connection with a new exchange. A response with another status than 200 is short; the attempt ends when it was read.
+// If a used connection turns out to be closed before the last byte was written, the attempt starts a new exchange,
+// which waits for another connection. A response with a status other than 200 has a short body, and the attempt ends
+// when that body has been read.
 type attempt struct {
 	client      *Client
 	spec        dispatch.AttemptSpec
-	deadline    time.Time // for the whole attempt
-	dedupExpiry time.Time // with spec.Retry: until then the replicas drop repeats
+	deadline    time.Time // deadline of the whole attempt
+	dedupExpiry time.Time // time until which replicas drop repeats; used only with spec.MayHaveRun
 	ctx         context.Context
 	cancel      context.CancelFunc
 
-	mu        sync.Mutex
-	body      *requestBody        // of the current exchange
-	begun     bool                // the current exchange's first byte may have been written
-	withdrawn bool                // no exchange may begin any more
-	refused   precondition.Reason // why the current exchange's first byte was not written
+	mu                sync.Mutex
+	body              *requestBody        // body of the current exchange
+	firstByteAdmitted bool                // the current exchange's first byte may have been written
+	withdrawn         bool                // no further exchange may begin
+	firstByteRefusal  precondition.Reason // why the current exchange's first byte was refused, or Allowed
 }
 
 // Send implements dispatch.Upstream.
@@ -79,7 +81,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.withdrawn = true
-	if !a.begun {
+	if !a.firstByteAdmitted {
 		a.cancel()
 	}
 }
@@ -90,7 +92,8 @@
 	x := newExchange(a)
 	resp, err := x.roundTrip()
 	for n := 0; n < maxStaleConns && err != nil && x.connWasStale(); n++ {
-		// The last byte was not written, so it is the same attempt, and the replica is not to blame.
+		// The last byte was not written, so the call never ran. It remains the same attempt, and the stale connection
+		// does not count as a failure of the replica.
 		slog.Info("attempt_reconnected", "id", a.spec.Call.ID, "server", a.spec.Target.Name,
 			"idle", x.connIdleTime(), "err", err)
 		next := a.nextExchange()
@@ -101,7 +104,7 @@
 		resp, err = x.roundTrip()
 	}
 	if err != nil {
-		a.fail(x, err, observer)
+		a.reportFailure(x, err, observer)
 		return
 	}
 	if resp.StatusCode == http.StatusOK {
@@ -115,67 +118,68 @@
 	observer.Ended(a.client.shortResult(resp, data, err))
 }
 
-// nextExchange begins the attempt anew on another connection. It returns nil if the attempt has been aborted or
-// withdrawn meanwhile.
+// nextExchange restarts the attempt on another connection. It returns nil if the attempt has been aborted or withdrawn
+// in the meantime.
 func (a *attempt) nextExchange() *exchange {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ctx.Err() != nil || a.withdrawn {
 		return nil
 	}
-	a.body, a.begun = &requestBody{unread: a.spec.Call.Body}, false
+	a.body, a.firstByteAdmitted = &requestBody{unread: a.spec.Call.Body}, false
 	return newExchange(a)
 }
 
-// admitFirstByte decides whether an exchange's first byte may be written. The connection may have come long after Send,
-// so the preconditions are checked again at this moment.
+// admitFirstByte decides whether an exchange's first byte may be written. The connection may have become available long
+// after Send, so the preconditions are checked again at this moment.
 func (a *attempt) admitFirstByte() bool {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refused = precondition.FirstByte{
+	a.firstByteRefusal = precondition.FirstByte{
 		Withdrawn:     a.withdrawn,
 		ClientGone:    a.spec.ClientGone != nil && a.spec.ClientGone(),
 		RemainingTime: a.deadline.Sub(now),
 		MayHaveRun:    a.spec.MayHaveRun,
 		DedupWindow:   a.dedupExpiry.Sub(now),
 	}.Check()
-	a.begun = a.refused == precondition.Allowed
-	return a.begun
+	a.firstByteAdmitted = a.firstByteRefusal == precondition.Allowed
+	return a.firstByteAdmitted
 }
 
-// refusal returns why the attempt did not begin. precondition.Allowed says that it did, or that this side did not keep
-// it from beginning.
-func (a *attempt) refusal() precondition.Reason {
+// refusalReason returns the precondition that prevented the attempt from beginning. It returns precondition.Allowed if
+// the attempt began, or if something other than a precondition prevented it.
+func (a *attempt) refusalReason() precondition.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.refused == precondition.Allowed && a.withdrawn && !a.begun {
+	if a.firstByteRefusal == precondition.Allowed && a.withdrawn && !a.firstByteAdmitted {
 		return precondition.Withdrawn
 	}
-	return a.refused
+	return a.firstByteRefusal
 }
 
-// fail reports an attempt that got no response head. One that this side prevented from beginning, or that this machine
-// could not connect, says nothing about the replica.
-func (a *attempt) fail(x *exchange, err error, observer dispatch.AttemptObserver) {
+// reportFailure reports an attempt that received no response head. The outcome is routing.NotSent, which says nothing
+// about the replica, if a precondition prevented the attempt from beginning or this machine could not make a
+// connection.
+func (a *attempt) reportFailure(x *exchange, err error, observer dispatch.AttemptObserver) {
 	if x.firstByteWritten() {
 		a.abandon()
 	} else {
 		a.cancel()
 	}
-	outcome, refusal := x.failureOutcome(), a.refusal()
-	ownFailure := refusal != precondition.Allowed || errors.Is(err, errLocalFailure)
-	if outcome == routing.ConnectFailed && !x.firstByteWritten() && ownFailure {
+	outcome, refusalReason := x.failureOutcome(), a.refusalReason()
+	causedLocally := refusalReason != precondition.Allowed || errors.Is(err, errLocalFailure)
+	if outcome == routing.ConnectFailed && !x.firstByteWritten() && causedLocally {
 		outcome = routing.NotSent
 	}
 	slog.Info("attempt_failed", "id", a.spec.Call.ID, "server", a.spec.Target.Name, "outcome", outcome,
-		"reason", refusal.String(), "idle", x.connIdleTime(), "err", err)
+		"reason", refusalReason.String(), "idle", x.connIdleTime(), "err", err)
 	observer.Ended(dispatch.AttemptResult{Outcome: outcome, StreamStarted: x.responseBegan()})
 }
 
-// abandon ends an attempt of which something was written, and closes its connection. It returns when the replica has
-// had time to notice that: the attempt counts as in flight until then, and its reported end lets the next attempt go
-// out, which would otherwise overlap with this one.
+// abandon ends an attempt of which bytes were written, and closes its connection. It returns once the replica has had
+// time to notice the close. Until then the attempt counts as in flight: as soon as its end is reported, the next
+// attempt may be sent, and would otherwise overlap with this one.
 func (a *attempt) abandon() {
 	a.cancel()
 	time.Sleep(closeDelay)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -16,7 +16,8 @@
 	"rampspread/routing"
 )
 
-// Each kind of response has its outcome, and each attempt makes exactly one call.
+// Each kind of response must result in the right outcome, each attempt must make exactly one call, and the headers of
+// the call must be complete.
 func TestResponseDeterminesTheOutcome(t *testing.T) {
 	drop := func(http.ResponseWriter, *http.Request, int) { panic(http.ErrAbortHandler) }
 	for name, c := range map[string]struct {
@@ -46,18 +47,18 @@
 		took := time.Since(from)
 		h := r.Header(0)
 		if h.Get("X-Trace-Id") != call.ID || h.Get("Accept-Encoding") != "" {
-			t.Errorf("%s: head %v", name, h)
+			t.Errorf("%s: headers %v", name, h)
 		}
-		// What remained when the head was written: the whole limit but for the time since the call.
+		// The header holds the time that remained when it was written: the limit less at most the time since Send.
 		const limit = 5 * time.Second
 		remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In"))
 		if err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
-			t.Errorf("%s: head %v after %v", name, h, took)
+			t.Errorf("%s: headers %v after %v", name, h, took)
 		}
 	}
 }
 
-// An attempt that gets no connection never ran.
+// An attempt whose connection is refused never ran, so its outcome must be ConnectFailed.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	_, obs := send(t, testutil.UnusedAddress(t))
 	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
@@ -65,8 +66,8 @@
 	}
 }
 
-// A connection that the replica closed while it was idle must not make the Transport send a call again by itself: a call
-// that was written to it may have run.
+// The Transport must not resend a call by itself if the replica closes a used connection without a response: the call
+// was written and may have run.
 func TestTransportNeverResendsACall(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,7 +88,7 @@
 					io.Copy(io.Discard, req.Body)
 					calls <- n
 					if n > 0 {
-						return // it came on a used connection: closed with no answer
+						return // a call on a used connection: close it without a response
 					}
 					io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}")
 				}
@@ -102,12 +103,12 @@
 		}
 	}
 	if a, b := <-calls, <-calls; a != 0 || b != 1 || len(calls) != 0 {
-		t.Errorf("calls %d, %d and %d more", a, b, len(calls))
+		t.Errorf("calls with indexes %d and %d on their connections, and %d more calls", a, b, len(calls))
 	}
 }
 
-// The end of an aborted attempt is reported only when its connection is closed: an attempt elsewhere before that would
-// overlap with it, which must never happen to an idempotent request with a key.
+// The end of an aborted attempt must be reported only after its connection was closed. If another replica got an
+// attempt earlier, the two would overlap, which must never happen for a request with an idempotency key.
 func TestAbortedAttemptEndsAfterItsConnectionWasClosed(t *testing.T) {
 	closed := make(chan struct{})
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -115,7 +116,7 @@
 		close(closed)
 	})
 	a, obs := send(t, r.Addr)
-	testutil.Eventually(t, "the call", func() bool { n, _ := r.Calls(); return n == 1 })
+	testutil.Eventually(t, "the call at the replica", func() bool { n, _ := r.Calls(); return n == 1 })
 	a.Abort()
 	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
@@ -123,7 +124,8 @@
 	<-closed
 }
 
-// rejectingObserver rejects the stream of an attempt, and notes when, and when the attempt's end is reported.
+// rejectingObserver rejects the stream of an attempt. It records when it did so, and when the attempt's end is
+// reported.
 type rejectingObserver struct{ rejected, ended chan time.Time }
 
 func (o rejectingObserver) FirstToken(dispatch.Stream) bool {
@@ -133,9 +135,9 @@
 
 func (o rejectingObserver) Ended(dispatch.AttemptResult) { o.ended <- time.Now() }
 
-// The end of an attempt that is given up is reported once its close has had time to reach the replica, since another
-// attempt goes out right then: the fault-injection bench, with three runs on a core, counted such an attempt as one that
-// overlapped with the first.
+// The end of an abandoned attempt must be reported only after its close had time to reach the replica, since another
+// attempt may be sent right after the report. The fault-injection bench, with three runs on a core, counted such an
+// attempt as overlapping with the first.
 func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
 	for name, script := range map[string]testutil.Script{"no answer": testutil.NeverRespond, "a rejected stream": testutil.ServeDecode("a")} {
 		t.Run(name, func(t *testing.T) {
@@ -155,14 +157,14 @@
 				givenUp = <-obs.rejected
 			}
 			if took := (<-obs.ended).Sub(givenUp); took < upstream.CloseDelay {
-				t.Errorf("its end was reported %v after it was given up, want %v or more", took, upstream.CloseDelay)
+				t.Errorf("the end was reported %v after the attempt was abandoned, want %v or more", took, upstream.CloseDelay)
 			}
 		})
 	}
 }
 
-// An attempt that is aborted before the last byte of its call was written never ran. The body is more than any socket
-// buffer holds, and nobody reads it.
+// An attempt that is aborted before the last byte of its call was written never ran, so its outcome must be
+// ConnectFailed. The body here is larger than the socket buffers, and the replica does not read it.
 func TestAbortBeforeTheLastByteIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,95 +186,96 @@
 	}
 }
 
-// An attempt that still waits for a connection when its replica begins to drain must not be written to it: a send counts
-// from its first byte. One whose first byte was written goes on.
+// An attempt that still waits for a connection when its replica begins to drain must not be sent, since an attempt
+// counts as sent from its first byte. An attempt whose first byte was written before must continue.
 func TestWithdrawEndsOnlyAnUnwrittenAttempt(t *testing.T) {
-	begun, answer := make(chan bool, 4), make(chan bool)
+	started, respond := make(chan bool, 4), make(chan bool)
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		begun <- true
-		<-answer
+		started <- true
+		<-respond
 		testutil.ServePrefill(w, r, n)
 	})
-	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
+	client := newClient(t, 1) // the second attempt waits for the only connection, which the first attempt uses
 	first, second := newObserver(), newObserver()
-	to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
-	written := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
-	<-begun
-	waiting := client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, second)
+	target := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
+	written := client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, first)
+	<-started
+	waiting := client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, second)
 	waiting.Withdraw()
-	if o := <-second.ended; o.Outcome != routing.NotSent { // it says nothing of the replica, unlike a failed connect
-		t.Errorf("an attempt without a connection ended with %d", o.Outcome)
+	if o := <-second.ended; o.Outcome != routing.NotSent { // NotSent says nothing about the replica
+		t.Errorf("the attempt without a connection ended with outcome %d", o.Outcome)
 	}
 	written.Withdraw()
-	close(answer)
+	close(respond)
 	if o := <-first.ended; o.Outcome != routing.PrefillDone {
-		t.Errorf("an attempt that was written ended with %d", o.Outcome)
+		t.Errorf("the attempt that was written ended with outcome %d", o.Outcome)
 	}
 	if total, _ := r.Calls(); total != 1 {
 		t.Errorf("%d calls arrived", total)
 	}
 }
 
-// The time limit in an attempt's head is what remains when the head is written, not when the attempt was decided on: the
-// wait for a connection may take most of it, on the first connection and on one that replaces a stale one.
+// The expiry header must hold the time that remains when the header is written, not when the attempt was made. The wait
+// for a connection may take most of the time, both for the first connection and for one that replaces a stale one.
 func TestExpiryHeaderIsTheRemainingTimeWhenTheHeadIsWritten(t *testing.T) {
-	begun, answer := make(chan bool, 4), make(chan bool, 4)
+	started, respond := make(chan bool, 4), make(chan bool, 4)
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		begun <- true
-		<-answer
+		started <- true
+		<-respond
 		testutil.ServePrefill(w, r, n)
 	})
-	client := newClient(t, 1) // one connection: the second attempt waits for the first one's
+	client := newClient(t, 1) // the second attempt waits for the only connection, which the first attempt uses
 	first, second := newObserver(), newObserver()
-	to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
-	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, first)
-	<-begun
+	target := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
+	client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, first)
+	<-started
 	const limit, wait = 5 * time.Second, 400 * time.Millisecond
 	from := time.Now()
-	client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: limit}, second)
-	time.Sleep(wait) // that the time passes is what is tested
-	answer <- true
+	client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: limit}, second)
+	time.Sleep(wait) // the test needs this much time to pass
+	respond <- true
 	<-first.ended
-	<-begun
+	<-started
 	arrived := time.Since(from)
-	answer <- true
+	respond <- true
 	<-second.ended
 	expiry, err := frontend.ParseExpiry(r.Header(1).Get("X-Expires-In"))
 	if err != nil || expiry > limit-wait || expiry < limit-arrived-5*time.Millisecond {
-		t.Errorf("after a wait of %v the head said %v of %v (%v)", wait, expiry, limit, err)
+		t.Errorf("after a wait of %v the header said %v of %v (error %v)", wait, expiry, limit, err)
 	}
 }
 
-// An attempt that had to wait for its connection is not begun if by then its client has gone, its replicas drop no
-// repeats any more, or its time is over. Nothing reaches the replica, and nothing is held against it.
+// An attempt that waited for its connection must not begin if in the meantime its client has disconnected, the dedup
+// window has ended or its time is over. No call may reach the replica, and the replica must not be charged with a
+// failure.
 func TestAttemptIsNotBegunIfItsPreconditionsFailedWhileWaiting(t *testing.T) {
 	gone := func() bool { return true }
-	for name, expire := range map[string]func(*dispatch.AttemptSpec){
+	for name, invalidate := range map[string]func(*dispatch.AttemptSpec){
 		"the client has gone":      func(o *dispatch.AttemptSpec) { o.ClientGone = gone },
 		"the dedup window is over": func(o *dispatch.AttemptSpec) { o.MayHaveRun, o.DedupWindow = true, 300*time.Millisecond },
 		"the time is over":         func(o *dispatch.AttemptSpec) { o.Timeout = 100 * time.Millisecond },
 	} {
 		t.Run(name, func(t *testing.T) {
-			begun, answer := make(chan bool, 4), make(chan bool)
+			started, respond := make(chan bool, 4), make(chan bool)
 			r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-				begun <- true
-				<-answer
+				started <- true
+				<-respond
 				testutil.ServePrefill(w, r, n)
 			})
-			client := newClient(t, 1) // one connection: the second attempt waits for the first one's
+			client := newClient(t, 1) // the second attempt waits for the only connection, which the first attempt uses
 			first, second := newObserver(), newObserver()
 			spec := specFor(r.Addr, 5*time.Second)
 			client.Send(spec, first)
-			<-begun
-			expire(&spec)
+			<-started
+			invalidate(&spec)
 			client.Send(spec, second)
-			time.Sleep(200 * time.Millisecond) // that the time passes is what is tested
-			close(answer)
+			time.Sleep(200 * time.Millisecond) // the test needs this much time to pass
+			close(respond)
 			if o := <-first.ended; o.Outcome != routing.PrefillDone {
-				t.Errorf("the first ended with %d", o.Outcome)
+				t.Errorf("the first attempt ended with outcome %d", o.Outcome)
 			}
 			if o := <-second.ended; o.Outcome != routing.NotSent {
-				t.Errorf("ended with %d", o.Outcome)
+				t.Errorf("the second attempt ended with outcome %d", o.Outcome)
 			}
 			if n, _ := r.Calls(); n != 1 {
 				t.Errorf("%d calls arrived", n)
--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -8,11 +8,11 @@
 
 var errAborted = errors.New("attempt aborted")
 
-// requestBody passes a call's bytes to the Transport. It decides whether the last byte may have been written when an
-// attempt is aborted: after the abort no byte is passed on, so an attempt whose last byte was not passed on never ran.
+// requestBody passes a call's bytes to the Transport. It determines whether the last byte may have been written when an
+// attempt is aborted. No byte is passed on after the abort, so an attempt whose last byte was not passed on never ran.
 //
-// net/http doesn't know the type and has no GetBody for it, so the Transport cannot rewind the body and never resends a
-// call by itself.
+// net/http sets no GetBody for a body of this type, so the Transport cannot rewind the body and never resends a call by
+// itself.
 type requestBody struct {
 	mu       sync.Mutex
 	unread   []byte
@@ -25,7 +25,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.consumed: // net/http reads once more behind the last byte: an error then would say that it was not written
+	case b.consumed: // net/http reads once more after the last byte; an error would mean that the byte was not written
 		return 0, io.EOF
 	case b.aborted:
 		return 0, errAborted
@@ -42,7 +42,7 @@
 // Close implements io.Closer.
 func (b *requestBody) Close() error { return nil }
 
-// abort lets no further byte be passed on.
+// abort prevents further bytes from being passed on.
 func (b *requestBody) abort() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/body_test.go
+++ b/internal/upstream/body_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An attempt that is aborted after its last byte was passed on has not failed in writing: net/http reads the body once
-// more then, and must see its end.
+// An attempt that is aborted after its last byte was passed on must not look like a failed write. net/http reads the
+// body once more after the last byte, and must get io.EOF then.
 func TestBodyAbortedAfterItsLastByteStillEndsWithEOF(t *testing.T) {
 	b := &requestBody{unread: []byte("ab")}
 	if n, err := b.Read(make([]byte, 9)); n != 2 || err != io.EOF {
@@ -14,10 +14,10 @@
 	}
 	b.aborted = true
 	if n, err := b.Read(make([]byte, 9)); n != 0 || err != io.EOF {
-		t.Errorf("behind its end: %d bytes, %v", n, err)
+		t.Errorf("read after the end: %d bytes, %v", n, err)
 	}
 	b = &requestBody{unread: []byte("ab"), aborted: true}
 	if n, err := b.Read(make([]byte, 9)); n != 0 || err != errAborted {
-		t.Errorf("aborted before: %d bytes, %v", n, err)
+		t.Errorf("aborted before the last byte: %d bytes, %v", n, err)
 	}
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,18 +1,19 @@
-// Package upstream is the HTTP/1.1 client to the replicas. It sends the attempts of requests, passes on answers and
-// event streams, polls replicas for their load and releases the state that they hold for a request.
+// Package upstream is the HTTP/1.1 client to the replicas. It sends the attempts of requests, passes on responses and
+// event streams, polls replicas for their load, and releases the state (the reservation) that they hold for a request.
 //
-// All calls go over one net/http Transport. What the rest of the program relies on:
+// All calls use one net/http Transport. The rest of the program relies on the following properties:
 //
-//   - An attempt whose last byte was not written never ran; any other may have run. The outcome of a failed attempt
-//     (routing.ConnectFailed or routing.ConnectionReset) says which of the two it is. See exchange.
+//   - An attempt whose last byte was not written never ran. Any other attempt may have run. The outcome of a failed
+//     attempt (routing.ConnectFailed or routing.ConnectionReset) distinguishes the two cases. See exchange.
 //   - The Transport never resends a call by itself. See requestBody.
-//   - The end of an attempt that is given up is reported only closeDelay (10 ms) after its connection was closed, since
-//     another attempt may go out right then and must not overlap with this one. See attempt.abandon.
-//   - A connection rests settleTime (20 ms) between two calls, and a call never takes bytes that were sent behind an
-//     earlier answer for its own answer. See conn.
+//   - The end of an abandoned attempt is reported no earlier than closeDelay (10 ms) after its connection was closed.
+//     Another attempt may be sent as soon as the end is reported, and must not overlap with this one. See
+//     attempt.abandon.
+//   - A connection stays idle for reuseDelay (20 ms) between two calls, and bytes that a replica sends after the end of
+//     a response are never read as the response to the next call. See conn.
 //
-// Client owns the connections and the counters. Each attempt, load poll and release runs in a goroutine of its own;
-// all methods of Client are safe for concurrent use and none of those that dispatch.Upstream names blocks.
+// Client owns the connections and the counters. Each attempt, load poll and release runs in its own goroutine. All
+// methods of Client are safe for concurrent use, and the methods of dispatch.Upstream do not block.
 package upstream
 
 import (
@@ -36,19 +37,19 @@
 
 var _ dispatch.Upstream = (*Client)(nil)
 
-// Client reaches all replicas over one Transport. It implements dispatch.Upstream.
+// Client sends calls to all replicas over one Transport. It implements dispatch.Upstream.
 type Client struct {
 	transport       *http.Transport
 	settings        *config.Settings
 	malformed       atomic.Int64
 	localFailures   atomic.Int64
 	pendingReleases atomic.Int64
-	releaseDone     sync.Map // by call ID: a chan struct{} that is closed when the call's newest release has ended
+	releaseDone     sync.Map // call ID to a chan struct{} that is closed when the call's newest release has ended
 }
 
-// New returns a Client that holds at most maxConnsPerReplica connections to any one replica, and maxIdleConns idle ones
-// in all. A call that has to wait for a connection runs late without anybody seeing why, so maxConnsPerReplica should
-// be well above what an ordinary day needs.
+// New returns a Client that holds at most maxConnsPerReplica connections to each replica, and at most maxIdleConns idle
+// connections in total. A call that has to wait for a connection is delayed and nothing reports the reason, so
+// maxConnsPerReplica should be well above the number of connections that normal load needs.
 func New(settings *config.Settings, maxConnsPerReplica, maxIdleConns int, machine hostos.System) *Client {
 	c := &Client{settings: settings}
 	dialer := &dialer{timeout: dialTimeout(settings), machine: machine, localFailures: &c.localFailures}
@@ -56,11 +57,11 @@
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			raw, err := dialer.dial(ctx, network, addr)
 			if err != nil {
-				return nil, err // the Transport says what it was doing
+				return nil, err // the error already names the operation
 			}
 			return newConn(raw), nil
 		},
-		DisableCompression:     true, // events pass on unchanged
+		DisableCompression:     true, // events are passed on unchanged
 		MaxIdleConns:           maxIdleConns,
 		MaxIdleConnsPerHost:    maxConnsPerReplica,
 		MaxConnsPerHost:        maxConnsPerReplica,
@@ -70,22 +71,24 @@
 	return c
 }
 
-// dialTimeout is the limit for one connection. The time for which a replica holds a request's state runs on while
-// connections fail to come up. Half the configured limit, and half of that time, allow for a second and a third
-// decode replica before the state must be released.
+// dialTimeout returns the limit for establishing one connection. A replica holds a request's state only for a limited
+// time, which continues to run while connections cannot be established. The limit is therefore half the configured
+// connect timeout, and at most half of that time: a second and a third decode replica can then be tried before the
+// state must be released.
 func dialTimeout(settings *config.Settings) time.Duration {
 	timeout := config.FromMS(settings.Limits.ConnectTimeoutMs) / 2
 	if timeout <= 0 {
 		timeout = defaultDialTimeout
 	}
-	if held := config.FromMS(settings.ModelFamily.ReservationTTLMs); held > 0 {
-		timeout = min(timeout, held/2)
+	if reservationTTL := config.FromMS(settings.ModelFamily.ReservationTTLMs); reservationTTL > 0 {
+		timeout = min(timeout, reservationTTL/2)
 	}
 	return timeout
 }
 
-// idleConnTimeout is 70% of the time after which a replica's machine resets what is written to an idle connection. Such
-// a request may have run, so this side closes its idle connections well before.
+// idleConnTimeout returns how long a connection may be idle before this side closes it. After a longer time,
+// ConnIdleMs, a replica's machine resets an idle connection when a request is written to it. Such a request may have
+// run, so the timeout is only 70% of that time.
 func idleConnTimeout(settings *config.Settings) time.Duration {
 	idle := config.FromMS(settings.Limits.ConnIdleMs)
 	if idle <= 0 {
@@ -94,11 +97,12 @@
 	return idle * 7 / 10
 }
 
-// Malformed returns how many responses, events and load reports could not be understood.
+// Malformed returns how many responses, events and load reports were malformed or had an unexpected status.
 func (c *Client) Malformed() int64 { return c.malformed.Load() }
 
-// LocalFailures returns how often this machine, and no replica, prevented a connection.
+// LocalFailures returns how often a connection could not be made because of this machine or its routes, rather than
+// because of a replica.
 func (c *Client) LocalFailures() int64 { return c.localFailures.Load() }
 
-// Close closes idle connections. Calls in flight go on.
+// Close closes idle connections. Calls in flight continue.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,69 +8,72 @@
 	"time"
 )
 
-// settleTime is how long a connection rests before its next call, and how long it may then take to be ready for it. Bytes
-// behind a response may come some milliseconds late (so the operators' page on the full fleet); what is read behind a
-// response is read by a goroutine of the Transport, which runs at once unless the machine is busy.
-const settleTime = 20 * time.Millisecond
+// reuseDelay is the least time for which a connection is idle before its next call, and the limit for how long it may
+// then take to be ready for the call. Bytes after the end of a response may arrive some milliseconds late, according to
+// the operators' page on the full fleet. A goroutine of the Transport reads them, which runs at once unless the machine
+// is busy.
+const reuseDelay = 20 * time.Millisecond
 
 var (
-	errUnexpectedBytes  = errors.New("bytes behind the end of a response")
-	errFirstByteRefused = errors.New("attempt withdrawn")
+	errUnexpectedBytes  = errors.New("unexpected bytes after the end of a response")
+	errFirstByteRefused = errors.New("first byte refused by a precondition")
 )
 
-// conn guards against bytes that a replica sends behind the end of a response: they must never be read as the response
-// to the next call. The Transport drops a connection on which it sees such bytes while it is idle, but not if a call
-// takes the connection in that moment.
+// conn guards against bytes that a replica sends after the end of a response: they must never be read as the response
+// to the next call. The Transport drops an idle connection on which it sees such bytes, but not if a call takes the
+// connection at that moment.
 //
-// conn also asks the attempt that uses it for permission to write its first byte.
+// conn also checks with the attempt that uses it whether the attempt's first byte may be written.
 type conn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// reading is closed while a Read is blocked in the operating system or about to be. The Transport begins a Read only
-	// once all that came before has been used. Each end of a Read replaces the channel.
-	reading chan struct{}
-	// awaitingWrite says that a call has acquired the connection and has written nothing yet.
+	// readStarted is closed while a Read is blocked in the operating system or about to be. The Transport begins a Read
+	// only once it has consumed all earlier bytes. Each Read replaces the channel when it ends.
+	readStarted chan struct{}
+	// awaitingWrite is set while a call has acquired the connection and has written nothing yet.
 	awaitingWrite bool
-	// admitFirstByte is called before the first byte of an attempt is written; nil for other calls, and after that.
+	// admitFirstByte is called before the first byte of an attempt is written. It is nil after that byte, and for calls
+	// that are not attempts.
 	admitFirstByte func() bool
 }
 
-func newConn(raw net.Conn) *conn { return &conn{Conn: raw, reading: make(chan struct{})} }
+func newConn(raw net.Conn) *conn { return &conn{Conn: raw, readStarted: make(chan struct{})} }
 
 // prepareConn makes a connection ready for a call and reports whether the call may use it. The connection calls
-// admitFirstByte before the call's first byte is written; nil admits it.
+// admitFirstByte before it writes the call's first byte, which is always admitted if admitFirstByte is nil.
 func prepareConn(info httptrace.GotConnInfo, admitFirstByte func() bool) bool {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return false // not made by this package's dialer
 	}
-	c.setAdmission(admitFirstByte)
+	c.setAdmitFirstByte(admitFirstByte)
 	if !info.Reused {
 		return true
 	}
-	if remaining := settleTime - info.IdleTime; remaining > 0 {
-		time.Sleep(remaining) // bytes behind the last response may be late, and must come before the next call
+	if remaining := reuseDelay - info.IdleTime; remaining > 0 {
+		time.Sleep(remaining) // late bytes after the last response must arrive before the next call
 	}
 	return c.acquire()
 }
 
-// Read implements net.Conn. Bytes that come before the call's first byte was written are dropped with an error.
+// Read implements net.Conn. It drops bytes that arrive after a call has acquired the connection and before the call's
+// first byte is written, and returns an error for them.
 func (c *conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	close(c.reading)
+	close(c.readStarted)
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = make(chan struct{})
+	c.readStarted = make(chan struct{})
 	if n > 0 && c.awaitingWrite {
 		return 0, errUnexpectedBytes
 	}
 	return n, err
 }
 
-// Write implements net.Conn. It fails without writing if the attempt doesn't admit its first byte.
+// Write implements net.Conn. It fails without writing if the attempt does not admit its first byte.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	admit := c.admitFirstByte
@@ -82,32 +85,33 @@
 	return c.Conn.Write(p)
 }
 
-// setAdmission sets what the next Write calls first, for a call that got the connection and has written nothing yet.
-func (c *conn) setAdmission(admitFirstByte func() bool) {
+// setAdmitFirstByte sets the function that the next Write calls first, for a call that got the connection and has
+// written nothing yet.
+func (c *conn) setAdmitFirstByte(admitFirstByte func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.admitFirstByte = admitFirstByte
 }
 
-// acquire reports whether all bytes of the last response have been used, so that a call can have the connection. A
-// connection that fails this is closed.
+// acquire takes the connection for a call. It succeeds if all bytes of the last response have been consumed; otherwise
+// it closes the connection and returns false.
 func (c *conn) acquire() bool {
 	c.mu.Lock()
-	reading := c.reading
+	readStarted := c.readStarted
 	c.mu.Unlock()
 	select {
-	case <-reading:
-	case <-time.After(settleTime):
+	case <-readStarted:
+	case <-time.After(reuseDelay):
 		c.Close()
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.reading:
+	case <-c.readStarted:
 		c.awaitingWrite = true
 		return true
-	default: // the Read has ended since: something came, or the connection is closed
+	default: // the Read has ended in the meantime: bytes arrived, or the connection was closed
 		c.Close()
 		return false
 	}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pipeConn returns a conn over a pipe, and the pipe's other end.
+// pipeConn returns a conn over a pipe, and the other end of the pipe.
 func pipeConn(t *testing.T) (c *conn, peer net.Conn) {
 	t.Helper()
 	raw, peer := net.Pipe()
@@ -14,14 +14,14 @@
 	return newConn(raw), peer
 }
 
-// A used connection takes a call only while the Transport waits for bytes with none unread, and what comes before the
-// call's first byte is never passed on.
+// A used connection must accept a call only if the Transport has consumed all bytes and is waiting for more. Bytes that
+// arrive before the call's first byte was written must never be passed on as its response.
 func TestConnIsAcquiredOnlyWithoutUnreadBytes(t *testing.T) {
 	unread, _ := pipeConn(t)
-	if unread.acquire() { // nobody reads: what came last has not been used
+	if unread.acquire() { // without a pending Read the last bytes count as not consumed
 		t.Error("a connection with unread bytes was acquired")
 	}
-	for _, called := range []bool{false, true} {
+	for _, callWritten := range []bool{false, true} {
 		c, peer := pipeConn(t)
 		readErr := make(chan error)
 		go func() {
@@ -29,19 +29,19 @@
 			readErr <- err
 		}()
 		c.mu.Lock()
-		reading := c.reading
+		readStarted := c.readStarted
 		c.mu.Unlock()
-		<-reading
+		<-readStarted
 		if !c.acquire() {
 			t.Fatal("a clean connection was not acquired")
 		}
-		if called {
+		if callWritten {
 			go peer.Read(make([]byte, 1))
 			c.Write([]byte("c"))
 		}
 		peer.Write([]byte("a"))
-		if err := <-readErr; errors.Is(err, errUnexpectedBytes) == called {
-			t.Errorf("called %t: read %v", called, err)
+		if err := <-readErr; errors.Is(err, errUnexpectedBytes) == callWritten {
+			t.Errorf("call written %t: read error %v", callWritten, err)
 		}
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -13,39 +13,44 @@
 	"rampspread/internal/hostos"
 )
 
-// After a local failure the dialer waits for minDialBackoff, then for twice as long each time, up to maxDialBackoff.
+// After a failure on this machine the dialer waits for minDialBackoff, then for twice as long each time, up to
+// maxDialBackoff.
 const (
 	minDialBackoff = time.Millisecond
 	maxDialBackoff = 20 * time.Millisecond
 )
 
-// errLocalFailure says that this machine prevented a connection. It says nothing about the replica.
+// errLocalFailure is the error of a connection that this machine could not make. It says nothing about the replica.
 var errLocalFailure = errors.New("no connection can be made from this machine")
 
 var (
-	// localErrnos are errors of connect(2) and socket(2) whose cause is on this machine: no descriptors, memory or ports.
+	// localErrnos are errors of connect(2) and socket(2) whose cause is on this machine, such as a lack of descriptors,
+	// memory or ports.
 	localErrnos = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR,
 	}
-	// routeErrnos pass too, but where they last the cause may be the route to this one replica: others are better then.
+	// routeErrnos are temporary too, but if they persist the cause may be the route to this one replica, and another
+	// replica should be tried. They therefore never count as errLocalFailure.
 	routeErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES}
 )
 
-// isOneOf reports whether an error wraps one of these system call errors.
-func isOneOf(err error, errnos []syscall.Errno) bool {
+// wrapsErrno reports whether an error wraps one of the given system call errors.
+func wrapsErrno(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// dialer makes connections to replicas. It retries after local failures, which pass, within the limit for a connection.
+// dialer makes connections to replicas. After failures on this machine or its routes, which are temporary, it retries
+// until its timeout.
 type dialer struct {
-	timeout       time.Duration // for one connection, with all retries
+	timeout       time.Duration // limit for one connection, including all retries
 	machine       hostos.System
 	localFailures *atomic.Int64
 }
 
-// dial makes a connection. The error wraps errLocalFailure if this machine's own limits were the cause to the end.
+// dial makes a connection. The error wraps errLocalFailure if the last failure before the timeout was one of
+// localErrnos.
 func (d *dialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
@@ -54,8 +59,8 @@
 		if err == nil {
 			return conn, nil
 		}
-		local := isOneOf(err, localErrnos)
-		if !local && !isOneOf(err, routeErrnos) {
+		local := wrapsErrno(err, localErrnos)
+		if !local && !wrapsErrno(err, routeErrnos) {
 			return nil, err
 		}
 		d.localFailures.Add(1)
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -16,18 +16,19 @@
 	"rampspread/routing"
 )
 
-// The time for which a replica holds state runs on while connections fail to come up: they are given up soon enough for
-// another decode replica, even where the settings let a connection take far longer than that time.
+// The time for which a replica holds a request's state continues to run while connections cannot be established.
+// Dialing must stop soon enough to try another decode replica, even if the configured connect timeout is far longer
+// than that time.
 func TestDialTimeoutAllowsForAnotherReplica(t *testing.T) {
-	full, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // a full accept queue: connections never come up
+	listenFD, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // with a full accept queue: connections never come up
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(full)
-	if err := errors.Join(unix.Bind(full, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(full, 0)); err != nil {
+	defer unix.Close(listenFD)
+	if err := errors.Join(unix.Bind(listenFD, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), unix.Listen(listenFD, 0)); err != nil {
 		t.Fatal(err)
 	}
-	bound, err := unix.Getsockname(full)
+	bound, err := unix.Getsockname(listenFD)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,12 +47,13 @@
 	if o := <-obs.ended; o.Outcome != routing.ConnectFailed {
 		t.Errorf("outcome %d", o.Outcome)
 	}
-	if took := time.Since(from); took > 10*time.Second { // half of what the connection may take is 30 s
-		t.Errorf("given up after %v, with a state held for 200 ms", took)
+	if took := time.Since(from); took > 10*time.Second { // half of the configured connect timeout is 30 s
+		t.Errorf("dialing stopped after %v, though the state is held for only 200 ms", took)
 	}
 }
 
-// A moment in which this process has no descriptor left is no fault of the replica's, and costs the attempt a moment.
+// If this process runs out of file descriptors for a moment, the attempt must succeed after a short delay, and the
+// failures must be counted as local rather than charged to the replica.
 func TestDescriptorExhaustionIsNoFaultOfTheReplica(t *testing.T) {
 	r := testutil.NewReplica(t, testutil.ServePrefill)
 	client, obs := newClient(t, 8), newObserver()
@@ -59,10 +61,10 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	none := limit
-	none.Cur = 3                                                           // the standard ones are open
-	t.Cleanup(func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) }) // also if the test is ended by a failure
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
+	exhausted := limit
+	exhausted.Cur = 3                                                      // descriptors 0 to 2 are open
+	t.Cleanup(func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) }) // restores the limit even if the test fails
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &exhausted); err != nil {
 		t.Fatal(err)
 	}
 	client.Send(specFor(r.Addr, 5*time.Second), obs)
@@ -71,6 +73,6 @@
 		t.Fatal(err)
 	}
 	if o := <-obs.ended; o.Outcome != routing.PrefillDone {
-		t.Errorf("ended with %d, want a finished prefill", o.Outcome)
+		t.Errorf("ended with outcome %d, want PrefillDone", o.Outcome)
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// headTimeout runs from a response's first byte. A replica writes the head at once, with the first token: a head
-	// that does not end within this time never will.
+	// headTimeout limits the time from a response's first byte to the end of its head, the status line and the headers.
+	// A replica writes the head at once, with the first token, so a head that does not end within this time never will.
 	headTimeout = 300 * time.Millisecond
-	// maxInformational is how many heads with a status of 1xx may come before the response.
-	maxInformational = 8
-	// newConnIdleTime is the idle time recorded for a connection that had not been used before, or where there is none.
+	// maxInformationalHeads is how many heads with a 1xx status may precede the response.
+	maxInformationalHeads = 8
+	// newConnIdleTime is the idle time recorded for a connection that was not used before, or if there is no
+	// connection.
 	newConnIdleTime time.Duration = -1
 )
 
-var errTooManyInformational = errors.New("too many 1xx heads")
+var errTooManyInformationalHeads = errors.New("too many 1xx heads")
 
-// requestState says how far an exchange's request has been written.
+// requestState is the progress of writing an exchange's request.
 //
-//	waitingForConn -> writing       the first byte is about to be written (firstByteAdmitted)
+//	waitingForConn -> writing       the first byte is about to be written (admitFirstByte)
 //	writing        -> written       the Transport wrote the whole request (requestWritten)
 //	writing        -> writeFailed   the Transport failed before the last byte (requestWritten)
 //
@@ -40,13 +41,14 @@
 	writeFailed                        // writing failed before the last byte
 )
 
-// responseState says how far an exchange's response has come. It is separate from requestState because a replica may
-// answer before it has read the whole request.
+// responseState is the progress of reading an exchange's response. It is separate from requestState because a replica
+// may respond before it has read the whole request.
 //
-//	waitingForHead -> readingHead      the first byte came, or too many 1xx heads (headBegan, informationalHead)
-//	readingHead    -> waitingForHead   the head was one of status 1xx (informationalHead)
+//	waitingForHead -> readingHead      the first byte arrived (gotFirstResponseByte)
+//	waitingForHead -> readingHead      too many 1xx heads arrived (gotInformationalHead)
+//	readingHead    -> waitingForHead   the head had a 1xx status (gotInformationalHead)
 //
-// With the whole head the exchange is over: roundTrip returns, and the attempt reads a stream or a short body.
+// The exchange ends with the whole head: roundTrip returns, and the attempt reads a stream or a short body.
 type responseState uint8
 
 const (
@@ -54,28 +56,28 @@
 	readingHead
 )
 
-// exchange is one use of a connection by an attempt: from the wait for a connection to the response's head. Its
-// httptrace callbacks run in goroutines of the Transport.
+// exchange is one use of a connection by an attempt, from the wait for a connection to the end of the response's head.
+// Its httptrace callbacks run in goroutines of the Transport.
 type exchange struct {
 	attempt *attempt
 	body    *requestBody
 
-	mu            sync.Mutex
-	request       requestState
-	response      responseState
-	unusable      bool          // the connection could not take a request, and nothing was written to it
-	idleTime      time.Duration // of the connection before the exchange; newConnIdleTime for a new one
-	informational int           // 1xx heads
-	headTimer     *time.Timer   // cancels the attempt headTimeout after the response's first byte
-	headRead      bool          // headTimer is needed no more
+	mu                 sync.Mutex
+	request            requestState
+	response           responseState
+	connUnusable       bool          // the connection could not be used for the request, and nothing was written to it
+	idleTime           time.Duration // of the connection before the exchange, or newConnIdleTime
+	informationalHeads int           // number of complete 1xx heads received
+	headTimer          *time.Timer   // cancels the attempt headTimeout after the response's first byte
+	headTimerStopped   bool          // stopHeadTimer was called, so headTimer must not be started again
 }
 
 func newExchange(a *attempt) *exchange {
 	return &exchange{attempt: a, body: a.body, idleTime: newConnIdleTime}
 }
 
-// roundTrip sends the call and waits for the response's head. A replica may begin a head and never end it, which the
-// Transport does not notice; headTimer does.
+// roundTrip sends the call and waits for the response's head. The Transport does not notice if a replica begins a head
+// and never ends it, so headTimer cancels the attempt then.
 func (x *exchange) roundTrip() (*http.Response, error) {
 	a := x.attempt
 	call := a.spec.Call
@@ -84,13 +86,13 @@
 		GotConn: func(info httptrace.GotConnInfo) {
 			x.gotConn(info)
 			// The wait for a connection may have taken most of the time that remained when the attempt was made. The
-			// Transport calls this from RoundTrip, before it writes the head.
+			// Transport calls GotConn from RoundTrip, before it writes the request's head.
 			remaining := max(time.Until(a.deadline).Milliseconds(), 1)
 			req.Header.Set(expiryHeader, strconv.FormatInt(remaining, 10)+"m")
 		},
 		WroteRequest:         func(info httptrace.WroteRequestInfo) { x.requestWritten(info.Err) },
-		GotFirstResponseByte: x.headBegan,
-		Got1xxResponse:       func(int, textproto.MIMEHeader) error { return x.informationalHead() },
+		GotFirstResponseByte: x.gotFirstResponseByte,
+		Got1xxResponse:       func(int, textproto.MIMEHeader) error { return x.gotInformationalHead() },
 	}
 	req, err := newRequest(httptrace.WithClientTrace(a.ctx, trace), call.Method, a.spec.Target.Addr, call.Target)
 	if err != nil {
@@ -113,14 +115,14 @@
 	usable := prepareConn(info, x.admitFirstByte)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.unusable = !usable
+	x.connUnusable = !usable
 	x.idleTime = newConnIdleTime
 	if info.Reused {
 		x.idleTime = info.IdleTime
 	}
 }
 
-// admitFirstByte is called before the exchange's first byte is written, and says whether it may be.
+// admitFirstByte reports whether the exchange's first byte may be written. The connection calls it before that byte.
 func (x *exchange) admitFirstByte() bool {
 	if !x.attempt.admitFirstByte() {
 		return false
@@ -133,7 +135,7 @@
 	return true
 }
 
-// requestWritten is called when the Transport has written the request, or failed in that.
+// requestWritten records that the Transport has written the request, or has failed to write it.
 func (x *exchange) requestWritten(err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -146,25 +148,25 @@
 	}
 }
 
-// headBegan is called with the first byte of a response, or of a 1xx head before it.
-func (x *exchange) headBegan() {
+// gotFirstResponseByte records the first byte of a response, or of a 1xx head before it.
+func (x *exchange) gotFirstResponseByte() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.response = readingHead
-	if !x.headRead {
+	if !x.headTimerStopped {
 		x.headTimer = time.AfterFunc(headTimeout, x.attempt.cancel)
 	}
 }
 
-// informationalHead is called with each whole 1xx head. The response's own head comes when the replica is ready for it,
-// so headTimer doesn't run until then.
-func (x *exchange) informationalHead() error {
+// gotInformationalHead records a complete 1xx head. The replica sends the response's own head when it is ready, so
+// headTimer does not run until that head begins.
+func (x *exchange) gotInformationalHead() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.informational++
-	if x.informational > maxInformational {
+	x.informationalHeads++
+	if x.informationalHeads > maxInformationalHeads {
 		x.response = readingHead
-		return errTooManyInformational
+		return errTooManyInformationalHeads
 	}
 	x.response = waitingForHead
 	if x.headTimer != nil {
@@ -173,17 +175,17 @@
 	return nil
 }
 
-// stopHeadTimer ends the wait for the remainder of a head, or of a short response.
+// stopHeadTimer ends the time limit for the rest of a head, or of a short response.
 func (x *exchange) stopHeadTimer() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.headRead = true
+	x.headTimerStopped = true
 	if x.headTimer != nil {
 		x.headTimer.Stop()
 	}
 }
 
-// connIdleTime returns for how long the connection had been idle before the exchange, or newConnIdleTime.
+// connIdleTime returns how long the connection had been idle before the exchange, or newConnIdleTime.
 func (x *exchange) connIdleTime() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -197,32 +199,32 @@
 	return x.request != waitingForConn
 }
 
-// responseBegan reports whether the response itself has begun. A 1xx head is no response.
+// responseBegan reports whether the response itself has begun. A complete 1xx head does not count as a response.
 func (x *exchange) responseBegan() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.response == readingHead
 }
 
-// connWasStale reports whether the call was to go over a used connection that turned out to be closed before the last
-// byte was written. Only then may the attempt take another connection: after the last byte the call may have run, and
-// a new connection that fails says something about its replica.
+// connWasStale reports whether the call got a used connection that turned out to be closed before the last byte was
+// written. Only then may the attempt use another connection: after the last byte the call may have run, and the failure
+// of a new connection is evidence about its replica.
 func (x *exchange) connWasStale() bool {
 	return x.connIdleTime() >= 0 && x.failureOutcome() == routing.ConnectFailed
 }
 
-// failureOutcome tells an exchange that never ran (routing.ConnectFailed) from one that may have run
-// (routing.ConnectionReset), by whether the last byte was written.
+// failureOutcome returns routing.ConnectFailed for a call that never ran, since its last byte was not written, and
+// routing.ConnectionReset for a call that may have run.
 func (x *exchange) failureOutcome() routing.Outcome {
 	x.body.mu.Lock()
 	defer x.body.mu.Unlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch {
-	case x.unusable, x.request == waitingForConn, x.request == writeFailed:
+	case x.connUnusable, x.request == waitingForConn, x.request == writeFailed:
 		return routing.ConnectFailed
 	case x.request == written, x.body.consumed:
 		return routing.ConnectionReset
 	}
-	return routing.ConnectFailed // writing was cut off
+	return routing.ConnectFailed // writing was interrupted before the last byte
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// CloseDelay is closeDelay, for the tests from outside.
+// CloseDelay exports closeDelay to the tests in package upstream_test.
 const CloseDelay time.Duration = closeDelay
 
-// MaxEventSize is maxEventSize, for the tests from outside.
+// MaxEventSize exports maxEventSize to the tests in package upstream_test.
 const MaxEventSize = maxEventSize
 
-// After an attempt was withdrawn no first byte of it is written, also not on another connection after one that was
-// stale; an exchange that has begun goes on.
+// After an attempt was withdrawn its first byte must not be written, not even on a connection that replaces a stale
+// one. An exchange that has already begun must continue.
 func TestWithdrawnAttemptWritesNoFirstByte(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -34,21 +34,21 @@
 		}
 		if begun {
 			if n, err := write(); n != 4 || err != nil {
-				t.Fatalf("before it was withdrawn: %d bytes, %v", n, err)
+				t.Fatalf("write before Withdraw: %d bytes, %v", n, err)
 			}
 		}
 		a.Withdraw()
 		if ended := ctx.Err() != nil; ended == begun {
-			t.Errorf("begun %t: ended by being withdrawn %t", begun, ended)
+			t.Errorf("begun %t: Withdraw ended the attempt: %t", begun, ended)
 		}
 		if n, err := write(); n != 0 || !errors.Is(err, errFirstByteRefused) {
-			t.Errorf("begun %t: %d bytes written after it was withdrawn, %v", begun, n, err)
+			t.Errorf("begun %t: write after Withdraw: %d bytes, %v", begun, n, err)
 		}
 	}
 }
 
-// Only a call whose last byte was not written, over a connection that had been used before, may take another
-// connection: after that it may have run, and a new connection that fails says something about its replica.
+// Only a call over a used connection whose last byte was not written may be moved to another connection. After the last
+// byte the call may have run, and the failure of a new connection is evidence about its replica.
 func TestConnWasStaleOnlyIfUsedBeforeAndLastByteUnwritten(t *testing.T) {
 	const used, unused = 5 * time.Nanosecond, newConnIdleTime
 	for name, c := range map[string]struct {
@@ -69,7 +69,7 @@
 		x.idleTime = c.idleTime
 		x.request = c.request
 		if got := x.connWasStale(); got != c.want {
-			t.Errorf("%s: stale %t", name, got)
+			t.Errorf("%s: connWasStale %t", name, got)
 		}
 	}
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -19,8 +19,9 @@
 
 var expiry = regexp.MustCompile(`X-Expires-In: [0-9]+m`)
 
-// recorder is a replica that answers each request alike, and passes on its bytes as they came.
-func recorder(t *testing.T, answer string) (to dispatch.EndpointAddress, requests <-chan string) {
+// recordingReplica starts a replica that sends the same response to each request, and returns the bytes of the
+// requests.
+func recordingReplica(t *testing.T, answer string) (target dispatch.EndpointAddress, requests <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
 	if err != nil {
@@ -47,46 +48,47 @@
 	return dispatch.EndpointAddress{Name: "replica-1", Addr: l.Addr().String()}, out
 }
 
-// The bytes of each kind of request that replicas are sent. The headings in the golden file stay as they were written.
+// The bytes of each kind of request to replicas must match the golden file. The headings keep their original terms,
+// probe and duty, so that the golden file does not change.
 func TestGoldenRequests(t *testing.T) {
 	const loadReport = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
 	const released = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
 	const prefillDone = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}"
 	client := newClient(t, 8)
 	var all strings.Builder
-	record := func(name string, to dispatch.EndpointAddress, request string) {
-		request = expiry.ReplaceAllString(strings.ReplaceAll(request, to.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
+	record := func(name string, target dispatch.EndpointAddress, request string) {
+		request = expiry.ReplaceAllString(strings.ReplaceAll(request, target.Addr, "ADDRESS"), "X-Expires-In: LEFTm")
 		fmt.Fprintf(&all, "# %s\n%s\n\n", name, strings.ReplaceAll(request, "\r\n", "\n"))
 	}
 
-	to, requests := recorder(t, prefillDone)
+	target, requests := recordingReplica(t, prefillDone)
 	obs := newObserver()
 	withType := call
 	withType.ContentType = "application/json"
-	client.Send(dispatch.AttemptSpec{Call: withType, Target: to, Timeout: 5 * time.Second}, obs)
-	record("a call", to, <-requests)
+	client.Send(dispatch.AttemptSpec{Call: withType, Target: target, Timeout: 5 * time.Second}, obs)
+	record("a call", target, <-requests)
 	if o := <-obs.ended; o.Outcome != routing.PrefillDone || o.CachedTokens != 3 {
-		t.Errorf("%+v", o)
+		t.Errorf("result %+v", o)
 	}
 
-	to, requests = recorder(t, released)
-	client.Release(dispatch.UpstreamCall{ID: "id-2"}, []dispatch.EndpointAddress{to})
-	record("a release", to, <-requests)
+	target, requests = recordingReplica(t, released)
+	client.Release(dispatch.UpstreamCall{ID: "id-2"}, []dispatch.EndpointAddress{target})
+	record("a release", target, <-requests)
 	testutil.Eventually(t, "the release", func() bool { return client.PendingReleases() == 0 })
 
-	to, requests = recorder(t, loadReport)
+	target, requests = recordingReplica(t, loadReport)
 	for _, lease := range []string{"", "duty-1 7"} {
 		reports := make(chan *routing.LoadReport, 1)
-		client.PollLoadFor(lease, to, 5*time.Second, func(l *routing.LoadReport) { reports <- l })
-		record("a probe, duty "+fmt.Sprintf("%q", lease), to, <-requests)
+		client.PollLoadFor(lease, target, 5*time.Second, func(l *routing.LoadReport) { reports <- l })
+		record("a probe, duty "+fmt.Sprintf("%q", lease), target, <-requests)
 		if l := <-reports; l == nil || l.SlotUtilization != 0.5 || l.QueuedRequests != 1 {
-			t.Errorf("load %+v", l)
+			t.Errorf("load report %+v", l)
 		}
 	}
 	golden.Text(t, "requests.golden", all.String())
 }
 
-// What a replica's response says: its status, its proof that nothing ran, and its load report.
+// A replica's status, its proof that no part of the call ran, and its load report must be read correctly.
 func TestGoldenOutcomes(t *testing.T) {
 	report := &routing.LoadReport{Memory: 0.25, QueuedKiloTokens: -1, QueuedRequests: 3, SlotUtilization: 0.5}
 	for head, want := range map[string]dispatch.AttemptResult{
@@ -97,9 +99,9 @@
 		"500 Internal Server Error":                  {Outcome: routing.Errored, Load: report},
 		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: routing.Errored, Load: report},
 	} {
-		to, _ := recorder(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
+		target, _ := recordingReplica(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
 			"Content-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}")
-		_, obs := send(t, to.Addr)
+		_, obs := send(t, target.Addr)
 		got := <-obs.ended
 		if got.Load == nil || *got.Load != *want.Load {
 			t.Errorf("%q: load %+v", head, got.Load)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -36,10 +36,10 @@
 
 func (o *observer) Ended(result dispatch.AttemptResult) { o.ended <- result }
 
-// call is the call that tests make.
+// call is the call that the tests send.
 var call = dispatch.UpstreamCall{ID: "id-1", Method: http.MethodPost, Target: "/v1/chat/completions?a=b", Body: []byte("{}")}
 
-// newClient returns a client of at most conns connections to a replica.
+// newClient returns a client with at most conns connections to each replica.
 func newClient(t *testing.T, conns int) *upstream.Client {
 	t.Helper()
 	client := upstream.New(testutil.Settings(t), conns, conns, hostos.Real())
@@ -47,20 +47,20 @@
 	return client
 }
 
-// specFor describes an attempt of call at a replica.
+// specFor returns the spec of an attempt of call at the replica with the given address.
 func specFor(addr string, timeout time.Duration) dispatch.AttemptSpec {
 	return dispatch.AttemptSpec{Call: call, Target: dispatch.EndpointAddress{Name: "s", Addr: addr}, Timeout: timeout}
 }
 
-// send makes an attempt of call at a replica, over a client of its own.
+// send makes an attempt of call at a replica, with a new client.
 func send(t *testing.T, addr string) (dispatch.Attempt, *observer) {
 	t.Helper()
 	obs := newObserver()
 	return newClient(t, 8).Send(specFor(addr, 5*time.Second), obs), obs
 }
 
-// rawReplica starts a replica that answers each call on a connection with the next of the responses, byte for byte, and
-// then leaves the connection open.
+// rawReplica starts a replica that answers the calls on each connection with the given responses, in order and byte for
+// byte. It then leaves the connection open.
 func rawReplica(t *testing.T, responses ...string) (addr string, calls *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/loadpoll.go
+++ b/internal/upstream/loadpoll.go
@@ -14,21 +14,21 @@
 const loadPath = "/load"
 
 // PollLoad implements dispatch.Upstream.
-func (c *Client) PollLoad(target dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport)) {
-	c.PollLoadFor("", target, timeout, done)
+func (c *Client) PollLoad(target dispatch.EndpointAddress, timeout time.Duration, onReport func(*routing.LoadReport)) {
+	c.PollLoadFor("", target, timeout, onReport)
 }
 
-// PollLoadFor is PollLoad on behalf of the fleet, under the named lease. It calls done once, from another goroutine,
-// with nil if the replica gave no load report within the timeout.
+// PollLoadFor polls a replica's load as PollLoad does, but on behalf of the fleet, under the named lease. It calls
+// onReport once, from another goroutine, with nil if the replica gave no valid load report within the timeout.
 func (c *Client) PollLoadFor(
-	lease string, target dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport),
+	lease string, target dispatch.EndpointAddress, timeout time.Duration, onReport func(*routing.LoadReport),
 ) {
 	go func() {
 		report, err := c.fetchLoad(lease, target, timeout)
 		if err != nil {
 			slog.Warn("load_poll_failed", "server", target.Name, "err", err)
 		}
-		done(report)
+		onReport(report)
 	}()
 }
 
--- a/internal/upstream/loadpoll_test.go
+++ b/internal/upstream/loadpoll_test.go
@@ -13,8 +13,8 @@
 	"rampspread/routing"
 )
 
-// A replica is polled for its load by the protocol's path. A malformed report, an error and a silent or dead replica all
-// give nil, in time, and none of them gives a report of an empty queue.
+// A replica must be polled for its load at the path that the protocol defines. A malformed report, an error status, and
+// a silent or dead replica must each result in nil within the timeout, never in a report of an empty queue.
 func TestPollLoadReportsOnlyWhatCanBeParsed(t *testing.T) {
 	dead := testutil.UnusedAddress(t)
 	client := newClient(t, 8)
@@ -53,7 +53,8 @@
 	}
 }
 
-// A replica is sent the fleet's lease under which it is polled, and nothing where a dispatcher polls for itself.
+// A load poll under a lease of the fleet must carry the lease in its header. A poll that a dispatcher makes for itself
+// must not carry the header.
 func TestPollLoadForNamesTheLease(t *testing.T) {
 	leases := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	roomsPath = "/bootstrap/rooms/" // followed by the call's ID
+	releasePath = "/bootstrap/rooms/" // followed by the call's ID
 
 	// releaseTimeout is the limit for one replica to confirm a release.
 	releaseTimeout = 100 * time.Millisecond
-	// releaseHedgeDelay is how long a release waits without an answer until it is also sent through the next replica.
+	// releaseHedgeDelay is how long a release waits for a confirmation before it is also sent through the next replica.
 	releaseHedgeDelay = 20 * time.Millisecond
-	// releaseGiveUp is for how long a release that no replica confirms is repeated: the state is then released late
-	// rather than never.
-	releaseGiveUp = 2 * time.Second
-	// maxReleaseWait is for how long a call waits for its own release, which takes longer only where several replicas
-	// are silent.
+	// releaseRetryTimeout is how long a release that no replica confirms is repeated. The state is better released late
+	// than never.
+	releaseRetryTimeout = 2 * time.Second
+	// maxReleaseWait is how long a call waits for its own release at most. The release takes longer only if several
+	// replicas do not respond.
 	maxReleaseWait = 50 * time.Millisecond
-	// releaseRepeatInterval is the least time between two calls of one release to the same replica.
+	// releaseRepeatInterval is the minimum time between two calls of one release to the same replica.
 	releaseRepeatInterval = 300 * time.Millisecond
 )
 
-// Release implements dispatch.Upstream. The state must be released in time, and this side does not know which replicas
-// its calls reach: only an answer says so. So the release is hedged: a replica that does not answer at once is not
-// waited for, and the next one gets the same call; where none has answered, all get it again. A release is idempotent.
-func (c *Client) Release(call dispatch.UpstreamCall, through []dispatch.EndpointAddress) {
+// Release implements dispatch.Upstream. The state must be released in time, but only a response shows whether a call
+// reached a replica. So the release is hedged: if a replica does not respond at once, the same call is also sent to the
+// next replica, and if none of them has responded, it is sent to all of them again. A release is idempotent.
+func (c *Client) Release(call dispatch.UpstreamCall, targets []dispatch.EndpointAddress) {
 	c.pendingReleases.Add(1)
 	done := make(chan struct{})
 	c.releaseDone.Store(call.ID, done)
@@ -39,12 +39,12 @@
 		defer c.pendingReleases.Add(-1)
 		defer c.releaseDone.CompareAndDelete(call.ID, done)
 		defer close(done)
-		c.releaseThrough(call.ID, through)
+		c.hedgeRelease(call.ID, targets)
 	}()
 }
 
-// awaitRelease returns once no release of a call is in flight any more, but no later than maxReleaseWait: a release that
-// arrives during the call's prefill would release the state that the prefill makes.
+// awaitRelease waits until no release of a call is in flight, but no longer than maxReleaseWait. A release that arrives
+// during the call's prefill would release the state that the prefill creates.
 func (c *Client) awaitRelease(ctx context.Context, callID string) {
 	done, ok := c.releaseDone.Load(callID)
 	if !ok {
@@ -59,27 +59,28 @@
 	}
 }
 
-// PendingReleases returns how many releases no replica has confirmed yet and are still being sent.
+// PendingReleases returns how many releases are still being sent because no replica has confirmed them yet.
 func (c *Client) PendingReleases() int64 { return c.pendingReleases.Load() }
 
-// releaseThrough sends a release through one replica after the other until one confirms it or releaseGiveUp has passed.
-func (c *Client) releaseThrough(callID string, through []dispatch.EndpointAddress) {
-	if len(through) == 0 {
+// hedgeRelease sends a release through one replica after the other until one of them confirms it or releaseRetryTimeout
+// has passed.
+func (c *Client) hedgeRelease(callID string, targets []dispatch.EndpointAddress) {
+	if len(targets) == 0 {
 		slog.Warn("release_failed", "id", callID, "attempts", 0)
 		return
 	}
 	confirmed := make(chan struct{}, 1)
-	giveUp := time.NewTimer(releaseGiveUp)
+	giveUp := time.NewTimer(releaseRetryTimeout)
 	defer giveUp.Stop()
 	for sent := 0; ; sent++ {
-		failed := c.releaseAsync(callID, through[sent%len(through)], confirmed)
-		if sent >= len(through) {
-			failed = nil // a replica that refuses at once must not be called all the time
+		failed := c.releaseAsync(callID, targets[sent%len(targets)], confirmed)
+		if sent >= len(targets) {
+			failed = nil // in later rounds a replica that refuses at once must not be called again without a pause
 		}
 		select {
 		case <-confirmed:
 			return
-		case <-time.After(releaseInterval(sent, len(through))):
+		case <-time.After(releaseInterval(sent, len(targets))):
 		case <-failed:
 		case <-giveUp.C:
 			slog.Warn("release_failed", "id", callID, "attempts", sent+1)
@@ -88,8 +89,9 @@
 	}
 }
 
-// releaseAsync sends a release to one replica in a goroutine of its own. A confirmation goes to confirmed, unless there
-// is one already; the returned channel is closed if there is none.
+// releaseAsync sends a release to one replica in its own goroutine. If the replica confirms the release, releaseAsync
+// sends to confirmed, unless a confirmation is already waiting there; if the call fails, it closes the returned
+// channel.
 func (c *Client) releaseAsync(callID string, target dispatch.EndpointAddress, confirmed chan<- struct{}) (failed chan struct{}) {
 	failed = make(chan struct{})
 	go func() {
@@ -106,7 +108,8 @@
 	return failed
 }
 
-// releaseInterval is the time from one call of a release to the next, where sent calls came before it.
+// releaseInterval returns the time between two successive calls of a release; sent is the number of calls made before
+// the first of the two.
 func releaseInterval(sent, targets int) time.Duration {
 	if sent < targets {
 		return releaseHedgeDelay
@@ -114,11 +117,11 @@
 	return max(releaseHedgeDelay, releaseRepeatInterval/time.Duration(targets))
 }
 
-// release makes one call. After an error nobody knows whether the release arrived.
+// release makes one call. After an error it is unknown whether the release arrived.
 func (c *Client) release(callID string, target dispatch.EndpointAddress) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	resp, _, err := c.shortCall(ctx, http.MethodDelete, target, roomsPath+url.PathEscape(callID), "")
+	resp, _, err := c.shortCall(ctx, http.MethodDelete, target, releasePath+url.PathEscape(callID), "")
 	if err != nil {
 		return fmt.Errorf("release through %s: %w", target.Name, err)
 	}
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -14,8 +14,8 @@
 	"rampspread/routing"
 )
 
-// silentTargets returns count replicas that accept calls and never answer.
-func silentTargets(t *testing.T, count int) (through []dispatch.EndpointAddress) {
+// silentTargets returns count replicas that accept connections and never respond.
+func silentTargets(t *testing.T, count int) (targets []dispatch.EndpointAddress) {
 	t.Helper()
 	for i := range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,39 +23,39 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		through = append(through, dispatch.EndpointAddress{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
+		targets = append(targets, dispatch.EndpointAddress{Name: fmt.Sprint("silent", i), Addr: l.Addr().String()})
 	}
-	return through
+	return targets
 }
 
-// A release arrives in time though the first four replicas accept the call and never answer, as at a process that has
-// just started and does not know which of them answer.
+// A release must arrive in time even if the first four replicas accept the call and never respond. A process that has
+// just started does not know which replicas respond.
 func TestReleaseIsHedgedPastSilentReplicas(t *testing.T) {
-	through := silentTargets(t, 4)
+	targets := silentTargets(t, 4)
 	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, append(through, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
+	client.Release(call, append(targets, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
 	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 	if took := time.Since(start); took > 300*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// A release arrives in time, and while it still counts, though all replicas but the last of many are silent.
+// A release must arrive in time even if all replicas but the last of many are silent.
 func TestReleaseReachesTheLastOfManyReplicas(t *testing.T) {
-	through := silentTargets(t, 10)
+	targets := silentTargets(t, 10)
 	live := testutil.NewReplica(t, testutil.ServePrefill)
 	client := newClient(t, 8)
 	start := time.Now()
-	client.Release(call, append(through, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
+	client.Release(call, append(targets, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
 	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
 	if took := time.Since(start); took > 600*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
 }
 
-// A release that no replica confirms is repeated for a while, at a bounded rate, and then ends.
+// A release that no replica confirms must be repeated at a bounded rate, and end after a limited time.
 func TestUnconfirmedReleaseIsRepeatedAtABoundedRateThenEnds(t *testing.T) {
 	var calls atomic.Int64
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -70,13 +70,13 @@
 		{Name: "refusing", Addr: refusing.Listener.Addr().String()},
 	})
 	client.Release(call, nil)
-	testutil.Eventually(t, "its end", func() bool { return client.PendingReleases() == 0 })
+	testutil.Eventually(t, "the end of the release", func() bool { return client.PendingReleases() == 0 })
 	if n, took := calls.Load(), time.Since(start); n < 3 || n > 20 || took < time.Second {
 		t.Errorf("%d calls in %v", n, took)
 	}
 }
 
-// A release goes on to the next replica until a live one has confirmed it.
+// A release must be sent to the next replica if the first one is dead.
 func TestReleaseGoesOnAfterADeadReplica(t *testing.T) {
 	dead := testutil.UnusedAddress(t)
 	live := testutil.NewReplica(t, testutil.ServePrefill)
@@ -85,10 +85,10 @@
 	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 }
 
-// A call that is sent just after its release waits until that has been confirmed: a release that arrives during a prefill
-// would release what the prefill makes.
+// A call that is sent right after its release must wait until the release has been confirmed. A release that arrives
+// during the prefill would release the state that the prefill creates.
 func TestCallWaitsForItsRelease(t *testing.T) {
-	arrived := make(chan string, 16) // a release may be made more than once
+	arrived := make(chan string, 16) // a release may be sent more than once
 	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			time.Sleep(20 * time.Millisecond) // the release takes this long to arrive
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -14,22 +14,22 @@
 // Headers of requests.
 const (
 	traceHeader  = "X-Trace-Id"   // the call's ID
-	expiryHeader = "X-Expires-In" // the time that remains for the call: milliseconds with the unit m, as in grpc-timeout
-	leaseHeader  = "X-Duty"       // the lease of the fleet under which a replica is polled
+	expiryHeader = "X-Expires-In" // remaining time of the call in milliseconds, with the unit m as in grpc-timeout
+	leaseHeader  = "X-Duty"       // the fleet's lease under which a replica is polled
 )
 
 const (
 	userAgent    = "rampspread"
-	maxShortBody = 64 << 10 // bytes of a response that is no stream
+	maxShortBody = 64 << 10 // bytes of a response that is not a stream
 )
 
-// statusError says that a replica answered with a status that does not carry out the call.
+// statusError is the error for a response status that says that the replica did not carry out the call.
 type statusError int
 
 // Error implements error.
 func (status statusError) Error() string { return fmt.Sprintf("status %d", int(status)) }
 
-// newRequest returns a request without a body for a replica. The target is a path with an optional query.
+// newRequest returns a request to a replica, without a body. The target is a path with an optional query.
 func newRequest(ctx context.Context, method, addr, target string) (*http.Request, error) {
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return req, nil
 }
 
-// shortCall makes a call without a body and reads its short response. A lease names the fleet's lease under which the
-// call is made; it is empty where the call is made for this process alone.
+// shortCall makes a call without a body and reads its short response. The lease is the name of the fleet's lease under
+// which the call is made; it is empty if the call is made for this process alone.
 func (c *Client) shortCall(
 	ctx context.Context, method string, target dispatch.EndpointAddress, path, lease string,
 ) (*http.Response, []byte, error) {
@@ -67,7 +67,7 @@
 	return resp, data, err
 }
 
-// readShortBody reads a short body to its end, so that the connection can be used again.
+// readShortBody reads a short body to its end, so that the connection can be reused.
 func readShortBody(body io.ReadCloser) ([]byte, error) {
 	defer body.Close()
 	return io.ReadAll(io.LimitReader(body, maxShortBody))
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,19 +13,19 @@
 
 const (
 	loadHeader         = "Endpoint-Load-Metrics"
-	neverRanHeader     = "X-Never-Ran"           // "1" proves that nothing of the call ran
-	loadLinePrefix     = ": " + loadHeader + ":" // of a load report in a comment of a stream
+	neverRanHeader     = "X-Never-Ran"           // "1" proves that no part of the call ran
+	loadLinePrefix     = ": " + loadHeader + ":" // starts a comment of a stream that holds a load report
 	loadReportPrefix   = "TEXT "
 	maxLoadReportValue = 1e9
 )
 
-// shortResult turns a response that is no stream into the attempt's result; err is how reading its body ended.
+// shortResult converts a response that is not a stream into the attempt's result; err is the error of reading its body.
 func (c *Client) shortResult(resp *http.Response, data []byte, err error) dispatch.AttemptResult {
 	result := dispatch.AttemptResult{Outcome: routing.Errored, Load: c.parseLoadReport(resp.Header.Get(loadHeader))}
 	neverRan := resp.Header.Get(neverRanHeader) == "1"
 	switch resp.StatusCode {
 	case http.StatusAccepted:
-		// The prefill is done even if the body cannot be read: the head says so.
+		// The status says that the prefill is done, even if the body cannot be read.
 		result.Outcome = routing.PrefillDone
 		result.CachedTokens = c.prefillCachedTokens(data, err)
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -44,7 +44,8 @@
 	return result
 }
 
-// prefillCachedTokens reads the body of a finished prefill; 0 if it could not be read.
+// prefillCachedTokens returns the number of cached tokens in the body of a finished prefill, or 0 if the body could not
+// be read.
 func (c *Client) prefillCachedTokens(data []byte, err error) int {
 	var prefill struct {
 		CachedTokens int `json:"cached_tokens"`
@@ -58,8 +59,8 @@
 	return max(prefill.CachedTokens, 0)
 }
 
-// parseLoadReport reads a load report such as "TEXT inflight=7, util=0.61". It returns nil if there is none, if it is
-// malformed, or if a configured field is missing.
+// parseLoadReport parses a load report such as "TEXT inflight=7, util=0.61". It returns nil if there is no report, if
+// the report is malformed, or if a configured field is missing.
 func (c *Client) parseLoadReport(text string) *routing.LoadReport {
 	list, ok := strings.CutPrefix(strings.TrimSpace(text), loadReportPrefix)
 	if !ok {
@@ -72,7 +73,7 @@
 	for _, item := range strings.Split(list, ",") {
 		name, number, _ := strings.Cut(strings.TrimSpace(item), "=")
 		value, err := strconv.ParseFloat(number, 32)
-		if err != nil || !(value >= 0 && value < maxLoadReportValue) { // not a NaN either
+		if err != nil || !(value >= 0 && value < maxLoadReportValue) { // the negation also rejects NaN
 			c.malformed.Add(1)
 			return nil
 		}
@@ -89,7 +90,8 @@
 	return c.settings.LoadReport(fields)
 }
 
-// parseTail reads a stream's last lines: the prompt tokens that were cached, and the load report in a comment.
+// parseTail parses the last lines of a stream: the number of prompt tokens that were cached, and the load report in a
+// comment.
 func (c *Client) parseTail(tail []byte) (cachedTokens int, load *routing.LoadReport) {
 	for line := range strings.Lines(string(tail)) {
 		line = strings.TrimSpace(line)
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -14,8 +14,8 @@
 	"rampspread/routing"
 )
 
-// A duplicate response that comes some milliseconds behind the first is never taken for the response to the next call on
-// that connection, which here would be sent again though it runs.
+// A duplicate response that arrives some milliseconds after the first must never be read as the response to the next
+// call on that connection. Here the next call would then be sent again although it runs.
 func TestLateDuplicateResponseIsNotTheNextResponse(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
 		const refusal = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -32,23 +32,24 @@
 			io.WriteString(conn, refusal)
 			time.Sleep(late) // the delay of the duplicate is what is tested
 			io.WriteString(conn, refusal)
-			io.Copy(io.Discard, conn) // it runs the next call, and does not answer it yet
+			io.Copy(io.Discard, conn) // a next call on this connection would run, without a response yet
 			conn.Close()
 		})
 		client := upstream.New(testutil.Settings(t), 8, 8, hostos.Real())
-		to := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
+		target := dispatch.EndpointAddress{Name: "s", Addr: r.Addr}
 		for n, want := range []routing.Outcome{routing.QueueFull, routing.PrefillDone} {
 			obs := newObserver()
-			client.Send(dispatch.AttemptSpec{Call: call, Target: to, Timeout: 5 * time.Second}, obs)
+			client.Send(dispatch.AttemptSpec{Call: call, Target: target, Timeout: 5 * time.Second}, obs)
 			if o := <-obs.ended; o.Outcome != want {
-				t.Errorf("%v late: call %d ended with %d, want %d", late, n, o.Outcome, want)
+				t.Errorf("duplicate %v late: call %d ended with outcome %d, want %d", late, n, o.Outcome, want)
 			}
 		}
 		client.Close()
 	}
 }
 
-// A second response right behind the first is not taken for that to the next call: each call gets its own.
+// A second response right after the first must not be read as the response to the next call: each call must get its own
+// response.
 func TestBytesBehindAResponseAreNotTheNextResponse(t *testing.T) {
 	prefillDone := "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":%d}"
 	addr, calls := rawReplica(t, fmt.Sprintf(prefillDone, 1)+fmt.Sprintf(prefillDone, 2), fmt.Sprintf(prefillDone, 3))
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -16,13 +16,13 @@
 )
 
 var (
-	errMalformedEvent = errors.New("no event")
+	errMalformedEvent = errors.New("malformed event")
 	errEventTooLarge  = fmt.Errorf("event of over %d bytes", maxEventSize)
 	errTruncated      = errors.New("the stream ended before its last event")
 )
 
-// eventReader splits a stream of server-sent events (the text/event-stream format of the HTML standard) into events, as
-// far as replicas use it: each line is a comment or data with JSON, and the last event is "data: [DONE]".
+// eventReader splits a stream of server-sent events (the text/event-stream format of the HTML standard) into events. It
+// supports the subset that replicas use: each line is a comment or JSON data, and the last event is "data: [DONE]".
 type eventReader struct {
 	buffer       *bufio.Reader
 	sawLastEvent bool
@@ -30,15 +30,15 @@
 
 func newEventReader(body io.Reader) *eventReader { return &eventReader{buffer: bufio.NewReader(body)} }
 
-// buffered reports whether another whole event has come, so that next does not wait.
-func (r *eventReader) buffered() bool {
-	data, _ := r.buffer.Peek(r.buffer.Buffered()) // all in memory, so it cannot fail
+// hasBufferedEvent reports whether another complete event has been received, so that next does not wait.
+func (r *eventReader) hasBufferedEvent() bool {
+	data, _ := r.buffer.Peek(r.buffer.Buffered()) // cannot fail, since it reads only buffered bytes
 	return bytes.Contains(data, []byte("\n\n")) || bytes.Contains(data, []byte("\n\r\n"))
 }
 
-// next reads up to the blank line that ends an event and returns the event with it. It returns io.EOF only behind the
-// last event; errTruncated if the stream ends before, errEventTooLarge over maxEventSize,
-// and errMalformedEvent for what came whole and is no event that replicas send.
+// next reads up to the blank line that ends an event and returns the event including that line. It returns io.EOF only
+// after the last event. It returns errTruncated if the stream ends before its last event, errEventTooLarge for an event
+// of more than maxEventSize bytes, and errMalformedEvent for a complete event of a kind that replicas do not send.
 func (r *eventReader) next() ([]byte, error) {
 	var event []byte
 	for {
@@ -54,23 +54,24 @@
 			return nil, io.EOF
 		case err == io.EOF && !r.sawLastEvent:
 			return nil, errTruncated
-		case err == io.EOF: // a last comment needs no blank line
+		case err == io.EOF: // a comment at the end of the stream needs no blank line
 		case err != nil:
 			return nil, err
 		}
 		if len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
-		if !r.valid(event) {
+		if !r.validate(event) {
 			return nil, fmt.Errorf("%w: %.40q", errMalformedEvent, event)
 		}
 		return event, nil
 	}
 }
 
-// valid reports whether each line of an event is one that replicas send: data with JSON, the mark of the end, or a
-// comment. A chunk of the transfer encoding whose size is wrong leaves other lines behind. It notes the mark of the end.
-func (r *eventReader) valid(event []byte) bool {
+// validate reports whether each line of an event is one that replicas send: JSON data, the last event's data, or a
+// comment. Other lines appear, for example, if a chunk of the transfer encoding has a wrong size. validate sets
+// sawLastEvent when it sees the last event.
+func (r *eventReader) validate(event []byte) bool {
 	if len(bytes.TrimSpace(event)) == 0 {
 		return false
 	}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,31 +13,32 @@
 
 const (
 	firstEventTimeout = time.Second             // from the head to the end of the first event
-	eventTimeout      = 3500 * time.Millisecond // a stream without a whole event for this long is given up
-	tailSize          = 2 << 10                 // bytes of a stream that are remembered for the usage and the load report
+	eventTimeout      = 3500 * time.Millisecond // a stream without a complete event for this long is aborted
+	tailSize          = 2 << 10                 // last bytes of a stream, kept for the usage and the load report
 )
 
-// stream implements dispatch.Stream over a replica's response. It passes on whole events only, byte for byte: a replica
-// may send noise, or a chunk whose size is wrong or that never ends, and a client must not take part of that for its
-// answer.
+// stream implements dispatch.Stream over a replica's response. It passes on only complete events, byte for byte. A
+// replica may send garbage, or a chunk whose size is wrong or that never ends, and the client must not take any of that
+// as part of its answer.
 //
-// Read and Close are called from one goroutine at a time; only silenceTimer runs concurrently, and cancels the attempt.
+// Read and Close are called from one goroutine at a time. Only the function of silenceTimer runs concurrently; it
+// cancels the attempt.
 type stream struct {
 	attempt      *attempt
 	body         io.ReadCloser
 	reader       *eventReader
 	observer     dispatch.AttemptObserver
-	events       []byte // whole events that were not passed on yet
-	err          error  // what ended the reader; io.EOF after the last event
-	tail         []byte // the last bytes that were passed on
+	events       []byte // complete events that have not been passed on yet
+	err          error  // error that ended the reader; io.EOF after the last event
+	tail         []byte // last bytes that were passed on
 	silenceTimer *time.Timer
-	ended        bool // the end was reported
+	endReported  bool // the attempt's end was reported to the observer
 }
 
-// stream waits for the first event and then gives the stream to the observer.
+// stream waits for the first event and then offers the stream to the observer.
 func (a *attempt) stream(resp *http.Response, observer dispatch.AttemptObserver) {
 	s := &stream{attempt: a, body: resp.Body, reader: newEventReader(resp.Body), observer: observer}
-	// The head came with the first token, so its event is due.
+	// A replica sends the head with the first token, so the first event must follow soon.
 	s.silenceTimer = time.AfterFunc(firstEventTimeout, a.cancel)
 	s.fill()
 	s.silenceTimer.Stop()
@@ -55,10 +56,10 @@
 	}
 }
 
-// fill waits for the next whole event, and takes those with it that are buffered already.
+// fill waits for the next complete event, and also takes the events that are already buffered.
 func (s *stream) fill() {
 	s.events = s.events[:0]
-	for s.err == nil && (len(s.events) == 0 || s.reader.buffered()) {
+	for s.err == nil && (len(s.events) == 0 || s.reader.hasBufferedEvent()) {
 		var event []byte
 		event, s.err = s.reader.next()
 		if s.err == nil {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Read implements io.Reader. Its timer guards against replicas that fall silent in midstream, or that send bytes for ever
-// which make no event: the client could only wait.
+// Read implements io.Reader. Its timer guards against replicas that stop sending in the middle of a stream, or that
+// keep sending bytes without ever completing an event. Without the timer the client would wait for ever.
 func (s *stream) Read(p []byte) (int, error) {
 	if len(s.events) == 0 && s.err == nil {
 		s.silenceTimer.Reset(eventTimeout)
@@ -81,7 +82,7 @@
 	}
 	n := copy(p, s.events)
 	s.events = s.events[n:]
-	s.remember(p[:n])
+	s.appendTail(p[:n])
 	if n > 0 || s.err == nil {
 		return n, nil
 	}
@@ -89,15 +90,15 @@
 	return 0, s.err
 }
 
-// remember adds to the tail, which it cuts to tailSize when it has grown to twice of that.
-func (s *stream) remember(data []byte) {
+// appendTail appends data to the tail, and cuts the tail to its last tailSize bytes once it exceeds twice that size.
+func (s *stream) appendTail(data []byte) {
 	s.tail = append(s.tail, data...)
 	if len(s.tail) > 2*tailSize {
 		s.tail = append(s.tail[:0], s.tail[len(s.tail)-tailSize:]...)
 	}
 }
 
-// Close implements io.Closer. A stream that is closed before its end is cut off at the replica too.
+// Close implements io.Closer. Closing a stream before its end also ends the call at the replica.
 func (s *stream) Close() error {
 	s.silenceTimer.Stop()
 	s.reportEnd()
@@ -105,12 +106,12 @@
 	return s.body.Close()
 }
 
-// reportEnd reports the attempt's end, once.
+// reportEnd reports the attempt's end to the observer, once.
 func (s *stream) reportEnd() {
-	if s.ended {
+	if s.endReported {
 		return
 	}
-	s.ended = true
+	s.endReported = true
 	result := dispatch.AttemptResult{Outcome: routing.ConnectionReset}
 	if s.err == io.EOF && len(s.events) == 0 {
 		result.Outcome = routing.Served
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -13,7 +13,7 @@
 	"rampspread/routing"
 )
 
-// A whole stream is passed on byte for byte, and its end reported once.
+// A complete stream must be passed on byte for byte, and its end must be reported once.
 func TestWholeStreamIsPassedOnUnchanged(t *testing.T) {
 	r := testutil.NewReplica(t, testutil.ServeDecode("alpha", "beta"))
 	_, obs := send(t, r.Addr)
@@ -28,8 +28,8 @@
 	}
 }
 
-// Wherever a stream is cut, its whole events are passed on unchanged, and the end is an error, never io.EOF. Without a
-// whole event there is no stream at all: the attempt may have run, and that is all that is known.
+// Wherever a stream is truncated, its complete events must be passed on unchanged, and it must end with an error, never
+// with io.EOF. Without a complete event no stream is passed on, and the outcome is that the attempt may have run.
 func TestCutStreamPassesOnItsWholeEvents(t *testing.T) {
 	whole := testutil.EventStream("alpha", "beta")
 	for n := 1; n < len(whole); n += 7 {
@@ -39,7 +39,8 @@
 	}
 }
 
-// checkEnd takes an attempt to its end: it passed on the whole events of the text and nothing else.
+// checkEnd reads an attempt to its end. It checks that exactly the complete events of the text were passed on, followed
+// by an error, and that the attempt ended once, with the wanted outcome.
 func checkEnd(t *testing.T, obs *observer, text string, want routing.Outcome) {
 	t.Helper()
 	if want := testutil.CompleteEvents(text); want != "" {
@@ -57,8 +58,8 @@
 	}
 }
 
-// A malformed stream ends the attempt, though its connection stays open: before the first event nothing is passed on,
-// later whole events only.
+// A malformed stream must end the attempt even if its connection stays open. Before the first event nothing may be
+// passed on, and after it only complete events.
 func TestMalformedStreamEndsTheAttempt(t *testing.T) {
 	one := testutil.CompleteEvents(testutil.EventStream("alpha")[:100])
 	for name, c := range map[string]struct{ received, passed string }{
@@ -91,7 +92,7 @@
 	}
 }
 
-// 1xx heads before a response, and load reports that cannot be parsed, do no harm.
+// Informational (1xx) heads before a response and malformed load reports must not affect the stream or its outcome.
 func TestInformationalHeadsAndMalformedLoadReportsAreHarmless(t *testing.T) {
 	text := testutil.EventStream("alpha") + ": Endpoint-Load-Metrics: TEXT util=lots,,\n\n"
 	addr, _ := rawReplica(t, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+
@@ -105,7 +106,7 @@
 	}
 }
 
-// A replica that falls silent in midstream leaves its connection open: the stream is given up all the same.
+// A stream must be aborted if the replica stops sending in the middle of it, even if the connection stays open.
 func TestSilentStreamIsGivenUp(t *testing.T) {
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		io.WriteString(w, "data: {}\n\n")
@@ -121,18 +122,18 @@
 	}
 }
 
-// The response to a rejected stream is closed, so that the replica notices.
+// The call of a rejected stream must be ended at the replica, by closing its connection.
 func TestRejectedStreamIsCutOffAtTheReplica(t *testing.T) {
-	gone := make(chan struct{})
+	cutOff := make(chan struct{})
 	r := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		testutil.ServeDecode("a")(w, r, n)
 		<-r.Context().Done()
-		close(gone)
+		close(cutOff)
 	})
 	client, obs := newClient(t, 8), newObserver()
 	obs.reject = true
 	client.Send(specFor(r.Addr, time.Second), obs)
-	<-gone
+	<-cutOff
 	if o := <-obs.ended; o.Outcome != routing.ConnectionReset {
 		t.Errorf("outcome %d", o.Outcome)
 	}
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -1,9 +1,10 @@
-// Package xds gives this dispatcher's endpoint list to other proxies over Envoy's xDS protocol
-// (https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol): one cluster for each kind of endpoint, state of
-// the world, on the aggregated stream or on one stream for each type. Streams and versions are go-control-plane's.
+// Package xds serves this dispatcher's endpoint list to other proxies over Envoy's xDS protocol
+// (https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol). It serves one cluster for each kind of endpoint,
+// with the state-of-the-world variant of the protocol, on the aggregated stream or on one stream for each resource
+// type. go-control-plane implements the streams and their versions.
 //
-// A Server owns a copy of the endpoint list, the version of its last snapshot, and a gRPC server. Its methods may be
-// called from any goroutine.
+// A Server owns a copy of the endpoint list, the version of its last snapshot, and a gRPC server. Its methods are safe
+// for concurrent use.
 package xds
 
 import (
@@ -37,20 +38,21 @@
 )
 
 const (
-	allNodes       = "all" // the key of the one snapshot, which all proxies receive
-	connectTimeout = 250 * time.Millisecond
-	maxStreams     = 1024 // on one connection
-	// weightScale makes whole numbers of an endpoint list's weights, which are shares: xDS keeps two decimal places.
+	sharedSnapshotKey = "all" // key of the only snapshot, which all proxies receive
+	connectTimeout    = 250 * time.Millisecond
+	maxStreams        = 1024 // concurrent streams on one connection
+	// weightScale converts the relative weights of an endpoint list into the integers that xDS requires. It keeps two
+	// decimal places.
 	weightScale = 100
 	minWeight   = 1
 	maxWeight   = 1e6
 )
 
-// sharedNodeHash is a cache.NodeHash that gives all proxies one snapshot.
+// sharedNodeHash is a cache.NodeHash that selects the same snapshot for all proxies.
 type sharedNodeHash struct{}
 
 // ID implements cache.NodeHash.
-func (sharedNodeHash) ID(*corev3.Node) string { return allNodes }
+func (sharedNodeHash) ID(*corev3.Node) string { return sharedSnapshotKey }
 
 // Server is an xDS server for clusters and endpoints.
 type Server struct {
@@ -74,7 +76,7 @@
 	return s
 }
 
-// Serve accepts proxies until Stop, after which it returns nil.
+// Serve accepts proxies until Stop is called, and then returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	if err := s.grpc.Serve(listener); err != nil {
 		return fmt.Errorf("xds: %w", err)
@@ -93,14 +95,14 @@
 	s.version++
 	snapshot, err := s.snapshot()
 	if err == nil {
-		err = s.cache.SetSnapshot(context.Background(), allNodes, snapshot)
+		err = s.cache.SetSnapshot(context.Background(), sharedSnapshotKey, snapshot)
 	}
 	if err != nil {
 		slog.Warn("xds_failed", "err", err)
 	}
 }
 
-// snapshot makes a cluster and its endpoints for each kind; s.mu must be held.
+// snapshot returns a snapshot with a cluster and its endpoints for each kind. The caller must hold s.mu.
 func (s *Server) snapshot() (*cache.Snapshot, error) {
 	byKind := map[int][]dispatch.Endpoint{}
 	for _, endpoint := range s.endpoints {
@@ -123,7 +125,7 @@
 	return snapshot, nil
 }
 
-// edsCluster is a cluster whose endpoints come on the same stream.
+// edsCluster returns a cluster whose endpoints the proxy receives on the aggregated stream.
 func edsCluster(name string) *clusterv3.Cluster {
 	return &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(connectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
@@ -132,7 +134,8 @@
 			ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
 }
 
-// loadAssignment lists the endpoints of a cluster, by name and in one locality for each zone. It sorts its argument.
+// loadAssignment returns the endpoints of a cluster, sorted by name within one locality for each zone. It sorts its
+// argument in place.
 func (s *Server) loadAssignment(cluster string, endpoints []dispatch.Endpoint) (*endpointv3.ClusterLoadAssignment, error) {
 	slices.SortFunc(endpoints, func(a, b dispatch.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -16,7 +16,7 @@
 	"rampspread/routing"
 )
 
-// proxy is a client of the aggregated discovery stream.
+// proxy is an xDS client with one aggregated discovery stream.
 type proxy struct {
 	stream discoverysvc.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 }
@@ -64,7 +64,7 @@
 	return response
 }
 
-// healthByName checks the endpoints of a response and returns their health by name.
+// healthByName checks zone, weight and port of the endpoints in a response and returns their health status by name.
 func healthByName(t *testing.T, response *discoverysvc.DiscoveryResponse) map[string]string {
 	t.Helper()
 	health := map[string]string{}
@@ -86,7 +86,7 @@
 	return health
 }
 
-// A proxy's stream receives the clusters and their endpoints, and after that each change of the endpoint list.
+// A proxy must receive the clusters and their endpoints on its stream, and after that each change of the endpoint list.
 func TestProxyReceivesEndpointsAndTheirChanges(t *testing.T) {
 	server := xds.NewServer(testutil.Settings(t))
 	endpoint := func(name string, kind int, state routing.EndpointState) dispatch.Endpoint {
@@ -98,7 +98,7 @@
 
 	proxy.send(t, &discoverysvc.DiscoveryRequest{TypeUrl: resource.ClusterType})
 	if response := proxy.receive(t); len(response.Resources) != 2 {
-		t.Errorf("%d clusters", len(response.Resources))
+		t.Errorf("%d clusters, want 2", len(response.Resources))
 	}
 	clusters := []string{"decode-a", "prefill"}
 	proxy.send(t, &discoverysvc.DiscoveryRequest{TypeUrl: resource.EndpointType, ResourceNames: clusters})
