--- a/internal/discovery/api.go
+++ b/internal/discovery/api.go
@@ -18,7 +18,7 @@
 	// maxListSize is the limit in bytes for a list or a change. It is twice the size of a list of 3,200 long entries
 	// with deep indentation.
 	maxListSize = 3 << 20
-	// listTimeout is the limit for fetching a whole list.
+	// listTimeout is the limit for fetching the full list.
 	listTimeout = 2 * time.Second
 	// maxDiscardedBody is how many bytes of an error response's body are read so that its connection can be reused.
 	maxDiscardedBody = 4 << 10
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -19,9 +19,9 @@
 
 	// maxBackoff is the upper limit of each backoff, for any fleet size and any number of failures. A dispatcher counts
 	// as notified of a change 6 s after discovery had the change and could be reached, regardless of the results of
-	// earlier calls. In the worst case a call is sent just before that moment, and is aborted after silenceTimeout (2.5
-	// s). A backoff of 2 s after it leaves 1 s for the call that fetches the change, also on a slow machine, and 500
-	// ms, the drain deadline, in which the change must take effect.
+	// earlier calls. In the worst case a call is sent just before that moment, and is aborted after silenceTimeout.
+	// A backoff of this length after it leaves 1 s for the call that fetches the change, also on a slow machine, and
+	// the drain deadline of 500 ms in which the change must take effect.
 	maxBackoff = 2 * time.Second
 
 	maxFleetSize = 1 << 16 // prevents an overflow of the span for any settings
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -44,8 +44,8 @@
 }
 
 // eventuallySoon checks that a condition becomes true within 3 s. That is well below the backoffs that the fleet of
-// startWatcher would draw if its discovery had to be polled, and well above the duration of a call to an agent on a
-// slow machine.
+// startWatcher would draw without maxBackoff if its discovery had to be polled, and well above the duration of a call
+// to an agent on a slow machine.
 func eventuallySoon(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	from := time.Now()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// silenceTimeout ends a watch that receives nothing. While nothing changes, discovery sends an empty line every 2
-	// s, so a watch that receives nothing for this long is dead. The dispatcher counts as notified of a change that
-	// such a watch misses 6 s after the watch fell silent, or, if an agent has the change and had lost discovery for a
-	// while, as soon as discovery is back.
+	// silenceTimeout ends a watch that receives nothing. While nothing changes, discovery sends an empty line every
+	// 2 s, so a watch that receives nothing for this long is dead. If such a watch misses a change, the dispatcher
+	// counts as notified of the change 6 s after the watch fell silent or, if an agent has the change and had lost
+	// discovery for a while, as soon as discovery is back.
 	silenceTimeout = 2500 * time.Millisecond
 
 	dialTimeout = time.Second
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -31,7 +31,7 @@
 		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR,
 	}
 	// routeErrnos are temporary too, but if they persist the cause may be the route to this one replica, and another
-	// replica should be tried. They therefore never count as errLocalFailure.
+	// replica should be tried. They are therefore not reported as errLocalFailure.
 	routeErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES}
 )
 
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -20,7 +20,7 @@
 // Dialing must stop soon enough to try another decode replica, even if the configured connect timeout is far longer
 // than that time.
 func TestDialTimeoutAllowsForAnotherReplica(t *testing.T) {
-	listenFD, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // with a full accept queue: connections never come up
+	listenFD, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0) // its full accept queue blocks connections
 	if err != nil {
 		t.Fatal(err)
 	}
