--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// donorMinAgeGap is by how much earlier another member must have started to count as one that has learned
-	// something.
+	// donorMinAgeGap is the time by which another member must have started earlier than this process to count as one
+	// that has learned something.
 	donorMinAgeGap = 3 * time.Second
-	// donorMinAge is how long a process must have run until it has learned something, if no other has given it its
-	// state.
+	// donorMinAge is the time for which a process must have run to count as one that has learned something, unless it
+	// has received the state of another member.
 	donorMinAge = 3 * time.Second
 	// snapshotTimeout bounds the wait for this process's learned state.
 	snapshotTimeout = time.Second
-	// bootstrapSeedStream separates the requester's random draws from those of the node and other components.
+	// bootstrapSeedStream separates the requester's random draws from the draws of the node and other components.
 	bootstrapSeedStream = 0xbe11ef
 )
 
-// LearnedState is what this process has learned of replicas and prefixes, to be transferred to members that start.
+// LearnedState gives access to what this process has learned about replicas and prefixes, so that it can be transferred
+// to members that start.
 type LearnedState interface {
-	// Snapshot returns the encoded state of this process; false: it cannot now.
+	// Snapshot returns the encoded state of this process, or false if there is none now.
 	Snapshot(ctx context.Context) ([]byte, bool)
-	// Restore merges the encoded state of another member; it is an error if the state cannot be decoded.
+	// Restore merges the encoded state of another member. It returns an error if the state cannot be decoded.
 	Restore(state []byte) error
 }
 
-// BootstrapStatus is the transfers of learned state as operators are shown them.
+// BootstrapStatus counts the transfers of learned state, as shown to operators.
 type BootstrapStatus struct {
-	Received  int64 `json:"taken"` // from others, after the start
+	Received  int64 `json:"taken"` // transfers received from other members after the start
 	Sent      int64 `json:"given"`
-	Declined  int64 `json:"busy"` // requests without a transfer: nothing learned yet, or the limit was reached
+	Declined  int64 `json:"busy"` // requests declined: nothing learned yet, limit reached, or no state to send
 	Malformed int64 `json:"bad"`  // transfers that could not be decoded
 }
 
-// bootstrapper is the component that requests learned state from others after this process's start, and is a donor to
-// those that request it.
+// bootstrapper is the component that requests learned state from other members after this process's start, and sends
+// this process's state to members that request it.
 type bootstrapper struct {
 	node  *Node
 	state LearnedState
@@ -59,7 +60,8 @@
 	return &bootstrapper{node: n, state: state, requester: requester}
 }
 
-// handlers implements component. Both wait for the core, so each message has a goroutine of its own.
+// handlers implements component. Both handlers wait for the core of the dispatcher, so each message is handled in its
+// own goroutine.
 func (b *bootstrapper) handlers() map[byte]messageHandler {
 	return map[byte]messageHandler{
 		kindBootstrapRequest: func(m peerMessage) { go b.handleRequest(m.from) },
@@ -67,7 +69,7 @@
 	}
 }
 
-// tick implements component: it sends a request to a donor, if one is due.
+// tick implements component. It sends a request to a donor, if one is due.
 func (b *bootstrapper) tick(now time.Duration) {
 	b.mu.Lock()
 	if b.requester.Done(now) {
@@ -89,11 +91,11 @@
 	}
 }
 
-// stop implements component; nothing is held.
+// stop implements component. The component holds nothing.
 func (b *bootstrapper) stop() {}
 
-// handleRequest sends this process's state to another member, or declines: it has learned nothing yet, or has sent as
-// much as it may for now.
+// handleRequest sends this process's state to another member. It declines the request if the process has learned
+// nothing yet, has reached the limit of transfers for now, or has no snapshot that can be sent.
 func (b *bootstrapper) handleRequest(from string) {
 	if b.takeTransfer() && b.sendState(from) {
 		return
@@ -102,7 +104,7 @@
 	b.node.send(from, encodeLearnedState(b.node.self.Name, nil))
 }
 
-// takeTransfer tells whether this process may be a donor now, and counts the transfer.
+// takeTransfer reports whether this process may serve a transfer now, and if so counts the transfer.
 func (b *bootstrapper) takeTransfer() bool {
 	now := b.node.now()
 	b.mu.Lock()
@@ -111,7 +113,7 @@
 	return hasLearned && b.donor.TakeTransfer(now, bootstrap.DefaultLimits)
 }
 
-// sendState sends this process's state to another member; false: it has none that can be sent now.
+// sendState sends this process's state to another member. It returns false if there is no state that can be sent now.
 func (b *bootstrapper) sendState(to string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
@@ -124,7 +126,7 @@
 	return true
 }
 
-// handleState takes the response of a member; one that was not requested is ignored.
+// handleState handles the response of a member. A response that was not requested is ignored.
 func (b *bootstrapper) handleState(from string, state []byte) {
 	b.mu.Lock()
 	requested := b.requester.WasRequested(from)
@@ -132,14 +134,14 @@
 	if !requested {
 		return
 	}
-	learned := len(state) > 0 && b.learn(from, state)
+	restored := len(state) > 0 && b.restoreState(from, state)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.requester.RecordResponse(b.node.now(), from, learned)
+	b.requester.RecordResponse(b.node.now(), from, restored)
 }
 
-// learn merges another member's state, and tells whether it could be decoded.
-func (b *bootstrapper) learn(from string, state []byte) bool {
+// restoreState merges another member's state, and reports whether it could be decoded.
+func (b *bootstrapper) restoreState(from string, state []byte) bool {
 	if err := b.state.Restore(state); err != nil {
 		b.malformed.Add(1)
 		slog.Warn("bootstrap_rejected", "from", from, "err", err)
@@ -150,7 +152,7 @@
 	return true
 }
 
-// BootstrapStatus is the transfers of learned state, for operators; false: they are not enabled.
+// BootstrapStatus returns the counts of transfers for operators, or false if transfers are not enabled.
 func (n *Node) BootstrapStatus() (s BootstrapStatus, ok bool) {
 	b, ok := componentOf[*bootstrapper](n)
 	if !ok {
--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -1,28 +1,30 @@
-// Package bootstrap decides from which members a process that has just started requests what they have learnt, when it
-// does, and how many requests a member serves.
+// Package bootstrap decides from which members a newly started process requests learned state and when, and limits how
+// many requests a member serves.
 //
-// The algorithm is a bounded state transfer on start, as an anti-entropy exchange by pull (Demers et al., PODC 1987).
-// The times of the requests are drawn at random, so that a start of the whole fleet does not overload the few members
-// that have state; each of these serves a number bounded by a token bucket; and a process that has received a transfer
-// serves others in its turn, so that donors multiply.
+// The algorithm is a bounded state transfer on start, a pull form of anti-entropy (Demers et al., PODC 1987). Request
+// times are drawn at random, so that a simultaneous start of the whole fleet does not overload the few members that
+// have state. A token bucket bounds the number of transfers that each donor serves. A process that has received a
+// transfer serves requests itself, so the number of donors grows.
 //
-// The package does no I/O and has no clock. Its types are not safe for concurrent use.
+// The package does no I/O and reads no clock. Its types are not safe for concurrent use.
 package bootstrap
 
 import "time"
 
-// Limits bound what a start costs the other members.
+// Limits bounds the load that a starting process puts on the other members.
 type Limits struct {
-	// SpreadPerMember, times the size of the fleet, is the span from which the time of the first request is drawn: a
-	// start of the whole fleet at once makes about one request in that time in all.
+	// SpreadPerMember, multiplied by the size of the fleet, is the range from which the delay of the first request is
+	// drawn. If the whole fleet starts at once, it sends about one request per SpreadPerMember in total.
 	SpreadPerMember time.Duration
-	MaxSpread       time.Duration // the longest such span
-	ResponseTimeout time.Duration // until the next request, to another member
-	// RetryInterval is after how long a member that refused, or had nothing to transfer, may be requested from again.
+	MaxSpread       time.Duration // upper bound of that range
+	ResponseTimeout time.Duration // wait for a response before the next request, which goes to another member
+	// RetryInterval is the time after which a member that refused, or had nothing to transfer, may receive another
+	// request.
 	RetryInterval time.Duration
-	Transfers     int           // received by a process
-	MaxRequests   int           // sent by a process
-	Window        time.Duration // after the start; later the process has learnt more itself
+	MaxTransfers  int // number of received transfers after which a process sends no more requests
+	MaxRequests   int // number of requests that a process sends at most
+	// Window is the time after the start in which requests are sent. By its end the process has learned more itself.
+	Window time.Duration
 	// TransfersPerSecond and Burst are the rate and the size of a donor's token bucket.
 	TransfersPerSecond float64
 	Burst              float64
@@ -34,16 +36,16 @@
 	MaxSpread:          2 * time.Second,
 	ResponseTimeout:    500 * time.Millisecond,
 	RetryInterval:      time.Second,
-	Transfers:          2,
+	MaxTransfers:       2,
 	MaxRequests:        20,
 	Window:             8 * time.Second,
 	TransfersPerSecond: 6,
 	Burst:              4,
 }
 
-// Peer is another member that may be requested from.
+// Peer is another member to which a request may be sent.
 type Peer struct {
 	Name     string
-	Older    bool // it started well before this process
-	SameZone bool // it is in this process' zone, and so knows the same replicas best
+	Older    bool // whether the member started well before this process
+	SameZone bool // whether the member is in this process' zone, so that its state covers the same replicas best
 }
--- a/internal/fleet/bootstrap/golden_test.go
+++ b/internal/fleet/bootstrap/golden_test.go
@@ -8,7 +8,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// The order and the spans of the draws decide, with a seed, whom a process sends requests to and when.
+// With a given seed, the order and the ranges of the random draws determine to which members a process sends requests
+// and when. A change of either changes the golden file.
 func TestGoldenDraws(t *testing.T) {
 	var text []byte
 	draws := int64(0)
--- a/internal/fleet/bootstrap/requester.go
+++ b/internal/fleet/bootstrap/requester.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Ranks of the members that may be requested from. They add up: a member that was not requested from comes first, then
-// an older one, since a new one has learnt as little as this process, then one in the same zone.
+// Ranks of the possible donors. The ranks that apply to a member are added up: a member that has received no request
+// yet comes first, then an older member, since a new one has learned as little as this process, then a member in the
+// same zone.
 const (
 	rankSameZone     = 1
 	rankOlder        = 2
 	rankNotRequested = 4
 )
 
-// maxBackoffSteps is after how many requests the span of the backoff reaches ResponseTimeout.
+// maxBackoffSteps is the number of requests at which the range of the backoff reaches ResponseTimeout.
 const maxBackoffSteps = 4
 
 // Requester requests transfers for one process that has just started. It is not safe for concurrent use.
@@ -21,24 +22,24 @@
 	limits      Limits
 	draw        func(n int64) int64
 	started     time.Duration
-	nextRequest time.Duration            // zero until members are known
-	requested   map[string]time.Duration // when a member may be requested from again
+	nextRequest time.Duration            // earliest time of the next request, or zero while no other member is known
+	requested   map[string]time.Duration // earliest time of another request to a member, by its name
 	requests    int
 	transfers   int
 }
 
-// NewRequester returns a Requester for a process that started at a time. Draw returns a random number from 0 up to but
-// not including n.
+// NewRequester returns a Requester for a process that starts now. The function draw returns a random number from 0 up
+// to but not including n.
 func NewRequester(limits Limits, now time.Duration, draw func(n int64) int64) *Requester {
 	return &Requester{limits: limits, draw: draw, started: now, requested: map[string]time.Duration{}}
 }
 
-// Done reports whether no further member will be requested from.
+// Done reports whether the process will send no further request.
 func (r *Requester) Done(now time.Duration) bool {
-	return r.transfers >= r.limits.Transfers || r.requests >= r.limits.MaxRequests || now-r.started > r.limits.Window
+	return r.transfers >= r.limits.MaxTransfers || r.requests >= r.limits.MaxRequests || now-r.started > r.limits.Window
 }
 
-// NextDonor returns the member to send a request to now, out of the active members; false means that there is none yet.
+// NextDonor returns which of the active members to send a request to now. It returns false if no request is due.
 func (r *Requester) NextDonor(now time.Duration, members []Peer) (name string, ok bool) {
 	if r.Done(now) || len(members) == 0 {
 		return "", false
@@ -63,7 +64,7 @@
 	return name, true
 }
 
-// bestDonors returns the names of the members of the highest rank that may be requested from now.
+// bestDonors returns the names of the highest-ranked members to which a request may be sent now.
 func (r *Requester) bestDonors(now time.Duration, members []Peer) []string {
 	var best []string
 	highest := -1
@@ -90,28 +91,28 @@
 	return best
 }
 
-// drawDelay draws a delay of at least 1 ns and at most span.
+// drawDelay returns a random delay from 1 ns to span, which is in nanoseconds.
 func (r *Requester) drawDelay(span int64) time.Duration { return 1 + time.Duration(r.draw(span)) }
 
-// RecordResponse notes a member's response: with taught set, a transfer, and else that it refused or had nothing to
-// transfer. The next request follows after a short drawn backoff. A response that was not requested is ignored.
+// RecordResponse records a member's response. If transferred is false, the member refused or had nothing to transfer.
+// The next request follows after a short random backoff. A response that was not requested is ignored.
 //
-//revive:disable-next-line:flag-parameter taught is the content of the peer's response, and package fleet passes it on
-func (r *Requester) RecordResponse(now time.Duration, from string, taught bool) {
+//revive:disable-next-line:flag-parameter transferred is the content of the peer's response, and package fleet passes it on
+func (r *Requester) RecordResponse(now time.Duration, from string, transferred bool) {
 	if !r.WasRequested(from) {
 		return
 	}
 	r.requested[from] = now + r.limits.RetryInterval
-	if taught {
+	if transferred {
 		r.transfers++
-		r.requested[from] = r.started + r.limits.Window + 1 // not again
+		r.requested[from] = r.started + r.limits.Window + 1 // no second transfer from the same member
 	}
-	// Where the whole fleet starts at once most refuse: the backoff is drawn from a span that grows with the requests.
-	steps := int64(min(r.requests, maxBackoffSteps))
-	r.nextRequest = min(r.nextRequest, now+r.drawDelay(int64(r.limits.ResponseTimeout)*steps/maxBackoffSteps))
+	// If the whole fleet starts at once, most members refuse, so the range of the backoff grows with the requests.
+	backoffSteps := int64(min(r.requests, maxBackoffSteps))
+	r.nextRequest = min(r.nextRequest, now+r.drawDelay(int64(r.limits.ResponseTimeout)*backoffSteps/maxBackoffSteps))
 }
 
-// WasRequested reports whether a request was sent to a member; responses of others are to be ignored.
+// WasRequested reports whether a request was sent to a member. Responses from other members are to be ignored.
 func (r *Requester) WasRequested(name string) bool {
 	_, ok := r.requested[name]
 	return ok
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -8,8 +8,8 @@
 	"rampspread/internal/testutil"
 )
 
-// A process that starts after its machine's wall clock was set back counts as a later incarnation of its name all the
-// same: the others report the former incarnation to it, and it takes a higher one.
+// A process that restarts after its machine's wall clock was set back must count as a later incarnation of its name.
+// Its clock gives it a lower incarnation, so it must take a higher one than the former, which other members report.
 func TestComesBackAfterTheClockWasSetBack(t *testing.T) {
 	text := configJSON("f", testKey, 20, 21, 22)
 	one, two := startNode(t, text, 20, nil), startNode(t, text, 21, nil)
--- a/internal/fleet/component.go
+++ b/internal/fleet/component.go
@@ -10,41 +10,41 @@
 
 // component is an optional part of a Node, such as leased tasks or quota shares.
 type component interface {
-	// handlers are the messages that the component takes, by kind. Handlers are called from memberlist's goroutine and
-	// must not block.
+	// handlers returns the handlers of the messages that the component receives, by message kind. They are called from
+	// memberlist's goroutine and must not block.
 	handlers() map[byte]messageHandler
-	// tick does what is due at a time of the node's clock. The component's own goroutine calls it every
+	// tick does the work that is due at now, by the node's clock. The component's own goroutine calls it every
 	// componentInterval.
 	tick(now time.Duration)
-	// stop gives up what the component holds, since the process leaves the fleet. The node calls it once, while ticks
-	// may go on, and waits for it.
+	// stop releases what the component holds, because the process leaves the fleet. The node calls it once and waits
+	// for it to return. Ticks may continue meanwhile.
 	stop()
 }
 
-// messageHandler takes a decoded message of one kind.
+// messageHandler handles a decoded message of one kind.
 type messageHandler func(m peerMessage)
 
-// addConfigured adds the components that the configuration and the process both provide for.
-func (n *Node) addConfigured() {
+// addConfiguredComponents adds the components that both the configuration and the process's Options enable.
+func (n *Node) addConfiguredComponents() {
 	if n.self.Tasks != nil && len(n.cfg.Voters) > 0 {
-		n.add(newLeasedTasks(n, n.self.Tasks))
+		n.addComponent(newLeasedTasks(n, n.self.Tasks))
 	}
 	if n.self.Quota != nil && n.cfg.Budgets != nil {
-		n.add(newQuotaShares(n, n.self.Quota))
+		n.addComponent(newQuotaShares(n, n.self.Quota))
 	}
 	if n.self.LearnedState != nil && n.cfg.Bootstrap {
-		n.add(newBootstrapper(n, n.self.LearnedState))
+		n.addComponent(newBootstrapper(n, n.self.LearnedState))
 	}
 	if n.self.VersionSkew != nil && n.cfg.VersionSkew != nil {
-		n.add(newSkewMonitor(n, n.self.VersionSkew))
+		n.addComponent(newSkewMonitor(n, n.self.VersionSkew))
 	}
 	if n.self.EndpointFilter != nil && n.cfg.EndpointFilter {
-		n.add(newEndpointSync(n, n.self.EndpointFilter))
+		n.addComponent(newEndpointSync(n, n.self.EndpointFilter))
 	}
 }
 
-// add adds a component and registers its handlers. The node does not run yet.
-func (n *Node) add(c component) {
+// addComponent adds a component and registers its handlers. It must be called before the node runs.
+func (n *Node) addComponent(c component) {
 	n.components = append(n.components, c)
 	if n.handlers == nil {
 		n.handlers = map[byte]messageHandler{}
@@ -54,7 +54,7 @@
 	}
 }
 
-// runComponent ticks a component until the context ends.
+// runComponent calls a component's tick method every componentInterval until the context ends.
 func (n *Node) runComponent(ctx context.Context, c component) {
 	ticks := time.NewTicker(componentInterval)
 	defer ticks.Stop()
@@ -68,7 +68,7 @@
 	}
 }
 
-// componentOf returns the node's component of type C; false: it is not enabled.
+// componentOf returns the node's component of type C, or false if it is not enabled.
 func componentOf[C component](n *Node) (c C, ok bool) {
 	for _, enabled := range n.components {
 		if c, ok = enabled.(C); ok {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -13,38 +13,41 @@
 	"rampspread/internal/fleet/subset"
 )
 
-// Config is the operator's file, deploy/fleet.json. It is the same at all members, except for Listen.
+// Config is the content of the operator's file, deploy/fleet.json. It is the same at all members, except for Listen.
 type Config struct {
-	// Fleet names the deployment. Packets of another fleet are ignored.
+	// Fleet is the name of the deployment. Packets of another fleet are ignored.
 	Fleet string `json:"fleet"`
-	// Key encrypts and authenticates the members' messages (AES-GCM): 16, 24 or 32 bytes in hex, the same at all.
+	// Key encrypts and authenticates the members' messages (AES-GCM). It has 16, 24 or 32 bytes, in hex, and is the
+	// same at all members.
 	Key string `json:"key"`
-	// Listen is where this process receives packets (UDP) and connections (TCP), and where it sends from. Empty: its
-	// own address among Members.
+	// Listen is the address at which this process receives packets (UDP) and connections (TCP), and from which it
+	// sends. If it is empty, the process uses its own address in Members.
 	Listen string `json:"listen"`
-	// Members are all processes that may be in the fleet, this one among them.
+	// Members lists all processes that may be in the fleet, including this one.
 	Members []Peer `json:"members"`
-	// ProbeMS is how often a member probes whether another is reachable, in ms; 0: defaultProbeInterval. The time to
-	// detect a failure grows with it.
+	// ProbeMS is the interval, in ms, at which a member probes whether another is reachable; 0 means
+	// defaultProbeInterval. The time to detect a failure grows with it.
 	ProbeMS int `json:"probe_ms"`
-	// Voters are the members that grant leases: 1, 3 or 5 of them. None: no tasks run.
+	// Voters lists the members that grant leases: 1, 3 or 5 of them. Without voters no tasks run.
 	Voters []string `json:"voters"`
-	// TermMS is the term of a lease, in ms; 0: defaultLeaseTerm. A task is taken over about a term after its holder
-	// died.
+	// TermMS is the term of a lease, in ms; 0 means defaultLeaseTerm. If the holder of a task fails, another member
+	// takes over the task about one term later.
 	TermMS int `json:"term_ms"`
-	// Idempotency makes a request with an idempotency key run once in the whole fleet: the voters record who has
-	// claimed it, each in a store of its own. None: each dispatcher knows its own requests only.
+	// Idempotency makes a request with an idempotency key run only once in the whole fleet: each voter records in its
+	// own store who has claimed the request. If it is nil, each dispatcher recognizes only its own requests.
 	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
-	// Bootstrap lets a member that starts receive the learned state of others: of replicas and of prefixes.
+	// Bootstrap lets a starting member receive what other members have learned about replicas and prefixes.
 	Bootstrap bool `json:"beliefs,omitempty"`
-	// EndpointFilter lets members suppress each other's use of replicas that a newer list than their own has removed.
+	// EndpointFilter lets members stop each other from using replicas that a newer endpoint list has removed.
 	EndpointFilter bool `json:"ends,omitempty"`
-	// VersionSkew lets members that act on something older than most be restricted and fenced; none: nobody is.
+	// VersionSkew lets members that act on older versions than most others be restricted and fenced. If it is nil, no
+	// member is restricted or fenced.
 	VersionSkew *VersionSkewConfig `json:"stragglers,omitempty"`
-	// MinSubsetPrefillReplicas is the least number of prefill replicas, with their decode replicas, that a dispatcher uses; 0:
-	// all.
+	// MinSubsetPrefillReplicas is the minimum number of prefill replicas, with their decode replicas, that a dispatcher
+	// uses; 0 means all.
 	MinSubsetPrefillReplicas int `json:"subset_readers,omitempty"`
-	// Budgets are what all members may do together; none: each dispatcher goes by the settings' count of dispatchers.
+	// Budgets limits what all members may do together. If it is nil, each dispatcher uses the number of dispatchers in
+	// the settings instead.
 	Budgets *Budgets `json:"budgets,omitempty"`
 
 	key           []byte
@@ -53,18 +56,18 @@
 	leaseTerm     time.Duration
 }
 
-// IdempotencyConfig bounds the idempotency records of the voters; it is the same at all.
+// IdempotencyConfig bounds the idempotency records of the voters. It is the same at all members.
 type IdempotencyConfig struct {
-	RetentionS float64 `json:"keep_s"`  // retention, in seconds
-	Entries    int     `json:"entries"` // records at each voter
+	RetentionS float64 `json:"keep_s"`  // retention of a record, in seconds
+	Entries    int     `json:"entries"` // maximum number of records at each voter
 }
 
-// Retention is how long an idempotency record is retained.
+// Retention returns how long an idempotency record is retained.
 func (c *IdempotencyConfig) Retention() time.Duration {
 	return time.Duration(c.RetentionS * float64(time.Second))
 }
 
-// Peer is one name that may be in the fleet, and the address at which others reach it.
+// Peer is the name of a process that may be in the fleet, and the address at which others reach it.
 type Peer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -76,7 +79,7 @@
 	maxProbeMS           = 10_000
 	minTermMS            = 300
 	maxTermMS            = 60_000
-	maxMembers           = 4096 // what grows with the members is allocated by need
+	maxMembers           = 4096 // memory that depends on the number of members is allocated as needed
 	maxNameBytes         = 64
 	minRetentionS        = 1
 	maxRetentionS        = 1e7 // exclusive
@@ -84,7 +87,7 @@
 	maxBudgetLimit       = 1e6
 )
 
-// Load reads and checks an operator's file for the process of that name.
+// Load reads and checks an operator's file for the process of the given name.
 func Load(path, name string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -97,7 +100,8 @@
 	return c, nil
 }
 
-// Parse reads a file strictly, for the process of that name: unknown keys and values that cannot work are errors.
+// Parse parses and checks the text of an operator's file for the process of the given name. Unknown keys and invalid
+// values are errors.
 func Parse(text []byte, name string) (*Config, error) {
 	var c Config
 	if err := cli.DecodeStrict(text, &c); err != nil {
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// parseMembers checks the members, and takes this process's listen address from them if there is no other.
+// parseMembers checks the members, and sets Listen to this process's address if it is empty.
 func (c *Config) parseMembers(self string) error {
 	addresses := map[string]bool{}
 	c.addressByName = map[string]string{}
@@ -244,27 +248,27 @@
 	}
 	least := min(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond)
 	greatest := max(b.PollsPerReplica, b.RetriesPerRequest, b.RetriesPerSecond)
-	if areValid := least >= 0 && greatest <= maxBudgetLimit; !areValid { // not valid for NaN
+	if areValid := least >= 0 && greatest <= maxBudgetLimit; !areValid { // false for NaN
 		return errors.New("fleet: budgets: a limit is not from 0 to 1000000")
 	}
 	return nil
 }
 
-// SubsetLimits bounds the subset of the replicas that a dispatcher uses.
+// SubsetLimits returns the bounds of the subset of the replicas that a dispatcher uses.
 func (c *Config) SubsetLimits() subset.Limits {
 	return subset.Limits{MinPrefillReplicas: c.MinSubsetPrefillReplicas}
 }
 
-// IsVoter tells whether the member of that name is a voter.
+// IsVoter reports whether the member of the given name is a voter.
 func (c *Config) IsVoter(name string) bool { return slices.Contains(c.Voters, name) }
 
-// Secret is the key of hashes that all members, and no other fleet's, compute alike.
+// Secret returns the key for hashes that are the same at all members and differ from the hashes of other fleets.
 func (c *Config) Secret() []byte { return c.key }
 
-// address is where others reach a name; empty for one that is not configured.
+// address returns the address at which others reach the named member, or "" if the name is not configured.
 func (c *Config) address(name string) string { return c.addressByName[name] }
 
-// names are all members' names, in the file's order.
+// names returns the names of all members, in the order of the file.
 func (c *Config) names() []string {
 	names := make([]string, len(c.Members))
 	for i, m := range c.Members {
@@ -273,7 +277,7 @@
 	return names
 }
 
-// checkPrivate rejects addresses that are not of a machine's or a site's own network.
+// checkPrivate rejects addresses that are neither loopback addresses nor in a private network.
 func checkPrivate(address string) error {
 	a, err := netip.ParseAddrPort(address)
 	switch {
--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -37,14 +37,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(good, c.old, c.replacement, 1)), "n1")
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s for %s: %v", c.replacement, c.old, err)
+				t.Errorf("%s in place of %s: got error %v, want one of one line", c.replacement, c.old, err)
 			}
 		})
 	}
 }
 
-// configWith is a configuration with further keys.
-func configWith(keys string) string {
+// configWithKeys returns a configuration with additional keys.
+func configWithKeys(keys string) string {
 	return strings.Replace(configJSON("f", testKey, 0, 1, 2), `"probe_ms":100`, `"probe_ms":100,`+keys, 1)
 }
 
@@ -58,20 +58,20 @@
 		{"limit too high", `"voters":["n0"],"budgets":{"floor":0.5,"probes_per_replica_s":1e9}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := Parse([]byte(configWith(c.keys)), "n1"); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", c.keys, err)
+			if _, err := Parse([]byte(configWithKeys(c.keys)), "n1"); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: got error %v, want one of one line", c.keys, err)
 			}
 		})
 	}
 }
 
-// The minimum is an even part of the floor; without budgets there is none.
+// The minimum fraction is the floor divided by the number of members, and 0 without budgets.
 func TestMinFractionIsAnEvenPartOfTheFloor(t *testing.T) {
-	c, err := Parse([]byte(configWith(`"budgets":{"floor":1}`)), "n1")
+	c, err := Parse([]byte(configWithKeys(`"budgets":{"floor":1}`)), "n1")
 	if err != nil || c.MinFraction() != 1.0/3 {
-		t.Errorf("%v, %v", c, err)
+		t.Errorf("config %v, error %v, want a minimum of 1/3", c, err)
 	}
-	if c, _ := Parse([]byte(configWith(`"voters":["n0"]`)), "n1"); c.MinFraction() != 0 {
-		t.Error("a fraction without budgets")
+	if c, _ := Parse([]byte(configWithKeys(`"voters":["n0"]`)), "n1"); c.MinFraction() != 0 {
+		t.Error("the minimum fraction is not 0 without budgets")
 	}
 }
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -11,40 +11,41 @@
 	"rampspread/internal/fleet/membership"
 )
 
-// delegate is a Node as memberlist calls it back: memberlist.Delegate, EventDelegate, ConflictDelegate and
-// MergeDelegate. Its methods are called from memberlist's goroutines, some under memberlist's locks, and must not
-// block.
+// delegate receives memberlist's callbacks for a Node. It implements memberlist.Delegate, EventDelegate,
+// ConflictDelegate and MergeDelegate. Its methods are called from memberlist's goroutines, some while memberlist holds
+// locks, and must not block.
 type delegate struct{ node *Node }
 
-// NodeMeta implements memberlist.Delegate: this process's info.
+// NodeMeta implements memberlist.Delegate. It returns this process's encoded info.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
 	b := encodeMemberInfo(d.node.info, 0)
-	return b[:min(len(b), limit)] // fields are bounded so that it always fits
+	return b[:min(len(b), limit)] // the fields are bounded, so the info always fits
 }
 
-// NotifyMsg implements memberlist.Delegate: a message from another member was received.
+// NotifyMsg implements memberlist.Delegate. It handles a message from another member.
 func (d *delegate) NotifyMsg(message []byte) { d.node.receive(message) }
 
-// GetBroadcasts implements memberlist.Delegate; there are none, since heartbeats go straight to their receivers.
+// GetBroadcasts implements memberlist.Delegate. It returns none, since heartbeats are sent directly to their receivers.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// knownIncarnation is what members exchange of each name in memberlist's push and pull of all state.
+// knownIncarnation is the latest known incarnation of a name. Members exchange these for all names in memberlist's
+// push/pull state exchange.
 type knownIncarnation struct {
 	Name        string `json:"n"`
 	Incarnation uint64 `json:"i"`
 }
 
-// knownIncarnationBytes is at most what a knownIncarnation takes in JSON beside its name: keys and a number of 20
-// digits.
+// knownIncarnationBytes is an upper bound of the size of a knownIncarnation in JSON without its name: its keys and a
+// number of 20 digits.
 const knownIncarnationBytes = 64
 
-// maxRemoteStateBytes bounds what is read of another member's state.
+// maxRemoteStateBytes is the maximum size of another member's state that is decoded.
 const maxRemoteStateBytes = maxMembers * (maxNameBytes + knownIncarnationBytes)
 
-// LocalState implements memberlist.Delegate: the latest incarnation of each name, so that a process that restarts
-// without memory, and with a clock that was set back, takes a higher one.
+// LocalState implements memberlist.Delegate. It returns the latest known incarnation of each name, so that a process
+// that restarts without stored state, and with a clock that was set back, takes a higher incarnation than before.
 func (d *delegate) LocalState(bool) []byte {
 	var incarnations []knownIncarnation
 	for _, m := range d.node.View().Members {
@@ -59,7 +60,8 @@
 	return b
 }
 
-// MergeRemoteState implements memberlist.Delegate: it raises this process's incarnation over an earlier one's.
+// MergeRemoteState implements memberlist.Delegate. It raises this process's incarnation above the incarnation that the
+// other member knows for its name.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	var incarnations []knownIncarnation
 	if len(b) > maxRemoteStateBytes || json.Unmarshal(b, &incarnations) != nil {
@@ -73,7 +75,7 @@
 	}
 }
 
-// raiseIncarnation takes an incarnation over one that others know of this name.
+// raiseIncarnation raises this process's incarnation above one that another member knows for its name.
 func (n *Node) raiseIncarnation(known uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,10 +84,10 @@
 	}
 	n.info.Incarnation = known + 1
 	n.table.UpdateSelf(n.info, n.now())
-	n.publish()
+	n.publishView()
 }
 
-// memberInfo decodes the metadata of a node.
+// memberInfo decodes the metadata of a memberlist node. Metadata that are invalid are counted as malformed.
 func (d *delegate) memberInfo(node *memberlist.Node) (membership.MemberInfo, bool) {
 	info, _, err := decodeMemberInfo(node.Meta)
 	if err != nil || info.Name != node.Name {
@@ -95,24 +97,25 @@
 	return info, true
 }
 
-// NotifyJoin implements memberlist.EventDelegate.
+// NotifyJoin implements memberlist.EventDelegate. It marks the member as joined.
 func (d *delegate) NotifyJoin(node *memberlist.Node) {
 	if info, ok := d.memberInfo(node); ok {
 		d.node.updateTable(func(t *membership.Table, now time.Duration) { t.MarkJoined(info, now) })
 	}
 }
 
-// NotifyUpdate implements memberlist.EventDelegate.
+// NotifyUpdate implements memberlist.EventDelegate. It handles changed metadata as those of a joining member.
 func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.NotifyJoin(node) }
 
-// NotifyLeave implements memberlist.EventDelegate.
+// NotifyLeave implements memberlist.EventDelegate. It marks the member as lost.
 func (d *delegate) NotifyLeave(node *memberlist.Node) {
 	if info, ok := d.memberInfo(node); ok {
 		d.node.updateTable(func(t *membership.Table, now time.Duration) { t.MarkLost(info.Name, info.Incarnation, now) })
 	}
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: the other process is ignored.
+// NotifyConflict implements memberlist.ConflictDelegate. It records that two processes have the same name. Memberlist
+// ignores the other process.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	slog.Warn("fleet_name_conflict", "name", existing.Name, "address", existing.Address(),
 		"other_address", other.Address())
@@ -121,8 +124,8 @@
 	})
 }
 
-// NotifyMerge implements memberlist.MergeDelegate: it rejects a merge with members that know another process of this
-// name.
+// NotifyMerge implements memberlist.MergeDelegate. It rejects a merge with members that report another running process
+// of this process's name.
 func (d *delegate) NotifyMerge(peers []*memberlist.Node) error {
 	n := d.node
 	own := n.cfg.address(n.self.Name)
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// receive takes a message from another member: its first byte is the kind. Heartbeats are taken at any time, the other
-// kinds once the node has joined.
+// receive handles a message from another member, whose first byte is its kind. Heartbeats are handled at any time, the
+// other kinds only after the node has joined.
 func (n *Node) receive(message []byte) {
 	if len(message) == 0 {
 		n.malformed.Add(1)
@@ -18,7 +18,7 @@
 	switch {
 	case kind == kindHeartbeat:
 		n.receiveHeartbeat(payload)
-	case !n.joined.Load(): // there is no way to answer yet
+	case !n.joined.Load(): // the node cannot send responses yet
 	case kind == kindIdempotency:
 		if n.self.HandleIdempotency != nil {
 			n.self.HandleIdempotency(payload)
@@ -28,8 +28,8 @@
 	}
 }
 
-// dispatch decodes a message and calls the handler of its kind. A message of a kind without one is ignored, but it
-// counts as malformed all the same if it cannot be decoded or its sender is not configured.
+// dispatch decodes a message and calls the handler of its kind. A message without a handler is ignored, but still
+// counts as malformed if it cannot be decoded or its sender is not configured.
 func (n *Node) dispatch(kind byte, payload []byte) {
 	m, err := decodeMessage(payload, n.now())
 	if err != nil {
@@ -45,8 +45,9 @@
 	}
 }
 
-// requiresSender tells whether a message of a kind must name a configured member other than this one. Replies and
-// grants are checked against the request that they answer, and results against their fencing tokens.
+// requiresSender reports whether a message of the kind must name a configured member other than this one as its sender.
+// Lease replies and quota grants are checked against the request that they answer instead, and task results against
+// their fencing tokens.
 func requiresSender(kind byte) bool {
 	switch kind {
 	case kindLeaseRequest, kindQuotaClaim, kindBootstrapRequest, kindLearnedState, kindEndpointDigest:
@@ -59,16 +60,16 @@
 	return name != n.self.Name && n.cfg.address(name) != ""
 }
 
-// send sends a message to a member by one datagram, which may get lost. It goes to the configured address: the nodes
-// that memberlist returns change while they are read.
+// send sends a message to a member in one datagram, which may get lost. It uses the configured address, since
+// memberlist changes the nodes that it returns while they are read.
 func (n *Node) send(name string, message []byte) {
 	if address := n.cfg.address(name); address != "" {
 		n.gossip.SendToAddress(memberlist.Address{Addr: address, Name: name}, message)
 	}
 }
 
-// sendReliable sends a message that is too large for a datagram over TCP. It waits for a connection, for TCPTimeout at
-// the most; the message may get lost all the same.
+// sendReliable sends a message that is too large for a datagram over TCP. It waits for a connection, at most for
+// TCPTimeout. The message may still get lost.
 func (n *Node) sendReliable(name string, message []byte) {
 	address, err := netip.ParseAddrPort(n.cfg.address(name))
 	if err != nil {
@@ -80,8 +81,8 @@
 	}
 }
 
-// SendIdempotency sends a message of package idempotencyquorum to a member. A large one goes over TCP, without waiting
-// for it, the others by a datagram; either may get lost. Its signature is that of idempotencyquorum.Config.Send.
+// SendIdempotency sends a message of package idempotencyquorum to a member without blocking. A large message is sent
+// over TCP, any other in a datagram; either may get lost. The signature is given by idempotencyquorum.Config.Send.
 func (n *Node) SendIdempotency(name string, message []byte, large bool) { //revive:disable-line:flag-parameter fixed
 	if !n.joined.Load() {
 		return
--- a/internal/fleet/endpointfilter.go
+++ b/internal/fleet/endpointfilter.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// digestInterval is how often each sender sends its digest to a member whose endpoint list is older.
+	// digestInterval is the interval at which each sender sends its digest to a member whose endpoint list is older.
 	digestInterval = 200 * time.Millisecond
-	// digestSenders is how many send their digest to one member: two, so that one that is slow or stopped delays
-	// nothing.
+	// digestSenders is the number of members that send their digest to the same member. With two, a sender that is slow
+	// or stopped causes no delay.
 	digestSenders = 2
-	// maxDatagramBytes is what a datagram holds unfragmented; a larger message goes over TCP.
+	// maxDatagramBytes is the size up to which a datagram is not fragmented. Larger messages are sent over TCP.
 	maxDatagramBytes = 1200
 )
 
-// EndpointFilter suppresses endpoints that others' newer lists have removed, and gives the digest of this process's
-// own list. Its methods must not block.
+// EndpointFilter suppresses endpoints that newer lists of other members have removed, and provides the digest of this
+// process's own list. Its methods must not block.
 type EndpointFilter interface {
-	// Version is the version of this process's list.
+	// Version returns the version of this process's list.
 	Version() uint64
-	// Digest is the digest of this process's list.
+	// Digest returns the digest of this process's list.
 	Digest() tombstone.Digest
-	// UpdatePeer takes the digest of another member's list.
+	// UpdatePeer applies the digest of another member's list.
 	UpdatePeer(from string, d tombstone.Digest)
 	// Tick drops digests that have expired.
 	Tick()
@@ -36,7 +36,7 @@
 type endpointSync struct {
 	node     *Node
 	filter   EndpointFilter
-	nextSend time.Duration // used by tick's goroutine alone
+	nextSend time.Duration // used only by tick's goroutine
 
 	mu      sync.Mutex
 	sending map[string]bool // members to which a digest is being sent over TCP
@@ -55,7 +55,8 @@
 	}
 }
 
-// tick implements component: it sends the digest to members whose list is older, if it is time.
+// tick implements component. Every digestInterval it drops expired digests and sends this member's digest to members
+// whose list is older.
 func (e *endpointSync) tick(now time.Duration) {
 	if now < e.nextSend {
 		return
@@ -76,11 +77,11 @@
 	}
 }
 
-// stop implements component; nothing is held.
+// stop implements component. The component holds nothing.
 func (e *endpointSync) stop() {}
 
-// isSender tells whether this member is one of the digestSenders for another. All that have a newer list than the
-// receiver are ranked by rendezvous hashing, so that they agree without a message.
+// isSender reports whether this member is one of the digestSenders for the receiver. All members whose list is newer
+// than the receiver's are ranked by rendezvous hashing, so that they agree on the senders without messages.
 func (e *endpointSync) isSender(receiver membership.Member, members []membership.Member) bool {
 	self := e.node.self.Name
 	key := lease.TaskOf(receiver.Name)
@@ -93,7 +94,8 @@
 	return rank < digestSenders
 }
 
-// send sends a digest. While a transmission over TCP to the member is under way, further ones are skipped.
+// send sends a digest to a member. While a transmission to the member over TCP is in progress, further digests that are
+// too large for a datagram are skipped.
 func (e *endpointSync) send(name string, message []byte) {
 	if len(message) <= maxDatagramBytes {
 		e.node.send(name, message)
--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -1,6 +1,7 @@
-// Package endpointfilter applies the fleet's tombstones to discovery's endpoint list: endpoints that other members' newer
-// lists have ended are published as gone or draining here too. Package tombstone decides which; this package keeps the
-// list's entries, and publishes what has changed to the dispatcher and the others that act on the list.
+// Package endpointfilter applies the tombstones of other members to discovery's endpoint list: endpoints that a newer
+// list of another member has removed or set to draining are published as gone or draining here too. Package tombstone
+// decides which endpoints these are. This package stores the entries of the list, and publishes changes to the
+// dispatcher and the other consumers of the list.
 package endpointfilter
 
 import (
@@ -23,20 +24,20 @@
 	// mu is also held while publish runs, so that an older list is never published after a newer one.
 	mu        sync.Mutex
 	table     *tombstone.Table
-	endpoints map[string]dispatch.Endpoint // the own list, by name
+	endpoints map[string]dispatch.Endpoint // this member's own list, by endpoint name
 	peerLists int64
 }
 
-// Status is what operators are shown of a Filter.
+// Status is the state of a Filter as shown to operators.
 type Status struct {
-	List       uint64 `json:"list"`      // version of the own list
-	Suppressed int    `json:"held_back"` // replicas that peers' newer lists have ended
-	PeerLists  int64  `json:"told"`      // newer lists that peers sent
-	Rejected   int    `json:"refused"`   // times that peers' lists would have ended too many replicas
+	List       uint64 `json:"list"`      // version of this member's own list
+	Suppressed int    `json:"held_back"` // number of replicas suppressed by newer lists of peers
+	PeerLists  int64  `json:"told"`      // number of newer lists received from peers
+	Rejected   int    `json:"refused"`   // times that peers' lists were ignored for suppressing too many replicas
 }
 
-// New returns a filter in front of publish, which must not block. version returns the version of the list that was last
-// passed to UpdateOwn.
+// New returns a Filter that passes its updates to publish, which must not block. The function version returns the
+// version of the list that was last passed to UpdateOwn.
 func New(publish func(full bool, entries []dispatch.Endpoint), version func() uint64, now func() time.Time) *Filter {
 	return &Filter{
 		publish:   publish,
@@ -48,7 +49,7 @@
 	}
 }
 
-// UpdateOwn applies discovery's list, full or as changes, and publishes what is to be acted on.
+// UpdateOwn applies an update from discovery, either the full list or only changes, and publishes the filtered update.
 //
 //revive:disable-next-line:flag-parameter updates have this form at every consumer of the endpoint list
 func (f *Filter) UpdateOwn(full bool, entries []dispatch.Endpoint) {
@@ -67,7 +68,7 @@
 			out = append(out, e)
 		}
 	}
-	if !full { // a full list contains them already
+	if !full { // a full update already contains the changed endpoints
 		for _, name := range changed {
 			if e, ok := f.endpoints[name]; ok && !updated[name] {
 				out = append(out, f.filtered(e))
@@ -77,7 +78,7 @@
 	f.publish(full, out)
 }
 
-// UpdatePeer applies the digest of another member's list, and publishes the endpoints that change by it.
+// UpdatePeer applies the digest of another member's list, and publishes the endpoints whose state it changes.
 func (f *Filter) UpdatePeer(from string, d tombstone.Digest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,14 +92,14 @@
 	}
 }
 
-// Tick expires digests that no peer has repeated for long, and publishes the endpoints that change by it.
+// Tick drops expired digests, and publishes the endpoints whose state changes as a result.
 func (f *Filter) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publishChanges("peer_list_expired", f.table.Tick(f.elapsed()))
 }
 
-// publishChanges publishes the named endpoints, whose state has changed, and logs that as event.
+// publishChanges publishes the named endpoints, whose state has changed, and logs the change as event.
 func (f *Filter) publishChanges(event string, changed []string) {
 	if len(changed) == 0 {
 		return
@@ -112,7 +113,7 @@
 	f.publish(false, out)
 }
 
-// filtered returns an endpoint with the state that it is to be published in.
+// filtered returns an endpoint with the state in which it is to be published.
 func (f *Filter) filtered(e dispatch.Endpoint) dispatch.Endpoint {
 	if _, ok := f.endpoints[e.Name]; ok {
 		e.State = f.table.State(e.Name)
@@ -120,24 +121,24 @@
 	return e
 }
 
-// elapsed is the time since the filter was made, which is the clock of its table.
+// elapsed returns the time since the filter was created. The times that its table receives count from there.
 func (f *Filter) elapsed() time.Duration { return f.now().Sub(f.start) }
 
-// Digest returns the digest of the own list, as discovery sent it, for other members.
+// Digest returns the digest of this member's own list, as received from discovery, to be sent to other members.
 func (f *Filter) Digest() tombstone.Digest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Digest()
 }
 
-// Version returns the version of the own list.
+// Version returns the version of this member's own list.
 func (f *Filter) Version() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Version()
 }
 
-// Status returns the present counts.
+// Status returns the current state for operators.
 func (f *Filter) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/endpointfilter/filter_test.go
+++ b/internal/fleet/endpointfilter/filter_test.go
@@ -10,10 +10,10 @@
 	"rampspread/routing"
 )
 
-// testBench is a filter and the list that results from what it publishes.
+// testBench holds a filter and the list that results from its published updates.
 type testBench struct {
 	filter    *Filter
-	version   uint64 // of the own list
+	version   uint64 // version of the own list
 	now       time.Time
 	published map[string]dispatch.Endpoint
 }
@@ -33,7 +33,7 @@
 	return b
 }
 
-// wantReady checks which endpoints are published as ready, with the addresses of the own list.
+// wantReady checks which endpoints are published as ready with the address from the own list.
 func (b *testBench) wantReady(t *testing.T, when string, names ...string) {
 	t.Helper()
 	var got []string
@@ -44,7 +44,7 @@
 	}
 	slices.Sort(got)
 	if !slices.Equal(got, names) {
-		t.Errorf("%s: %v", when, got)
+		t.Errorf("%s: %v are published as ready", when, got)
 	}
 }
 
@@ -72,7 +72,7 @@
 	f.UpdatePeer("n1", tombstone.Digest{Version: 6, Ready: hashes("a", "c", "e"), Draining: hashes("b")})
 	b.wantReady(t, "a newer peer list", "a", "c")
 	if b.published["b"].State != routing.Draining {
-		t.Errorf("%+v", b.published)
+		t.Errorf("b is not published as draining: %+v", b.published)
 	}
 	f.UpdateOwn(true, readyEndpoints("a", "b", "c", "d"))
 	b.wantReady(t, "the same own list again", "a", "c")
@@ -89,6 +89,6 @@
 	b.wantReady(t, "after the peer list expired", "a", "b", "c", "d", "e")
 	s := f.Status()
 	if s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || f.Version() != 7 || len(f.Digest().Ready) != 5 {
-		t.Errorf("%+v", s)
+		t.Errorf("status %+v", s)
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,15 +14,16 @@
 
 const testKey = "000102030405060708090a0b0c0d0e0f"
 
-// memberAddress is an address of this test's own: members send from the address that they listen at.
+// memberAddress returns the peer address of the member on a host. Its network is used by this test process alone, since
+// members also send from the address at which they listen.
 func memberAddress(host int) string {
 	return fmt.Sprintf("%s%d:7946", testutil.LoopbackPrefix(), 1+host)
 }
 
-// hostName is the name of the member of a host.
-func hostName(host int) string { return fmt.Sprint("n", host%100) }
+// memberName returns the name of the member on a host.
+func memberName(host int) string { return fmt.Sprint("n", host%100) }
 
-// configJSON is the configuration of a fleet whose members are those of the hosts.
+// configJSON returns the configuration of a fleet with one member on each of the hosts.
 func configJSON(fleetName, key string, hosts ...int) string {
 	var members []string
 	for _, h := range hosts {
@@ -31,23 +32,23 @@
 	return fmt.Sprintf(`{"fleet":%q,"key":%q,"probe_ms":100,"members":[%s]}`, fleetName, key, strings.Join(members, ","))
 }
 
-// startNode starts the member of that host; nil for failed: a failure is an error of the test.
+// startNode starts the member on a host. If failed is nil, a failure of the node fails the test.
 func startNode(t *testing.T, text string, host int, failed func(error)) *Node {
 	t.Helper()
 	return startNodeOn(t, hostos.Real(), text, host, failed)
 }
 
-// startNodeOn is startNode with a machine whose clock the test sets.
+// startNodeOn starts the member on a host as startNode does, but on a machine whose clock the test sets.
 func startNodeOn(t *testing.T, machine hostos.System, text string, host int, failed func(error)) *Node {
 	t.Helper()
-	cfg, err := Parse([]byte(text), hostName(host))
+	cfg, err := Parse([]byte(text), memberName(host))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if failed == nil {
 		failed = func(err error) { t.Errorf("member %d: %v", host, err) }
 	}
-	n, err := Start(cfg, Options{Machine: machine, Name: hostName(host), Zone: "wien", Version: "1", Seed: uint64(host),
+	n, err := Start(cfg, Options{Machine: machine, Name: memberName(host), Zone: "wien", Version: "1", Seed: uint64(host),
 		LocalState: func() LocalState { return LocalState{SettingsDigest: 7, ListVersion: 41, Serving: true} }}, failed)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +57,7 @@
 	return n
 }
 
-// crash ends a node as a crash of its process does: no other member is notified.
+// crash stops a node without notifying other members, like a crash of its process.
 func crash(n *Node) {
 	n.cancel()
 	<-n.done
@@ -67,10 +68,10 @@
 	return append([]byte{kindHeartbeat}, encodeMemberInfo(info, sent)...)
 }
 
-// receive gives a node a message as memberlist does.
+// receive passes a message to a node, as memberlist does.
 func receive(n *Node, message []byte) { (&delegate{n}).NotifyMsg(message) }
 
-// memberState is the state of a member in a node's view.
+// memberState returns the state of a member in a node's view.
 func memberState(n *Node, name string) membership.State {
 	for _, m := range n.View().Members {
 		if m.Name == name {
@@ -86,8 +87,9 @@
 	testutil.Eventually(t, what, func() bool { return memberState(n, name) == want })
 }
 
-// Members discover each other while the first of the configuration is missing, detect one that crashes and one that
-// leaves, and take one back as a new incarnation of its name. A heartbeat of the old incarnation changes nothing.
+// Members discover each other while the first member of the configuration is missing, detect a member that crashes and
+// one that leaves, and accept the crashed member again as a new incarnation. A late heartbeat of the old incarnation
+// must not mark the new one as leaving.
 func TestMembersTrackJoinsCrashesAndLeaves(t *testing.T) {
 	text := configJSON("f", testKey, 10, 11, 12, 13)
 	one, two := startNode(t, text, 11, nil), startNode(t, text, 12, nil)
@@ -118,7 +120,7 @@
 	}
 }
 
-// A process whose clock gives it a lower incarnation than the others know of its name takes a higher one.
+// A process whose clock gives it a lower incarnation than other members know for its name must take a higher one.
 func TestIncarnationRisesOverTheOneThatOthersKnow(t *testing.T) {
 	text := configJSON("f", testKey, 20, 21)
 	one, two := startNode(t, text, 20, nil), startNode(t, text, 21, nil)
@@ -126,9 +128,9 @@
 	ahead := two.info.Incarnation + 30_000
 	one.mu.Lock()
 	one.table.MarkJoined(membership.MemberInfo{Name: "n21", Incarnation: ahead, Serving: true}, one.now())
-	one.publish()
+	one.publishView()
 	one.mu.Unlock()
-	two.gossip.Join([]string{memberAddress(20)}) // a push and pull of all state
+	two.gossip.Join([]string{memberAddress(20)}) // exchanges all state by push/pull
 	testutil.Eventually(t, "a higher incarnation", func() bool {
 		return one.Status().Members[1].Incarnation > ahead && memberState(one, "n21") == membership.Alive
 	})
@@ -137,35 +139,35 @@
 // Fleets of different names or keys never merge.
 func TestFleetsOfAnotherNameOrKeyNeverMerge(t *testing.T) {
 	one := startNode(t, configJSON("f", testKey, 30, 31, 32), 30, nil)
-	named := startNode(t, configJSON("g", testKey, 30, 31, 32), 31, nil)
-	keyed := startNode(t, configJSON("f", strings.Repeat("ab", 16), 30, 31, 32), 32, nil)
+	otherName := startNode(t, configJSON("g", testKey, 30, 31, 32), 31, nil)
+	otherKey := startNode(t, configJSON("f", strings.Repeat("ab", 16), 30, 31, 32), 32, nil)
 	testutil.Eventually(t, "rejected packets", func() bool { return one.Malformed() > 0 })
 	for range 3 {
-		for _, n := range []*Node{named, keyed} {
+		for _, n := range []*Node{otherName, otherKey} {
 			n.gossip.Join([]string{memberAddress(30)})
 			one.gossip.Join([]string{n.cfg.address(n.self.Name)})
 		}
 	}
-	for _, n := range []*Node{one, named, keyed} {
+	for _, n := range []*Node{one, otherName, otherKey} {
 		if c := n.View().ActiveMembers(); len(c) != 1 {
-			t.Errorf("%s counts %v", n.self.Name, c)
+			t.Errorf("%s has the active members %v, want itself alone", n.self.Name, c)
 		}
 	}
 }
 
-// A process that is to replace another waits for its address while that one serves, and takes its place when it
-// leaves.
+// A process that is to replace another waits for the address while the other one runs, and takes over the name when the
+// other one leaves. The two must not count as a name conflict.
 func TestReplacementWaitsForTheAddress(t *testing.T) {
 	text := configJSON("f", testKey, 70, 71)
 	one, first := startNode(t, text, 70, nil), startNode(t, text, 71, nil)
 	awaitState(t, one, "n71", membership.Alive)
 	second := startNode(t, text, 71, nil)
 	if second.joined.Load() || second.View().Fresh(second.Now(), MaxViewAge) {
-		t.Error("joined while the first serves, or fresh without a heartbeat")
+		t.Error("the second joined while the first runs, or has a fresh view without a heartbeat")
 	}
 	first.Leave()
 	first.Close()
-	testutil.Eventually(t, "the second in the first's place", func() bool {
+	testutil.Eventually(t, "the second process to replace the first", func() bool {
 		m := one.Status().Members[1]
 		return m.State == "alive" && m.Incarnations == 2
 	})
@@ -175,7 +177,7 @@
 	}
 }
 
-// A second process of a name that is in use fails to start, and the error says who has it.
+// A second process with a name that is in use fails, and the error contains the address of the first process.
 func TestSecondProcessOfANameIsRejected(t *testing.T) {
 	text := configJSON("f", testKey, 40, 41)
 	one := startNode(t, text, 40, nil)
@@ -187,7 +189,7 @@
 		t.Errorf("rejected with %v", err)
 	}
 	if memberState(one, "n41") != membership.Alive || memberState(first, "n40") != membership.Alive {
-		t.Error("the first process lost its place")
+		t.Error("the first process is no longer a member")
 	}
 }
 
@@ -216,6 +218,6 @@
 		receive(one, replayed)
 	}
 	if v := one.View(); v.Version != before || memberState(one, "n51") != membership.Alive {
-		t.Errorf("view %d after %d", v.Version, before)
+		t.Errorf("the view has version %d after replayed heartbeats, want %d", v.Version, before)
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,14 +19,14 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// The tests of this file freeze what members send to each other and what operators are answered. Members of different
-// versions run side by side during a rolling update, so the bytes must not change.
+// The tests in this file fix the bytes that members send to each other and that operators receive. Members of different
+// program versions run side by side during a rolling update, so these bytes must not change.
 
 var goldenInfo = membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 1001,
 	Started: time.UnixMilli(1700000000123), Version: "1.2.3", SettingsDigest: 0x1122334455667788, ListVersion: 41,
 	HighestToken: 77, Serving: true, Leaving: true}
 
-const goldenSent = 1700000001234
+const goldenSentMS = 1700000001234
 
 var goldenDigest = tombstone.Digest{Version: 7, Ready: []uint64{0x1122334455667788, 72},
 	Draining: []uint64{73, 0x99aabbccddeeff00}}
@@ -41,7 +41,7 @@
 	}
 }
 
-// Member info is in memberlist's metadata, and with a time in heartbeats.
+// Member info is sent in memberlist's metadata and, with the time of sending, in heartbeats.
 func TestGoldenMemberInfo(t *testing.T) {
 	n := &Node{info: goldenInfo}
 	cases := []struct {
@@ -51,7 +51,7 @@
 		sent int64
 	}{
 		{"member-meta.hex", (&delegate{n}).NodeMeta(512), goldenInfo, 0},
-		{"member-heartbeat.hex", encodeMemberInfo(goldenInfo, goldenSent), goldenInfo, goldenSent},
+		{"member-heartbeat.hex", encodeMemberInfo(goldenInfo, goldenSentMS), goldenInfo, goldenSentMS},
 	}
 	for _, serving := range []bool{true, false} {
 		info := goldenInfo
@@ -61,7 +61,7 @@
 			got  []byte
 			want membership.MemberInfo
 			sent int64
-		}{fmt.Sprintf("member-serving-%t.hex", serving), encodeMemberInfo(info, goldenSent), info, goldenSent})
+		}{fmt.Sprintf("member-serving-%t.hex", serving), encodeMemberInfo(info, goldenSentMS), info, goldenSentMS})
 	}
 	for _, c := range cases {
 		info, sent, err := decodeMemberInfo(golden.Bytes(t, c.file, c.got))
@@ -148,7 +148,7 @@
 	}
 }
 
-// A request with more claims than a packet holds goes in several, releases first.
+// A request with more claims than fit into a packet is split into several packets, releases first.
 func TestGoldenRequestPackets(t *testing.T) {
 	request := lease.Request{Seq: 9, From: lease.Candidate{Name: "n1", Incarnation: 1001}}
 	for i := range uint64(30) {
@@ -162,20 +162,20 @@
 	golden.Text(t, "lease-request-packets.txt", text)
 }
 
-// recordingFilter records the last digest that it was given.
+// recordingFilter is an EndpointFilter that records the last digest passed to UpdatePeer.
 type recordingFilter struct {
 	from   string
 	digest tombstone.Digest
 }
 
-func (l *recordingFilter) Version() uint64          { return 0 }
-func (l *recordingFilter) Digest() tombstone.Digest { return tombstone.Digest{} }
-func (l *recordingFilter) Tick()                    {}
-func (l *recordingFilter) UpdatePeer(from string, d tombstone.Digest) {
-	l.from, l.digest = from, d
+func (f *recordingFilter) Version() uint64          { return 0 }
+func (f *recordingFilter) Digest() tombstone.Digest { return tombstone.Digest{} }
+func (f *recordingFilter) Tick()                    {}
+func (f *recordingFilter) UpdatePeer(from string, d tombstone.Digest) {
+	f.from, f.digest = from, d
 }
 
-// offlineNode is a node without a network: messages given to receive reach its components.
+// offlineNode returns a node without a network. Messages passed to receive reach its components.
 func offlineNode(t *testing.T, self Options) *Node {
 	t.Helper()
 	cfg, err := Parse([]byte(goldenConfig), self.Name)
@@ -188,23 +188,23 @@
 	limits := membership.Limits{HeartbeatInterval: func(int) time.Duration { return time.Second }, SuspectAfter: 3,
 		MaxTickGap: time.Second}
 	n.table = membership.New(n.info, cfg.names(), limits, n.now())
-	n.publish()
+	n.publishView()
 	n.joined.Store(true)
 	return n
 }
 
-// Golden bytes reach the component that they are for, with the values that they were written with.
+// Messages from the golden files reach the component that handles them, with the values that were encoded.
 func TestGoldenMessagesReachTheirComponents(t *testing.T) {
 	var idempotency []byte
 	filter := &recordingFilter{}
 	n := offlineNode(t, Options{Name: "n0", HandleIdempotency: func(message []byte) { idempotency = message }})
-	n.add(newEndpointSync(n, filter))
+	n.addComponent(newEndpointSync(n, filter))
 	receiveGolden := func(file string, kind byte, encoded []byte) {
 		t.Helper()
 		b := golden.Bytes(t, file, encoded)
 		receive(n, append([]byte{kind}, b...))
 	}
-	receiveGolden("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSent))
+	receiveGolden("member-heartbeat.hex", 1, encodeMemberInfo(goldenInfo, goldenSentMS))
 	for _, m := range n.View().Members {
 		if m.Name == "n1" && m.MemberInfo != goldenInfo {
 			t.Errorf("the heartbeat is decoded as %+v", m.MemberInfo)
@@ -226,7 +226,7 @@
 	}
 }
 
-// Members exchange the incarnations that they know in memberlist's push and pull.
+// Members exchange the incarnations that they know in memberlist's push/pull state exchange.
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Options{Name: "n0"})
 	n.view.Store(&membership.View{Members: []membership.Member{
@@ -237,7 +237,7 @@
 	d := &delegate{n}
 	b := golden.Text(t, "push-pull.json", d.LocalState(true))
 	d.MergeRemoteState(b, true)
-	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one over the incarnation in the remote state
+	if n.info.Incarnation != 7 || n.Malformed() != 0 { // one more than the incarnation in the remote state
 		t.Errorf("incarnation %d, %d malformed", n.info.Incarnation, n.Malformed())
 	}
 	n.view.Store(&membership.View{})
@@ -264,11 +264,11 @@
 			LaggingS: 9.5, SkewStateForS: 10.5}}})
 }
 
-// Operators' answers are filled from the view: names of states, hexadecimal fingerprints, times.
+// The status for operators contains the names of states, hexadecimal fingerprints and times from the view.
 func TestGoldenStatusText(t *testing.T) {
 	n := offlineNode(t, Options{Name: "n0"})
 	info := goldenInfo
-	info.SettingsDigest = 0xab // is shown with its leading zeros
+	info.SettingsDigest = 0xab // must be formatted with leading zeros
 	n.updateTable(func(table *membership.Table, now time.Duration) {
 		table.Heartbeat(info, now)
 		table.RecordConflict("n1", "10.0.0.9:7946", now)
@@ -308,7 +308,7 @@
   "budgets": {"floor": 0.4, "probes_per_replica_s": 2.5, "repeats_per_request": 0.5, "repeats_s": 1.5}
 }`
 
-// Operators' files have fixed keys.
+// The keys of the operator's file must not change.
 func TestGoldenConfig(t *testing.T) {
 	got, err := Parse([]byte(goldenConfig), "n0")
 	if err != nil {
@@ -328,7 +328,7 @@
 	}
 }
 
-// Operators read the limits that were rejected.
+// The error for invalid limits contains the rejected values.
 func TestGoldenConfigError(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(goldenConfig, `"part": 0.3`, `"part": 0.5`, 1)), "n0")
 	want := "fleet: stragglers: straggler: limits {Settle:1.5s Restrict:4s Out:11s Back:2s Part:0.5}: " +
@@ -338,9 +338,9 @@
 	}
 }
 
-// The draws of a component come from the process's seed and a constant of its own, in a fixed order. What the node
-// itself draws (the order of first contacts, the delays between rejoins, which missing member it contacts) depends on
-// timers: of it only the seed is compared.
+// The random draws of a component depend on the process's seed and the component's own constant, and have a fixed
+// order. The draws of the node itself (the order of the initial contacts, the delays between rejoins, the choice of a
+// missing member) depend on timers, so TestGoldenNodeSeed compares only their seed.
 func TestGoldenDraws(t *testing.T) {
 	n := offlineNode(t, Options{Name: "n0", Seed: 17, Machine: hostos.Real()})
 	var text []byte
@@ -353,7 +353,7 @@
 			requests++
 		}
 	}
-	tasks := newLeasedTasks(n, loggingRunner{&taskLog{}, "n0"})
+	tasks := newLeasedTasks(n, recordingRunner{&taskRecorder{}, "n0"})
 	tasks.holder.SetWanted(0, map[lease.Task]bool{1: true, 2: true})
 	for now, sent := time.Duration(0), 0; sent < 6 && now < time.Minute; now += time.Microsecond {
 		q, ok := tasks.holder.Step(now)
@@ -374,13 +374,13 @@
 	golden.Text(t, "draws.txt", text)
 }
 
-// A node that waits for its address has drawn nothing yet, so its source is as it was seeded.
+// A node that waits for its address has made no random draws yet, so its first draw shows how its source was seeded.
 func TestGoldenNodeSeed(t *testing.T) {
-	taken, err := net.Listen("tcp", memberAddress(95))
+	listener, err := net.Listen("tcp", memberAddress(95))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer listener.Close()
 	n := startNode(t, configJSON("f", testKey, 95, 96), 95, nil)
 	n.Close()
 	if got, want := n.rng.Uint64(), uint64(0x3d0110e9a8579436); got != want {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// A member sends its heartbeat to heartbeatFanout others every heartbeatInterval, to one part of the fleet after
-	// the other, so that what a member sends does not grow with the fleet.
+	// Every heartbeatInterval a member sends its heartbeat to the next heartbeatFanout other members in turn, so that
+	// its traffic does not grow with the fleet.
 	heartbeatInterval = 500 * time.Millisecond
 	heartbeatFanout   = 8
 )
 
-// heartbeatCycle is the time in which a member of a fleet of that size sends a heartbeat to each other member.
+// heartbeatCycle returns the time in which a member of a fleet of the given size sends a heartbeat to each other
+// member.
 func heartbeatCycle(size int) time.Duration {
 	return heartbeatInterval * time.Duration(max(1, (size-1+heartbeatFanout-1)/heartbeatFanout))
 }
 
-// encodeHeartbeat makes a heartbeat message: this process's info, the time and the highest fencing token that it knows
-// of. The token is in heartbeats alone, since it changes too often for gossip.
+// encodeHeartbeat returns a heartbeat message: this process's info, the time and the highest fencing token that this
+// process knows. The token is sent only in heartbeats, since it changes too often for gossip.
 func (n *Node) encodeHeartbeat() []byte {
 	token := uint64(0)
 	if tasks, ok := componentOf[*leasedTasks](n); ok {
@@ -32,8 +33,8 @@
 	return append([]byte{kindHeartbeat}, encodeMemberInfo(info, time.Now().UnixMilli())...)
 }
 
-// sendHeartbeats sends a heartbeat to the next reachable members after a position in their list, and returns the
-// position of the last of them.
+// sendHeartbeats sends a heartbeat to the next heartbeatFanout reachable members after a position in their list, and
+// returns the position of the last receiver.
 func (n *Node) sendHeartbeats(position int) int {
 	message, reachable := n.encodeHeartbeat(), n.reachable()
 	for range min(heartbeatFanout, len(reachable)) {
@@ -43,7 +44,7 @@
 	return position
 }
 
-// reachable are the names of the other members that have neither been given up nor left, in order.
+// reachable returns the names of the other members that are neither unreachable nor have left, in the view's order.
 func (n *Node) reachable() []string {
 	var names []string
 	for _, m := range n.View().Members {
@@ -54,7 +55,7 @@
 	return names
 }
 
-// receiveHeartbeat takes a heartbeat message without its kind byte.
+// receiveHeartbeat handles a heartbeat message without its kind byte.
 func (n *Node) receiveHeartbeat(payload []byte) {
 	info, sent, err := decodeMemberInfo(payload)
 	if err != nil {
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// listenRetryInterval is how often a process that waits for its peer address looks whether it is free.
+	// listenRetryInterval is the interval at which a process that waits for its peer address checks whether it is free.
 	listenRetryInterval = 300 * time.Millisecond
-	// firstContacts is how many of the other members a process contacts at its start.
-	firstContacts = 3
-	// rejoinInterval is the mean time between two contacts of missing members. They are contacted one at a time:
-	// after a long partition no other member would.
+	// initialContacts is the number of other members that a process contacts at its start.
+	initialContacts = 3
+	// rejoinInterval is the mean time between two contacts of missing members. One member is contacted each time. After
+	// a long partition nothing else would connect the two sides again.
 	rejoinInterval = 2 * time.Second
 
-	// memberlist's parameters. Times are multiples of the configured probe interval; the TCP timeout bounds a
-	// connection.
+	// Parameters of memberlist. Times are multiples of the configured probe interval. The TCP timeout bounds the time
+	// to connect.
 	suspicionMult           = 4
 	suspicionMaxTimeoutMult = 2
 	gossipToTheDeadProbes   = 40
@@ -34,7 +34,8 @@
 	tcpTimeoutProbes        = 4
 )
 
-// addressInUse tells whether another process listens at an address: most likely the one that this one is to replace.
+// addressInUse reports whether another process listens at an address, most likely the process that this one is to
+// replace.
 func addressInUse(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err == nil {
@@ -43,7 +44,7 @@
 	return errors.Is(err, syscall.EADDRINUSE)
 }
 
-// join starts memberlist, which listens at the peer address; from then on the node is joined.
+// join starts memberlist, which listens at the peer address, and marks the node as joined.
 func (n *Node) join() error {
 	logger := log.New(&memberlistLog{n}, "", 0)
 	t, err := newTransport(n.cfg.Listen, logger)
@@ -76,12 +77,12 @@
 	m.EnableCompression = false // messages are small
 	d := &delegate{n}
 	m.Delegate, m.Events, m.Conflict, m.Merge = d, d, d, d
-	// A name that was given up may come back at once, from the address that the configuration has for it.
+	// A name whose process was declared dead may be taken again at once, at its configured address.
 	m.DeadNodeReclaimTime = time.Millisecond
 	return m
 }
 
-// waitJoined returns once the node has joined, or false at the context's end.
+// waitJoined waits until the node has joined. It returns false if the context ends before.
 func (n *Node) waitJoined(ctx context.Context) bool {
 	for !n.joined.Load() {
 		select {
@@ -99,9 +100,9 @@
 	return true
 }
 
-// contactFirst contacts a few of the other members, in a drawn order. One that is not reachable yet is contacted again
-// by contactMissing.
-func (n *Node) contactFirst() {
+// contactInitialMembers contacts a few randomly chosen other members. A member that is not reachable yet is contacted
+// again by contactMissingMember.
+func (n *Node) contactInitialMembers() {
 	var addresses []string
 	for _, m := range n.cfg.Members {
 		if m.Name != n.self.Name {
@@ -109,19 +110,20 @@
 		}
 	}
 	n.rng.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	for _, address := range addresses[:min(firstContacts, len(addresses))] {
+	for _, address := range addresses[:min(initialContacts, len(addresses))] {
 		go n.gossip.Join([]string{address})
 	}
 }
 
-// drawRejoinDelay is the time until the next contact of a missing member. It is drawn, so that members do not contact
-// each other in step.
+// drawRejoinDelay returns a random time until the next contact of a missing member. It is random so that members do not
+// all make their contacts at the same time.
 func (n *Node) drawRejoinDelay() time.Duration {
 	return rejoinInterval/2 + time.Duration(n.rng.Int64N(int64(rejoinInterval)))
 }
 
-// contactMissing contacts one of the members that are not reachable, so that the sides of a partition merge again.
-func (n *Node) contactMissing() {
+// contactMissingMember contacts one of the members that are not reachable, so that the sides of a partition merge
+// again.
+func (n *Node) contactMissingMember() {
 	if n.leaving.Load() {
 		return
 	}
@@ -135,7 +137,7 @@
 		return
 	}
 	address := missing[n.rng.IntN(len(missing))]
-	go n.gossip.Join([]string{address}) // it waits for a connection, for TCPTimeout if the member does not answer
+	go n.gossip.Join([]string{address}) // blocks for TCPTimeout if the member does not respond
 }
 
 func isMissing(s membership.State) bool {
--- a/internal/fleet/memberlistlog.go
+++ b/internal/fleet/memberlistlog.go
@@ -6,12 +6,12 @@
 	"log/slog"
 )
 
-// memberlistLog is an io.Writer that passes memberlist's log on to slog. Packets that cannot be read or are not of
-// this fleet show only there, so it counts them.
+// memberlistLog is an io.Writer that forwards memberlist's log to slog. It also counts packets that cannot be decoded
+// or are not from this fleet, since memberlist reports them only in its log.
 type memberlistLog struct{ node *Node }
 
-// malformedLines are parts of memberlist's log lines about packets that cannot be read.
-var malformedLines = [][]byte{
+// malformedPacketPatterns lists substrings of memberlist's log lines about such packets.
+var malformedPacketPatterns = [][]byte{
 	[]byte("failed to receive"),
 	[]byte("Decrypt packet failed"),
 	[]byte("label"),
@@ -23,10 +23,10 @@
 	[]byte("unpack"),
 }
 
-// Write implements io.Writer; it is called with one line at a time.
+// Write implements io.Writer. Each call receives one line.
 func (l *memberlistLog) Write(b []byte) (int, error) {
 	line := bytes.TrimSpace(b)
-	for _, malformed := range malformedLines {
+	for _, malformed := range malformedPacketPatterns {
 		if bytes.Contains(line, malformed) {
 			l.node.malformed.Add(1)
 			slog.Debug("fleet_bad", "line", string(line))
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -11,13 +11,13 @@
 	"rampspread/internal/protofield"
 )
 
-// peerMessage is what a datagram or a TCP message between members says, whatever its kind: a kind uses some of the
-// fields and leaves the others zero. Messages are protobuf, so that a later program may add fields; unknown ones are
-// ignored.
+// peerMessage is the decoded form of a datagram or a TCP message between members, of any kind. Each kind uses some of
+// the fields and leaves the others zero. Messages are encoded as protobuf, so that a later version of the program may
+// add fields; unknown fields are ignored.
 type peerMessage struct {
-	seq         uint64 // of the sender's request; of an endpoint digest, the list's version
-	from        string // the sender's name
-	incarnation uint64 // the sender's; in a reply, the one that the reply is for
+	seq         uint64 // sequence number of the sender's request; in an endpoint digest, the version of the list
+	from        string // name of the sender
+	incarnation uint64 // incarnation of the sender; in a reply, the incarnation that sent the request
 
 	// Leases and the results of leased tasks.
 	claims, releases []lease.Claim
@@ -25,19 +25,19 @@
 	results          []taskResult
 
 	// Quota.
-	demand   float64 // requests a second
+	demand   float64 // requests per second
 	leaving  bool
-	inForce  []uint64 // pairs: index of a voter in the configuration, sequence number of its grant
-	fraction float64  // of the whole budget
+	inForce  []uint64 // pairs of a voter's index in the configuration and the sequence number of its grant
+	fraction float64  // granted fraction of the whole budget
 
-	// Bootstrap; empty: the sender has nothing to give.
+	// Bootstrap. The state is empty if the sender declines the request.
 	learnedState []byte
 
-	// Endpoint digests: hashes of replicas' names.
+	// Endpoint digests: hashes of the replicas' names.
 	ready, draining []uint64
 }
 
-// The kinds of message between members, by their first byte. A message of an unknown kind is ignored.
+// Kinds of messages between members, in the first byte of a message. A message of an unknown kind is ignored.
 const (
 	kindHeartbeat        = 1
 	kindLeaseRequest     = 2
@@ -45,42 +45,42 @@
 	kindTaskResults      = 4
 	kindQuotaClaim       = 5
 	kindQuotaGrant       = 6
-	kindIdempotency      = 7 // package idempotencyquorum encodes and decodes it
+	kindIdempotency      = 7 // encoded and decoded by package idempotencyquorum
 	kindBootstrapRequest = 8
-	kindLearnedState     = 9 // empty: the sender has nothing to give
+	kindLearnedState     = 9 // without state, the sender declines the request
 	kindEndpointDigest   = 10
 )
 
-// The field numbers of all kinds but heartbeats and idempotency messages. A number has one meaning in all of them.
+// Field numbers of all kinds except heartbeats and idempotency messages. A number has the same meaning in all kinds.
 const (
 	fieldSeq          = 1
-	fieldFrom         = 2 // in a reply, the voter's name
+	fieldFrom         = 2 // in a reply, the name of the voter
 	fieldIncarnation  = 3
-	fieldClaims       = 4 // packed: task, twice the token plus one for a renewal, …
-	fieldReleases     = 5 // packed as claims are
-	fieldGrants       = 6 // packed: task, claimed token, token, granted (1 or 0), remaining µs, …
-	fieldResult       = 7 // task, token, age in µs, data; repeated
-	fieldDemand       = 8 // thousandths of a request a second
-	fieldInForce      = 9 // packed: index of the voter in the configuration, sequence number, …
+	fieldClaims       = 4 // packed pairs: task, token<<1 with the lowest bit set for a renewal
+	fieldReleases     = 5 // packed pairs as in fieldClaims
+	fieldGrants       = 6 // packed groups: task, claimed token, token, granted (1 or 0), remaining µs
+	fieldResult       = 7 // repeated: task, token, age in µs, data
+	fieldDemand       = 8 // thousandths of a request per second
+	fieldInForce      = 9 // packed pairs: index of the voter in the configuration, sequence number of its grant
 	fieldLeaving      = 10
-	fieldFraction     = 11 // of the whole, in units of fractionUnit
+	fieldFraction     = 11 // fraction of the whole budget, in units of fractionUnit
 	fieldLearnedState = 12
 	fieldReady        = 13 // hashes of names, 8 bytes each
-	fieldDraining     = 14
+	fieldDraining     = 14 // hashes of names, 8 bytes each
 
 	fieldCount = fieldDraining + 1
 )
 
-// errFormat says that a message cannot be decoded.
-var errFormat = errors.New("fleet: message of an unknown format")
+// errFormat reports that a message cannot be decoded.
+var errFormat = errors.New("fleet: message has an invalid format")
 
-// fieldDecoder decodes one field of a peerMessage. A field of another wire type than kind is ignored.
+// fieldDecoder decodes one field of a peerMessage. A field with a wire type other than wireType is ignored.
 type fieldDecoder struct {
-	kind   protowire.Type
-	decode func(m *peerMessage, f protofield.Field, now time.Duration) error
+	wireType protowire.Type
+	decode   func(m *peerMessage, f protofield.Field, now time.Duration) error
 }
 
-// fieldDecoders are the decoders by field number; a field without one is ignored.
+// fieldDecoders holds the decoders by field number. A field without a decoder is ignored.
 var fieldDecoders = [fieldCount]fieldDecoder{
 	fieldSeq:          {protowire.VarintType, decodeSeq},
 	fieldFrom:         {protowire.BytesType, decodeFrom},
@@ -98,19 +98,19 @@
 	fieldDraining:     {protowire.BytesType, decodeDraining},
 }
 
-// decodeMessage decodes a message without its kind byte. now is when it was received, by the node's clock.
+// decodeMessage decodes a message without its kind byte. now is the time of its receipt by the node's clock.
 func decodeMessage(b []byte, now time.Duration) (m peerMessage, err error) {
 	for len(b) > 0 {
 		f, rest, err := protofield.Next(b)
 		if err != nil {
-			return m, fmt.Errorf("fleet: message: %w", err)
+			return m, fmt.Errorf("fleet: decode message: %w", err)
 		}
 		b = rest
 		if f.Number >= fieldCount {
 			continue
 		}
 		decoder := fieldDecoders[f.Number]
-		if decoder.decode == nil || decoder.kind != f.WireType {
+		if decoder.decode == nil || decoder.wireType != f.WireType {
 			continue
 		}
 		if err := decoder.decode(&m, f, now); err != nil {
@@ -120,7 +120,7 @@
 	return m, nil
 }
 
-// encodeHeader starts a message: its kind byte and the fields that all kinds share.
+// encodeHeader returns the start of a message: its kind byte, sequence number, sender and incarnation.
 func encodeHeader(kind byte, seq uint64, from string, incarnation uint64) []byte {
 	b := protofield.AppendVarint([]byte{kind}, fieldSeq, seq)
 	b = appendString(b, fieldFrom, from)
@@ -149,7 +149,7 @@
 	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s)
 }
 
-// appendPackedVarints appends a packed repeated field; nothing if there are no values.
+// appendPackedVarints appends a packed repeated field, or nothing if there are no values.
 func appendPackedVarints(b []byte, field protowire.Number, values []uint64) []byte {
 	if len(values) == 0 {
 		return b
@@ -161,7 +161,8 @@
 	return protofield.AppendBytes(b, field, packed)
 }
 
-// unpackVarints decodes a packed repeated field whose values come in groups of a fixed size.
+// unpackVarints decodes a packed repeated field whose values form groups of a fixed size. An incomplete group is an
+// error.
 func unpackVarints(b []byte, groupSize int) ([]uint64, error) {
 	var values []uint64
 	for len(b) > 0 {
@@ -177,8 +178,8 @@
 	return values, nil
 }
 
-// boolValue is a bool as a varint.
-func boolValue(v bool) uint64 { //revive:disable-line:flag-parameter it is converted, it selects no behaviour
+// boolToUint64 returns 1 for true and 0 for false.
+func boolToUint64(v bool) uint64 { //revive:disable-line:flag-parameter it is converted, it selects no behaviour
 	if v {
 		return 1
 	}
--- a/internal/fleet/message_bootstrap.go
+++ b/internal/fleet/message_bootstrap.go
@@ -7,15 +7,15 @@
 	"rampspread/internal/protofield"
 )
 
-// maxLearnedStateBytes bounds the learned state that one member sends to another.
+// maxLearnedStateBytes is the maximum size of the learned state that one member sends to another.
 const maxLearnedStateBytes = 1 << 20
 
-// encodeBootstrapRequest makes a request for a donor's learned state.
+// encodeBootstrapRequest returns a request for a donor's learned state.
 func encodeBootstrapRequest(from string, incarnation uint64) []byte {
 	return encodeHeader(kindBootstrapRequest, 0, from, incarnation)
 }
 
-// encodeLearnedState makes the response to a bootstrap request; an empty state declines it.
+// encodeLearnedState returns the response to a bootstrap request. An empty state declines the request.
 func encodeLearnedState(from string, state []byte) []byte {
 	b := encodeHeader(kindLearnedState, 0, from, 0)
 	if len(state) == 0 {
--- a/internal/fleet/message_endpoints.go
+++ b/internal/fleet/message_endpoints.go
@@ -13,7 +13,7 @@
 
 const hashBytes = 8
 
-// encodeEndpointDigest makes a message of the digest of a member's endpoint list.
+// encodeEndpointDigest returns a message with the digest of a member's endpoint list.
 func encodeEndpointDigest(from string, digest tombstone.Digest) []byte {
 	b := encodeHeader(kindEndpointDigest, digest.Version, from, 0)
 	b = appendHashes(b, fieldReady, digest.Ready)
--- a/internal/fleet/message_lease.go
+++ b/internal/fleet/message_lease.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxClaimsPerPacket bounds the claims and releases of one datagram, together.
+	// maxClaimsPerPacket is the maximum number of claims and releases, counted together, in one datagram.
 	maxClaimsPerPacket = 40
-	// maxResultsPacketBytes bounds the results of one datagram.
+	// maxResultsPacketBytes is the maximum size of a datagram with more than one result.
 	maxResultsPacketBytes = 1200
 	maxResultBytes        = 64
-	// resultOverheadBytes is at least what the tag and the length of a result take.
+	// resultOverheadBytes is an upper bound of the size of a result's tag and length.
 	resultOverheadBytes = 4
-	// maxDuration bounds the remaining times and the ages that a message may state.
+	// maxDuration is the longest remaining time or age in a message.
 	maxDuration = time.Hour
 
-	claimGroup = 2 // values of a claim
-	grantGroup = 5 // values of a grant
+	claimGroupSize = 2 // number of values of a claim
+	grantGroupSize = 5 // number of values of a grant
 )
 
-// taskResult is a TaskResult on its way from the member that ran the task.
+// taskResult is a task's result that is sent to, or was received from, another member.
 type taskResult struct {
-	task  lease.Task
-	token uint64
-	at    time.Duration // by this process's clock
-	data  []byte
+	task       lease.Task
+	token      uint64
+	finishedAt time.Duration // time of the result by this process's clock
+	data       []byte
 }
 
-// encodeLeaseRequest makes the packets of a request, each with a part of its claims; releases come first.
+// encodeLeaseRequest returns the packets of a request, each with a part of its claims. Releases come first.
 func encodeLeaseRequest(request lease.Request) (packets [][]byte) {
 	claims, releases := request.Claims, request.Releases
 	for len(claims) > 0 || len(releases) > 0 {
@@ -51,7 +51,7 @@
 
 func claimValues(claims []lease.Claim) (values []uint64) {
 	for _, c := range claims {
-		values = append(values, uint64(c.Task), c.Token<<1|boolValue(c.Renew))
+		values = append(values, uint64(c.Task), c.Token<<1|boolToUint64(c.Renew))
 	}
 	return values
 }
@@ -67,11 +67,11 @@
 }
 
 func appendClaims(claims []lease.Claim, packed []byte) ([]lease.Claim, error) {
-	values, err := unpackVarints(packed, claimGroup)
+	values, err := unpackVarints(packed, claimGroupSize)
 	if err != nil {
 		return claims, err
 	}
-	for c := range slices.Chunk(values, claimGroup) {
+	for c := range slices.Chunk(values, claimGroupSize) {
 		claims = append(claims, lease.Claim{Task: lease.Task(c[0]), Token: c[1] >> 1, Renew: c[1]&1 == 1})
 	}
 	return claims, nil
@@ -81,18 +81,18 @@
 	var values []uint64
 	for _, g := range reply.Grants {
 		remaining := uint64(g.Remaining.Microseconds())
-		values = append(values, uint64(g.Task), g.ClaimedToken, g.Token, boolValue(g.Granted), remaining)
+		values = append(values, uint64(g.Task), g.ClaimedToken, g.Token, boolToUint64(g.Granted), remaining)
 	}
 	header := encodeHeader(kindLeaseReply, reply.Seq, reply.Voter, reply.To.Incarnation)
 	return appendPackedVarints(header, fieldGrants, values)
 }
 
 func decodeLeaseGrants(m *peerMessage, f protofield.Field, _ time.Duration) error {
-	values, err := unpackVarints(f.Bytes, grantGroup)
+	values, err := unpackVarints(f.Bytes, grantGroupSize)
 	if err != nil {
 		return err
 	}
-	for g := range slices.Chunk(values, grantGroup) {
+	for g := range slices.Chunk(values, grantGroupSize) {
 		remaining := time.Duration(min(g[4], uint64(maxDuration.Microseconds()))) * time.Microsecond
 		m.grants = append(m.grants, lease.Grant{Task: lease.Task(g[0]), ClaimedToken: g[1], Token: g[2],
 			Granted: g[3] == 1, Remaining: remaining})
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// encodeTaskResults makes one packet of the first results, and returns the remaining ones. Results carry their age, so
-// that clocks need not agree.
+// encodeTaskResults returns a packet with the first results, as many as fit, and the remaining results. A result is
+// sent with its age, so that the clocks of the members need not agree.
 func encodeTaskResults(now time.Duration, results []taskResult) (packet []byte, remaining []taskResult) {
 	packet = []byte{kindTaskResults}
 	for i, r := range results {
 		encoded := protowire.AppendVarint(nil, uint64(r.task))
 		encoded = protowire.AppendVarint(encoded, r.token)
-		encoded = protowire.AppendVarint(encoded, uint64(max(now-r.at, 0).Microseconds()))
+		encoded = protowire.AppendVarint(encoded, uint64(max(now-r.finishedAt, 0).Microseconds()))
 		encoded = append(encoded, r.data...)
 		if i > 0 && len(packet)+len(encoded)+resultOverheadBytes > maxResultsPacketBytes {
 			return packet, results[i:]
--- a/internal/fleet/message_member.go
+++ b/internal/fleet/message_member.go
@@ -10,21 +10,21 @@
 	"rampspread/internal/protofield"
 )
 
-// A member's info is protobuf, so that a later program may add fields; unknown ones are ignored. It is in memberlist's
-// metadata (at most 512 bytes) and, with the time of sending and a fencing token, in the heartbeat that each member
-// sends to a few others.
+// Field numbers and limits of a member's info. It is encoded as protobuf, so that a later version of the program may
+// add fields; unknown fields are ignored. It is sent in memberlist's metadata (at most 512 bytes) and, with the time of
+// sending and a fencing token, in the heartbeat that each member sends to a few others.
 const (
 	infoFormat       = 1
 	infoName         = 2
 	infoZone         = 3
 	infoIncarnation  = 4
-	infoStarted      = 5 // ms since 1970
+	infoStarted      = 5 // start of the process, in ms since 1970
 	infoVersion      = 6
 	infoSettings     = 7
 	infoListVersion  = 8
 	infoFlags        = 9
-	infoSent         = 10 // when a heartbeat was sent, by the sender's wall clock, ms since 1970
-	infoHighestToken = 11 // the highest fencing token that the member knows of
+	infoSent         = 10 // time at which a heartbeat was sent, by the sender's wall clock, in ms since 1970
+	infoHighestToken = 11 // highest fencing token that the member knows
 
 	infoFieldCount = infoHighestToken + 1
 
@@ -33,10 +33,10 @@
 	flagLeaving        = 2
 	maxMemberInfoBytes = 512
 	maxStringBytes     = 64
-	maxUnixMillis      = 1 << 52 // later times are decoded as this one
+	maxUnixMillis      = 1 << 52 // later times are decoded as this time
 )
 
-// encodeMemberInfo encodes a member's info. sent is the time of a heartbeat in ms since 1970; 0: metadata.
+// encodeMemberInfo encodes a member's info. sent is the time of a heartbeat in ms since 1970, or 0 for metadata.
 func encodeMemberInfo(info membership.MemberInfo, sent int64) []byte {
 	b := appendNonZero(nil, infoFormat, memberInfoFormat)
 	b = appendTruncated(b, infoName, info.Name)
@@ -69,51 +69,51 @@
 	return appendString(b, field, s[:min(len(s), maxStringBytes)])
 }
 
-// memberMessage is a member's info while it is decoded.
-type memberMessage struct {
+// memberInfoMessage holds the decoded fields of a message with a member's info.
+type memberInfoMessage struct {
 	format uint64
 	info   membership.MemberInfo
 	sent   int64
 }
 
-// infoDecoder decodes one field of a member's info. A field of another wire type than kind is ignored.
+// infoDecoder decodes one field of a member's info. A field with a wire type other than wireType is ignored.
 type infoDecoder struct {
-	kind   protowire.Type
-	decode func(m *memberMessage, f protofield.Field)
+	wireType protowire.Type
+	decode   func(m *memberInfoMessage, f protofield.Field)
 }
 
-// infoDecoders are the decoders by field number; a field without one is ignored.
+// infoDecoders holds the decoders by field number. A field without a decoder is ignored.
 var infoDecoders = [infoFieldCount]infoDecoder{
-	infoFormat:       {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.format = f.Value }},
-	infoName:         {protowire.BytesType, func(m *memberMessage, f protofield.Field) { m.info.Name = string(f.Bytes) }},
-	infoZone:         {protowire.BytesType, func(m *memberMessage, f protofield.Field) { m.info.Zone = string(f.Bytes) }},
-	infoIncarnation:  {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.info.Incarnation = f.Value }},
+	infoFormat:       {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.format = f.Value }},
+	infoName:         {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Name = string(f.Bytes) }},
+	infoZone:         {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Zone = string(f.Bytes) }},
+	infoIncarnation:  {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.Incarnation = f.Value }},
 	infoStarted:      {protowire.VarintType, decodeInfoStarted},
-	infoVersion:      {protowire.BytesType, func(m *memberMessage, f protofield.Field) { m.info.Version = string(f.Bytes) }},
-	infoSettings:     {protowire.Fixed64Type, func(m *memberMessage, f protofield.Field) { m.info.SettingsDigest = f.Value }},
-	infoListVersion:  {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.info.ListVersion = f.Value }},
+	infoVersion:      {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Version = string(f.Bytes) }},
+	infoSettings:     {protowire.Fixed64Type, func(m *memberInfoMessage, f protofield.Field) { m.info.SettingsDigest = f.Value }},
+	infoListVersion:  {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.ListVersion = f.Value }},
 	infoFlags:        {protowire.VarintType, decodeInfoFlags},
 	infoSent:         {protowire.VarintType, decodeInfoSent},
-	infoHighestToken: {protowire.VarintType, func(m *memberMessage, f protofield.Field) { m.info.HighestToken = f.Value }},
+	infoHighestToken: {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.HighestToken = f.Value }},
 }
 
-// decodeMemberInfo decodes a member's info. Fields that are unknown, too long or of another type than theirs are
-// ignored; an info without a format, a name or an incarnation is an error.
+// decodeMemberInfo decodes a member's info. Fields that are unknown, too long or of the wrong wire type are ignored. An
+// info without a format, a name or an incarnation is an error.
 func decodeMemberInfo(b []byte) (info membership.MemberInfo, sent int64, err error) {
 	if len(b) > maxMemberInfoBytes {
-		return info, 0, fmt.Errorf("fleet: message of %d bytes, at most %d", len(b), maxMemberInfoBytes)
+		return info, 0, fmt.Errorf("fleet: member info has %d bytes, at most %d are allowed", len(b), maxMemberInfoBytes)
 	}
-	var m memberMessage
+	var m memberInfoMessage
 	for len(b) > 0 {
 		f, rest, err := protofield.Next(b)
 		if err != nil {
-			return m.info, 0, fmt.Errorf("fleet: message: %w", err)
+			return m.info, 0, fmt.Errorf("fleet: decode member info: %w", err)
 		}
 		b = rest
 		if len(f.Bytes) > maxStringBytes || f.Number >= infoFieldCount {
 			continue
 		}
-		if decoder := infoDecoders[f.Number]; decoder.decode != nil && decoder.kind == f.WireType {
+		if decoder := infoDecoders[f.Number]; decoder.decode != nil && decoder.wireType == f.WireType {
 			decoder.decode(&m, f)
 		}
 	}
@@ -123,14 +123,14 @@
 	return m.info, m.sent, nil
 }
 
-func decodeInfoStarted(m *memberMessage, f protofield.Field) {
+func decodeInfoStarted(m *memberInfoMessage, f protofield.Field) {
 	m.info.Started = time.UnixMilli(int64(min(f.Value, maxUnixMillis)))
 }
 
-func decodeInfoFlags(m *memberMessage, f protofield.Field) {
+func decodeInfoFlags(m *memberInfoMessage, f protofield.Field) {
 	m.info.Serving, m.info.Leaving = f.Value&flagServing != 0, f.Value&flagLeaving != 0
 }
 
-func decodeInfoSent(m *memberMessage, f protofield.Field) {
+func decodeInfoSent(m *memberInfoMessage, f protofield.Field) {
 	m.sent = int64(min(f.Value, maxUnixMillis))
 }
--- a/internal/fleet/message_quota.go
+++ b/internal/fleet/message_quota.go
@@ -11,13 +11,13 @@
 const (
 	// fractionUnit is the unit of a granted fraction on the wire.
 	fractionUnit = 1e-12
-	// demandUnitsPerRequest is how many units of demand on the wire make one request a second.
+	// demandUnitsPerRequest is the number of units of demand on the wire that make one request per second.
 	demandUnitsPerRequest = 1000
 
-	inForceGroup = 2 // values of a grant in force
+	inForceGroupSize = 2 // number of values of a grant in force
 )
 
-// encodeQuotaClaim makes the packet of a claim; voters are all that the configuration names, in its order.
+// encodeQuotaClaim returns the packet of a claim. voters lists all voters, in the order of the configuration.
 func encodeQuotaClaim(claim quota.Claim, voters []string) []byte {
 	b := encodeHeader(kindQuotaClaim, claim.Seq, claim.From.Name, claim.From.Incarnation)
 	b = protofield.AppendVarint(b, fieldDemand, uint64(claim.Demand*demandUnitsPerRequest))
@@ -33,11 +33,11 @@
 	return appendPackedVarints(b, fieldInForce, inForce)
 }
 
-// quotaClaim is the claim in a message; voters are all that the configuration names, in its order.
+// quotaClaim returns the claim in a message. voters lists all voters, in the order of the configuration.
 func (m *peerMessage) quotaClaim(voters []string) quota.Claim {
 	claim := quota.Claim{From: quota.BorrowerID{Name: m.from, Incarnation: m.incarnation}, Seq: m.seq, Demand: m.demand,
 		Leaving: m.leaving, InForce: map[string]uint64{}}
-	for pair := range slices.Chunk(m.inForce, inForceGroup) {
+	for pair := range slices.Chunk(m.inForce, inForceGroupSize) {
 		if pair[0] < uint64(len(voters)) {
 			claim.InForce[voters[pair[0]]] = pair[1]
 		}
@@ -56,11 +56,11 @@
 }
 
 func decodeInForce(m *peerMessage, f protofield.Field, _ time.Duration) (err error) {
-	m.inForce, err = unpackVarints(f.Bytes, inForceGroup)
+	m.inForce, err = unpackVarints(f.Bytes, inForceGroupSize)
 	return err
 }
 
-// encodeQuotaGrant makes the packet of a grant, for the incarnation that claimed. The fraction is rounded down.
+// encodeQuotaGrant returns the packet of a grant to the incarnation that sent the claim. The fraction is rounded down.
 func encodeQuotaGrant(grant quota.Grant) []byte {
 	b := encodeHeader(kindQuotaGrant, grant.Seq, grant.Voter, grant.To.Incarnation)
 	return protofield.AppendVarint(b, fieldFraction, uint64(grant.Fraction/fractionUnit))
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -15,8 +15,8 @@
 	"rampspread/internal/testutil"
 )
 
-// A member's info survives the wire, unknown fields of later programs are ignored, and garbage neither panics nor is
-// taken.
+// A member's info is decoded as it was encoded, unknown fields of later program versions are ignored, and malformed
+// input is rejected without a panic.
 func FuzzDecodeMemberInfo(f *testing.F) {
 	info := membership.MemberInfo{Name: "n1", Zone: "wien", Incarnation: 9, Started: time.UnixMilli(1e12), Version: "1",
 		SettingsDigest: 7, ListVersion: 41, Serving: true}
@@ -28,7 +28,7 @@
 	long := info
 	long.Name, long.Zone, long.Version = strings.Repeat("n", 99), strings.Repeat("z", 99), strings.Repeat("v", 99)
 	if n := len(encodeMemberInfo(long, 1<<62)); n > maxMemberInfoBytes {
-		f.Errorf("a message of %d bytes", n)
+		f.Errorf("member info with long strings has %d bytes", n)
 	}
 	for _, s := range testutil.CorruptedSeeds(3, string(encoded)) {
 		f.Add([]byte(s))
@@ -38,12 +38,12 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		info, _, err := decodeMemberInfo(b)
 		if err == nil && (info.Name == "" || info.Incarnation == 0 || len(info.Name) > maxStringBytes) {
-			t.Errorf("%q was taken as %+v", b, info)
+			t.Errorf("%q was decoded as %+v", b, info)
 		}
 	})
 }
 
-// Quota claims and grants survive the wire.
+// Quota claims and grants are decoded as they were encoded, up to the precision of the encoding.
 func TestQuotaMessagesSurviveTheWire(t *testing.T) {
 	voters := []string{"n0", "n1", "n2"}
 	c := quota.Claim{From: quota.BorrowerID{Name: "n9", Incarnation: 1 << 60}, Seq: 7, Demand: 12.345,
@@ -57,7 +57,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if short := m.quotaClaim(voters[:1]); len(short.InForce) != 1 {
-		t.Errorf("with fewer voters: %+v", short)
+		t.Errorf("decoded with fewer voters: %+v", short)
 	}
 	p = encodeQuotaGrant(quota.Grant{To: c.From, Voter: "n1", Seq: 7, Fraction: 1.0 / 3})
 	m, err = decodeMessage(p[1:], 0)
@@ -70,16 +70,16 @@
 	}
 }
 
-// Lease requests, replies, task results and digests survive the wire, in as many packets as they need; garbage is an
-// error or decodes to nothing out of bounds.
+// Lease requests, replies, task results and digests are decoded as they were encoded, from as many packets as they
+// need. Malformed input is rejected, or decoded to values within their bounds.
 func FuzzDecodeMessage(f *testing.F) {
-	q := lease.Request{Seq: 9, From: lease.Candidate{Name: "n1", Incarnation: 5}}
+	request := lease.Request{Seq: 9, From: lease.Candidate{Name: "n1", Incarnation: 5}}
 	for i := range 100 {
-		q.Claims = append(q.Claims, lease.Claim{Task: lease.Task(i) << 50, Token: uint64(i), Renew: i%3 == 0})
+		request.Claims = append(request.Claims, lease.Claim{Task: lease.Task(i) << 50, Token: uint64(i), Renew: i%3 == 0})
 	}
-	q.Releases = []lease.Claim{{Task: 7, Token: 8}}
+	request.Releases = []lease.Claim{{Task: 7, Token: 8}}
 	var claims, releases []lease.Claim
-	packets := encodeLeaseRequest(q)
+	packets := encodeLeaseRequest(request)
 	for _, p := range packets {
 		m, err := decodeMessage(p[1:], 0)
 		if err != nil || m.seq != 9 || m.from != "n1" || m.incarnation != 5 || p[0] != kindLeaseRequest || len(p) > 1200 {
@@ -87,8 +87,8 @@
 		}
 		claims, releases = append(claims, m.claims...), append(releases, m.releases...)
 	}
-	if !slices.Equal(claims, q.Claims) || !slices.Equal(releases, q.Releases) {
-		f.Errorf("%d claims and %d releases came", len(claims), len(releases))
+	if !slices.Equal(claims, request.Claims) || !slices.Equal(releases, request.Releases) {
+		f.Errorf("%d claims and %d releases were decoded", len(claims), len(releases))
 	}
 	r := lease.Reply{Seq: 9, Voter: "n2", Grants: []lease.Grant{
 		{Task: 1 << 63, ClaimedToken: 4, Token: 5, Remaining: time.Second},
@@ -97,13 +97,13 @@
 	if m, err := decodeMessage(reply[1:], 0); err != nil || m.from != "n2" || !slices.Equal(m.grants, r.Grants) {
 		f.Errorf("%+v, %v", m, err)
 	}
-	var all []taskResult
+	var taskResults []taskResult
 	for i := range 200 {
-		all = append(all, taskResult{lease.Task(i), uint64(i), time.Second, []byte("0123456789abcdef")})
+		taskResults = append(taskResults, taskResult{lease.Task(i), uint64(i), time.Second, []byte("0123456789abcdef")})
 	}
 	var got []taskResult
 	var seeds []string
-	for rest := all; len(rest) > 0; {
+	for rest := taskResults; len(rest) > 0; {
 		var p []byte
 		p, rest = encodeTaskResults(3*time.Second, rest)
 		seeds = append(seeds, string(p[1:]))
@@ -113,9 +113,9 @@
 		}
 		got = append(got, m.results...)
 	}
-	if len(got) != len(all) || got[199].task != 199 || got[0].at != 8*time.Second ||
+	if len(got) != len(taskResults) || got[199].task != 199 || got[0].finishedAt != 8*time.Second ||
 		string(got[5].data) != "0123456789abcdef" {
-		f.Errorf("%d results came, the first as %+v", len(got), got[0])
+		f.Errorf("%d results were decoded, the first as %+v", len(got), got[0])
 	}
 	claim := encodeQuotaClaim(quota.Claim{From: quota.BorrowerID{Name: "n1", Incarnation: 2}, Seq: 3, Demand: 4,
 		InForce: map[string]uint64{"n1": 2}}, []string{"n1"})
@@ -136,8 +136,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decodeMessage(b, time.Second)
 		for _, r := range m.results {
-			if err == nil && (len(r.data) > maxResultBytes || r.at > time.Second) {
-				t.Errorf("%q was taken as %+v", b, m)
+			if err == nil && (len(r.data) > maxResultBytes || r.finishedAt > time.Second) {
+				t.Errorf("%q was decoded as %+v", b, m)
 			}
 		}
 	})
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -16,28 +16,29 @@
 )
 
 const (
-	// membershipInterval is the time between two looks at the membership table and this process's own info.
+	// membershipInterval is the interval at which a node advances the membership table and checks its own info for
+	// changes.
 	membershipInterval = 100 * time.Millisecond
-	// maxTickGap is the shortest pause of the process that others would notice.
+	// maxTickGap is the longest pause of the process between two ticks that other members do not notice.
 	maxTickGap = 800 * time.Millisecond
-	// suspectAfterHeartbeats is after how many missed heartbeats a member is suspect.
+	// suspectAfterHeartbeats is the number of missed heartbeats after which a member is suspect.
 	suspectAfterHeartbeats = 3
 	// gossipTimeout bounds the wait until memberlist has sent a change of this process's info, or its leave.
 	gossipTimeout = 400 * time.Millisecond
-	// leaveNotices is how many leave notices each member is sent, since datagrams get lost.
-	leaveNotices        = 2
-	leaveNoticeInterval = 30 * time.Millisecond
-	// nodeSeedStream separates the node's random draws from those of its components.
+	// leaveNoticesPerMember is the number of leave notices that each member is sent, since datagrams may get lost.
+	leaveNoticesPerMember = 2
+	leaveNoticeInterval   = 30 * time.Millisecond
+	// nodeSeedStream separates the node's random draws from its components' draws.
 	nodeSeedStream = 0xf1ee7
 )
 
-// MaxViewAge is how old a view may be for a decision to rest on it.
+// MaxViewAge is the age up to which a view may be used for decisions.
 const MaxViewAge = maxTickGap
 
-// ErrDuplicateName says that another process of the same name is in the fleet.
+// ErrDuplicateName reports that another process of the same name is in the fleet.
 var ErrDuplicateName = errors.New("fleet: the name is in use")
 
-// LocalState are what a process reports of itself that changes while it runs.
+// LocalState holds the properties that a process reports of itself and that change while it runs.
 type LocalState struct {
 	SettingsDigest uint64 // fingerprint of the settings in force
 	ListVersion    uint64 // version of the endpoint list
@@ -46,54 +47,56 @@
 
 // Options describes this process to its Node. It does not change while the node runs.
 type Options struct {
-	// Machine is the clock; nil: the real one.
+	// Machine provides the wall clock; nil means the real machine.
 	Machine hostos.System
 	Name    string
 	Zone    string
-	Version string // of the program
-	// LocalState is called often, from the node's own goroutine; it must not block.
+	Version string // version of the program
+	// LocalState returns the current local state. The node's own goroutine calls it often, so it must not block.
 	LocalState func() LocalState
 	// Seed seeds all random draws of the node and its components.
 	Seed uint64
-	// Tasks runs the tasks that one member runs for all; nil: none.
+	// Tasks runs the tasks that one member runs for the whole fleet. If it is nil, this member runs none.
 	Tasks TaskRunner
-	// TokenFloor is at least every fencing token that an earlier incarnation of this member has seen. ObserveToken is
-	// called often with the highest token that this one knows of; it must not block. nil: tokens do not outlive the
-	// process.
+	// TokenFloor is at least as high as every fencing token that an earlier incarnation of this member has seen.
+	// ObserveToken is called often with the highest token known to this incarnation, so that it can be stored; it must
+	// not block. If it is nil, tokens are not stored beyond the life of the process.
 	TokenFloor   uint64
 	ObserveToken func(token uint64)
-	// HandleIdempotency takes other members' messages of package idempotencyquorum; nil: they are ignored. It must not
-	// block.
+	// HandleIdempotency handles messages of package idempotencyquorum from other members. It must not block. If it is
+	// nil, these messages are ignored.
 	HandleIdempotency func(message []byte)
-	// LearnedState is given to members that start, and taken from others at this one's start; nil: neither.
+	// LearnedState is sent to members that start, and received from others when this process starts. If it is nil,
+	// neither is done.
 	LearnedState LearnedState
-	// Quota acts by this process's share of the configured budgets; nil: nothing is shared.
+	// Quota applies this process's share of the configured budgets. If it is nil, the budgets are not shared.
 	Quota QuotaUser
-	// VersionSkew acts on this process's own version skew, if the configuration has it detected; nil: it is not.
+	// VersionSkew acts on this process's own version skew, if the configuration enables its detection. If it is nil,
+	// the skew is not detected.
 	VersionSkew VersionSkewActions
-	// EndpointFilter takes the digests of others' newer endpoint lists, if the configuration allows it; nil: each
-	// process goes by its own list alone.
+	// EndpointFilter receives the digests of other members' newer endpoint lists, if the configuration enables it. If
+	// it is nil, the process uses its own list alone.
 	EndpointFilter EndpointFilter
 }
 
-// Node is this process as a member of the fleet. Start creates it; Leave notifies the others that the process leaves,
-// and Close ends its goroutines. Its methods are safe for use by several goroutines.
+// Node makes this process a member of the fleet. Start creates it, Leave notifies the other members that the process
+// leaves, and Close stops its goroutines. Its methods are safe for concurrent use.
 type Node struct {
 	cfg       *Config
 	self      Options
-	start     time.Time // by the monotonic clock; the views' clock counts from here
-	startWall time.Time // by the wall clock
+	start     time.Time // start by the monotonic clock, from which the clock of the views counts
+	startWall time.Time // start by the wall clock
 
 	gossip        *memberlist.Memberlist // nil until joined
-	joined        atomic.Bool            // it listens at the peer address
+	joined        atomic.Bool            // whether memberlist listens at the peer address
 	leaving       atomic.Bool
-	rng           *rand.Rand // used by run's goroutine alone
+	rng           *rand.Rand // used only by run's goroutine
 	malformed     atomic.Int64
-	clockSkews    sync.Map // member's name -> time.Duration, by its last heartbeat
+	clockSkews    sync.Map // member's name -> time.Duration, from its last heartbeat
 	onFailure     func(error)
 	reportFailure sync.Once
 
-	components []component             // those that are enabled, in a fixed order
+	components []component             // enabled components, in a fixed order
 	handlers   map[byte]messageHandler // by message kind
 
 	cancel context.CancelFunc
@@ -102,13 +105,13 @@
 	view  atomic.Pointer[membership.View]
 	mu    sync.Mutex // guards table and info
 	table *membership.Table
-	info  membership.MemberInfo // what this process reports of itself now
+	info  membership.MemberInfo // what this process currently reports of itself
 }
 
-// Start listens for the other members and returns; the node contacts them for as long as it runs. While another
-// process has the address, as when this one is to replace it, the node waits for it without harm to what the process
-// serves. failed is called once, with an ErrDuplicateName, if a member that this process contacts knows a living one
-// of the same name at another address.
+// Start listens for the other members and returns. The node contacts them while it runs. If another process has the
+// address, such as the process that this one is to replace, the node waits until the address is free, and the process
+// serves requests meanwhile. failed is called once, with an ErrDuplicateName, if a contacted member reports a running
+// process of the same name at another address.
 func Start(cfg *Config, self Options, failed func(error)) (*Node, error) {
 	if self.Machine == nil {
 		self.Machine = hostos.Real()
@@ -128,25 +131,25 @@
 func newNode(cfg *Config, self Options, failed func(error)) *Node {
 	n := &Node{cfg: cfg, self: self, start: time.Now(), startWall: self.Machine.Wall(), done: make(chan struct{}),
 		onFailure: failed, rng: rand.New(rand.NewPCG(self.Seed, nodeSeedStream))}
-	facts := self.LocalState()
+	local := self.LocalState()
 	n.info = membership.MemberInfo{Name: self.Name, Zone: self.Zone, Incarnation: uint64(n.startWall.UnixMilli()),
-		Started: n.startWall, Version: self.Version, SettingsDigest: facts.SettingsDigest, ListVersion: facts.ListVersion,
-		Serving: facts.Serving}
+		Started: n.startWall, Version: self.Version, SettingsDigest: local.SettingsDigest, ListVersion: local.ListVersion,
+		Serving: local.Serving}
 	limits := membership.Limits{HeartbeatInterval: heartbeatCycle, SuspectAfter: suspectAfterHeartbeats,
 		MaxTickGap: maxTickGap}
 	n.table = membership.New(n.info, cfg.names(), limits, n.now())
-	n.publish()
-	n.addConfigured()
+	n.publishView()
+	n.addConfiguredComponents()
 	return n
 }
 
-// run joins the fleet, and keeps up the membership and the components until the context ends.
+// run joins the fleet, and runs the membership and the components until the context ends.
 func (n *Node) run(ctx context.Context) {
 	defer close(n.done)
 	if !n.waitJoined(ctx) {
 		return
 	}
-	n.contactFirst()
+	n.contactInitialMembers()
 	var running sync.WaitGroup
 	defer running.Wait()
 	for _, c := range n.components {
@@ -155,7 +158,8 @@
 	n.runMembership(ctx)
 }
 
-// runMembership advances the table, reports this process's changes, sends heartbeats and contacts missing members.
+// runMembership advances the table, gossips changes of this process's info, sends heartbeats and contacts missing
+// members.
 func (n *Node) runMembership(ctx context.Context) {
 	ticks := time.NewTicker(membershipInterval)
 	defer ticks.Stop()
@@ -170,7 +174,7 @@
 		now := n.now()
 		n.tickTable(now)
 		if n.refreshInfo() {
-			n.gossip.UpdateNode(gossipTimeout) // memberlist goes on gossiping after a timeout
+			n.gossip.UpdateNode(gossipTimeout) // memberlist continues to gossip after a timeout
 		}
 		if now >= nextHeartbeat {
 			nextHeartbeat = now + heartbeatInterval
@@ -178,13 +182,13 @@
 		}
 		if now >= nextRejoin {
 			nextRejoin = now + n.drawRejoinDelay()
-			n.contactMissing()
+			n.contactMissingMember()
 		}
 	}
 }
 
-// Leave stops the components and notifies the others that this process leaves. It waits a short time for them to be
-// notified.
+// Leave stops the components and notifies the other members that this process leaves. It waits briefly until the
+// notices are sent.
 func (n *Node) Leave() {
 	if n.leaving.Swap(true) || !n.joined.Load() {
 		return
@@ -196,10 +200,10 @@
 	n.mu.Lock()
 	n.info.Leaving, n.info.Serving = true, false
 	n.table.UpdateSelf(n.info, n.now())
-	n.publish()
+	n.publishView()
 	n.mu.Unlock()
-	// Gossip may deliver that the process is gone before that it is leaving, so each member is sent a notice as well.
-	for range leaveNotices {
+	// Gossip may report the process as gone before it reports it as leaving, so each member is also sent a notice.
+	for range leaveNoticesPerMember {
 		notice := n.encodeHeartbeat()
 		for _, name := range reachable {
 			n.send(name, notice)
@@ -211,7 +215,7 @@
 	}
 }
 
-// Close ends the node's goroutines and connections, and releases its address. It may be called again.
+// Close stops the node's goroutines, closes its connections and releases its address. It may be called more than once.
 func (n *Node) Close() {
 	n.cancel()
 	<-n.done
@@ -223,11 +227,11 @@
 	}
 }
 
-// now is the time since the start, by a clock that only advances.
+// now returns the time since the start by the monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Now is the time by the views' clock.
+// Now returns the time by the clock of the views.
 func (n *Node) Now() time.Duration { return n.now() }
 
-// Malformed is how many messages could not be decoded, or were not from this fleet.
+// Malformed returns the number of messages that could not be decoded or were not from this fleet.
 func (n *Node) Malformed() int64 { return n.malformed.Load() }
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -9,59 +9,64 @@
 )
 
 const (
-	// quotaLeadDivisor is by which part of its term before its end a grant is not counted on any more.
+	// quotaLeadDivisor divides the term into the lead time: a grant that ends sooner than the lead time is no longer
+	// relied on.
 	quotaLeadDivisor = 12
-	// On leaving the shares are returned in returnTicks ticks, returnInterval apart: the process needs a moment to
-	// act by its minimum, and only then may the voters be notified.
+	// When the process leaves, the shares are returned in returnTicks ticks at intervals of returnInterval: the process
+	// needs a moment to reduce its use to the minimum, and the voters may be notified only after that.
 	returnTicks    = 4
 	returnInterval = leaveNoticeInterval / 6
 )
 
-// Budgets are what the whole fleet may do together, in the operator's file. A limit of 0 is none.
+// Budgets is the part of the operator's file that limits what the whole fleet may do together. A limit of 0 means that
+// there is no limit.
 type Budgets struct {
-	// Floor is the fraction of each budget that belongs to the configured members for good, evenly; the voters lend
-	// the remaining fraction to active members, by their traffic. With 1 there is nothing to grant.
+	// Floor is the fraction of each budget that is permanently and evenly divided among the configured members. The
+	// voters lend the remaining fraction to active members according to their traffic. With a floor of 1 there is
+	// nothing to lend.
 	Floor float64 `json:"floor"`
-	// PollsPerReplica is how many load polls a second all dispatchers together may send to one replica for themselves.
+	// PollsPerReplica is the number of load polls per second that all dispatchers together may send to one replica for
+	// their own use.
 	PollsPerReplica float64 `json:"probes_per_replica_s"`
-	// RetriesPerRequest is how many retries all dispatchers together may make for each request, and RetriesPerSecond
-	// how many a second on top of that.
+	// RetriesPerRequest is the number of retries that all dispatchers together may make for each request.
+	// RetriesPerSecond is the number of retries per second that they may make in addition.
 	RetriesPerRequest float64 `json:"repeats_per_request"`
 	RetriesPerSecond  float64 `json:"repeats_s"`
 }
 
-// QuotaUser is this process as one that acts by its share of the budgets.
+// QuotaUser applies this process's share of the budgets.
 type QuotaUser interface {
-	// Accepted is how many requests it has accepted so far.
+	// Accepted returns the number of requests accepted so far.
 	Accepted() int64
-	// SetQuotaShare makes it act by a fraction of the whole for a remaining time. It calls applied once, when it does;
-	// false: it will not. It must not block.
+	// SetQuotaShare sets the process's share to a fraction of the whole for the remaining time. It calls applied once,
+	// when the share is in force, or returns false if it will not apply the share. It must not block.
 	SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool
 }
 
-// QuotaStatus is this member's share of the budgets as operators are shown it.
+// QuotaStatus is this member's share of the budgets as shown to operators.
 type QuotaStatus struct {
 	Self          string  `json:"self"`
-	Fraction      float64 `json:"part"`  // of the whole, in force now
-	MinFraction   float64 `json:"least"` // of the whole, for good
+	Fraction      float64 `json:"part"`  // fraction of the whole budget in force now
+	MinFraction   float64 `json:"least"` // fraction of the whole budget that this member always has
 	RemainingS    float64 `json:"left_s"`
-	Demand        float64 `json:"demand_s"`         // recent requests a second
-	IsVoter       bool    `json:"lends"`            // this member is a voter
-	Recovering    bool    `json:"mute,omitempty"`   // a voter that grants nothing yet
-	Outstanding   float64 `json:"lent,omitempty"`   // granted by this voter, of the whole
-	Borrowers     int     `json:"asking,omitempty"` // members that this voter has granted a share
-	SharesApplied int64   `json:"offers"`           // shares that came into force
-	Dropped       int64   `json:"dropped"`          // shares that the core had no capacity for
+	Demand        float64 `json:"demand_s"`         // recent requests per second
+	IsVoter       bool    `json:"lends"`            // whether this member is a voter
+	Recovering    bool    `json:"mute,omitempty"`   // whether this voter grants nothing yet
+	Outstanding   float64 `json:"lent,omitempty"`   // fraction of the whole budget granted by this voter
+	Borrowers     int     `json:"asking,omitempty"` // number of members to which this voter has granted a share
+	SharesApplied int64   `json:"offers"`           // number of shares that came into force
+	Dropped       int64   `json:"dropped"`          // number of shares that the core had no capacity for
 }
 
-// quotaLimits are the times and fractions by which the budgets are shared.
+// quotaLimits returns the times and fractions by which the budgets are shared.
 func (c *Config) quotaLimits() quota.Limits {
 	term := c.leaseTerm
 	return quota.Limits{Term: term, Margin: term / leaseMarginDivisor, Renew: term / leaseRenewDivisor,
 		Lead: term / quotaLeadDivisor, Floor: c.Budgets.Floor, Members: len(c.Members), Voters: len(c.Voters)}
 }
 
-// MinFraction is this process's fraction of each budget whatever it sees of the fleet; 0: there are no budgets.
+// MinFraction returns the fraction of each budget that this process has even if it reaches no other member, or 0 if
+// there are no budgets.
 func (c *Config) MinFraction() float64 {
 	if c.Budgets == nil {
 		return 0
@@ -80,9 +85,9 @@
 
 	mu       sync.Mutex
 	borrower *quota.Borrower
-	voter    *quota.Voter // nil: this member is none
+	voter    *quota.Voter // nil if this member is not a voter
 	traffic  quota.Rate
-	demand   float64 // requests a second
+	demand   float64 // requests per second
 }
 
 func newQuotaShares(n *Node, user QuotaUser) *quotaShares {
@@ -106,7 +111,7 @@
 	}
 }
 
-// tick implements component: it applies a new share and sends a claim, if either is due.
+// tick implements component. It applies a new share and sends a claim, if either is due.
 func (q *quotaShares) tick(now time.Duration) {
 	accepted := q.user.Accepted()
 	q.mu.Lock()
@@ -115,15 +120,15 @@
 	claim, hasClaim := q.borrower.Step(now, q.demand)
 	q.mu.Unlock()
 	if hasShare {
-		q.apply(share)
+		q.applyShare(share)
 	}
 	if hasClaim {
 		q.sendClaim(claim)
 	}
 }
 
-// stop implements component: it returns what is borrowed. It waits a moment for the core to act by no more than the
-// minimum, and notifies the voters; a grant that they do not know to be returned ends by itself.
+// stop implements component. It returns the borrowed shares: it waits briefly until the core uses no more than the
+// minimum, and notifies the voters. A grant expires if the voters do not receive the notice.
 func (q *quotaShares) stop() {
 	q.mu.Lock()
 	q.borrower.ReturnAll()
@@ -134,10 +139,10 @@
 	}
 }
 
-// apply makes the core act by a share. The voters may count it only once it is in force.
-func (q *quotaShares) apply(share quota.Share) {
+// applyShare makes the core applyShare a share. The share is confirmed to the borrower only once it is in force.
+func (q *quotaShares) applyShare(share quota.Share) {
 	if q.node.isSelfRestricted() {
-		share.Fraction = 0 // less than what was granted is safe at any time
+		share.Fraction = 0 // a smaller fraction than the granted one is always safe
 	}
 	confirm := func() {
 		q.mu.Lock()
@@ -154,7 +159,7 @@
 	q.borrower.Discard()
 }
 
-// sendClaim sends a claim to all voters; this member's own voter is called directly.
+// sendClaim sends a claim to all voters. If this member is a voter, its own voter is called directly.
 func (q *quotaShares) sendClaim(claim quota.Claim) {
 	packet := encodeQuotaClaim(claim, q.node.cfg.Voters)
 	for _, voter := range q.node.cfg.Voters {
@@ -166,7 +171,7 @@
 	}
 }
 
-// handleClaim handles a claim as a voter; false: there is no answer.
+// handleClaim handles a claim as a voter. It returns false if there is no grant to send.
 func (q *quotaShares) handleClaim(claim quota.Claim) (quota.Grant, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -189,7 +194,7 @@
 	q.borrower.HandleGrant(grant)
 }
 
-// fraction is the fraction of the whole that is in force now.
+// fraction returns the fraction of the whole budget that is in force now.
 func (q *quotaShares) fraction() float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -210,7 +215,8 @@
 	return s
 }
 
-// QuotaFraction is the fraction of the fleet's budgets that is in force at this process now; false: there are none.
+// QuotaFraction returns the fraction of the fleet's budgets that is in force at this process now, or false if budgets
+// are not shared.
 func (n *Node) QuotaFraction() (fraction float64, ok bool) {
 	shares, ok := componentOf[*quotaShares](n)
 	if !ok {
@@ -219,7 +225,7 @@
 	return shares.fraction(), true
 }
 
-// QuotaStatus is this process's share of the budgets, for operators; false: nothing is shared.
+// QuotaStatus returns this process's share of the budgets for operators, or false if budgets are not shared.
 func (n *Node) QuotaStatus() (s QuotaStatus, ok bool) {
 	shares, ok := componentOf[*quotaShares](n)
 	if !ok {
--- a/internal/fleet/quota_test.go
+++ b/internal/fleet/quota_test.go
@@ -11,10 +11,10 @@
 	"rampspread/internal/testutil"
 )
 
-// fakeQuotaUser acts by shares as a process's core does.
+// fakeQuotaUser applies quota shares as the core of a process does.
 type fakeQuotaUser struct {
 	accepted  atomic.Int64
-	rejecting atomic.Bool // its queue is full
+	rejecting atomic.Bool // whether it rejects shares, as a core with a full queue does
 
 	mu          sync.Mutex
 	fraction    float64
@@ -22,37 +22,37 @@
 	minFraction float64
 }
 
-func (w *fakeQuotaUser) Accepted() int64 { return w.accepted.Load() }
+func (u *fakeQuotaUser) Accepted() int64 { return u.accepted.Load() }
 
-func (w *fakeQuotaUser) SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool {
-	if w.rejecting.Load() {
+func (u *fakeQuotaUser) SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool {
+	if u.rejecting.Load() {
 		return false
 	}
-	w.mu.Lock()
-	w.fraction, w.until = fraction, time.Now().Add(remaining)
-	w.mu.Unlock()
+	u.mu.Lock()
+	u.fraction, u.until = fraction, time.Now().Add(remaining)
+	u.mu.Unlock()
 	go applied()
 	return true
 }
 
-func (w *fakeQuotaUser) fractionInForce() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if time.Now().Before(w.until) {
-		return w.fraction
+func (u *fakeQuotaUser) fractionInForce() float64 {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if time.Now().Before(u.until) {
+		return u.fraction
 	}
-	return w.minFraction
+	return u.minFraction
 }
 
-// startQuotaNode starts the member of that host with a user of its quota.
-func startQuotaNode(t *testing.T, text string, host int, w *fakeQuotaUser) *Node {
+// startQuotaNode starts the member on a host with the given quota user.
+func startQuotaNode(t *testing.T, text string, host int, user *fakeQuotaUser) *Node {
 	t.Helper()
-	cfg, err := Parse([]byte(text), hostName(host))
+	cfg, err := Parse([]byte(text), memberName(host))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.minFraction = cfg.MinFraction()
-	n, err := Start(cfg, Options{Name: hostName(host), Version: "1", Seed: uint64(host), Quota: w,
+	user.minFraction = cfg.MinFraction()
+	n, err := Start(cfg, Options{Name: memberName(host), Version: "1", Seed: uint64(host), Quota: user,
 		LocalState: func() LocalState { return LocalState{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -61,57 +61,58 @@
 	return n
 }
 
-// Members share the whole by their traffic, never exceed it, and take over the share of one that crashed except for
-// its floor. A core without capacity for its share costs the others nothing.
+// Members divide the whole budget by their traffic, never exceed it, and take over the share of a crashed member except
+// for its minimum. A member whose core rejects its share uses the minimum and does not reduce the other members'
+// shares.
 func TestQuotaIsSharedByTrafficAndNeverExceeded(t *testing.T) {
 	text := strings.Replace(configJSON("f", testKey, 80, 81, 82, 83), `"probe_ms":100`,
 		`"probe_ms":100,"term_ms":600,"voters":["n80","n81","n82"],"budgets":{"floor":0.2}`, 1)
-	all := make([]*fakeQuotaUser, 4)
+	users := make([]*fakeQuotaUser, 4)
 	nodes := make([]*Node, 4)
-	for i := range all {
-		all[i] = &fakeQuotaUser{}
-		nodes[i] = startQuotaNode(t, text, 80+i, all[i])
+	for i := range users {
+		users[i] = &fakeQuotaUser{}
+		nodes[i] = startQuotaNode(t, text, 80+i, users[i])
 	}
 	sum := func() (sum float64) {
-		for _, w := range all {
-			sum += w.fractionInForce()
+		for _, user := range users {
+			sum += user.fractionInForce()
 		}
 		if sum > 1+1e-9 {
-			t.Fatalf("%.4f of the whole is in force", sum)
+			t.Fatalf("%.4f of the whole budget is in force", sum)
 		}
 		return sum
 	}
-	load := func(n int64) { // the last has three times the traffic of the others together
-		for i, w := range all {
-			w.accepted.Add(n)
+	addTraffic := func(n int64) { // the last member has three times the traffic of the others together
+		for i, user := range users {
+			user.accepted.Add(n)
 			if i == 3 {
-				w.accepted.Add(8 * n)
+				user.accepted.Add(8 * n)
 			}
 		}
 	}
-	testutil.Eventually(t, "the whole to be used, by traffic", func() bool {
-		load(1)
-		least := min(all[0].fractionInForce(), all[1].fractionInForce(), all[2].fractionInForce())
-		return sum() > 0.98 && all[3].fractionInForce() > 0.5 && least > 0.05
+	testutil.Eventually(t, "the whole budget to be in force, divided by traffic", func() bool {
+		addTraffic(1)
+		least := min(users[0].fractionInForce(), users[1].fractionInForce(), users[2].fractionInForce())
+		return sum() > 0.98 && users[3].fractionInForce() > 0.5 && least > 0.05
 	})
-	all[1].rejecting.Store(true)
-	testutil.Eventually(t, "one that cannot apply its share to have the minimum", func() bool {
-		load(1)
-		return sum() < 1 && all[1].fractionInForce() == 0.05
+	users[1].rejecting.Store(true)
+	testutil.Eventually(t, "the member that rejects its share to have the minimum", func() bool {
+		addTraffic(1)
+		return sum() < 1 && users[1].fractionInForce() == 0.05
 	})
 	if s, ok := nodes[1].QuotaStatus(); !ok || s.Dropped == 0 || !s.IsVoter {
 		t.Errorf("%+v", s)
 	}
-	all[1].rejecting.Store(false)
-	testutil.Eventually(t, "it to have its share again", func() bool {
-		load(1)
+	users[1].rejecting.Store(false)
+	testutil.Eventually(t, "the member that rejected its share to have one again", func() bool {
+		addTraffic(1)
 		sum()
-		return all[1].fractionInForce() > 0.06
+		return users[1].fractionInForce() > 0.06
 	})
 	nodes[3].Close() // without a leave notice; its share stays in force for its term
-	testutil.Eventually(t, "the others to have its share", func() bool {
-		load(1)
-		return sum() > 0.98 && all[3].fractionInForce() == 0.05 && all[0].fractionInForce() > 0.2
+	testutil.Eventually(t, "the other members to take over the crashed member's share", func() bool {
+		addTraffic(1)
+		return sum() > 0.98 && users[3].fractionInForce() == 0.05 && users[0].fractionInForce() > 0.2
 	})
 	before := nodes[0].Malformed()
 	for _, sender := range []string{"unconfigured", "n80"} {
@@ -122,7 +123,7 @@
 		t.Errorf("%d malformed messages counted, want 2", nodes[0].Malformed()-before)
 	}
 	nodes[0].Leave()
-	if got := all[0].fractionInForce(); got != 0.05 {
-		t.Errorf("after its leave a fraction of %.3f is in force", got)
+	if got := users[0].fractionInForce(); got != 0.05 {
+		t.Errorf("a fraction of %.3f is in force after the member has left, want the minimum", got)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,20 +7,20 @@
 	"rampspread/internal/fleet/membership"
 )
 
-// Status is the membership as operators are shown it.
+// Status is the membership as shown to operators.
 type Status struct {
 	Fleet        string         `json:"fleet"`
 	Self         string         `json:"self"`
 	ViewVersion  uint64         `json:"view"`
-	Fresh        bool           `json:"fresh"` // the view may be acted on
+	Fresh        bool           `json:"fresh"` // whether the view may be acted on
 	Members      []MemberStatus `json:"members"`
 	Conflicts    []string       `json:"conflicts,omitempty"` // names claimed by two processes
 	Malformed    int64          `json:"bad"`
-	Stale        int64          `json:"stale"`     // messages of earlier incarnations
-	Unconfigured int64          `json:"strangers"` // messages of names that are not configured
+	Stale        int64          `json:"stale"`     // number of messages from earlier incarnations
+	Unconfigured int64          `json:"strangers"` // number of messages from names that are not configured
 }
 
-// MemberStatus is a member as operators are shown it. Times are in seconds before now.
+// MemberStatus is a member as shown to operators. Fields whose names end in S count seconds up to now.
 type MemberStatus struct {
 	Name           string  `json:"name"`
 	State          string  `json:"state"`
@@ -33,10 +33,10 @@
 	Version        string  `json:"version"`
 	Settings       string  `json:"settings"`
 	ListVersion    uint64  `json:"list"`
-	SkewMS         int64   `json:"skew_ms"` // of its clock against ours, with the latency of its heartbeat
+	SkewMS         int64   `json:"skew_ms"` // member's clock minus this process's, less the heartbeat's latency
 }
 
-// Status is the membership as this process sees it, for operators.
+// Status returns the membership as this process sees it, for operators.
 func (n *Node) Status() Status {
 	now := n.now()
 	v := n.View()
@@ -67,5 +67,5 @@
 	return s
 }
 
-// formatFingerprint is a fingerprint of settings as operators are shown it.
+// formatFingerprint formats a fingerprint of settings for operators.
 func formatFingerprint(fingerprint uint64) string { return fmt.Sprintf("%016x", fingerprint) }
--- a/internal/fleet/taskresults.go
+++ b/internal/fleet/taskresults.go
@@ -11,14 +11,15 @@
 const (
 	// flushInterval is the shortest time between two transmissions of results.
 	flushInterval = 2 * componentInterval
-	// flushIntervalPerMember lengthens it in a large fleet, so that the packets of a second stay bounded.
+	// flushIntervalPerMember, multiplied by the number of members, is the time between two transmissions in a large
+	// fleet, so that the number of packets per second stays bounded.
 	flushIntervalPerMember = 2 * time.Millisecond
-	// resultBytesPerSecond bounds the results that a member sends, to all others together.
+	// resultBytesPerSecond is the maximum rate at which a member sends results to all other members together.
 	resultBytesPerSecond = 64 << 10
 )
 
-// run runs one task, if this member still holds its lease at this very time.
-func (t *leasedTasks) run(task lease.Task) {
+// runTask runs a task once, if this member still holds its lease.
+func (t *leasedTasks) runTask(task lease.Task) {
 	t.mu.Lock()
 	name := t.names[task]
 	now := t.node.now()
@@ -35,13 +36,13 @@
 	})
 }
 
-// addOwnResult takes the result of a task that this member ran, and queues it for the others.
+// addOwnResult records the result of a task that this member ran, and queues it to be sent to the other members.
 func (t *leasedTasks) addOwnResult(r taskResult) {
 	now := t.node.now()
 	t.mu.Lock()
-	accepted, ok := t.accept(now, r)
+	accepted, ok := t.acceptResult(now, r)
 	if ok {
-		t.unsent[r.task] = r
+		t.unsentResults[r.task] = r
 	}
 	t.mu.Unlock()
 	if ok {
@@ -49,13 +50,13 @@
 	}
 }
 
-// addPeerResults takes the results of tasks that another member ran.
+// addPeerResults records the results of tasks that another member ran.
 func (t *leasedTasks) addPeerResults(results []taskResult) {
 	var accepted []TaskResult
 	now := t.node.now()
 	t.mu.Lock()
 	for _, r := range results {
-		if result, ok := t.accept(now, r); ok {
+		if result, ok := t.acceptResult(now, r); ok {
 			accepted = append(accepted, result)
 		}
 	}
@@ -65,9 +66,9 @@
 	}
 }
 
-// accept notes a result; false: its task is unknown here, or its lease has been followed by another. The caller holds
-// the lock.
-func (t *leasedTasks) accept(now time.Duration, r taskResult) (TaskResult, bool) {
+// acceptResult records a result. It returns false if the task is unknown here, or if a result under a later lease of
+// the task has been seen. The caller holds the lock.
+func (t *leasedTasks) acceptResult(now time.Duration, r taskResult) (TaskResult, bool) {
 	name, ok := t.names[r.task]
 	if !ok {
 		return TaskResult{}, false
@@ -77,39 +78,39 @@
 		return TaskResult{}, false
 	}
 	t.lastResult[r.task] = now
-	return TaskResult{name, r.data, max(now-r.at, 0)}, true
+	return TaskResult{name, r.data, max(now-r.finishedAt, 0)}, true
 }
 
-// packet is a message to be sent to a member.
-type packet struct {
+// outgoingPacket is a message to be sent to a member.
+type outgoingPacket struct {
 	to   string
 	data []byte
 }
 
-// flushResults makes packets of the unsent results, within the budget of bytes; what exceeds it is dropped. The caller
-// holds the lock.
-func (t *leasedTasks) flushResults(now time.Duration) (packets []packet) {
+// flushResults returns packets with the unsent results, as far as the byte budget allows. Other results are dropped.
+// The caller holds the lock.
+func (t *leasedTasks) flushResults(now time.Duration) (packets []outgoingPacket) {
 	interval := max(flushInterval, time.Duration(len(t.members))*flushIntervalPerMember)
-	if now-t.lastFlush < interval || len(t.unsent) == 0 {
+	if now-t.lastFlush < interval || len(t.unsentResults) == 0 {
 		return nil
 	}
 	refill := resultBytesPerSecond * (now - t.lastFlush).Seconds()
 	t.byteBudget = min(t.byteBudget+refill, resultBytesPerSecond)
 	t.lastFlush = now
-	remaining := slices.SortedFunc(maps.Values(t.unsent), func(a, b taskResult) int { return int(a.at - b.at) })
-	clear(t.unsent)
+	remaining := slices.SortedFunc(maps.Values(t.unsentResults), func(a, b taskResult) int { return int(a.finishedAt - b.finishedAt) })
+	clear(t.unsentResults)
 	for len(remaining) > 0 {
 		var message []byte
 		message, remaining = encodeTaskResults(now, remaining)
 		cost := float64(len(message) * max(len(t.members)-1, 0))
 		if cost > t.byteBudget {
-			continue // the next results are newer
+			continue // drop these results, since the next ones are newer
 		}
 		t.byteBudget -= cost
 		t.bytesSent.Add(int64(cost))
 		for _, to := range t.members {
 			if to != t.node.self.Name {
-				packets = append(packets, packet{to, message})
+				packets = append(packets, outgoingPacket{to, message})
 			}
 		}
 	}
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -15,45 +15,46 @@
 
 const (
 	defaultLeaseTerm = 1200 * time.Millisecond
-	// A standby claims a task that it has had no result of for a lease's term, a quarter of the task's interval and
-	// standbyGrace.
+	// A standby claims a task if it has received no result of the task for the sum of a lease's term, the task's
+	// interval divided by standbyIntervalDivisor, and standbyGrace.
 	standbyGrace           = 100 * time.Millisecond
 	standbyIntervalDivisor = 4
-	// standbyTerms is after how many terms a standby gives a task back to its owner, if that one is an active member
-	// again.
+	// standbyTerms is the number of terms after which a standby returns a task to its owner, if the owner is an active
+	// member again.
 	standbyTerms = 8
-	// grantRetention is how long a voter remembers grants that have ended, of tasks that no longer exist.
+	// grantRetention is the time for which a voter keeps expired grants, whose tasks may no longer exist.
 	grantRetention = time.Minute
-	// The margin and the renewal interval of a lease, as parts of its term; quota grants have the same.
+	// The margin and the renewal interval of a lease are its term divided by these. Quota grants use the same divisors.
 	leaseMarginDivisor = 10
 	leaseRenewDivisor  = 6
-	// leaseSeedStream separates the lease holder's random draws from those of the node and other components.
+	// leaseSeedStream separates the lease holder's random draws from the draws of the node and other components.
 	leaseSeedStream = 0x1ea5e
 )
 
-// TaskRunner is the tasks that one member runs for all. Its methods may be called from several goroutines; Names,
+// TaskRunner runs the tasks that one member runs for the whole fleet. Its methods may be called concurrently. Names,
 // Interval and HandleResults must not block.
 type TaskRunner interface {
-	// Names are the names of the tasks that there are now.
+	// Names returns the names of the current tasks.
 	Names() []string
-	// Interval is how often a task runs.
+	// Interval returns the interval at which a task runs.
 	Interval(task string) time.Duration
-	// Run runs a task once under the lease of a fencing token, and calls done once with its result (at most 64
-	// bytes), or with nil.
+	// Run runs a task once under the lease with the given fencing token, and calls done once with the result (at most
+	// 64 bytes), or with nil if there is no result.
 	Run(task string, token uint64, done func(result []byte))
-	// HandleResults takes results, from this process or other members.
+	// HandleResults handles results from this process or other members.
 	HandleResults(results []TaskResult)
 }
 
-// TaskResult is one result of a task.
+// TaskResult is the result of one run of a task, and its age.
 type TaskResult struct {
 	Task string
 	Data []byte
 	Age  time.Duration
 }
 
-// leasedTasks is the component that has each task run by one member at a time: it claims leases on those tasks that
-// the view assigns to this member, votes if it is a voter, runs tasks under its leases and distributes their results.
+// leasedTasks is the component that makes each task run at one member at a time. It claims leases on the tasks that are
+// assigned to this member according to the view, votes if the member is a voter, runs tasks under its leases and
+// distributes their results.
 type leasedTasks struct {
 	node        *Node
 	runner      TaskRunner
@@ -63,25 +64,25 @@
 	bytesSent   atomic.Int64
 
 	mu             sync.Mutex
-	stopped        bool // the process leaves: it wants no lease any more
+	stopped        bool // whether the process leaves and claims no more leases
 	holder         *lease.Holder
-	voter          *lease.Voter // nil: this member is none
+	voter          *lease.Voter // nil if this member is not a voter
 	fence          lease.Fence
-	lastCompaction time.Duration // of the voter's grants
-	lastExpired    *lease.Expired
+	lastCompaction time.Duration  // time of the last compaction of the voter's grants
+	lastExpired    *lease.Expired // expired lease that was logged last
 
-	sortedNames []string // what names was made from
-	names       map[lease.Task]string
-	members     []string // that tasks are assigned to
+	sortedNames []string              // names of the current tasks, sorted
+	names       map[lease.Task]string // names of the current tasks by hash
+	members     []string              // members to which tasks are assigned
 	assignment  lease.Assignment
 
 	nextRun      map[lease.Task]time.Duration
 	lastResult   map[lease.Task]time.Duration
-	standbySince map[lease.Task]time.Duration // claimed in the owner's place since
+	standbySince map[lease.Task]time.Duration // time since which this member claims a task in place of its owner
 
-	unsent     map[lease.Task]taskResult // the latest of each task
-	lastFlush  time.Duration
-	byteBudget float64
+	unsentResults map[lease.Task]taskResult // latest unsent result of each task
+	lastFlush     time.Duration
+	byteBudget    float64 // number of bytes of results that may be sent now
 }
 
 func newLeasedTasks(n *Node, runner TaskRunner) *leasedTasks {
@@ -90,16 +91,16 @@
 	rng := rand.New(rand.NewPCG(n.self.Seed, leaseSeedStream))
 	self := lease.Candidate{Name: n.self.Name, Incarnation: uint64(n.startWall.UnixNano())}
 	t := &leasedTasks{
-		node:         n,
-		runner:       runner,
-		limits:       limits,
-		holder:       lease.NewHolder(self, n.cfg.Voters, limits, rng.Int64N),
-		names:        map[lease.Task]string{},
-		nextRun:      map[lease.Task]time.Duration{},
-		lastResult:   map[lease.Task]time.Duration{},
-		standbySince: map[lease.Task]time.Duration{},
-		unsent:       map[lease.Task]taskResult{},
-		byteBudget:   resultBytesPerSecond,
+		node:          n,
+		runner:        runner,
+		limits:        limits,
+		holder:        lease.NewHolder(self, n.cfg.Voters, limits, rng.Int64N),
+		names:         map[lease.Task]string{},
+		nextRun:       map[lease.Task]time.Duration{},
+		lastResult:    map[lease.Task]time.Duration{},
+		standbySince:  map[lease.Task]time.Duration{},
+		unsentResults: map[lease.Task]taskResult{},
+		byteBudget:    resultBytesPerSecond,
 	}
 	t.holder.ObserveToken(n.self.TokenFloor)
 	if n.cfg.IsVoter(n.self.Name) {
@@ -123,12 +124,12 @@
 	}
 }
 
-// tick implements component: it claims leases, runs the tasks that are due and sends results.
+// tick implements component. It claims leases, runs the tasks that are due and sends results.
 func (t *leasedTasks) tick(now time.Duration) {
 	v := t.node.View()
 	t.mu.Lock()
-	t.assign(now, v)
-	t.shareHighestToken()
+	t.assignTasks(now, v)
+	t.propagateHighestToken()
 	t.compactVoter(now)
 	t.holder.SetWanted(now, t.wantedTasks(now))
 	request, hasRequest := t.holder.Step(now)
@@ -140,14 +141,14 @@
 		t.sendRequest(request)
 	}
 	for _, task := range due {
-		t.run(task)
+		t.runTask(task)
 	}
 	for _, p := range packets {
 		t.node.send(p.to, p.data)
 	}
 }
 
-// stop implements component: it releases all leases, so that other members may claim them at once.
+// stop implements component. It releases all leases, so that other members may claim them at once.
 func (t *leasedTasks) stop() {
 	t.mu.Lock()
 	t.stopped = true
@@ -155,24 +156,24 @@
 	t.tick(t.node.now())
 }
 
-// highestToken is the highest fencing token that this member knows of.
+// highestToken returns the highest fencing token that this member knows.
 func (t *leasedTasks) highestToken() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.fence.HighestToken(), t.holder.HighestToken())
 }
 
-// observeToken takes the highest fencing token that another member knows of, so that a process that starts neither
-// grants nor claims lower ones: it learns them while its voter is recovering and may not vote yet.
+// observeToken records the highest fencing token that another member knows, so that a process that has just started
+// neither grants nor claims lower ones. The tokens arrive while its voter is recovering and may not vote yet.
 func (t *leasedTasks) observeToken(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.holder.ObserveToken(token)
 }
 
-// shareHighestToken makes the highest fencing token known to the holder, the voter and the process. The caller holds
-// the lock.
-func (t *leasedTasks) shareHighestToken() {
+// propagateHighestToken passes the highest known fencing token to the holder, the voter and the process. The caller
+// holds the lock.
+func (t *leasedTasks) propagateHighestToken() {
 	highest := max(t.fence.HighestToken(), t.holder.HighestToken())
 	t.holder.ObserveToken(highest)
 	if t.node.self.ObserveToken != nil {
@@ -183,7 +184,7 @@
 	}
 }
 
-// compactVoter has the voter forget old grants from time to time. The caller holds the lock.
+// compactVoter makes the voter drop old grants every grantRetention. The caller holds the lock.
 func (t *leasedTasks) compactVoter(now time.Duration) {
 	if t.voter != nil && now-t.lastCompaction > grantRetention {
 		t.lastCompaction = now
@@ -191,7 +192,7 @@
 	}
 }
 
-// logExpired logs a lease that has expired since it was called last. The caller holds the lock.
+// logExpired logs the last lease that has expired, unless it is logged already. The caller holds the lock.
 func (t *leasedTasks) logExpired() {
 	expired := t.holder.LastExpired()
 	if expired == nil || expired == t.lastExpired {
@@ -201,7 +202,7 @@
 	slog.Info("lease_expired", "task", t.names[expired.Task], "token", expired.Token, "reason", expired.Reason)
 }
 
-// dueTasks are the tasks under lease that are to run now, and schedules their next runs. The caller holds the lock.
+// dueTasks returns the tasks under lease that are to run now, and schedules their next runs. The caller holds the lock.
 func (t *leasedTasks) dueTasks(now time.Duration) []lease.Task {
 	var due []lease.Task
 	for _, l := range t.holder.Leases(now) {
@@ -213,9 +214,9 @@
 	return due
 }
 
-// assign assigns the tasks to members again, if the tasks or the active members have changed. The caller holds the
-// lock.
-func (t *leasedTasks) assign(now time.Duration, v membership.View) {
+// assignTasks assigns the tasks to members again if the tasks or the members to which they may be assigned have
+// changed. The caller holds the lock.
+func (t *leasedTasks) assignTasks(now time.Duration, v membership.View) {
 	names := t.runner.Names()
 	slices.Sort(names)
 	var members []string
@@ -239,18 +240,18 @@
 	retainKeys(t.lastResult, t.names)
 	retainKeys(t.nextRun, t.names)
 	retainKeys(t.standbySince, t.names)
-	retainKeys(t.unsent, t.names)
+	retainKeys(t.unsentResults, t.names)
 	t.fence.Retain(func(task lease.Task) bool { return t.names[task] != "" })
 	t.assignment = lease.Assign(slices.Collect(maps.Keys(t.names)), members)
 }
 
-// retainKeys drops the entries of tasks that no longer exist.
+// retainKeys deletes the entries of tasks that no longer exist.
 func retainKeys[V any](entries map[lease.Task]V, names map[lease.Task]string) {
 	maps.DeleteFunc(entries, func(task lease.Task, _ V) bool { return names[task] == "" })
 }
 
-// wantedTasks are the tasks that this member owns, and those that it is the standby for and whose lease seems to have
-// expired. The caller holds the lock.
+// wantedTasks returns the tasks whose leases this member is to claim: the tasks that it owns, and the tasks for which
+// it is the standby and whose lease seems to have expired. The caller holds the lock.
 func (t *leasedTasks) wantedTasks(now time.Duration) map[lease.Task]bool {
 	wanted := map[lease.Task]bool{}
 	if t.stopped || t.node.isSelfRestricted() {
@@ -263,7 +264,7 @@
 			wanted[task] = true
 			delete(t.standbySince, task)
 		case t.assignment.Standby[task]:
-			if t.standsInFor(task, now) {
+			if t.claimsAsStandby(task, now) {
 				wanted[task] = true
 			}
 		}
@@ -271,15 +272,15 @@
 	return wanted
 }
 
-// standsInFor tells whether this member, as the standby of a task, claims it in the owner's place. The caller holds
-// the lock.
-func (t *leasedTasks) standsInFor(task lease.Task, now time.Duration) bool {
+// claimsAsStandby reports whether this member, as the standby of a task, claims it in place of the owner. The caller
+// holds the lock.
+func (t *leasedTasks) claimsAsStandby(task lease.Task, now time.Duration) bool {
 	since, claiming := t.standbySince[task]
 	switch {
 	case claiming && now-since < standbyTerms*t.limits.Term:
 		return true
 	case claiming:
-		delete(t.standbySince, task) // the owner is active, or the task would be assigned to another by now
+		delete(t.standbySince, task) // the owner is active, or the task would have been assigned again by now
 		t.lastResult[task] = now
 	case now-t.lastResult[task] > t.resultTimeout(task):
 		t.standbySince[task] = now
@@ -288,12 +289,12 @@
 	return false
 }
 
-// resultTimeout is after how long without a result a task's lease seems to have expired.
+// resultTimeout returns the time without a result after which the lease of a task is assumed to have expired.
 func (t *leasedTasks) resultTimeout(task lease.Task) time.Duration {
 	return t.limits.Term + standbyGrace + t.runner.Interval(t.names[task])/standbyIntervalDivisor
 }
 
-// sendRequest sends a request to all voters; this member's own voter is called directly.
+// sendRequest sends a request to all voters. If this member is a voter, its own voter is called directly.
 func (t *leasedTasks) sendRequest(request lease.Request) {
 	packets := encodeLeaseRequest(request)
 	for _, voter := range t.node.cfg.Voters {
@@ -307,7 +308,7 @@
 	}
 }
 
-// handleRequest answers a request as a voter; a member that is none ignores it.
+// handleRequest answers a request as a voter. A member that is not a voter ignores it.
 func (t *leasedTasks) handleRequest(request lease.Request) {
 	t.mu.Lock()
 	if t.voter == nil {
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -13,12 +13,12 @@
 	"rampspread/internal/testutil"
 )
 
-// taskLog records which member ran which task under which lease, and who received results.
-type taskLog struct {
+// taskRecorder records which member ran which task under which lease, and which members received results.
+type taskRecorder struct {
 	mu         sync.Mutex
 	names      []string
 	executions []execution
-	results    map[string]int // "MEMBER of TASK" -> count
+	results    map[string]int // "MEMBER of TASK" -> number of results of the task that the member received
 }
 
 type execution struct {
@@ -26,47 +26,47 @@
 	token        uint64
 }
 
-// loggingRunner is a TaskRunner of one member that only records.
-type loggingRunner struct {
-	*taskLog
+// recordingRunner is the TaskRunner of one member. It only records runs and results.
+type recordingRunner struct {
+	*taskRecorder
 	member string
 }
 
-func (r loggingRunner) Names() []string {
+func (r recordingRunner) Names() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.names)
 }
 
-func (r loggingRunner) Interval(string) time.Duration { return 50 * time.Millisecond }
+func (r recordingRunner) Interval(string) time.Duration { return 50 * time.Millisecond }
 
-func (r loggingRunner) Run(task string, token uint64, done func([]byte)) {
+func (r recordingRunner) Run(task string, token uint64, done func([]byte)) {
 	r.mu.Lock()
 	r.executions = append(r.executions, execution{r.member, task, token})
 	r.mu.Unlock()
 	done([]byte(r.member))
 }
 
-func (r loggingRunner) HandleResults(results []TaskResult) {
+func (r recordingRunner) HandleResults(results []TaskResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range results {
-		r.results[r.member+" of "+f.Task]++
+	for _, result := range results {
+		r.results[r.member+" of "+result.Task]++
 	}
 }
 
-// latestExecutors are the members that ran each task last.
-func (l *taskLog) latestExecutors() map[string]string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// latestExecutors returns the member that ran each task last.
+func (r *taskRecorder) latestExecutors() map[string]string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := map[string]string{}
-	for _, e := range l.executions {
+	for _, e := range r.executions {
 		out[e.task] = e.member
 	}
 	return out
 }
 
-// leasedTasksOf is the node's component of leased tasks.
+// leasedTasksOf returns the leasedTasks component of a node.
 func leasedTasksOf(t *testing.T, n *Node) *leasedTasks {
 	t.Helper()
 	tasks, ok := componentOf[*leasedTasks](n)
@@ -76,22 +76,23 @@
 	return tasks
 }
 
-// tasksConfigJSON is the configuration of a fleet of four members, of which the first three are voters.
+// tasksConfigJSON returns the configuration of a fleet with one member on each of the hosts. The first three are
+// voters.
 func tasksConfigJSON(hosts ...int) string {
-	voters := fmt.Sprintf(`"voters":[%q,%q,%q]`, hostName(hosts[0]), hostName(hosts[1]), hostName(hosts[2]))
+	voters := fmt.Sprintf(`"voters":[%q,%q,%q]`, memberName(hosts[0]), memberName(hosts[1]), memberName(hosts[2]))
 	text := configJSON("f", testKey, hosts...)
 	return strings.Replace(text, `"probe_ms":100`, `"probe_ms":100,"term_ms":400,`+voters, 1)
 }
 
-// startTaskNode starts the member of that host with the tasks of the log.
-func startTaskNode(t *testing.T, c *taskLog, text string, host int) *Node {
+// startTaskNode starts the member on a host with the tasks of the recorder.
+func startTaskNode(t *testing.T, recorder *taskRecorder, text string, host int) *Node {
 	t.Helper()
-	name := hostName(host)
+	name := memberName(host)
 	cfg, err := Parse([]byte(text), name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Start(cfg, Options{Name: name, Version: "1", Seed: uint64(host), Tasks: loggingRunner{c, name},
+	n, err := Start(cfg, Options{Name: name, Version: "1", Seed: uint64(host), Tasks: recordingRunner{recorder, name},
 		LocalState: func() LocalState { return LocalState{Serving: true} }}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -100,51 +101,52 @@
 	return n
 }
 
-// Tasks are divided among the members, each runs at one member at a time under a lease, all receive the results, and
-// the tasks of a member that crashes are taken over. A minority runs nothing.
+// Tasks are divided among the members, each task runs at one member at a time under a lease, all members receive the
+// results, and other members take over the tasks of a member that crashes. A member that reaches only a minority of the
+// voters must run nothing.
 func TestTasksAreDividedAndTakenOver(t *testing.T) {
 	text := tasksConfigJSON(60, 61, 62, 63)
-	c := &taskLog{results: map[string]int{}}
+	recorder := &taskRecorder{results: map[string]int{}}
 	for i := range 12 {
-		c.names = append(c.names, fmt.Sprint("task", i))
+		recorder.names = append(recorder.names, fmt.Sprint("task", i))
 	}
 	var nodes []*Node
 	for _, h := range []int{60, 61, 62, 63} {
-		nodes = append(nodes, startTaskNode(t, c, text, h))
+		nodes = append(nodes, startTaskNode(t, recorder, text, h))
 	}
-	testutil.Eventually(t, "each member to run its part", func() bool {
-		load := map[string]int{}
-		for _, who := range c.latestExecutors() {
-			load[who]++
+	testutil.Eventually(t, "each member to run a quarter of the tasks", func() bool {
+		tasksByMember := map[string]int{}
+		for _, executor := range recorder.latestExecutors() {
+			tasksByMember[executor]++
 		}
-		return len(c.latestExecutors()) == 12 && len(load) == 4 &&
-			load["n60"] <= 3 && load["n61"] <= 3 && load["n62"] <= 3 && load["n63"] <= 3
+		return len(recorder.latestExecutors()) == 12 && len(tasksByMember) == 4 &&
+			tasksByMember["n60"] <= 3 && tasksByMember["n61"] <= 3 && tasksByMember["n62"] <= 3 && tasksByMember["n63"] <= 3
 	})
-	testutil.Eventually(t, "all to receive the results of all", func() bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return len(c.results) == 4*12
+	testutil.Eventually(t, "all members to receive the results of all tasks", func() bool {
+		recorder.mu.Lock()
+		defer recorder.mu.Unlock()
+		return len(recorder.results) == 4*12
 	})
 	if s, ok := nodes[1].TasksStatus(); !ok || len(s.Tasks) != 12 || s.Tasks[0].Owner == "" || s.Recovering {
 		t.Errorf("%+v", s)
 	}
 	crash(nodes[3])
-	testutil.Eventually(t, "its tasks to be taken over", func() bool {
-		return !slices.Contains(slices.Collect(maps.Values(c.latestExecutors())), "n63")
+	testutil.Eventually(t, "the tasks of the crashed member to be taken over", func() bool {
+		return !slices.Contains(slices.Collect(maps.Values(recorder.latestExecutors())), "n63")
 	})
-	c.mu.Lock()
+	recorder.mu.Lock()
 	tokens := map[string]uint64{}
-	for _, d := range c.executions {
+	for _, d := range recorder.executions {
 		if d.token < tokens[d.task] {
 			t.Errorf("%s ran under lease %d at %s after lease %d", d.task, d.token, d.member, tokens[d.task])
 		}
 		tokens[d.task] = d.token
 	}
-	c.mu.Unlock()
+	recorder.mu.Unlock()
 	for _, n := range nodes[1:3] { // one voter of three remains
 		crash(n)
 	}
-	held := func() int {
+	countHeldLeases := func() int {
 		s, _ := nodes[0].TasksStatus()
 		n := 0
 		for _, d := range s.Tasks {
@@ -154,11 +156,11 @@
 		}
 		return n
 	}
-	testutil.Eventually(t, "the minority to hold nothing", func() bool { return held() == 0 })
+	testutil.Eventually(t, "the minority to hold no lease", func() bool { return countHeldLeases() == 0 })
 	executions := leasedTasksOf(t, nodes[0]).executions.Load()
 	for range 20 {
-		time.Sleep(componentInterval) // that nothing is held for twenty intervals is what is tested
-		if held() > 0 {
+		time.Sleep(componentInterval) // the minority must hold no lease for twenty intervals
+		if countHeldLeases() > 0 {
 			t.Fatal("a minority holds a lease")
 		}
 	}
@@ -167,24 +169,25 @@
 	}
 }
 
-// Fencing tokens go on from the highest that any member knows, even if it holds no lease, has no vote, and all voters
-// have just started: they learn the token while they are recovering. Otherwise that member would ignore all results.
+// New fencing tokens must be higher than the highest that any member knows, even if that member holds no lease and is
+// not a voter, and all voters have just started. The voters receive its token while they are recovering. With lower
+// tokens that member would reject all results.
 func TestTokensGoOnFromAnyMemberThatKnowsThem(t *testing.T) {
 	text := tasksConfigJSON(70, 71, 72, 73)
-	c := &taskLog{results: map[string]int{}, names: []string{"one"}}
-	knowing := startTaskNode(t, c, text, 73)
-	tasks := leasedTasksOf(t, knowing)
+	recorder := &taskRecorder{results: map[string]int{}, names: []string{"one"}}
+	nodeWithToken := startTaskNode(t, recorder, text, 73)
+	tasks := leasedTasksOf(t, nodeWithToken)
 	tasks.mu.Lock()
-	tasks.fence.Accept(knowing.now(), lease.TaskOf("gone"), 50)
+	tasks.fence.Accept(nodeWithToken.now(), lease.TaskOf("gone"), 50)
 	tasks.mu.Unlock()
 	tasks.observeToken(50)
 	for _, h := range []int{70, 71, 72} {
-		startTaskNode(t, c, text, h)
+		startTaskNode(t, recorder, text, h)
 	}
-	testutil.Eventually(t, "the task to run", func() bool { return len(c.latestExecutors()) == 1 })
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := c.executions[0].token; n <= 50 {
-		t.Errorf("it ran under lease %d, and 50 is known", n)
+	testutil.Eventually(t, "the task to run", func() bool { return len(recorder.latestExecutors()) == 1 })
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	if n := recorder.executions[0].token; n <= 50 {
+		t.Errorf("the task ran under token %d, want one over 50, which a member knows", n)
 	}
 }
--- a/internal/fleet/taskstatus.go
+++ b/internal/fleet/taskstatus.go
@@ -7,31 +7,31 @@
 	"rampspread/internal/fleet/lease"
 )
 
-// TasksStatus is the leased tasks as operators are shown them.
+// TasksStatus is the state of the leased tasks as shown to operators.
 type TasksStatus struct {
 	Self        string       `json:"self"`
 	Voters      []string     `json:"voters"`
-	Recovering  bool         `json:"mute"` // this member is a voter that does not vote yet
+	Recovering  bool         `json:"mute"` // whether this member is a voter that does not vote yet
 	Tasks       []TaskStatus `json:"duties"`
-	LastExpired string       `json:"lapsed,omitempty"` // the lease that expired last here, and why
+	LastExpired string       `json:"lapsed,omitempty"` // last lease that expired at this member, and the reason
 	Executions  int64        `json:"acts"`
-	LateResults int64        `json:"late"`  // results of leases that others have followed
-	BytesSent   int64        `json:"bytes"` // of results sent
+	LateResults int64        `json:"late"`  // number of results rejected because of a later lease
+	BytesSent   int64        `json:"bytes"` // number of bytes of results sent
 }
 
-// TaskStatus is one task as operators are shown it.
+// TaskStatus is the state of one task as shown to operators.
 type TaskStatus struct {
 	Task        string  `json:"duty"`
-	Owner       string  `json:"owner"` // by this member's view
+	Owner       string  `json:"owner"` // owner according to this member's view
 	Standby     string  `json:"standby"`
-	Held        bool    `json:"held"` // this member holds the lease
+	Held        bool    `json:"held"` // whether this member holds the lease
 	Token       uint64  `json:"number"`
 	HeldForS    float64 `json:"for_s"`
 	RemainingS  float64 `json:"left_s"`
-	LastResultS float64 `json:"heard_s"` // since the last result, from any member
+	LastResultS float64 `json:"heard_s"` // time since the last result from any member
 }
 
-// TasksStatus is which member runs which task, for operators; false: tasks are not enabled.
+// TasksStatus returns the state of the tasks for operators, or false if tasks are not enabled.
 func (n *Node) TasksStatus() (s TasksStatus, ok bool) {
 	tasks, ok := componentOf[*leasedTasks](n)
 	if !ok {
@@ -61,7 +61,7 @@
 	return s
 }
 
-// taskStatus is the status of one task, by the leases that this member holds. The caller holds the lock.
+// taskStatus returns the status of one task, given the leases that this member holds. The caller holds the lock.
 func (t *leasedTasks) taskStatus(now time.Duration, name string, leases map[lease.Task]lease.Lease) TaskStatus {
 	task := lease.TaskOf(name)
 	l, held := leases[task]
--- a/internal/fleet/tombstone/digest.go
+++ b/internal/fleet/tombstone/digest.go
@@ -8,30 +8,30 @@
 	"rampspread/routing"
 )
 
-// MaxReplicas bounds a Digest.
+// MaxReplicas is the maximum number of replicas in a Digest.
 const MaxReplicas = 4096
 
-// Digest is a list as it is sent to peers: the hashes of the names on it.
+// Digest is the form in which an endpoint list is sent to peers: its version and the hashes of the replicas' names.
 type Digest struct {
 	Version         uint64
-	Ready, Draining []uint64 // sorted
+	Ready, Draining []uint64 // sorted hashes of the replicas in that state
 }
 
-// Hash is a replica's name in a Digest.
+// Hash returns the hash that stands for a replica's name in a Digest.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// state is a replica's state by the digest.
-func (d *Digest) state(name uint64) routing.EndpointState {
-	if _, ok := slices.BinarySearch(d.Ready, name); ok {
+// state returns the state of a replica according to the digest: a replica that is missing from it is gone.
+func (d *Digest) state(hash uint64) routing.EndpointState {
+	if _, ok := slices.BinarySearch(d.Ready, hash); ok {
 		return routing.Ready
 	}
-	if _, ok := slices.BinarySearch(d.Draining, name); ok {
+	if _, ok := slices.BinarySearch(d.Draining, hash); ok {
 		return routing.Draining
 	}
 	return routing.Gone
 }
 
-// Digest is the own list as it is to be sent to peers.
+// Digest returns the digest of the own list, to be sent to peers.
 func (t *Table) Digest() Digest {
 	d := Digest{Version: t.version}
 	for name, state := range t.own {
--- a/internal/fleet/tombstone/golden_test.go
+++ b/internal/fleet/tombstone/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Members compare replicas by the hashes of their names.
+// Members of different program versions identify replicas by these hashes, so the hash function must not change.
 func TestGoldenHash(t *testing.T) {
 	for name, want := range map[string]uint64{
 		"":           0xef46db3751d8e999,
--- a/internal/fleet/tombstone/sim_test.go
+++ b/internal/fleet/tombstone/sim_test.go
@@ -16,35 +16,36 @@
 	simSteps    = 2000
 	simMembers  = 5
 	simReplicas = 12
-	// maxNotReady bounds the replicas that are not ready at once, so that peers never suppress too much.
+	// maxNotReady limits how many replicas are not ready at the same time, so that digests are never ignored because
+	// they would suppress too many.
 	maxNotReady = 3
 )
 
-// mutant is a fault built into what a member does, which the checker has to catch.
+// mutant is a deliberate fault in the behaviour of the members that the checker has to detect.
 type mutant struct {
 	name           string
 	limits         Limits
 	corruptDigest  func(Digest) Digest
-	singlePeerName bool // one peer's newer digest undoes another's
+	singlePeerName bool // all digests are applied under one peer name, so a newer one replaces those of other peers
 }
 
 type endpointStates map[string]routing.EndpointState
 
-// receivedDigest is what the checker knows of a digest that a member received.
+// receivedDigest is the checker's record of a digest that a member received.
 type receivedDigest struct {
-	version uint64 // true version of the sender's list
-	at      time.Duration
+	version    uint64 // true version of the sender's list
+	receivedAt time.Duration
 }
 
-// sim plays members with lists of different age, which send each other digests over a network that loses and delays,
-// and restart with older lists.
+// sim simulates members with lists of different versions, which send each other digests over a network that loses some
+// of them, and which restart with older lists.
 type sim struct {
 	rng      *rand.Rand
 	mutant   mutant
 	now      time.Duration
-	versions []endpointStates // the true list, by version
+	versions []endpointStates // true list of each version
 	tables   []*Table
-	received []map[int]receivedDigest // by receiver and sender
+	received []map[int]receivedDigest // latest digest by receiver and sender
 }
 
 func newSim(seed uint64, m mutant) *sim {
@@ -64,15 +65,15 @@
 	return s
 }
 
-func (s *sim) newest() uint64 { return uint64(len(s.versions) - 1) }
+func (s *sim) newestVersion() uint64 { return uint64(len(s.versions) - 1) }
 
-// start starts a member anew, with a list of a version.
+// start replaces a member's table by an empty one, as in a restart, and gives it the list of a version.
 func (s *sim) start(i int, version uint64) {
 	s.tables[i], s.received[i] = New(s.mutant.limits), map[int]receivedDigest{}
 	s.updateOwn(i, version)
 }
 
-// updateOwn gives a member a list of a version, whole or as changes.
+// updateOwn gives a member the list of a version, in full or as changes.
 func (s *sim) updateOwn(i int, version uint64) {
 	var entries []Endpoint
 	t := s.tables[i]
@@ -92,9 +93,9 @@
 	t.UpdateOwn(s.now, version, full, entries)
 }
 
-// changeList makes a new version of the true list, and reports whether it did.
+// changeList creates a new version of the true list, and reports whether it did.
 func (s *sim) changeList() bool {
-	next := maps.Clone(s.versions[s.newest()])
+	next := maps.Clone(s.versions[s.newestVersion()])
 	name, ready := fmt.Sprint(s.rng.IntN(simReplicas)), 0
 	for _, state := range next {
 		if state == routing.Ready {
@@ -116,7 +117,8 @@
 	return true
 }
 
-// sendDigest sends a member's digest to another one with an older list, and reports whether it was delivered.
+// sendDigest sends a member's digest to another member if that one has an older list, and reports whether it was
+// delivered.
 func (s *sim) sendDigest(from int) bool {
 	to := s.rng.IntN(simMembers)
 	if to == from || s.rng.IntN(4) == 0 || s.tables[to].Version() >= s.tables[from].Version() {
@@ -136,18 +138,18 @@
 	return true
 }
 
-// event plays one event, and reports whether anything may have changed.
+// event simulates one random event, and reports whether anything may have changed.
 func (s *sim) event() bool {
 	switch i := s.rng.IntN(simMembers); s.rng.IntN(8) {
 	case 0, 1:
 		return s.changeList()
-	case 2, 3: // its list advances
-		if next := s.tables[i].Version() + uint64(s.rng.IntN(3)); next <= s.newest() && next > s.tables[i].Version() {
+	case 2, 3: // the member receives a newer list
+		if next := s.tables[i].Version() + uint64(s.rng.IntN(3)); next <= s.newestVersion() && next > s.tables[i].Version() {
 			s.updateOwn(i, next)
 		}
-	case 4: // it restarts, with a list that may be old
+	case 4: // the member restarts, with a list that may be old
 		if s.rng.IntN(6) == 0 {
-			s.start(i, s.newest()-uint64(s.rng.IntN(int(min(s.newest(), 3)))))
+			s.start(i, s.newestVersion()-uint64(s.rng.IntN(int(min(s.newestVersion(), 3)))))
 		}
 	default:
 		return s.sendDigest(i)
@@ -155,14 +157,14 @@
 	return true
 }
 
-// check finds a replica that is ready at a member although a newer list that it received does not have it ready, or one
-// that is suppressed although the own list is the newest, or all digests are older than the TTL.
+// check returns an error if a replica is ready at a member although a newer list whose digest it received does not list
+// it as ready, or if a replica is suppressed although the own list is the newest or all digests are older than the TTL.
 func (s *sim) check(i int) error {
 	t := s.tables[i]
-	ended, silent := map[string]bool{}, true
+	ended, allExpired := map[string]bool{}, true
 	for _, r := range s.received[i] {
-		silent = silent && s.now-r.at > DefaultLimits.PeerDigestTTL
-		if r.version <= t.Version() || s.now-r.at >= DefaultLimits.PeerDigestTTL {
+		allExpired = allExpired && s.now-r.receivedAt > DefaultLimits.PeerDigestTTL
+		if r.version <= t.Version() || s.now-r.receivedAt >= DefaultLimits.PeerDigestTTL {
 			continue
 		}
 		for name := range s.versions[t.Version()] {
@@ -175,17 +177,17 @@
 		got := t.State(name)
 		switch {
 		case got == routing.Ready && ended[name] && len(ended) <= simReplicas/3:
-			return fmt.Errorf("member %d, list %d: %s is ready", i, t.Version(), name)
-		case got != state && t.Version() == s.newest():
-			return fmt.Errorf("member %d has the newest list, and suppresses %s", i, name)
-		case got != state && silent:
-			return fmt.Errorf("member %d suppresses %s, and no peer has sent a digest within the TTL", i, name)
+			return fmt.Errorf("member %d with list version %d: replica %s is ready, but not in a newer list", i, t.Version(), name)
+		case got != state && t.Version() == s.newestVersion():
+			return fmt.Errorf("member %d has the newest list, but suppresses replica %s", i, name)
+		case got != state && allExpired:
+			return fmt.Errorf("member %d suppresses replica %s, but no peer has sent a digest within the TTL", i, name)
 		}
 	}
 	return nil
 }
 
-// simulate plays simSteps and returns the violation that it found.
+// simulate runs simSteps random events and returns the first violation.
 func simulate(seed uint64, m mutant) error {
 	s := newSim(seed, m)
 	for step := range simSteps {
@@ -203,6 +205,8 @@
 	return nil
 }
 
+// Members whose lists are stale, lost digests and restarts must not make a member send to a replica that a newer list
+// has removed, nor suppress a replica without a valid digest.
 func TestStaleMembersNeverUseWhatTheyKnowEnded(t *testing.T) {
 	for seed := range uint64(simSeeds) {
 		if err := simulate(seed, mutant{limits: DefaultLimits}); err != nil {
@@ -211,7 +215,7 @@
 	}
 }
 
-// The same checker catches each fault that is built in.
+// The checker of the simulation detects each deliberate fault.
 func TestCheckerCatchesMutants(t *testing.T) {
 	withoutTTL := DefaultLimits
 	withoutTTL.PeerDigestTTL = 1 << 60
--- a/internal/fleet/tombstone/tombstone.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -1,17 +1,17 @@
-// Package tombstone keeps a member whose endpoint list is stale from sending to replicas that the newer lists of other
-// members have ended.
+// Package tombstone stops a member whose endpoint list is stale from sending to replicas that newer lists of other
+// members have removed or set to draining.
 //
-// The algorithm is that of tombstones in replicated stores (Demers et al., "Epidemic algorithms for replicated database
-// maintenance", PODC 1987: death certificates): the knowledge that an entry was deleted overrides older copies of it
-// for a bounded time (Limits.PeerReportTTL). Here a peer sends a digest of its whole list, the hashes of the names on
-// it, rather than what was deleted since some version: a process that has just started knows the list and nothing of
-// what was before. A name that is missing from a newer digest is a tombstone.
+// The algorithm uses tombstones as replicated stores do ("death certificates" in Demers et al., "Epidemic algorithms
+// for replicated database maintenance", PODC 1987): the record that an entry was deleted overrides older copies of the
+// entry for a bounded time (Limits.PeerDigestTTL). Here a peer sends a digest of its whole list, the hashes of the
+// names on it, rather than the entries deleted since some version, because a process that has just started has the
+// current list but not its history. A name that is missing from a newer digest is a tombstone.
 //
-// A member takes what a replica is, and its address, from discovery alone; from peers it takes only which of its
-// replicas are gone or draining by a newer version. So peers can keep a member from a replica, and never make it send
-// anywhere.
+// A member takes the properties and the address of a replica from discovery alone. From peers it takes only which of
+// its replicas are gone or draining in a newer version. So peers can stop a member from using a replica, but cannot
+// make it use another one.
 //
-// The package does no I/O and has no clock. A Table is not safe for concurrent use.
+// The package does no I/O and reads no clock. A Table is not safe for concurrent use.
 package tombstone
 
 import (
@@ -21,57 +21,59 @@
 	"rampspread/routing"
 )
 
-// ownPast is the peer name under which a Table remembers its own list from before its version went back.
-const ownPast = ""
+// ownPreviousList is the peer name under which a Table stores the digest of its own list from before the list's version
+// went back.
+const ownPreviousList = ""
 
-// Limits bound what is taken from peers.
+// Limits bounds the effect of peers' digests.
 type Limits struct {
-	// PeerDigestTTL is for how long a peer's digest holds after it was last received. A peer that runs sends it again
-	// for as long as this member is behind, so it ends only with its peer, or with discovery's version count, if that
-	// starts over.
+	// PeerDigestTTL is the time for which a peer's digest is valid after it was last received. A running peer repeats
+	// its digest as long as this member's list is older, so a digest expires only after its peer has stopped, or after
+	// discovery's version count has started over.
 	PeerDigestTTL time.Duration
-	// MaxSuppressedFraction is the largest fraction of the own list that peers may suppress. Beyond it their digests
-	// are all ignored: they act on another list, or one of them is wrong, and most replicas aren't given up for that.
+	// MaxSuppressedFraction is the largest fraction of the own list that peers may suppress. If their digests would
+	// suppress more, all digests are ignored: either the peers use another list or one digest is wrong, and neither
+	// justifies giving up most replicas.
 	MaxSuppressedFraction float64
 }
 
 // DefaultLimits are the limits that members use.
 var DefaultLimits = Limits{PeerDigestTTL: 60 * time.Second, MaxSuppressedFraction: 0.5}
 
-// Endpoint is a replica on a list.
+// Endpoint is a replica on an endpoint list.
 type Endpoint struct {
 	Name  string
 	State routing.EndpointState
 }
 
-// Table is what one member knows of its own list and of its peers' lists. It is not safe for concurrent use.
+// Table holds a member's own endpoint list and the digests of its peers' lists. It is not safe for concurrent use.
 type Table struct {
 	limits      Limits
-	version     uint64 // of the own list; 0: none yet
+	version     uint64 // version of the own list, or 0 before the first list
 	own         map[string]routing.EndpointState
-	peers       map[string]peerReport // the last of each peer
-	ignorePeers bool                  // the peers' digests would suppress too much
+	peers       map[string]peerDigest // latest digest of each peer
+	ignorePeers bool                  // whether the peers' digests would suppress more than MaxSuppressedFraction
 	rejected    int
 }
 
-// peerReport is a peer's digest and when it was received.
-type peerReport struct {
+// peerDigest is a digest from a peer with the time at which it was received.
+type peerDigest struct {
 	Digest
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// New returns a table that knows no list yet.
+// New returns a table without a list.
 func New(limits Limits) *Table {
-	return &Table{limits: limits, own: map[string]routing.EndpointState{}, peers: map[string]peerReport{}}
+	return &Table{limits: limits, own: map[string]routing.EndpointState{}, peers: map[string]peerDigest{}}
 }
 
-// Version is that of the own list; 0 means that there is none yet.
+// Version returns the version of the own list, or 0 before the first list.
 func (t *Table) Version() uint64 { return t.version }
 
-// Rejections counts how many times the peers' digests began to suppress too much and were ignored.
+// Rejections returns how many times the peers' digests began to suppress too many replicas and were therefore ignored.
 func (t *Table) Rejections() int { return t.rejected }
 
-// Suppressed is the number of replicas that peers suppress now.
+// Suppressed returns the number of replicas that peers suppress now.
 func (t *Table) Suppressed() (n int) {
 	for name, state := range t.own {
 		if t.State(name) != state {
@@ -81,7 +83,7 @@
 	return n
 }
 
-// State is the state that this member is to act on for a replica.
+// State returns the state of a replica that this member is to act on.
 func (t *Table) State(name string) routing.EndpointState {
 	if t.ignorePeers {
 		return t.own[name]
@@ -89,13 +91,14 @@
 	return t.worstState(name)
 }
 
-// worstState is a replica's state by the own list and all newer digests. One peer's newer digest does not undo
-// another's, so none can revive what others have ended; each sends its newest again and again.
+// worstState returns a replica's state by the own list and all newer digests. A digest that lists a replica as ready
+// does not override another peer's digest that does not, whichever is newer, so no peer can revive a replica that
+// another peer has removed. Each peer sends its latest digest repeatedly, and it replaces that peer's earlier one.
 func (t *Table) worstState(name string) routing.EndpointState {
 	state, hash := t.own[name], Hash(name)
-	for _, report := range t.peers {
-		if report.Version > t.version && state != routing.Gone {
-			if s := report.state(hash); s != routing.Ready {
+	for _, received := range t.peers {
+		if received.Version > t.version && state != routing.Gone {
+			if s := received.state(hash); s != routing.Ready {
 				state = s
 			}
 		}
@@ -103,16 +106,16 @@
 	return state
 }
 
-// UpdateOwn takes a list from discovery, or with full unset the changes to the last one, and returns the names whose
-// State has changed, in order. An older version than the last may be an old list or a version count that has started
-// over, and these can't be told apart: it is taken, and what the list before it had ended stays ended for PeerReportTTL,
-// as if a peer had sent that list.
+// UpdateOwn applies a list from discovery, or the changes to the last list if full is false, and returns the names
+// whose State has changed, sorted. A lower version than the last one means either an old list or a version count that
+// has started over, and the two cannot be told apart. Such a list is accepted, and what the list before it had removed
+// or set to draining stays so for PeerDigestTTL, as if a peer had sent that list.
 //
 //revive:disable-next-line:flag-parameter full comes with discovery's event and is passed on by endpointfilter
 func (t *Table) UpdateOwn(now time.Duration, version uint64, full bool, entries []Endpoint) (changed []string) {
 	return t.update(func() {
 		if version < t.version {
-			t.peers[ownPast] = peerReport{t.Digest(), now}
+			t.peers[ownPreviousList] = peerDigest{t.Digest(), now}
 		}
 		if full {
 			t.own = make(map[string]routing.EndpointState, len(entries))
@@ -127,32 +130,32 @@
 	})
 }
 
-// UpdatePeer takes the digest of the list that a peer acts on, and returns the names whose State has changed, in order.
-// A digest that is no newer than the own list, or beyond MaxReplicas, is ignored.
+// UpdatePeer applies the digest of the list that a peer acts on, and returns the names whose State has changed, sorted.
+// A digest that is not newer than the own list, or that has more than MaxReplicas replicas, is ignored.
 func (t *Table) UpdatePeer(now time.Duration, peer string, d Digest) (changed []string) {
 	if d.Version <= t.version || len(d.Ready)+len(d.Draining) > MaxReplicas {
 		return nil
 	}
 	return t.update(func() {
 		sorted := Digest{d.Version, slices.Sorted(slices.Values(d.Ready)), slices.Sorted(slices.Values(d.Draining))}
-		t.peers[peer] = peerReport{sorted, now}
+		t.peers[peer] = peerDigest{sorted, now}
 	})
 }
 
-// Tick drops digests that have ended or are no longer newer than the own list, and returns the names whose State has
-// changed, in order.
+// Tick drops digests that have expired or are no longer newer than the own list, and returns the names whose State has
+// changed, sorted.
 func (t *Table) Tick(now time.Duration) (changed []string) {
 	return t.update(func() {
-		for peer, report := range t.peers {
-			if now-report.at > t.limits.PeerDigestTTL || report.Version <= t.version {
+		for peer, received := range t.peers {
+			if now-received.receivedAt > t.limits.PeerDigestTTL || received.Version <= t.version {
 				delete(t.peers, peer)
 			}
 		}
 	})
 }
 
-// update applies a change, decides anew whether the peers' digests are ignored, and returns the names whose State has
-// changed, in order.
+// update applies a change, decides again whether the peers' digests are ignored, and returns the names whose State has
+// changed, sorted.
 func (t *Table) update(apply func()) (changed []string) {
 	before := make(map[string]routing.EndpointState, len(t.own))
 	for name := range t.own {
@@ -173,7 +176,7 @@
 	return changed
 }
 
-// suppressible is the number of ready replicas on the own list that the peers' digests would suppress.
+// suppressible returns the number of ready replicas on the own list that the peers' digests would suppress.
 func (t *Table) suppressible() (n int) {
 	for name, state := range t.own {
 		if state == routing.Ready && t.worstState(name) != routing.Ready {
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, except that its outgoing connections come from the member's address too: so the other
-// members, a firewall and the test bench can tell by the source who connects.
+// transport is memberlist's NetTransport, except that outgoing connections also come from the member's address, so that
+// other members, a firewall and the test bench can identify the member by the source address.
 type transport struct {
 	*memberlist.NetTransport
 	source net.IP
