--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -11,14 +11,14 @@
 	"rampspread/internal/fleet/versionskew"
 )
 
-// VersionSkewConfig says when a member that acts on something older than most is restricted and fenced.
+// VersionSkewConfig configures when a member that acts on older versions than most others is restricted and fenced.
 type VersionSkewConfig struct {
-	RestrictS         float64 `json:"restrict_s"` // s of lagging after which it is restricted
-	FenceS            float64 `json:"out_s"`      // s of lagging after which it is fenced
-	MaxFencedFraction float64 `json:"part"`       // of the fleet, fenced at the same time
+	RestrictS         float64 `json:"restrict_s"` // time of lagging after which a member is restricted, in seconds
+	FenceS            float64 `json:"out_s"`      // time of lagging after which a member is fenced, in seconds
+	MaxFencedFraction float64 `json:"part"`       // maximum fraction of the fleet that is fenced at the same time
 }
 
-// Limits are the file's, the others the default ones.
+// Limits returns the default limits with the values of the file in place of the corresponding ones.
 func (c VersionSkewConfig) Limits() versionskew.Limits {
 	l := versionskew.DefaultLimits
 	l.RestrictAfter = time.Duration(c.RestrictS * float64(time.Second))
@@ -29,40 +29,40 @@
 
 // VersionSkewActions acts on this process's own version skew.
 type VersionSkewActions interface {
-	// RefreshEndpoints requests the whole endpoint list from discovery.
+	// RefreshEndpoints requests the full endpoint list from discovery.
 	RefreshEndpoints()
 	// SetFenced fences the process, so that it admits no clients, or lifts the fence. It must not block.
 	SetFenced(fenced bool)
 }
 
-// VersionSkewStatus is which versions the members act on, as operators are shown it.
+// VersionSkewStatus shows operators which versions the members act on.
 type VersionSkewStatus struct {
 	Self                string          `json:"self"`
-	MajorityListVersion uint64          `json:"list"`     // the version that most members have had for a while
-	MajoritySettings    string          `json:"settings"` // the fingerprint that most members have
+	MajorityListVersion uint64          `json:"list"`     // list version that most members have had for a while
+	MajoritySettings    string          `json:"settings"` // fingerprint of the settings that most members have
 	Fault               string          `json:"fault,omitempty"`
-	Enabled             bool            `json:"judged"` // false: the configuration asks for no detection
-	InsufficientView    bool            `json:"blind"`  // this process sees too few members for a detection
+	Enabled             bool            `json:"judged"` // whether the detection is enabled
+	InsufficientView    bool            `json:"blind"`  // whether this process sees too few members for the detection
 	Frozen              bool            `json:"frozen"`
 	Members             []MemberVersion `json:"members"`
 }
 
-// MemberVersion is what one member acts on.
+// MemberVersion shows which versions one member acts on, according to its last heartbeat.
 type MemberVersion struct {
 	Name           string  `json:"name"`
-	State          string  `json:"state"` // of its membership; the versions are those of its last heartbeat
+	State          string  `json:"state"` // state of the membership
 	LastHeartbeatS float64 `json:"heard_s"`
 	Program        string  `json:"program"`
 	Settings       string  `json:"settings"`
 	ListVersion    uint64  `json:"list"`
-	HighestToken   uint64  `json:"lease"` // the highest fencing token that it knows of
+	HighestToken   uint64  `json:"lease"` // highest fencing token that the member knows
 	SkewState      string  `json:"step"`
 	Reason         string  `json:"why,omitempty"`
 	LaggingS       float64 `json:"behind_s,omitempty"`
 	SkewStateForS  float64 `json:"step_for_s"`
 }
 
-// skewMonitor is the component that detects members that act on old versions, and acts on this one's own skew.
+// skewMonitor is the component that detects members that act on old versions, and acts on this process's own skew.
 type skewMonitor struct {
 	node    *Node
 	actions VersionSkewActions
@@ -74,21 +74,22 @@
 	assessment       versionskew.Assessment
 	insufficientView bool
 	frozen           bool
-	appliedState     versionskew.State // of this process, that was acted on last
+	appliedState     versionskew.State // state of this process that was last acted on
 }
 
 func newSkewMonitor(n *Node, actions VersionSkewActions) *skewMonitor {
 	return &skewMonitor{node: n, actions: actions, detector: versionskew.New(n.cfg.VersionSkew.Limits())}
 }
 
-// handlers implements component; all that is assessed is in the view.
+// handlers implements component. There are none, since the view contains all versions that are assessed.
 func (s *skewMonitor) handlers() map[byte]messageHandler { return nil }
 
-// stop implements component; nothing is held.
+// stop implements component. The component holds nothing.
 func (s *skewMonitor) stop() {}
 
-// tick implements component: it assesses the members, if it sees enough of them. A process that sees only a minority
-// assesses nobody, and does not assess itself: its leases and its share of the budgets end by its own clock.
+// tick implements component. It assesses the members if the view is fresh and this process is among a majority of
+// active members. A process that sees only a minority assesses neither other members nor itself: its leases and its
+// share of the budgets end by its own clock.
 func (s *skewMonitor) tick(now time.Duration) {
 	v := s.node.View()
 	reports, includesSelf := s.reports(v)
@@ -113,7 +114,7 @@
 	s.applyTransition(previous, own)
 }
 
-// reports are what the active members report, and whether this process is one of them.
+// reports returns the versions that the active members report, and whether this process is one of them.
 func (s *skewMonitor) reports(v membership.View) (reports []versionskew.Report, includesSelf bool) {
 	for _, m := range v.ActiveMembers() {
 		report := versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.SettingsDigest}
@@ -133,7 +134,7 @@
 	}
 }
 
-// isRestricted tells whether a member is to run no tasks for the others.
+// isRestricted reports whether a member lags so far behind that it is to run no tasks for the fleet.
 func (n *Node) isRestricted(name string) bool {
 	s, ok := componentOf[*skewMonitor](n)
 	if !ok {
@@ -144,16 +145,16 @@
 	return s.assessment.Members[name].State >= versionskew.Restricted
 }
 
-// isSelfRestricted tells whether this process is restricted, by what it has acted on last.
+// isSelfRestricted reports whether this process was restricted at its last assessment.
 func (n *Node) isSelfRestricted() bool {
 	s, ok := componentOf[*skewMonitor](n)
 	return ok && s.selfRestricted.Load()
 }
 
-// errNoVersionSkew says that the configuration has no version-skew detection.
+// errNoVersionSkew reports that the configuration does not enable version-skew detection.
 var errNoVersionSkew = errors.New("the fleet's file has no stragglers")
 
-// Calls of OverrideVersionSkew.
+// Calls that OverrideVersionSkew accepts.
 const (
 	callFence         = "shut-out"
 	callAdmit         = "let-in"
@@ -161,9 +162,9 @@
 	callFreeze        = "freeze"
 )
 
-// OverrideVersionSkew is the operators' manual override of this process's state: "shut-out" fences it, "let-in"
-// admits it, and "judge" gives it back to the detection; "freeze" stops every change of state at this process until a
-// "judge". An error says that the detection is not enabled.
+// OverrideVersionSkew overrides this process's state on an operator's call: "shut-out" fences the process, "let-in"
+// admits it, and "judge" ends the override, so that the detection decides again. "freeze" stops all changes of state at
+// this process until "judge" is called. It returns an error if the detection is not enabled.
 func (n *Node) OverrideVersionSkew(call string) error {
 	s, ok := componentOf[*skewMonitor](n)
 	if !ok {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// VersionSkewStatus is which versions the members act on, as this member sees it.
+// VersionSkewStatus returns which versions the members act on, as this member sees it.
 func (n *Node) VersionSkewStatus() VersionSkewStatus {
 	now, v := n.now(), n.View()
 	status := VersionSkewStatus{Self: n.self.Name}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -6,11 +6,11 @@
 	"rampspread/internal/fleet/membership"
 )
 
-// View is the membership as last published. Whoever acts on it calls its Fresh first.
+// View returns the membership as last published. Callers must call its Fresh method before they act on it.
 func (n *Node) View() membership.View { return *n.view.Load() }
 
-// publish makes the table's view the current one. The caller holds the lock, or is alone.
-func (n *Node) publish() {
+// publishView publishes the table's current view. The caller holds the lock, or no other goroutine uses the node yet.
+func (n *Node) publishView() {
 	v := n.table.View()
 	n.view.Store(&v)
 }
@@ -21,27 +21,29 @@
 	defer n.mu.Unlock()
 	apply(n.table, n.now())
 	if n.table.Changed() {
-		n.publish()
+		n.publishView()
 	}
 }
 
-// tickTable advances the table's time, and publishes the view whether it changed or not, since its age counts.
+// tickTable advances the table's time. It publishes the view even if it has not changed, since an old view may not be
+// acted on.
 func (n *Node) tickTable(now time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.Tick(now)
 	n.table.Changed()
-	n.publish()
+	n.publishView()
 }
 
-// refreshInfo brings this process's info up to date, and tells whether the change is to be gossiped. A new endpoint
-// list alone goes with the next heartbeat: discovery changes often, and all members would gossip of it at once.
+// refreshInfo updates this process's info, and reports whether the change is to be gossiped. A new version of only the
+// endpoint list is sent with the next heartbeat: the list changes often, and all members would gossip the new version
+// at the same time.
 func (n *Node) refreshInfo() (gossip bool) {
-	facts := n.self.LocalState()
+	local := n.self.LocalState()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := n.info
-	next.SettingsDigest, next.ListVersion, next.Serving = facts.SettingsDigest, facts.ListVersion, facts.Serving && !next.Leaving
+	next.SettingsDigest, next.ListVersion, next.Serving = local.SettingsDigest, local.ListVersion, local.Serving && !next.Leaving
 	if next == n.info {
 		return false
 	}
