--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// stop implements component. The component holds nothing.
+// stop implements component. There is nothing to release.
 func (b *bootstrapper) stop() {}
 
 // handleRequest sends this process's state to another member. It declines the request if the process has learned
--- a/internal/fleet/bootstrap/sim_test.go
+++ b/internal/fleet/bootstrap/sim_test.go
@@ -45,7 +45,8 @@
 }
 
 func newSim(size, initialWithState int) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(uint64(size), uint64(initialWithState))), initialWithState: initialWithState, haveState: initialWithState}
+	s := &sim{rng: rand.New(rand.NewPCG(uint64(size), uint64(initialWithState))), initialWithState: initialWithState,
+		haveState: initialWithState}
 	for i := range size {
 		n := &simNode{requester: NewRequester(DefaultLimits, 0, s.rng.Int64N), hasState: i < initialWithState}
 		for j := range size {
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -61,7 +61,7 @@
 }
 
 // MergeRemoteState implements memberlist.Delegate. It raises this process's incarnation above the incarnation that the
-// other member knows for its name.
+// other member reports for its name.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	var incarnations []knownIncarnation
 	if len(b) > maxRemoteStateBytes || json.Unmarshal(b, &incarnations) != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// raiseIncarnation raises this process's incarnation above one that another member knows for its name.
+// raiseIncarnation raises this process's incarnation above one that another member reports for its name.
 func (n *Node) raiseIncarnation(known uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,7 +87,7 @@
 	n.publishView()
 }
 
-// memberInfo decodes the metadata of a memberlist node. Metadata that are invalid are counted as malformed.
+// memberInfo decodes the metadata of a memberlist node. Invalid metadata is counted as malformed.
 func (d *delegate) memberInfo(node *memberlist.Node) (membership.MemberInfo, bool) {
 	info, _, err := decodeMemberInfo(node.Meta)
 	if err != nil || info.Name != node.Name {
@@ -104,7 +104,7 @@
 	}
 }
 
-// NotifyUpdate implements memberlist.EventDelegate. It handles changed metadata as those of a joining member.
+// NotifyUpdate implements memberlist.EventDelegate. It handles changed metadata like a join.
 func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.NotifyJoin(node) }
 
 // NotifyLeave implements memberlist.EventDelegate. It marks the member as lost.
--- a/internal/fleet/endpointfilter.go
+++ b/internal/fleet/endpointfilter.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// stop implements component. The component holds nothing.
+// stop implements component. There is nothing to release.
 func (e *endpointSync) stop() {}
 
 // isSender reports whether this member is one of the digestSenders for the receiver. All members whose list is newer
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// A process whose clock gives it a lower incarnation than other members know for its name must take a higher one.
+// A process whose clock gives it a lower incarnation than other members report for its name must take a higher one.
 func TestIncarnationRisesOverTheOneThatOthersKnow(t *testing.T) {
 	text := configJSON("f", testKey, 20, 21)
 	one, two := startNode(t, text, 20, nil), startNode(t, text, 21, nil)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// Members exchange the incarnations that they know in memberlist's push/pull state exchange.
+// Members exchange the latest incarnation of each name in memberlist's push/pull state exchange.
 func TestGoldenPushPull(t *testing.T) {
 	n := offlineNode(t, Options{Name: "n0"})
 	n.view.Store(&membership.View{Members: []membership.Member{
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -19,8 +19,8 @@
 	return heartbeatInterval * time.Duration(max(1, (size-1+heartbeatFanout-1)/heartbeatFanout))
 }
 
-// encodeHeartbeat returns a heartbeat message: this process's info, the time and the highest fencing token that this
-// process knows. The token is sent only in heartbeats, since it changes too often for gossip.
+// encodeHeartbeat returns a heartbeat message: this process's info, the time and the highest fencing token known to
+// this process. The token is sent only in heartbeats, since it changes too often for gossip.
 func (n *Node) encodeHeartbeat() []byte {
 	token := uint64(0)
 	if tasks, ok := componentOf[*leasedTasks](n); ok {
--- a/internal/fleet/message_member.go
+++ b/internal/fleet/message_member.go
@@ -24,7 +24,7 @@
 	infoListVersion  = 8
 	infoFlags        = 9
 	infoSent         = 10 // time at which a heartbeat was sent, by the sender's wall clock, in ms since 1970
-	infoHighestToken = 11 // highest fencing token that the member knows
+	infoHighestToken = 11 // highest fencing token known to the member
 
 	infoFieldCount = infoHighestToken + 1
 
@@ -69,8 +69,8 @@
 	return appendString(b, field, s[:min(len(s), maxStringBytes)])
 }
 
-// memberInfoMessage holds the decoded fields of a message with a member's info.
-type memberInfoMessage struct {
+// infoMessage holds the decoded fields of a message with a member's info.
+type infoMessage struct {
 	format uint64
 	info   membership.MemberInfo
 	sent   int64
@@ -79,22 +79,22 @@
 // infoDecoder decodes one field of a member's info. A field with a wire type other than wireType is ignored.
 type infoDecoder struct {
 	wireType protowire.Type
-	decode   func(m *memberInfoMessage, f protofield.Field)
+	decode   func(m *infoMessage, f protofield.Field)
 }
 
 // infoDecoders holds the decoders by field number. A field without a decoder is ignored.
 var infoDecoders = [infoFieldCount]infoDecoder{
-	infoFormat:       {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.format = f.Value }},
-	infoName:         {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Name = string(f.Bytes) }},
-	infoZone:         {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Zone = string(f.Bytes) }},
-	infoIncarnation:  {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.Incarnation = f.Value }},
+	infoFormat:       {protowire.VarintType, func(m *infoMessage, f protofield.Field) { m.format = f.Value }},
+	infoName:         {protowire.BytesType, func(m *infoMessage, f protofield.Field) { m.info.Name = string(f.Bytes) }},
+	infoZone:         {protowire.BytesType, func(m *infoMessage, f protofield.Field) { m.info.Zone = string(f.Bytes) }},
+	infoIncarnation:  {protowire.VarintType, func(m *infoMessage, f protofield.Field) { m.info.Incarnation = f.Value }},
 	infoStarted:      {protowire.VarintType, decodeInfoStarted},
-	infoVersion:      {protowire.BytesType, func(m *memberInfoMessage, f protofield.Field) { m.info.Version = string(f.Bytes) }},
-	infoSettings:     {protowire.Fixed64Type, func(m *memberInfoMessage, f protofield.Field) { m.info.SettingsDigest = f.Value }},
-	infoListVersion:  {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.ListVersion = f.Value }},
+	infoVersion:      {protowire.BytesType, func(m *infoMessage, f protofield.Field) { m.info.Version = string(f.Bytes) }},
+	infoSettings:     {protowire.Fixed64Type, func(m *infoMessage, f protofield.Field) { m.info.SettingsDigest = f.Value }},
+	infoListVersion:  {protowire.VarintType, func(m *infoMessage, f protofield.Field) { m.info.ListVersion = f.Value }},
 	infoFlags:        {protowire.VarintType, decodeInfoFlags},
 	infoSent:         {protowire.VarintType, decodeInfoSent},
-	infoHighestToken: {protowire.VarintType, func(m *memberInfoMessage, f protofield.Field) { m.info.HighestToken = f.Value }},
+	infoHighestToken: {protowire.VarintType, func(m *infoMessage, f protofield.Field) { m.info.HighestToken = f.Value }},
 }
 
 // decodeMemberInfo decodes a member's info. Fields that are unknown, too long or of the wrong wire type are ignored. An
@@ -103,7 +103,7 @@
 	if len(b) > maxMemberInfoBytes {
 		return info, 0, fmt.Errorf("fleet: member info has %d bytes, at most %d are allowed", len(b), maxMemberInfoBytes)
 	}
-	var m memberInfoMessage
+	var m infoMessage
 	for len(b) > 0 {
 		f, rest, err := protofield.Next(b)
 		if err != nil {
@@ -123,14 +123,14 @@
 	return m.info, m.sent, nil
 }
 
-func decodeInfoStarted(m *memberInfoMessage, f protofield.Field) {
+func decodeInfoStarted(m *infoMessage, f protofield.Field) {
 	m.info.Started = time.UnixMilli(int64(min(f.Value, maxUnixMillis)))
 }
 
-func decodeInfoFlags(m *memberInfoMessage, f protofield.Field) {
+func decodeInfoFlags(m *infoMessage, f protofield.Field) {
 	m.info.Serving, m.info.Leaving = f.Value&flagServing != 0, f.Value&flagLeaving != 0
 }
 
-func decodeInfoSent(m *memberInfoMessage, f protofield.Field) {
+func decodeInfoSent(m *infoMessage, f protofield.Field) {
 	m.sent = int64(min(f.Value, maxUnixMillis))
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -19,7 +19,7 @@
 	// membershipInterval is the interval at which a node advances the membership table and checks its own info for
 	// changes.
 	membershipInterval = 100 * time.Millisecond
-	// maxTickGap is the longest pause of the process between two ticks that other members do not notice.
+	// maxTickGap is the longest pause between two ticks of the process that other members do not notice.
 	maxTickGap = 800 * time.Millisecond
 	// suspectAfterHeartbeats is the number of missed heartbeats after which a member is suspect.
 	suspectAfterHeartbeats = 3
@@ -59,15 +59,15 @@
 	// Tasks runs the tasks that one member runs for the whole fleet. If it is nil, this member runs none.
 	Tasks TaskRunner
 	// TokenFloor is at least as high as every fencing token that an earlier incarnation of this member has seen.
-	// ObserveToken is called often with the highest token known to this incarnation, so that it can be stored; it must
-	// not block. If it is nil, tokens are not stored beyond the life of the process.
+	// ObserveToken is called often with the highest token known to this incarnation, so that it can be stored. It must
+	// not block. If ObserveToken is nil, tokens are lost when the process ends.
 	TokenFloor   uint64
 	ObserveToken func(token uint64)
 	// HandleIdempotency handles messages of package idempotencyquorum from other members. It must not block. If it is
 	// nil, these messages are ignored.
 	HandleIdempotency func(message []byte)
-	// LearnedState is sent to members that start, and received from others when this process starts. If it is nil,
-	// neither is done.
+	// LearnedState is sent to members that start, and received from others when this process starts. If it is nil, this
+	// process neither sends nor requests learned state.
 	LearnedState LearnedState
 	// Quota applies this process's share of the configured budgets. If it is nil, the budgets are not shared.
 	Quota QuotaUser
--- a/internal/fleet/taskresults.go
+++ b/internal/fleet/taskresults.go
@@ -97,7 +97,8 @@
 	refill := resultBytesPerSecond * (now - t.lastFlush).Seconds()
 	t.byteBudget = min(t.byteBudget+refill, resultBytesPerSecond)
 	t.lastFlush = now
-	remaining := slices.SortedFunc(maps.Values(t.unsentResults), func(a, b taskResult) int { return int(a.finishedAt - b.finishedAt) })
+	remaining := slices.SortedFunc(maps.Values(t.unsentResults),
+		func(a, b taskResult) int { return int(a.finishedAt - b.finishedAt) })
 	clear(t.unsentResults)
 	for len(remaining) > 0 {
 		var message []byte
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -156,14 +156,14 @@
 	t.tick(t.node.now())
 }
 
-// highestToken returns the highest fencing token that this member knows.
+// highestToken returns the highest fencing token known to this member.
 func (t *leasedTasks) highestToken() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.fence.HighestToken(), t.holder.HighestToken())
 }
 
-// observeToken records the highest fencing token that another member knows, so that a process that has just started
+// observeToken records the highest fencing token known to another member, so that a process that has just started
 // neither grants nor claims lower ones. The tokens arrive while its voter is recovering and may not vote yet.
 func (t *leasedTasks) observeToken(token uint64) {
 	t.mu.Lock()
@@ -280,7 +280,7 @@
 	case claiming && now-since < standbyTerms*t.limits.Term:
 		return true
 	case claiming:
-		delete(t.standbySince, task) // the owner is active, or the task would have been assigned again by now
+		delete(t.standbySince, task) // the owner is active: otherwise the task would have another owner by now
 		t.lastResult[task] = now
 	case now-t.lastResult[task] > t.resultTimeout(task):
 		t.standbySince[task] = now
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// New fencing tokens must be higher than the highest that any member knows, even if that member holds no lease and is
-// not a voter, and all voters have just started. The voters receive its token while they are recovering. With lower
+// New fencing tokens must be higher than the highest that any member has seen, even if that member holds no lease and
+// is not a voter, and all voters have just started. The voters receive its token while they are recovering. With lower
 // tokens that member would reject all results.
 func TestTokensGoOnFromAnyMemberThatKnowsThem(t *testing.T) {
 	text := tasksConfigJSON(70, 71, 72, 73)
@@ -188,6 +188,6 @@
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	if n := recorder.executions[0].token; n <= 50 {
-		t.Errorf("the task ran under token %d, want one over 50, which a member knows", n)
+		t.Errorf("the task ran under token %d, want one over 50, which a member has seen", n)
 	}
 }
--- a/internal/fleet/tombstone/sim_test.go
+++ b/internal/fleet/tombstone/sim_test.go
@@ -26,7 +26,7 @@
 	name           string
 	limits         Limits
 	corruptDigest  func(Digest) Digest
-	singlePeerName bool // all digests are applied under one peer name, so a newer one replaces those of other peers
+	singlePeerName bool // all digests are applied under one peer name, so a newer one replaces other peers' digests
 }
 
 type endpointStates map[string]routing.EndpointState
@@ -177,7 +177,8 @@
 		got := t.State(name)
 		switch {
 		case got == routing.Ready && ended[name] && len(ended) <= simReplicas/3:
-			return fmt.Errorf("member %d with list version %d: replica %s is ready, but not in a newer list", i, t.Version(), name)
+			return fmt.Errorf("member %d with list version %d: replica %s is ready, but not in a newer list", i, t.Version(),
+				name)
 		case got != state && t.Version() == s.newestVersion():
 			return fmt.Errorf("member %d has the newest list, but suppresses replica %s", i, name)
 		case got != state && allExpired:
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -18,7 +18,7 @@
 	MaxFencedFraction float64 `json:"part"`       // maximum fraction of the fleet that is fenced at the same time
 }
 
-// Limits returns the default limits with the values of the file in place of the corresponding ones.
+// Limits returns the default limits with the three values of the configuration.
 func (c VersionSkewConfig) Limits() versionskew.Limits {
 	l := versionskew.DefaultLimits
 	l.RestrictAfter = time.Duration(c.RestrictS * float64(time.Second))
@@ -55,7 +55,7 @@
 	Program        string  `json:"program"`
 	Settings       string  `json:"settings"`
 	ListVersion    uint64  `json:"list"`
-	HighestToken   uint64  `json:"lease"` // highest fencing token that the member knows
+	HighestToken   uint64  `json:"lease"` // highest fencing token known to the member
 	SkewState      string  `json:"step"`
 	Reason         string  `json:"why,omitempty"`
 	LaggingS       float64 `json:"behind_s,omitempty"`
@@ -84,7 +84,7 @@
 // handlers implements component. There are none, since the view contains all versions that are assessed.
 func (s *skewMonitor) handlers() map[byte]messageHandler { return nil }
 
-// stop implements component. The component holds nothing.
+// stop implements component. There is nothing to release.
 func (s *skewMonitor) stop() {}
 
 // tick implements component. It assesses the members if the view is fresh and this process is among a majority of
@@ -134,7 +134,7 @@
 	}
 }
 
-// isRestricted reports whether a member lags so far behind that it is to run no tasks for the fleet.
+// isRestricted reports whether a member is restricted or fenced, so that it is to run no tasks for the fleet.
 func (n *Node) isRestricted(name string) bool {
 	s, ok := componentOf[*skewMonitor](n)
 	if !ok {
@@ -145,7 +145,7 @@
 	return s.assessment.Members[name].State >= versionskew.Restricted
 }
 
-// isSelfRestricted reports whether this process was restricted at its last assessment.
+// isSelfRestricted reports whether the last assessment found this process restricted or fenced.
 func (n *Node) isSelfRestricted() bool {
 	s, ok := componentOf[*skewMonitor](n)
 	return ok && s.selfRestricted.Load()
