--- a/internal/fleet/tombstone/tombstone.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -93,7 +93,7 @@
 
 // worstState returns a replica's state by the own list and all newer digests. A digest that lists a replica as ready
 // does not override another peer's digest that does not, whichever is newer, so no peer can revive a replica that
-// another peer has removed. Each peer sends its latest digest repeatedly, and it replaces that peer's earlier one.
+// another peer has removed. Each peer sends its latest digest repeatedly, which replaces its earlier one.
 func (t *Table) worstState(name string) routing.EndpointState {
 	state, hash := t.own[name], Hash(name)
 	for _, received := range t.peers {
