--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -25,14 +25,14 @@
 	Listen string `json:"listen"`
 	// Members lists all processes that may be in the fleet, including this one.
 	Members []Peer `json:"members"`
-	// ProbeMS is the interval, in ms, at which a member probes whether another is reachable; 0 means
+	// ProbeIntervalMS is the interval, in ms, at which a member probes whether another is reachable; 0 means
 	// defaultProbeInterval. The time to detect a failure grows with it.
-	ProbeMS int `json:"probe_ms"`
+	ProbeIntervalMS int `json:"probe_ms"`
 	// Voters lists the members that grant leases: 1, 3 or 5 of them. Without voters no tasks run.
 	Voters []string `json:"voters"`
-	// TermMS is the term of a lease, in ms; 0 means defaultLeaseTerm. If the holder of a task fails, another member
-	// takes over the task about one term later.
-	TermMS int `json:"term_ms"`
+	// LeaseTermMS is the term of a lease, in ms; 0 means defaultLeaseTerm. If the holder of a task fails, another
+	// member takes over the task about one term later.
+	LeaseTermMS int `json:"term_ms"`
 	// Idempotency makes a request with an idempotency key run only once in the whole fleet: each voter records in its
 	// own store who has claimed the request. If it is nil, each dispatcher recognizes only its own requests.
 	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
@@ -107,8 +107,8 @@
 	if err := cli.DecodeStrict(text, &c); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	c.probeInterval = millisOr(c.ProbeMS, defaultProbeInterval)
-	c.leaseTerm = millisOr(c.TermMS, defaultLeaseTerm)
+	c.probeInterval = millisOr(c.ProbeIntervalMS, defaultProbeInterval)
+	c.leaseTerm = millisOr(c.LeaseTermMS, defaultLeaseTerm)
 	for _, section := range []func() error{
 		c.parseKey,
 		c.checkSizes,
@@ -147,10 +147,10 @@
 		return fmt.Errorf("fleet: the fleet's name has %d bytes, not from 1 to %d", len(c.Fleet), maxNameBytes)
 	case !slices.Contains([]int{16, 24, 32}, len(c.key)):
 		return fmt.Errorf("fleet: key has %d bytes, not 16, 24 or 32", len(c.key))
-	case c.ProbeMS != 0 && (c.ProbeMS < minProbeMS || c.ProbeMS > maxProbeMS):
-		return fmt.Errorf("fleet: probe_ms %d is not from %d to %d", c.ProbeMS, minProbeMS, maxProbeMS)
-	case c.TermMS != 0 && (c.TermMS < minTermMS || c.TermMS > maxTermMS):
-		return fmt.Errorf("fleet: term_ms %d is not from %d to %d", c.TermMS, minTermMS, maxTermMS)
+	case c.ProbeIntervalMS != 0 && (c.ProbeIntervalMS < minProbeMS || c.ProbeIntervalMS > maxProbeMS):
+		return fmt.Errorf("fleet: probe_ms %d is not from %d to %d", c.ProbeIntervalMS, minProbeMS, maxProbeMS)
+	case c.LeaseTermMS != 0 && (c.LeaseTermMS < minTermMS || c.LeaseTermMS > maxTermMS):
+		return fmt.Errorf("fleet: term_ms %d is not from %d to %d", c.LeaseTermMS, minTermMS, maxTermMS)
 	case !slices.Contains([]int{0, 1, 3, 5}, len(c.Voters)):
 		return fmt.Errorf("fleet: %d voters, not 1, 3 or 5", len(c.Voters))
 	case len(c.Members) > maxMembers:
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -315,8 +315,8 @@
 		t.Fatal(err)
 	}
 	want := Config{Fleet: "f", Key: "000102030405060708090a0b0c0d0e0f", Listen: "127.0.0.1:7001",
-		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeMS: 300,
-		Voters: []string{"n0", "n1", "n2"}, TermMS: 900, Idempotency: &IdempotencyConfig{RetentionS: 61, Entries: 62},
+		Members: []Peer{{"n0", "127.0.0.1:7001"}, {"n1", "127.0.0.1:7002"}, {"n2", "127.0.0.1:7003"}}, ProbeIntervalMS: 300,
+		Voters: []string{"n0", "n1", "n2"}, LeaseTermMS: 900, Idempotency: &IdempotencyConfig{RetentionS: 61, Entries: 62},
 		Bootstrap: true, EndpointFilter: true,
 		VersionSkew:              &VersionSkewConfig{RestrictS: 4, FenceS: 11, MaxFencedFraction: 0.3},
 		MinSubsetPrefillReplicas: 8,
