--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -18,8 +18,8 @@
 	returnInterval = leaveNoticeInterval / 6
 )
 
-// Budgets is the part of the operator's file that limits what the whole fleet may do together. A limit of 0 means that
-// there is no limit.
+// Budgets is the part of the operator's file that limits what the whole fleet may do together. If PollsPerReplica is 0,
+// polls are unlimited. Retries are unlimited only if both RetriesPerRequest and RetriesPerSecond are 0.
 type Budgets struct {
 	// Floor is the fraction of each budget that is permanently and evenly divided among the configured members. The
 	// voters lend the remaining fraction to active members according to their traffic. With a floor of 1 there is
@@ -139,7 +139,7 @@
 	}
 }
 
-// applyShare makes the core applyShare a share. The share is confirmed to the borrower only once it is in force.
+// applyShare makes the core use a share. The share is confirmed to the borrower only once it is in force.
 func (q *quotaShares) applyShare(share quota.Share) {
 	if q.node.isSelfRestricted() {
 		share.Fraction = 0 // a smaller fraction than the granted one is always safe
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -20,7 +20,7 @@
 	Unconfigured int64          `json:"strangers"` // number of messages from names that are not configured
 }
 
-// MemberStatus is a member as shown to operators. Fields whose names end in S count seconds up to now.
+// MemberStatus is a member as shown to operators. StateForS and LastHeartbeatS count seconds up to now.
 type MemberStatus struct {
 	Name           string  `json:"name"`
 	State          string  `json:"state"`
