--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,8 +1,9 @@
-// Package accept keeps servers accepting. accept(2) also fails because of a single connection, or while descriptors,
-// memory or buffers are short, and net/http and gRPC stop serving on many of these errors. A Listener retries with
-// exponential backoff, as net/http does for temporary errors, until the listening socket itself is closed or unusable.
+// Package accept provides a listener that keeps accepting after errors. accept(2) also fails because of a single
+// connection, or while file descriptors, memory or buffers are short, and net/http and gRPC stop serving on many of
+// these errors. A Listener retries with exponential backoff, as net/http does for temporary errors, until the listening
+// socket itself is closed or unusable.
 //
-// A Listener owns no goroutine: one goroutine calls Accept and Waited; Failed may be called from any.
+// A Listener starts no goroutine. Only one goroutine may call Accept and AcceptDelay; any may call Failures.
 package accept
 
 import (
@@ -18,15 +19,16 @@
 )
 
 const (
-	// After a failure the next accept waits for the backoff, which doubles with each failure up to its maximum.
+	// After a failed accept, the next one waits for the backoff, which doubles with each failure up to maxBackoff.
 	initialBackoff = time.Millisecond
 	maxBackoff     = 50 * time.Millisecond
-	// maxBacklogAccept is the longest duration of an accept that found its connection waiting in the backlog.
+	// maxBacklogAccept is the longest duration of an accept whose connection was already waiting in the backlog.
 	maxBacklogAccept = time.Millisecond
 )
 
-// unusableSocket are the errors that say that the listening socket itself is unusable: no later accept can succeed.
-var unusableSocket = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+// unusableSocketErrors are the errors after which no later accept can succeed, since the listening socket itself is
+// unusable.
+var unusableSocketErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
 // Listener is a net.Listener whose Accept returns an error only once it is closed or unusable.
 type Listener struct {
@@ -34,7 +36,8 @@
 	machine  hostos.System
 	failures atomic.Int64
 
-	// failingSince is when accepts began to fail before the connections that are accepted now; zero: they did not.
+	// failingSince is when the accepts began to fail that may have delayed the connections accepted now. It is zero if
+	// no accept failed, or once a connection was accepted that had not waited in the backlog.
 	failingSince time.Time
 }
 
@@ -43,7 +46,7 @@
 	return &Listener{Listener: inner, machine: machine}
 }
 
-// Failures is the number of accepts that failed.
+// Failures returns the number of accepts that failed.
 func (l *Listener) Failures() int64 { return l.failures.Load() }
 
 // Accept implements net.Listener. Only one goroutine may accept at a time.
@@ -52,10 +55,10 @@
 		started := time.Now()
 		conn, err := l.acceptOnce()
 		if err == nil && time.Since(started) > maxBacklogAccept {
-			l.failingSince = time.Time{} // no connection was waiting
+			l.failingSince = time.Time{} // the backlog was empty
 		}
 		if err == nil || isPermanent(err) {
-			return conn, err // not wrapped: net/http and gRPC tell errors apart by their type
+			return conn, err // not wrapped, since net/http and gRPC check the error's type
 		}
 		if l.failingSince.IsZero() {
 			l.failingSince = started
@@ -67,8 +70,8 @@
 	}
 }
 
-// AcceptDelay is how long the connection that was accepted last may have waited while accepts failed. Only the goroutine
-// that accepts may call it.
+// AcceptDelay returns how long the connection that was accepted last may have waited in the backlog while accepts
+// failed. Only the goroutine that calls Accept may call it.
 func (l *Listener) AcceptDelay() time.Duration {
 	if l.failingSince.IsZero() {
 		return 0
@@ -86,5 +89,5 @@
 // isPermanent reports whether no later accept can succeed.
 func isPermanent(err error) bool {
 	var errno syscall.Errno
-	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(unusableSocket, errno)
+	return errors.Is(err, net.ErrClosed) || errors.As(err, &errno) && slices.Contains(unusableSocketErrors, errno)
 }
--- a/internal/chatapi/completion.go
+++ b/internal/chatapi/completion.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	maxContentBytes  = 1 << 20  // of an answer's text
-	maxRetainedBytes = 16 << 10 // of the text of an answer that is retained for retries of its idempotency key
+	maxContentBytes  = 1 << 20  // limit of the length of an answer's text
+	maxRetainedBytes = 16 << 10 // limit of the text of an answer that is retained for retries of its idempotency key
 )
 
 var (
-	errContentTooLong = errors.New("the answer is too long")
-	errClientGone     = errors.New("the client has gone")
+	errContentTooLong = errors.New("answer text is longer than 1 MiB")
+	errClientGone     = errors.New("client disconnected")
 )
 
-// runResult is how the run of a request ended.
+// runResult is the result of running a request.
 type runResult struct {
-	mayHaveRun bool
-	completion *chatCompletion // nil: the answer is not known whole
+	mayHaveRun bool            // reports whether a replica may have executed the request
+	completion *chatCompletion // the complete answer, or nil if it is not known or too long to retain
 }
 
-// complete sends a request through the dispatcher and writes its one final answer.
+// complete dispatches a request and writes its final answer.
 func (h *Handler) complete(client context.Context, w http.ResponseWriter, x *exchange) runResult {
 	answer := h.dispatcher.Dispatch(client, x.dispatchRequest)
 	switch answer.Kind {
@@ -40,7 +40,7 @@
 			Message: "the service is busy; nothing was run"})
 		return runResult{}
 	case dispatch.ClientDisconnected:
-		if x.requiresKey { // it has not run, and its key is free again
+		if x.requiresKey { // the request has not run, and its key is released
 			writeError(w, &apiError{status: http.StatusServiceUnavailable, Type: serverErrorType, Code: "client_gone",
 				Message: "nothing was run"})
 			return runResult{}
@@ -56,9 +56,9 @@
 	return runResult{mayHaveRun: true}
 }
 
-// relay forwards a server's stream to the client, or collects it for an answer in one piece. It returns the whole
-// completion; nil if the stream broke or is too long to be retained. The stream of a request with a key is read to its
-// end even if its client has gone.
+// relay forwards a replica's stream to the client, or collects it if the client requested an answer without streaming.
+// It returns the complete answer, or nil if the stream broke or the answer is too long to retain. The stream of a
+// request with a key is read to its end even if the client disconnects.
 func (h *Handler) relay(w http.ResponseWriter, x *exchange, stream dispatch.Stream) *chatCompletion {
 	defer stream.Close()
 	out := newEventWriter(w, x)
@@ -83,7 +83,7 @@
 	return completion
 }
 
-// relayEvent handles the data of one event. Data that is not a chunk is skipped and counted.
+// relayEvent processes the data of one event. It skips and counts data that is not a chunk.
 func (h *Handler) relayEvent(out *eventWriter, collected *accumulator, data []byte) error {
 	var chunk chatCompletionChunk
 	var fields map[string]json.RawMessage
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// writeBrokenStream is the one final answer to a stream that broke. A client that has received events gets an error
-// event and no end of the stream, so that it cannot take what it has for the whole answer.
+// writeBrokenStream writes the final answer for a stream that broke. A streaming client gets an error event, and its
+// stream ends without the last event, so that it cannot mistake the events received so far for the complete answer.
 func writeBrokenStream(out *eventWriter, cause error) {
 	failure := &apiError{status: http.StatusBadGateway, Type: serverErrorType, Code: "stream_broken",
 		Message: "the answer broke off"}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// completion returns the whole answer to a request.
+// completion returns the complete answer to a request.
 func (a *accumulator) completion(x *exchange) *chatCompletion {
 	message := assistantMessage{Role: assistantRole, Content: a.content.String()}
 	return &chatCompletion{ID: x.id, Object: completionObject, Created: x.created, Model: x.request.Model, Usage: a.usage,
--- a/internal/chatapi/config.go
+++ b/internal/chatapi/config.go
@@ -11,28 +11,29 @@
 	"rampspread/internal/config"
 )
 
-// Config is the chat frontend's own configuration file, such as deploy/chat.json.
+// Config is the content of the chat frontend's configuration file, such as deploy/chat.json.
 type Config struct {
-	// Listen is the host and port to serve on.
+	// Listen is the host and port to listen on.
 	Listen string `json:"Listen"`
-	// Models maps the model that a client names to a class of the settings; "*" to "*" offers each class under its own
-	// name.
+	// Models maps the names of models that clients may request to classes of the settings. The entry "*": "*" offers
+	// each class as a model under the class's own name.
 	Models map[string]string `json:"Models"`
-	// MaxTokens is the limit of output tokens for a request without one.
+	// MaxTokens is the limit of output tokens for requests that set none.
 	MaxTokens int `json:"max_tokens"`
-	// Idempotency bounds the table of idempotency keys: their number, and how many seconds each is retained.
+	// Idempotency limits the table of idempotency keys: Entries is the maximum number of keys, and KeepS is how many
+	// seconds each key is retained.
 	Idempotency struct {
 		Entries int     `json:"Entries"`
 		KeepS   float64 `json:"keep_s"`
 	} `json:"Filings"`
 }
 
-// wildcard, as a model and as its class, stands for each class of the settings.
+// wildcard, used as both model and class, stands for every class of the settings.
 const wildcard = "*"
 
 const maxRetentionSeconds = 1e7
 
-// ParseConfig decodes the file's contents and validates them against the settings.
+// ParseConfig decodes the contents of a configuration file and validates them against the settings.
 func ParseConfig(contents []byte, settings *config.Settings) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(contents, &c); err != nil {
@@ -64,12 +65,12 @@
 	return &c, nil
 }
 
-// Retention is how long an idempotency key is remembered.
+// Retention returns how long an idempotency key is retained.
 func (c *Config) Retention() time.Duration {
 	return time.Duration(c.Idempotency.KeepS * float64(time.Second))
 }
 
-// classIndex is the index of the class with a name in the settings; -1 if there is none.
+// classIndex returns the index in the settings of the class with the given name, or -1 if there is none.
 func classIndex(settings *config.Settings, name string) int {
 	for i, class := range settings.Classes {
 		if class.Name == name {
@@ -79,7 +80,7 @@
 	return -1
 }
 
-// modelNames are the models' names in alphabetical order.
+// modelNames returns the names of the models in alphabetical order.
 func (c *Config) modelNames() []string {
 	names := make([]string, 0, len(c.Models))
 	for name := range c.Models {
--- a/internal/chatapi/decodeerror.go
+++ b/internal/chatapi/decodeerror.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Type names in the error texts that clients receive for a value of the wrong type. They used to be the names of Go
-// types, and stay as clients know them, whatever the types are called now.
+// Type names in the error texts that clients receive for a value of the wrong type. They are part of the API and do not
+// change with the names of the Go types.
 const (
 	requestTypeName       = "ask"
 	messageTypeName       = "message"
@@ -17,14 +17,14 @@
 	streamOptionsTypeName = `struct { IncludeUsage bool "json:\"include_usage\"" }`
 )
 
-// Paths of a request's fields, as encoding/json reports them.
+// Paths of a request's fields, as encoding/json reports them in errors.
 const (
 	messagesField      = "Messages"
 	streamOptionsField = "stream_options"
 )
 
-// decodeError returns the error that clients receive for an error of encoding/json, whose own text for a value of the
-// wrong type contains names of Go types.
+// decodeError returns the error that clients receive for an error of encoding/json. It replaces the text for a value of
+// the wrong type, which in encoding/json contains the names of Go types.
 func decodeError(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if !errors.As(err, &mismatch) {
@@ -37,7 +37,7 @@
 		mismatch.Value, enclosingTypeName(mismatch.Field), mismatch.Field, fieldTypeName(mismatch))
 }
 
-// enclosingTypeName names the type that holds a field; the type of the stream options has none.
+// enclosingTypeName returns the name of the type that contains a field. The type of the stream options has no name.
 func enclosingTypeName(field string) string {
 	switch {
 	case strings.HasPrefix(field, messagesField+"."):
@@ -48,7 +48,7 @@
 	return requestTypeName
 }
 
-// fieldTypeName names the type that a value should have had.
+// fieldTypeName returns the name of the type that the value should have had.
 func fieldTypeName(mismatch *json.UnmarshalTypeError) string {
 	switch {
 	case mismatch.Field == messagesField && mismatch.Type.Kind() == reflect.Slice:
--- a/internal/chatapi/disconnect_test.go
+++ b/internal/chatapi/disconnect_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/testutil"
 )
 
-// countFinalAnswers counts the final answers in what a client read for one request: a whole answer, an error, or the
-// end of a stream.
+// countFinalAnswers counts the final answers in the text that a client read for one request. A final answer is a
+// complete answer, an error, or the last event of a stream.
 func countFinalAnswers(status int, stream bool, text string) int {
 	if status != 200 || !stream {
 		return strings.Count(text, `"error":{`) + strings.Count(text, `"object":"chat.completion",`)
@@ -22,8 +22,8 @@
 	return strings.Count(text, "data: [DONE]\n\n") + strings.Count(text, `data: {"error":{`)
 }
 
-// The server cuts streams at random points. Every request gets exactly one final answer, no stream that broke looks
-// whole, and no request with a key runs twice however often its client retries it.
+// A replica ends its streams at random points. Every request must still get exactly one final answer, no stream that
+// broke may look complete, and no request with a key may run twice however often its client retries it.
 func TestStreamsCutByServerGetOneFinalAnswer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 11))
 	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
@@ -52,8 +52,8 @@
 	s.checkKeyedRequestsRanOnce(t)
 }
 
-// Corrupt streams leave their connections open: here too each request gets exactly one final answer, in time, and no
-// request with a key runs twice.
+// A replica sends a corrupt stream and leaves the connection open. Every request must still get exactly one final
+// answer in time, and no request with a key may run twice.
 func TestCorruptStreamsGetOneFinalAnswer(t *testing.T) {
 	s := startService(t, testutil.ServePrefill, testutil.ServePrefill)
 	wholeEvent := testutil.CompleteEvents(testutil.EventStream("Parcel")[:100])
@@ -66,7 +66,7 @@
 	} {
 		for _, stream := range []bool{true, false} {
 			s.Decode.SetScript(testutil.ServeRaw(corrupt))
-			for attempt, wantConflict := range []bool{false, true} { // a retry never runs
+			for attempt, wantConflict := range []bool{false, true} { // the retry is rejected and never runs
 				start := time.Now()
 				key := fmt.Sprint(name, stream)
 				resp, text, err := s.post(t, requestBody("meldung", stream, key), "Idempotency-Key", key)
@@ -82,7 +82,7 @@
 	s.checkKeyedRequestsRanOnce(t)
 }
 
-// checkKeyedRequestsRanOnce counts the executions of each request with a key, by its body.
+// checkKeyedRequestsRanOnce checks that each request with a key, identified by its body, was executed once.
 func (s *testService) checkKeyedRequestsRanOnce(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
@@ -101,8 +101,8 @@
 	}
 }
 
-// Clients cut their connections at random points, of the request and of the answer, and then retry. A request that was
-// cut off is not answered twice, and no request with a key runs twice.
+// Clients close their connections at random points of the request or the answer, and then retry. Each retry must get
+// exactly one final answer, and no request with a key may run twice.
 func TestRetryAfterClientCutGetsOneFinalAnswer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(12, 12))
 	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7 ", "is yours"))
--- a/internal/chatapi/errors.go
+++ b/internal/chatapi/errors.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Values of an error's type that OpenAI's clients know.
+// Values of the field type of an error object, as OpenAI's clients expect them.
 const (
 	invalidRequestErrorType = "invalid_request_error"
 	serverErrorType         = "server_error"
@@ -17,7 +17,7 @@
 
 const millisecondsPerSecond = 1000
 
-// apiError is OpenAI's error object, with the HTTP status that it is sent under.
+// apiError is OpenAI's error object, with the HTTP status of the answer that contains it.
 type apiError struct {
 	status  int
 	Message string  `json:"message"`
@@ -26,12 +26,12 @@
 	Code    string  `json:"code"`
 }
 
-// errorResponse is the body of an answer that is an error, and the data of an event that is one.
+// errorResponse is the body of an error answer and the data of an error event.
 type errorResponse struct {
 	Error *apiError `json:"error"`
 }
 
-// invalidRequest returns the error for a request that the client must change before it sends it again.
+// invalidRequest returns an error of the type invalid_request_error.
 func invalidRequest(status int, code, format string, args ...any) *apiError {
 	return &apiError{status: status, Type: invalidRequestErrorType, Code: code, Message: fmt.Sprintf(format, args...)}
 }
@@ -39,12 +39,12 @@
 func (e *apiError) body() []byte {
 	encoded, err := json.Marshal(errorResponse{Error: e})
 	if err != nil {
-		return []byte(`{"error":{}}`) // strings always marshal
+		return []byte(`{"error":{}}`) // not reached: strings can always be marshalled
 	}
 	return encoded
 }
 
-// reject answers a request that is not sent to any server, and counts it as malformed.
+// reject answers a request with an error without sending it to a replica, and counts it as malformed.
 func (h *Handler) reject(w http.ResponseWriter, e *apiError) {
 	h.malformed.Add(1)
 	writeError(w, e)
@@ -56,8 +56,8 @@
 	w.Write(e.body())
 }
 
-// writeFailure answers a request that may have run. A header tells the client of a request with a key that an automatic
-// retry is of no use.
+// writeFailure answers a request that may have run. If the request has a key, a header tells the client not to retry
+// automatically, since a retry is not run.
 func writeFailure(w http.ResponseWriter, x *exchange, e *apiError) {
 	if x.requiresKey {
 		w.Header().Set("X-Should-Retry", "false")
@@ -66,8 +66,8 @@
 	writeError(w, e)
 }
 
-// setRetryAfter sets the time in seconds after which a retry may succeed: in whole seconds, and in milliseconds for
-// clients that know that header.
+// setRetryAfter tells the client after how many seconds a retry may succeed. It sets Retry-After, in whole seconds, and
+// Retry-After-Ms, in milliseconds, for clients that support it.
 func setRetryAfter(w http.ResponseWriter, seconds float64) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(seconds))))
 	w.Header().Set("Retry-After-Ms", strconv.Itoa(int(math.Ceil(seconds*millisecondsPerSecond))))
--- a/internal/chatapi/exchange.go
+++ b/internal/chatapi/exchange.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// deadlineMargin is the time before the client's deadline at which the dispatcher gives up, so that its answer
-	// arrives in time. It is at most a quarter of the whole wait.
+	// deadlineMargin is the time before the client's deadline at which the dispatcher gives up, so that the answer
+	// arrives in time. It is at most the client's timeout divided by deadlineMarginDivisor.
 	deadlineMargin        = 25 * time.Millisecond
 	deadlineMarginDivisor = 4
-	// deadlineGrowth is how many times faster than its latency objective a class's deadline grows with the length of
-	// the prompt.
-	deadlineGrowth = 2
-	// objectiveTokens is the number of prompt tokens that routing.Class.TTFTObjectivePer1K is for.
+	// deadlineGrowthFactor is how many times faster than its latency objective a class's deadline grows with the length
+	// of the prompt.
+	deadlineGrowthFactor = 2
+	// objectiveTokens is the number of prompt tokens for which routing.Class.TTFTObjectivePer1K is added.
 	objectiveTokens = 1000
 
 	requestIDBytes = 8
 )
 
-// exchange is one chat completion request on its way to its answer.
+// exchange is one chat completion request and the data needed to answer it.
 type exchange struct {
 	request         *chatCompletionRequest
 	dispatchRequest dispatch.Request
-	id              string // of the completion
+	id              string // id of the completion
 	created         int64  // Unix time in seconds
-	requiresKey     bool   // its class is not idempotent, so that it needs an idempotency key
+	requiresKey     bool   // the request needs an idempotency key, since its class is not idempotent
 }
 
-// newExchange reads and validates a request and sets what the dispatcher decides by.
+// newExchange reads and validates a request, and sets the fields that the dispatcher's decisions depend on.
 func (h *Handler) newExchange(w http.ResponseWriter, r *http.Request) (*exchange, *apiError) {
 	arrivedAt := connlimit.ArrivedAt(r, time.Now())
 	body, status, err := connlimit.ReadBody(w, r)
@@ -52,7 +52,7 @@
 		return nil, invalidRequest(http.StatusNotFound, "model_not_found", "the model %q does not exist", request.Model)
 	}
 	random := make([]byte, requestIDBytes)
-	rand.Read(random) // never fails
+	rand.Read(random) // never returns an error
 	requestID := hex.EncodeToString(random)
 	x := &exchange{request: request, id: "chatcmpl-" + requestID, created: arrivedAt.Unix(),
 		requiresKey: h.classes[class].Idempotency != routing.Idempotent}
@@ -73,9 +73,9 @@
 	return x, nil
 }
 
-// classTimeout is the time that a class allows for a prompt of the given length: its hard limit, extended for a long
-// prompt by twice what its latency objective grows.
+// classTimeout returns the time that a class allows for a prompt of the given length: the class's hard limit, extended
+// by deadlineGrowthFactor times the growth of its latency objective with the prompt's length.
 func (h *Handler) classTimeout(class, promptTokens int) time.Duration {
 	return config.FromMS(h.settings.Classes[class].DeadlineMs) +
-		time.Duration(deadlineGrowth*float64(h.classes[class].TTFTObjectivePer1K)*float64(promptTokens)/objectiveTokens)
+		time.Duration(deadlineGrowthFactor*float64(h.classes[class].TTFTObjectivePer1K)*float64(promptTokens)/objectiveTokens)
 }
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -12,15 +12,15 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// Patterns of what differs between runs.
+// Patterns of the parts of answers that differ between runs.
 var (
 	randomID   = regexp.MustCompile(`[0-9a-f]{16}`)
 	created    = regexp.MustCompile(`"created":[1-9][0-9]*`)
 	retryAfter = regexp.MustCompile(`(Retry-After[A-Za-z-]*): [0-9]+`)
 )
 
-// dump formats an answer for a golden file, with what differs between runs replaced.
-func dump(name string, resp *http.Response, text string) string {
+// formatAnswer formats an answer for a golden file. It replaces the parts that differ between runs.
+func formatAnswer(name string, resp *http.Response, text string) string {
 	out := testutil.DumpResponse(resp, text)
 	out = created.ReplaceAllString(randomID.ReplaceAllString(out, "ID"), `"created":NOW`)
 	if resp.StatusCode == http.StatusTooManyRequests { // the time is random
@@ -29,8 +29,8 @@
 	return "# " + name + "\n" + out + "\n"
 }
 
-// Whole answers, streams and the list of models as clients receive them, and the request that is forwarded to the
-// servers.
+// Guards against an unintended change of the answers, streams and list of models that clients receive, and of the
+// request that is forwarded to the replicas.
 func TestGoldenAnswers(t *testing.T) {
 	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7"))
 	var all strings.Builder
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.WriteString(dump(c.name, resp, text))
+		all.WriteString(formatAnswer(c.name, resp, text))
 	}
 	for _, path := range []string{"/healthz", "/v1/models", "/v1/chat/completions", "/elsewhere"} {
 		resp, err := http.Get(s.url + path)
@@ -65,13 +65,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all.WriteString(dump("GET "+path, resp, string(text)))
+		all.WriteString(formatAnswer("GET "+path, resp, string(text)))
 	}
 	all.WriteString("# the body that a server gets\n" + s.Decode.Bodies()[0] + "\n")
 	golden.Text(t, "answers.golden", all.String())
 }
 
-// Each answer to a request that is not run or that fails.
+// Guards against an unintended change of the answers to requests that are not run or that fail.
 func TestGoldenErrors(t *testing.T) {
 	good, keyed := requestBody("frage", false, "x"), requestBody("meldung", false, "x")
 	key := []string{"Idempotency-Key", "k"}
@@ -115,13 +115,14 @@
 		{name: "broken stream", decode: testutil.ServeTruncated(150, "a", "b"), body: requestBody("frage", true, "x")},
 	} {
 		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
-		resp, text, _ := s.post(t, c.body, c.headers...) // the error of a stream that breaks off
-		all.WriteString(dump(c.name, resp, text))
+		resp, text, _ := s.post(t, c.body, c.headers...) // the error is the one of a stream that broke
+		all.WriteString(formatAnswer(c.name, resp, text))
 	}
 	golden.Text(t, "errors.golden", all.String())
 }
 
-// The answers to a retry whose first attempt has no known answer, and to one key more than the table holds.
+// Guards against an unintended change of the answers to a retry whose first attempt has no known answer, and to a
+// request whose key no longer fits into the table.
 func TestGoldenIdempotencyKeys(t *testing.T) {
 	var all strings.Builder
 	release := make(chan struct{})
@@ -136,17 +137,17 @@
 	}()
 	testutil.Eventually(t, "the first attempt", func() bool { n, _ := s.Decode.Calls(); return n == 1 })
 	resp, text, _ := s.post(t, request, "Idempotency-Key", "k")
-	all.WriteString(dump("in progress", resp, text))
+	all.WriteString(formatAnswer("in progress", resp, text))
 	close(release)
 	<-done
 	s.Decode.SetScript(testutil.ServeStatus(500))
 	s.post(t, request, "Idempotency-Key", "k2")
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "k2")
-	all.WriteString(dump("may have run", resp, text))
+	all.WriteString(formatAnswer("may have run", resp, text))
 	for range 62 {
 		s.post(t, request, "Idempotency-Key", "more "+time.Now().String())
 	}
 	resp, text, _ = s.post(t, request, "Idempotency-Key", "one more")
-	all.WriteString(dump("full", resp, text))
+	all.WriteString(formatAnswer("full", resp, text))
 	golden.Text(t, "filings.golden", all.String())
 }
--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -1,12 +1,13 @@
-// Package chatapi is the second frontend: an HTTP server of OpenAI's chat completions API, streamed as server-sent
-// events or answered whole. It uses the same dispatcher as the platform's frontend and follows the same rules.
+// Package chatapi is the second frontend, which implements OpenAI's chat completions API over HTTP. It streams answers
+// as server-sent events or returns them as one JSON object. It uses the same dispatcher as the platform's frontend and
+// follows the same rules.
 //
-// The objects of the API carry OpenAI's own names, see https://platform.openai.com/docs/api-reference/chat. Requests of
-// classes that are not idempotent need an Idempotency-Key header, as in the IETF draft "The Idempotency-Key HTTP Header
-// Field": the first attempt of a key runs, and its retries are answered from its result or rejected.
+// The API's objects have the names that OpenAI uses, see https://platform.openai.com/docs/api-reference/chat. Requests
+// of classes that are not idempotent need an Idempotency-Key header, as in the IETF draft "The Idempotency-Key HTTP
+// Header Field": the first attempt with a key runs, and retries are answered from its result or rejected.
 //
 // The package owns the table of idempotency keys and the counters of malformed requests and skipped events. A Handler
-// may serve any number of requests at once; each runs on the goroutine of its connection.
+// can serve any number of requests concurrently; each runs on the goroutine of its connection.
 package chatapi
 
 import (
@@ -30,7 +31,8 @@
 	healthPath      = "/healthz"
 )
 
-// Handler serves the chat completions API. New makes one; the optional stores are set before it serves.
+// Handler serves the chat completions API. New creates a Handler; UseIdempotencyStore and UsePeerTable set the optional
+// stores before it serves requests.
 type Handler struct {
 	dispatcher *dispatch.Dispatcher
 	settings   *config.Settings
@@ -38,15 +40,15 @@
 	config     *Config
 
 	keys  *keyTable
-	store IdempotencyStore // nil: only this process's table
-	peers *inflight.Table  // nil: there is no peer process of this name
+	store IdempotencyStore // nil if only this process's table decides
+	peers *inflight.Table  // nil if there are no peer processes of this name
 
 	malformed     atomic.Int64
 	skippedEvents atomic.Int64
 }
 
-// New returns a Handler that sends its requests through the dispatcher; now is the clock by which idempotency keys
-// expire. It fails if the settings cannot configure a router.
+// New returns a Handler that dispatches requests with the given dispatcher. The clock now determines when idempotency
+// keys expire. New returns an error if the settings are not valid for a router.
 func New(
 	dispatcher *dispatch.Dispatcher, settings *config.Settings, config *Config, now func() time.Time,
 ) (*Handler, error) {
@@ -58,18 +60,18 @@
 		keys: newKeyTable(config.Idempotency.Entries, config.Retention(), now)}, nil
 }
 
-// UseIdempotencyStore makes idempotency keys depend on a store besides this process's own table. It must be called
-// before the handler serves.
+// UseIdempotencyStore makes the handler claim idempotency keys from a store as well as from this process's own table.
+// It must be called before the handler serves requests.
 func (h *Handler) UseIdempotencyStore(store IdempotencyStore) { h.store = store }
 
-// UsePeerTable shares the idempotency keys in use with the peer processes of this name on this machine. It must be
-// called before the handler serves.
+// UsePeerTable makes the handler share the idempotency keys in use with the peer processes of this name on this
+// machine. It must be called before the handler serves requests.
 func (h *Handler) UsePeerTable(table *inflight.Table) { h.peers = table }
 
-// Malformed is the number of requests that were invalid and were answered without being sent to a server.
+// Malformed returns the number of requests that were rejected as invalid without being sent to a replica.
 func (h *Handler) Malformed() int64 { return h.malformed.Load() }
 
-// SkippedEvents is the number of servers' events that could not be decoded and were not forwarded.
+// SkippedEvents returns the number of events from replicas that could not be decoded and were not forwarded.
 func (h *Handler) SkippedEvents() int64 { return h.skippedEvents.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -89,7 +91,7 @@
 	}
 }
 
-// createCompletion handles one chat completion request from its body to its one final answer.
+// createCompletion handles one chat completion request, from reading its body to writing its final answer.
 func (h *Handler) createCompletion(w http.ResponseWriter, r *http.Request) {
 	x, invalid := h.newExchange(w, r)
 	if invalid != nil {
@@ -112,7 +114,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// modelList is OpenAI's answer to a list of models.
+// modelList is OpenAI's list object for models.
 type modelList struct {
 	Data   []model `json:"data"`
 	Object string  `json:"object"`
--- a/internal/chatapi/handler_test.go
+++ b/internal/chatapi/handler_test.go
@@ -18,7 +18,7 @@
 const configJSON = `{"listen":"127.0.0.1:0","models":{"frage":"frage","meldung":"meldung"},"max_tokens":100,
 "filings":{"entries":64,"keep_s":3600}}`
 
-// testService is a Handler on a server of its own, in front of a deployment of one prefill and one decode replica.
+// testService is a Handler with its own HTTP server and a deployment of one prefill and one decode replica.
 type testService struct {
 	*testutil.Deployment
 	handler *chatapi.Handler
@@ -34,7 +34,7 @@
 	return s.now
 }
 
-// advance moves the clock by which idempotency keys expire.
+// advance advances the clock that determines when idempotency keys expire.
 func (s *testService) advance(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,15 +58,15 @@
 	return s
 }
 
-// requestBody is a request for a model, with a question of the user.
+// requestBody returns the body of a request for a model with a user's question.
 func requestBody(model string, stream bool, question string) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"stream_options":{"include_usage":true},"messages":[`+
 		`{"role":"system","content":"You know parcels."},{"role":"user","content":[{"type":"text","text":%q}]}]}`,
 		model, stream, question)
 }
 
-// post sends a request; the headers are pairs of name and value. It returns the response with what could be read of its
-// body.
+// post sends a request with the given headers, which are pairs of name and value. It returns the response and the part
+// of its body that could be read.
 func (s *testService) post(t testing.TB, body string, headers ...string) (*http.Response, string, error) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, s.url+"/v1/chat/completions", strings.NewReader(body))
@@ -146,7 +146,7 @@
 	}
 }
 
-// scriptOr returns the script, or the default if there is none.
+// scriptOr returns the script, or defaultScript if the script is nil.
 func scriptOr(script, defaultScript testutil.Script) testutil.Script {
 	if script == nil {
 		return defaultScript
@@ -216,7 +216,7 @@
 	}
 }
 
-// Each change makes the file invalid.
+// Each change makes the configuration file invalid, and ParseConfig must reject it.
 func TestParseConfigRejectsInvalidFile(t *testing.T) {
 	settings := testutil.Settings(t)
 	for _, change := range [][2]string{{`{"listen"`, `{"x"`}, {`"meldung"}`, `"note"}`}, {":100", ":0"}, {"64", "0"},
@@ -227,8 +227,8 @@
 	}
 }
 
-// FuzzCreateCompletion feeds the handler requests and servers' streams: every request gets one final answer, and
-// nothing panics except to abort a stream that broke.
+// FuzzCreateCompletion passes arbitrary requests and replica streams to the handler. Every request must get exactly one
+// final answer, and nothing may panic except to abort a stream that broke.
 func FuzzCreateCompletion(f *testing.F) {
 	requests := testutil.CorruptedSeeds(4, requestBody("frage", true, "x"), requestBody("frage", false, "y"))
 	streams := testutil.CorruptedSeeds(5, testutil.EventStream("a", "b"), testutil.EventStream("c"))
--- a/internal/chatapi/idempotency.go
+++ b/internal/chatapi/idempotency.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	maxKeyLength = 255 // characters of an Idempotency-Key
-	// keyRetrySeconds is the Retry-After of a request whose key cannot be decided on yet.
+	maxKeyLength = 255 // limit of the length of an Idempotency-Key in bytes
+	// keyRetrySeconds is the Retry-After time for a request whose key cannot be decided on yet.
 	keyRetrySeconds = 1.0
 )
 
-// claim is the decision on the key of a request.
+// claim is the decision on a request's idempotency key.
 type claim struct {
 	result     claimResult
-	completion *chatCompletion     // for claimAnswered
-	attempt    idempotency.Attempt // for claimGranted, if there is a store
+	completion *chatCompletion     // the first attempt's answer, set for claimAnswered
+	attempt    idempotency.Attempt // the attempt to report to the store, set for claimGranted if there is a store
 }
 
-// completeOnce handles a request that must not run twice: its key decides whether it runs or is answered from its first
-// attempt.
+// completeOnce handles a request that must not run twice. Its key determines whether it runs, is answered with the
+// answer of its first attempt, or is rejected.
 func (h *Handler) completeOnce(w http.ResponseWriter, r *http.Request, x *exchange) {
 	x.dispatchRequest.RunToCompletion = true
 	key := r.Header.Get("Idempotency-Key")
@@ -40,7 +40,7 @@
 		setRetryAfter(w, keyRetrySeconds)
 		h.reject(w, invalidRequest(http.StatusConflict, "filing_in_progress", "the first try of this filing is still out"))
 	case claimMayHaveRun:
-		// Clients that retry automatically must not do so here: no retry can ever run.
+		// The header tells clients not to retry automatically, since no retry can run.
 		w.Header().Set("X-Should-Retry", "false")
 		h.reject(w, invalidRequest(http.StatusConflict, "filing_may_have_run",
 			"the first try of this filing may have run; it is not run again"))
@@ -58,27 +58,27 @@
 	}
 }
 
-// claimKey decides on a key by this process's table, and on a key that is new to it by the peer processes and the
-// store.
+// claimKey decides on a key. It uses this process's table, and the peer processes and the store for a key that is new
+// to the table.
 func (h *Handler) claimKey(x *exchange, key string) claim {
 	result, completion := h.keys.claim(key, x.dispatchRequest.Call.Body)
 	if result == claimGranted {
-		return h.claimShared(x, key)
+		return h.claimFromPeersAndStore(x, key)
 	}
 	return claim{result: result, completion: completion}
 }
 
-// runFirstAttempt runs the first attempt of a key. If the client disconnects, a request that was sent to a decode
-// replica goes on to its end, so that a retry can be answered; no further attempt begins.
+// runFirstAttempt runs the first attempt of a key. If the client disconnects, a request that was already sent to a
+// decode replica runs to its end, so that a retry can be answered; no further attempt begins.
 func (h *Handler) runFirstAttempt(
 	client context.Context, w http.ResponseWriter, x *exchange, key string, attempt idempotency.Attempt,
 ) {
-	result := runResult{mayHaveRun: true} // also if what follows panics
+	result := runResult{mayHaveRun: true} // recorded if the call below panics
 	defer func() { h.recordResult(key, attempt, result) }()
 	result = h.complete(client, w, x)
 }
 
-// replay answers a retry with the answer of its key's first attempt.
+// replay writes the answer of a key's first attempt as the answer to a retry.
 func replay(w http.ResponseWriter, x *exchange, completion *chatCompletion) {
 	if !x.request.Stream {
 		writeJSON(w, http.StatusOK, completion)
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -11,35 +11,37 @@
 	"rampspread/internal/state/inflight"
 )
 
-// MaxStoredAnswerBytes is the largest answer, in bytes, that is given to the IdempotencyStore.
+// MaxStoredAnswerBytes is the maximum size of an answer that is passed to the IdempotencyStore.
 const MaxStoredAnswerBytes = 60 << 10
 
-// maxStreamAfterDeadline is how long an answer's stream may go on after its deadline, before the store takes the
-// attempt as ended.
+// maxStreamAfterDeadline is how long an answer's stream may continue after the request's deadline before the store
+// treats the attempt as ended.
 const maxStreamAfterDeadline = time.Minute
 
-var errNoChoices = errors.New("no choices")
+var errNoChoices = errors.New("stored answer has no choices")
 
-// IdempotencyStore decides which request may run for a key, over all dispatchers and over this one's restarts. Its
-// methods may be called from any goroutine; only Claim waits, for less than a second.
+// IdempotencyStore decides which attempt may run for a key, across all dispatchers and across restarts of this one. Its
+// methods may be called from any goroutine. Only Claim blocks, for less than a second.
 type IdempotencyStore interface {
-	// Claim requests to run the first attempt of a key, which takes at most maxDuration. If the vote is VoteAnswered,
-	// the bytes are the stored answer.
+	// Claim requests permission to run the first attempt of a key, which takes at most maxDuration. If the vote is
+	// VoteAnswered, the returned bytes are the stored answer.
 	Claim(key string, body []byte, maxDuration time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
-	// Settle records how an attempt ended; a nil answer: it may have run, and its answer is not known.
+	// Settle records that an attempt ended, with its answer, or with nil if it may have run and its answer is not
+	// known.
 	Settle(key string, attempt idempotency.Attempt, answer []byte)
-	// Withdraw records that an attempt never ran.
+	// Withdraw records that an attempt never ran, which releases the key.
 	Withdraw(key string, attempt idempotency.Attempt)
 }
 
-// claimShared claims a key that is new to this process's table from the peer processes and then from the store. Unless
-// it is granted, the table records what they know of the key, or forgets it.
-func (h *Handler) claimShared(x *exchange, key string) claim {
+// claimFromPeersAndStore claims a key that is new to this process's table from the peer processes and then from the
+// store. If the claim is not granted, it records in the table how the key's first attempt ended elsewhere, or removes
+// the key from the table if that is not known.
+func (h *Handler) claimFromPeersAndStore(x *exchange, key string) claim {
 	switch h.peers.Acquire(inflight.IdempotencyKey, key) {
 	case inflight.HeldByOther:
 		return h.releaseClaim(key, claimInProgress)
 	case inflight.MayHaveRun:
-		return h.settleClaim(key, nil)
+		return h.recordClaimEnded(key, nil)
 	case inflight.Unknown:
 		return h.releaseClaim(key, claimUnavailable)
 	}
@@ -61,9 +63,9 @@
 		if err != nil {
 			slog.Warn("stored_answer_invalid", "id", x.dispatchRequest.Call.ID, "err", err)
 		}
-		return h.settleClaim(key, completion)
+		return h.recordClaimEnded(key, completion)
 	case idempotency.VoteMayHaveRun:
-		return h.settleClaim(key, nil)
+		return h.recordClaimEnded(key, nil)
 	case idempotency.VoteInFlight:
 		return h.releaseClaim(key, claimInProgress)
 	case idempotency.VoteKeyReused:
@@ -72,23 +74,23 @@
 	return h.releaseClaim(key, claimUnavailable)
 }
 
-// releaseClaim makes the table forget a key that was not granted.
+// releaseClaim removes a key that was not granted from the table, and returns the claim with the given result.
 func (h *Handler) releaseClaim(key string, result claimResult) claim {
 	h.keys.release(key)
 	return claim{result: result}
 }
 
-// settleClaim makes the table record that the first attempt of a key has ended elsewhere; the completion is nil if its
-// answer is not known.
-func (h *Handler) settleClaim(key string, completion *chatCompletion) claim {
-	h.keys.settle(key, completion)
+// recordClaimEnded records in the table that the first attempt of a key has ended elsewhere, and returns the claim for
+// that. The completion is nil if the attempt's answer is not known.
+func (h *Handler) recordClaimEnded(key string, completion *chatCompletion) claim {
+	h.keys.finish(key, completion)
 	if completion == nil {
 		return claim{result: claimMayHaveRun}
 	}
 	return claim{result: claimAnswered, completion: completion}
 }
 
-// recordResult records in the table, with the peers and in the store how a first attempt ended.
+// recordResult records the result of a first attempt in the table, with the peer processes and in the store.
 func (h *Handler) recordResult(key string, attempt idempotency.Attempt, result runResult) {
 	if !result.mayHaveRun {
 		h.keys.release(key)
@@ -98,14 +100,15 @@
 		}
 		return
 	}
-	h.keys.settle(key, result.completion)
+	h.keys.finish(key, result.completion)
 	h.peers.MarkMayHaveRun(key)
 	if h.store != nil {
 		h.store.Settle(key, attempt, encodeStoredAnswer(result.completion))
 	}
 }
 
-// encodeStoredAnswer returns what the store is given for an answer; nil if the answer is not known or is too large.
+// encodeStoredAnswer returns the form in which the store keeps an answer, or nil if the answer is not known or too
+// large.
 func encodeStoredAnswer(completion *chatCompletion) []byte {
 	if completion == nil {
 		return nil
@@ -121,7 +124,7 @@
 	return encoded
 }
 
-// decodeStoredAnswer returns a stored answer; it may have been written by another version of the program.
+// decodeStoredAnswer decodes a stored answer, which another version of the program may have written.
 func decodeStoredAnswer(stored []byte) (*chatCompletion, error) {
 	completion := new(chatCompletion)
 	if err := json.Unmarshal(stored, completion); err != nil {
--- a/internal/chatapi/idempotency_test.go
+++ b/internal/chatapi/idempotency_test.go
@@ -35,7 +35,7 @@
 	if total, _ := s.Decode.Calls(); total != 1 {
 		t.Errorf("%d runs", total)
 	}
-	// A first attempt that certainly never ran releases the key.
+	// A first attempt that certainly never ran releases its key.
 	s.Prefill.SetScript(testutil.ServeStatusNeverRan(503))
 	if got := postStatus(request, "k2"); got != 429 {
 		t.Errorf("rejected: status %d", got)
@@ -44,7 +44,7 @@
 	if got := postStatus(request, "k2"); got != 200 {
 		t.Errorf("after a rejection: status %d", got)
 	}
-	// One that may have run holds the key until it expires.
+	// A first attempt that may have run keeps its key in use until the key expires.
 	s.Decode.SetScript(testutil.ServeTruncated(100, "Noted"))
 	if got := postStatus(request, "k3"); got != 502 {
 		t.Errorf("broken: status %d", got)
@@ -89,8 +89,8 @@
 	}
 }
 
-// A request with a key whose client disconnects during the prefill is not sent to a decode replica any more; what was
-// sent is read to its end. Nothing has run, so its key is free: the client's retry runs.
+// If the client of a request with a key disconnects during the prefill, the request must not be sent to a decode
+// replica. Since it has not run, its key must be released so that the client's retry runs.
 func TestClientGoneDuringPrefillReleasesKey(t *testing.T) {
 	begun, release := make(chan bool, 1), make(chan bool)
 	s := startService(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -114,9 +114,9 @@
 	if err := <-clientErr; !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	time.Sleep(150 * time.Millisecond) // over the 0.1 s in which an attempt may still begin
+	time.Sleep(150 * time.Millisecond) // longer than the 0.1 s in which an attempt may still begin
 	close(release)
-	time.Sleep(200 * time.Millisecond) // in which a call of the decode replica would have come
+	time.Sleep(200 * time.Millisecond) // long enough for a call of the decode replica to arrive
 	if n, _ := s.Decode.Calls(); n != 0 {
 		t.Fatalf("%d calls of the decode replica for a client that had gone", n)
 	}
--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// keyTable remembers the idempotency keys that this process has seen, so that a request whose first attempt may have
-// run is never run again. A key is forgotten when its first attempt certainly never ran, or after its retention time; a
-// full table accepts no new key, since forgetting one early could run its request twice. The table belongs to one
-// process: a restarted process or another dispatcher knows nothing of it, unless there is an IdempotencyStore. Its
+// keyTable records the idempotency keys that this process has received, so that a request whose first attempt may have
+// run is never run again. A key is removed when its first attempt certainly never ran, or after its retention time. A
+// full table accepts no new key, since removing one early could let its request run twice. The table belongs to one
+// process: a restarted process or another dispatcher does not have its keys, unless there is an IdempotencyStore. Its
 // methods may be called from any goroutine.
 type keyTable struct {
 	mu        sync.Mutex
@@ -18,36 +18,37 @@
 	retention time.Duration
 	now       func() time.Time
 	entries   map[string]*keyEntry
-	byAge     []*keyEntry // oldest first, for expiry
+	byAge     []*keyEntry // entries in the order of their claims, for expiry
 }
 
-// keyEntry is one key and its first attempt.
+// keyEntry is the table's record of a key and its first attempt.
 type keyEntry struct {
 	key        string
-	digest     [sha256.Size]byte // of the request's body
+	digest     [sha256.Size]byte // hash of the request's body
 	claimedAt  time.Time
-	ended      bool
-	completion *chatCompletion // the whole answer, if it is known
+	ended      bool            // the first attempt has ended
+	completion *chatCompletion // the complete answer, or nil if it is not known
 }
 
-// claimResult is what a key means for a request.
+// claimResult says how a request with a key is handled.
 type claimResult uint8
 
 const (
-	claimGranted     claimResult = iota // run it; settle or release must follow
+	claimGranted     claimResult = iota // the request may run; finish or release must follow
 	claimInProgress                     // the first attempt is in flight
 	claimAnswered                       // the first attempt's answer is known
-	claimMayHaveRun                     // the first attempt ended, and it is not known what it did
+	claimMayHaveRun                     // the first attempt has ended, and may have run without a known answer
 	claimKeyReused                      // the key was used with another request body
-	claimTableFull                      // the table cannot remember another key
-	claimUnavailable                    // the store has no majority, or the peers did not answer
+	claimTableFull                      // the table has no capacity for another key
+	claimUnavailable                    // the store has no majority, or the peer processes did not answer
 )
 
 func newKeyTable(capacity int, retention time.Duration, now func() time.Time) *keyTable {
 	return &keyTable{capacity: capacity, retention: retention, now: now, entries: map[string]*keyEntry{}}
 }
 
-// claim looks a key up, and claims it for this request if it is new. The completion is set for claimAnswered.
+// claim claims a key for a request if the key is new, and otherwise returns how the request is handled. The completion
+// is set for claimAnswered.
 func (t *keyTable) claim(key string, body []byte) (claimResult, *chatCompletion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +73,7 @@
 	return claimMayHaveRun, nil
 }
 
-// expire forgets the oldest keys whose retention is over, up to the first whose attempt is in flight.
+// expire removes the oldest keys whose retention time is over. It stops at the first key whose attempt is in flight.
 func (t *keyTable) expire(now time.Time) {
 	for len(t.byAge) > 0 && t.byAge[0].ended && now.Sub(t.byAge[0].claimedAt) >= t.retention {
 		delete(t.entries, t.byAge[0].key)
@@ -80,8 +81,9 @@
 	}
 }
 
-// settle ends a first attempt that may have run; the completion is nil if the answer is not known whole.
-func (t *keyTable) settle(key string, completion *chatCompletion) {
+// finish records that a first attempt ended that may have run. The completion is nil if the complete answer is not
+// known.
+func (t *keyTable) finish(key string, completion *chatCompletion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if entry := t.entries[key]; entry != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// release forgets a first attempt that certainly never ran.
+// release removes the key of a first attempt that certainly never ran.
 func (t *keyTable) release(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/chatapi/request.go
+++ b/internal/chatapi/request.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	maxTokenLimit      = 1e6 // the largest limit of output tokens that a client may set
+	maxTokenLimit      = 1e6 // largest limit of output tokens that a client may set
 	charactersPerToken = 4
 )
 
-// Fields of a request's body that are set for the servers.
+// Names of the body fields that are set for the replicas.
 const (
 	streamKey        = "stream"
 	streamOptionsKey = "stream_options"
 )
 
-// chatCompletionRequest holds the fields of OpenAI's request body that are used here. All others are forwarded to the
-// servers unchanged.
+// chatCompletionRequest holds the fields of OpenAI's request body that this package uses. All other fields are
+// forwarded to the replicas unchanged.
 type chatCompletionRequest struct {
 	Model               string        `json:"Model"`
 	Messages            []message     `json:"Messages"`
@@ -45,7 +45,7 @@
 	Content messageContent `json:"Content"`
 }
 
-// messageContent is a message's text. In JSON it is a string, a list of parts that must all be text, or null.
+// messageContent is the text of a message. In JSON it is a string, a list of parts that must all be text, or null.
 type messageContent string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// parseRequest decodes and validates a request body. The second result is the body to forward to the servers.
+// parseRequest decodes and validates a request body. The second result is the body to forward to the replicas.
 func parseRequest(body []byte) (*chatCompletionRequest, []byte, error) {
 	var request chatCompletionRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -113,20 +113,21 @@
 	return nil
 }
 
-// tokenLimits are the client's limits of output tokens; nil where it set none. A later one takes precedence.
+// tokenLimits returns the client's limits of output tokens, with nil for a limit that is not set. The last limit that
+// is set takes precedence.
 func (r *chatCompletionRequest) tokenLimits() [2]*int {
 	return [2]*int{r.MaxTokens, r.MaxCompletionTokens}
 }
 
-// withStreaming returns a body that asks for a stream with usage, since that is how servers answer, and is otherwise
-// the same.
+// withStreaming returns the body with the fields set that request a stream with usage, since replicas answer in that
+// form. The other fields are unchanged.
 func withStreaming(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, fmt.Errorf("the body is no chat request: %w", err)
 	}
-	// encoding/json and the servers alike ignore the case of names, so that a name in another case would be read as the
-	// same field.
+	// encoding/json and the replicas ignore the case of field names, so that a name in another case would be read as
+	// the same field.
 	for name := range fields {
 		if lower := strings.ToLower(name); lower != name && (lower == streamKey || lower == streamOptionsKey) {
 			delete(fields, name)
@@ -140,30 +141,30 @@
 	return encoded, nil
 }
 
-// setRoutingInputs sets what the dispatcher decides by. A session is identified by its cache key, or else by how the
-// conversation begins, since each turn's prompt begins with the previous turn's. Its first message is a shared prefix
-// if it is an instruction.
+// setRoutingInputs sets the fields of req that the dispatcher's decisions depend on. A session is identified by the
+// client's cache key or, without one, by the beginning of the conversation, since the prompt of each turn begins with
+// the prompt of the previous turn. The first message is a shared prefix if its role is system or developer.
 func (r *chatCompletionRequest) setRoutingInputs(
-	to *dispatch.Request, defaultMaxTokens int, hashKey func(string) routing.Key,
+	req *dispatch.Request, defaultMaxTokens int, hashKey func(string) routing.Key,
 ) {
 	promptCharacters := 0
 	for _, m := range r.Messages {
 		promptCharacters += utf8.RuneCountInString(string(m.Content))
 	}
-	to.PromptTokens = max(estimateTokens(promptCharacters), 1)
+	req.PromptTokens = max(estimateTokens(promptCharacters), 1)
 	if first := r.Messages[0]; first.Role == "system" || first.Role == "developer" {
-		to.SharedPrefix = hashKey(string(first.Content))
-		to.SharedPrefixTokens = estimateTokens(utf8.RuneCountInString(string(first.Content)))
+		req.SharedPrefix = hashKey(string(first.Content))
+		req.SharedPrefixTokens = estimateTokens(utf8.RuneCountInString(string(first.Content)))
 	}
-	to.Session, to.MaxOutputTokens = hashKey(r.sessionKey()), defaultMaxTokens
+	req.Session, req.MaxOutputTokens = hashKey(r.sessionKey()), defaultMaxTokens
 	for _, limit := range r.tokenLimits() {
 		if limit != nil {
-			to.MaxOutputTokens = *limit
+			req.MaxOutputTokens = *limit
 		}
 	}
 }
 
-// sessionKey is the client's cache key, or else the messages up to the first of the user.
+// sessionKey returns the client's cache key or, without one, the messages up to and including the user's first message.
 func (r *chatCompletionRequest) sessionKey() string {
 	if r.PromptCacheKey != "" {
 		return r.PromptCacheKey
@@ -178,7 +179,7 @@
 	return key
 }
 
-// estimateTokens takes four characters for one token, as the platform does.
+// estimateTokens returns the estimated number of tokens at four characters per token, as the platform counts them.
 func estimateTokens(characters int) int {
 	return (characters + charactersPerToken - 1) / charactersPerToken
 }
--- a/internal/chatapi/response.go
+++ b/internal/chatapi/response.go
@@ -7,7 +7,7 @@
 	assistantRole    = "assistant"
 )
 
-// chatCompletion is OpenAI's chat completion object: an answer in one piece. It is also stored for retries of an
+// chatCompletion is OpenAI's chat completion object: an answer without streaming. It is also stored for retries of an
 // idempotency key.
 type chatCompletion struct {
 	ID      string   `json:"id"`
@@ -45,13 +45,13 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// delta is what a chunk adds to the message.
+// delta is the text, and in the first chunk the role, that a chunk adds to the message.
 type delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// usage is the number of tokens of a request and its answer.
+// usage holds the numbers of tokens of a request and its answer.
 type usage struct {
 	PromptTokens        int                 `json:"prompt_tokens"`
 	CompletionTokens    int                 `json:"completion_tokens"`
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -12,7 +12,7 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-// memoryStore is an IdempotencyStore that returns the answer that it was given last.
+// memoryStore is an IdempotencyStore that rejects every claim with the last answer passed to Settle.
 type memoryStore struct{ answer []byte }
 
 func (m *memoryStore) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
@@ -21,7 +21,7 @@
 func (m *memoryStore) Settle(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
 func (m *memoryStore) Withdraw(string, idempotency.Attempt)                  {}
 
-// The answer of an idempotent request is stored in the fleet and on disk, and read by other versions of the program.
+// Stored answers are read by other versions of the program, so that their format must not change.
 func TestGoldenStoredAnswer(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored.golden")
 	if err != nil {
@@ -41,12 +41,12 @@
 		t.Errorf("stored %s, want %s", store.answer, stored)
 	}
 	store.answer = []byte(stored)
-	if got := h.claimShared(&exchange{}, "key"); got.result != claimAnswered || !reflect.DeepEqual(got.completion, want) {
+	if got := h.claimFromPeersAndStore(&exchange{}, "key"); got.result != claimAnswered || !reflect.DeepEqual(got.completion, want) {
 		t.Errorf("result %d, read %+v, want %+v", got.result, got.completion, want)
 	}
 }
 
-// A request with each field that is used, and one event of a server.
+// Guards against a change in how the used fields of a request and the events of replicas are decoded.
 func TestGoldenRead(t *testing.T) {
 	got, _, err := parseRequest([]byte(`{"model":"model-1",
 		"messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
@@ -82,7 +82,7 @@
 	}
 }
 
-// The configuration file, with each key.
+// Guards against a change of the keys of the configuration file: sets each of them.
 func TestGoldenConfig(t *testing.T) {
 	settings, err := config.ParseSettings([]byte(`{"classes":[{"name":"class-1"}]}`))
 	if err != nil {
--- a/internal/chatapi/stream.go
+++ b/internal/chatapi/stream.go
@@ -14,36 +14,37 @@
 const (
 	maxEventBytes      = 256 << 10
 	initialEventBuffer = 4 << 10
-	// writeTimeout is how long one write to a client may take: a client that reads nothing for so long has stalled.
+	// writeTimeout limits one write to a client. A client that reads nothing for that long has stalled.
 	writeTimeout = 10 * time.Second
 
 	// doneMarker is the data of a stream's last event.
 	doneMarker = "[DONE]"
 )
 
-// eventWriter writes a streamed answer as server-sent events. Once the client has gone, it writes nothing more.
+// eventWriter writes a streamed answer as server-sent events. After a failed write it writes nothing more.
 type eventWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	exchange   *exchange
-	clientGone bool
+	clientGone bool // a write failed
 }
 
 func newEventWriter(w http.ResponseWriter, x *exchange) *eventWriter {
 	return &eventWriter{w: w, controller: http.NewResponseController(w), exchange: x}
 }
 
-// begin writes the head of the answer and the chunk that names the role.
+// begin writes the header of the answer and the first chunk, which contains the role.
 func (e *eventWriter) begin() {
 	e.w.Header().Set("Content-Type", "text/event-stream")
 	e.w.Header().Set("Cache-Control", "no-store")
 	e.writeChunk(&chatCompletionChunk{Choices: []chunkChoice{{Delta: delta{Role: assistantRole}}}})
 }
 
-// end writes the last event, by which a client knows that it has the whole answer.
+// end writes the last event, which tells the client that the answer is complete.
 func (e *eventWriter) end() { e.writeEvent([]byte(doneMarker)) }
 
-// forward passes a server's chunk on with the fields that clients expect; its other fields stay as they are.
+// forward forwards a replica's chunk. It sets the fields that clients expect and leaves the chunk's other fields
+// unchanged.
 func (e *eventWriter) forward(chunk *chatCompletionChunk, fields map[string]json.RawMessage) {
 	if !e.exchange.request.StreamOptions.IncludeUsage {
 		if delete(fields, "usage"); len(chunk.Choices) == 0 {
@@ -68,7 +69,7 @@
 	fields[name] = encoded
 }
 
-// writeChunk writes a chunk under the identity of this answer.
+// writeChunk writes a chunk with the id, creation time and model of this answer.
 func (e *eventWriter) writeChunk(chunk *chatCompletionChunk) {
 	chunk.ID, chunk.Object = e.exchange.id, chunkObject
 	chunk.Created, chunk.Model = e.exchange.created, e.exchange.request.Model
@@ -84,7 +85,7 @@
 	e.writeEvent(data)
 }
 
-// writeEvent writes and flushes one event with the given data.
+// writeEvent writes and flushes one event with the given data, unless the client has gone.
 func (e *eventWriter) writeEvent(data []byte) {
 	if e.clientGone {
 		return
@@ -99,22 +100,22 @@
 	e.clientGone = err != nil
 }
 
-// readEvents calls handle with the data of each event except the last, [DONE]. It returns nil only after the whole
-// stream.
+// readEvents calls handle with the data of each event except the last, [DONE]. It returns nil only if it has read the
+// stream to its end.
 func readEvents(stream io.Reader, handle func(data []byte) error) error {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, 0, initialEventBuffer), maxEventBytes)
 	for lines.Scan() {
 		data, ok := bytes.CutPrefix(lines.Bytes(), []byte("data:"))
 		if data = bytes.TrimSpace(data); !ok || string(data) == doneMarker {
-			continue // comments and blank lines too
+			continue // also skips comments and blank lines
 		}
 		if err := handle(data); err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("stream: %w", err)
+		return fmt.Errorf("read event stream: %w", err)
 	}
 	return nil
 }
--- a/internal/connlimit/accept_test.go
+++ b/internal/connlimit/accept_test.go
@@ -14,7 +14,8 @@
 	"rampspread/internal/hostos"
 )
 
-// acceptErrors are the errors that accept(2) documents for a connection or a moment, not for the listening socket.
+// acceptErrors are the errors of accept(2) that concern a single connection or are temporary, rather than the listening
+// socket.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
@@ -34,7 +35,8 @@
 	return l.Listener.Accept()
 }
 
-// The server goes on after an accept that failed: the next client is served.
+// An accept error must not stop the server; net/http's Serve returns on many of them. The listener fails once with each
+// error, and the next client must still be served.
 func TestServingContinuesAfterAcceptErrors(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/connlimit/body.go
+++ b/internal/connlimit/body.go
@@ -14,17 +14,20 @@
 	"rampspread/internal/precondition"
 )
 
-// maxBodyBytes bounds one request's body.
+// maxBodyBytes limits the size of one request's body.
 const maxBodyBytes = 256 << 10
 
-// errBodyMemoryFull says that the bodies of all requests together need more memory than there may be. Its text is on
-// the wire.
+// errBodyMemoryFull reports that the bodies of all requests together exceed their memory limit. Its text is sent to
+// clients.
 var errBodyMemoryFull = errors.New("too much in hand")
 
-// ReadBody reads a request's whole body, of at most 256 KiB, and decides whether the request is accepted. The status is
-// that of the answer and goes with the error; a Retry-After header is set where a later attempt may succeed. The
-// server's time limit for a request's last byte ends with the body, or it would end the connection while the request is
-// being answered. After an error it remains, since net/http then reads the rest of the body before it answers.
+// ReadBody reads a request's complete body, of at most 256 KiB, and decides whether the request is accepted. Together
+// with an error it returns the HTTP status of the answer; it sets a Retry-After header where a later attempt may
+// succeed.
+//
+// ReadBody clears the server's read deadline once the body is complete: otherwise the deadline would end the connection
+// while the request is being answered. After an error the deadline remains, since net/http then reads the rest of the
+// body before it answers.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, int, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
@@ -52,13 +55,13 @@
 	return body, 0, nil
 }
 
-// meteredBody bounds the memory that the bodies of all requests take together. Only bytes that have come count, not
-// those that a header promises.
+// meteredBody is a request's body whose bytes count towards the memory limit for the bodies of all requests. Only bytes
+// that were received count, not the length that a header announces.
 type meteredBody struct {
 	io.ReadCloser
-	memory   *semaphore.Weighted // in bytes, of all bodies
-	reserved int64               // of memory, by this body
-	rejected *atomic.Int64
+	memory   *semaphore.Weighted // bytes available for all bodies
+	reserved int64               // bytes of memory that this body has acquired
+	rejected *atomic.Int64       // counts the bodies for which memory was short
 }
 
 // Read implements io.Reader.
@@ -72,5 +75,5 @@
 	return n, err
 }
 
-// release returns the memory. The body is not read afterwards.
+// release returns the body's memory. The body must not be read afterwards.
 func (b *meteredBody) release() { b.memory.Release(b.reserved) }
--- a/internal/connlimit/capacity.go
+++ b/internal/connlimit/capacity.go
@@ -9,22 +9,24 @@
 const (
 	// evictionRetryInterval is the time between two searches for a connection to evict.
 	evictionRetryInterval = 5 * time.Millisecond
-	// capacityTimeout is for how long a new connection waits for a request to end where all connections have open ones;
-	// then it is rejected.
+	// capacityTimeout is how long a new connection waits for a request to end while all connections have open requests.
+	// After that it is rejected.
 	capacityTimeout = 20 * time.Millisecond
-	// rejectionWriteTimeout bounds the write of the few bytes of a rejection, which a new connection takes at once.
+	// rejectionWriteTimeout limits the time for writing a rejection, whose few bytes fit into the send buffer of a new
+	// connection.
 	rejectionWriteTimeout = 100 * time.Millisecond
-	// lingeringFraction is the part of the capacity, as its divisor, that connections may have on top that only wait
-	// for their last answer to arrive.
-	lingeringFraction = 8
+	// lingeringDivisor limits lingering connections, which are not part of the capacity: up to the capacity divided by
+	// lingeringDivisor may wait for their last answer to arrive.
+	lingeringDivisor = 8
 )
 
-// rejection is the answer to a new connection while there is no capacity.
-const rejection = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+// rejectionResponse is the answer to a new connection for which there is no capacity, and to a partial request that a
+// drain ends.
+const rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.2\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-// limitedListener goes on accepting when its capacity is used up: it evicts a connection or rejects the new one. That
-// guards against clients that connect and send nothing, or send one request and keep the connection: they would lock
-// all others out.
+// limitedListener continues to accept when its capacity is used up: it evicts a connection or rejects the new one.
+// Otherwise clients that connect and send nothing, or send one request and keep the connection, would lock out all
+// others.
 type limitedListener struct {
 	net.Listener
 	limiter  *Limiter
@@ -36,7 +38,7 @@
 	for {
 		accepted, err := l.Listener.Accept()
 		if err != nil {
-			return nil, err // http.Server tells errors apart by their type: the listener is closed, or broken
+			return nil, err // not wrapped, since http.Server checks its type: the listener is closed or unusable
 		}
 		client := newClientConn(accepted, l.limiter)
 		client.backlogWait = l.limiter.acceptListener.AcceptDelay()
@@ -51,7 +53,7 @@
 // requests and none ends within capacityTimeout.
 func (l *limitedListener) waitForCapacity() bool {
 	for waited := time.Duration(0); !l.limiter.ensureCapacity(l.maxConns); waited += evictionRetryInterval {
-		if waited >= capacityTimeout && l.limiter.allHandling() {
+		if waited >= capacityTimeout && l.limiter.allConnsHandling() {
 			return false
 		}
 		time.Sleep(evictionRetryInterval)
@@ -59,8 +61,8 @@
 	return true
 }
 
-// allHandling reports whether each connection has an open request.
-func (l *Limiter) allHandling() bool {
+// allConnsHandling reports whether every connection has an open request.
+func (l *Limiter) allConnsHandling() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -71,11 +73,11 @@
 	return true
 }
 
-// reject answers and closes a connection for which there is no capacity. What comes on it is not read, so nothing of it
-// has run.
+// reject answers and closes a connection for which there is no capacity. Nothing is read from it, so no request of it
+// can have run.
 func (l *Limiter) reject(c *clientConn) {
 	l.rejected.Add(1)
 	c.SetWriteDeadline(time.Now().Add(rejectionWriteTimeout))
-	io.WriteString(c, rejection)
+	io.WriteString(c, rejectionResponse)
 	c.Close()
 }
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/testutil"
 )
 
-// A request that has been read, and that its handler has not seen yet, protects its connection from eviction: a process
-// that was suspended for a moment would otherwise close it with no answer.
+// A connection whose request was read but has not reached the handler must not be evicted. Otherwise a process that was
+// suspended for a moment could evict the connection as silent, and the request would get no answer.
 func TestEvictionSparesAConnectionWithAReadRequest(t *testing.T) {
 	server, client := connPair(t)
 	l := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
@@ -36,8 +36,8 @@
 	}
 }
 
-// A limiter whose connections all have open requests still answers new ones: it rejects them. A connection that waited for
-// capacity until its client gave up would be a request without an answer.
+// While all connections have open requests, new connections must be rejected with an answer. If they waited for
+// capacity until their clients gave up, their requests would get no answer.
 func TestFullLimiterRejectsNewConnections(t *testing.T) {
 	const maxConns = 3
 	finish := make(chan bool)
@@ -87,8 +87,8 @@
 	}
 }
 
-// The time of a connection's last byte is monotonic: a step of the wall clock makes no client that is writing a silent one,
-// and no silent client one that is writing.
+// The time of a connection's last byte must be monotonic. Otherwise a step of the wall clock could make a client that
+// is writing appear silent, or a silent client appear to be writing.
 func TestLastByteTimeIsMonotonic(t *testing.T) {
 	server, client := connPair(t)
 	before := time.Now()
--- a/internal/connlimit/client_gone.go
+++ b/internal/connlimit/client_gone.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientGonePollInterval is the time between two polls of a connection whose client has sent ahead: 0.1 s after the
-// client has gone no attempt may begin for it.
+// clientGonePollInterval is the time between two polls of a connection whose client has pipelined requests. No attempt
+// may begin later than 0.1 s after the client has gone.
 const clientGonePollInterval = 25 * time.Millisecond
 
-// notifyClientGone has the function called if the client goes away from now on, until this is called again; nil: no
-// call.
+// notifyClientGone sets the function to call if the client goes away from now on. It replaces the previous function;
+// nil sets none.
 func (c *clientConn) notifyClientGone(onClientGone func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,20 +20,20 @@
 	c.startPolling()
 }
 
-// startPolling begins to poll for the client's close where net/http would not see it. c.mu is held.
+// startPolling starts to poll for the client's close if net/http would not notice it. c.mu must be held.
 func (c *clientConn) startPolling() {
-	if c.readAhead && c.onClientGone != nil && c.pollTimer == nil {
+	if c.pipelinedByteRead && c.onClientGone != nil && c.pollTimer == nil {
 		c.pollTimer = time.AfterFunc(clientGonePollInterval, c.pollClientGone)
 	}
 }
 
-// pollClientGone polls the socket once for the client's close, and again later while that is needed.
+// pollClientGone polls the socket once for the client's close, and schedules the next poll if it is still needed.
 func (c *clientConn) pollClientGone() {
 	_, hungUp := c.pollSocket()
 	c.mu.Lock()
 	onClientGone := c.onClientGone
-	c.peerGone = c.peerGone || hungUp
-	if onClientGone == nil || !c.readAhead || hungUp {
+	c.clientDisconnected = c.clientDisconnected || hungUp
+	if onClientGone == nil || !c.pipelinedByteRead || hungUp {
 		c.pollTimer = nil
 	} else {
 		c.pollTimer.Reset(clientGonePollInterval)
@@ -44,17 +44,17 @@
 	}
 }
 
-// clientGone polls the socket and reports whether the client has closed, or the connection has broken.
+// clientGone polls the socket and reports whether the client has closed the connection or it broke.
 func (c *clientConn) clientGone() bool {
 	_, hungUp := c.pollSocket()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peerGone = c.peerGone || hungUp
-	return c.peerGone
+	c.clientDisconnected = c.clientDisconnected || hungUp
+	return c.clientDisconnected
 }
 
-// pollSocket polls the socket for bytes to read, and for the client's close or a broken connection, whatever bytes wait
-// before that.
+// pollSocket polls the socket without waiting. It reports whether there are bytes to read, and whether the client has
+// closed the connection or it broke, even if unread bytes precede the close.
 func (c *clientConn) pollSocket() (readable, hungUp bool) {
 	if c.rawConn == nil {
 		return false, false
--- a/internal/connlimit/clientconn.go
+++ b/internal/connlimit/clientconn.go
@@ -13,56 +13,59 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientConn is a client's connection. It knows when its last byte came, so that a client that slowly writes a request
-// is distinguished from a silent one, and how many lines began with Content-Length. It guarantees that a request that
-// comes in the moment in which its connection is closed is either read, and then answered, or not read at all. Methods
-// may be called from any goroutine, but for Read.
+// clientConn is a client's raw connection. It records when the last byte was received, which distinguishes a client
+// that writes a request slowly from a silent one, and how many received lines began with Content-Length. It guarantees
+// that a request that arrives while its connection is being closed is either read and answered, or not read at all. All
+// methods except Read may be called from any goroutine.
 //
-// The boolean fields are independent facts of the two directions and not a state: net/http reads the header of the next
-// request while the connection is between requests, and a byte of it while the answer to the previous one is pending.
+// The boolean fields are independent facts about the two directions rather than one state: net/http reads the header of
+// the next request while the connection is between requests, and may read one byte of it while the answer to the
+// previous request is pending.
 type clientConn struct {
 	net.Conn
-	rawConn        syscall.RawConn // nil where the connection is no socket
+	rawConn        syscall.RawConn // nil if the connection is not a socket
 	limiter        *Limiter
 	acceptedAt     time.Time
-	backlogWait    time.Duration // how long it may have waited to be accepted
-	lastRead       atomic.Int64  // ns from acceptedAt to the last read that brought bytes; 0: none has
+	backlogWait    time.Duration // how long the connection may have waited to be accepted
+	lastRead       atomic.Int64  // ns from acceptedAt to the last read that returned bytes, or 0 if none has
 	contentLengths contentLengthCounter
 
-	mu              sync.Mutex // held while bytes are read from the socket, so that no close crosses that
-	stage           closeStage
-	betweenRequests bool
-	awaitingBytes   bool      // net/http waits for bytes of a request: it has no unparsed ones
-	partialRequest  bool      // bytes have been read of a request that is not complete
-	answerPending   bool      // a request was accepted or rejected, and nothing of its answer has been written
-	peerGone        bool      // the client has closed, or the connection broke: what it sent ahead is not accepted any more
-	lastWrite       time.Time // zero: never
-	firstRead       firstRead
-
-	// readAhead means that a byte after the open request has been read: net/http reads no further, and misses a close.
-	readAhead    bool
-	onClientGone func()      // called when the client has gone while its request is open; nil: none is open
-	pollTimer    *time.Timer // polls for that while readAhead; nil: it doesn't run
+	// mu is held during each read system call, so that no close happens in the middle of one.
+	mu                 sync.Mutex
+	stage              closeStage
+	betweenRequests    bool      // the last request was answered, and the next one's header has not been read
+	awaitingBytes      bool      // net/http is waiting for bytes of a request, and has parsed all earlier bytes
+	partialRequest     bool      // bytes of an incomplete request have been read
+	answerPending      bool      // a request was accepted or rejected, and no byte of its answer has been written
+	clientDisconnected bool      // the client closed the connection or it broke: no pipelined request is accepted any more
+	lastWrite          time.Time // zero if nothing was written
+	firstRead          firstRead
+
+	// pipelinedByteRead reports whether a byte after the open request has been read. net/http then reads no further and
+	// does not notice when the client closes the connection.
+	pipelinedByteRead bool
+	onClientGone      func()      // called if the client goes away during its request, or nil while no request is open
+	pollTimer         *time.Timer // polls for the client's close while pipelinedByteRead, or nil while not running
 }
 
-// firstRead is what the first read of a connection's socket found.
+// firstRead is the result of the first read of a connection's socket.
 type firstRead int
 
 const (
-	notRead        firstRead = iota
-	onlyEarlyBytes           // all bytes that came so far were in the socket at the first read
-	lateBytes                // a read found none, so what follows came later
+	firstReadPending     firstRead = iota
+	firstReadGotAll                // all bytes read so far were in the socket at the first read
+	firstReadMissedBytes           // a read found no bytes, so the following bytes arrived later
 )
 
 func newClientConn(netConn net.Conn, l *Limiter) *clientConn {
 	c := &clientConn{Conn: netConn, limiter: l, acceptedAt: time.Now()}
 	if socket, ok := netConn.(syscall.Conn); ok {
-		c.rawConn, _ = socket.SyscallConn() // an error means a closed connection, which shows at the first read
+		c.rawConn, _ = socket.SyscallConn() // an error means that the connection is closed, which the first read reports
 	}
 	return c
 }
 
-// Read implements net.Conn. One goroutine reads a connection at a time.
+// Read implements net.Conn. Only one goroutine at a time may call it.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.read(p)
 	if n > 0 {
@@ -72,8 +75,8 @@
 	return n, err
 }
 
-// read is the socket's Read, except that each of its system calls happens either before or after a close, and that
-// nothing more is read from a connection between requests once the process is about to end.
+// read reads from the socket. Unlike the socket's own Read, it makes each system call either before or after a close,
+// and reads no further request once the process is shutting down or draining.
 func (c *clientConn) read(p []byte) (int, error) {
 	if c.rawConn == nil || len(p) == 0 {
 		return c.Conn.Read(p)
@@ -87,17 +90,17 @@
 	})
 	c.mu.Lock()
 	c.awaitingBytes = false
-	shut := c.stage >= stageReadShut
+	readClosed := c.stage >= stageReadClosed
 	c.mu.Unlock()
 	switch {
 	case n > 0:
 		return n, nil
-	case shut:
+	case readClosed:
 		return 0, io.EOF
 	case waitErr != nil:
 		var op *net.OpError
 		if errors.As(waitErr, &op) {
-			op.Op = "read" // by which net/http knows it
+			op.Op = "read" // net/http recognizes read errors by this Op
 		}
 		return 0, waitErr
 	case err != nil:
@@ -107,29 +110,30 @@
 	return 0, io.EOF
 }
 
-// isProbe reports whether a read is net/http's for the close of an open request's client, and not for bytes of a
-// request: that is of a single byte.
-func isProbe(size int) bool { return size == 1 }
+// isCloseProbe reports whether a read of the given size is the one with which net/http detects that the client closes
+// the connection during its request. That read is for a single byte; reads for bytes of a request are larger.
+func isCloseProbe(size int) bool { return size == 1 }
 
-// beginRead notes that net/http wants up to size bytes, and ends the reading if no further request is to be accepted.
+// beginRead records that net/http is about to read up to size bytes. It ends the reading if no further request may be
+// accepted on the connection.
 func (c *clientConn) beginRead(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaitingBytes = !isProbe(size)
+	c.awaitingBytes = !isCloseProbe(size)
 	if !c.betweenRequests || !c.awaitingBytes {
 		return
 	}
 	if c.limiter.lifecycle.Closing.Load() || !c.partialRequest && c.limiter.lifecycle.Drain.Active() {
-		c.stage = max(c.stage, stageReadShut)
+		c.stage = max(c.stage, stageReadClosed)
 	}
 }
 
-// readSocket reads once if nothing has ended the reading. It returns done false if it found no bytes and has to be
-// called again when the socket is readable.
+// readSocket makes one read system call unless the reading has been ended. It returns done as false if there were no
+// bytes, and must then be called again when the socket is readable.
 func (c *clientConn) readSocket(fd int, p []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stage >= stageReadShut {
+	if c.stage >= stageReadClosed {
 		return 0, true, nil
 	}
 	for {
@@ -138,49 +142,50 @@
 		}
 	}
 	if errors.Is(err, unix.EAGAIN) {
-		c.firstRead = lateBytes
+		c.firstRead = firstReadMissedBytes
 		return 0, false, nil
 	}
-	if c.firstRead == notRead {
-		c.firstRead = lateBytes
+	if c.firstRead == firstReadPending {
+		c.firstRead = firstReadMissedBytes
 		if n > 0 {
-			c.firstRead = onlyEarlyBytes
+			c.firstRead = firstReadGotAll
 		}
 	}
 	c.recordRead(n, len(p))
 	return n, true, err
 }
 
-// recordRead notes what a read of at most size bytes brought. While a request is open net/http reads a single byte to
-// see the client's close; if one comes, it reads no further, and the socket has to be polled. c.mu is held.
+// recordRead records the result of a read of at most size bytes, of which n were read. While a request is open,
+// net/http reads a single byte to detect that the client closes the connection. If it gets a byte, it reads no further,
+// and the socket has to be polled instead. c.mu must be held.
 func (c *clientConn) recordRead(n, size int) {
 	if n <= 0 {
-		c.peerGone = true
+		c.clientDisconnected = true
 		return
 	}
 	c.partialRequest, c.awaitingBytes = true, false
-	c.readAhead = isProbe(size)
+	c.pipelinedByteRead = isCloseProbe(size)
 	c.startPolling()
 }
 
-// beginRequest notes that a request's header has been read.
+// beginRequest records that a request's header has been read.
 func (c *clientConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.betweenRequests = false
 }
 
-// endRequest notes that the connection is between requests.
+// endRequest records that the connection is between requests.
 func (c *clientConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.betweenRequests = true
 }
 
-// requestComplete notes that what has been read belongs to a complete request, or to none. It returns false if its
-// client is known to have gone: the socket is polled, since a process that was suspended reads a close only after the
-// request.
-func (c *clientConn) requestComplete() bool {
+// recordRequestComplete records that no part of an incomplete request has been read. It returns false if the client has
+// closed the connection. It polls the socket for that, since a process that was suspended reads the client's close only
+// after the request.
+func (c *clientConn) recordRequestComplete() bool {
 	gone := c.clientGone()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,18 +193,18 @@
 	return !gone
 }
 
-// expectAnswer notes that the request is to be answered.
-func (c *clientConn) expectAnswer() {
+// markAnswerPending records that the request has to be answered.
+func (c *clientConn) markAnswerPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answerPending = true
 }
 
-// hadBytesAtFirstRead reports whether all that has been read was there at the first read.
-func (c *clientConn) hadBytesAtFirstRead() bool {
+// firstReadGotAllBytes reports whether all bytes read so far were in the socket at the first read.
+func (c *clientConn) firstReadGotAllBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.firstRead == onlyEarlyBytes
+	return c.firstRead == firstReadGotAll
 }
 
 // Write implements net.Conn.
@@ -207,12 +212,12 @@
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastWrite, c.answerPending, c.peerGone = time.Now(), false, c.peerGone || err != nil
+	c.lastWrite, c.answerPending, c.clientDisconnected = time.Now(), false, c.clientDisconnected || err != nil
 	return n, err
 }
 
-// lastByteAt returns when a connection last received a byte after since, and since if it has not. The time is
-// monotonic: a step of the wall clock makes no client that is writing a silent one.
+// lastByteAt returns the time at which a connection last received a byte, or since if it has received none after since.
+// The time is monotonic, so that a step of the wall clock does not make a client that is writing appear silent.
 func lastByteAt(netConn net.Conn, since time.Time) time.Time {
 	c, ok := netConn.(*clientConn)
 	if !ok {
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -23,10 +23,10 @@
 	"rampspread/internal/testutil"
 )
 
-// smallRequest is a complete request.
+// smallRequest is a complete request with a body of one byte.
 const smallRequest = "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n1"
 
-// dial opens a connection that is closed as the test ends.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -54,7 +54,7 @@
 	return newClientConn(accepted, NewLimiter(nil, nil, new(Lifecycle), nil)), dialed.(*net.TCPConn)
 }
 
-// newLimitedServer starts a server behind a Limiter; its handler reads the body and answers.
+// newLimitedServer starts a server whose handler, next, is behind a Limiter. It returns the server's address.
 func newLimitedServer(t *testing.T, lifecycle *Lifecycle, next http.HandlerFunc) (*Limiter, string) {
 	t.Helper()
 	l := NewLimiter(next, semaphore.NewWeighted(1<<20), lifecycle, nil)
@@ -66,7 +66,7 @@
 	return l, s.Listener.Addr().String()
 }
 
-// closeIdle closes a connection as a limiter does, and reports whether it did.
+// closeIdle closes a connection in the way a Limiter closes an idle one, and reports whether it closed it.
 func closeIdle(c *clientConn, cause precondition.Cause) bool {
 	return c.closeIfAllowed(precondition.CloseConnection{Cause: cause}) == precondition.Allowed
 }
@@ -78,8 +78,9 @@
 	testutil.Eventually(t, "the bytes", func() bool { readable, _ := server.pollSocket(); return readable })
 }
 
-// An idle connection is closed only while nothing has come on it: bytes that were read and are no complete request yet
-// protect it, and so do unread bytes in the socket, unless the process ends; what comes after the close is not read.
+// A close of an idle connection must not lose a request. A connection is therefore not closed if an incomplete request
+// was read on it, or if there are unread bytes in its socket, except that unread bytes do not count at shutdown. Bytes
+// that arrive after the close are not read.
 func TestCloseCrossesNoRequest(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -93,7 +94,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server, client := connPair(t)
 			sendBytes(t, server, client)
-			server.awaitingBytes = true // a Read has begun, and has not come to its system call
+			server.awaitingBytes = true // as if a Read had begun but not made its system call
 			if closed := closeIdle(server, c.cause); closed != c.wantClosed {
 				t.Fatalf("closed over unread bytes %t", closed)
 			}
@@ -106,11 +107,11 @@
 		server, client := connPair(t)
 		sendBytes(t, server, client)
 		server.Read(make([]byte, 8))
-		server.awaitingBytes = true // for the rest
+		server.awaitingBytes = true // as if a Read waited for the rest
 		if closeIdle(server, precondition.AtShutdown) {
 			t.Fatal("closed over a partial request")
 		}
-		server.requestComplete()
+		server.recordRequestComplete()
 		if !closeIdle(server, precondition.ForDrain) {
 			t.Fatal("not closed while idle")
 		}
@@ -119,7 +120,7 @@
 		server, client := connPair(t)
 		sendBytes(t, server, client)
 		server.Read(make([]byte, 8))
-		server.requestComplete()
+		server.recordRequestComplete()
 		if closeIdle(server, precondition.AtShutdown) {
 			t.Fatal("closed while nobody waits for bytes")
 		}
@@ -155,8 +156,8 @@
 	})
 }
 
-// A request that comes as its idle connection is closed is answered, or not accepted at all: over many crossings, each
-// request that reached the handler has its answer.
+// A request that arrives while its idle connection is being closed must be answered or not accepted at all. The test
+// sends many requests concurrently with the close and expects an answer for each one that reached the handler.
 func TestRequestDuringCloseIsAnsweredOrNotAccepted(t *testing.T) {
 	const crossings = 300
 	var accepted, answered atomic.Int64
@@ -196,8 +197,8 @@
 	}
 }
 
-// The last answer on a connection reaches a client that has sent more, which nobody reads: a plain close over it would reset
-// the connection.
+// The last answer on a connection must reach a client that has pipelined requests, which the server does not read.
+// Closing the socket with these unread bytes would reset the connection and could discard the answer.
 func TestLastAnswerArrives(t *testing.T) {
 	var lifecycle Lifecycle
 	lifecycle.Stopping.Store(true)
@@ -214,8 +215,8 @@
 	testutil.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
 }
 
-// The count of lingering connections returns to zero, also if many ask for more than the limit in the moment in which others
-// end: the drain waits for it.
+// The count of lingering connections must return to zero, even if many connections exceed the limit while others end. A
+// drain waits until the count is zero, so that a count that is too high would hold it up.
 func TestLingeringIsCountedOnce(t *testing.T) {
 	l := NewLimiter(nil, nil, new(Lifecycle), nil)
 	l.maxLingering.Store(2)
@@ -235,9 +236,9 @@
 	}
 }
 
-// A client has gone once it closes its connection, also if it has sent ahead, partial or complete requests, before that,
-// closes its sending side alone, or resets; its request's context ends. net/http itself reads no further than the first byte
-// sent ahead.
+// The context of a request must end when its client closes the connection, closes only its sending side or resets it,
+// even if the client has pipelined partial or complete requests before. net/http does not detect the close in that
+// case, since it reads no further than the first pipelined byte.
 func TestClientThatSentAheadHasGone(t *testing.T) {
 	leaveBy := map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() },
@@ -279,7 +280,8 @@
 	}
 }
 
-// A drain aborts the wait for the rest of a body, and nothing else: a complete body is being answered.
+// A drain must abort a read that waits for the rest of a body, and no other read: a complete body belongs to a request
+// that is being answered.
 func TestAbortBodyRead(t *testing.T) {
 	for _, waits := range []bool{true, false} {
 		t.Run(fmt.Sprintf("a read waits %t", waits), func(t *testing.T) {
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -9,28 +9,29 @@
 	"rampspread/internal/precondition"
 )
 
-// lingerTimeout is for how long the last answer on a connection may travel to the client, as in net/http's server. A
-// close while unread bytes wait resets the connection, which loses what is still on its way.
+// lingerTimeout is how long the last answer on a connection may take to reach the client, as in net/http's server.
+// Closing a connection with unread bytes resets it, which discards data that is still in transit.
 const lingerTimeout = 500 * time.Millisecond
 
-// expired is a deadline that ends a read or write at once.
-var expired = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past, which ends a read or write at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// closeStage is how far this side has closed a connection. It only advances.
+// closeStage is how far the limiter has closed a connection. It only advances.
 type closeStage int
 
 const (
-	stageOpen     closeStage = iota
-	stageReadShut            // nothing is read any more; net/http's goroutine is about to close it
-	stageClosed              // Close has been called; the connection may linger
+	stageOpen       closeStage = iota
+	stageReadClosed            // nothing more is read; net/http's goroutine is about to close the connection
+	stageClosed                // Close has been called; the connection may linger
 )
 
-// closeIfAllowed closes a connection if precondition.CloseConnection allows it now, and returns the reason if not.
+// closeIfAllowed closes a connection if precondition.CloseConnection allows it now. It returns Allowed, or the reason
+// why the connection was not closed.
 func closeIfAllowed(netConn net.Conn, facts precondition.CloseConnection) precondition.Reason {
 	if c, ok := netConn.(*clientConn); ok {
 		return c.closeIfAllowed(facts)
 	}
-	facts.AwaitingBytes = true // nothing is known of its bytes
+	facts.AwaitingBytes = true // the state of its bytes is unknown
 	reason := facts.Check()
 	if reason == precondition.Allowed {
 		netConn.Close()
@@ -38,8 +39,9 @@
 	return reason
 }
 
-// closeIfAllowed ends the reading of a connection, if that is allowed now, and returns the reason if not. The caller
-// sets the facts that the connection doesn't know. What comes later is not read, and the client sends it again.
+// closeIfAllowed ends the reading of a connection if precondition.CloseConnection allows it now. It returns Allowed, or
+// the reason why the reading was not ended. The caller sets the facts that clientConn cannot determine itself. Bytes
+// that arrive later are not read, and the client sends them again.
 func (c *clientConn) closeIfAllowed(facts precondition.CloseConnection) precondition.Reason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,38 +55,40 @@
 	if c.partialRequest && facts.Cause == precondition.ForDrain {
 		c.rejectPartialRequest()
 	}
-	c.stage = max(c.stage, stageReadShut)
-	c.Conn.SetReadDeadline(expired) // net/http's Read ends, and its goroutine closes the connection
+	c.stage = max(c.stage, stageReadClosed)
+	c.Conn.SetReadDeadline(expiredDeadline) // ends net/http's Read; its goroutine then closes the connection
 	return precondition.Allowed
 }
 
-// rejectPartialRequest answers a partial request as far as that needs no wait. The request's last byte may have been
-// sent in this moment. c.mu is held.
+// rejectPartialRequest answers a partial request with a rejection, without waiting. The answer is needed since the
+// client may be sending the request's last byte at this moment. c.mu must be held.
 func (c *clientConn) rejectPartialRequest() {
 	if c.rawConn == nil {
 		return
 	}
-	c.rawConn.Control(func(fd uintptr) { // an error means a closed connection
-		unix.Write(int(fd), []byte(rejection)) // what the socket's buffer doesn't take at once is not sent
+	c.rawConn.Control(func(fd uintptr) { // an error means that the connection is closed
+		unix.Write(int(fd), []byte(rejectionResponse)) // bytes that do not fit into the socket's buffer are not sent
 	})
 	c.lastWrite = time.Now()
 }
 
-// abortBodyRead ends the wait for the rest of a body, if a read waits for one: the request's handler then answers.
+// abortBodyRead ends a read that is waiting for the rest of a body, if there is one. The request's handler then
+// answers.
 func (c *clientConn) abortBodyRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.awaitingBytes && c.partialRequest {
-		c.Conn.SetReadDeadline(expired)
+		c.Conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// Close implements net.Conn. While an answer may still be on its way only the sending side is closed, and the rest
-// after lingerTimeout (a lingering close, RFC 9112, section 9.6); nothing is read any more.
+// Close implements net.Conn. While an answer may still be in transit, Close closes only the sending side at once, and
+// the connection itself when lingerTimeout has passed since the last write (a lingering close, RFC 9112, section 9.6).
+// Nothing is read any more.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	remaining := time.Until(c.lastWrite.Add(lingerTimeout))
-	active := !c.peerGone && c.stage != stageClosed
+	active := !c.clientDisconnected && c.stage != stageClosed
 	lingers := remaining > 0 && active
 	unanswered := c.answerPending && active
 	c.stage, c.onClientGone = stageClosed, nil
@@ -108,8 +112,8 @@
 	return nil
 }
 
-// beginLingering counts one more connection that waits for its last answer to arrive, until endLingering. It returns
-// false, and counts none, if there may be no more.
+// beginLingering counts one more lingering connection, until endLingering is called. It returns false, without counting
+// the connection, if the limit is reached.
 func (l *Limiter) beginLingering() bool {
 	if l.lingering.Add(1) <= l.maxLingering.Load() {
 		return true
@@ -118,5 +122,5 @@
 	return false
 }
 
-// endLingering takes a connection that has been closed from the count.
+// endLingering removes a closed connection from the count of lingering ones.
 func (l *Limiter) endLingering() { l.lingering.Add(-1) }
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -7,16 +7,16 @@
 	"rampspread/internal/precondition"
 )
 
-// DrainConnections closes the connections that the operator's drain wants closed by now, and returns how many those
-// are.
+// DrainConnections closes the connections that should be closed by now in the operator's drain, and returns how many it
+// closed.
 func (l *Limiter) DrainConnections() int {
 	return l.CloseIdle(l.lifecycle.Drain.quietTimeout(time.Now()))
 }
 
-// CloseIdle closes the connections that are idle between requests, and those without an open request that have sent no
-// complete request for the quiet timeout. It sends the clients of a draining server away without losing a request: an
-// open request is finished, and its answer is the last on its connection; a partial request is answered with a
-// rejection. It returns how many connections it closed.
+// CloseIdle closes the connections that are idle between requests, and the quiet ones: those without an open request
+// that have sent no complete request for quietTimeout. It is how a draining server closes its connections without
+// losing a request: an open request is finished, and its answer is the last on its connection; a partial request is
+// answered with a rejection. CloseIdle returns how many connections it closed.
 func (l *Limiter) CloseIdle(quietTimeout time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +42,8 @@
 	return closed
 }
 
-// closeQuiet closes a connection that is idle or quiet, unless that would lose a request, and reports whether it did.
-// The caller has set the facts' cause and times. l.mu is held.
+// closeQuiet closes a connection that is idle or quiet, unless that would lose a request, and reports whether it closed
+// the connection. The caller sets the cause and the times in facts. l.mu must be held.
 func (l *Limiter) closeQuiet(netConn net.Conn, c *trackedConn, facts precondition.CloseConnection) bool {
 	inHandler := c.inHandler()
 	if inHandler && c.state != connHandling && facts.Cause == precondition.ForDrain && c.client != nil {
@@ -60,12 +60,12 @@
 		return false
 	}
 	l.drained.Add(1)
-	if facts.PartialRequest { // it will never be complete
+	if facts.PartialRequest { // the rest of the request is not awaited
 		l.forget(netConn)
 		netConn.Close()
 		return true
 	}
-	c.moveTo(connEvicted) // it is counted until its goroutine has closed it
+	c.moveTo(connEvicted) // the connection is counted until its goroutine has closed it
 	return true
 }
 
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -8,7 +8,7 @@
 	"rampspread/internal/precondition"
 )
 
-// connState is the state of a client's connection, as far as net/http's hooks and the handler show it:
+// connState is the state of a client's connection, as seen by net/http's hooks and the handler:
 //
 //	new       ──header read───────────────────> receiving
 //	receiving ──body complete─────────────────> handling
@@ -16,64 +16,70 @@
 //	handling  ──answered──────────────────────> idle
 //	idle      ──header read───────────────────> receiving
 //
-// Each state in which no request is handled may become evicted, which is final. A connection that net/http has closed is
-// not tracked any more; while its last answer may be on its way, Limiter.lingering counts it.
+// Every state except handling may change to evicted, which is final. A connection that net/http has closed is no longer
+// tracked; while its last answer may still be in transit, Limiter.lingering counts it.
 //
-// The state does not imply two other facts: hadRequest, since an evicted or receiving connection may have had a complete
-// request or not, and the two counts of requests, since a request whose header was read may have reached its handler or not.
+// The state does not determine two other facts, which trackedConn stores separately: whether the connection has had a
+// complete request (an evicted or receiving connection may or may not have had one), and whether a request whose header
+// was read has reached the handler.
 type connState int
 
 const (
 	connNew       connState = iota // no request's header has been read
-	connReceiving                  // a header has been read; the body is not complete or not accepted
-	connHandling                   // a complete request is being answered, be it with a rejection
-	connIdle                       // the last request has been answered, the next one's header has not been read
-	connEvicted                    // this side has closed it, or is about to; nothing more is accepted from it
+	connReceiving                  // a header has been read; the body is incomplete or was not accepted
+	connHandling                   // a complete request is being answered, possibly with a rejection
+	connIdle                       // the last request has been answered; the header of the next one has not been read
+	connEvicted                    // the limiter has closed the connection or is about to; it accepts no further request
 )
 
-// trackedConn is what the limiter knows of a connection. Limiter.mu guards its mutable fields, but for those that say
-// otherwise.
+// trackedConn is the limiter's record of one connection. Limiter.mu guards its mutable fields, except where a field's
+// comment says otherwise.
 type trackedConn struct {
 	limiter *Limiter
-	client  *clientConn // the raw connection; nil where another listener accepted it
+	client  *clientConn // the raw connection, or nil if another listener accepted it
 
-	// contentLengths is how many Content-Length lines the headers of its requests are known to have had. Only
-	// net/http's goroutine for the connection uses it.
+	// contentLengths is the number of Content-Length headers of the requests received so far. Only net/http's goroutine
+	// for the connection uses it.
 	contentLengths int64
 
 	state           connState
-	hadRequest      bool // a complete request has come on it
-	requestsBegun   int  // requests whose header was read,
-	requestsHandled int  // and those that reached the handler
+	hadRequest      bool // reports whether a complete request has been received
+	requestsBegun   int  // number of requests whose header was read
+	requestsHandled int  // number of requests that reached the handler
 	acceptedAt      time.Time
-	quietSince      time.Time // when it was accepted or last answered, or when the next header was read
-	lastRequestID   string    // of the last request that was accepted or rejected; empty: none was
-	lastRequestAt   time.Time
-	closeDeferred   precondition.Reason // why the last attempt to close it did not; Allowed: it did, or there was none
+	// quietSince is the latest of these times: when the connection was accepted, when its last answer was finished, and
+	// when a header was read after its first complete request.
+	quietSince    time.Time
+	lastRequestID string    // id of the last request that was accepted or rejected; empty if there was none
+	lastRequestAt time.Time // when that request was accepted or rejected; zero if there was none
+	// closeDeferred is why the last attempt to close the connection failed, or Allowed if it succeeded or there was
+	// none.
+	closeDeferred precondition.Reason
 }
 
 type trackedConnKey struct{}
 
-// trackedConnOf returns the connection on which a request came; nil: no Limiter stands before the handler.
+// trackedConnOf returns the connection on which a request was received, or nil if the server has no Limiter.
 func trackedConnOf(r *http.Request) *trackedConn {
 	c, _ := r.Context().Value(trackedConnKey{}).(*trackedConn)
 	return c
 }
 
-// withTrackedConn returns a context for the requests of a connection.
+// withTrackedConn returns a context for the requests of a connection, in which trackedConnOf finds c.
 func withTrackedConn(ctx context.Context, c *trackedConn) context.Context {
 	return context.WithValue(ctx, trackedConnKey{}, c)
 }
 
-// moveTo changes the state, which stays once it is connEvicted. Limiter.mu is held.
+// moveTo changes the state unless it is connEvicted, which is final. Limiter.mu must be held.
 func (c *trackedConn) moveTo(state connState) {
 	if c.state != connEvicted {
 		c.state = state
 	}
 }
 
-// headerRead notes that net/http has read a request's header, or what was to be one. Limiter.mu is held.
-func (c *trackedConn) headerRead() {
+// recordHeaderRead records that net/http has read a request's header, or bytes that are not a valid header. Limiter.mu
+// must be held.
+func (c *trackedConn) recordHeaderRead() {
 	c.requestsBegun++
 	c.moveTo(connReceiving)
 	if c.client != nil {
@@ -84,8 +90,9 @@
 	}
 }
 
-// requestComplete notes that a whole request has come, and whether it will be answered. Limiter.mu is held.
-func (c *trackedConn) requestComplete(id string, decision precondition.Reason) {
+// recordRequestComplete records that a complete request was received and decided on. The request is answered if it was
+// accepted or rejected, but not if its client has gone or its connection was evicted. Limiter.mu must be held.
+func (c *trackedConn) recordRequestComplete(id string, decision precondition.Reason) {
 	c.hadRequest = true
 	if decision != precondition.Allowed && !isRejection(decision) {
 		return
@@ -94,11 +101,12 @@
 	c.lastRequestID, c.lastRequestAt = id, time.Now()
 }
 
-// answered notes that net/http waits for the next request. Limiter.mu is held.
-func (c *trackedConn) answered() {
+// recordAnswered records that the last request was answered and net/http waits for the next one. Limiter.mu must be
+// held.
+func (c *trackedConn) recordAnswered() {
 	if c.client != nil {
 		if c.state != connHandling {
-			c.client.requestComplete() // it was answered without being read whole
+			c.client.recordRequestComplete() // the request was answered before it was read completely
 		}
 		c.client.endRequest()
 	}
@@ -106,7 +114,8 @@
 	c.quietSince = time.Now()
 }
 
-// inHandler reports whether the handler has been called for the last request and has not finished. Limiter.mu is held.
+// inHandler reports whether the handler has been called for the last request and has not finished. Limiter.mu must be
+// held.
 func (c *trackedConn) inHandler() bool {
 	return c.state != connIdle && c.requestsBegun > 0 && c.requestsHandled == c.requestsBegun
 }
--- a/internal/connlimit/counters.go
+++ b/internal/connlimit/counters.go
@@ -1,23 +1,23 @@
 package connlimit
 
-// Malformed is how many requests had a header that was cut short or malformed, an ambiguous framing, or too long a body
-// by their header.
+// Malformed returns the number of requests with an incomplete or malformed header, ambiguous framing, or a
+// Content-Length over the limit.
 func (l *Limiter) Malformed() int64 { return l.malformed.Load() }
 
-// Rejected is how many requests and connections were rejected: too many bytes of bodies were in memory, there was no
-// capacity for the connection, or the request came too late in a drain or before the process's end.
+// Rejected returns the number of requests and connections that were rejected because the memory for bodies was used up,
+// there was no capacity for the connection, or the request came too late in a drain or a shutdown.
 func (l *Limiter) Rejected() int64 { return l.rejected.Load() }
 
-// Evicted is how many connections were closed to make capacity.
+// Evicted returns the number of connections that were closed to make capacity.
 func (l *Limiter) Evicted() int64 { return l.evicted.Load() }
 
-// Drained is how many connections were closed during an operator's drain or as the process ended.
+// Drained returns the number of connections that were closed during an operator's drain or a shutdown.
 func (l *Limiter) Drained() int64 { return l.drained.Load() }
 
-// CloseDeferred is how often a connection was to be closed and was not, since a request was arriving on it or had come.
+// CloseDeferred returns how often a connection was not closed because a request was arriving or had arrived on it.
 func (l *Limiter) CloseDeferred() int64 { return l.closeDeferred.Load() }
 
-// AcceptFailures is how many accepts failed.
+// AcceptFailures returns the number of accepts that failed.
 func (l *Limiter) AcceptFailures() int64 {
 	if l.acceptListener == nil {
 		return 0
@@ -25,7 +25,8 @@
 	return l.acceptListener.Failures()
 }
 
-// ConnectionCount is how many connections there are, including those that only wait for their last answer to arrive.
+// ConnectionCount returns the number of connections, including lingering ones, whose last answer may still be in
+// transit.
 func (l *Limiter) ConnectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/drain.go
+++ b/internal/connlimit/drain.go
@@ -6,48 +6,49 @@
 )
 
 const (
-	// drainAcceptFor is for how long after the beginning of an operator's drain requests are still accepted. New
-	// connections come until the load balancer has noticed, 0.3 s, and two seconds before the operator looks nothing
-	// new may begin.
+	// drainAcceptFor is how long after the start of an operator's drain requests are still accepted. The load balancer
+	// opens new connections until it has noticed the drain, which takes 0.3 s, and no request may start in the two
+	// seconds before the operator checks that the drain is finished.
 	drainAcceptFor = 1900 * time.Millisecond
-	// drainDeadline is when only connections with an answer under way remain. Half a second later the operator looks.
+	// drainDeadline is the time after the start of a drain from which only connections with an answer in progress
+	// remain open. The operator checks half a second later.
 	drainDeadline = 3500 * time.Millisecond
-	// drainQuietTimeout is for how long a draining limiter waits for a connection without an open request to send
-	// something, until drainDeadline is near.
+	// drainQuietTimeout is how long a draining limiter waits for a complete request on a connection without an open
+	// request. The wait is shorter once drainDeadline is near.
 	drainQuietTimeout = 2 * time.Second
 )
 
-// Drain is the state of an operator's drain. From its beginning each answer is the last on its connection, and nothing
-// is read after it; requests that come later than drainAcceptFor are rejected; and from drainDeadline on a connection
-// remains only while an answer is under way. The zero value is a drain that has not begun. Its methods may be called
-// from any goroutine.
+// Drain is the state of an operator's drain. While it is active, each answer is the last on its connection, and nothing
+// is read after it. Requests that are complete later than drainAcceptFor are rejected. From drainDeadline on, a
+// connection stays open only while an answer is in progress. The zero value is an inactive drain. Its methods may be
+// called from any goroutine.
 type Drain struct {
-	begun atomic.Pointer[time.Time] // nil: not draining
+	startedAt atomic.Pointer[time.Time] // nil while the drain is inactive
 }
 
-// Begin begins the drain. It returns false if it is active already.
-func (d *Drain) Begin(now time.Time) bool { return d.begun.CompareAndSwap(nil, &now) }
+// Begin starts the drain. It returns false if the drain is active already.
+func (d *Drain) Begin(now time.Time) bool { return d.startedAt.CompareAndSwap(nil, &now) }
 
-// End ends the drain. It returns false if none is active.
-func (d *Drain) End() bool { return d.begun.Swap(nil) != nil }
+// End ends the drain. It returns false if the drain is not active.
+func (d *Drain) End() bool { return d.startedAt.Swap(nil) != nil }
 
 // Active reports whether the drain is active.
-func (d *Drain) Active() bool { return d.begun.Load() != nil }
+func (d *Drain) Active() bool { return d.startedAt.Load() != nil }
 
-// elapsed is the time since the drain began; 0 if none is active.
+// elapsed returns the time since the drain began, or 0 if the drain is not active.
 func (d *Drain) elapsed(now time.Time) time.Duration {
-	begun := d.begun.Load()
-	if begun == nil {
+	startedAt := d.startedAt.Load()
+	if startedAt == nil {
 		return 0
 	}
-	return now.Sub(*begun)
+	return now.Sub(*startedAt)
 }
 
-// accepts reports whether a request that has come whole may still be accepted.
-func (d *Drain) accepts(now time.Time) bool { return d.elapsed(now) < drainAcceptFor }
+// acceptsRequests reports whether a request that has been received completely may still be accepted.
+func (d *Drain) acceptsRequests(now time.Time) bool { return d.elapsed(now) < drainAcceptFor }
 
-// quietTimeout is for how long a connection without an open request may be silent. It shrinks as drainDeadline nears,
-// and remains long enough for a client that has just connected to get a rejection.
+// quietTimeout returns how long a connection without an open request may remain without a complete request. It shrinks
+// as drainDeadline approaches, but stays long enough for a client that has just connected to get a rejection.
 func (d *Drain) quietTimeout(now time.Time) time.Duration {
 	return max(min(drainQuietTimeout, drainDeadline-d.elapsed(now)), evictSilentAfter)
 }
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// evictSilentAfter is the time without a byte after which a connection may be evicted whose first request is not
-	// complete. Good clients connect in order to send a request, so it is one of those that send nothing, or not all.
+	// evictSilentAfter is the time without a received byte after which a connection whose first request is incomplete
+	// may be evicted. A well-behaved client connects in order to send a request, so a silent connection belongs to a
+	// client that sends nothing or only a part of a request.
 	evictSilentAfter = 100 * time.Millisecond
-	// evictIdleAfter is the time without a request after which a connection may be evicted that has had one.
+	// evictIdleAfter is the time without a request after which a connection that has had a complete request may be
+	// evicted.
 	evictIdleAfter = 2 * time.Second
 )
 
-// victim is a connection to evict.
-type victim struct {
-	conn           net.Conn // nil: there is none
-	partialRequest bool     // its first request is not complete
+// evictionCandidate is a connection that may be evicted.
+type evictionCandidate struct {
+	conn           net.Conn // nil if no connection may be evicted
+	partialRequest bool     // reports whether its first request is incomplete
 }
 
-// ensureCapacity reports whether there is capacity for one more connection, if need be once it has evicted one.
+// ensureCapacity reports whether there is capacity for one more connection. If necessary it evicts one.
 func (l *Limiter) ensureCapacity(maxConns int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.conns) < maxConns {
 		return true
 	}
-	busy := map[net.Conn]bool{} // a request is arriving on it, or has come
+	busy := map[net.Conn]bool{} // connections that evict kept because a request is arriving or has arrived
 	for {
 		now := time.Now()
-		candidate := l.selectVictim(now, busy)
+		candidate := l.selectEvictionCandidate(now, busy)
 		if candidate.conn == nil {
 			return false
 		}
@@ -42,49 +44,50 @@
 	}
 }
 
-// selectVictim returns the least recently active connection: the one whose first request is not complete and that has
-// sent nothing for longest, else the one without an open request for longest. l.mu is held.
-func (l *Limiter) selectVictim(now time.Time, busy map[net.Conn]bool) victim {
+// selectEvictionCandidate returns the least recently active connection. It prefers connections whose first request is
+// incomplete, and of them the one that has sent nothing for longest; otherwise it returns the connection that has had
+// no open request for longest. It skips the connections in busy. l.mu must be held.
+func (l *Limiter) selectEvictionCandidate(now time.Time, busy map[net.Conn]bool) evictionCandidate {
 	var silent, idle net.Conn
 	silentSince, idleSince := now.Add(-evictSilentAfter), now.Add(-evictIdleAfter)
 	for netConn, c := range l.conns {
 		switch {
 		case c.state == connHandling || busy[netConn]:
 		case !c.hadRequest && lastByteAt(netConn, c.quietSince).Before(silentSince):
-			// A client that slowly writes its request is not silent: its time counts from its last byte.
+			// A client that writes its request slowly is not silent: the time counts from its last byte.
 			silent, silentSince = netConn, lastByteAt(netConn, c.quietSince)
 		case c.hadRequest && c.quietSince.Before(idleSince):
 			idle, idleSince = netConn, c.quietSince
 		}
 	}
 	if silent != nil {
-		return victim{conn: silent, partialRequest: true}
+		return evictionCandidate{conn: silent, partialRequest: true}
 	}
-	return victim{conn: idle}
+	return evictionCandidate{conn: idle}
 }
 
-// evict closes a connection to make capacity, unless a request is arriving on it or has come, and reports whether it
-// did. l.mu is held.
-func (l *Limiter) evict(v victim, now time.Time) bool {
+// evict closes a connection to make capacity, unless a request is arriving or has arrived on it, and reports whether it
+// closed the connection. l.mu must be held.
+func (l *Limiter) evict(candidate evictionCandidate, now time.Time) bool {
 	facts := precondition.CloseConnection{
 		Cause:                 precondition.ForCapacity,
-		PartialRequest:        v.partialRequest,
-		Idle:                  now.Sub(lastByteAt(v.conn, l.conns[v.conn].quietSince)),
+		PartialRequest:        candidate.partialRequest,
+		Idle:                  now.Sub(lastByteAt(candidate.conn, l.conns[candidate.conn].quietSince)),
 		PartialRequestTimeout: evictSilentAfter,
 	}
-	if closeIfAllowed(v.conn, facts) != precondition.Allowed {
+	if closeIfAllowed(candidate.conn, facts) != precondition.Allowed {
 		l.closeDeferred.Add(1)
 		return false
 	}
-	l.forget(v.conn)
-	if v.partialRequest { // it will never be complete
-		v.conn.Close()
+	l.forget(candidate.conn)
+	if candidate.partialRequest { // the rest of the request is not awaited
+		candidate.conn.Close()
 	}
 	l.evicted.Add(1)
 	return true
 }
 
-// forget takes a connection out of the count: its goroutine reports the close only later. l.mu is held.
+// forget removes a connection from the table at once, since net/http reports the close only later. l.mu must be held.
 func (l *Limiter) forget(netConn net.Conn) {
 	l.conns[netConn].moveTo(connEvicted)
 	delete(l.conns, netConn)
--- a/internal/connlimit/framing.go
+++ b/internal/connlimit/framing.go
@@ -6,23 +6,23 @@
 	"sync/atomic"
 )
 
-// contentLengthName begins a line that gives a body's length, in lower case.
+// contentLengthName is the lower-case start of a header line that gives a body's length.
 const contentLengthName = "content-length:"
 
-// otherLine is the value of contentLengthCounter.matched within a line that begins otherwise.
-const otherLine = -1
+// mismatchedLine is the value of contentLengthCounter.matched within a line that does not start with contentLengthName.
+const mismatchedLine = -1
 
-// contentLengthCounter counts the lines of a byte stream that begin with Content-Length. One goroutine scans; any may
-// read the count.
+// contentLengthCounter counts the lines of a byte stream that begin with "Content-Length:". One goroutine calls scan;
+// any goroutine may read the count.
 type contentLengthCounter struct {
 	lines   atomic.Int64
-	matched int // bytes of contentLengthName that the current line has matched so far, or otherLine
+	matched int // bytes of contentLengthName that the current line has matched so far, or mismatchedLine
 }
 
-// scan reads the next bytes of the stream, however they are cut.
+// scan processes the next bytes of the stream, which may be split anywhere.
 func (c *contentLengthCounter) scan(p []byte) {
 	for len(p) > 0 {
-		if c.matched == otherLine {
+		if c.matched == mismatchedLine {
 			end := bytes.IndexByte(p, '\n')
 			if end < 0 {
 				return
@@ -30,40 +30,42 @@
 			p, c.matched = p[end+1:], 0
 			continue
 		}
-		c.match(p[0])
+		c.matchByte(p[0])
 		p = p[1:]
 	}
 }
 
-// match compares one more byte of a line with contentLengthName, whatever its case.
-func (c *contentLengthCounter) match(b byte) {
+// matchByte compares the next byte of a line with contentLengthName, ignoring case.
+func (c *contentLengthCounter) matchByte(b byte) {
 	if b >= 'A' && b <= 'Z' {
 		b += 'a' - 'A'
 	}
 	switch {
-	case b == '\n': // an empty or short line: the next one begins after it
+	case b == '\n': // an empty or short line has ended
 		c.matched = 0
 	case b != contentLengthName[c.matched]:
-		c.matched = otherLine
+		c.matched = mismatchedLine
 	case c.matched == len(contentLengthName)-1:
 		c.lines.Add(1)
-		c.matched = otherLine
+		c.matched = mismatchedLine
 	default:
 		c.matched++
 	}
 }
 
-// framingError returns the status for a request whose body is rejected unread, and 0 for others. It guards against
-// request smuggling: a request with both a Content-Length and a chunked body may hide another request in it (RFC 9112,
-// section 6.1). net/http drops the Content-Length of such a request, so the raw lines are counted: a chunked request is
-// accepted only if each line on its connection that began with Content-Length belongs to a request with a
-// Content-Length and nothing else. That also rejects a chunked request whose client sent another request ahead behind
-// it, and one whose body has such a line. It counts the Content-Length headers of the request.
+// framingError returns the HTTP status for a request that is rejected without reading its body, or 0 if the request's
+// framing is valid. It prevents request smuggling: a request with both a Content-Length and a chunked body may contain
+// a hidden request (RFC 9112, section 6.1). net/http drops the Content-Length header of such a request, so framingError
+// uses the count of raw lines: it accepts a chunked request only if every line on the connection that began with
+// Content-Length is a header of a request that is not chunked. This also rejects a chunked request that is followed by
+// a pipelined request with a Content-Length, and one whose body contains such a line.
+//
+// framingError adds the request's Content-Length headers to the connection's count.
 func framingError(r *http.Request) int {
 	c := trackedConnOf(r)
 	if r.ContentLength < 0 {
 		if c == nil || c.client == nil {
-			return http.StatusLengthRequired // the raw lines are not known
+			return http.StatusLengthRequired // the raw lines were not counted
 		}
 		if c.client.contentLengths.lines.Load() > c.contentLengths {
 			return http.StatusBadRequest
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// The answers during an operator's drain and at the process's end.
+// Guards against an unintended change of the answers in normal operation, during an operator's drain and at shutdown.
 func TestGoldenLimiter(t *testing.T) {
 	next := func(w http.ResponseWriter, r *http.Request) {
 		if _, status, err := connlimit.ReadBody(w, r); err != nil {
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,18 +1,19 @@
-// Package connlimit limits the client connections of an http.Server and ends them without losing a request.
+// Package connlimit limits the client connections of an http.Server and closes them without losing a request.
 //
-// A Limiter is placed before the server's handler, listener and connection hooks. When the capacity is used up it
-// evicts the least recently active connection without an open request, and rejects new connections if there is none. It
-// bounds the memory of request bodies, rejects requests whose framing is ambiguous (RFC 9112, section 6.1), answers GET
-// /healthz, and closes connections during an operator's drain and at the process's end. The decisions to accept a
-// request and to close a connection are those of package precondition. It counts what never reaches the handler.
+// A Limiter wraps the server's handler and listener and sets its connection hooks. When the capacity is used up, it
+// evicts the least recently active connection without an open request, or rejects new connections if there is none. It
+// limits the memory of request bodies, rejects requests whose framing is ambiguous (RFC 9112, section 6.1), answers GET
+// /healthz, and closes connections during an operator's drain and at shutdown. Package precondition decides whether a
+// request may be accepted and whether a connection may be closed. The Limiter counts the requests and connections that
+// never reach the handler.
 //
 // Files: capacity.go accepts or rejects connections, evict.go selects the connection to evict, drain.go and
-// close_idle.go drain, close.go closes a single connection, conn_state.go has the states of a connection, request.go
-// accepts requests, clientconn.go and client_gone.go watch the raw connection.
+// close_idle.go implement the drain, close.go closes a single connection, conn_state.go has the states of a connection,
+// request.go accepts requests, clientconn.go and client_gone.go monitor the raw connection.
 //
-// Concurrency: net/http runs one goroutine a connection, the listener's Accept runs in the server's, and drains in the
-// caller's. Limiter.mu guards the table of connections, clientConn.mu one raw connection. Limiter.mu is taken first
-// where both are needed. The package starts only timers.
+// Concurrency: net/http runs one goroutine per connection, the listener's Accept runs on the server's goroutine, and
+// drains run on the caller's. Limiter.mu guards the table of connections, and clientConn.mu one raw connection; where
+// both are needed, Limiter.mu is locked first. The package starts no goroutines except through timers.
 package connlimit
 
 import (
@@ -31,24 +32,24 @@
 )
 
 const (
-	// headerTimeout bounds the time in which a client sends a request's header.
+	// headerTimeout limits the time that a client takes to send a request's header.
 	headerTimeout = 2 * time.Second
-	// requestTimeout bounds the time in which it sends the whole request: a broken one is owed an answer or a close
-	// within 3 s.
+	// requestTimeout limits the time that a client takes to send a complete request. A broken request must be answered,
+	// or its connection closed, within 3 s.
 	requestTimeout = 2500 * time.Millisecond
-	// idleTimeout bounds the time between requests on a connection that is not evicted.
+	// idleTimeout limits the time between requests on a connection that is not evicted.
 	idleTimeout = 20 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 16 << 10
 )
 
 // Limiter limits the connections of one http.Server. See the package comment.
 type Limiter struct {
 	next           http.Handler
-	bodyMemory     *semaphore.Weighted // in bytes
+	bodyMemory     *semaphore.Weighted // bytes available for request bodies
 	lifecycle      *Lifecycle
 	violations     *precondition.ViolationCounter
-	acceptListener *accept.Listener // set before the server serves
+	acceptListener *accept.Listener // set by Listen, before the server serves
 
 	malformed     atomic.Int64
 	rejected      atomic.Int64
@@ -56,15 +57,15 @@
 	drained       atomic.Int64
 	closeDeferred atomic.Int64
 
-	lingering    atomic.Int64 // connections that wait for their last answer to arrive,
-	maxLingering atomic.Int64 // and how many may at a time
+	lingering    atomic.Int64 // number of closed connections whose last answer may still be in transit
+	maxLingering atomic.Int64 // limit of lingering
 
 	mu    sync.Mutex
 	conns map[net.Conn]*trackedConn
 }
 
-// NewLimiter returns a Limiter for next. The limiters of a process share the memory for bodies, in bytes, the lifecycle
-// and the counter of violations, which may be nil.
+// NewLimiter returns a Limiter that passes requests to next. The limiters of a process share the bytes of memory for
+// bodies, the lifecycle and the counter of violations; violations may be nil.
 func NewLimiter(
 	next http.Handler, bodyMemory *semaphore.Weighted, lifecycle *Lifecycle, violations *precondition.ViolationCounter,
 ) *Limiter {
@@ -88,14 +89,15 @@
 	s.ConnState = l.connStateChanged
 }
 
-// Listen bounds the connections that a listener accepts to maxConns. An accept that fails does not end the listening.
+// Listen returns a listener that accepts the connections of the given one and limits their number to maxConns. A failed
+// accept does not stop it.
 func (l *Limiter) Listen(listener net.Listener, maxConns int, machine hostos.System) net.Listener {
-	l.maxLingering.Store(int64(max(maxConns/lingeringFraction, 1)))
+	l.maxLingering.Store(int64(max(maxConns/lingeringDivisor, 1)))
 	l.acceptListener = accept.New(listener, machine)
 	return &limitedListener{Listener: l.acceptListener, limiter: l, maxConns: maxConns}
 }
 
-// track begins to count a connection. It is the server's ConnContext.
+// track adds a connection to the table. It is the server's ConnContext hook.
 func (l *Limiter) track(ctx context.Context, netConn net.Conn) context.Context {
 	now := time.Now()
 	c := &trackedConn{limiter: l, quietSince: now, acceptedAt: now}
@@ -116,9 +118,9 @@
 	}
 	switch state {
 	case http.StateActive:
-		c.headerRead()
+		c.recordHeaderRead()
 	case http.StateIdle:
-		c.answered()
+		c.recordAnswered()
 	case http.StateClosed, http.StateHijacked:
 		delete(l.conns, netConn)
 		if c.requestsBegun > c.requestsHandled {
@@ -143,7 +145,7 @@
 	}
 	draining := l.lifecycle.Drain.Active()
 	if draining || l.lifecycle.Stopping.Load() {
-		w.Header().Set("Connection", "close") // the last answer on its connection
+		w.Header().Set("Connection", "close") // net/http closes the connection after this answer
 	}
 	if r.Method == http.MethodGet && r.URL.Path == "/healthz" {
 		if draining {
@@ -155,7 +157,7 @@
 	}
 	if status := framingError(r); status != 0 {
 		l.malformed.Add(1)
-		w.Header().Set("Connection", "close") // what follows is not read
+		w.Header().Set("Connection", "close") // the bytes after the header are not read
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -20,7 +20,7 @@
 
 const maxConns = 4
 
-// newLimitedServer starts a server with a capacity of maxConns behind a Limiter.
+// newLimitedServer starts a server with a capacity of maxConns connections whose handler, next, is behind a Limiter.
 func newLimitedServer(
 	t *testing.T, bodyMemory int64, lifecycle *connlimit.Lifecycle, next http.HandlerFunc,
 ) (*connlimit.Limiter, *httptest.Server) {
@@ -28,8 +28,8 @@
 	return newObservedServer(t, bodyMemory, lifecycle, next, func(http.ConnState) {})
 }
 
-// newObservedServer is newLimitedServer with a function that is called with each new state of a connection, after the
-// Limiter has learned it.
+// newObservedServer starts the same server as newLimitedServer. It calls observe with each new state of a connection,
+// after the Limiter's hook has been called.
 func newObservedServer(
 	t *testing.T, bodyMemory int64, lifecycle *connlimit.Lifecycle, next http.HandlerFunc, observe func(http.ConnState),
 ) (*connlimit.Limiter, *httptest.Server) {
@@ -48,7 +48,7 @@
 	return l, s
 }
 
-// dial opens a connection that is closed as the test ends.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, s *httptest.Server) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -90,8 +90,8 @@
 	testutil.Eventually(t, "three counted headers", func() bool { return l.Malformed() == 3 })
 }
 
-// Bodies in memory are bounded: what exceeds the bound is rejected, with nothing run. A body that is only promised by its
-// header takes no memory.
+// The memory for bodies must be limited: a request whose body exceeds the limit is rejected and not run. A body that
+// was announced by its header but not sent takes no memory.
 func TestBodiesAreBounded(t *testing.T) {
 	entered, finish := make(chan bool), make(chan bool)
 	l, s := newLimitedServer(t, 10, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
@@ -139,7 +139,7 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			// A process that replaces this one may share the address: healthz must not send clients away from both.
+			// A replacement process may share the address, so that a 503 here would remove both from the load balancer.
 			if resp.Close != want || resp.StatusCode != 200 {
 				t.Errorf("stopping %t, %s: status %d, close %t", want, path, resp.StatusCode, resp.Close)
 			}
@@ -147,8 +147,9 @@
 	}
 }
 
-// The operator's drain answers GET /healthz with 503, ends each connection with its answer, and closes those that are idle or
-// quiet, but none with an open request; after it, healthz answers 200 again.
+// During an operator's drain the Limiter answers GET /healthz with 503, closes each connection after its answer, and
+// closes connections that are idle or quiet, but none with an open request. After the drain GET /healthz answers 200
+// again.
 func TestDrainClosesIdleAndQuietConnections(t *testing.T) {
 	var lifecycle connlimit.Lifecycle
 	entered, finish := make(chan bool), make(chan bool)
@@ -169,19 +170,19 @@
 	}
 	io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-entered
-	// net/http reports the idle one only after its answer was written.
-	testutil.Eventually(t, "the limiter to learn that the first connection is idle", becameIdle.Load)
+	// net/http reports the connection as idle only after its answer was written.
+	testutil.Eventually(t, "the first connection to be reported as idle", becameIdle.Load)
 	lifecycle.Drain.Begin(time.Now())
 	if n := l.CloseIdle(time.Hour); n != 1 {
-		t.Errorf("closed %d of idle, open and silent, want the idle one", n)
+		t.Errorf("closed %d of the idle, open and silent connections, want only the idle one", n)
 	}
 	if n := l.CloseIdle(0); n != 1 {
-		t.Errorf("closed %d of open and silent when the silent one was quiet too long, want 1", n)
+		t.Errorf("closed %d of the open and silent connections after the quiet timeout, want only the silent one", n)
 	}
 	for _, conn := range []net.Conn{idle, silent} {
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Error("a closed connection still reads")
+			t.Error("reading from a closed connection succeeded")
 		}
 	}
 	finish <- true
@@ -199,7 +200,7 @@
 	}
 }
 
-// Two listeners share one address, as a process and the one that replaces it do.
+// Two listeners can share one address, as is needed while one process replaces another.
 func TestListenersShareAnAddress(t *testing.T) {
 	first, shared, err := connlimit.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil || !shared {
@@ -213,8 +214,8 @@
 	second.Close()
 }
 
-// Connections that send nothing or a partial request, or send one request and stay, do not lock others out, and none of them
-// costs an open request its connection.
+// Connections that send nothing or a partial request, or that stay open after one request, must not use up the
+// capacity: they are evicted to make capacity for new ones. A connection with an open request must not be evicted.
 func TestSilentAndIdleConnectionsAreEvicted(t *testing.T) {
 	entered, finish := make(chan bool), make(chan bool)
 	l, s := newLimitedServer(t, 1<<20, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
@@ -237,7 +238,7 @@
 		switch i % 3 {
 		case 0:
 			io.WriteString(conn, "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n1")
-		case 1: // it sends one request and stays
+		case 1: // sends one request and keeps the connection
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
 			io.WriteString(conn, "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 1\r\n\r\n1")
 			if _, err := conn.Read(make([]byte, 1)); err != nil {
@@ -251,8 +252,8 @@
 	}
 }
 
-// When capacity is needed, a client that slowly sends its request is not evicted, and those that have sent nothing for longer
-// are evicted first.
+// When capacity is needed, connections that have sent nothing for longer must be evicted before a client that sends its
+// request slowly; otherwise the slow client would lose its request.
 func TestSlowSenderIsNotEvicted(t *testing.T) {
 	_, s := newLimitedServer(t, 1<<20, new(connlimit.Lifecycle), func(w http.ResponseWriter, r *http.Request) {
 		connlimit.ReadBody(w, r)
@@ -266,14 +267,14 @@
 				sent <- err
 				return
 			}
-			time.Sleep(20 * time.Millisecond) // the pace of the sender is what is tested
+			time.Sleep(20 * time.Millisecond) // the test depends on this pace of the sender
 		}
 		sent <- nil
 	}()
-	time.Sleep(150 * time.Millisecond) // older than the 0.1 s after which a silent one is evicted
-	for range 3 * maxConns {           // silent ones, each of which needs capacity
+	time.Sleep(150 * time.Millisecond) // longer than the 0.1 s after which a silent connection may be evicted
+	for range 3 * maxConns {           // silent connections, each of which needs capacity
 		dial(t, s)
-		time.Sleep(30 * time.Millisecond) // the pace at which others connect while the slow one sends
+		time.Sleep(30 * time.Millisecond) // the pace at which others connect while the slow client sends
 	}
 	if err := <-sent; err != nil {
 		t.Fatalf("the slow sender lost its connection: %v", err)
--- a/internal/connlimit/listen.go
+++ b/internal/connlimit/listen.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a TCP address so that a second process of the same program can listen on it as well (SO_REUSEPORT), as the
-// platform does when it replaces a process: the kernel spreads new connections over both until one closes. Where the
-// options are refused, as on platforms that filter system calls, the address is opened for this process alone, and shared
-// is false.
+// Listen listens on a TCP address in such a way that a second process of the same program can listen on it as well
+// (SO_REUSEPORT), which the platform uses to replace a process: the kernel distributes new connections over both
+// processes until one closes its listener. If the socket options are refused, as on platforms that filter system calls,
+// Listen opens the address for this process alone and returns shared as false.
 func Listen(ctx context.Context, addr string) (listener net.Listener, shared bool, err error) {
 	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) error {
 		err := setAddressReuse(socket)
@@ -30,7 +30,7 @@
 	return listener, shared, nil
 }
 
-// setAddressReuse sets the socket options by which several processes can listen on one address.
+// setAddressReuse sets the socket options that allow several processes to listen on one address.
 func setAddressReuse(socket syscall.RawConn) error {
 	var optionErr error
 	controlErr := socket.Control(func(fd uintptr) {
--- a/internal/connlimit/open_connections.go
+++ b/internal/connlimit/open_connections.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// OpenConnection describes a client's connection that is still open, for the log of a drain that lasts too long.
+// OpenConnection describes a client's connection that is still open. It is logged when a drain lasts too long.
 type OpenConnection struct {
 	Remote              string        // the client's address
-	Requests            int           // begun on it
-	LastRequestID       string        // the id of the last request that was accepted or rejected; empty: none was
-	RequestOpen         bool          // that one is being answered
-	Age                 time.Duration // since the connection was accepted
-	LastRequestAge      time.Duration // since the last request was accepted; 0: none was
-	LastByteAge         time.Duration // since its last byte came
-	CloseDeferredReason string        // why the last attempt to close it did not; "allowed": it did, or there was none
+	Requests            int           // number of requests whose header was read
+	LastRequestID       string        // id of the last request that was accepted or rejected; empty if there was none
+	RequestOpen         bool          // reports whether that request is being answered
+	Age                 time.Duration // time since the connection was accepted
+	LastRequestAge      time.Duration // time since the last request was accepted or rejected; 0 if there was none
+	LastByteAge         time.Duration // time since the last byte was received
+	CloseDeferredReason string        // why the last attempt to close the connection failed; "allowed" if it succeeded or there was none
 }
 
 // LogValue implements slog.LogValuer.
@@ -32,8 +32,8 @@
 	)
 }
 
-// OpenConnections lists the open connections, without those that only wait for their last answer to arrive, in no
-// order.
+// OpenConnections returns the open connections in no particular order. It leaves out lingering ones, whose last answer
+// may still be in transit.
 func (l *Limiter) OpenConnections() []OpenConnection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +45,7 @@
 	return out
 }
 
-// describe returns what is known of a connection. Limiter.mu is held.
+// describe returns the description of a connection. Limiter.mu must be held.
 func (c *trackedConn) describe(netConn net.Conn, now time.Time) OpenConnection {
 	o := OpenConnection{
 		Remote:              netConn.RemoteAddr().String(),
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -8,14 +8,15 @@
 	"rampspread/internal/precondition"
 )
 
-// acceptRequest decides whether a request that has come whole is accepted. From then on its connection is not evicted.
-// The check of the client is needed since net/http passes on what a client sent ahead also when it has gone.
+// acceptRequest decides whether a request that was received completely is accepted. Once it is accepted, its connection
+// is not evicted. The check for a client that has gone is needed since net/http passes pipelined requests to the
+// handler even if their client has closed the connection.
 func acceptRequest(r *http.Request) precondition.Reason {
 	c := trackedConnOf(r)
 	if c == nil {
 		return precondition.Allowed
 	}
-	clientGone := c.client != nil && !c.client.requestComplete()
+	clientGone := c.client != nil && !c.client.recordRequestComplete()
 	limiter := c.limiter
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -23,17 +24,17 @@
 		ClientGone:   clientGone,
 		Evicted:      c.state == connEvicted,
 		ShuttingDown: limiter.lifecycle.RejectNew.Load(),
-		Draining:     !limiter.lifecycle.Drain.accepts(time.Now()),
+		Draining:     !limiter.lifecycle.Drain.acceptsRequests(time.Now()),
 	}.Check()
 	rejected := isRejection(decision)
-	c.requestComplete(r.Header.Get("X-Trace-Id"), decision)
+	c.recordRequestComplete(r.Header.Get("X-Trace-Id"), decision)
 	if c.state == connHandling {
 		if limiter.lifecycle.Drain.Active() {
 			slog.Info("request_while_draining", "id", c.lastRequestID, "rejected", rejected, "remote", r.RemoteAddr,
 				"requests", c.requestsBegun, "age", time.Since(c.acceptedAt))
 		}
 		if c.client != nil {
-			c.client.expectAnswer()
+			c.client.markAnswerPending()
 		}
 	}
 	if rejected {
@@ -42,30 +43,30 @@
 	return decision
 }
 
-// isRejection reports whether a request is not accepted, but its client is there to get an answer that says so.
+// isRejection reports whether a request is not accepted while its client can still receive an answer.
 func isRejection(decision precondition.Reason) bool {
 	return decision == precondition.ShuttingDown || decision == precondition.Draining
 }
 
-// drainRejects reports whether an operator's drain has lasted so long that no request is accepted.
+// drainRejects reports whether an operator's drain has been active for so long that no request is accepted any more.
 func drainRejects(r *http.Request) bool {
 	c := trackedConnOf(r)
-	return c != nil && !c.limiter.lifecycle.Drain.accepts(time.Now())
+	return c != nil && !c.limiter.lifecycle.Drain.acceptsRequests(time.Now())
 }
 
-// ArrivedAt returns the earliest time at which a request's last byte may have come, as far as that is known; now is
-// when its header was read. Bytes that were there at the first read of a new connection may have come when the
-// connection did, or while accepts failed.
+// ArrivedAt returns the earliest time at which a request's last byte may have arrived; now is the time at which its
+// header was read. Bytes that were in the socket at the first read of a new connection may have arrived as early as the
+// connection itself, which may have waited in the backlog while accepts failed.
 func ArrivedAt(r *http.Request, now time.Time) time.Time {
 	c := trackedConnOf(r)
-	if c == nil || c.client == nil || c.requestsHandled > 1 || !c.client.hadBytesAtFirstRead() {
+	if c == nil || c.client == nil || c.requestsHandled > 1 || !c.client.firstReadGotAllBytes() {
 		return now
 	}
 	return c.client.acceptedAt.Add(-c.client.backlogWait)
 }
 
-// ClientGoneFunc returns a function that polls a request's connection and reports whether its client has closed it. It
-// returns nil if there is no such connection to poll.
+// ClientGoneFunc returns a function that polls a request's connection and reports whether the client has closed it. It
+// returns nil if the connection cannot be polled.
 func ClientGoneFunc(r *http.Request) func() bool {
 	c := trackedConnOf(r)
 	if c == nil || c.client == nil {
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// clientWriteTimeout bounds each write to a client. A client that reads nothing for so long has stalled, and it
-	// holds a replica's stream.
+	// clientWriteTimeout limits each write to a client. A client that reads nothing for that long has stalled, and
+	// keeps a replica's stream open.
 	clientWriteTimeout = 10 * time.Second
 	streamBufferBytes  = 4 << 10
 )
@@ -29,9 +29,9 @@
 	}
 }
 
-// copyStream forwards a stream, event by event, and closes it. A stream that breaks, or a client that doesn't read,
-// ends the connection without a last chunk, so that nobody takes the answer for complete: it panics with
-// http.ErrAbortHandler.
+// copyStream forwards a stream to the client, flushing after each read, and closes it. If the stream breaks or the
+// client does not read, copyStream panics with http.ErrAbortHandler, which closes the connection without a last chunk.
+// The client can then tell that the answer is incomplete.
 func copyStream(w http.ResponseWriter, stream dispatch.Stream) {
 	defer stream.Close()
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/frontend/chunked_body_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -12,20 +12,21 @@
 	"rampspread/internal/testutil"
 )
 
-// chunkedHead is the header of a request with a chunked body, without the empty line at its end. Its only verb is the id.
+// chunkedHead is a format for the header of a request with a chunked body, without the empty line at its end. Its only
+// argument is the request's id.
 const chunkedHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: %s\r\nX-Qos: frage\r\n" +
-	"X-Expires-In: 30000m\r\nX-Props: " + props + "\r\nTransfer-Encoding: chunked\r\n"
+	"X-Expires-In: 30000m\r\nX-Props: " + validProps + "\r\nTransfer-Encoding: chunked\r\n"
 
-// newChunkedServer starts a server behind a Limiter, before a deployment of its own.
+// newChunkedServer starts a server behind a Limiter, with a deployment of its own. The last result is its address.
 func newChunkedServer(t *testing.T) (*testutil.Deployment, *connlimit.Limiter, string) {
 	t.Helper()
-	deployment, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
+	deployment, handler, _ := startServer(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	l, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
 	return deployment, l, s.Listener.Addr().String()
 }
 
-// Chunked bodies are accepted on a persistent connection, mixed with bodies with a Content-Length, with trailers too, and are
-// forwarded to replicas as one body with a length.
+// On a persistent connection, chunked bodies must be accepted alternately with bodies that have a Content-Length, and
+// also with trailers. Replicas must receive each as one body with a Content-Length.
 func TestChunkedBodyIsForwardedWithItsLength(t *testing.T) {
 	deployment, l, addr := newChunkedServer(t)
 	conn := dial(t, addr)
@@ -58,14 +59,15 @@
 	if l.Malformed() != 0 {
 		t.Errorf("%d counted as malformed", l.Malformed())
 	}
-	// After them, a request with both framings is rejected, and its connection ends.
+	// After them, a request with both framings is rejected, and its connection is closed.
 	fmt.Fprintf(conn, chunkedHead+"Content-Length: 9\r\n\r\n9\r\n"+want+"\r\n0\r\n\r\n", "both")
 	if resp, err := http.ReadResponse(responses, nil); err != nil || resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("both framings on a persistent connection: %v, %v", resp, err)
 	}
 }
 
-// A chunked request is accepted however it is cut into writes, and a part of it never is.
+// A chunked request must be accepted however it is split into writes. An incomplete chunked request must never be
+// accepted.
 func TestChunkedRequestIsAcceptedOnlyWhole(t *testing.T) {
 	deployment, _, addr := newChunkedServer(t)
 	text := fmt.Sprintf(chunkedHead, "whole") + "\r\n4\r\n{\"n\"\r\n2\r\n:1\r\n1\r\n}\r\n0\r\n\r\n"
@@ -92,7 +94,7 @@
 	}
 }
 
-// A chunked body over the limit is rejected as any other, and not sent to a replica.
+// A chunked body over the limit must be rejected in the same way as other bodies, and not sent to a replica.
 func TestTooLongChunkedBodyIsRejected(t *testing.T) {
 	deployment, _, addr := newChunkedServer(t)
 	conn := dial(t, addr)
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -18,7 +18,7 @@
 	"rampspread/internal/testutil"
 )
 
-// stalledListener is a listener whose accepts fail for a time.
+// stalledListener is a listener whose accepts fail until a given time.
 type stalledListener struct {
 	net.Listener
 	until time.Time
@@ -31,7 +31,8 @@
 	return l.Listener.Accept()
 }
 
-// A request that has waited since accepts failed has that much less time remaining, and its replica gets no more than that.
+// The time that a request waits in the backlog while accepts fail counts against its deadline, so that the replica must
+// be given a deadline that is shorter by that time. It does not count for a request whose last bytes are sent later.
 func TestDeadlineCountsTheTimeInTheBacklog(t *testing.T) {
 	const stall, timeout = 400 * time.Millisecond, time.Second
 	deployment := testutil.NewDeployment(t, testutil.ServePrefill, testutil.ServeDecode("alpha"))
@@ -57,7 +58,7 @@
 	}
 	slowConn := dial(t, listener.Addr().String())
 	io.WriteString(slowConn, requestText(slow)[:60])
-	for i := range 2 { // the second has waited as long as the first
+	for i := range 2 { // the second request has waited as long as the first
 		conn := dial(t, listener.Addr().String())
 		io.WriteString(conn, requestText(i))
 	}
@@ -68,7 +69,7 @@
 			t.Errorf("call %d expires in %v (%v), %v after it was sent", i, expiry, err, stall)
 		}
 	}
-	time.Sleep(time.Until(sentAt.Add(2 * stall))) // that the last bytes come this late is what is tested
+	time.Sleep(time.Until(sentAt.Add(2 * stall))) // the test depends on the last bytes being sent this late
 	io.WriteString(slowConn, requestText(slow)[60:])
 	testutil.Eventually(t, "the third prefill call", func() bool { n, _ := deployment.Prefill.Calls(); return n == 3 })
 	expiry, err := frontend.ParseExpiry(deployment.Prefill.Header(slow).Get("X-Expires-In"))
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -15,10 +15,10 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// retryAfter is a Retry-After header with a drawn time, in seconds with three decimals.
+// retryAfter matches a Retry-After header with a random time, in seconds with three decimals.
 var retryAfter = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\n`)
 
-// Each answer of the platform's frontend, with its headers and its text.
+// Guards against an unintended change of the status, headers or text of the frontend's answers.
 func TestGoldenAnswers(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -57,13 +57,13 @@
 		if c.decode != nil {
 			decode = c.decode
 		}
-		_, _, url := serve(t, prefill, decode)
-		resp, text, err := do(t, request(t, url, c.mutate))
+		_, _, url := startServer(t, prefill, decode)
+		resp, text, err := doRequest(t, newRequest(t, url, c.mutate))
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		dump := testutil.DumpResponse(resp, text)
-		if resp.StatusCode == http.StatusTooManyRequests { // its time is drawn
+		if resp.StatusCode == http.StatusTooManyRequests { // the time is random
 			dump = retryAfter.ReplaceAllString(dump, "Retry-After: WAIT\n")
 		}
 		fmt.Fprintf(&all, "# %s\n%s\n", c.name, dump)
@@ -71,7 +71,7 @@
 	golden.Text(t, "answers.golden", all.String())
 }
 
-// A name's key is the same at each dispatcher, of whatever version.
+// The key of a name must be the same at all dispatchers, whatever their version.
 func TestGoldenHashKey(t *testing.T) {
 	for name, want := range map[string]uint64{"text-1": 0x9273b224f1973628, "": 0} {
 		if got := uint64(frontend.HashKey(name)); got != want {
@@ -80,19 +80,20 @@
 	}
 }
 
-// The answers to a request with the id of an open request, and to one for whose body there is no memory.
+// Guards against an unintended change of the answers to a request with the id of an open request, and to a request for
+// whose body there is not enough memory.
 func TestGoldenRejections(t *testing.T) {
 	var all strings.Builder
 	entered, finish := make(chan bool, 1), make(chan bool)
-	_, _, url := serve(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
+	_, _, url := startServer(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		entered <- true
 		<-finish
 		testutil.ServeDecode("a")(w, r, n)
 	})
 	firstStatus := make(chan int)
-	go func() { resp, _, _ := do(t, request(t, url, nil)); firstStatus <- resp.StatusCode }()
+	go func() { resp, _, _ := doRequest(t, newRequest(t, url, nil)); firstStatus <- resp.StatusCode }()
 	<-entered
-	resp, text, err := do(t, request(t, url, nil))
+	resp, text, err := doRequest(t, newRequest(t, url, nil))
 	close(finish)
 	if status := <-firstStatus; err != nil || status != http.StatusOK {
 		t.Errorf("first %d, second %v", status, err)
@@ -104,7 +105,7 @@
 			http.Error(w, err.Error(), status)
 		}
 	})
-	if resp, text, err = do(t, request(t, server.URL, nil)); err != nil {
+	if resp, text, err = doRequest(t, newRequest(t, server.URL, nil)); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&all, "# too much in hand\n%s\n", testutil.DumpResponse(resp, text))
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -1,8 +1,8 @@
-// Package frontend is the HTTP frontend of the platform's protocol. It parses a request's headers, dispatches the
-// request and writes its one answer; package connlimit is placed before it and manages the connections.
+// Package frontend is the HTTP frontend for the platform's protocol. It parses a request's headers, dispatches the
+// request and writes its final answer. Package connlimit wraps the frontend and manages the client connections.
 //
-// A Handler owns the table of classes that clients may name and the ids of open requests. net/http runs one goroutine a
-// request; all methods may be called from any of them, except where they say otherwise.
+// A Handler owns the table of classes that clients may name and the set of ids of open requests. net/http runs one
+// goroutine per request; methods may be called from any goroutine unless their comments say otherwise.
 package frontend
 
 import (
@@ -23,15 +23,15 @@
 	dispatcher *dispatch.Dispatcher
 	settings   *config.Settings
 	malformed  atomic.Int64
-	openIDs    sync.Map                   // ids of this process's open requests
-	peerTable  *inflight.Table            // the same of peer processes with this name; nil: there are none
-	classes    atomic.Pointer[classTable] // that clients may name
+	openIDs    sync.Map                   // ids (string) of this process's open requests
+	peerTable  *inflight.Table            // request ids shared with peer processes of this name, or nil if there are none
+	classes    atomic.Pointer[classTable] // classes that clients may name
 }
 
-// classTable holds the router's classes by the names that clients may give.
+// classTable maps the class names that clients may give to the router's classes.
 type classTable struct {
-	indexes    map[string]int
-	idempotent []bool // by class: it may be repeated at will
+	indexes    map[string]int // index of the class in the router's configuration, by name
+	idempotent []bool         // by class index; requests of an idempotent class may run more than once
 }
 
 // NewHandler returns a Handler for clients that may name the given classes.
@@ -41,11 +41,11 @@
 	return h
 }
 
-// UsePeerTable shares the ids of open requests with peer processes of this name. It is called before the handler
-// serves.
+// UsePeerTable makes the handler share the ids of open requests with peer processes of this name. It must be called
+// before the handler serves requests.
 func (h *Handler) UsePeerTable(t *inflight.Table) { h.peerTable = t }
 
-// SetClasses replaces the classes that clients may name, after a configuration change; open requests keep theirs.
+// SetClasses replaces the classes that clients may name, after a configuration change. Open requests keep their class.
 func (h *Handler) SetClasses(classes config.Classes) {
 	table := &classTable{indexes: classes.Names}
 	for _, class := range classes.Config.Classes {
@@ -54,8 +54,8 @@
 	h.classes.Store(table)
 }
 
-// Malformed is how many requests were malformed or had the id of an open request. They were answered without being sent
-// to a replica.
+// Malformed returns the number of requests that were malformed or had the id of another open request. They were
+// answered without being sent to a replica.
 func (h *Handler) Malformed() int64 { return h.malformed.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -70,11 +70,12 @@
 		http.Error(w, malformed.Error(), malformed.status)
 		return
 	}
-	h.serve(w, r, req)
+	h.serveCompletion(w, r, req)
 }
 
-// serve dispatches a request if no other open request has its id: what is sent or released for one would be for both.
-func (h *Handler) serve(w http.ResponseWriter, r *http.Request, req dispatch.Request) {
+// serveCompletion dispatches a request unless another open request has the same id. Two open requests with one id could
+// not be told apart: what is sent or released for one would also apply to the other.
+func (h *Handler) serveCompletion(w http.ResponseWriter, r *http.Request, req dispatch.Request) {
 	id := req.Call.ID
 	if _, open := h.openIDs.LoadOrStore(id, true); open {
 		h.rejectDuplicateID(w)
@@ -85,7 +86,7 @@
 	case inflight.Acquired:
 		defer h.peerTable.Release(inflight.Request, id)
 	case inflight.Unknown:
-		if !h.classes.Load().idempotent[req.Class] { // it might run twice
+		if !h.classes.Load().idempotent[req.Class] { // the request might run twice
 			w.Header().Set("Retry-After", "1")
 			http.Error(w, "another process may have this request", http.StatusServiceUnavailable)
 			return
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -16,17 +16,17 @@
 	"rampspread/internal/testutil"
 )
 
-const props = "prefix=5c0f6e1a2b3d4c59,prompt_len=120,prefix_len=48,max_out=80"
+const validProps = "prefix=5c0f6e1a2b3d4c59,prompt_len=120,prefix_len=48,max_out=80"
 
-// request returns a valid request after the mutation; nil: none.
-func request(t testing.TB, url string, mutate func(*http.Request)) *http.Request {
+// newRequest returns a valid request, changed by mutate unless that is nil.
+func newRequest(t testing.TB, url string, mutate func(*http.Request)) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(`{"stream":true}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, v := range map[string]string{"X-Trace-Id": "9b1f03aa5c7e2d41", "X-Qos": "frage", "X-Object": "7f3a",
-		"X-Expires-In": "30000m", "X-Props": props} {
+		"X-Expires-In": "30000m", "X-Props": validProps} {
 		r.Header.Set(name, v)
 	}
 	if mutate != nil {
@@ -35,8 +35,9 @@
 	return r
 }
 
-// serve starts a server with a Handler and no Limiter, before a deployment with the given scripts. It returns the server's URL.
-func serve(t testing.TB, prefill, decode testutil.Script) (*testutil.Deployment, *frontend.Handler, string) {
+// startServer starts a server with a Handler and no Limiter. The Handler dispatches to a deployment whose replicas
+// follow the scripts. The last result is the server's URL.
+func startServer(t testing.TB, prefill, decode testutil.Script) (*testutil.Deployment, *frontend.Handler, string) {
 	t.Helper()
 	deployment := testutil.NewDeployment(t, prefill, decode)
 	classes, err := deployment.Settings.ClassTable()
@@ -49,8 +50,8 @@
 	return deployment, handler, s.URL
 }
 
-// do sends a request and reads its whole answer. The error is that of reading the body.
-func do(t testing.TB, r *http.Request) (*http.Response, string, error) {
+// doRequest sends a request and returns its response and the body read. The error is the one from reading the body.
+func doRequest(t testing.TB, r *http.Request) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -62,8 +63,8 @@
 }
 
 func TestAnswerIsServedUnchanged(t *testing.T) {
-	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("alpha", "beta"))
-	resp, body, err := do(t, request(t, url, nil))
+	deployment, _, url := startServer(t, testutil.ServePrefill, testutil.ServeDecode("alpha", "beta"))
+	resp, body, err := doRequest(t, newRequest(t, url, nil))
 	if err != nil || resp.StatusCode != http.StatusOK || body != testutil.EventStream("alpha", "beta") {
 		t.Errorf("status %d, body %q, %v", resp.StatusCode, body, err)
 	}
@@ -72,23 +73,23 @@
 	}
 }
 
-// A broken stream must not look complete: it ends without the last chunk.
+// A stream that broke must not look complete to the client: its connection has to end without the last chunk.
 func TestBrokenStreamEndsWithoutLastChunk(t *testing.T) {
 	whole := testutil.EventStream("alpha", "beta")
-	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServePrefill)
+	deployment, _, url := startServer(t, testutil.ServePrefill, testutil.ServePrefill)
 	for n := strings.Index(whole, "\n\n") + 2; n < len(whole); n += 29 {
 		deployment.Decode.SetScript(testutil.ServeTruncated(n, "alpha", "beta"))
-		resp, body, err := do(t, request(t, url, nil))
+		resp, body, err := doRequest(t, newRequest(t, url, nil))
 		if err == nil || resp.StatusCode != http.StatusOK || body != testutil.CompleteEvents(whole[:n]) {
 			t.Errorf("cut at %d: status %d, body %q, %v", n, resp.StatusCode, body, err)
 		}
 	}
 }
 
-// A client that does not read its answer stalls no other.
+// A client that does not read its answer must not delay the answers to other clients.
 func TestSlowClientStallsNoOther(t *testing.T) {
-	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeDecode(slices.Repeat([]string{strings.Repeat("x", 32<<10)}, 512)...))
-	r := request(t, url, nil)
+	deployment, _, url := startServer(t, testutil.ServePrefill, testutil.ServeDecode(slices.Repeat([]string{strings.Repeat("x", 32<<10)}, 512)...))
+	r := newRequest(t, url, nil)
 	conn, err := net.Dial("tcp", r.URL.Host)
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +101,7 @@
 	testutil.Eventually(t, "the slow client's answer to start", func() bool { n, _ := deployment.Decode.Calls(); return n == 1 })
 	deployment.Decode.SetScript(testutil.ServeDecode("a"))
 	for i := range 8 {
-		resp, body, err := do(t, request(t, url, func(r *http.Request) { r.Header.Set("X-Trace-Id", strconv.Itoa(i)) }))
+		resp, body, err := doRequest(t, newRequest(t, url, func(r *http.Request) { r.Header.Set("X-Trace-Id", strconv.Itoa(i)) }))
 		if resp.StatusCode != 200 || body != testutil.EventStream("a") || err != nil {
 			t.Errorf("request %d: status %d, %q, %v", i, resp.StatusCode, body, err)
 		}
@@ -108,49 +109,50 @@
 }
 
 func TestRejectionHasRetryAfter(t *testing.T) {
-	_, _, url := serve(t, testutil.ServeStatusNeverRan(503), testutil.ServePrefill)
-	resp, _, _ := do(t, request(t, url, nil))
+	_, _, url := startServer(t, testutil.ServeStatusNeverRan(503), testutil.ServePrefill)
+	resp, _, _ := doRequest(t, newRequest(t, url, nil))
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); resp.StatusCode != 429 || err != nil || s <= 0 {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 }
 
 func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
-	deployment, _, url := serve(t, testutil.ServePrefill, testutil.ServeStatus(500))
-	resp, _, _ := do(t, request(t, url, func(r *http.Request) { r.Header.Set("X-Qos", "meldung") }))
+	deployment, _, url := startServer(t, testutil.ServePrefill, testutil.ServeStatus(500))
+	resp, _, _ := doRequest(t, newRequest(t, url, func(r *http.Request) { r.Header.Set("X-Qos", "meldung") }))
 	if total, _ := deployment.Decode.Calls(); resp.StatusCode != http.StatusBadGateway || total != 1 {
 		t.Errorf("status %d after %d calls", resp.StatusCode, total)
 	}
 }
 
-// A request with the id of another open request is rejected, and the id is free once that one ends.
+// A request with the id of an open request must be rejected without being sent to a replica. The id can be used again
+// once the open request has ended.
 func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
 	entered, finish := make(chan bool, 8), make(chan bool, 8)
-	deployment, handler, url := serve(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
+	deployment, handler, url := startServer(t, testutil.ServePrefill, func(w http.ResponseWriter, r *http.Request, n int) {
 		entered <- true
 		<-finish
 		testutil.ServeDecode("a")(w, r, n)
 	})
 	firstStatus := make(chan int)
 	go func() {
-		resp, _, _ := do(t, request(t, url, nil))
+		resp, _, _ := doRequest(t, newRequest(t, url, nil))
 		firstStatus <- resp.StatusCode
 	}()
 	<-entered
-	resp, _, _ := do(t, request(t, url, nil))
+	resp, _, _ := doRequest(t, newRequest(t, url, nil))
 	total, _ := deployment.Prefill.Calls()
 	finish <- true
 	finish <- true
 	if got := <-firstStatus; got != 200 || resp.StatusCode != http.StatusConflict || total != 1 || handler.Malformed() != 1 {
 		t.Errorf("first %d, second %d, %d prefill calls, %d malformed", got, resp.StatusCode, total, handler.Malformed())
 	}
-	if resp, _, _ := do(t, request(t, url, nil)); resp.StatusCode != 200 {
+	if resp, _, _ := doRequest(t, newRequest(t, url, nil)); resp.StatusCode != 200 {
 		t.Errorf("afterwards: status %d", resp.StatusCode)
 	}
 }
 
 func TestMalformedRequestsAreRejectedAndCounted(t *testing.T) {
-	deployment, handler, url := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
+	deployment, handler, url := startServer(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -179,27 +181,27 @@
 		},
 	}
 	for name, mutate := range cases {
-		if resp, _, _ := do(t, request(t, url, mutate)); resp.StatusCode/100 != 4 || resp.StatusCode == 429 {
+		if resp, _, _ := doRequest(t, newRequest(t, url, mutate)); resp.StatusCode/100 != 4 || resp.StatusCode == 429 {
 			t.Errorf("%s: status %d", name, resp.StatusCode)
 		}
 	}
 	if total, _ := deployment.Prefill.Calls(); total != 0 || handler.Malformed() != int64(len(cases)) {
 		t.Errorf("%d sends, %d counted of %d", total, handler.Malformed(), len(cases))
 	}
-	if resp, _, err := do(t, request(t, url, nil)); resp.StatusCode != 200 || err != nil {
+	if resp, _, err := doRequest(t, newRequest(t, url, nil)); resp.StatusCode != 200 || err != nil {
 		t.Errorf("a good request after them: status %d, %v", resp.StatusCode, err)
 	}
 }
 
-// FuzzRequestHeader feeds raw request bytes to the handler through net/http's parser: every request that is accepted is
-// answered, and nothing panics.
+// FuzzRequestHeader passes raw request bytes through net/http's parser to the handler. Every request that net/http
+// parses must be answered, and nothing may panic.
 func FuzzRequestHeader(f *testing.F) {
 	valid := "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\nX-Qos: frage\r\n" +
-		"X-Expires-In: 4800m\r\nX-Props: " + props + "\r\nContent-Length: 2\r\n\r\n{}"
+		"X-Expires-In: 4800m\r\nX-Props: " + validProps + "\r\nContent-Length: 2\r\n\r\n{}"
 	for _, text := range testutil.CorruptedSeeds(2, valid, strings.Replace(valid, "4800m", "4800000u", 1)) {
 		f.Add(text)
 	}
-	_, handler, _ := serve(f, testutil.ServePrefill, testutil.ServeDecode("a"))
+	_, handler, _ := startServer(f, testutil.ServePrefill, testutil.ServeDecode("a"))
 	f.Fuzz(func(t *testing.T, text string) {
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
--- a/internal/frontend/key.go
+++ b/internal/frontend/key.go
@@ -7,8 +7,8 @@
 	"rampspread/routing"
 )
 
-// HashKey returns the routing key of a session's or a prefix's name: its FNV-1a hash, the same at every dispatcher of
-// any version, but 1 for a hash of 0. The key of an empty name is 0, which means none.
+// HashKey returns the routing key for the name of a session or prefix: the name's FNV-1a hash, or 1 if the hash is 0.
+// It returns the same key at every dispatcher of any version. The key of an empty name is 0, which means no key.
 func HashKey(name string) routing.Key {
 	if name == "" {
 		return 0
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -19,7 +19,7 @@
 
 const maxConns = 4
 
-// newLimitedServer starts a server with a capacity of maxConns behind a Limiter.
+// newLimitedServer starts a server with a capacity of maxConns connections whose handler, next, is behind a Limiter.
 func newLimitedServer(t *testing.T, bodyMemory int64, next http.HandlerFunc) (*connlimit.Limiter, *httptest.Server) {
 	t.Helper()
 	l := connlimit.NewLimiter(next, semaphore.NewWeighted(bodyMemory), new(connlimit.Lifecycle), nil)
@@ -31,7 +31,7 @@
 	return l, s
 }
 
-// dial opens a connection that is closed as the test ends, and that no read or write waits on for long.
+// dial opens a connection that is closed when the test ends. Its reads and writes fail after 20 s.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -43,9 +43,10 @@
 	return conn.(*net.TCPConn)
 }
 
-// A client that sends a partial header or request is disconnected in time, also where the header alone is malformed.
+// The connection of a client that sends nothing, a partial header, or a malformed header with a partial body must be
+// closed before the client's read deadline.
 func TestPartialRequestIsDisconnected(t *testing.T) {
-	_, handler, _ := serve(t, testutil.ServePrefill, testutil.ServeDecode("a"))
+	_, handler, _ := startServer(t, testutil.ServePrefill, testutil.ServeDecode("a"))
 	_, s := newLimitedServer(t, 1<<20, handler.ServeHTTP)
 	partials := []string{
 		"",
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -25,16 +25,17 @@
 )
 
 const (
-	// answerMargin is how long before the client gives up the answer is sent, so that it arrives in time.
+	// answerMargin is the time from a request's deadline in the dispatcher to the moment at which the client gives up,
+	// so that the answer arrives in time.
 	answerMargin = 25 * time.Millisecond
-	// maxMarginFraction is the largest part of the client's time, as its divisor, that the margin takes.
-	maxMarginFraction  = 4
+	// maxMarginDivisor limits the margin to the client's time divided by maxMarginDivisor.
+	maxMarginDivisor   = 4
 	maxExpiry          = time.Hour
 	maxRequestIDLength = 64
 	maxTokenCount      = 1e9
 )
 
-// requestError says why a request is malformed, and which status answers it. Its text is on the wire.
+// requestError is the reason why a request is malformed and the HTTP status of the answer. Its text is sent to clients.
 type requestError struct {
 	status int
 	cause  error
@@ -50,7 +51,7 @@
 	return &requestError{status: status, cause: fmt.Errorf(format, args...)}
 }
 
-// parse checks a request and reads its body. The request's deadline counts from arrivedAt.
+// parse validates a request and reads its body. The request's deadline counts from arrivedAt.
 func (h *Handler) parse(w http.ResponseWriter, r *http.Request, arrivedAt time.Time) (dispatch.Request, *requestError) {
 	if r.Method != http.MethodPost || r.URL.Path != completionsPath {
 		return dispatch.Request{}, malformedRequest(http.StatusNotFound, "no such resource")
@@ -74,7 +75,7 @@
 	return req, nil
 }
 
-// parseHeader reads what the router decides by.
+// parseHeader parses the header fields that the router's decisions depend on.
 func (h *Handler) parseHeader(header http.Header, arrivedAt time.Time) (dispatch.Request, *requestError) {
 	if !validRequestID(header.Get(headerRequestID)) {
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Trace-Id missing or malformed")
@@ -93,14 +94,14 @@
 	if err != nil {
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Expires-In: %w", err)
 	}
-	req.Deadline = arrivedAt.Add(expiry - min(answerMargin, expiry/maxMarginFraction))
+	req.Deadline = arrivedAt.Add(expiry - min(answerMargin, expiry/maxMarginDivisor))
 	if err := parseProperties(&req, header.Get(headerProperties)); err != nil {
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Props: %w", err)
 	}
 	return req, nil
 }
 
-// validRequestID reports whether an id may be part of a path and of a header.
+// validRequestID reports whether an id can be used in a path and in a header.
 func validRequestID(id string) bool {
 	if id == "" || len(id) > maxRequestIDLength {
 		return false
@@ -113,8 +114,8 @@
 	return true
 }
 
-// ParseExpiry parses the time until a client gives up, such as 4800m (milliseconds) or 4800000u (microseconds). It must
-// be above 0 and at most an hour. The errors' texts are sent to clients.
+// ParseExpiry parses the time until a client gives up, such as 4800m (milliseconds) or 4800000u (microseconds). The
+// time must be above 0 and at most an hour. The texts of the errors are sent to clients.
 func ParseExpiry(value string) (time.Duration, error) {
 	if value == "" {
 		return 0, errors.New("missing")
@@ -135,8 +136,8 @@
 	return time.Duration(n * float64(unit)), nil
 }
 
-// parseProperties parses the list of a prompt's properties, name=value pairs separated by commas, into req. Unknown
-// names are skipped; prompt_len is required.
+// parseProperties parses a prompt's properties, which are name=value pairs separated by commas, into req. It ignores
+// unknown names; prompt_len is required and must be above 0.
 func parseProperties(req *dispatch.Request, list string) error {
 	for item := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(item), "=")
