--- a/internal/chatapi/completion.go
+++ b/internal/chatapi/completion.go
@@ -24,7 +24,7 @@
 
 // runResult is the result of running a request.
 type runResult struct {
-	mayHaveRun bool            // reports whether a replica may have executed the request
+	mayHaveRun bool            // whether a replica may have executed the request
 	completion *chatCompletion // the complete answer, or nil if it is not known or too long to retain
 }
 
--- a/internal/chatapi/disconnect_test.go
+++ b/internal/chatapi/disconnect_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("cut at %d, attempt %d of a %s: %d final answers in %q", n, attempt, model, got, text)
 			}
 			if cut && (err == nil && resp.StatusCode == 200 || strings.Contains(text, "[DONE]")) {
-				t.Errorf("cut at %d, attempt %d of a %s looks whole: %q", n, attempt, model, text)
+				t.Errorf("cut at %d, attempt %d of a %s looks complete: %q", n, attempt, model, text)
 			}
 			if model == "meldung" && resp.StatusCode == 429 {
 				t.Errorf("cut at %d: a keyed request that may have run was rejected", n)
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -29,8 +29,8 @@
 	return "# " + name + "\n" + out + "\n"
 }
 
-// Guards against an unintended change of the answers, streams and list of models that clients receive, and of the
-// request that is forwarded to the replicas.
+// This test guards against an unintended change of the answers, streams and list of models that clients receive, and of
+// the request that is forwarded to the replicas.
 func TestGoldenAnswers(t *testing.T) {
 	s := startService(t, testutil.ServePrefill, testutil.ServeDecode("Parcel ", "7"))
 	var all strings.Builder
@@ -71,7 +71,7 @@
 	golden.Text(t, "answers.golden", all.String())
 }
 
-// Guards against an unintended change of the answers to requests that are not run or that fail.
+// This test guards against an unintended change of the answers to requests that are not run or that fail.
 func TestGoldenErrors(t *testing.T) {
 	good, keyed := requestBody("frage", false, "x"), requestBody("meldung", false, "x")
 	key := []string{"Idempotency-Key", "k"}
@@ -121,8 +121,8 @@
 	golden.Text(t, "errors.golden", all.String())
 }
 
-// Guards against an unintended change of the answers to a retry whose first attempt has no known answer, and to a
-// request whose key no longer fits into the table.
+// This test guards against an unintended change of the answers to a retry whose first attempt has no known answer, and
+// to a request whose key no longer fits into the table.
 func TestGoldenIdempotencyKeys(t *testing.T) {
 	var all strings.Builder
 	release := make(chan struct{})
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Guards against a change in how the used fields of a request and the events of replicas are decoded.
+// This test guards against a change in how the used fields of a request and the events of replicas are decoded.
 func TestGoldenRead(t *testing.T) {
 	got, _, err := parseRequest([]byte(`{"model":"model-1",
 		"messages":[{"role":"system","content":"content-1"},{"role":"user","content":[{"type":"text","text":"content-2"}]}],
@@ -82,7 +82,7 @@
 	}
 }
 
-// Guards against a change of the keys of the configuration file: sets each of them.
+// This test guards against a change of the configuration file's keys. It sets each of them.
 func TestGoldenConfig(t *testing.T) {
 	settings, err := config.ParseSettings([]byte(`{"classes":[{"name":"class-1"}]}`))
 	if err != nil {
--- a/internal/connlimit/capacity.go
+++ b/internal/connlimit/capacity.go
@@ -15,8 +15,8 @@
 	// rejectionWriteTimeout limits the time for writing a rejection, whose few bytes fit into the send buffer of a new
 	// connection.
 	rejectionWriteTimeout = 100 * time.Millisecond
-	// lingeringDivisor limits lingering connections, which are not part of the capacity: up to the capacity divided by
-	// lingeringDivisor may wait for their last answer to arrive.
+	// lingeringDivisor limits the lingering connections, which do not count towards the capacity: their maximum number
+	// is the capacity divided by lingeringDivisor.
 	lingeringDivisor = 8
 )
 
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -32,7 +32,7 @@
 	}
 	time.Sleep(evictSilentAfter + 10*time.Millisecond) // the process is suspended
 	if l.ensureCapacity(1) || tracked.state == connEvicted {
-		t.Fatal("closed with a request read and no answer given")
+		t.Fatal("evicted a connection whose request was read and not answered")
 	}
 }
 
--- a/internal/connlimit/clientconn.go
+++ b/internal/connlimit/clientconn.go
@@ -41,7 +41,7 @@
 	lastWrite          time.Time // zero if nothing was written
 	firstRead          firstRead
 
-	// pipelinedByteRead reports whether a byte after the open request has been read. net/http then reads no further and
+	// pipelinedByteRead is set when a byte after the open request has been read. net/http then reads no further and
 	// does not notice when the client closes the connection.
 	pipelinedByteRead bool
 	onClientGone      func()      // called if the client goes away during its request, or nil while no request is open
@@ -182,9 +182,9 @@
 	c.betweenRequests = true
 }
 
-// recordRequestComplete records that no part of an incomplete request has been read. It returns false if the client has
-// closed the connection. It polls the socket for that, since a process that was suspended reads the client's close only
-// after the request.
+// recordRequestComplete records that the bytes read so far contain no incomplete request. It returns false if the
+// client has closed the connection. It polls the socket for that, since a process that was suspended reads the client's
+// close only after the request.
 func (c *clientConn) recordRequestComplete() bool {
 	gone := c.clientGone()
 	c.mu.Lock()
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -96,7 +96,7 @@
 			sendBytes(t, server, client)
 			server.awaitingBytes = true // as if a Read had begun but not made its system call
 			if closed := closeIdle(server, c.cause); closed != c.wantClosed {
-				t.Fatalf("closed over unread bytes %t", closed)
+				t.Fatalf("closed with unread bytes in the socket: %t", closed)
 			}
 			if n, err := server.Read(make([]byte, 8)); n != len(c.wantRead) || (err == nil) == c.wantClosed {
 				t.Fatalf("read %d bytes, %v", n, err)
@@ -109,7 +109,7 @@
 		server.Read(make([]byte, 8))
 		server.awaitingBytes = true // as if a Read waited for the rest
 		if closeIdle(server, precondition.AtShutdown) {
-			t.Fatal("closed over a partial request")
+			t.Fatal("closed although a partial request was read")
 		}
 		server.recordRequestComplete()
 		if !closeIdle(server, precondition.ForDrain) {
@@ -122,7 +122,7 @@
 		server.Read(make([]byte, 8))
 		server.recordRequestComplete()
 		if closeIdle(server, precondition.AtShutdown) {
-			t.Fatal("closed while nobody waits for bytes")
+			t.Fatal("closed although net/http has a buffered request")
 		}
 	})
 	t.Run("a read waits", func(t *testing.T) {
@@ -232,7 +232,7 @@
 	}
 	all.Wait()
 	if n := l.ConnectionCount(); n != 0 {
-		t.Errorf("%d are counted at the end", n)
+		t.Errorf("%d lingering connections are counted at the end", n)
 	}
 }
 
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -43,7 +43,7 @@
 	contentLengths int64
 
 	state           connState
-	hadRequest      bool // reports whether a complete request has been received
+	hadRequest      bool // whether a complete request has been received
 	requestsBegun   int  // number of requests whose header was read
 	requestsHandled int  // number of requests that reached the handler
 	acceptedAt      time.Time
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -20,7 +20,7 @@
 // evictionCandidate is a connection that may be evicted.
 type evictionCandidate struct {
 	conn           net.Conn // nil if no connection may be evicted
-	partialRequest bool     // reports whether its first request is incomplete
+	partialRequest bool     // whether its first request is incomplete
 }
 
 // ensureCapacity reports whether there is capacity for one more connection. If necessary it evicts one.
--- a/internal/connlimit/framing_test.go
+++ b/internal/connlimit/framing_test.go
@@ -10,8 +10,8 @@
 	"rampspread/internal/testutil"
 )
 
-// Guards against request smuggling: the bytes of a body must never be read as another request, whether the header has
-// both framings, a framing that is invalid or unsupported, or a body that is too long.
+// This test guards against request smuggling: the bytes of a body must never be read as another request, whether the
+// header has both framings, a framing that is invalid or unsupported, or a body that is too long.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	const hidden = "POST /hidden HTTP/1.1\r\nHost: b\r\nContent-Length: 2\r\n\r\n{}"
 	for head, want := range map[string]string{
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -13,7 +13,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// Guards against an unintended change of the answers in normal operation, during an operator's drain and at shutdown.
+// This test guards against an unintended change of the answers in normal operation, during an operator's drain and at
+// shutdown.
 func TestGoldenLimiter(t *testing.T) {
 	next := func(w http.ResponseWriter, r *http.Request) {
 		if _, status, err := connlimit.ReadBody(w, r); err != nil {
--- a/internal/connlimit/open_connections.go
+++ b/internal/connlimit/open_connections.go
@@ -8,14 +8,16 @@
 
 // OpenConnection describes a client's connection that is still open. It is logged when a drain lasts too long.
 type OpenConnection struct {
-	Remote              string        // the client's address
-	Requests            int           // number of requests whose header was read
-	LastRequestID       string        // id of the last request that was accepted or rejected; empty if there was none
-	RequestOpen         bool          // reports whether that request is being answered
-	Age                 time.Duration // time since the connection was accepted
-	LastRequestAge      time.Duration // time since the last request was accepted or rejected; 0 if there was none
-	LastByteAge         time.Duration // time since the last byte was received
-	CloseDeferredReason string        // why the last attempt to close the connection failed; "allowed" if it succeeded or there was none
+	Remote         string        // the client's address
+	Requests       int           // number of requests whose header was read
+	LastRequestID  string        // id of the last request that was accepted or rejected; empty if there was none
+	RequestOpen    bool          // whether that request is being answered
+	Age            time.Duration // time since the connection was accepted
+	LastRequestAge time.Duration // time since the last request was accepted or rejected; 0 if there was none
+	LastByteAge    time.Duration // time since the last byte was received
+	// CloseDeferredReason is why the last attempt to close the connection failed, or "allowed" if it succeeded or there
+	// was none.
+	CloseDeferredReason string
 }
 
 // LogValue implements slog.LogValuer.
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -18,7 +18,7 @@
 // retryAfter matches a Retry-After header with a random time, in seconds with three decimals.
 var retryAfter = regexp.MustCompile(`Retry-After: [0-9]+\.[0-9]{3}\n`)
 
-// Guards against an unintended change of the status, headers or text of the frontend's answers.
+// This test guards against an unintended change of the status, headers or text of the frontend's answers.
 func TestGoldenAnswers(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -80,8 +80,8 @@
 	}
 }
 
-// Guards against an unintended change of the answers to a request with the id of an open request, and to a request for
-// whose body there is not enough memory.
+// This test guards against an unintended change of the answers to a request with the id of an open request, and to a
+// request for whose body there is not enough memory.
 func TestGoldenRejections(t *testing.T) {
 	var all strings.Builder
 	entered, finish := make(chan bool, 1), make(chan bool)
