--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -99,8 +99,8 @@
 	"an attempt after the client's close": {
 		{"internal/precondition/precondition.go", "case a.ClientGone:", "case false:"},
 		{"internal/precondition/precondition.go", "case b.ClientGone:", "case false:"},
-		{"internal/dispatch/requests.go", "	case <-client.Done():\n		d.post(func() { d.clientDisconnected(q) })\n", ""},
-		{"internal/dispatch/requests.go", "if q.clientGone() {", "if false {"},
+		{"internal/dispatch/requests.go", "	case <-client.Done():\n		d.post(func() { d.clientDisconnected(pending) })\n", ""},
+		{"internal/dispatch/requests.go", "if req.clientGone() {", "if false {"},
 	},
 	"a resend of what may have run": {
 		{"internal/precondition/precondition.go", "repeat := a.Executes && a.MayHaveRun", "repeat := false && a.MayHaveRun"},
