--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -33,7 +33,7 @@
 type Server struct {
 	calls     map[string]Handler
 	log       *slog.Logger
-	open      atomic.Int64
+	openCalls atomic.Int64
 	malformed atomic.Int64
 	served    atomic.Int64
 
@@ -75,7 +75,7 @@
 			continue
 		}
 		backoff = 0
-		if s.open.Add(1) > maxOpenCalls || !s.track(c) {
+		if s.openCalls.Add(1) > maxOpenCalls || !s.track(c) {
 			s.rejectBusy(c)
 			continue
 		}
@@ -96,7 +96,7 @@
 
 // rejectBusy answers a connection over the limit, or one that came as the server closed.
 func (s *Server) rejectBusy(c net.Conn) {
-	s.open.Add(-1)
+	s.openCalls.Add(-1)
 	s.malformed.Add(1)
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	fmt.Fprintln(c, "FAILURE busy: too many open calls")
@@ -125,7 +125,7 @@
 	delete(s.conns, c)
 	s.mu.Unlock()
 	c.Close()
-	s.open.Add(-1)
+	s.openCalls.Add(-1)
 }
 
 // Close closes the listeners and the connections of open calls. It may be called again.
@@ -149,24 +149,24 @@
 	defer s.untrack(c)
 	c.SetReadDeadline(time.Now().Add(readTimeout))
 	name, err := readLine(bufio.NewReaderSize(c, maxLineBytes))
-	answer, owed := s.answer(name, err)
-	if !owed {
+	answer, shouldReply := s.answer(name, err)
+	if !shouldReply {
 		return
 	}
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	fmt.Fprintf(c, "%s %s\n", answer.Outcome, answer.Text)
-	s.log.Info("admin_call", "call", clip(name), "outcome", answer.Outcome, "text", answer.Text)
+	s.log.Info("admin_call", "call", truncateName(name), "outcome", answer.Outcome, "text", answer.Text)
 }
 
 // answer carries out the call that a line names; err is what reading the line returned. owed is false where the caller
 // sent nothing and waits no longer.
-func (s *Server) answer(name string, err error) (answer Answer, owed bool) {
+func (s *Server) answer(name string, err error) (answer Answer, shouldReply bool) {
 	call, known := s.calls[name]
 	switch {
 	case errors.Is(err, errLineTooLong):
 		s.malformed.Add(1)
 		return Fail("line too long"), true
-	case errors.Is(err, errLineCut):
+	case errors.Is(err, errIncompleteLine):
 		// A call without its newline may be cut anywhere, "drain-off" to "drain-o" as well as just before the newline:
 		// nothing is done, and a caller that still reads gets a failure.
 		s.malformed.Add(1)
@@ -176,7 +176,7 @@
 		return Answer{}, false
 	case !known:
 		s.malformed.Add(1)
-		return Fail(fmt.Sprintf("unknown call %q: there are %s", clip(name), s.names())), true
+		return Fail(fmt.Sprintf("unknown call %q: there are %s", truncateName(name), s.names())), true
 	}
 	answer = call()
 	s.served.Add(1)
@@ -185,8 +185,8 @@
 
 var (
 	errLineTooLong = errors.New("line too long")
-	// errLineCut is a line that ended, or stopped, before its newline.
-	errLineCut = errors.New("cut call")
+	// errIncompleteLine is a line that ended, or stopped, before its newline.
+	errIncompleteLine = errors.New("cut call")
 )
 
 // readLine reads one whole line and returns it without white space around it.
@@ -196,7 +196,7 @@
 	case errors.Is(err, bufio.ErrBufferFull):
 		return "", errLineTooLong
 	case err != nil && len(line) > 0:
-		return "", errLineCut
+		return "", errIncompleteLine
 	case err != nil:
 		return "", fmt.Errorf("ops: read: %w", err)
 	}
@@ -213,7 +213,7 @@
 	return strings.Join(names, ", ")
 }
 
-func clip(name string) string {
+func truncateName(name string) string {
 	if len(name) > maxNameBytes {
 		return name[:maxNameBytes]
 	}
--- a/internal/app/admin_calls.go
+++ b/internal/app/admin_calls.go
@@ -67,41 +67,41 @@
 	return admin.OK("serving")
 }
 
-const noFleet = "no fleet: the program was started without -fleet"
+const noFleetText = "no fleet: the program was started without -fleet"
 
 // members shows who is in the fleet.
 func (c adminCalls) members() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
-		return admin.Fail(noFleet)
+		return admin.Fail(noFleetText)
 	}
-	return asJSON(node.Status())
+	return jsonAnswer(node.Status())
 }
 
 // tasks shows who holds the leases of the fleet's tasks.
 func (c adminCalls) tasks() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
-		return admin.Fail(noFleet)
+		return admin.Fail(noFleetText)
 	}
 	status, ok := node.TasksStatus()
 	if !ok {
 		return admin.Fail("nothing is done in turn: the fleet's file names no voters")
 	}
-	return asJSON(status)
+	return jsonAnswer(status)
 }
 
 // quota shows this member's share of the fleet's budgets.
 func (c adminCalls) quota() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
-		return admin.Fail(noFleet)
+		return admin.Fail(noFleetText)
 	}
 	status, ok := node.QuotaStatus()
 	if !ok {
 		return admin.Fail("nothing is shared: the fleet's file has no budgets")
 	}
-	return asJSON(status)
+	return jsonAnswer(status)
 }
 
 // subset shows the replicas that this member routes to.
@@ -109,7 +109,7 @@
 	if c.fleet.subset == nil {
 		return admin.Fail("no subset: the fleet's file has no subset_readers")
 	}
-	return asJSON(c.fleet.subset.Status())
+	return jsonAnswer(c.fleet.subset.Status())
 }
 
 // idempotencyStatus shows the quorum's records of idempotency keys.
@@ -117,7 +117,7 @@
 	if c.idempotency == nil {
 		return admin.Fail("no ledger: the fleet's file has no filings, and the program was started without -state")
 	}
-	return asJSON(c.idempotency.Status())
+	return jsonAnswer(c.idempotency.Status())
 }
 
 // endpointFilter shows what the newer endpoint lists of other members suppress here.
@@ -125,16 +125,16 @@
 	if c.fleet.filter == nil {
 		return admin.Fail("its own list is all: the fleet's file has no ends")
 	}
-	return asJSON(c.fleet.filter.Status())
+	return jsonAnswer(c.fleet.filter.Status())
 }
 
 // versionSkew shows which versions of endpoint list, settings and program the members act on.
 func (c adminCalls) versionSkew() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
-		return admin.Fail(noFleet)
+		return admin.Fail(noFleetText)
 	}
-	return asJSON(node.VersionSkewStatus())
+	return jsonAnswer(node.VersionSkewStatus())
 }
 
 // overrideVersionSkew returns a call by which an operator sets this member's state of version skew by hand.
@@ -142,7 +142,7 @@
 	return func() admin.Answer {
 		node := c.fleet.node.Load()
 		if node == nil {
-			return admin.Fail(noFleet)
+			return admin.Fail(noFleetText)
 		}
 		if err := node.OverrideVersionSkew(call); err != nil {
 			return admin.Fail(err.Error())
@@ -151,8 +151,8 @@
 	}
 }
 
-// asJSON answers with one line of JSON.
-func asJSON(status any) admin.Answer {
+// jsonAnswer answers with one line of JSON.
+func jsonAnswer(status any) admin.Answer {
 	encoded, err := json.Marshal(status)
 	if err != nil {
 		return admin.Fail(err.Error())
--- a/internal/app/admin_test.go
+++ b/internal/app/admin_test.go
@@ -71,7 +71,7 @@
 	}
 	added := strings.Replace(configText(listen, discovery, list), `{"name":"frage"`,
 		`{"name":"neu","effect":"retryable","importance":1,"promiseMs":900,"hardLimitMs":4000},{"name":"frage"`, 1)
-	broken := strings.Replace(strings.Replace(configText(listen, "127.0.0.1:1", list), `"hardLimitMs":5000`,
+	invalid := strings.Replace(strings.Replace(configText(listen, "127.0.0.1:1", list), `"hardLimitMs":5000`,
 		`"hardLimitMs":0`, 1), `"name":"frage"`, `"name":"frage2"`, 1)
 	if send("neu") != 400 {
 		t.Error("a class that is not in the settings yet was accepted")
@@ -80,7 +80,7 @@
 	if status := send("neu"); status != 200 {
 		t.Errorf("the class that a reload added: status %d", status)
 	}
-	reloadWith(broken)
+	reloadWith(invalid)
 	if got := out.String(); !strings.Contains(got, "event=reload_failed") || strings.Contains(got, "127.0.0.1:1 ") ||
 		send("frage") != 200 {
 		t.Errorf("an invalid file was applied: %s", out.String())
--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -34,22 +34,22 @@
 	limits     resourceLimits
 	seed       uint64 // of random numbers
 	violations precondition.ViolationCounter
-	failed     chan error // errors that end the process
+	failures   chan error // errors that end the process
 
-	background background
-	settings   activeSettings
-	upstream   *upstream.Client
-	dispatcher *dispatch.Dispatcher
-	fleet      fleetRuntime
-	xds        *xds.Server // nil without one
-	watcher    *discovery.Watcher
-	stores     stores
-	listeners  listeners
-	front      *frontend.Handler
-	chat       *chatapi.Handler // nil without one
-	drain      operatorDrain
-	reloader   reloader
-	admin      *admin.Server
+	background      background
+	settings        activeSettings
+	upstream        *upstream.Client
+	dispatcher      *dispatch.Dispatcher
+	fleet           fleetRuntime
+	xds             *xds.Server // nil without one
+	watcher         *discovery.Watcher
+	stores          stores
+	listeners       listeners
+	frontendHandler *frontend.Handler
+	chat            *chatapi.Handler // nil without one
+	drain           operatorDrain
+	reloader        reloader
+	admin           *admin.Server
 }
 
 // maxPendingFailures is how many parts may report a failure before the first is acted on.
@@ -70,7 +70,7 @@
 	router.CanPollLoad, router.Budgets = cfg.Settings.Limits.LoadPolling, budgetsOf(in.fleet)
 	router.ObservePrefills = o.logEstimates
 	a := &application{
-		machine: machine, inputs: in, options: o, limits: limits, seed: seed, failed: make(chan error, maxPendingFailures),
+		machine: machine, inputs: in, options: o, limits: limits, seed: seed, failures: make(chan error, maxPendingFailures),
 	}
 	a.background.init()
 	a.upstream = upstream.New(&cfg.Settings, limits.upstreamConnections(), limits.upstreamConnections(), machine)
@@ -86,7 +86,7 @@
 	a.watcher = discovery.New(cfg.Discovery, &cfg.Settings, seed, a.newEndpointConsumer())
 	a.watcher.SetFleetSize(a.fleet.effectiveSize(&cfg.Settings))
 	a.fleet.watcher = a.watcher
-	a.front = frontend.NewHandler(a.dispatcher, &cfg.Settings, classes)
+	a.frontendHandler = frontend.NewHandler(a.dispatcher, &cfg.Settings, classes)
 	a.stores.transfer = statetransfer.Exchange{
 		Machine: machine, Dir: o.transferDir, Name: cfg.Name, Settings: a.settings.fingerprint(),
 	}
@@ -95,7 +95,7 @@
 	a.drain = operatorDrain{&a.listeners}
 	a.reloader = reloader{
 		path: o.configPath, classes: classes, settings: &a.settings,
-		dispatcher: a.dispatcher, front: a.front, watcher: a.watcher,
+		dispatcher: a.dispatcher, frontendHandler: a.frontendHandler, watcher: a.watcher,
 	}
 	return a, nil
 }
@@ -133,8 +133,8 @@
 // endpointConsumer takes a full endpoint list, or changes to one.
 type endpointConsumer func(full bool, entries []dispatch.Endpoint)
 
-// then returns a consumer that passes each update to both.
-func (c endpointConsumer) then(next endpointConsumer) endpointConsumer {
+// chain returns a consumer that passes each update to both.
+func (c endpointConsumer) chain(next endpointConsumer) endpointConsumer {
 	return func(full bool, entries []dispatch.Endpoint) {
 		c(full, entries)
 		next(full, entries)
@@ -146,20 +146,20 @@
 func (a *application) newEndpointConsumer() endpointConsumer {
 	consumer := endpointConsumer(a.dispatcher.UpdateEndpoints)
 	if a.fleet.tasks != nil {
-		consumer = consumer.then(a.fleet.tasks.UpdateEndpoints)
+		consumer = consumer.chain(a.fleet.tasks.UpdateEndpoints)
 	}
 	if a.fleet.subset != nil {
-		consumer = consumer.then(a.fleet.subset.UpdateEndpoints)
+		consumer = consumer.chain(a.fleet.subset.UpdateEndpoints)
 	}
 	if a.xds != nil {
-		consumer = consumer.then(a.xds.Publish)
+		consumer = consumer.chain(a.xds.Publish)
 	}
 	if a.fleet.config != nil && a.fleet.config.EndpointFilter {
 		a.fleet.filter = endpointfilter.New(consumer, endpointLists{&a.fleet}.Version, time.Now)
 		consumer = a.fleet.filter.UpdateOwn
 	}
 	if cache := a.stores.endpointCache; cache != nil {
-		consumer = consumer.then(func(bool, []dispatch.Endpoint) { cache.MarkDirty() })
+		consumer = consumer.chain(func(bool, []dispatch.Endpoint) { cache.MarkDirty() })
 	}
 	return consumer
 }
@@ -175,7 +175,7 @@
 	go func() {
 		limited := netutil.LimitListener(accept.New(socket, a.machine), a.limits.xdsConnections())
 		if err := a.xds.Serve(limited); err != nil {
-			a.failed <- err
+			a.failures <- err
 		}
 	}()
 	return nil
@@ -264,7 +264,7 @@
 }
 
 func (a *application) openClientListener() error {
-	return a.listeners.open(a.inputs.config.Listen, a.front, a.limits.clientConnections(a.inputs.chat), a.failed)
+	return a.listeners.open(a.inputs.config.Listen, a.frontendHandler, a.limits.clientConnections(a.inputs.chat), a.failures)
 }
 
 // openChatListener opens the chat front's listener, if it has one. From then on the process counts as ready.
@@ -279,7 +279,7 @@
 			a.chat.UseIdempotencyStore(a.stores.idempotency)
 		}
 		a.chat.UsePeerTable(a.stores.inFlight)
-		if err := a.listeners.open(a.inputs.chat.Listen, a.chat, a.limits.chatConnections(), a.failed); err != nil {
+		if err := a.listeners.open(a.inputs.chat.Listen, a.chat, a.limits.chatConnections(), a.failures); err != nil {
 			return err
 		}
 	}
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -19,9 +19,9 @@
 const defaultAdminAddress = "127.0.0.1:9600"
 
 // newRootCommand returns the command line. Without a sub-command it is the same as serve.
-func newRootCommand(machine hostos.System, on signals, out io.Writer) *cobra.Command {
+func newRootCommand(machine hostos.System, sigs signals, out io.Writer) *cobra.Command {
 	root := cli.NewRootCommand("rampspread", "A control service for LLM traffic", out)
-	serving := serveCommand(machine, on, out)
+	serving := serveCommand(machine, sigs, out)
 	root.Args, root.RunE = func(_ *cobra.Command, args []string) error {
 		if len(args) > 0 {
 			return fmt.Errorf("unknown sub-command %q: see rampspread -h", args[0])
@@ -34,7 +34,7 @@
 	return root
 }
 
-func serveCommand(machine hostos.System, on signals, out io.Writer) *cobra.Command {
+func serveCommand(machine hostos.System, sigs signals, out io.Writer) *cobra.Command {
 	var files inputFiles
 	var o options
 	c := &cobra.Command{Use: "serve", Short: "Run one dispatcher", Args: cli.RejectArgs,
@@ -44,7 +44,7 @@
 				return err
 			}
 			o.configPath = files.config
-			return serve(c.Context(), machine, in, o, on, out)
+			return serve(c.Context(), machine, in, o, sigs, out)
 		}}
 	files.addFlags(c)
 	c.Flags().StringVar(&o.transferDir, "transfer-dir", "",
--- a/internal/app/connections_test.go
+++ b/internal/app/connections_test.go
@@ -93,16 +93,16 @@
 	decode := testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	var down atomic.Bool
 	list := endpointList(oldPrefill.Addr, decode.Addr)
-	var moved atomic.Pointer[string]
-	moved.Store(&list)
+	var currentList atomic.Pointer[string]
+	currentList.Store(&list)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case down.Load():
 			panic(http.ErrAbortHandler)
 		case r.URL.Query().Get("stream") == "":
-			io.WriteString(w, *moved.Load())
+			io.WriteString(w, *currentList.Load())
 		default:
-			io.WriteString(w, strings.ReplaceAll(*moved.Load(), "\n", "")+"\n")
+			io.WriteString(w, strings.ReplaceAll(*currentList.Load(), "\n", "")+"\n")
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}
@@ -117,8 +117,8 @@
 	for range 200 {
 		dial(t, listen)
 	}
-	fresh := endpointList(prefill.Addr, decode.Addr)
-	moved.Store(&fresh)
+	newList := endpointList(prefill.Addr, decode.Addr)
+	currentList.Store(&newList)
 	down.Store(false)
 	testutil.Eventually(t, "a prefill at the new replica", func() bool {
 		status, body := postRequest(t, listen, "request", "{}")
@@ -146,10 +146,10 @@
 			text = strings.Replace(text, `"az":0`, `"az":0,"discovery":"`+mode+`"`, 1)
 			config := writeFile(t, "config.json", strings.Replace(text, `"rules":{`, `"rules":{"stopSendingWithinMs":60000,`, 1))
 			for range 2 {
-				from := time.Now()
+				started := time.Now()
 				program, _ := startProcess(t, "", config, "-handover", folder)
 				awaitReady(t, listen)
-				if took := time.Since(from); took > 6*time.Second {
+				if took := time.Since(started); took > 6*time.Second {
 					t.Errorf("ready after %v", took)
 				}
 				program.Process.Kill()
@@ -224,9 +224,9 @@
 			io.WriteString(c, requestText(fmt.Sprintf("flood-%d", i), "{}"))
 		}
 	}()
-	from := bufio.NewReader(c)
+	responses := bufio.NewReader(c)
 	for i := range requests {
-		resp, err := http.ReadResponse(from, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("answer %d: %v, %v", i, resp, err)
 		}
--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -73,18 +73,18 @@
 
 // connectionCounters are the counters of the fronts and of the connections to replicas.
 func (a *application) connectionCounters() []counter {
-	limited := a.listeners.counts()
-	badRequests, badAnswers := a.front.Malformed()+limited.malformed, a.upstream.Malformed()
+	limiterTotals := a.listeners.counts()
+	badRequests, badAnswers := a.frontendHandler.Malformed()+limiterTotals.malformed, a.upstream.Malformed()
 	if a.chat != nil {
 		badRequests, badAnswers = badRequests+a.chat.Malformed(), badAnswers+a.chat.SkippedEvents()
 	}
 	return []counter{
 		count("bad_requests", badRequests),
-		count("shed", limited.rejected),
-		count("closed_for_room", limited.evicted),
-		count("sent_away", limited.drained),
-		count("kept_open", limited.closeDeferred),
-		count("accept_failures", limited.acceptFailures),
+		count("shed", limiterTotals.rejected),
+		count("closed_for_room", limiterTotals.evicted),
+		count("sent_away", limiterTotals.drained),
+		count("kept_open", limiterTotals.closeDeferred),
+		count("accept_failures", limiterTotals.acceptFailures),
 		count("connect_failures_here", a.upstream.LocalFailures()),
 		count("bad_answers", badAnswers),
 	}
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -92,8 +92,8 @@
 // drainCase is a client of a process that an operator drains. client returns the connection that must be closed at the
 // deadline; answer is the prefix of what must have come on it.
 type drainCase struct {
-	answer string
-	client func(t *testing.T, c drainClient) net.Conn
+	answerPrefix string
+	client       func(t *testing.T, c drainClient) net.Conn
 }
 
 var drainCases = map[string]drainCase{
@@ -162,8 +162,8 @@
 			if !closed {
 				t.Errorf("open %v after the start of the drain", time.Since(start))
 			}
-			if !strings.HasPrefix(text, c.answer) || c.answer == "" && text != "" {
-				t.Errorf("it got %q, want %q", text, c.answer)
+			if !strings.HasPrefix(text, c.answerPrefix) || c.answerPrefix == "" && text != "" {
+				t.Errorf("it got %q, want %q", text, c.answerPrefix)
 			}
 		})
 	}
--- a/internal/app/endpoint_cache.go
+++ b/internal/app/endpoint_cache.go
@@ -57,7 +57,7 @@
 // initialList is the endpoint list of the configuration, or a newer one that an earlier incarnation has cached. A cache
 // that is unusable is logged and counts as none.
 func (a *application) initialList() (list discovery.List, err error) {
-	if known := a.inputs.config.Known; len(known) > 0 {
+	if known := a.inputs.config.InitialEndpoints; len(known) > 0 {
 		if err := json.Unmarshal(known, &list); err != nil {
 			return list, fmt.Errorf("config: known: %w", err)
 		}
--- a/internal/app/fleet_join.go
+++ b/internal/app/fleet_join.go
@@ -18,7 +18,7 @@
 	if a.fleet.config == nil {
 		return nil
 	}
-	node, err := fleet.Start(a.fleet.config, a.fleetSelf(), func(err error) { a.failed <- err })
+	node, err := fleet.Start(a.fleet.config, a.fleetOptions(), func(err error) { a.failures <- err })
 	if err != nil {
 		return err
 	}
@@ -26,32 +26,32 @@
 	return nil
 }
 
-// fleetSelf is what the process brings into its fleet.
-func (a *application) fleetSelf() fleet.Options {
+// fleetOptions is what the process brings into its fleet.
+func (a *application) fleetOptions() fleet.Options {
 	cfg := a.inputs.config
-	self := fleet.Options{
+	opts := fleet.Options{
 		Machine: a.machine, Name: cfg.Name, Zone: cfg.Settings.ZoneName(cfg.Settings.ZoneIndex), Version: version, Seed: a.seed,
 		Tasks:      a.fleet.tasks,
 		Quota:      a.dispatcher,
-		LocalState: a.fleetFacts,
+		LocalState: a.localState,
 
 		VersionSkew:  versionSkewActions{&a.fleet, a.drain},
 		LearnedState: learnedState{a.machine, a.fleet.config.Fleet, &a.settings, a.dispatcher},
 	}
 	if a.stores.idempotency != nil {
-		self.HandleIdempotency = a.stores.idempotency.HandleMessage
+		opts.HandleIdempotency = a.stores.idempotency.HandleMessage
 	}
 	if a.fleet.filter != nil {
-		self.EndpointFilter = a.fleet.filter
+		opts.EndpointFilter = a.fleet.filter
 	}
 	if a.stores.tokenFloor != nil {
-		self.TokenFloor, self.ObserveToken = a.stores.tokenFloor.Floor(), a.stores.tokenFloor.Observe
+		opts.TokenFloor, opts.ObserveToken = a.stores.tokenFloor.Floor(), a.stores.tokenFloor.Observe
 	}
-	return self
+	return opts
 }
 
-// fleetFacts is what the process's heartbeats say of it.
-func (a *application) fleetFacts() fleet.LocalState {
+// localState is what the process's heartbeats say of it.
+func (a *application) localState() fleet.LocalState {
 	return fleet.LocalState{
 		SettingsDigest: a.settings.fingerprint(),
 		ListVersion:    a.watcher.Version(),
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -135,8 +135,8 @@
 
 // SetFenced implements fleet.VersionSkewActions: it fences this process, or takes that back. Fencing is a drain. A drain that
 // an operator began stays until an operator ends it.
-func (v versionSkewActions) SetFenced(out bool) { //revive:disable-line:flag-parameter the interface is the fleet's
-	if out {
+func (v versionSkewActions) SetFenced(fence bool) { //revive:disable-line:flag-parameter the interface is the fleet's
+	if fence {
 		v.fleet.fenced.Store(!v.drain.active())
 		v.drain.begin()
 	} else if v.fleet.fenced.Swap(false) {
--- a/internal/app/former_names_test.go
+++ b/internal/app/former_names_test.go
@@ -234,7 +234,7 @@
 	for _, command := range [][]string{{"serve"}, nil} {
 		var files [2][]string
 		for i, flag := range []string{"-handover", "-transfer-dir"} {
-			files[i] = filesOfServing(t, append(command, flag))
+			files[i] = filesLeftByServe(t, append(command, flag))
 		}
 		if len(files[1]) != 2 || !slices.Equal(files[0], files[1]) {
 			t.Errorf("%q: with -handover the folder has %q, with -transfer-dir %q", command, files[0], files[1])
@@ -247,9 +247,9 @@
 	}
 }
 
-// filesOfServing serves, with a folder as the last argument, until the process is ready, ends it, and returns the names
+// filesLeftByServe serves, with a folder as the last argument, until the process is ready, ends it, and returns the names
 // of what is in the folder then.
-func filesOfServing(t *testing.T, args []string) []string {
+func filesLeftByServe(t *testing.T, args []string) []string {
 	t.Helper()
 	list := endpointList("127.0.0.1:1", "127.0.0.1:1")
 	discovery, _ := newDiscoveryAgent(t, list)
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -26,9 +26,9 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// describe writes a command's use, its flags by name with type and default, and its sub-commands. What help does not
+// describeCommand writes a command's use, its flags by name with type and default, and its sub-commands. What help does not
 // list is marked as hidden.
-func describe(out io.Writer, c *cobra.Command, indent string) {
+func describeCommand(out io.Writer, c *cobra.Command, indent string) {
 	mark := map[bool]string{true: " hidden"}
 	fmt.Fprintf(out, "%s%s%s\n", indent, c.Use, mark[c.Hidden])
 	var lines []string
@@ -39,14 +39,14 @@
 	slices.Sort(lines)
 	fmt.Fprint(out, strings.Join(lines, ""))
 	for _, sub := range c.Commands() {
-		describe(out, sub, indent+"    ")
+		describeCommand(out, sub, indent+"    ")
 	}
 }
 
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("LB_CONFIG", "from-the-environment")
 	var out bytes.Buffer
-	describe(&out, newRootCommand(hostos.Real(), signals{}, io.Discard), "")
+	describeCommand(&out, newRootCommand(hostos.Real(), signals{}, io.Discard), "")
 	golden.Text(t, "commands.golden", out.String())
 }
 
@@ -80,8 +80,8 @@
 // The operators' calls of a process without a fleet, and its answers.
 func TestGoldenCalls(t *testing.T) {
 	const (
-		alone = "FAILURE no fleet: the program was started without -fleet"
-		names = "check, drain-off, drain-on, duties, filings, freeze, judge, let-in, lists, members, shares, shut-out, subset, versions"
+		noFleetAnswer = "FAILURE no fleet: the program was started without -fleet"
+		names         = "check, drain-off, drain-on, duties, filings, freeze, judge, let-in, lists, members, shares, shut-out, subset, versions"
 	)
 	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
@@ -102,8 +102,8 @@
 		{"check", "SUCCESS serving, drained"},
 		{"drain-off", "SUCCESS serving"},
 		{"drain-off", "SUCCESS serving already"},
-		{"members", alone}, {"duties", alone}, {"shares", alone}, {"versions", alone},
-		{"shut-out", alone}, {"let-in", alone}, {"judge", alone}, {"freeze", alone},
+		{"members", noFleetAnswer}, {"duties", noFleetAnswer}, {"shares", noFleetAnswer}, {"versions", noFleetAnswer},
+		{"shut-out", noFleetAnswer}, {"let-in", noFleetAnswer}, {"judge", noFleetAnswer}, {"freeze", noFleetAnswer},
 		{"subset", "FAILURE no subset: the fleet's file has no subset_readers"},
 		{"lists", "FAILURE its own list is all: the fleet's file has no ends"},
 		{"filings", "FAILURE no ledger: the fleet's file has no filings, and the program was started without -state"},
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -66,8 +66,8 @@
 		listen, discovery, known, testutil.SettingsJSON)
 }
 
-// chatText configures a chat front; its parameter is the address.
-const chatText = `{"listen":%q,"models":{"frage":"frage"},"max_tokens":9,"filings":{"entries":9,"keep_s":9}}`
+// chatConfigFormat configures a chat front; its parameter is the address.
+const chatConfigFormat = `{"listen":%q,"models":{"frage":"frage"},"max_tokens":9,"filings":{"entries":9,"keep_s":9}}`
 
 // endpointList returns an endpoint list of one prefill and one decode replica.
 func endpointList(prefill, decode string) string {
--- a/internal/app/hung_disk_test.go
+++ b/internal/app/hung_disk_test.go
@@ -22,13 +22,13 @@
 	listen := freeAddr(t)
 	program, out := startProcess(t, "", writeFile(t, "config.json", configText(listen, discovery, list)), "-handover", t.TempDir())
 	awaitReady(t, listen)
-	hangs := hostos.Faults{Fails: map[hostos.Op]hostos.Failure{hostos.Write: {Every: 1, DelayMS: 5000}}}
-	if err := hangs.Set(faults); err != nil {
+	hungWrites := hostos.Faults{Fails: map[hostos.Op]hostos.Failure{hostos.Write: {Every: 1, DelayMS: 5000}}}
+	if err := hungWrites.Set(faults); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // over the 10 ms for which a process may use what it read of the file before
 	program.Process.Signal(syscall.SIGTERM)
-	from := time.Now()
+	terminated := time.Now()
 	testutil.Eventually(t, "the listener's close", func() bool {
 		c, err := net.Dial("tcp", listen)
 		if err == nil {
@@ -36,7 +36,7 @@
 		}
 		return err != nil
 	})
-	if took := time.Since(from); took > lameDuckTime+listenerCloseDelay+time.Second {
+	if took := time.Since(terminated); took > lameDuckTime+listenerCloseDelay+time.Second {
 		t.Errorf("the listener closed %v after SIGTERM: %s", took, out.String())
 	}
 }
--- a/internal/app/import.go
+++ b/internal/app/import.go
@@ -42,12 +42,12 @@
 			}
 			m.Addr = net.JoinHostPort(host, strconv.Itoa(o.port))
 		}
-		in := discovery.Instance{ID: m.Name, HostPort: m.Addr, Zone: o.zone, MachineType: m.Balancer,
+		instance := discovery.Instance{ID: m.Name, HostPort: m.Addr, Zone: o.zone, MachineType: m.Balancer,
 			Lifecycle: "ready", Weight: m.Weight}
 		if m.Draining {
-			in.Lifecycle = "draining"
+			instance.Lifecycle = "draining"
 		}
-		raw, err := json.Marshal(in)
+		raw, err := json.Marshal(instance)
 		if err != nil {
 			return fmt.Errorf("import: member %s: %w", m.Name, err)
 		}
--- a/internal/app/inputs.go
+++ b/internal/app/inputs.go
@@ -63,12 +63,12 @@
 	return in, nil
 }
 
-// environment maps variables to the fields of the configuration that they override.
-type environment map[string]func(*config.Config) *string
+// envOverrides maps variables to the fields of the configuration that they override.
+type envOverrides map[string]func(*config.Config) *string
 
 // loadConfig reads the configuration that the process starts with; the environment takes precedence over the file.
 func loadConfig(path string) (*config.Config, error) {
-	return readConfig(path, environment{
+	return readConfig(path, envOverrides{
 		"LB_NAME":      func(c *config.Config) *string { return &c.Name },
 		"LB_LISTEN":    func(c *config.Config) *string { return &c.Listen },
 		"LB_DISCOVERY": func(c *config.Config) *string { return &c.Discovery },
@@ -77,7 +77,7 @@
 }
 
 // readConfig reads and checks a configuration file. Variables of overrides that are set take precedence over the file.
-func readConfig(path string, overrides environment) (*config.Config, error) {
+func readConfig(path string, overrides envOverrides) (*config.Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: set LB_CONFIG or -config")
 	}
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -32,19 +32,19 @@
 }
 
 // open starts a front on its address, with a bound on its connections. A server that fails later reports on failed.
-func (l *listeners) open(addr string, front http.Handler, maxConnections int, failed chan<- error) error {
+func (l *listeners) open(addr string, handler http.Handler, maxConnections int, failures chan<- error) error {
 	socket, _, err := connlimit.Listen(context.Background(), addr)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{}
-	limiter := connlimit.NewLimiter(front, l.bodies, &l.lifecycle, l.violations)
+	limiter := connlimit.NewLimiter(handler, l.bodies, &l.lifecycle, l.violations)
 	limiter.Attach(server)
 	l.limiters, l.servers, l.sockets = append(l.limiters, limiter), append(l.servers, server), append(l.sockets, socket)
 	limited := limiter.Listen(socket, maxConnections, l.machine)
 	go func() {
 		if err := server.Serve(limited); !errors.Is(err, net.ErrClosed) {
-			failed <- err
+			failures <- err
 		}
 	}()
 	return nil
@@ -55,9 +55,9 @@
 
 // closeIdle closes connections without an open request that have been quiet for so long, and returns how many are open
 // after that.
-func (l *listeners) closeIdle(quiet time.Duration) (open int) {
+func (l *listeners) closeIdle(minIdle time.Duration) (open int) {
 	for _, limiter := range l.limiters {
-		limiter.CloseIdle(quiet)
+		limiter.CloseIdle(minIdle)
 		open += limiter.ConnectionCount()
 	}
 	return open
--- a/internal/app/main.go
+++ b/internal/app/main.go
@@ -26,11 +26,11 @@
 func Main(machine hostos.System) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	on := signals{print: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(on.print, syscall.SIGUSR1)
-	signal.Notify(on.reload, syscall.SIGHUP) // caught until the process ends: by default it would end it
+	sigs := signals{print: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(sigs.print, syscall.SIGUSR1)
+	signal.Notify(sigs.reload, syscall.SIGHUP) // caught until the process ends: by default it would end it
 	slog.SetDefault(slog.New(cli.LogHandler(os.Stderr)))
-	if err := run(ctx, machine, os.Args[1:], on, os.Stdout); err != nil {
+	if err := run(ctx, machine, os.Args[1:], sigs, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "rampspread:", err)
 		return 1
 	}
@@ -42,8 +42,8 @@
 type signals struct{ print, reload chan os.Signal }
 
 // run carries out one sub-command; without one it serves.
-func run(ctx context.Context, machine hostos.System, args []string, on signals, out io.Writer) error {
-	root := newRootCommand(machine, on, out)
+func run(ctx context.Context, machine hostos.System, args []string, sigs signals, out io.Writer) error {
+	root := newRootCommand(machine, sigs, out)
 	root.SetArgs(cli.NormalizeArgs(args))
 	return root.ExecuteContext(ctx)
 }
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -24,7 +24,7 @@
 func TestCommandsWriteTheirResultOrFail(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	good := writeFile(t, "good.json", configText("127.0.0.1:1", "127.0.0.1:2", `{"generation":1,"reset":true,"instances":[]}`))
-	chat := writeFile(t, "chat.json", fmt.Sprintf(chatText, "127.0.0.1:3"))
+	chat := writeFile(t, "chat.json", fmt.Sprintf(chatConfigFormat, "127.0.0.1:3"))
 	for _, c := range []struct {
 		args string
 		want string // of the output, or of the error if it begins with !
@@ -57,7 +57,7 @@
 	} {
 		var out bytes.Buffer
 		err := run(t.Context(), hostos.Real(), strings.Fields(c.args), signals{}, &out)
-		if want, bad := strings.CutPrefix(c.want, "!"); bad {
+		if want, wantError := strings.CutPrefix(c.want, "!"); wantError {
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%q: error %v, want %q", c.args, err, want)
 			}
@@ -80,11 +80,11 @@
 	prefill, newDecode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("new"))
 	oldList := endpointList(prefill.Addr, oldDecode.Addr)
 	first, _ := newDiscoveryAgent(t, oldList)
-	second, moved := newDiscoveryAgent(t, endpointList(prefill.Addr, newDecode.Addr))
-	third, movedAgain := newDiscoveryAgent(t, endpointList(prefill.Addr, newDecode.Addr))
+	second, secondWatches := newDiscoveryAgent(t, endpointList(prefill.Addr, newDecode.Addr))
+	third, thirdWatches := newDiscoveryAgent(t, endpointList(prefill.Addr, newDecode.Addr))
 	listen, chatListen, out := freeAddr(t), freeAddr(t), &syncBuffer{}
 	config := writeFile(t, "config.json", configText(listen, first, oldList))
-	program := exec.Command(os.Args[0], "serve", "-chat", writeFile(t, "chat.json", fmt.Sprintf(chatText, chatListen)))
+	program := exec.Command(os.Args[0], "serve", "-chat", writeFile(t, "chat.json", fmt.Sprintf(chatConfigFormat, chatListen)))
 	program.Env = append(os.Environ(), "RAMPSPREAD_TEST_PROGRAM=1", "LB_CONFIG="+config, "LB_DISCOVERY="+first)
 	program.Stdout, program.Stderr = out, out
 	if err := program.Start(); err != nil {
@@ -107,14 +107,14 @@
 		testutil.Eventually(t, event, func() bool { return strings.Contains(out.String(), event) && seen() })
 	}
 	reload("{", "event=reload_failed", func() bool { return true })
-	reload(configText(listen, second, "{}"), "event=reloaded discovery="+second, func() bool { return moved.Load() == 1 })
+	reload(configText(listen, second, "{}"), "event=reloaded discovery="+second, func() bool { return secondWatches.Load() == 1 })
 	if status, text := postRequest(t, listen, "a2", `{}`); status != 200 || text != testutil.EventStream("new") {
 		t.Errorf("after the move: status %d, %q", status, text)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	reload(configText(listen, third, "{}"), "event=reloaded discovery="+third, func() bool { return movedAgain.Load() == 1 })
+	reload(configText(listen, third, "{}"), "event=reloaded discovery="+third, func() bool { return thirdWatches.Load() == 1 })
 	close(finish)
 	for range 2 {
 		if text := <-answers; !strings.Contains(text, "old") {
@@ -142,7 +142,7 @@
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, chatListen, xdsListen := freeAddr(t), freeAddr(t), freeAddr(t)
 	t.Setenv("LB_CONFIG", writeFile(t, "config.json", configText(listen, discovery, list)))
-	chat := writeFile(t, "chat.json", fmt.Sprintf(chatText, chatListen))
+	chat := writeFile(t, "chat.json", fmt.Sprintf(chatConfigFormat, chatListen))
 	ctx, terminate := context.WithCancel(t.Context())
 	defer terminate()
 	printCounters, out, ended := make(chan os.Signal), &syncBuffer{}, make(chan error, 1)
@@ -198,7 +198,7 @@
 		silent          bool
 	}{{"60000", false}, {"100", true}} {
 		listen := freeAddr(t)
-		var early atomic.Bool
+		var acceptedEarly atomic.Bool
 		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if c.silent {
 				<-r.Context().Done()
@@ -208,7 +208,7 @@
 				time.Sleep(200 * time.Millisecond) // in which a process that does not wait would serve
 				if l, err := net.Dial("tcp", listen); err == nil {
 					l.Close()
-					early.Store(true)
+					acceptedEarly.Store(true)
 				}
 			}
 			io.WriteString(w, known)
@@ -224,7 +224,7 @@
 			agent.CloseClientConnections()
 		}
 		agent.Close() // waits for the request for the list
-		if early.Load() {
+		if acceptedEarly.Load() {
 			t.Error("it accepted clients before the agent had sent its list")
 		}
 		terminate()
--- a/internal/app/operator_drain.go
+++ b/internal/app/operator_drain.go
@@ -9,8 +9,8 @@
 const (
 	// openConnectionsLoggedAfter is how long after the start of a drain the connections that are still open are logged.
 	openConnectionsLoggedAfter = 4 * time.Second
-	// closePoll is the time between looks for connections that have become idle.
-	closePoll = 50 * time.Millisecond
+	// idleCheckInterval is the time between looks for connections that have become idle.
+	idleCheckInterval = 50 * time.Millisecond
 )
 
 // errStopping is returned for what a process that stops cannot take back.
@@ -50,7 +50,7 @@
 
 // closeConnections closes connections as they become idle or quiet, for as long as the drain is active.
 func (d operatorDrain) closeConnections(begun time.Time) {
-	tick := time.NewTicker(closePoll)
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for logged := false; d.active(); <-tick.C {
 		d.listeners.drainConnections()
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -22,12 +22,12 @@
 // reloader applies a changed configuration file while the process runs. It owns the table of classes; run is its only
 // goroutine.
 type reloader struct {
-	path       string // of the configuration
-	classes    config.Classes
-	settings   *activeSettings
-	dispatcher *dispatch.Dispatcher
-	front      *frontend.Handler
-	watcher    *discovery.Watcher
+	path            string // of the configuration
+	classes         config.Classes
+	settings        *activeSettings
+	dispatcher      *dispatch.Dispatcher
+	frontendHandler *frontend.Handler
+	watcher         *discovery.Watcher
 }
 
 // run reloads on each request until the context ends, also while the process drains: what is still open then goes by
@@ -65,7 +65,7 @@
 	}
 	r.classes = next
 	r.settings.set(&cfg.Settings)
-	r.front.SetClasses(next)
+	r.frontendHandler.SetClasses(next)
 	names := slices.Sorted(maps.Keys(next.Names))
 	slog.Info("reloaded", "discovery", cfg.Discovery, "classes", strings.Join(names, ","),
 		"attempts", next.Config.MaxAttempts)
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -67,12 +67,12 @@
 			map[string]string{"Content-Type": "application/json", "Idempotency-Key": "k1"})
 	}
 
-	old := startReplaceable(t, config, folder, "-chat", chatFile)
+	old := startWithTransferDir(t, config, folder, "-chat", chatFile)
 	go sendSameID()
 	go sendSameKey()
 	<-started
 	<-started
-	startReplaceable(t, config, folder, "-chat", chatFile)
+	startWithTransferDir(t, config, folder, "-chat", chatFile)
 	for range 24 {
 		if status, _ := sendSameID(); status != http.StatusConflict {
 			t.Fatalf("an id that is in flight: status %d", status)
@@ -105,11 +105,11 @@
 	discovery, _ := newDiscoveryAgent(t, list)
 	listen, folder := freeAddr(t), t.TempDir()
 	config := writeFile(t, "config.json", configText(listen, discovery, list))
-	old := startReplaceable(t, config, folder)
+	old := startWithTransferDir(t, config, folder)
 	answer := make(chan int, 1)
 	go func() { status, _ := postRequest(t, listen, "held", "{}"); answer <- status }()
 	<-started
-	startReplaceable(t, config, folder)
+	startWithTransferDir(t, config, folder)
 	terminated := time.Now()
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -130,8 +130,8 @@
 	}
 }
 
-// startReplaceable starts a process that shares a folder with others of its name, and returns once it serves.
-func startReplaceable(t *testing.T, config, folder string, args ...string) *exec.Cmd {
+// startWithTransferDir starts a process that shares a folder with others of its name, and returns once it serves.
+func startWithTransferDir(t *testing.T, config, folder string, args ...string) *exec.Cmd {
 	t.Helper()
 	adminAddress := freeAddr(t)
 	p, _ := startAdminProcess(t, config, adminAddress, append([]string{"-handover", folder}, args...)...)
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -19,20 +19,20 @@
 }
 
 // serve runs one dispatcher, from its start until its graceful shutdown, which the end of ctx begins.
-func serve(ctx context.Context, machine hostos.System, in inputs, o options, on signals, out io.Writer) error {
+func serve(ctx context.Context, machine hostos.System, in inputs, o options, sigs signals, out io.Writer) error {
 	limits := limitsOf(in.config)
 	limits.apply()
 	a, err := newApplication(machine, in, o, limits)
 	if err != nil {
 		return err
 	}
-	started, err := startAll(a.components(ctx, on.reload))
+	started, err := startAll(a.components(ctx, sigs.reload))
 	defer stopAll(started)
 	if err != nil {
 		return err
 	}
 	a.logServing(in.config)
-	if err := a.awaitStop(ctx, on.print, out); err != nil {
+	if err := a.awaitStop(ctx, sigs.print, out); err != nil {
 		return err
 	}
 	return a.shutDown(out)
@@ -43,7 +43,7 @@
 func (a *application) awaitStop(ctx context.Context, printRequests <-chan os.Signal, out io.Writer) error {
 	for {
 		select {
-		case err := <-a.failed:
+		case err := <-a.failures:
 			return fmt.Errorf("serve: %w", err)
 		case <-printRequests:
 			fmt.Fprintln(out, a.countersLine())
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -25,8 +25,8 @@
 	// connection is noticed after 10 ms, a release may have to go to a second replica after 30 ms, and what a prefill
 	// has reserved shows within 120 ms.
 	releaseTime = 300 * time.Millisecond
-	// releasePoll is the time between looks whether releases are still in flight at the end.
-	releasePoll = 5 * time.Millisecond
+	// releaseCheckInterval is the time between looks whether releases are still in flight at the end.
+	releaseCheckInterval = 5 * time.Millisecond
 )
 
 // shutDown ends the process gracefully and prints its last counters to out.
@@ -87,7 +87,7 @@
 		if a.dispatcher.Counters(ctx).Open == 0 && a.dispatcher.PendingReleases()+a.upstream.PendingReleases() == 0 {
 			return
 		}
-		time.Sleep(releasePoll)
+		time.Sleep(releaseCheckInterval)
 	}
 }
 
@@ -95,7 +95,7 @@
 // and returns when none is open. The limiters close them, not http.Server.Shutdown: that closes connections on which a
 // request is just being read, and drops one whose head has been read, without an answer.
 func (l *listeners) closeGracefully() error {
-	tick := time.NewTicker(closePoll)
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	begun := time.Now()
 	lastBusy := begun
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -104,10 +104,10 @@
 	client := dial(t, listen)
 	io.WriteString(client, requestText("open", "{}"))
 	<-prefillDone
-	startReplaceable(t, config, folder)
+	startWithTransferDir(t, config, folder)
 	old.Process.Signal(syscall.SIGTERM)
-	const earliest = 1700 * time.Millisecond // a deadline of 1 s, and 0.7 s more
-	client.SetReadDeadline(time.Now().Add(earliest))
+	const shortGrace = 1700 * time.Millisecond // a deadline of 1 s, and 0.7 s more
+	client.SetReadDeadline(time.Now().Add(shortGrace))
 	if _, err := client.Read(make([]byte, 1)); err != nil {
 		t.Errorf("unanswered as the process may be killed: %v\n%s", err, out.String())
 	}
--- a/internal/app/state_commands.go
+++ b/internal/app/state_commands.go
@@ -18,9 +18,9 @@
 func stateCommand(out io.Writer) *cobra.Command {
 	c := &cobra.Command{Use: "state", Short: "Make, check or show what outlives a dispatcher"}
 	var owner state.Identity
-	add := func(use, short string, do func(out io.Writer, dir string, owner state.Identity) error) {
+	add := func(use, short string, action func(out io.Writer, dir string, owner state.Identity) error) {
 		sub := &cobra.Command{Use: use + " FOLDER", Short: short, Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error { return do(out, args[0], owner) }}
+			RunE: func(_ *cobra.Command, args []string) error { return action(out, args[0], owner) }}
 		sub.Flags().StringVar(&owner.Name, "name", "", "the dispatcher's `name`")
 		sub.Flags().StringVar(&owner.Fleet, "fleet-name", "", "the `fleet` that it is a member of; none: of no fleet")
 		cli.AcceptFormerName(sub.Flags(), "fleet-name", "of")
@@ -44,21 +44,21 @@
 }
 
 func checkState(out io.Writer, dir string, owner state.Identity) error {
-	read, err := readRecords(dir, owner, func(idempotency.Key, idempotency.Record) {})
+	counts, err := readRecords(dir, owner, func(idempotency.Key, idempotency.Record) {})
 	if err != nil {
 		return err
 	}
-	if read.corrupt > 0 {
-		return fmt.Errorf("state: %s: %d of %d filings cannot be read", dir, read.corrupt, read.total)
+	if counts.corrupt > 0 {
+		return fmt.Errorf("state: %s: %d of %d filings cannot be read", dir, counts.corrupt, counts.total)
 	}
-	fmt.Fprintf(out, "%s: good: %d filings\n", dir, read.total)
+	fmt.Fprintf(out, "%s: good: %d filings\n", dir, counts.total)
 	return nil
 }
 
 func showState(out io.Writer, dir string, owner state.Identity) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "KEY\tSTATE\tBY\tAT\tANSWER")
-	read, err := readRecords(dir, owner, func(key idempotency.Key, record idempotency.Record) {
+	counts, err := readRecords(dir, owner, func(key idempotency.Key, record idempotency.Record) {
 		fmt.Fprintf(table, "%x\t%s\t%s\t%s\t%d bytes\n", key[:], record.State, record.Attempt.Member,
 			record.WrittenAt.Round(time.Second), len(record.Answer))
 	})
@@ -68,7 +68,7 @@
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	fmt.Fprintf(out, "%d filings, %d of them cannot be read\n", read.total, read.corrupt)
+	fmt.Fprintf(out, "%d filings, %d of them cannot be read\n", counts.total, counts.corrupt)
 	return nil
 }
 
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -97,7 +97,7 @@
 		slog.Warn("in_flight_table_failed", "err", err)
 	}
 	a.stores.inFlight = table
-	a.front.UsePeerTable(table)
+	a.frontendHandler.UsePeerTable(table)
 	return nil
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -47,10 +47,10 @@
 
 // LogHandler writes one line of key=value for each event; the value of the key event is the event's name.
 func LogHandler(out io.Writer) slog.Handler {
-	return slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: nameMessageEvent})
+	return slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: renameMessageKey})
 }
 
-func nameMessageEvent(groups []string, attr slog.Attr) slog.Attr {
+func renameMessageKey(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.MessageKey {
 		attr.Key = "event"
 	}
--- a/internal/cli/former_name.go
+++ b/internal/cli/former_name.go
@@ -13,18 +13,18 @@
 	current := flags.Lookup(name)
 	alias := &pflag.Flag{Name: former, Usage: current.Usage, DefValue: current.DefValue, Hidden: true}
 	shared := current.Value
-	current.Value, alias.Value = renamedValue{shared, alias}, renamedValue{shared, current}
+	current.Value, alias.Value = aliasedValue{shared, alias}, aliasedValue{shared, current}
 	flags.AddFlag(alias)
 }
 
-// renamedValue is the value of a flag that shares its variable with a flag of another name.
-type renamedValue struct {
+// aliasedValue is the value of a flag that shares its variable with a flag of another name.
+type aliasedValue struct {
 	pflag.Value             // the variable of both
 	other       *pflag.Flag // the flag of the other name
 }
 
 // Set sets the variable, unless the other flag has already set it to something else.
-func (v renamedValue) Set(value string) error {
+func (v aliasedValue) Set(value string) error {
 	if v.other.Changed && v.String() != value {
 		return fmt.Errorf("--%s, which is the same flag, is %q", v.other.Name, v.String())
 	}
--- a/internal/cli/former_name_test.go
+++ b/internal/cli/former_name_test.go
@@ -35,7 +35,7 @@
 			flags.StringVar(&value, "new", "default", "a `thing`")
 			AcceptFormerName(flags, "new", "old")
 			err := flags.Parse(c.args)
-			if want, bad := strings.CutPrefix(c.want, "!"); bad {
+			if want, wantError := strings.CutPrefix(c.want, "!"); wantError {
 				if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 					t.Errorf("error %v, want %q", err, want)
 				}
--- a/internal/config/classes_test.go
+++ b/internal/config/classes_test.go
@@ -70,29 +70,29 @@
 		t.Errorf("classes %+v, attempts %d", c, got.Config.MaxAttempts)
 	}
 	dropped := strings.Replace(baseSettings, `{"name":"frage","effect":"retryable","importance":1,"promiseMs":1200,"hardLimitMs":5000},`, ``, 1)
-	again, err := got.Reconfigure(mustParse(t, dropped))
+	afterDrop, err := got.Reconfigure(mustParse(t, dropped))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := again.Names["frage"]; ok || again.Names["meldung"] != 1 || len(again.Config.Classes) != 4 {
-		t.Errorf("after a drop: %v, %d classes", again.Names, len(again.Config.Classes))
+	if _, ok := afterDrop.Names["frage"]; ok || afterDrop.Names["meldung"] != 1 || len(afterDrop.Config.Classes) != 4 {
+		t.Errorf("after a drop: %v, %d classes", afterDrop.Names, len(afterDrop.Config.Classes))
 	}
 }
 
 // A deployment may have no zones, and all is then in one; one that has zones does not lose them by a file that lacks
 // the key.
 func TestReconfigureRejectsSettingsThatLoseTheirZones(t *testing.T) {
-	zoned, without := mustParse(t, baseSettings), mustParse(t, strings.Replace(baseSettings, `"zones":["wien"],`, ``, 1))
+	zoned, unzoned := mustParse(t, baseSettings), mustParse(t, strings.Replace(baseSettings, `"zones":["wien"],`, ``, 1))
 	if zoned.Zone("wien") != 0 || zoned.Zone("linz") != -1 || zoned.ZoneName(0) != "wien" || zoned.ZoneName(1) != "" {
 		t.Error("zones do not have the indexes of their names in the settings")
 	}
-	if without.Zone("") != 0 || without.Zone("linz") != 0 || without.ZoneName(0) != "" || without.Validate() != nil {
+	if unzoned.Zone("") != 0 || unzoned.Zone("linz") != 0 || unzoned.ZoneName(0) != "" || unzoned.Validate() != nil {
 		t.Error("without zones not all is in one")
 	}
 	for _, c := range []struct {
 		start, next *Settings
 		accepted    bool
-	}{{zoned, zoned, true}, {zoned, without, false}, {without, without, true}} {
+	}{{zoned, zoned, true}, {zoned, unzoned, false}, {unzoned, unzoned, true}} {
 		table, err := c.start.ClassTable()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,14 +13,14 @@
 
 // Config is the configuration file of one dispatcher.
 type Config struct {
-	Name      string          `json:"Name"`
-	Listen    string          `json:"Listen"`
-	Discovery string          `json:"Discovery"`
-	Admin     string          `json:"Ops"` // address of the operators' calls; none: there are none
-	Seed      string          `json:"Seed"`
-	Limits    ResourceLimits  `json:"Limits"`
-	Known     json.RawMessage `json:"Known"` // the endpoint list of the start, in discovery's form
-	Settings  Settings        `json:"Settings"`
+	Name             string          `json:"Name"`
+	Listen           string          `json:"Listen"`
+	Discovery        string          `json:"Discovery"`
+	Admin            string          `json:"Ops"` // address of the operators' calls; none: there are none
+	Seed             string          `json:"Seed"`
+	Limits           ResourceLimits  `json:"Limits"`
+	InitialEndpoints json.RawMessage `json:"Known"` // the endpoint list of the start, in discovery's form
+	Settings         Settings        `json:"Settings"`
 }
 
 // ResourceLimits is what the platform lets the process use; 0: the process's default.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -19,17 +19,17 @@
 	return text
 }
 
-// sized returns a slice of n zero elements of the type of its first parameter.
-func sized[S ~[]E, E any](_ S, n int) S { return make(S, n) }
+// zeroSliceLike returns a slice of n zero elements of the type of its first parameter.
+func zeroSliceLike[S ~[]E, E any](_ S, n int) S { return make(S, n) }
 
 // goldenConfig holds the values of testdata/config.json.
 func goldenConfig() *Config {
 	c := &Config{Name: "name-1", Listen: "127.0.0.1:1001", Discovery: "127.0.0.1:1002", Admin: "127.0.0.1:1003",
-		Seed: "8c1f30d27a5be964", Known: json.RawMessage(`{"generation":7,"reset":true,"instances":[]}`)}
+		Seed: "8c1f30d27a5be964", InitialEndpoints: json.RawMessage(`{"generation":7,"reset":true,"instances":[]}`)}
 	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = 1.5, 192, 1024
 	s := &c.Settings
 	s.ZoneIndex, s.Dispatchers, s.Discovery = 1, 2, "ask"
-	s.Classes = sized(s.Classes, 3)
+	s.Classes = zeroSliceLike(s.Classes, 3)
 	for i, name := range []string{"class-a", "class-b", "class-c"} {
 		class, n := &s.Classes[i], float64(i)
 		class.Name, class.Weight = name, 3.5+n
@@ -50,7 +50,7 @@
 	s.Limits.LoadPolling = true
 	s.Limits.MaxAttempts = 95
 	s.Limits.RetryAfter = true
-	s.Tenants = sized(s.Tenants, 2)
+	s.Tenants = zeroSliceLike(s.Tenants, 2)
 	s.Tenants[0].Name, s.Tenants[0].QuotaPerS = "party-a", 101
 	s.Tenants[1].Name, s.Tenants[1].QuotaPerS = "party-b", 102
 	s.Rules.AnswerSlackMs = 111
@@ -124,9 +124,9 @@
 		if want := string(readGolden(t, name)); err != nil || string(text)+"\n" != want {
 			t.Errorf("%s: wrote %s, %v; want %s", name, text, err, want)
 		}
-		back, err := ParseSettings(readGolden(t, name))
-		if err != nil || !reflect.DeepEqual(*back, s) {
-			t.Errorf("%s: read %+v, %v; want %+v", name, back, err, s)
+		reparsed, err := ParseSettings(readGolden(t, name))
+		if err != nil || !reflect.DeepEqual(*reparsed, s) {
+			t.Errorf("%s: read %+v, %v; want %+v", name, reparsed, err, s)
 		}
 	}
 }
