--- a/cmd/rampspread/main.go
+++ b/cmd/rampspread/main.go
@@ -1,4 +1,4 @@
-// Command rampspread is the dispatcher.
+// Command rampspread runs the dispatcher.
 package main
 
 import (
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -1,31 +1,31 @@
-// Package admin is the operators' line protocol on an address of its own: each connection carries one line, the name of
-// a call, and gets one line back, which starts with SUCCESS or FAILURE, before it is closed. Server answers calls,
-// Request makes one.
+// Package admin implements the operators' line protocol, which has an address of its own. Each connection carries one
+// line with the name of a call and gets one line back, which starts with SUCCESS or FAILURE, before it is closed.
+// Server answers calls, and Request makes one.
 //
-// A Server owns its listeners and connections; each connection has a goroutine, and so handlers run concurrently.
+// A Server owns its listeners and connections. Each connection has its own goroutine, so handlers run concurrently.
 package admin
 
-// Outcome is the first word of an answer, as it is written to the wire.
+// Outcome is the first word of an answer on the wire.
 type Outcome string
 
-// The outcomes.
+// These are the possible outcomes.
 const (
 	Success Outcome = "SUCCESS"
 	Failure Outcome = "FAILURE"
 )
 
-// Answer is the answer to a call. Its text, which must have no newline, follows the outcome on the line.
+// Answer is the answer to a call. Text follows the outcome on the line and must not contain a newline.
 type Answer struct {
 	Outcome Outcome
 	Text    string
 }
 
-// OK is the answer of a call that was carried out.
+// OK returns the answer to a call that was carried out.
 func OK(text string) Answer { return Answer{Success, text} }
 
-// Fail is the answer of a call that was not carried out; the text says why.
+// Fail returns the answer to a call that was not carried out, with the reason.
 func Fail(reason string) Answer { return Answer{Failure, reason} }
 
-// Handler carries out one operator's call. It must not block: it reads and sets the process's atomics, and never waits
-// for the dispatcher's goroutine.
+// Handler carries out one operator's call. It must not block: it may read and set atomics of the process, but must not
+// wait for the dispatcher's goroutine.
 type Handler func() Answer
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Request makes one call at a process's admin address and returns the text that follows SUCCESS. An answer of FAILURE
-// is an error whose text is the whole answer. The timeout holds for the connect, and then again for the call.
+// Request makes one call at a process's admin address and returns the text that follows SUCCESS. An answer that does
+// not start with SUCCESS is returned as an error with the whole answer as its text. The timeout applies to the connect
+// and then again to the call.
 func Request(addr, call string, timeout time.Duration) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// readTimeout and writeTimeout bound each half of a call: a caller waits 1 s for its answer, however busy the
-	// process is. One that has not sent its line by then is closed, so that slow or stuck callers hold up nobody else.
+	// readTimeout and writeTimeout bound the two halves of a call. A caller waits 1 s for its answer, however busy the
+	// process is. A connection whose line has not arrived by then is closed, so that slow or stuck callers do not delay
+	// others.
 	readTimeout  = time.Second
 	writeTimeout = time.Second
 	maxLineBytes = 256
-	// maxOpenCalls is how many calls may be open at a time. One more is answered FAILURE at once instead of queueing
-	// behind those that stall.
+	// maxOpenCalls bounds the calls that are open at a time. A further call gets FAILURE at once instead of queueing
+	// behind stalled calls.
 	maxOpenCalls = 64
-	// The pause after a failed accept doubles from the first bound to the second.
+	// The pause after a failed accept starts at minAcceptBackoff and doubles up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
-	// maxNameBytes is how much of an unknown call's name is logged and echoed.
+	// maxNameBytes bounds the length to which a call's name is truncated in the log and in answers.
 	maxNameBytes = 40
 )
 
-// Server answers the calls that it was given by name. Its methods are safe for use by several goroutines.
+// Server answers calls with the handlers that it was given. Its methods are safe for concurrent use.
 type Server struct {
 	calls     map[string]Handler
 	log       *slog.Logger
@@ -43,19 +44,20 @@
 	closed    bool
 }
 
-// New returns a Server for the calls; each answered call is logged to log.
+// New returns a Server for the calls, whose handlers are given by name. Each answered call is logged to log.
 func New(calls map[string]Handler, log *slog.Logger) *Server {
 	return &Server{calls: calls, log: log, conns: map[net.Conn]struct{}{}}
 }
 
-// Malformed returns how many connections sent no whole line, or one that names no known call.
+// Malformed returns the number of connections that sent no complete line or the name of an unknown call, or were
+// rejected because too many calls were open or the server was closing.
 func (s *Server) Malformed() int64 { return s.malformed.Load() }
 
-// Served returns how many calls were answered by their handler.
+// Served returns the number of calls that a handler answered.
 func (s *Server) Served() int64 { return s.served.Load() }
 
-// Serve answers calls on l until Close; each connection has a goroutine of its own. Its error is that of closing l,
-// where the server was closed before.
+// Serve answers calls on l until Close is called; each connection has its own goroutine. If the server is already
+// closed, Serve closes l and returns the error of that.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.register(l) {
 		return l.Close()
@@ -67,8 +69,8 @@
 			if s.isClosed() {
 				return nil
 			}
-			// The process may be out of descriptors: back off and accept again, as net/http does. A failure of the
-			// calls must not end the process.
+			// The process may be out of file descriptors. Wait and accept again, as net/http does: a failure of the
+			// operators' calls must not end the process.
 			backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff)
 			s.log.Warn("admin_accept_failed", "err", err, "backoff", backoff)
 			time.Sleep(backoff)
@@ -83,7 +85,7 @@
 	}
 }
 
-// register adds a listener for Close; false if the server is closed already.
+// register adds a listener to those that Close closes. It returns false if the server is already closed.
 func (s *Server) register(l net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +96,7 @@
 	return true
 }
 
-// rejectBusy answers a connection over the limit, or one that came as the server closed.
+// rejectBusy rejects a connection that exceeds maxOpenCalls or was accepted while the server closed.
 func (s *Server) rejectBusy(c net.Conn) {
 	s.openCalls.Add(-1)
 	s.malformed.Add(1)
@@ -109,7 +111,7 @@
 	return s.closed
 }
 
-// track adds a connection for Close; false if the server is closed already.
+// track adds a connection to those that Close closes. It returns false if the server is already closed.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +130,7 @@
 	s.openCalls.Add(-1)
 }
 
-// Close closes the listeners and the connections of open calls. It may be called again.
+// Close closes the listeners and the connections of open calls. It may be called more than once.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +146,7 @@
 	}
 }
 
-// handle reads one call and writes its answer.
+// handle reads one call from a connection and writes the answer.
 func (s *Server) handle(c net.Conn) {
 	defer s.untrack(c)
 	c.SetReadDeadline(time.Now().Add(readTimeout))
@@ -158,8 +160,8 @@
 	s.log.Info("admin_call", "call", truncateName(name), "outcome", answer.Outcome, "text", answer.Text)
 }
 
-// answer carries out the call that a line names; err is what reading the line returned. owed is false where the caller
-// sent nothing and waits no longer.
+// answer carries out the call that a line names; err is the error from reading the line. shouldReply is false if
+// nothing was read from the caller.
 func (s *Server) answer(name string, err error) (answer Answer, shouldReply bool) {
 	call, known := s.calls[name]
 	switch {
@@ -167,8 +169,8 @@
 		s.malformed.Add(1)
 		return Fail("line too long"), true
 	case errors.Is(err, errIncompleteLine):
-		// A call without its newline may be cut anywhere, "drain-off" to "drain-o" as well as just before the newline:
-		// nothing is done, and a caller that still reads gets a failure.
+		// A call without its newline may have been truncated anywhere: "drain-off" to "drain-o", or just before the
+		// newline. It is not carried out, and a caller that still reads gets a failure.
 		s.malformed.Add(1)
 		return Fail("cut call: no whole line within 1 s"), true
 	case err != nil:
@@ -185,11 +187,11 @@
 
 var (
 	errLineTooLong = errors.New("line too long")
-	// errIncompleteLine is a line that ended, or stopped, before its newline.
-	errIncompleteLine = errors.New("cut call")
+	// errIncompleteLine reports a line that ended, or did not continue in time, before its newline.
+	errIncompleteLine = errors.New("incomplete line")
 )
 
-// readLine reads one whole line and returns it without white space around it.
+// readLine reads one complete line and returns it without surrounding white space.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	switch {
@@ -198,12 +200,12 @@
 	case err != nil && len(line) > 0:
 		return "", errIncompleteLine
 	case err != nil:
-		return "", fmt.Errorf("ops: read: %w", err)
+		return "", fmt.Errorf("read call: %w", err)
 	}
 	return strings.TrimSpace(string(line)), nil
 }
 
-// names lists the known calls.
+// names returns the names of the known calls, sorted and separated by commas.
 func (s *Server) names() string {
 	var names []string
 	for name := range s.calls {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -41,7 +41,8 @@
 	return answer
 }
 
-// A call is answered with its handler's outcome; unknown calls and malformed lines fail and are counted.
+// A call is answered with its handler's outcome. Unknown calls, malformed lines and truncated calls fail, are counted
+// and are not carried out.
 func TestServerAnswersCallsAndRejectsMalformedLines(t *testing.T) {
 	var draining atomic.Bool
 	s, addr := startServer(t, map[string]admin.Handler{
@@ -65,20 +66,20 @@
 	if call(t, addr, "drain-off\n") != "SUCCESS serving\n" {
 		t.Fatal("drain-off")
 	}
-	for _, cut := range []string{"drain-o", "drain-on"} { // cut within its name, or just before the newline, and the caller waits
+	for _, cut := range []string{"drain-o", "drain-on"} { // truncated within the name, or just before the newline
 		if got := call(t, addr, cut); got != "FAILURE cut call: no whole line within 1 s\n" {
 			t.Errorf("%q: %q", cut, got)
 		}
 	}
 	if draining.Load() || call(t, addr, "check\n") != "SUCCESS \n" {
-		t.Error("a cut call was carried out")
+		t.Error("a truncated call was carried out")
 	}
 	if s.Served() != 5 || s.Malformed() != 4 {
 		t.Errorf("served %d, malformed %d", s.Served(), s.Malformed())
 	}
 }
 
-// Callers that connect and send nothing, or half a line, delay no other caller, and are closed in time.
+// Callers that connect and send nothing, or only part of a line, do not delay other callers and are closed in time.
 func TestStalledCallersDelayNoOther(t *testing.T) {
 	_, addr := startServer(t, map[string]admin.Handler{"check": func() admin.Answer { return admin.OK("serving") }})
 	var stalled []net.Conn
@@ -100,7 +101,7 @@
 	for i, c := range stalled {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		got, err := io.ReadAll(c)
-		want := "" // one that sent nothing is closed without an answer
+		want := "" // a caller that sent nothing is closed without an answer
 		if i%2 == 0 {
 			want = "FAILURE cut call: no whole line within 1 s\n"
 		}
--- a/internal/app/admin_calls.go
+++ b/internal/app/admin_calls.go
@@ -7,16 +7,16 @@
 	"rampspread/internal/fleet/idempotencyquorum"
 )
 
-// adminCalls are the operators' calls of a running process. Their names and answers are read by operators and scripts
-// (docs/ONCALL.md). Handlers run concurrently and must not block.
+// adminCalls implements the operators' calls of a running process. Operators and scripts depend on their names and
+// answers (docs/ONCALL.md). Handlers run concurrently and must not block.
 type adminCalls struct {
 	listeners   *listeners
 	drain       operatorDrain
 	fleet       *fleetRuntime
-	idempotency *idempotencyquorum.Coordinator // nil without one
+	idempotency *idempotencyquorum.Coordinator // nil if the process does not use one
 }
 
-// handlers returns the calls by name.
+// handlers returns the handler of each call by the name of the call.
 func (c adminCalls) handlers() map[string]admin.Handler {
 	return map[string]admin.Handler{
 		"check":     c.check,
@@ -36,7 +36,7 @@
 	}
 }
 
-// check tells whether this process takes clients.
+// check reports whether this process accepts clients.
 func (c adminCalls) check() admin.Answer {
 	switch {
 	case c.listeners.lifecycle.Stopping.Load():
@@ -49,6 +49,7 @@
 	return admin.OK("serving")
 }
 
+// drainOn starts an operator's drain.
 func (c adminCalls) drainOn() admin.Answer {
 	if !c.drain.begin() {
 		return admin.OK("draining already")
@@ -56,6 +57,7 @@
 	return admin.OK("draining")
 }
 
+// drainOff ends an operator's drain.
 func (c adminCalls) drainOff() admin.Answer {
 	ended, err := c.drain.end()
 	switch {
@@ -69,7 +71,7 @@
 
 const noFleetText = "no fleet: the program was started without -fleet"
 
-// members shows who is in the fleet.
+// members returns the members of the fleet.
 func (c adminCalls) members() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
@@ -78,7 +80,7 @@
 	return jsonAnswer(node.Status())
 }
 
-// tasks shows who holds the leases of the fleet's tasks.
+// tasks returns the tasks of the fleet and the holders of their leases.
 func (c adminCalls) tasks() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
@@ -91,7 +93,7 @@
 	return jsonAnswer(status)
 }
 
-// quota shows this member's share of the fleet's budgets.
+// quota returns this member's share of the fleet's budgets.
 func (c adminCalls) quota() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
@@ -104,7 +106,7 @@
 	return jsonAnswer(status)
 }
 
-// subset shows the replicas that this member routes to.
+// subset returns the replicas that this member routes to.
 func (c adminCalls) subset() admin.Answer {
 	if c.fleet.subset == nil {
 		return admin.Fail("no subset: the fleet's file has no subset_readers")
@@ -112,7 +114,7 @@
 	return jsonAnswer(c.fleet.subset.Status())
 }
 
-// idempotencyStatus shows the quorum's records of idempotency keys.
+// idempotencyStatus returns the status of the quorum's idempotency records at this member.
 func (c adminCalls) idempotencyStatus() admin.Answer {
 	if c.idempotency == nil {
 		return admin.Fail("no ledger: the fleet's file has no filings, and the program was started without -state")
@@ -120,7 +122,7 @@
 	return jsonAnswer(c.idempotency.Status())
 }
 
-// endpointFilter shows what the newer endpoint lists of other members suppress here.
+// endpointFilter returns how much the newer endpoint lists of other members suppress here.
 func (c adminCalls) endpointFilter() admin.Answer {
 	if c.fleet.filter == nil {
 		return admin.Fail("its own list is all: the fleet's file has no ends")
@@ -128,7 +130,7 @@
 	return jsonAnswer(c.fleet.filter.Status())
 }
 
-// versionSkew shows which versions of endpoint list, settings and program the members act on.
+// versionSkew returns the versions of the endpoint list, the settings and the program that the members use.
 func (c adminCalls) versionSkew() admin.Answer {
 	node := c.fleet.node.Load()
 	if node == nil {
@@ -137,7 +139,7 @@
 	return jsonAnswer(node.VersionSkewStatus())
 }
 
-// overrideVersionSkew returns a call by which an operator sets this member's state of version skew by hand.
+// overrideVersionSkew returns the handler of a call by which an operator overrides this member's version skew state.
 func (c adminCalls) overrideVersionSkew(call string) admin.Handler {
 	return func() admin.Answer {
 		node := c.fleet.node.Load()
@@ -151,7 +153,7 @@
 	}
 }
 
-// jsonAnswer answers with one line of JSON.
+// jsonAnswer returns an answer with the status as one line of JSON.
 func jsonAnswer(status any) admin.Answer {
 	encoded, err := json.Marshal(status)
 	if err != nil {
--- a/internal/app/admin_test.go
+++ b/internal/app/admin_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/testutil"
 )
 
-// The operators' calls on LB_OPS: check, and a drain that healthz shows and that drain-off ends. SIGHUP applies changed
-// classes; an invalid file changes nothing, not even discovery's address.
+// The operators' calls on LB_OPS work: check answers, and drain-on starts a drain that healthz reports and drain-off
+// ends. SIGHUP applies changed classes. An invalid file changes nothing, not even discovery's address.
 func TestAdminCallsAndSettingsReload(t *testing.T) {
 	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := endpointList(prefill.Addr, decode.Addr)
@@ -27,7 +27,7 @@
 	defer terminate()
 	reload, out, ended := make(chan os.Signal), &syncBuffer{}, make(chan error, 1)
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(cli.LogHandler(out))) // this test reads the process's events
+	slog.SetDefault(slog.New(cli.LogHandler(out))) // the test reads the events that the process logs
 	go func() {
 		ended <- run(ctx, hostos.Real(), []string{"serve"}, signals{print: make(chan os.Signal), reload: reload}, out)
 	}()
@@ -78,7 +78,7 @@
 	}
 	reloadWith(added)
 	if status := send("neu"); status != 200 {
-		t.Errorf("the class that a reload added: status %d", status)
+		t.Errorf("class added by a reload: status %d", status)
 	}
 	reloadWith(invalid)
 	if got := out.String(); !strings.Contains(got, "event=reload_failed") || strings.Contains(got, "127.0.0.1:1 ") ||
--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -26,13 +26,13 @@
 	"rampspread/internal/xds"
 )
 
-// application is one running dispatcher: the parts and how they are wired.
+// application owns the components of one running dispatcher.
 type application struct {
 	machine    hostos.System
 	inputs     inputs
 	options    options
 	limits     resourceLimits
-	seed       uint64 // of random numbers
+	seed       uint64 // seed of the random numbers
 	violations precondition.ViolationCounter
 	failures   chan error // errors that end the process
 
@@ -41,21 +41,21 @@
 	upstream        *upstream.Client
 	dispatcher      *dispatch.Dispatcher
 	fleet           fleetRuntime
-	xds             *xds.Server // nil without one
+	xds             *xds.Server // nil without an xDS address
 	watcher         *discovery.Watcher
 	stores          stores
 	listeners       listeners
 	frontendHandler *frontend.Handler
-	chat            *chatapi.Handler // nil without one
+	chat            *chatapi.Handler // nil without a chat frontend
 	drain           operatorDrain
 	reloader        reloader
 	admin           *admin.Server
 }
 
-// maxPendingFailures is how many parts may report a failure before the first is acted on.
+// maxPendingFailures is how many components can report a failure before the first failure is handled.
 const maxPendingFailures = 4
 
-// newApplication wires the parts. It starts nothing, opens nothing and reads no file.
+// newApplication creates and wires the components. It starts nothing, opens nothing and reads no file.
 func newApplication(machine hostos.System, in inputs, o options, limits resourceLimits) (*application, error) {
 	cfg := in.config
 	seed, err := cfg.SeedNumber()
@@ -100,10 +100,10 @@
 	return a, nil
 }
 
-// components is the one list of what is started, in this order. The shutdown stops it in the reverse order.
+// components returns the list of everything that is started, in order. The shutdown stops it in the reverse order.
 //
-// The background goroutines share one context, which stopping the dispatcher cancels. They are waited for once the
-// connections to replicas are closed.
+// The background goroutines share one context, which is canceled when the dispatcher is stopped. The shutdown waits for
+// them after it has closed the connections to replicas.
 func (a *application) components(ctx context.Context, reloads <-chan os.Signal) []component {
 	return []component{
 		{"xDS server", a.startXDS, a.stopXDS},
@@ -130,10 +130,10 @@
 	}
 }
 
-// endpointConsumer takes a full endpoint list, or changes to one.
+// endpointConsumer receives a full endpoint list, or changes to the list.
 type endpointConsumer func(full bool, entries []dispatch.Endpoint)
 
-// chain returns a consumer that passes each update to both.
+// chain returns a consumer that passes each update to c and then to next.
 func (c endpointConsumer) chain(next endpointConsumer) endpointConsumer {
 	return func(full bool, entries []dispatch.Endpoint) {
 		c(full, entries)
@@ -141,8 +141,8 @@
 	}
 }
 
-// newEndpointConsumer returns what discovery's updates go to: the endpoint filter, if there is one, in front of all
-// parts that act on the list, and the cache, which stores the list as discovery sent it.
+// newEndpointConsumer returns the consumer of discovery's updates. The endpoint filter, if there is one, precedes all
+// components that act on the list. The endpoint cache bypasses the filter: it stores the list as discovery sent it.
 func (a *application) newEndpointConsumer() endpointConsumer {
 	consumer := endpointConsumer(a.dispatcher.UpdateEndpoints)
 	if a.fleet.tasks != nil {
@@ -237,13 +237,14 @@
 	return nil
 }
 
-// maxDiscoveryWait bounds the wait for discovery's list at the start: 9 in 10 starts must serve within 6 s, on a busy
-// machine too.
+// maxDiscoveryWait bounds the wait for discovery's list at the start. Nine in ten starts must serve within 6 s, even on
+// a busy machine.
 const maxDiscoveryWait = 2 * time.Second
 
-// awaitDiscovery waits until an agent that pushes endpoints has confirmed the list. The list of the start may be old,
-// and what the agent has counts as notified from the first moment on. It answers at once; one that is silent is waited
-// for no longer than a change may take to bind, nor than a restart may take.
+// awaitDiscovery waits until an agent that pushes endpoints has confirmed the list. The initial list may be old, and
+// the agent's changes count as notified from the moment at which the process starts. A working agent answers at once.
+// The wait for a silent agent is bounded by the drain deadline, within which a change must take effect, and by
+// maxDiscoveryWait.
 func (a *application) awaitDiscovery(ctx context.Context) error {
 	settings := &a.inputs.config.Settings
 	if !settings.PushesEndpoints() {
@@ -257,17 +258,19 @@
 	return nil
 }
 
-// awaitPeers waits until the processes of this name that were running have published what they have in flight.
+// awaitPeers waits until the processes of this name that were already running have published their in-flight requests.
 func (a *application) awaitPeers(ctx context.Context) error {
 	a.stores.inFlight.WaitForPeers(ctx)
 	return nil
 }
 
+// openClientListener opens the listener of the platform's frontend.
 func (a *application) openClientListener() error {
 	return a.listeners.open(a.inputs.config.Listen, a.frontendHandler, a.limits.clientConnections(a.inputs.chat), a.failures)
 }
 
-// openChatListener opens the chat front's listener, if it has one. From then on the process counts as ready.
+// openChatListener opens the chat frontend's listener, if there is a chat frontend. In either case the process counts
+// as ready from then on.
 func (a *application) openChatListener() error {
 	if a.inputs.chat != nil {
 		chat, err := chatapi.New(a.dispatcher, &a.inputs.config.Settings, a.inputs.chat, time.Now)
@@ -287,7 +290,7 @@
 	return nil
 }
 
-// startAdmin takes operators' calls, if the configuration has an address for them.
+// startAdmin serves operators' calls if the configuration has an address for them.
 func (a *application) startAdmin() error {
 	if a.inputs.config.Admin == "" {
 		return nil
--- a/internal/app/commands.go
+++ b/internal/app/commands.go
@@ -12,13 +12,14 @@
 	"rampspread/internal/hostos"
 )
 
-// callTimeout is how long an operator's call may take; a process answers within 1 s.
+// callTimeout bounds an operator's call. A process answers within 1 s.
 const callTimeout = 2 * time.Second
 
-// defaultAdminAddress is where a deployment's processes take operators' calls unless it is configured otherwise.
+// defaultAdminAddress is the address at which a deployment's processes serve operators' calls unless another one is
+// configured.
 const defaultAdminAddress = "127.0.0.1:9600"
 
-// newRootCommand returns the command line. Without a sub-command it is the same as serve.
+// newRootCommand returns the program's root command. Without a sub-command it does the same as serve.
 func newRootCommand(machine hostos.System, sigs signals, out io.Writer) *cobra.Command {
 	root := cli.NewRootCommand("rampspread", "A control service for LLM traffic", out)
 	serving := serveCommand(machine, sigs, out)
@@ -85,7 +86,8 @@
 	return c
 }
 
-// callCommand makes one operator's call (docs/ONCALL.md) and prints its answer; FAILURE is an error.
+// callCommand returns the command that makes one operator's call (docs/ONCALL.md) and prints the answer. A FAILURE is
+// an error.
 func callCommand(out io.Writer) *cobra.Command {
 	var address string
 	c := &cobra.Command{Use: "call CALL", Short: "Make an operator's call, such as check, drain-on or drain-off",
@@ -101,7 +103,7 @@
 	return c
 }
 
-// addAddressFlag adds the flag for the admin address of the process at which a command makes an operator's call.
+// addAddressFlag adds the flag for the admin address of the process that a command calls.
 func addAddressFlag(c *cobra.Command, address *string, usage string) {
 	c.Flags().StringVar(address, "addr", defaultAdminAddress, usage)
 	cli.AcceptFormerName(c.Flags(), "addr", "at")
--- a/internal/app/component.go
+++ b/internal/app/component.go
@@ -1,13 +1,13 @@
 package app
 
-// component is one part of the process that has to be started, and possibly stopped, in its turn.
+// component is a part of the process that is started, and possibly stopped, in a fixed order.
 type component struct {
-	name  string       // for readers of the list
-	start func() error // nil: there is nothing to start
-	stop  func()       // nil: it ends with the background goroutines, or with the process
+	name  string       // describes the component to readers of the code
+	start func() error // nil if there is nothing to start
+	stop  func()       // nil if it ends with the background goroutines or with the process
 }
 
-// startAll starts components in order, up to the first that fails, and returns those that were started.
+// startAll starts components in order until one fails, and returns the components that were started.
 func startAll(components []component) (started []component, err error) {
 	for _, c := range components {
 		if c.start != nil {
@@ -20,7 +20,7 @@
 	return started, nil
 }
 
-// stopAll stops components in the reverse of their order.
+// stopAll stops components in the reverse order.
 func stopAll(started []component) {
 	for i := len(started) - 1; i >= 0; i-- {
 		if stop := started[i].stop; stop != nil {
--- a/internal/app/component_test.go
+++ b/internal/app/component_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Components start in order, and those that were started stop in the reverse order; one that failed to start is not
-// stopped.
+// Components start in order, and the started components stop in the reverse order. A component that failed to start is
+// not stopped.
 func TestComponentsStopInReverseOfStart(t *testing.T) {
 	errStart := errors.New("start")
 	for name, c := range map[string]struct {
--- a/internal/app/connections_test.go
+++ b/internal/app/connections_test.go
@@ -16,9 +16,9 @@
 	"rampspread/internal/testutil"
 )
 
-// Where SIGTERM and SIGKILL are 3.7 s apart, requests on open connections more than 0.7 s after SIGTERM must not be
-// accepted: a request whose rest comes later is rejected at once, a connection whose stream ends then accepts nothing
-// more, an idle one is closed, and what had started is finished.
+// With 3.7 s between SIGTERM and SIGKILL, a request that completes on an open connection more than 0.7 s after SIGTERM
+// could be lost when the process is killed. It must be rejected at once. An idle connection must be closed, a stream
+// that is open must be finished, and its connection must not accept another request.
 func TestLateRequestsAfterSIGTERMAreRejected(t *testing.T) {
 	started, finish := make(chan bool, 1), make(chan bool)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
@@ -53,9 +53,9 @@
 	io.WriteString(streaming, requestText("streams", "{}"))
 	<-started
 	streamAnswers := bufio.NewReader(streaming)
-	resp, err := http.ReadResponse(streamAnswers, nil) // the head announces no close
+	resp, err := http.ReadResponse(streamAnswers, nil) // the head does not announce that the connection closes
 	if err != nil || resp.Close {
-		t.Fatalf("the stream's head: %v, %v", resp, err)
+		t.Fatalf("the head of the stream: %v, %v", resp, err)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	if got, err := io.ReadAll(idleAnswers); err != nil || len(got) > 0 {
 		t.Errorf("the idle connection ended with %q, %v", got, err)
 	}
-	time.Sleep(rejectNewAfter) // more than that since SIGTERM: the time itself is what is tested
+	time.Sleep(rejectNewAfter) // the test is about the time since SIGTERM, which is now longer than this
 	io.WriteString(partial, text[60:])
 	if resp, err := http.ReadResponse(bufio.NewReader(partial), nil); err != nil || resp.StatusCode != 503 ||
 		resp.Header.Get("Retry-After") == "" || !resp.Close {
@@ -76,7 +76,7 @@
 	}
 	io.WriteString(streaming, requestText("after", "{}"))
 	if got, _ := io.ReadAll(streamAnswers); len(got) > 0 {
-		t.Errorf("behind the stream: %q", got)
+		t.Errorf("after the stream: %q", got)
 	}
 	if err := program.Wait(); err != nil {
 		t.Errorf("ended with %v: %s", err, out.String())
@@ -86,8 +86,8 @@
 	}
 }
 
-// Idle clients that use up the descriptors while discovery is down leave enough for discovery, replicas and other
-// clients.
+// Idle clients that connect while discovery is down must not use up the file descriptors: discovery, replicas and other
+// clients must still get connections.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	oldPrefill, prefill := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, testutil.ServeDecode("alpha"))
@@ -133,9 +133,9 @@
 	}
 }
 
-// A restarted process is ready within 6 s, whatever is silent then: its agent, a discovery that has to be polled, or a
-// process of its name that was killed and whose folder remains. Settings under which changes may take effect late delay
-// it no longer.
+// A restarted process is ready within 6 s, whatever does not respond then: its agent, a discovery that has to be
+// polled, or a process of its name that was killed and whose folder remains. A long drain deadline in the settings does
+// not delay it further.
 func TestRestartServesInTime(t *testing.T) {
 	for _, mode := range []string{"push", "ask"} {
 		t.Run(mode, func(t *testing.T) {
@@ -159,8 +159,9 @@
 	}
 }
 
-// Each event is forwarded as it comes, while other clients read nothing: the replica writes an event only once the
-// client has the one before, so that an event that is buffered until the next one fails the test.
+// Each event of a stream is forwarded at once, even while other clients do not read their answers. The replica writes
+// an event only after the client has received the previous one, so an event that is buffered until the next one fails
+// the test.
 func TestStreamForwardsEachEventAtOnce(t *testing.T) {
 	const events = 20
 	received := make(chan bool)
@@ -184,7 +185,7 @@
 	startProcess(t, "", writeFile(t, "config.json", configText(listen, discovery, list)))
 	awaitReady(t, listen)
 	for i := range 12 {
-		io.WriteString(dial(t, listen), requestText(fmt.Sprintf("slow-%d", i), "{}")) // and reads no answer
+		io.WriteString(dial(t, listen), requestText(fmt.Sprintf("slow-%d", i), "{}")) // the answer is never read
 	}
 	c := dial(t, listen)
 	io.WriteString(c, requestText("fast", "{}"))
@@ -208,8 +209,8 @@
 	}
 }
 
-// A client that pipelines requests on one connection has each answered once and in order, and those behind the one that
-// is open when it disconnects are not forwarded.
+// Each pipelined request on one connection is answered once and in order. If the client disconnects, the requests
+// queued behind the open one are not forwarded.
 func TestPipelinedRequestsOnOneConnection(t *testing.T) {
 	const requests = 300
 	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
@@ -250,7 +251,7 @@
 	c.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
 	defer stop()
-	<-ctx.Done() // in which a second one would be forwarded
+	<-ctx.Done() // long enough for a second one to be forwarded
 	if n := open.Load(); n != 1 {
 		t.Errorf("%d prefills for a client that had disconnected during the first", n)
 	}
--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -9,25 +9,25 @@
 	"rampspread/internal/fleet"
 )
 
-// counter is one name and value of the counters' line.
+// counter is one name and its value in the counters line.
 type counter struct{ name, value string }
 
-// count is a counter of an integer.
+// count returns a counter with an integer value.
 func count[N int | int64 | uint64](name string, n N) counter { return counter{name, fmt.Sprint(n)} }
 
-// decimal is a counter with so many digits behind the point.
+// decimal returns a counter whose value has the given number of digits after the decimal point.
 func decimal(name string, value float64, digits int) counter {
 	return counter{name, fmt.Sprintf("%.*f", digits, value)}
 }
 
-// writeCounters appends counters, each behind a space.
+// writeCounters appends counters to a line, each preceded by a space.
 func writeCounters(line *strings.Builder, counters []counter) {
 	for _, c := range counters {
 		line.WriteString(" " + c.name + "=" + c.value)
 	}
 }
 
-// countersLine is one line with all counters of the process. Programs read its keys: they must stay.
+// countersLine returns one line with all counters of the process. Programs read the line, so its keys must not change.
 func (a *application) countersLine() string {
 	var line strings.Builder
 	line.WriteString("event=counters")
@@ -46,7 +46,7 @@
 	return line.String()
 }
 
-// requestCounters are the dispatcher's counters, and those of the outcomes of attempts, by name.
+// requestCounters returns the dispatcher's counters, and the numbers of attempts by outcome, sorted by name.
 func (a *application) requestCounters() (requests, outcomes []counter) {
 	n := a.dispatcher.Counters(a.background.ctx)
 	for name, attempts := range n.Outcomes {
@@ -71,7 +71,7 @@
 	}, outcomes
 }
 
-// connectionCounters are the counters of the fronts and of the connections to replicas.
+// connectionCounters returns the counters of the frontends and of the connections to replicas.
 func (a *application) connectionCounters() []counter {
 	limiterTotals := a.listeners.counts()
 	badRequests, badAnswers := a.frontendHandler.Malformed()+limiterTotals.malformed, a.upstream.Malformed()
@@ -90,7 +90,7 @@
 	}
 }
 
-// counters are the fleet's part of the counters' line; none without a fleet.
+// counters returns the fleet's part of the counters line, or nil if the process is not in a fleet.
 func (f *fleetRuntime) counters() (counters []counter) {
 	node := f.node.Load()
 	if node == nil {
--- a/internal/app/deployment_names_test.go
+++ b/internal/app/deployment_names_test.go
@@ -16,14 +16,14 @@
 	"rampspread/internal/testutil"
 )
 
-// deploymentNames are the names by which the deploymentNames that the project has met call themselves, their classes,
-// zones, kinds and tiers.
+// deploymentNames matches the names of the deployments that the project has been run with, and of their classes, zones,
+// kinds and tiers.
 var deploymentNames = regexp.MustCompile(`kataster-assist|parzellen-frage|korrektur-meldung|wien-nord|wien-sued|st-poelten|modell-flotte|decode-[ab]\b|` +
 	`order-chat|menu-question|place-order|mill-street|depot-road|levee-annex|model-fleet|reply-[ab]\b|` +
 	`archive-desk|shelf-question|loan-entry|harbour-log|berth-entry`)
 
-// No source or deploy file names a deployment: names come from the settings alone. The package that only tests use, the
-// tests, and the variants that are laid over the kit's sites may name them.
+// No source or deploy file names a deployment: such names may come from the settings only. Exceptions are the package
+// that only tests use, the tests, and the variants in deploy/sites.
 func TestSourcesNameNoDeployment(t *testing.T) {
 	const root = "../.."
 	seen := 0
@@ -50,11 +50,12 @@
 		}
 	}
 	if seen < 100 {
-		t.Errorf("only %d files were looked at", seen)
+		t.Errorf("only %d files were searched", seen)
 	}
 }
 
-// otherDeployment are settings whose names and values all differ from those of testkit and of the deployments.
+// otherDeployment holds settings whose names and values all differ from those in package testutil and in the
+// deployments.
 const otherDeployment = `{"az":1,"balancers":7,"zones":["cellar","attic"],"kinds":["pen","both-ways","lens"],
 "classes":[{"name":"sketch","effect":"dedup","group":"cell","windowMs":700,"importance":7,"promiseMs":410,"hardLimitMs":2300},
 {"name":"inventory","effect":"fragile","importance":0.3,"promiseMs":950,"hardLimitMs":3700},
@@ -65,8 +66,8 @@
 "rules":{"coldFrom":0.51,"coldMs":6100,"fallMultiple":1.7,"stopSendingWithinMs":330,"answerSlackMs":3},
 "telemetry":{"fields":["x1","inflight"],"how":"piggyback"}}`
 
-// The process takes all names and values from its settings: with others it serves each class under its new name on both
-// fronts, rejects the old names, and gives replicas no later deadline than the client's.
+// The process takes all names and values from its settings. With other settings it serves each class under its new name
+// on both frontends, rejects the old names, and gives replicas no later deadline than the client's.
 func TestServesDeploymentWithOtherNames(t *testing.T) {
 	prefill, decode := testutil.NewReplica(t, testutil.ServePrefill), testutil.NewReplica(t, testutil.ServeDecode("alpha"))
 	list := fmt.Sprintf(`{"generation":5,"reset":true,"instances":[`+
@@ -138,6 +139,6 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != 200 {
-		t.Errorf("the chat front: status %d", resp.StatusCode)
+		t.Errorf("chat frontend: status %d", resp.StatusCode)
 	}
 }
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -16,20 +16,21 @@
 	"rampspread/internal/testutil"
 )
 
-// drainDeadline is how long after the start of an operator's drain its clients' connections must be closed.
+// drainDeadline is the time from the start of an operator's drain within which client connections must be closed.
 const drainDeadline = 4 * time.Second
 
-// drainFixture is a process that an operator is about to drain.
+// drainFixture is a process that a test drains by an operator's call.
 type drainFixture struct {
 	listen, admin string
-	finishStream  chan bool // ends a stream that has started
+	finishStream  chan bool // ends one started stream per value
 }
 
-// firstDrainAddress is the last part of the first loopback address of this test's processes, which no other test uses.
+// firstDrainAddress plus the number of a test case, from 1, is the last part of the case's loopback address. No other
+// test uses these addresses.
 const firstDrainAddress = 50
 
-// startDrainFixture serves in the test's process, on an address of its own; each stream of its decode replica sends one
-// event and waits.
+// startDrainFixture runs a dispatcher in the test process, on its own address. Its decode replica sends one event of
+// each stream and then waits.
 func startDrainFixture(t *testing.T, number int) *drainFixture {
 	t.Helper()
 	host := fmt.Sprintf("%s%d", testutil.LoopbackPrefix(), firstDrainAddress+number)
@@ -66,7 +67,7 @@
 	return d
 }
 
-// readUntilClosed returns what came on a connection, and whether the other side has closed it.
+// readUntilClosed returns what arrived on a connection and whether the other side has closed it.
 func readUntilClosed(c net.Conn) (text string, closed bool) {
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	got, err := io.ReadAll(c)
@@ -74,23 +75,23 @@
 	return string(got), !ok || !timeout.Timeout()
 }
 
-// drainClient is what a client of a drained process can use.
+// drainClient holds what a client of a process that is being drained can use.
 type drainClient struct {
 	process   *drainFixture
-	start     time.Time // of the drain
-	streaming net.Conn  // its first request is being answered
+	start     time.Time // start of the drain
+	streaming net.Conn  // connection whose first request is being answered
 	answers   *bufio.Reader
 }
 
-// connectAfter waits until so long after the start of the drain, and connects.
+// connectAfter waits until delay has passed since the start of the drain, and connects.
 func (c drainClient) connectAfter(t *testing.T, delay time.Duration) net.Conn {
 	t.Helper()
 	time.Sleep(time.Until(c.start.Add(delay)))
 	return dial(t, c.process.listen)
 }
 
-// drainCase is a client of a process that an operator drains. client returns the connection that must be closed at the
-// deadline; answer is the prefix of what must have come on it.
+// drainCase is one behavior of a client during a drain. client returns the connection that must be closed by the
+// deadline; answerPrefix is the prefix of what must have arrived on it.
 type drainCase struct {
 	answerPrefix string
 	client       func(t *testing.T, c drainClient) net.Conn
@@ -102,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond))) // over two seconds of the drain: the time is tested
+		time.Sleep(time.Until(c.start.Add(2500 * time.Millisecond))) // the test needs over 2 s of drain
 		c.process.finishStream <- true
 		io.Copy(io.Discard, resp.Body)
 		io.WriteString(c.streaming, requestText("again", "{}"))
@@ -129,15 +130,15 @@
 				if _, err := late.Write([]byte{b}); err != nil {
 					return
 				}
-				time.Sleep(200 * time.Millisecond) // the pace of the sender is what is tested
+				time.Sleep(200 * time.Millisecond) // the test is about the pace of the sender
 			}
 		}()
 		return late
 	}},
 }
 
-// Four seconds after the start of an operator's drain no client connection is open that is idle, has sent part of a
-// request, or has a request of the last two seconds.
+// Four seconds after the start of an operator's drain, no client connection may be open that is idle, has sent part of
+// a request, or has sent a request in the last two seconds.
 func TestOperatorDrainClosesConnections(t *testing.T) {
 	number := 0
 	for name, c := range drainCases {
@@ -149,7 +150,7 @@
 			streaming := dial(t, d.listen)
 			io.WriteString(streaming, requestText("first", "{}"))
 			answers := bufio.NewReader(streaming)
-			if _, err := answers.Peek(1); err != nil { // the head is sent, and does not announce a close
+			if _, err := answers.Peek(1); err != nil { // the head has been sent and does not announce a close
 				t.Fatal(err)
 			}
 			start := time.Now()
@@ -157,7 +158,7 @@
 				t.Fatal(got)
 			}
 			connection := c.client(t, drainClient{d, start, streaming, answers})
-			time.Sleep(time.Until(start.Add(drainDeadline))) // the deadline is what is tested
+			time.Sleep(time.Until(start.Add(drainDeadline))) // the test is about this deadline
 			text, closed := readUntilClosed(connection)
 			if !closed {
 				t.Errorf("open %v after the start of the drain", time.Since(start))
--- a/internal/app/endpoint_cache.go
+++ b/internal/app/endpoint_cache.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/state/endpointcache"
 )
 
-// newEndpointCache returns what saves the endpoint list that this process acts on, for its next start; nil without a
+// newEndpointCache returns the saver that stores this process's endpoint list for its next start, or nil without a
 // state folder.
 func (a *application) newEndpointCache() *atomicfile.Saver {
 	if a.inputs.stateDir == "" {
@@ -36,13 +36,14 @@
 	})
 }
 
-// endpointCacheOwner says whose endpoint list the process stores, and of which discovery: its address may have moved.
+// endpointCacheOwner returns the owner of the cached endpoint list. It includes discovery's address, which may have
+// changed since the list was stored: versions of two discovery services cannot be compared.
 func (a *application) endpointCacheOwner() endpointcache.Owner {
 	identity := a.inputs.identity()
 	return endpointcache.Owner{Fleet: identity.Fleet, Name: identity.Name, Discovery: a.watcher.Address()}
 }
 
-// useInitialList passes the endpoint list of the start to the watcher.
+// useInitialList passes the initial endpoint list to the watcher.
 func (a *application) useInitialList() error {
 	list, err := a.initialList()
 	if err != nil {
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// initialList is the endpoint list of the configuration, or a newer one that an earlier incarnation has cached. A cache
-// that is unusable is logged and counts as none.
+// initialList returns the endpoint list of the configuration, or the list that an earlier incarnation cached if that is
+// newer. An unusable cache is logged and ignored.
 func (a *application) initialList() (list discovery.List, err error) {
 	if known := a.inputs.config.InitialEndpoints; len(known) > 0 {
 		if err := json.Unmarshal(known, &list); err != nil {
--- a/internal/app/fleet_commands.go
+++ b/internal/app/fleet_commands.go
@@ -12,7 +12,7 @@
 	"rampspread/internal/cli"
 )
 
-// fleetCommand groups the commands that query or act on the fleet by a call to one of its members.
+// fleetCommand returns the command whose sub-commands query the fleet or act on it, by a call to one of its members.
 func fleetCommand(out io.Writer) *cobra.Command {
 	c := &cobra.Command{Use: "fleet", Short: "Query a member about the fleet, or fence it"}
 	c.AddCommand(slices.Concat(
@@ -38,15 +38,15 @@
 	return c
 }
 
-// memberCall is a command that makes an operators' call at a member.
+// memberCall describes a command that makes an operators' call at a member.
 type memberCall struct {
-	name  string // of the command
-	call  string // on the wire (adminCalls.handlers); also the command's former name, which stays accepted
-	short string // the line of help
+	name  string // name of the command
+	call  string // name of the call on the wire (adminCalls.handlers), and former name of the command, still accepted
+	short string // line of help
 }
 
-// commands returns the command. If its name is not that of the call, an equal command follows under its former name,
-// hidden from help. newCommand makes each of them without name and help.
+// commands returns the command. If its name differs from the name of the call, it also returns an equal command under
+// its former name, hidden from help. newCommand must create a new command without name and help each time.
 func (m memberCall) commands(newCommand func() *cobra.Command) []*cobra.Command {
 	current := newCommand()
 	current.Use, current.Short = m.name, m.short
@@ -58,7 +58,7 @@
 	return []*cobra.Command{current, former}
 }
 
-// statusCommand returns the commands of a call whose answer is JSON, which is printed as it is or as a table.
+// statusCommand returns the commands of a call whose answer is JSON. They print a table, or the JSON unchanged.
 func statusCommand[T any](out io.Writer, render func(io.Writer, T) error, m memberCall) []*cobra.Command {
 	return m.commands(func() *cobra.Command {
 		var address string
@@ -84,7 +84,7 @@
 	})
 }
 
-// actionCommand returns the commands of a call that changes something at a member, whose answer is printed as it is.
+// actionCommand returns the commands of a call that changes the state of a member. They print the answer unchanged.
 func actionCommand(out io.Writer, m memberCall) []*cobra.Command {
 	return m.commands(func() *cobra.Command {
 		var address string
--- a/internal/app/fleet_join.go
+++ b/internal/app/fleet_join.go
@@ -10,7 +10,7 @@
 	"rampspread/internal/state/statetransfer"
 )
 
-// maxPeerPrefixes bounds the prefix cache entries in a snapshot for another member, which gets the newest.
+// maxPeerPrefixes bounds the prefix cache entries in a snapshot for another member. The newest entries are sent.
 const maxPeerPrefixes = 3000
 
 // joinFleet makes the process a member of its fleet, if it has one.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// fleetOptions is what the process brings into its fleet.
+// fleetOptions returns the options with which the process joins its fleet.
 func (a *application) fleetOptions() fleet.Options {
 	cfg := a.inputs.config
 	opts := fleet.Options{
@@ -50,7 +50,7 @@
 	return opts
 }
 
-// localState is what the process's heartbeats say of it.
+// localState returns the part of the process's state that its heartbeats report.
 func (a *application) localState() fleet.LocalState {
 	return fleet.LocalState{
 		SettingsDigest: a.settings.fingerprint(),
@@ -59,15 +59,16 @@
 	}
 }
 
-// learnedState gives other members of the fleet a snapshot of what this process has learned, and restores theirs.
+// learnedState provides snapshots of what this process has learned to other members of the fleet, and restores their
+// snapshots.
 type learnedState struct {
 	machine    hostos.System
-	fleet      string // name
+	fleet      string // name of the fleet
 	settings   *activeSettings
 	dispatcher *dispatch.Dispatcher
 }
 
-// exchange encodes snapshots as the fleet's, under the settings in force.
+// exchange returns an Exchange that encodes and decodes snapshots under the fleet's name and the settings in force.
 func (l learnedState) exchange() statetransfer.Exchange {
 	return statetransfer.Exchange{Machine: l.machine, Name: l.fleet, Settings: l.settings.fingerprint()}
 }
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -16,19 +16,19 @@
 	"rampspread/routing"
 )
 
-// fleetRuntime owns the process's membership in the fleet, and what it does as a member. Without a fleet file all of it
-// is nil. All fields but node are set before the process starts any goroutine.
+// fleetRuntime owns the process's membership in the fleet and the components that it needs as a member. Without a fleet
+// file, only watcher is set. All fields but node and fenced are set before the process starts any goroutine.
 type fleetRuntime struct {
-	config  *fleet.Config              // nil: the process is not a member of a fleet
-	node    atomic.Pointer[fleet.Node] // nil until it has joined
+	config  *fleet.Config              // nil if the process is not a member of a fleet
+	node    atomic.Pointer[fleet.Node] // nil until the process has joined
 	watcher *discovery.Watcher
 	tasks   *leasedtasks.Tasks
-	subset  *subsetter.Controller  // nil: it routes to all replicas
-	filter  *endpointfilter.Filter // nil: only its own endpoint list counts
-	fenced  atomic.Bool            // drained for version skew, and not by an operator
+	subset  *subsetter.Controller  // nil if the process routes to all replicas
+	filter  *endpointfilter.Filter // nil if only its own endpoint list counts
+	fenced  atomic.Bool            // whether the process drains for version skew and not for an operator
 }
 
-// init sets up what the endpoint list is published to.
+// init creates the leased tasks and the subset controller, which receive the endpoint list.
 func (f *fleetRuntime) init(in inputs, router routing.Config, client *upstream.Client, dispatcher *dispatch.Dispatcher) {
 	f.config = in.fleet
 	if f.config == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// newSubsetController returns what restricts the dispatcher to its subset of the replicas.
+// newSubsetController returns the controller that restricts the dispatcher to its subset of the replicas.
 func (f *fleetRuntime) newSubsetController(cfg *config.Config, router routing.Config,
 	dispatcher *dispatch.Dispatcher) *subsetter.Controller {
 	var roles []routing.Role
@@ -54,7 +54,7 @@
 	return subsetter.NewController(f.config.SubsetLimits(), cfg.Name, cfg.Settings.Zone, roles, f.view, dispatcher.SetSubset)
 }
 
-// view is the fleet as the subset controller needs it; empty until this process has joined.
+// view returns the fleet as the subset controller needs it. It is empty until this process has joined.
 func (f *fleetRuntime) view() (view subsetter.FleetView) {
 	node := f.node.Load()
 	if node == nil {
@@ -66,11 +66,12 @@
 	return view
 }
 
-// minQuotaFraction keeps the division by a member's share finite.
+// minQuotaFraction is a lower bound for a member's share, so that dividing by the share gives a finite result.
 const minQuotaFraction = 1e-9
 
-// effectiveSize returns a function for the number of dispatchers that would put the load on discovery that this fleet
-// does, if each had a share like this one's. The fleet's quota determines it where there is one, else the settings do.
+// effectiveSize returns a function that computes how many dispatchers, each with a share like this member's, would put
+// the same load on discovery as the whole fleet. The share comes from the fleet's quota. If the fleet file has no
+// budgets, the function returns the number of dispatchers in the settings.
 func (f *fleetRuntime) effectiveSize(settings *config.Settings) func() float64 {
 	return func() float64 {
 		if f.config == nil || f.config.Budgets == nil {
@@ -84,22 +85,22 @@
 	}
 }
 
-// sendIdempotency sends a message of the idempotency quorum to another member; it is dropped until this process has
-// joined.
+// sendIdempotency sends a message of the idempotency quorum to another member. The message is dropped if this process
+// has not joined yet.
 func (f *fleetRuntime) sendIdempotency(to string, message []byte, large bool) {
 	if node := f.node.Load(); node != nil {
 		node.SendIdempotency(to, message, large)
 	}
 }
 
-// close leaves the fleet without a notice. It may be called again.
+// close leaves the fleet without notifying the other members. It may be called more than once.
 func (f *fleetRuntime) close() {
 	if node := f.node.Load(); node != nil {
 		node.Close()
 	}
 }
 
-// budgetsOf returns the limits on what the whole fleet does; none without a fleet file that has them.
+// budgetsOf returns the budgets of the whole fleet, or none if there is no fleet file or it has no budgets.
 func budgetsOf(file *fleet.Config) routing.Budgets {
 	if file == nil || file.Budgets == nil {
 		return routing.Budgets{}
@@ -112,7 +113,8 @@
 	}
 }
 
-// endpointLists is the process's watcher for the leased tasks, which are created before it.
+// endpointLists gives the leased tasks and the endpoint filter access to the process's watcher, which is created after
+// them.
 type endpointLists struct{ fleet *fleetRuntime }
 
 // Version implements leasedtasks.EndpointLists.
@@ -124,7 +126,7 @@
 // Refresh implements leasedtasks.EndpointLists.
 func (l endpointLists) Refresh() { l.fleet.watcher.Refresh() }
 
-// versionSkewActions carries out what the fleet decides about this process for version skew.
+// versionSkewActions carries out the fleet's decisions on version skew that concern this process.
 type versionSkewActions struct {
 	fleet *fleetRuntime
 	drain operatorDrain
@@ -133,8 +135,8 @@
 // RefreshEndpoints implements fleet.VersionSkewActions.
 func (v versionSkewActions) RefreshEndpoints() { v.fleet.watcher.Refresh() }
 
-// SetFenced implements fleet.VersionSkewActions: it fences this process, or takes that back. Fencing is a drain. A drain that
-// an operator began stays until an operator ends it.
+// SetFenced implements fleet.VersionSkewActions: it fences or unfences this process. A fenced process drains. A drain
+// that an operator began continues until an operator ends it.
 func (v versionSkewActions) SetFenced(fence bool) { //revive:disable-line:flag-parameter the interface is the fleet's
 	if fence {
 		v.fleet.fenced.Store(!v.drain.active())
--- a/internal/app/fleet_tables.go
+++ b/internal/app/fleet_tables.go
@@ -1,7 +1,7 @@
 package app
 
-// The tables that the sub-commands of fleet print of a member's status. Operators and scripts read them, also of a
-// member of another version: columns and words must stay (testdata/fleet.golden).
+// This file prints the tables of the fleet sub-commands, which show a member's status. Operators and scripts read them,
+// and the member may run another version, so the columns and words must not change (testdata/fleet.golden).
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"rampspread/internal/fleet/subsetter"
 )
 
-// printVersions prints which versions each member acts on, and how far it lags.
+// printVersions prints the versions that each member uses and how far it lags behind.
 func printVersions(out io.Writer, status fleet.VersionSkewStatus) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "NAME\tSTATE\tHEARD\tPROGRAM\tSETTINGS\tLIST\tLEASE\tSTEP\tFOR\tBEHIND\tWHY")
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// printTasks prints who holds the lease of each task.
+// printTasks prints the holder of the lease of each task.
 func printTasks(out io.Writer, status fleet.TasksStatus) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "DUTY\tOWNER\tSTANDBY\tHELD HERE\tLEASE\tFOR\tLEFT\tLAST RESULT")
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// printQuota prints a member's share of the fleet's budgets, and what it has granted as a voter.
+// printQuota prints a member's share of the fleet's budgets and what it has granted as a voter.
 func printQuota(out io.Writer, status fleet.QuotaStatus) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "MEMBER\tPART\tAT LEAST\tLEFT\tREQUESTS/S\tLENDS\tLENT\tTO\tDROPPED")
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// printEndpointFilter prints how much other members' newer endpoint lists suppress.
+// printEndpointFilter prints how many replicas the newer endpoint lists of other members suppress.
 func printEndpointFilter(out io.Writer, status endpointfilter.Status) error {
 	fmt.Fprintf(out, "list %d; %d replicas held back by newer lists of others, %d such lists came, "+
 		"%d times they would have ended too much\n",
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// printIdempotency prints a member's part in the quorum of idempotency records.
+// printIdempotency prints a member's status in the quorum of idempotency records.
 func printIdempotency(out io.Writer, status idempotencyquorum.Status) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "MEMBER\tKEEPS\tKEYS\tGRANTED\tIN\tREFUSED\tNO MAJORITY\tDROPPED\tERRORS\tBAD")
--- a/internal/app/former_names_test.go
+++ b/internal/app/former_names_test.go
@@ -21,16 +21,17 @@
 	"rampspread/internal/testutil"
 )
 
-// formerFleetCommands maps each former name of a fleet command, which is that of its call on the wire, to its name.
+// formerFleetCommands maps the former name of each renamed fleet command, which is the name of its call on the wire, to
+// its current name.
 var formerFleetCommands = map[string]string{
 	"duties": "tasks", "shares": "quota", "filings": "idempotency", "lists": "endpoint-filter", "versions": "version-skew",
 	"shut-out": "fence", "let-in": "unfence", "judge": "automatic",
 }
 
-// formerFlags maps each former name of a flag to its name.
+// formerFlags maps the former name of each renamed flag to its current name.
 var formerFlags = map[string]string{"handover": "transfer-dir", "of": "fleet-name", "at": "addr"}
 
-// runArgs carries out a command line, and returns what it prints and its error's text.
+// runArgs carries out a command line and returns its output and the text of its error.
 func runArgs(t *testing.T, args ...string) (printed, failure string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -40,7 +41,7 @@
 	return out.String(), failure
 }
 
-// serveCalls answers operators' calls until the end of the test, and returns the address.
+// serveCalls answers operators' calls until the end of the test and returns its address.
 func serveCalls(t *testing.T, calls map[string]admin.Handler) string {
 	t.Helper()
 	server := admin.New(calls, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -53,8 +54,8 @@
 	return listener.Addr().String()
 }
 
-// serveGoldenAnswers serves the fleet's calls by their names on the wire. Each answer is made by answer from the golden
-// one.
+// serveGoldenAnswers serves the fleet's calls by their names on the wire. The function answer derives each answer from
+// the golden answer.
 func serveGoldenAnswers(t *testing.T, answer func(golden string) admin.Answer) string {
 	t.Helper()
 	calls := map[string]admin.Handler{}
@@ -64,7 +65,7 @@
 	return serveCalls(t, calls)
 }
 
-// walkCommands calls visit with a command and all below it.
+// walkCommands calls visit with a command and all commands below it.
 func walkCommands(c *cobra.Command, visit func(*cobra.Command)) {
 	visit(c)
 	for _, sub := range c.Commands() {
@@ -72,8 +73,8 @@
 	}
 }
 
-// All that help does not list is a former name of the tables above, so that the tests below miss none; the name that
-// replaces it is listed beside it.
+// Every command and flag that help does not list is a former name in the tables above, so the tests below miss none.
+// Help lists its current name.
 func TestHiddenNamesAreTheFormerOnes(t *testing.T) {
 	seenCommands, seenFlags := map[string]string{}, map[string]string{}
 	walkCommands(newRootCommand(hostos.Real(), signals{}, io.Discard), func(c *cobra.Command) {
@@ -106,7 +107,7 @@
 }
 
 func TestHelpListsStandardNamesOnly(t *testing.T) {
-	listed := func(help, name string) bool { // as the first word of a line
+	listed := func(help, name string) bool { // reports whether help has name as the first word of a line
 		return slices.ContainsFunc(strings.Split(help, "\n"), func(line string) bool {
 			return strings.HasPrefix(strings.TrimSpace(line)+" ", name+" ")
 		})
@@ -131,7 +132,8 @@
 	}
 }
 
-// A former command makes the same call and prints the same as the one that replaced it, also where the call fails.
+// A command gives the same result under its former and its current name: it makes the same call and prints the same,
+// also if the call fails.
 func TestFormerFleetCommandsGiveSameResult(t *testing.T) {
 	servers := []struct{ name, addr string }{
 		{"golden answers", serveGoldenAnswers(t, admin.OK)},
@@ -163,7 +165,7 @@
 	}
 }
 
-// -at is the former name of -addr, in call and in each fleet command under its names.
+// -at is the former name of -addr, in the command call and in each fleet command, under both names of that command.
 func TestFormerAddressFlagGivesSameResult(t *testing.T) {
 	addr := serveGoldenAnswers(t, admin.OK)
 	commands := [][]string{{"call", "freeze"}}
@@ -189,11 +191,11 @@
 	}
 }
 
-// checkConflict checks that a command rejects a flag that is given by both its names with different values, in one line
-// and whichever comes first.
+// checkConflict checks that a command rejects a flag that is given different values by its two names, in either order,
+// with an error of one line.
 func checkConflict(t *testing.T, command []string, former, current string) {
 	t.Helper()
-	t.Setenv("LB_CONFIG", "") // so that no command serves
+	t.Setenv("LB_CONFIG", "") // without a configuration, no command starts to serve
 	for _, names := range [][2]string{{former, current}, {current, former}} {
 		args := append(slices.Clone(command), "-"+names[0], "a", "-"+names[1], "b")
 		want := `invalid argument "b" for "--` + names[1] + `" flag: --` + names[0] + `, which is the same flag, is "a"`
@@ -203,7 +205,7 @@
 	}
 }
 
-// -of is the former name of -fleet-name, in each state command: a state made by either is read by both.
+// -of is the former name of -fleet-name in each state command. A state made with either flag can be read with both.
 func TestFormerFleetNameFlagGivesSameResult(t *testing.T) {
 	for _, initFlag := range []string{"-of", "-fleet-name"} {
 		dir := filepath.Join(t.TempDir(), "state")
@@ -228,8 +230,8 @@
 	}
 }
 
-// -handover is the former name of -transfer-dir, with and without the sub-command serve: a process with either shows its
-// open requests in the folder and leaves its learned state there.
+// -handover is the former name of -transfer-dir, with and without the sub-command serve. With either flag, a process
+// publishes its open requests in the folder and leaves its learned state there.
 func TestFormerTransferDirFlagGivesSameResult(t *testing.T) {
 	for _, command := range [][]string{{"serve"}, nil} {
 		var files [2][]string
@@ -242,13 +244,13 @@
 		checkConflict(t, command, "handover", "transfer-dir")
 		args := append(slices.Clone(command), "-handover", "a", "-transfer-dir", "a", "-config", "/nowhere")
 		if _, failure := runArgs(t, args...); !strings.Contains(failure, "no such file") {
-			t.Errorf("%q: error %q, want that of the missing configuration", args, failure)
+			t.Errorf("%q: error %q, want the error of a missing configuration file", args, failure)
 		}
 	}
 }
 
-// filesLeftByServe serves, with a folder as the last argument, until the process is ready, ends it, and returns the names
-// of what is in the folder then.
+// filesLeftByServe runs a command line that serves, with a new folder as the last argument, and ends it once it is
+// ready. It returns the names of the files in the folder after that.
 func filesLeftByServe(t *testing.T, args []string) []string {
 	t.Helper()
 	list := endpointList("127.0.0.1:1", "127.0.0.1:1")
--- a/internal/app/golden_fingerprint_test.go
+++ b/internal/app/golden_fingerprint_test.go
@@ -9,7 +9,7 @@
 	"rampspread/internal/testutil"
 )
 
-// goldenSettings has every field set, in the order in which they are written.
+// goldenSettings has every field of the settings set, in the order in which the fields are written.
 const goldenSettings = `{"Az":1,"Balancers":2,` +
 	`"Classes":[{"Name":"frage","Effect":"retryable","Group":"g","Importance":3,"PromiseMs":4,"HardLimitMs":5,"WindowMs":6}],` +
 	`"Discovery":"poll","FamilyInfo":{"AimUsPer1000PromptTokens":[7,8],"DutyByKind":["read","write"],"LocalRead":true,"ReleaseWithinMs":9},` +
@@ -18,9 +18,9 @@
 	`"Rules":{"AnswerSlackMs":16,"ColdFrom":17,"ColdMs":18,"FallMultiple":19,"StopSendingWithinMs":20},` +
 	`"Telemetry":{"Fields":["util","queue"]},"Zones":["wien","linz"]}`
 
-// Members compare the fingerprints of their settings, and may fence one that differs from most: a fingerprint must be
-// the same in all versions. It is a hash of the settings' JSON, so the names and the order of the fields are part of
-// it.
+// Members compare the fingerprints of their settings and may fence a member whose fingerprint differs from most others,
+// so a fingerprint must be the same in all versions. It is a hash of the settings' JSON, and so depends on the names
+// and the order of the fields.
 func TestGoldenFingerprintText(t *testing.T) {
 	var s config.Settings
 	if err := json.Unmarshal([]byte(goldenSettings), &s); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// goldenParsedSettings sets every field of the settings.
+// goldenParsedSettings sets every field of the settings, with keys as in a settings file.
 const goldenParsedSettings = `{"az":1,"balancers":2,
 "classes":[{"name":"c","effect":"safe","group":"g","importance":3,"promiseMs":4,"hardLimitMs":5,"windowMs":6}],"discovery":"192.0.2.1:8500",
 "familyInfo":{"aimUsPer1000PromptTokens":[7,8],"dutyByKind":["read","write"],"localRead":true,"releaseWithinMs":9},"kinds":["k1","k2"],
@@ -46,8 +46,8 @@
 "parties":[{"name":"p","quotaPerS":15}],"rules":{"answerSlackMs":16,"coldFrom":0.5,"coldMs":17,"fallMultiple":18,"stopSendingWithinMs":19},
 "telemetry":{"fields":["util","queue","x0"],"how":"pull"},"zones":["z1","z2"]}`
 
-// A snapshot is used only under the same fingerprint of the settings, and members compare theirs: it stays that of
-// commit 1ac8dd0.
+// A snapshot is used only under the fingerprint of the settings that it was made with, and members compare
+// fingerprints. The fingerprint of given settings must therefore stay the same in all versions.
 func TestGoldenFingerprintOfParsedSettings(t *testing.T) {
 	settings, err := config.ParseSettings([]byte(goldenParsedSettings))
 	if err != nil {
@@ -58,8 +58,9 @@
 	}
 }
 
-// Members of different versions compare the digests of their settings, so a digest must stay what it was. The first
-// settings have every field set, the second what most deployments say, the third none. The zone does not count.
+// Members of different versions compare the digests of their settings, so the digest of given settings must not change.
+// One of the settings here has every field set, one is like the settings of most deployments, and one has no field set.
+// The zone index does not affect the digest.
 func TestGoldenFingerprint(t *testing.T) {
 	full, err := os.ReadFile("../config/testdata/config.json")
 	if err != nil {
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -26,8 +26,8 @@
 	"rampspread/internal/testutil/golden"
 )
 
-// describeCommand writes a command's use, its flags by name with type and default, and its sub-commands. What help does not
-// list is marked as hidden.
+// describeCommand writes a command's use, its sorted flags with type and default, and its sub-commands. Whatever help
+// does not list is marked as hidden.
 func describeCommand(out io.Writer, c *cobra.Command, indent string) {
 	mark := map[bool]string{true: " hidden"}
 	fmt.Fprintf(out, "%s%s%s\n", indent, c.Use, mark[c.Hidden])
@@ -50,7 +50,7 @@
 	golden.Text(t, "commands.golden", out.String())
 }
 
-// A valid command line exits with 0, any error with 1 and one line on stderr.
+// A valid command line exits with 0. Any error exits with 1 and prints one line on stderr.
 func TestGoldenExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args   []string
@@ -77,7 +77,7 @@
 	}
 }
 
-// The operators' calls of a process without a fleet, and its answers.
+// Operators and scripts read the answers of a process without a fleet, so the texts must not change.
 func TestGoldenCalls(t *testing.T) {
 	const (
 		noFleetAnswer = "FAILURE no fleet: the program was started without -fleet"
@@ -120,7 +120,7 @@
 	}
 }
 
-// rawCall makes one operator's call by the line protocol itself and returns all that comes back.
+// rawCall makes one operator's call by writing its line to a connection, and returns everything that it receives.
 func rawCall(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -136,7 +136,7 @@
 	return string(text)
 }
 
-// goldenAnswers are a member's answers to the operators' calls, each key with a value of its own.
+// goldenAnswers holds a member's answers to the operators' calls. Each key has its own value.
 var goldenAnswers = map[string]string{
 	"members": `{"fleet":"fleet-1","self":"self-1","view":2,"fresh":true,"members":[{"name":"name-1","state":"state-1","for_s":3.1,"heard_s":4.1,` +
 		`"zone":"zone-1","incarnation":5,"lives":6,"started":"start-1","version":"version-1","settings":"settings-1","list":7,"skew_ms":8}],` +
@@ -154,7 +154,8 @@
 	"shut-out": "shut-out", "let-in": "let-in", "judge": "judge", "freeze": "freeze",
 }
 
-// The operators' tables are made from the keys of a member's answer; the member may run another version.
+// The fleet commands print their tables from the keys of a member's answer, and the member may run another version.
+// Keys and tables must therefore not change.
 func TestGoldenFleetTables(t *testing.T) {
 	calls := map[string]admin.Handler{}
 	for name, text := range goldenAnswers {
@@ -186,7 +187,7 @@
 	golden.Text(t, "fleet.golden", all.String())
 }
 
-// The state commands print a stored state with a record in each state.
+// The state commands print a stored state that has a record in each record state.
 func TestGoldenStateCommands(t *testing.T) {
 	dir := t.TempDir()
 	var all strings.Builder
@@ -227,7 +228,7 @@
 	golden.Text(t, "state.golden", all.String())
 }
 
-// The output of check and import.
+// The output of the commands version, check and import must not change.
 func TestGoldenFiles(t *testing.T) {
 	var all strings.Builder
 	config := writeFile(t, "config.json", configText("127.0.0.1:1", "127.0.0.1:2", "{}"))
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -20,7 +20,7 @@
 	"rampspread/internal/testutil"
 )
 
-// syncBuffer is a buffer that is safe for concurrent use.
+// syncBuffer is a buffer that may be used concurrently.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -38,7 +38,7 @@
 	return o.buf.String()
 }
 
-// freeAddr returns an address on which nobody listens.
+// freeAddr returns an address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", testutil.LoopbackPrefix()+"1:0")
@@ -59,14 +59,15 @@
 	return path
 }
 
-// configText returns a dispatcher's configuration.
+// configText returns the text of a dispatcher's configuration file.
 func configText(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		listen, discovery, known, testutil.SettingsJSON)
 }
 
-// chatConfigFormat configures a chat front; its parameter is the address.
+// chatConfigFormat is the format of a chat frontend's configuration file. Its one parameter is the address to listen
+// on.
 const chatConfigFormat = `{"listen":%q,"models":{"frage":"frage"},"max_tokens":9,"filings":{"entries":9,"keep_s":9}}`
 
 // endpointList returns an endpoint list of one prefill and one decode replica.
@@ -76,7 +77,8 @@
 		`{"instanceId":"w","hostPort":%q,"zone":"wien","machineType":"decode-a","lifecycle":"ready","weight":1}]}`, prefill, decode)
 }
 
-// newDiscoveryAgent starts a fake discovery agent that serves one endpoint list, and counts its watches.
+// newDiscoveryAgent starts a fake discovery agent that serves one endpoint list. It counts the watches that it
+// receives.
 func newDiscoveryAgent(t *testing.T, list string) (addr string, watches *atomic.Int64) {
 	t.Helper()
 	watches = new(atomic.Int64)
@@ -93,7 +95,7 @@
 	return s.Listener.Addr().String(), watches
 }
 
-// awaitReady waits until a process serves.
+// awaitReady waits until a process reports on /healthz that it serves.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
 	testutil.Eventually(t, "the program to be ready", func() bool {
@@ -106,7 +108,7 @@
 	})
 }
 
-// postRequest sends a request that either front accepts. It may be called from any goroutine of the test.
+// postRequest sends a request that both frontends accept. It may be called from any goroutine of the test.
 func postRequest(t *testing.T, listen, id, body string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+listen+"/v1/chat/completions", strings.NewReader(body))
@@ -127,10 +129,10 @@
 	return resp.StatusCode, string(text)
 }
 
-// chatBody is a request of the chat front.
+// chatBody is the body of a request to the chat frontend.
 const chatBody = `{"model":"frage","messages":[{"role":"user","content":"hello"}]}`
 
-// TestMain lets a test start the program itself, as a process that receives signals.
+// TestMain runs the program itself if a test has started this binary as a process that receives signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAMPSPREAD_TEST_PROGRAM") != "" {
 		os.Exit(Main(hostos.NewFaulty(os.Getenv("RAMPSPREAD_TEST_FAULTS"))))
@@ -138,7 +140,7 @@
 	os.Exit(m.Run())
 }
 
-// call makes one operator's call by the command line and returns its answer line.
+// call makes one operator's call by the command line and returns the line of the answer, or the text of the error.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -201,7 +203,7 @@
 	return program, out
 }
 
-// dial connects to an address until the end of the test.
+// dial connects to an address. The connection is closed at the end of the test.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -213,7 +215,7 @@
 	return c
 }
 
-// requestText returns the bytes of a request of the platform's protocol.
+// requestText returns an HTTP request of the platform's protocol.
 func requestText(id, body string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Trace-Id: %s\r\nX-Qos: frage\r\nX-Expires-In: 60000m\r\n"+
 		"X-Props: prompt_len=8\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
--- a/internal/app/hung_disk_test.go
+++ b/internal/app/hung_disk_test.go
@@ -11,8 +11,8 @@
 	"rampspread/internal/testutil"
 )
 
-// A disk that hangs at SIGTERM delays no part of the shutdown: the listener closes in time, and the snapshot for the
-// next incarnation is given up.
+// A disk that hangs at SIGTERM must not delay the shutdown: the listener closes in time, and the snapshot for the next
+// incarnation is abandoned.
 func TestHungDiskDelaysNoDrain(t *testing.T) {
 	faults := filepath.Join(t.TempDir(), "faults.json")
 	t.Setenv("RAMPSPREAD_TEST_FAULTS", faults)
@@ -26,7 +26,7 @@
 	if err := hungWrites.Set(faults); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // over the 10 ms for which a process may use what it read of the file before
+	time.Sleep(50 * time.Millisecond) // longer than the 10 ms for which a process may cache the faults file
 	program.Process.Signal(syscall.SIGTERM)
 	terminated := time.Now()
 	testutil.Eventually(t, "the listener's close", func() bool {
--- a/internal/app/import.go
+++ b/internal/app/import.go
@@ -12,14 +12,14 @@
 	"rampspread/internal/importer"
 )
 
-// importOptions says what an Apache or mod_jk file does not.
+// importOptions holds the path of an Apache or mod_jk file, and the values that the file does not contain.
 type importOptions struct {
 	from string
 	zone string
-	port int // replaces each member's port, since mod_jk's is AJP's; 0: as in the file
+	port int // replaces each member's port, since mod_jk files have the AJP port; 0 keeps the file's ports
 }
 
-// importList writes a file's members as discovery's list. A balancer's name becomes the machine type.
+// importList writes a file's members in the format of discovery's list. A balancer's name becomes the machine type.
 func importList(o importOptions, out io.Writer) error {
 	if o.port < 0 || o.port > 65535 {
 		return fmt.Errorf("import: port %d is out of range", o.port)
--- a/internal/app/inputs.go
+++ b/internal/app/inputs.go
@@ -13,15 +13,15 @@
 	"rampspread/internal/state"
 )
 
-// inputs is what a dispatcher is started with: the content of its files, read and checked.
+// inputs holds the content of the files that a dispatcher is started with, read and checked.
 type inputs struct {
 	config   *config.Config
-	chat     *chatapi.Config // nil: no chat front
-	fleet    *fleet.Config   // nil: not a member of a fleet
-	stateDir string          // none: nothing outlives the process
+	chat     *chatapi.Config // nil without a chat frontend
+	fleet    *fleet.Config   // nil if the dispatcher is not a member of a fleet
+	stateDir string          // empty if no state outlives the process
 }
 
-// identity is the owner of the dispatcher's stored state.
+// identity returns the owner of the dispatcher's stored state.
 func (in inputs) identity() state.Identity {
 	owner := state.Identity{Name: in.config.Name}
 	if in.fleet != nil {
@@ -30,7 +30,7 @@
 	return owner
 }
 
-// inputFiles are the paths that the command line names.
+// inputFiles holds the paths that are given on the command line.
 type inputFiles struct{ config, chat, fleet, stateDir string }
 
 func (f *inputFiles) addFlags(c *cobra.Command) {
@@ -63,10 +63,10 @@
 	return in, nil
 }
 
-// envOverrides maps variables to the fields of the configuration that they override.
+// envOverrides maps environment variables to the configuration fields that they override.
 type envOverrides map[string]func(*config.Config) *string
 
-// loadConfig reads the configuration that the process starts with; the environment takes precedence over the file.
+// loadConfig reads the configuration for a start. Environment variables take precedence over the file.
 func loadConfig(path string) (*config.Config, error) {
 	return readConfig(path, envOverrides{
 		"LB_NAME":      func(c *config.Config) *string { return &c.Name },
@@ -76,7 +76,8 @@
 	})
 }
 
-// readConfig reads and checks a configuration file. Variables of overrides that are set take precedence over the file.
+// readConfig reads and checks a configuration file. The environment variables in overrides take precedence over the
+// file if they are set.
 func readConfig(path string, overrides envOverrides) (*config.Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: set LB_CONFIG or -config")
@@ -100,7 +101,7 @@
 	return cfg, nil
 }
 
-// loadChat reads the chat front's file; without a path there is no such front, and the result is nil.
+// loadChat reads the chat frontend's file. Without a path there is no chat frontend, and the result is nil.
 func loadChat(path string, settings *config.Settings) (*chatapi.Config, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -18,20 +18,21 @@
 	"rampspread/internal/precondition"
 )
 
-// listeners owns the client-facing listeners, with the limiter and the HTTP server of each, and the lifecycle state
-// that they share. The slices grow only during the start, before any goroutine but those of the servers reads them.
+// listeners owns the client-facing listeners, the limiter and the HTTP server of each, and the lifecycle state that
+// they share. The slices grow only during the start, before any goroutine but those of the servers reads them.
 type listeners struct {
 	machine    hostos.System
 	bodies     *semaphore.Weighted // bounds the request bodies in memory, in bytes
 	violations *precondition.ViolationCounter
 	lifecycle  connlimit.Lifecycle
-	ready      atomic.Bool // all client listeners accept connections
+	ready      atomic.Bool // whether all client listeners accept connections
 	limiters   []*connlimit.Limiter
 	servers    []*http.Server
 	sockets    []net.Listener
 }
 
-// open starts a front on its address, with a bound on its connections. A server that fails later reports on failed.
+// open starts serving handler on an address, with a bound on its connections. If the server fails later, its error is
+// sent to failures.
 func (l *listeners) open(addr string, handler http.Handler, maxConnections int, failures chan<- error) error {
 	socket, _, err := connlimit.Listen(context.Background(), addr)
 	if err != nil {
@@ -50,11 +51,11 @@
 	return nil
 }
 
-// busy tells whether a request is being answered.
+// busy reports whether a request is being answered.
 func (l *listeners) busy() bool { return slices.ContainsFunc(l.limiters, (*connlimit.Limiter).Busy) }
 
-// closeIdle closes connections without an open request that have been quiet for so long, and returns how many are open
-// after that.
+// closeIdle closes connections without an open request that have been quiet for minIdle. It returns how many
+// connections remain open.
 func (l *listeners) closeIdle(minIdle time.Duration) (open int) {
 	for _, limiter := range l.limiters {
 		limiter.CloseIdle(minIdle)
@@ -63,7 +64,7 @@
 	return open
 }
 
-// closeSockets stops accepting.
+// closeSockets stops accepting connections.
 func (l *listeners) closeSockets() error {
 	var errs []error
 	for _, socket := range l.sockets {
@@ -74,14 +75,14 @@
 	return errors.Join(errs...)
 }
 
-// closeServers closes the servers with all that is still open.
+// closeServers closes the servers and all connections that are still open.
 func (l *listeners) closeServers() {
 	for _, server := range l.servers {
 		server.Close()
 	}
 }
 
-// drainConnections closes connections that an operator's drain lets it close by now.
+// drainConnections closes the connections that an operator's drain allows to be closed by now.
 func (l *listeners) drainConnections() {
 	for _, limiter := range l.limiters {
 		limiter.DrainConnections()
@@ -97,11 +98,12 @@
 	}
 }
 
-// limiterCounts are the sums of the limiters' counters.
+// limiterCounts holds the sums of the limiters' counters.
 type limiterCounts struct {
 	malformed, rejected, evicted, drained, closeDeferred, acceptFailures int64
 }
 
+// counts returns the sums of the limiters' counters.
 func (l *listeners) counts() (sum limiterCounts) {
 	for _, limiter := range l.limiters {
 		sum.malformed += limiter.Malformed()
--- a/internal/app/main.go
+++ b/internal/app/main.go
@@ -1,9 +1,9 @@
-// Package app is the dispatcher process: its command line, how its parts are wired, started and stopped, configuration
-// reloads, the graceful shutdown and the operators' calls.
+// Package app runs the dispatcher process: its command line, the wiring, start and stop of its components,
+// configuration reloads, the graceful shutdown and the operators' calls.
 //
-// application owns the parts; its components method is the one list of what is started in which order, and the shutdown
-// is that list read backwards. Each part guards its own state: dispatch.Dispatcher runs in one goroutine, and the rest
-// of this package shares only atomics and what the start has set before any other goroutine reads it.
+// An application owns the components. Its components method lists what is started, in order, and the shutdown goes
+// through that list backwards. Each component guards its own state: dispatch.Dispatcher runs in one goroutine, and the
+// rest of this package shares only atomics and values that are set before any other goroutine reads them.
 package app
 
 import (
@@ -21,14 +21,14 @@
 
 const version = "0.1.0"
 
-// Main carries out the process's command line on a machine and returns its exit code: 0, or 1 after an error, which is
-// one line on stderr.
+// Main carries out the command line of the process on a machine and returns the exit code: 0, or 1 after an error,
+// which is printed as one line on stderr.
 func Main(machine hostos.System) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	sigs := signals{print: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(sigs.print, syscall.SIGUSR1)
-	signal.Notify(sigs.reload, syscall.SIGHUP) // caught until the process ends: by default it would end it
+	signal.Notify(sigs.reload, syscall.SIGHUP) // caught until the process ends, since an uncaught SIGHUP ends it
 	slog.SetDefault(slog.New(cli.LogHandler(os.Stderr)))
 	if err := run(ctx, machine, os.Args[1:], sigs, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "rampspread:", err)
@@ -37,11 +37,11 @@
 	return 0
 }
 
-// signals are the signals that a running process acts on besides those that end it: print its counters, reload its
-// configuration.
+// signals holds the channels of the signals that a running process acts on, besides the signals that end it. A signal
+// on print makes it print its counters, a signal on reload makes it reload its configuration.
 type signals struct{ print, reload chan os.Signal }
 
-// run carries out one sub-command; without one it serves.
+// run carries out one sub-command. Without a sub-command it serves.
 func run(ctx context.Context, machine hostos.System, args []string, sigs signals, out io.Writer) error {
 	root := newRootCommand(machine, sigs, out)
 	root.SetArgs(cli.NormalizeArgs(args))
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -20,14 +20,14 @@
 	"rampspread/internal/testutil"
 )
 
-// Each command writes its result, or fails with an error that says what is wrong with its arguments.
+// Each command writes its result, or fails with an error that names the problem with its arguments.
 func TestCommandsWriteTheirResultOrFail(t *testing.T) {
 	t.Setenv("LB_CONFIG", "")
 	good := writeFile(t, "good.json", configText("127.0.0.1:1", "127.0.0.1:2", `{"generation":1,"reset":true,"instances":[]}`))
 	chat := writeFile(t, "chat.json", fmt.Sprintf(chatConfigFormat, "127.0.0.1:3"))
 	for _, c := range []struct {
 		args string
-		want string // of the output, or of the error if it begins with !
+		want string // part of the output or, after a leading "!", of the error
 	}{
 		{"version", "rampspread 0"},
 		{"check -config " + good, "good: 2 classes"},
@@ -67,8 +67,9 @@
 	}
 }
 
-// SIGHUP moves discovery to the address that the file now names, whatever the environment's was at the start, while
-// open requests of both fronts continue. A malformed file changes nothing, and SIGHUP while draining ends no request.
+// SIGHUP moves discovery to the address that the file now has, whatever the environment's address at the start was, and
+// open requests of both frontends continue. A malformed file changes nothing, and SIGHUP during a drain ends no
+// request.
 func TestReloadMovesDiscoveryWhileRequestsAreOpen(t *testing.T) {
 	finish := make(chan bool)
 	var inFlight atomic.Int64
@@ -118,7 +119,7 @@
 	close(finish)
 	for range 2 {
 		if text := <-answers; !strings.Contains(text, "old") {
-			t.Errorf("a request that was open throughout: %q", text)
+			t.Errorf("a request that was open during all reloads: %q", text)
 		}
 	}
 	if err := program.Wait(); err != nil {
@@ -126,13 +127,13 @@
 	}
 }
 
-// A process serves both fronts, prints its counters on request, and after SIGTERM answers the requests that are open
-// and those that still come.
+// A process serves both frontends and prints its counters on request. After SIGTERM it answers the open requests and
+// the requests that still arrive.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	started, finish := make(chan bool, 8), make(chan bool)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		if n == 1 { // the second is open until the process drains
+		if n == 1 { // the second request stays open until the process drains
 			started <- true
 			<-finish
 		}
@@ -180,7 +181,7 @@
 	}
 }
 
-// Without a path there is no chat front.
+// Without a path there is no chat frontend.
 func TestLoadChatWithoutPathReturnsNone(t *testing.T) {
 	cfg, err := loadChat("", testutil.Settings(t))
 	if cfg != nil || err != nil {
@@ -188,9 +189,9 @@
 	}
 }
 
-// A process accepts no clients before the agent has sent its list: the list of the start may be old, and what the agent
-// has counts as notified from the first moment on. An agent that is silent delays the start no longer than the time in
-// which a change must take effect.
+// A process must not accept clients before the agent has sent its list: the initial list may be old, and the agent's
+// changes count as notified from the moment at which the process starts. An agent that does not respond delays the
+// start no longer than the time within which a change must take effect.
 func TestStartAwaitsDiscoveryConfirmation(t *testing.T) {
 	known := endpointList("127.0.0.1:1", "127.0.0.1:1")
 	for _, c := range []struct {
@@ -205,7 +206,7 @@
 				return
 			}
 			if r.URL.Query().Get("stream") == "" {
-				time.Sleep(200 * time.Millisecond) // in which a process that does not wait would serve
+				time.Sleep(200 * time.Millisecond) // long enough for a process that does not wait to accept clients
 				if l, err := net.Dial("tcp", listen); err == nil {
 					l.Close()
 					acceptedEarly.Store(true)
@@ -223,7 +224,7 @@
 		if c.silent {
 			agent.CloseClientConnections()
 		}
-		agent.Close() // waits for the request for the list
+		agent.Close() // waits until the request for the list has ended
 		if acceptedEarly.Load() {
 			t.Error("it accepted clients before the agent had sent its list")
 		}
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -19,10 +19,10 @@
 	"rampspread/internal/frontend"
 )
 
-// reloader applies a changed configuration file while the process runs. It owns the table of classes; run is its only
-// goroutine.
+// reloader applies a changed configuration file while the process runs. It owns the table of classes, which only the
+// goroutine of run uses.
 type reloader struct {
-	path            string // of the configuration
+	path            string // path of the configuration file
 	classes         config.Classes
 	settings        *activeSettings
 	dispatcher      *dispatch.Dispatcher
@@ -30,8 +30,8 @@
 	watcher         *discovery.Watcher
 }
 
-// run reloads on each request until the context ends, also while the process drains: what is still open then goes by
-// the endpoint list too.
+// run reloads the configuration on each request until the context ends. It does so even while the process drains,
+// because open requests still depend on the endpoint list.
 func (r *reloader) run(ctx context.Context, requests <-chan os.Signal) {
 	for {
 		select {
@@ -43,9 +43,9 @@
 	}
 }
 
-// reload reads the configuration's file again, applies its settings to the dispatcher and moves discovery to the
-// address that it now names; the environment's address holds only at the start. A file that fails any check changes
-// nothing at all. Limits, telemetry, zones, kinds, tenants and the chat front's file are read at the next start only.
+// reload reads the configuration file again, applies its settings to the dispatcher and moves discovery to the address
+// in the file. The address in the environment applies only at the start. A file that fails any check changes nothing.
+// Limits, telemetry, zones, kinds, tenants and the chat frontend's file are read only at the next start.
 func (r *reloader) reload(ctx context.Context) {
 	cfg, err := readConfig(r.path, nil)
 	if err == nil {
@@ -72,11 +72,11 @@
 	r.watcher.MoveTo(cfg.Discovery)
 }
 
-// activeSettings is what the process itself takes from the settings in force. A reload changes it; any goroutine may
-// read it.
+// activeSettings holds the values of the settings in force that the process itself uses. A reload changes them; any
+// goroutine may read them.
 type activeSettings struct {
-	digest atomic.Uint64 // fingerprint
-	grace  atomic.Int64  // ns
+	digest atomic.Uint64 // fingerprint of the settings
+	grace  atomic.Int64  // shutdown grace in ns
 }
 
 func (a *activeSettings) set(settings *config.Settings) {
@@ -84,20 +84,20 @@
 	a.grace.Store(int64(settings.ShutdownGrace()))
 }
 
-// fingerprint identifies the settings to other processes.
+// fingerprint returns the hash by which other processes compare the settings.
 func (a *activeSettings) fingerprint() uint64 { return a.digest.Load() }
 
-// shutdownGrace is the time from SIGTERM until the platform may kill the process.
+// shutdownGrace returns the time from SIGTERM until the platform may kill the process.
 func (a *activeSettings) shutdownGrace() time.Duration { return time.Duration(a.grace.Load()) }
 
-// fingerprint is a hash of the settings that is the same for the same settings in every process and version. The zone
-// does not count: each zone has its own.
+// fingerprint returns a hash of the settings, which is equal for equal settings in every process and version. The zone
+// index is left out, because it differs between zones.
 func fingerprint(settings *config.Settings) uint64 {
 	common := *settings
 	common.ZoneIndex = 0
 	encoded, err := json.Marshal(common)
 	if err != nil {
-		return 0 // what was read from JSON always marshals
+		return 0 // not reached: settings that were read from JSON can be encoded
 	}
 	return xxhash.Sum64(encoded)
 }
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -14,9 +14,9 @@
 	"rampspread/internal/testutil"
 )
 
-// A process that starts while another of its name runs knows which request ids and idempotency keys are in flight
-// there, whichever of the two a duplicate reaches. After the first is killed, an idempotent request that it had in
-// flight is not run again, and the id is free.
+// A process that starts while another of its name runs rejects a request whose id or idempotency key is in flight at
+// the other, whichever of the two receives the duplicate. After the first process is killed, an idempotent request that
+// it had in flight is not run again, and the request id may be used again.
 func TestReplacementRejectsWhatIsInFlightAtItsPeer(t *testing.T) {
 	finish, idempotentRuns := make(chan bool), atomic.Int64{}
 	started := make(chan bool, 2)
@@ -25,7 +25,7 @@
 		if strings.Contains(r.Header.Get("Content-Type"), "json") {
 			idempotentRuns.Add(1)
 		}
-		if n < 2 { // the first two are in flight until the test ends
+		if n < 2 { // the first two calls stay in flight until the test ends
 			started <- true
 			select {
 			case <-finish:
@@ -42,7 +42,7 @@
 	config := writeFile(t, "config.json", configText(listen, discovery, list))
 	chatFile := writeFile(t, "chat.json", fmt.Sprintf(`{"listen":%q,"models":{"meldung":"meldung"},"max_tokens":9,`+
 		`"filings":{"entries":9,"keep_s":60}}`, chatAddress))
-	// Each request goes on a connection of its own, to either process.
+	// Each request uses a new connection, which either process may accept.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	send := func(at, body string, header map[string]string) (int, string) {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+at+"/v1/chat/completions", strings.NewReader(body))
@@ -88,12 +88,12 @@
 		t.Errorf("an idempotency key that the killed process had in flight: status %d, %s", status, text)
 	}
 	if n := idempotentRuns.Load(); n != 1 {
-		t.Errorf("the idempotent request was sent %d times", n)
+		t.Errorf("the idempotent request was forwarded %d times", n)
 	}
 }
 
-// A process that another replaces answers what is still unanswered before it can be killed, and releases what replicas
-// have reserved for it: replicas count the two as one, and nobody else could release it.
+// A replaced process answers its open requests before it can be killed, and releases its reservations at replicas.
+// Replicas count the two processes as one dispatcher, so no other process could release them.
 func TestReplacedProcessReleasesBeforeItIsKilled(t *testing.T) {
 	started := make(chan bool, 1)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
@@ -114,23 +114,24 @@
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	const grace = 3700 * time.Millisecond // of the test's settings: deadlines of 5 and 15 s
+	const grace = 3700 * time.Millisecond // from the test's settings, which have deadlines of 5 and 15 s
 	select {
 	case status := <-answer:
 		if took := time.Since(terminated); status != http.StatusBadGateway || took < grace-time.Second {
 			t.Errorf("status %d after %v", status, took)
 		}
 	case <-time.After(grace):
-		t.Fatal("it would be killed before it had answered")
+		t.Fatal("the process would be killed before it has answered")
 	}
-	// The second one is for what the end of a prefill in that moment may have reserved.
+	// The second release covers what a prefill that ends at that moment may have reserved.
 	testutil.Eventually(t, "both releases", func() bool { return prefill.Releases("held")+decode.Releases("held") > 1 })
 	if took := time.Since(terminated); took > grace {
-		t.Errorf("it released after %v", took)
+		t.Errorf("the releases came after %v", took)
 	}
 }
 
-// startWithTransferDir starts a process that shares a folder with others of its name, and returns once it serves.
+// startWithTransferDir starts a process that shares a folder with other processes of its name, and returns once it
+// serves.
 func startWithTransferDir(t *testing.T, config, folder string, args ...string) *exec.Cmd {
 	t.Helper()
 	adminAddress := freeAddr(t)
@@ -139,13 +140,13 @@
 	return p
 }
 
-// A second process starts on the client address of the first, answers on its own admin address that it serves, and
-// after SIGTERM to the first every request is answered by one of the two, with none lost.
+// A second process starts on the client address of the first and reports on its own admin address that it serves. After
+// SIGTERM to the first process, one of the two answers each request, and none is lost.
 func TestReplacementTakesOverWithoutLoss(t *testing.T) {
 	started, finish := make(chan bool, 1), make(chan bool)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		if n == 0 { // the first is open across SIGTERM, and must still be answered
+		if n == 0 { // the first request is open at SIGTERM and must still be answered
 			started <- true
 			<-finish
 		}
@@ -166,15 +167,15 @@
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 40 { // across the first one's last accept and its end
+	for i := range 40 { // until after the last accept of the first process, and its end
 		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.EventStream("alpha") {
 			t.Errorf("request %d: status %d, %q", i, status, text)
 		}
-		time.Sleep(25 * time.Millisecond) // the pace that spreads the requests over the takeover
+		time.Sleep(25 * time.Millisecond) // spreads the requests over the takeover
 	}
 	close(finish)
 	if status := <-slowStatus; status != 200 {
-		t.Errorf("the request open across SIGTERM: %d", status)
+		t.Errorf("the request that was open at SIGTERM: status %d", status)
 	}
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process ended with %v: %s", err, oldOut.String())
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -9,16 +9,16 @@
 	"rampspread/internal/hostos"
 )
 
-// options are what the command line sets of a dispatcher, apart from the content of its files.
+// options holds the command line options of a dispatcher, apart from the content of its files.
 type options struct {
-	configPath  string // of the configuration, which a reload reads again
-	transferDir string // folder; none: nothing is shared with other processes of this name
-	xdsAddress  string // none: no xDS
-	// logEstimates asks for a log line for each prefill attempt.
+	configPath  string // path of the configuration file, which a reload reads again
+	transferDir string // folder shared with other processes of this name; empty: none
+	xdsAddress  string // empty: no xDS server
+	// logEstimates enables a log line for each prefill attempt.
 	logEstimates bool
 }
 
-// serve runs one dispatcher, from its start until its graceful shutdown, which the end of ctx begins.
+// serve runs one dispatcher from its start to its graceful shutdown, which begins when ctx ends.
 func serve(ctx context.Context, machine hostos.System, in inputs, o options, sigs signals, out io.Writer) error {
 	limits := limitsOf(in.config)
 	limits.apply()
@@ -38,8 +38,8 @@
 	return a.shutDown(out)
 }
 
-// awaitStop prints the counters on each request until ctx ends. Its error is that of a part without which the process
-// cannot serve.
+// awaitStop prints the counters on each request until ctx ends. It returns an error if a component fails without which
+// the process cannot serve.
 func (a *application) awaitStop(ctx context.Context, printRequests <-chan os.Signal, out io.Writer) error {
 	for {
 		select {
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// The times of the graceful shutdown. After SIGTERM new connections still come for up to 0.4 s, and requests on open
-// ones for longer.
+// These are the times of the graceful shutdown. After SIGTERM new connections still arrive for up to 0.4 s, and
+// requests on open connections for longer.
 const (
-	lameDuckTime       = 500 * time.Millisecond // until idle connections are closed
-	listenerCloseDelay = 400 * time.Millisecond // from then until the listeners are
-	// rejectNewAfter is the time from SIGTERM on which a new request would be lost if it were unanswered as the process
-	// is killed.
+	lameDuckTime       = 500 * time.Millisecond // from SIGTERM until idle connections are closed
+	listenerCloseDelay = 400 * time.Millisecond // from then until the listeners are closed
+	// rejectNewAfter is the time from SIGTERM until new requests are rejected. A request that arrives later could still
+	// be unanswered, and so be lost, when the process is killed.
 	rejectNewAfter = 700 * time.Millisecond
-	// maxConnectionWait is how much longer connections without an open request are waited for. Open requests are waited
-	// for without a bound.
+	// maxConnectionWait bounds the further wait for connections without an open request. The wait for open requests has
+	// no bound.
 	maxConnectionWait = 20 * time.Second
-	// releaseTime is the time for abandoned requests to be answered and for their reservations to be released: a closed
-	// connection is noticed after 10 ms, a release may have to go to a second replica after 30 ms, and what a prefill
-	// has reserved shows within 120 ms.
+	// releaseTime is the time in which abandoned requests are answered and their reservations are released: a closed
+	// connection is noticed after 10 ms, a release may have to go to a second replica after 30 ms, and the reservation
+	// of a prefill becomes visible within 120 ms.
 	releaseTime = 300 * time.Millisecond
-	// releaseCheckInterval is the time between looks whether releases are still in flight at the end.
+	// releaseCheckInterval is the time between checks whether releases are still in flight at the end.
 	releaseCheckInterval = 5 * time.Millisecond
 )
 
-// shutDown ends the process gracefully and prints its last counters to out.
+// shutDown ends the process gracefully and prints the final counters to out.
 func (a *application) shutDown(out io.Writer) error {
 	var writing sync.WaitGroup
 	if a.options.transferDir != "" {
-		writing.Go(a.writeSnapshot) // concurrently with the drain: a disk that hangs delays nothing of it
+		writing.Go(a.writeSnapshot) // concurrent with the drain, which a hung disk must not delay
 	}
 	err := a.drainClients(a.settings.shutdownGrace())
 	waitAtMost(&writing, maxBackgroundWait)
@@ -41,9 +41,9 @@
 	return err
 }
 
-// drainClients answers what is open and what still comes, and returns once no client is connected. New connections
-// still come for a while: they are accepted, and each answer is the last on its connection. Idle connections are closed
-// next, and the listeners last. The platform may kill the process once grace has passed.
+// drainClients answers open requests and requests that still arrive, and returns once no client is connected. New
+// connections still arrive for a while: they are accepted, and each answer is the last on its connection. Then idle
+// connections are closed, and at last the listeners. The platform may kill the process once grace has passed.
 func (a *application) drainClients(grace time.Duration) error {
 	slog.Info("draining")
 	abandon := time.AfterFunc(grace-releaseTime, a.abandonPending)
@@ -52,7 +52,7 @@
 	if node := a.fleet.node.Load(); node != nil {
 		go func() {
 			node.Leave()
-			node.Close() // a process that replaces this one has its address
+			node.Close() // a process that replaces this one needs its address
 		}()
 	}
 	time.Sleep(lameDuckTime)
@@ -62,15 +62,15 @@
 	err := a.listeners.closeGracefully()
 	a.listeners.closeServers()
 	if a.stores.inFlight.HasPeers() {
-		time.Sleep(releaseTime) // the last releases are still in flight, and the process that goes on cannot make them
+		time.Sleep(releaseTime) // the last releases are still in flight, and the peer process cannot send them
 	}
 	a.awaitReleases(releaseTime)
 	return err
 }
 
-// abandonPending ends what is unanswered before the platform kills this process, if another has replaced it: replicas
-// count the two as one dispatcher, so what this one has reserved there would stay reserved. Without a peer process
-// replicas free it by themselves.
+// abandonPending ends unanswered requests before the platform kills this process, if another process has replaced it.
+// Replicas count the two processes as one dispatcher, so what this process has reserved at them would stay reserved.
+// Without a peer process, replicas free the reservations by themselves.
 func (a *application) abandonPending() {
 	if a.stores.inFlight.HasPeers() {
 		slog.Info("pending_abandoned")
@@ -78,8 +78,8 @@
 	}
 }
 
-// awaitReleases waits until all attempts have ended and replicas have taken their releases, up to a timeout: nobody
-// else can release what this process has reserved.
+// awaitReleases waits, for at most timeout, until all attempts have ended and replicas have received their releases. No
+// other process can release what this process has reserved.
 func (a *application) awaitReleases(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -91,9 +91,10 @@
 	}
 }
 
-// closeGracefully closes the listeners once new connections have stopped coming, and connections as they become idle,
-// and returns when none is open. The limiters close them, not http.Server.Shutdown: that closes connections on which a
-// request is just being read, and drops one whose head has been read, without an answer.
+// closeGracefully closes the listeners once new connections have stopped arriving, closes connections as they become
+// idle, and returns when none is open. The limiters close the connections because http.Server.Shutdown could lose
+// requests: it closes connections on which a request is just being read, and drops a request whose head has been read
+// without an answer.
 func (l *listeners) closeGracefully() error {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
@@ -108,7 +109,8 @@
 		if l.busy() {
 			lastBusy = time.Now()
 		}
-		// The last new connection may have come just before the platform saw this process go: it gets as long.
+		// The last new connection may have arrived just before the platform noticed the shutdown, so it is kept open as
+		// long as the listeners were.
 		open := l.closeIdle(listenerCloseDelay)
 		if !listening && open == 0 {
 			return errors.Join(errs...)
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -16,15 +16,15 @@
 	"rampspread/internal/testutil"
 )
 
-// A process that stops just after a client has disconnected waits until a replica has taken the release: those that it
-// requests first are silent.
+// A process that shuts down just after a client has disconnected must not exit before a replica has received the
+// release. Here the replicas that it sends the release to first do not answer.
 func TestShutdownAwaitsTheLastRelease(t *testing.T) {
 	prefillDone, finish := make(chan bool, 1), make(chan struct{})
 	defer close(finish)
 	prefill := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if r.Method == http.MethodDelete {
-			select { // it accepts the call and does not answer, and its reservation stays
+			select { // accepts the call and does not answer, so that the reservation remains
 			case <-finish:
 			case <-r.Context().Done():
 			}
@@ -48,7 +48,7 @@
 	defer decode.Close()
 	defer decode.CloseClientConnections()
 	list := endpointList(prefill.Listener.Addr().String(), decode.Listener.Addr().String())
-	for i := range 6 { // they are draining: requests do not go to them, but releases do
+	for i := range 6 { // draining replicas get no requests, but they get releases
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -65,8 +65,9 @@
 	io.WriteString(client, requestText("gone", "{}"))
 	<-prefillDone
 	process.Process.Signal(syscall.SIGTERM)
-	// In this time it closes its listeners, and releases what is due while the decode is silent; none of that may pass
-	// for the release after the client's end. After it the process waits for this client only.
+	// During this time the process closes its listeners and sends the releases that are due while the decode replica is
+	// silent. Those must not be counted as the release after the client has disconnected. Afterwards the process waits
+	// only for this client.
 	time.Sleep(1500 * time.Millisecond)
 	released.Store(false)
 	client.Close()
@@ -74,12 +75,13 @@
 		t.Errorf("ended with %v", err)
 	}
 	if !released.Load() {
-		t.Errorf("the process exited before its release was taken: %s", out.String())
+		t.Errorf("the process exited before a replica had received its release: %s", out.String())
 	}
 }
 
-// The time until SIGKILL depends on the settings in force: after a reload with shorter deadlines a replaced process
-// abandons what is unanswered, and releases it, before the earlier time at which it may be killed.
+// The time until SIGKILL depends on the settings in force. After a reload with shorter deadlines, a replaced process
+// must abandon its unanswered requests, and release their reservations, before the earlier time at which it may be
+// killed.
 func TestReplacedProcessAbandonsBySettingsInForce(t *testing.T) {
 	prefillDone := make(chan bool, 1)
 	prefill := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -106,9 +108,9 @@
 	<-prefillDone
 	startWithTransferDir(t, config, folder)
 	old.Process.Signal(syscall.SIGTERM)
-	const shortGrace = 1700 * time.Millisecond // a deadline of 1 s, and 0.7 s more
+	const shortGrace = 1700 * time.Millisecond // a deadline of 1 s plus 0.7 s
 	client.SetReadDeadline(time.Now().Add(shortGrace))
 	if _, err := client.Read(make([]byte, 1)); err != nil {
-		t.Errorf("unanswered as the process may be killed: %v\n%s", err, out.String())
+		t.Errorf("unanswered when the process may be killed: %v\n%s", err, out.String())
 	}
 }
--- a/internal/app/state_commands.go
+++ b/internal/app/state_commands.go
@@ -14,7 +14,7 @@
 	"rampspread/internal/state"
 )
 
-// stateCommand groups the commands on a state folder that no dispatcher has open.
+// stateCommand returns the command whose sub-commands act on a state folder that no dispatcher has open.
 func stateCommand(out io.Writer) *cobra.Command {
 	c := &cobra.Command{Use: "state", Short: "Make, check or show what outlives a dispatcher"}
 	var owner state.Identity
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// recordCounts are how many records a state has, and how many of them cannot be read.
+// recordCounts holds the number of records in a state and how many of them cannot be read.
 type recordCounts struct{ total, corrupt int }
 
-// readRecords reads a state that no process has open, and calls visit with each record that can be read.
+// readRecords reads a state that no process has open and calls visit with each readable record.
 func readRecords(dir string, owner state.Identity,
 	visit func(idempotency.Key, idempotency.Record)) (counts recordCounts, err error) {
 	store, err := state.OpenReadOnly(dir, owner)
@@ -94,7 +94,7 @@
 	return counts, err
 }
 
-// newTable returns a writer that aligns columns; its cells are separated by tabs.
+// newTable returns a writer that aligns columns. Cells are separated by tabs.
 func newTable(out io.Writer) *tabwriter.Writer {
 	const padding = 2
 	return tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
--- a/internal/app/state_golden_test.go
+++ b/internal/app/state_golden_test.go
@@ -12,7 +12,7 @@
 	"rampspread/internal/state"
 )
 
-// runStateCommand runs `rampspread state` with arguments, and returns what it prints.
+// runStateCommand runs `rampspread state` with arguments and returns its output.
 func runStateCommand(args ...string) (string, error) {
 	var out bytes.Buffer
 	c := stateCommand(&out)
@@ -22,7 +22,7 @@
 	return out.String(), err
 }
 
-// Operators and their scripts read what the state commands print: it stays as commit 1ac8dd0 printed it.
+// Operators and their scripts read the output of the state commands, so it must not change.
 func TestGoldenStateCommandLines(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	expect := func(want string, args ...string) {
@@ -71,7 +71,8 @@
 	}
 }
 
-// corruptGoldenRecord flips a bit of a record, in a state of the first format, which had no checksum over all entries.
+// corruptGoldenRecord flips a bit of a record. It also turns the state into format 1, which has no checksum over all
+// entries.
 func corruptGoldenRecord(t *testing.T, dir string) {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "filings.db"), 0o600, nil)
--- a/internal/app/stopped_process_test.go
+++ b/internal/app/stopped_process_test.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/testutil"
 )
 
-// A process that was stopped (SIGSTOP) learns all at once that its prefills have ended and that their clients have
-// disconnected: it starts no attempt for them.
+// A process that was stopped (SIGSTOP) receives the end of its prefills and the disconnects of their clients at the
+// same time when it continues. It must start no attempt for those clients.
 func TestClientsGoneWhileStoppedAreNotForwarded(t *testing.T) {
 	const clientCount = 30
 	finish := make(chan bool)
@@ -41,11 +41,11 @@
 	for _, c := range clients {
 		c.Close()
 	}
-	time.Sleep(200 * time.Millisecond) // over the 0.1 s in which an attempt may still start
+	time.Sleep(200 * time.Millisecond) // longer than the 0.1 s in which an attempt may still start
 	close(finish)
-	time.Sleep(100 * time.Millisecond) // for the answers to reach the stopped process's sockets
+	time.Sleep(100 * time.Millisecond) // time for the answers to reach the stopped process's sockets
 	program.Process.Signal(syscall.SIGCONT)
-	time.Sleep(500 * time.Millisecond) // in which a decode would have come
+	time.Sleep(500 * time.Millisecond) // long enough for a decode request to arrive
 	if n, _ := decode.Calls(); n > 0 {
 		t.Errorf("%d of %d requests of clients that had disconnected were forwarded", n, clientCount)
 	}
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -16,24 +16,24 @@
 	"rampspread/routing"
 )
 
-// stores owns what outlives the process, or is shared with other processes of its name on its machine.
+// stores owns the state that outlives the process or is shared with other processes of its name on its machine.
 type stores struct {
-	idempotency   *idempotencyquorum.Coordinator // nil: the chat front's own table is all
-	inFlight      *inflight.Table                // nil: no peer process is looked for
+	idempotency   *idempotencyquorum.Coordinator // nil if the chat frontend uses only its own table
+	inFlight      *inflight.Table                // nil if no peer process is looked for
 	endpointCache *atomicfile.Saver              // nil without a state folder
-	tokenFloor    *fencing.TokenFloor            // of the fleet's leases; nil: none outlives the process
-	transfer      statetransfer.Exchange         // with no folder: nothing is transferred
+	tokenFloor    *fencing.TokenFloor            // highest fencing token of the fleet's leases; nil if it is not stored
+	transfer      statetransfer.Exchange         // without a folder, nothing is transferred
 }
 
-// openIdempotency opens the store of idempotency records.
+// openIdempotency creates the idempotency coordinator and opens its store of records.
 func (a *application) openIdempotency() (err error) {
 	a.stores.idempotency, err = newIdempotencyCoordinator(a.inputs, a.fleet.sendIdempotency, a.machine.Wall())
 	return err
 }
 
-// newIdempotencyCoordinator sets up who decides whether an idempotent request may run: the fleet's voters where its
-// file says so, this process alone where it has a state; nil where the chat front's own table is all. now is the wall
-// clock's time.
+// newIdempotencyCoordinator returns the coordinator that decides whether an idempotent request may run: among the
+// fleet's voters if the fleet file has a section for it, or in this process alone if it has a state folder and a chat
+// frontend. It returns nil if the chat frontend uses only its own table. now is the time of the wall clock.
 func newIdempotencyCoordinator(in inputs, send func(to string, message []byte, large bool),
 	now time.Time) (*idempotencyquorum.Coordinator, error) {
 	cfg := idempotencyquorum.Config{Name: in.config.Name, Incarnation: uint64(now.UnixNano()), Send: send}
@@ -52,8 +52,8 @@
 	default:
 		return nil, nil
 	}
-	// The state is opened here for the errors that only a start may report; one that another process has locked is
-	// waited for later.
+	// Open the state now, because only a start can report its errors. A state that another process has locked is opened
+	// later, by cfg.Open.
 	store, err := openState(in, now)
 	if err != nil && !errors.Is(err, state.ErrLocked) {
 		return nil, err
@@ -68,7 +68,7 @@
 	return idempotencyquorum.New(cfg), nil
 }
 
-// openState opens the state folder. One that is corrupt is set aside first, and replaced by an empty one.
+// openState opens the state folder. A corrupt state is moved aside first and replaced by an empty one.
 func openState(in inputs, now time.Time) (*state.Store, error) {
 	store, err := state.Open(in.stateDir, in.identity())
 	if !errors.Is(err, state.ErrCorrupt) {
@@ -82,8 +82,8 @@
 	return state.Open(in.stateDir, in.identity())
 }
 
-// openInFlight shares what is in flight with other processes of this name on this machine, where they have a folder in
-// common. A failure is logged: the process then serves without it.
+// openInFlight shares the in-flight requests with other processes of this name on this machine, if a common folder is
+// configured. A failure is logged, and the process serves without sharing.
 func (a *application) openInFlight() error {
 	if a.options.transferDir == "" {
 		return nil
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// startTokenFloor opens the highest fencing token that this member has seen, where it has a state and a fleet.
+// startTokenFloor opens the store of the highest fencing token that this member has seen, if it has a state folder and
+// a fleet.
 func (a *application) startTokenFloor() error {
 	if a.inputs.stateDir == "" || a.inputs.fleet == nil {
 		return nil
@@ -111,8 +112,8 @@
 	return nil
 }
 
-// transferState starts from what another process of this name has learned, and then serves what this one learns to
-// those that request it, until the context ends.
+// transferState restores what another process of this name has learned. It then provides what this process learns to
+// processes that request it, until the context ends.
 func (a *application) transferState(ctx context.Context) {
 	a.stores.transfer.Request(ctx, a.dispatcher.Restore)
 	a.stores.transfer.Serve(ctx, func() (routing.Snapshot, bool) {
@@ -120,7 +121,7 @@
 	})
 }
 
-// writeSnapshot writes what this process has learned for the one that runs next.
+// writeSnapshot writes what this process has learned, for the next process of this name.
 func (a *application) writeSnapshot() {
 	snapshot, ok := a.dispatcher.Snapshot(a.background.ctx, statetransfer.MaxPrefixes)
 	if !ok {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli holds what the project's command lines share: the conventions of their flags and commands, the format of
-// their log, and the strict decoding of operators' files. It has no state; its functions may be called from any
-// goroutine.
+// Package cli holds what the project's command lines share: the conventions for flags and commands, the log format, and
+// the strict decoding of operators' files. It has no state; its functions may be called from any goroutine.
 package cli
 
 import (
@@ -11,10 +10,11 @@
 	"github.com/spf13/cobra"
 )
 
-// NormalizeArgs rewrites arguments so that a long flag may follow a single dash, as it did before the command lines used
-// cobra: deploy files and operators' scripts say -config. So -h is the only flag of one letter.
+// NormalizeArgs returns the arguments with a second dash added to each long flag that has a single one. Deploy files
+// and operators' scripts use the single dash, as in -config, which cobra does not accept. Because of this, -h is the
+// only one-letter flag.
 func NormalizeArgs(args []string) []string {
-	rewritten := []string{} // not nil, for which cobra would take the process's own arguments
+	rewritten := []string{} // not nil: for nil, cobra reads the arguments of the process itself
 	for i, arg := range args {
 		if arg == "--" {
 			return append(rewritten, args[i:]...)
@@ -27,8 +27,8 @@
 	return rewritten
 }
 
-// NewRootCommand returns a program's root command. Its caller prints an error in one line, without the usage text after
-// it.
+// NewRootCommand returns a program's root command. The command prints neither errors nor a usage text after them; the
+// caller prints an error in one line.
 func NewRootCommand(name, short string, out io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
@@ -37,7 +37,7 @@
 	return root
 }
 
-// RejectArgs is a cobra.PositionalArgs that rejects positional arguments.
+// RejectArgs rejects positional arguments. Its type is cobra.PositionalArgs.
 func RejectArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("unexpected %q", args[0])
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// LogHandler writes one line of key=value for each event; the value of the key event is the event's name.
+// LogHandler returns a handler that writes each event as one line of key=value pairs. The key "event" holds the name of
+// the event.
 func LogHandler(out io.Writer) slog.Handler {
 	return slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: renameMessageKey})
 }
--- a/internal/cli/former_name.go
+++ b/internal/cli/former_name.go
@@ -6,9 +6,9 @@
 	"github.com/spf13/pflag"
 )
 
-// AcceptFormerName lets a string flag be given by its former name as well, for operators' scripts and deploy files that
-// still use that. Both names set the same variable; help does not list the former one. Giving both is an error unless
-// they have the same value. The flag must have been added to flags before.
+// AcceptFormerName makes a string flag available under its former name too, which operators' scripts and deploy files
+// may still use. Both names set the same variable; help does not list the former name. Giving both is an error unless
+// their values are equal. The flag must already have been added to flags.
 func AcceptFormerName(flags *pflag.FlagSet, name, former string) {
 	current := flags.Lookup(name)
 	alias := &pflag.Flag{Name: former, Usage: current.Usage, DefValue: current.DefValue, Hidden: true}
@@ -17,13 +17,13 @@
 	flags.AddFlag(alias)
 }
 
-// aliasedValue is the value of a flag that shares its variable with a flag of another name.
+// aliasedValue is the value of a flag that shares its variable with a second flag of another name.
 type aliasedValue struct {
-	pflag.Value             // the variable of both
-	other       *pflag.Flag // the flag of the other name
+	pflag.Value             // the variable that both flags share
+	other       *pflag.Flag // the second flag
 }
 
-// Set sets the variable, unless the other flag has already set it to something else.
+// Set sets the variable. It returns an error if the other flag has already set it to a different value.
 func (v aliasedValue) Set(value string) error {
 	if v.other.Changed && v.String() != value {
 		return fmt.Errorf("--%s, which is the same flag, is %q", v.other.Name, v.String())
--- a/internal/cli/former_name_test.go
+++ b/internal/cli/former_name_test.go
@@ -7,11 +7,12 @@
 	"github.com/spf13/pflag"
 )
 
+// A flag can be set by either name. Giving both names is an error of one line, unless their values are equal.
 func TestFormerNameSetsTheFlagUnlessTheValuesDiffer(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		args []string
-		want string // the flag's value, or a part of the error if it begins with !
+		want string // the flag's value or, after a leading "!", a part of the error
 	}{
 		{"neither", nil, "default"},
 		{"current name", []string{"--new", "a"}, "a"},
@@ -46,7 +47,7 @@
 	}
 }
 
-// Help shows a renamed flag as if it had never had another name.
+// Help for a renamed flag is the same as if the flag had never had another name.
 func TestHelpDoesNotListFormerName(t *testing.T) {
 	flagSet := func() *pflag.FlagSet {
 		flags := pflag.NewFlagSet("test", pflag.ContinueOnError)
--- a/internal/cli/strict.go
+++ b/internal/cli/strict.go
@@ -7,7 +7,8 @@
 	"fmt"
 )
 
-// DecodeStrict decodes an operators' file into a value: one JSON object, in which every key must be known.
+// DecodeStrict decodes an operators' file into a value. The file must hold exactly one JSON object, without unknown
+// keys.
 func DecodeStrict(contents []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(contents))
 	decoder.DisallowUnknownFields()
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -6,16 +6,17 @@
 	"rampspread/routing"
 )
 
-// Classes is the table of the router's classes, and which of them clients may name. The router's list only grows: an
-// open request keeps the index of its class, and that index keeps its rules. A Classes is immutable.
+// Classes holds the table of the router's classes and the names by which clients may select a class. The table only
+// grows: an open request keeps the index of its class, and the rules at that index must not change. A Classes value is
+// immutable.
 type Classes struct {
-	Config     routing.Config // for the router, with every class that was in force since the start
-	Names      map[string]int // the classes that clients may name now, by their index in Config
-	classNames []string       // the name of each of Config's classes
-	hasZones   bool           // the deployment has zones
+	Config     routing.Config // for the router; has every class that has been in force since the start
+	Names      map[string]int // names that clients may use now; the values are indexes into Config.Classes
+	classNames []string       // name of each class in Config.Classes
+	hasZones   bool           // whether the deployment has zones
 }
 
-// ClassTable is the table at the start.
+// ClassTable returns the table with which the process starts.
 func (s *Settings) ClassTable() (Classes, error) {
 	cfg, err := s.Router()
 	if err != nil {
@@ -31,12 +32,12 @@
 	return t, nil
 }
 
-// Reconfigure is the table under new settings, which must have passed Validate. A class whose name and rules are as
-// before keeps its index; a new one, or one whose rules changed, is added at the end; one that is gone can no longer be
-// named. All else of the router's configuration is the new settings'.
+// Reconfigure returns the table under new settings, which must have passed Validate. A class whose name and rules are
+// unchanged keeps its index. A new class, and a class whose rules changed, is added at the end. Clients can no longer
+// name a class that is not in the new settings. The rest of the router's configuration comes from the new settings.
 func (t Classes) Reconfigure(next *Settings) (Classes, error) {
 	if t.hasZones && len(next.Zones) == 0 {
-		return t, errors.New("settings: needs the deployment's zones") // the file lacks a key, and so may lack others
+		return t, errors.New("settings: zones are missing, but the deployment has zones") // others may be missing too
 	}
 	cfg, err := next.Router()
 	if err != nil {
@@ -57,7 +58,7 @@
 	return out, nil
 }
 
-// indexOf returns the last index of a class with a name and rules, -1 if there is none.
+// indexOf returns the last index of a class with the given name and rules, or -1 if there is none.
 func (t Classes) indexOf(name string, class routing.Class) int {
 	for i := len(t.Config.Classes) - 1; i >= 0; i-- {
 		if t.classNames[i] == name && t.Config.Classes[i] == class {
--- a/internal/config/classes_test.go
+++ b/internal/config/classes_test.go
@@ -22,7 +22,8 @@
 	return s
 }
 
-// Settings that are cut, lack a key, or have a deadline or attempts not over 0 are rejected.
+// Settings that lack a key, or that have a deadline, an objective or a number of attempts that is not over 0, are
+// rejected.
 func TestValidateRejectsInvalidSettings(t *testing.T) {
 	if err := mustParse(t, baseSettings).Validate(); err != nil {
 		t.Fatalf("good settings: %v", err)
@@ -46,8 +47,8 @@
 	}
 }
 
-// New settings keep the indexes of unchanged classes and add new and changed ones at the end; a dropped one can no
-// longer be named. The router's list only grows.
+// A reload keeps the indexes of unchanged classes and adds new and changed classes at the end, so that the rules of
+// open requests do not change. A class that the new settings do not have can no longer be named.
 func TestReconfigureKeepsClassIndexes(t *testing.T) {
 	start, err := mustParse(t, baseSettings).ClassTable()
 	if err != nil {
@@ -75,19 +76,19 @@
 		t.Fatal(err)
 	}
 	if _, ok := afterDrop.Names["frage"]; ok || afterDrop.Names["meldung"] != 1 || len(afterDrop.Config.Classes) != 4 {
-		t.Errorf("after a drop: %v, %d classes", afterDrop.Names, len(afterDrop.Config.Classes))
+		t.Errorf("after a class was removed: %v, %d classes", afterDrop.Names, len(afterDrop.Config.Classes))
 	}
 }
 
-// A deployment may have no zones, and all is then in one; one that has zones does not lose them by a file that lacks
-// the key.
+// In a deployment without zones everything is in zone 0. A deployment with zones must not lose them because a reloaded
+// file lacks the key.
 func TestReconfigureRejectsSettingsThatLoseTheirZones(t *testing.T) {
 	zoned, unzoned := mustParse(t, baseSettings), mustParse(t, strings.Replace(baseSettings, `"zones":["wien"],`, ``, 1))
 	if zoned.Zone("wien") != 0 || zoned.Zone("linz") != -1 || zoned.ZoneName(0) != "wien" || zoned.ZoneName(1) != "" {
-		t.Error("zones do not have the indexes of their names in the settings")
+		t.Error("zones do not have the indexes at which the settings list them")
 	}
 	if unzoned.Zone("") != 0 || unzoned.Zone("linz") != 0 || unzoned.ZoneName(0) != "" || unzoned.Validate() != nil {
-		t.Error("without zones not all is in one")
+		t.Error("without zones, a zone has a name or an index other than 0, or Validate fails")
 	}
 	for _, c := range []struct {
 		start, next *Settings
@@ -103,12 +104,12 @@
 	}
 }
 
-// After SIGTERM a process has the longest deadline and 0.7 s, and no more than 3.7 s.
+// After SIGTERM a process has the longest deadline plus 0.7 s, but at most 3.7 s.
 func TestShutdownGraceIsBounded(t *testing.T) {
 	for longest, want := range map[string]time.Duration{"15000": 3700 * time.Millisecond, "1200": 1900 * time.Millisecond} {
 		text := strings.Replace(strings.Replace(baseSettings, `"hardLimitMs":5000`, `"hardLimitMs":1200`, 1), "15000", longest, 1)
 		if got := mustParse(t, text).ShutdownGrace(); got != want {
-			t.Errorf("deadlines of %s ms at the most: %v, want %v", longest, got, want)
+			t.Errorf("longest deadline %s ms: %v, want %v", longest, got, want)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config holds the configuration of a dispatcher and the settings of its deployment: their types, how they are
-// read and checked, and their translation for the router. It is the only place that knows the keys of these files. Its
-// values are not changed after they are read, and so may be shared between goroutines.
+// read and checked, and their translation into the router's configuration. The keys of these files are defined here
+// only. Values do not change after they have been read, so goroutines may share them.
 package config
 
 import (
@@ -11,26 +11,26 @@
 	"strconv"
 )
 
-// Config is the configuration file of one dispatcher.
+// Config is the content of one dispatcher's configuration file.
 type Config struct {
 	Name             string          `json:"Name"`
 	Listen           string          `json:"Listen"`
 	Discovery        string          `json:"Discovery"`
-	Admin            string          `json:"Ops"` // address of the operators' calls; none: there are none
+	Admin            string          `json:"Ops"` // address for operators' calls; if empty, they are not served
 	Seed             string          `json:"Seed"`
 	Limits           ResourceLimits  `json:"Limits"`
-	InitialEndpoints json.RawMessage `json:"Known"` // the endpoint list of the start, in discovery's form
+	InitialEndpoints json.RawMessage `json:"Known"` // endpoint list at the start, in discovery's format
 	Settings         Settings        `json:"Settings"`
 }
 
-// ResourceLimits is what the platform lets the process use; 0: the process's default.
+// ResourceLimits holds the resources that the platform lets the process use. A value of 0 selects the default.
 type ResourceLimits struct {
 	Cores    float64 `json:"Cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"Sockets"`
 }
 
-// ParseConfig decodes a dispatcher's configuration. It does not check it: see Validate.
+// ParseConfig decodes a dispatcher's configuration. It does not check the values; see Validate.
 func ParseConfig(text []byte) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -39,7 +39,7 @@
 	return &c, nil
 }
 
-// Validate reports the first thing without which a dispatcher cannot serve.
+// Validate returns an error if the configuration lacks something that a dispatcher needs in order to serve.
 func (c *Config) Validate() error {
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// SeedNumber returns the seed of random numbers, which the file has in hex; 0 without one.
+// SeedNumber returns the seed of the random numbers, which the file holds in hexadecimal, or 0 if the file has none.
 func (c *Config) SeedNumber() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -19,10 +19,10 @@
 	return text
 }
 
-// zeroSliceLike returns a slice of n zero elements of the type of its first parameter.
+// zeroSliceLike returns a slice of n zero elements. Its type is the type of the first argument.
 func zeroSliceLike[S ~[]E, E any](_ S, n int) S { return make(S, n) }
 
-// goldenConfig holds the values of testdata/config.json.
+// goldenConfig returns the content of testdata/config.json.
 func goldenConfig() *Config {
 	c := &Config{Name: "name-1", Listen: "127.0.0.1:1001", Discovery: "127.0.0.1:1002", Admin: "127.0.0.1:1003",
 		Seed: "8c1f30d27a5be964", InitialEndpoints: json.RawMessage(`{"generation":7,"reset":true,"instances":[]}`)}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Each name and value of the settings has its meaning for the router.
+// Router and LoadReport translate each name and value of the settings to the right field and type.
 func TestGoldenRouter(t *testing.T) {
 	s := goldenConfig().Settings
 	got, err := s.Router()
@@ -117,7 +117,8 @@
 	}
 }
 
-// Members compare digests of the settings' JSON, so its keys and their order must stay, also for what is absent.
+// Members compare digests of the settings' JSON, so its keys and their order must not change. Absent settings must be
+// written too.
 func TestGoldenSettingsText(t *testing.T) {
 	for name, s := range map[string]Settings{"settings-full.golden": goldenConfig().Settings, "settings-zero.golden": {}} {
 		text, err := json.Marshal(s)
@@ -131,7 +132,8 @@
 	}
 }
 
-// Each switch of the settings by itself: where all are on, two that were swapped would not show.
+// Each boolean setting is read into its own field. Each is tested alone, because swapped fields do not show if all are
+// true.
 func TestGoldenSwitches(t *testing.T) {
 	for text, want := range map[string]func(*Settings) *bool{
 		`{"limits":{"cancelling":true}}`:    func(s *Settings) *bool { return &s.Limits.CanCancel },
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -6,7 +6,7 @@
 	"rampspread/routing"
 )
 
-// The settings' names for what package routing has types for.
+// These maps translate names in the settings to values of package routing.
 var (
 	idempotencyByName = map[string]routing.Idempotency{
 		"retryable": routing.Idempotent,
@@ -26,7 +26,8 @@
 	}
 )
 
-// Router translates the settings for a routing.Router; what is absent has the meaning that the wire protocol gives it.
+// Router translates the settings into the configuration of a routing.Router. An absent setting has the meaning that the
+// wire protocol gives to its absence.
 func (s *Settings) Router() (routing.Config, error) {
 	cfg := routing.Config{
 		Zone: s.ZoneIndex, Routers: s.Dispatchers, MaxAttempts: s.Limits.MaxAttempts,
@@ -59,7 +60,7 @@
 	return cfg, nil
 }
 
-// class translates the class of an index.
+// class translates the class at an index.
 func (s *Settings) class(index int) (routing.Class, error) {
 	c := s.Classes[index]
 	idempotency, ok := idempotencyByName[c.Idempotency]
@@ -75,7 +76,7 @@
 		DedupWindow:   FromMS(c.DedupWindowMs),
 	}
 	if per1K := s.ModelFamily.TTFTObjectiveUsPer1KTokens; index < len(per1K) {
-		class.TTFTObjectivePer1K = FromMS(per1K[index] / 1000) // from µs
+		class.TTFTObjectivePer1K = FromMS(per1K[index] / 1000) // converts µs to ms
 	}
 	return class, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,78 +11,78 @@
 	"rampspread/routing"
 )
 
-// Settings is the part of a deployment's settings that is used. Unknown keys are skipped. Keys are read in any case.
-// Fields that end in Ms are in milliseconds.
+// Settings holds the settings of a deployment that the dispatcher uses. Unknown keys are ignored, and keys match in any
+// case. Fields whose names end in Ms are in milliseconds.
 //
-// Members of a fleet compare digests of this type's JSON, also between versions of the program: the tags, and the order
-// of the fields, must stay as they are, whatever the fields are called.
+// Members of a fleet compare digests of this type's JSON, even if they run different versions of the program. The tags
+// and the order of the fields must therefore not change; the Go names of the fields may.
 type Settings struct {
-	ZoneIndex   int               `json:"Az"`        // of the dispatcher's own zone, in Zones
-	Dispatchers int               `json:"Balancers"` // dispatchers of the deployment
+	ZoneIndex   int               `json:"Az"`        // index of the dispatcher's own zone in Zones
+	Dispatchers int               `json:"Balancers"` // number of dispatchers in the deployment
 	Classes     []ClassSettings   `json:"Classes"`
-	Discovery   string            `json:"Discovery"` // how endpoint lists come: see PushesEndpoints
+	Discovery   string            `json:"Discovery"` // how endpoint lists arrive; see PushesEndpoints
 	ModelFamily FamilySettings    `json:"FamilyInfo"`
 	Kinds       []string          `json:"Kinds"` // names of the replicas' machine types
 	Limits      LimitSettings     `json:"Limits"`
 	Tenants     []TenantSettings  `json:"Parties"`
 	Rules       RuleSettings      `json:"Rules"`
 	Telemetry   TelemetrySettings `json:"Telemetry"`
-	Zones       []string          `json:"Zones"` // none: the deployment has no zones
+	Zones       []string          `json:"Zones"` // empty if the deployment has no zones
 }
 
-// ClassSettings are the rules of one class of requests.
+// ClassSettings holds the rules of one class of requests.
 type ClassSettings struct {
 	Name            string  `json:"Name"`
-	Idempotency     string  `json:"Effect"`      // retryable, dedup or fragile
-	DedupScope      string  `json:"Group"`       // of dedup: zone, cell or all; none: all
-	Weight          float64 `json:"Importance"`  // of one request, relative to other classes
-	TTFTObjectiveMs float64 `json:"PromiseMs"`   // time to first token that is aimed at
-	DeadlineMs      float64 `json:"HardLimitMs"` // deadline
+	Idempotency     string  `json:"Effect"`     // retryable, dedup or fragile
+	DedupScope      string  `json:"Group"`      // replicas that deduplicate together: zone, cell or all; "" means all
+	Weight          float64 `json:"Importance"` // weight of one request relative to other classes
+	TTFTObjectiveMs float64 `json:"PromiseMs"`  // target for the time to first token
+	DeadlineMs      float64 `json:"HardLimitMs"`
 	DedupWindowMs   float64 `json:"WindowMs"`
 }
 
-// FamilySettings describe the replicas' model family.
+// FamilySettings describes the replicas' model family.
 type FamilySettings struct {
-	TTFTObjectiveUsPer1KTokens []float64 `json:"AimUsPer1000PromptTokens"` // by class, µs on top of its objective
-	RoleByKind                 []string  `json:"DutyByKind"`               // by Kinds: read, write or both
+	TTFTObjectiveUsPer1KTokens []float64 `json:"AimUsPer1000PromptTokens"` // by class index: µs added to the objective
+	RoleByKind                 []string  `json:"DutyByKind"`               // by index in Kinds: read, write or both
 	DecodeCanPrefill           bool      `json:"LocalRead"`
-	ReservationTTLMs           float64   `json:"ReleaseWithinMs"` // for which a replica keeps a reservation
+	ReservationTTLMs           float64   `json:"ReleaseWithinMs"` // time for which a replica keeps a reservation
 }
 
-// LimitSettings bound what a dispatcher may do.
+// LimitSettings bounds what a dispatcher may do.
 type LimitSettings struct {
 	CanCancel        bool    `json:"Cancelling"`
 	ConnIdleMs       float64 `json:"ConnIdleMs"`
 	ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
-	MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"` // the longest Retry-After that clients follow
-	MaxOpenRequests  int     `json:"MostHeld"`        // the platform's; not acted on
+	MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"` // longest Retry-After that clients follow
+	MaxOpenRequests  int     `json:"MostHeld"`        // limit of the platform; the dispatcher does not use it
 	LoadPolling      bool    `json:"Probing"`
-	MaxAttempts      int     `json:"MostTries"` // for one request
+	MaxAttempts      int     `json:"MostTries"` // attempts for one request
 	RetryAfter       bool    `json:"RetryAfter"`
 }
 
-// TenantSettings is one tenant's quota, in requests a second.
+// TenantSettings holds the quota of one tenant in requests per second.
 type TenantSettings struct {
 	Name      string  `json:"Name"`
 	QuotaPerS float64 `json:"QuotaPerS"`
 }
 
-// RuleSettings are the figures of the platform's rules.
+// RuleSettings holds the numbers of the platform's rules.
 type RuleSettings struct {
-	AnswerSlackMs    float64 `json:"AnswerSlackMs"` // after the deadline, in which an answer still counts
-	SlowStartInitial float64 `json:"ColdFrom"`      // fraction of its capacity that a replica starts with
+	AnswerSlackMs    float64 `json:"AnswerSlackMs"` // time after the deadline in which an answer still counts
+	SlowStartInitial float64 `json:"ColdFrom"`      // fraction of its capacity that a replica has at its start
 	SlowStartMs      float64 `json:"ColdMs"`
-	OverloadMultiple float64 `json:"FallMultiple"` // of its capacity, with which a replica in slow start fails
+	OverloadMultiple float64 `json:"FallMultiple"` // multiple of its capacity at which a replica in slow start fails
 
 	DrainDeadlineMs float64 `json:"StopSendingWithinMs"` // see DrainDeadline
 }
 
-// TelemetrySettings name the values of a load report, in their order.
+// TelemetrySettings names the values of a load report, in the order in which a report has them.
 type TelemetrySettings struct {
 	Fields []string `json:"Fields"`
 }
 
-// ParseSettings decodes an instance's settings.
+// ParseSettings decodes the settings of a deployment. It does not check the values; see Validate.
 func ParseSettings(text []byte) (*Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -91,24 +91,25 @@
 	return &s, nil
 }
 
-// PushesEndpoints tells whether an agent on the dispatcher's own machine pushes changes of the endpoint list, at no
-// cost. Elsewhere discovery has to be polled, and serves all dispatchers with a fixed capacity.
+// PushesEndpoints reports whether an agent on the dispatcher's own machine pushes changes of the endpoint list, which
+// costs discovery nothing. Otherwise the dispatcher must poll discovery, whose fixed capacity is shared by all
+// dispatchers.
 func (s *Settings) PushesEndpoints() bool { return s.Discovery != "ask" }
 
 const defaultDrainDeadline = 500 * time.Millisecond
 
-// DrainDeadline is how long after the notice that a replica drains or is gone requests may still be sent to it.
+// DrainDeadline returns how long requests may still be sent to a replica after the notice that it is draining or gone.
 func (s *Settings) DrainDeadline() time.Duration {
 	return cmp.Or(FromMS(s.Rules.DrainDeadlineMs), defaultDrainDeadline)
 }
 
 const (
-	maxGraceDeadline = 3 * time.Second        // counts in place of a longer deadline
-	graceReserve     = 700 * time.Millisecond // on top of the deadline
+	maxGraceDeadline = 3 * time.Second        // replaces any longer deadline
+	graceReserve     = 700 * time.Millisecond // added to the deadline
 )
 
-// ShutdownGrace is how long the platform gives a process after SIGTERM, at the least, before it kills it: the longest
-// deadline, counted as 3 s where it is longer, and 0.7 s (PROTOCOL, "Figures").
+// ShutdownGrace returns the minimum time between SIGTERM and the platform killing the process: the longest deadline,
+// counted as 3 s if it is longer, plus 0.7 s (PROTOCOL, "Figures").
 func (s *Settings) ShutdownGrace() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
@@ -117,8 +118,8 @@
 	return min(longest, maxGraceDeadline) + graceReserve
 }
 
-// Zone returns the index of a zone, -1 for one that the settings do not name. A deployment may have no zones: all its
-// replicas then count as in zone 0.
+// Zone returns the index of a zone, or -1 if the settings do not name it. In a deployment without zones, all replicas
+// count as in zone 0.
 func (s *Settings) Zone(name string) int {
 	if len(s.Zones) == 0 {
 		return 0
@@ -126,7 +127,8 @@
 	return slices.Index(s.Zones, name)
 }
 
-// ZoneName returns the name of the zone of an index, none where the deployment has no zones.
+// ZoneName returns the name of the zone at an index. It returns "" for an unknown index and if the deployment has no
+// zones.
 func (s *Settings) ZoneName(zone int) string {
 	if zone < 0 || zone >= len(s.Zones) {
 		return ""
@@ -134,7 +136,8 @@
 	return s.Zones[zone]
 }
 
-// LoadReport translates a report whose values are in the order of the settings' fields; nil if it has none.
+// LoadReport translates a load report whose values are in the order of Telemetry.Fields. It returns nil for a report
+// without values.
 func (s *Settings) LoadReport(values []float32) *routing.LoadReport {
 	if len(values) == 0 {
 		return nil
@@ -161,14 +164,14 @@
 	return report
 }
 
-// ToMS returns a duration in the wire's milliseconds.
+// ToMS converts a duration to the milliseconds that the wire protocol uses.
 func ToMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// maxMS bounds what FromMS returns, about 32 years, so that its sums stay within a Duration.
+// maxMS bounds the result of FromMS to about 32 years, so that sums of several results fit into a Duration.
 const maxMS = 1e12
 
-// FromMS returns a duration for the wire's milliseconds, whatever they are: 0 for NaN, and no more than 1e12 ms either
-// way.
+// FromMS converts milliseconds of the wire protocol to a duration. NaN becomes 0, and values beyond 1e12 ms in either
+// direction are clamped.
 func FromMS(ms float64) time.Duration {
 	if math.IsNaN(ms) {
 		return 0
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Validate is the check that settings of a reload must pass before any of them is applied: a malformed or cut file must
-// not leave a dispatcher with half of its rules. Each class has a name of its own, and a deadline and a latency
-// objective over 0; attempts are over 0; kinds, and a role for each of them, are set. What a start may do without is
-// checked by Config.Validate.
+// Validate checks the settings of a reload before any of them is applied: a malformed or truncated file must not leave
+// a dispatcher with half of its rules. Each class must have a unique name, and a deadline and a latency objective over
+// 0. The number of attempts must be over 0. There must be kinds, and a role for each of them. A start requires less of
+// the settings; Config.Validate checks that.
 func (s *Settings) Validate() error {
 	if err := s.validateClasses(); err != nil {
 		return err
@@ -17,7 +17,7 @@
 		return errors.New("settings: limits: mostTries must be over 0")
 	}
 	if len(s.Kinds) == 0 || len(s.Kinds) != len(s.ModelFamily.RoleByKind) {
-		return errors.New("settings: needs kinds, and a duty for each kind")
+		return errors.New("settings: kinds must not be empty, and dutyByKind must have an entry for each kind")
 	}
 	router, err := s.Router()
 	if err != nil {
@@ -37,9 +37,9 @@
 	for i, c := range s.Classes {
 		switch {
 		case c.Name == "" || seen[c.Name]:
-			return fmt.Errorf("settings: class %d: no name, or one that another has", i)
-		case !(c.DeadlineMs > 0) || !(c.TTFTObjectiveMs > 0): // NaN is not over 0 either
-			return fmt.Errorf("settings: class %q: deadline and aim must be over 0", c.Name)
+			return fmt.Errorf("settings: class %d has no name, or the name of an earlier class", i)
+		case !(c.DeadlineMs > 0) || !(c.TTFTObjectiveMs > 0): // this form also rejects NaN
+			return fmt.Errorf("settings: class %q: hardLimitMs and promiseMs must be over 0", c.Name)
 		}
 		seen[c.Name] = true
 	}
