--- a/internal/config/classes_test.go
+++ b/internal/config/classes_test.go
@@ -22,7 +22,8 @@
 	return s
 }
 
-// Settings that are cut, lack a key, or have a deadline or attempts not over 0 are rejected.
+// Settings that lack a key, or that have a deadline, an objective or a number of attempts that is not over 0, are
+// rejected.
 func TestValidateRejectsInvalidSettings(t *testing.T) {
 	if err := mustParse(t, baseSettings).Validate(); err != nil {
 		t.Fatalf("good settings: %v", err)
@@ -46,8 +47,8 @@
 	}
 }
 
-// New settings keep the indexes of unchanged classes and add new and changed ones at the end; a dropped one can no
-// longer be named. The router's list only grows.
+// A reload keeps the indexes of unchanged classes and adds new and changed classes at the end, so that the rules of
+// open requests do not change. A class that the new settings do not have can no longer be named.
 func TestReconfigureKeepsClassIndexes(t *testing.T) {
 	start, err := mustParse(t, baseSettings).ClassTable()
 	if err != nil {
@@ -70,29 +71,29 @@
 		t.Errorf("classes %+v, attempts %d", c, got.Config.MaxAttempts)
 	}
 	dropped := strings.Replace(baseSettings, `{"name":"frage","effect":"retryable","importance":1,"promiseMs":1200,"hardLimitMs":5000},`, ``, 1)
-	again, err := got.Reconfigure(mustParse(t, dropped))
+	afterDrop, err := got.Reconfigure(mustParse(t, dropped))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := again.Names["frage"]; ok || again.Names["meldung"] != 1 || len(again.Config.Classes) != 4 {
-		t.Errorf("after a drop: %v, %d classes", again.Names, len(again.Config.Classes))
+	if _, ok := afterDrop.Names["frage"]; ok || afterDrop.Names["meldung"] != 1 || len(afterDrop.Config.Classes) != 4 {
+		t.Errorf("after a class was removed: %v, %d classes", afterDrop.Names, len(afterDrop.Config.Classes))
 	}
 }
 
-// A deployment may have no zones, and all is then in one; one that has zones does not lose them by a file that lacks
-// the key.
+// In a deployment without zones everything is in zone 0. A deployment with zones must not lose them because a reloaded
+// file lacks the key.
 func TestReconfigureRejectsSettingsThatLoseTheirZones(t *testing.T) {
-	zoned, without := mustParse(t, baseSettings), mustParse(t, strings.Replace(baseSettings, `"zones":["wien"],`, ``, 1))
+	zoned, unzoned := mustParse(t, baseSettings), mustParse(t, strings.Replace(baseSettings, `"zones":["wien"],`, ``, 1))
 	if zoned.Zone("wien") != 0 || zoned.Zone("linz") != -1 || zoned.ZoneName(0) != "wien" || zoned.ZoneName(1) != "" {
-		t.Error("zones do not have the indexes of their names in the settings")
+		t.Error("zones do not have the indexes at which the settings list them")
 	}
-	if without.Zone("") != 0 || without.Zone("linz") != 0 || without.ZoneName(0) != "" || without.Validate() != nil {
-		t.Error("without zones not all is in one")
+	if unzoned.Zone("") != 0 || unzoned.Zone("linz") != 0 || unzoned.ZoneName(0) != "" || unzoned.Validate() != nil {
+		t.Error("without zones, a zone has a name or an index other than 0, or Validate fails")
 	}
 	for _, c := range []struct {
 		start, next *Settings
 		accepted    bool
-	}{{zoned, zoned, true}, {zoned, without, false}, {without, without, true}} {
+	}{{zoned, zoned, true}, {zoned, unzoned, false}, {unzoned, unzoned, true}} {
 		table, err := c.start.ClassTable()
 		if err != nil {
 			t.Fatal(err)
@@ -103,12 +104,12 @@
 	}
 }
 
-// After SIGTERM a process has the longest deadline and 0.7 s, and no more than 3.7 s.
+// After SIGTERM a process has the longest deadline plus 0.7 s, but at most 3.7 s.
 func TestShutdownGraceIsBounded(t *testing.T) {
 	for longest, want := range map[string]time.Duration{"15000": 3700 * time.Millisecond, "1200": 1900 * time.Millisecond} {
 		text := strings.Replace(strings.Replace(baseSettings, `"hardLimitMs":5000`, `"hardLimitMs":1200`, 1), "15000", longest, 1)
 		if got := mustParse(t, text).ShutdownGrace(); got != want {
-			t.Errorf("deadlines of %s ms at the most: %v, want %v", longest, got, want)
+			t.Errorf("longest deadline %s ms: %v, want %v", longest, got, want)
 		}
 	}
 }
