--- a/internal/faultbench/discovery/faults.go
+++ b/internal/faultbench/discovery/faults.go
@@ -13,7 +13,7 @@
 func (d *Server) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lastSent = d.current.clone()
+	d.lastBeforeSilence = d.current.clone()
 	d.silent = true
 	d.notifyWatchers()
 }
@@ -24,7 +24,7 @@
 	defer d.mu.Unlock()
 	if d.silent {
 		for _, e := range d.current.entries {
-			if e.version > d.lastSent.version {
+			if e.version > d.lastBeforeSilence.version {
 				d.recordChange(e)
 			}
 		}
@@ -57,8 +57,8 @@
 	d.watchSilences[dispatcher]++
 }
 
-// watchOpened notes that a dispatcher opens a watch, and returns what tells whether that has fallen silent since.
-func (d *Server) watchOpened(dispatcher int) (silenced func() bool) {
+// recordWatchOpened notes that a dispatcher opens a watch, and returns what tells whether that has fallen silent since.
+func (d *Server) recordWatchOpened(dispatcher int) (silenced func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.watchesSilencedAt, dispatcher)
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -48,13 +48,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.silent {
-		return d.fullList(d.lastSent, dispatcher)
+		return d.fullList(d.lastBeforeSilence, dispatcher)
 	}
 	return d.fullList(d.current, dispatcher)
 }
 
-// served is the list that a dispatcher is served in place of the given one; mu is held.
-func (d *Server) served(s snapshot, dispatcher int) snapshot {
+// effectiveSnapshot is the list that a dispatcher is effectiveSnapshot in place of the given one; mu is held.
+func (d *Server) effectiveSnapshot(s snapshot, dispatcher int) snapshot {
 	if frozen, ok := d.frozen[dispatcher]; ok {
 		return frozen
 	}
@@ -63,7 +63,7 @@
 
 // fullList is the whole list for a dispatcher; mu is held.
 func (d *Server) fullList(s snapshot, dispatcher int) List {
-	s = d.served(s, dispatcher)
+	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Reset: true, Instances: []Endpoint{}}
 	for name, e := range s.entries {
 		if e.state != Gone {
@@ -75,7 +75,7 @@
 
 // changesAfter are the changes of the list after a version; mu is held.
 func (d *Server) changesAfter(s snapshot, version uint64, dispatcher int) List {
-	s = d.served(s, dispatcher)
+	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Instances: []Endpoint{}}
 	for name, e := range s.entries {
 		if e.version > version {
@@ -165,7 +165,7 @@
 // handleWatch sends the changes after a version (0: first the whole list) until the caller leaves, and empty lines as
 // keep-alives. A watch that has fallen silent stays open and carries nothing more.
 func (d *Server) handleWatch(w http.ResponseWriter, r *http.Request, version uint64, dispatcher int) {
-	silenced := d.watchOpened(dispatcher)
+	silenced := d.recordWatchOpened(dispatcher)
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
 	rc := http.NewResponseController(w)
--- a/internal/faultbench/discovery/server.go
+++ b/internal/faultbench/discovery/server.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// unwatchedNotice is the time after which a change counts as known, received or not, to a dispatcher that must
+	// unwatchedNoticeDelay is the time after which a change counts as known, received or not, to a dispatcher that must
 	// request it, or whose watch has fallen silent (from that time on).
-	unwatchedNotice = 6 * time.Second
-	// moveNotice is how long after SIGHUP the list of the new discovery counts as known (the full fleet's page).
-	moveNotice = 4 * time.Second
+	unwatchedNoticeDelay = 6 * time.Second
+	// moveNoticeDelay is how long after SIGHUP the list of the new discovery counts as known (the full fleet's page).
+	moveNoticeDelay = 4 * time.Second
 )
 
 // Addresses is at how many addresses each dispatcher is served; a dispatcher uses one of them at a time.
@@ -52,11 +52,11 @@
 	config    Config
 	listeners [][Addresses]*network.Listener // by dispatcher
 
-	mu       sync.Mutex
-	current  snapshot
-	delay    time.Duration // of changes
-	silent   bool
-	lastSent snapshot // at the time when it fell silent
+	mu                sync.Mutex
+	current           snapshot
+	delay             time.Duration // of changes
+	silent            bool
+	lastBeforeSilence snapshot // at the time when it fell silent
 	// By dispatcher:
 	movedAt           map[int]time.Time // when its discovery was moved last
 	watchesSilencedAt map[int]time.Time // when its watches fell silent, until it opens another
@@ -130,12 +130,12 @@
 			continue
 		}
 		withdrawn := history.Event{Kind: history.EndpointWithdrawn, Replica: e.replica.Name, Dispatcher: i, Version: e.version}
-		notice := d.notice(i)
-		if notice <= 0 {
+		noticeDelay := d.noticeDelay(i)
+		if noticeDelay <= 0 {
 			d.config.History.Add(withdrawn)
 			continue
 		}
-		time.AfterFunc(notice, func() {
+		time.AfterFunc(noticeDelay, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if d.current.entries[e.replica.Name].version == e.version {
@@ -145,19 +145,19 @@
 	}
 }
 
-// notice is how long from now on a dispatcher may not know of a change; mu is held.
-func (d *Server) notice(dispatcher int) (notice time.Duration) {
+// noticeDelay is how long from now on a dispatcher may not know of a change; mu is held.
+func (d *Server) noticeDelay(dispatcher int) (noticeDelay time.Duration) {
 	if at, ok := d.watchesSilencedAt[dispatcher]; ok {
-		notice = unwatchedNotice - time.Since(at)
+		noticeDelay = unwatchedNoticeDelay - time.Since(at)
 	} else if !d.config.Deployment.EndpointsPushed {
-		notice = unwatchedNotice
+		noticeDelay = unwatchedNoticeDelay
 	}
 	if at, ok := d.movedAt[dispatcher]; ok {
 		grace := time.Duration(0)
 		if d.config.GraceAfterMove {
-			grace = moveNotice
+			grace = moveNoticeDelay
 		}
-		notice = max(notice, grace-time.Since(at))
+		noticeDelay = max(noticeDelay, grace-time.Since(at))
 	}
-	return notice
+	return noticeDelay
 }
--- a/internal/faultbench/frontlayer/front.go
+++ b/internal/faultbench/frontlayer/front.go
@@ -34,8 +34,8 @@
 
 // Front spreads connections round robin, first over the dispatchers of the client's zone.
 type Front struct {
-	config Config
-	order  []int // the dispatchers in turn, the hot one several times
+	config   Config
+	rotation []int // the dispatchers in turn, the hot one several times
 
 	mu         sync.Mutex
 	healthy    []bool
@@ -47,10 +47,10 @@
 func New(c Config) *Front {
 	f := &Front{config: c, healthy: make([]bool, c.Dispatchers), answeredAt: make([]time.Time, c.Dispatchers), next: make([]int, c.Zones)}
 	for d := range c.Dispatchers {
-		f.order = append(f.order, d)
+		f.rotation = append(f.rotation, d)
 		if d == 0 {
 			for range c.HotFactor - 1 {
-				f.order = append(f.order, 0)
+				f.rotation = append(f.rotation, 0)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 	defer tick.Stop()
 	for {
 		resp, err := client.Get(f.config.HealthURL(d))
-		f.notePoll(d, resp, err)
+		f.recordPoll(d, resp, err)
 		if err == nil {
 			resp.Body.Close()
 		}
@@ -79,8 +79,8 @@
 	}
 }
 
-// notePoll takes in a health poll's result: a refusal counts at once, a missing answer after unhealthyAfter.
-func (f *Front) notePoll(d int, resp *http.Response, err error) {
+// recordPoll takes in a health poll's result: a refusal counts at once, a missing answer after unhealthyAfter.
+func (f *Front) recordPoll(d int, resp *http.Response, err error) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,10 +102,10 @@
 	inZone := func(d int) bool { return d%f.config.Zones == zone }
 	anywhere := func(int) bool { return true }
 	for _, eligible := range []func(int) bool{inZone, anywhere} {
-		for range f.order {
+		for range f.rotation {
 			f.next[zone]++
-			d := f.order[f.next[zone]%len(f.order)]
-			if f.serves(d) && eligible(d) {
+			d := f.rotation[f.next[zone]%len(f.rotation)]
+			if f.servesLocked(d) && eligible(d) {
 				return d
 			}
 		}
@@ -117,8 +117,8 @@
 func (f *Front) Serves(d int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.serves(d)
+	return f.servesLocked(d)
 }
 
-// serves is Serves with the lock held.
-func (f *Front) serves(d int) bool { return f.healthy[d] && !f.config.Leaving(d) }
+// servesLocked is Serves with the lock held.
+func (f *Front) servesLocked(d int) bool { return f.healthy[d] && !f.config.Leaving(d) }
--- a/internal/faultbench/history/attempt.go
+++ b/internal/faultbench/history/attempt.go
@@ -27,9 +27,9 @@
 		case AttemptArrived:
 			closed, ok := closes[e.Request]
 			sentAt := e.firstByteAt()
-			late := sentAt - closed.At
-			if ok && closed.LinkHealthy && late > closeGrace+c.rules.Slack && !c.justResumed(e.Dispatcher, sentAt) {
-				c.report(RuleNoAttemptAfterClose, e, "begun %v after the client's close", late)
+			sinceClose := sentAt - closed.At
+			if ok && closed.LinkHealthy && sinceClose > closeGrace+c.rules.Slack && !c.justResumed(e.Dispatcher, sentAt) {
+				c.report(RuleNoAttemptAfterClose, e, "begun %v after the client's close", sinceClose)
 			}
 		}
 	}
@@ -54,17 +54,17 @@
 			request, ok := requests[e.Request]
 			sentAt := e.firstByteAt()
 			remaining := request.Until - sentAt
-			late := e.AnnouncedTimeout > max(remaining, 0)+timeoutSlack+c.rules.Slack
-			if ok && late && !c.wasPausedLong(e.Dispatcher, request.At, sentAt) {
+			exceedsRemaining := e.AnnouncedTimeout > max(remaining, 0)+timeoutSlack+c.rules.Slack
+			if ok && exceedsRemaining && !c.hadLongPause(e.Dispatcher, request.At, sentAt) {
 				c.report(RuleAnnouncedTimeout, e, "told %v of %v", e.AnnouncedTimeout, remaining)
 			}
 		}
 	}
 }
 
-// wasPausedLong tells whether a process was paused at some time of a span for longer than the operators' figure for
+// hadLongPause tells whether a process was paused at some time of a span for longer than the operators' figure for
 // being held up: it cannot know then how long a request has waited to be read.
-func (c *checker) wasPausedLong(dispatcher int, from, to time.Duration) bool {
+func (c *checker) hadLongPause(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.downtimes[dispatcher], func(d Event) bool {
 		return d.At <= to && (d.Until == 0 || d.Until >= from && d.Until-d.At > timeoutSlack)
 	})
@@ -73,8 +73,8 @@
 // attempt is one that arrived at a replica.
 type attempt struct {
 	Event
-	overlapsAt time.Duration // when it overlapped with another first, as that one arrived; 0: it did not
-	ended      bool
+	overlapStart time.Duration // when it overlapped with another first, as that one arrived; 0: it did not
+	ended        bool
 }
 
 // checkParallelAttempts judges RuleNoParallelAttempts: no two attempts of a request are outstanding at once ("It is a
@@ -85,28 +85,28 @@
 	for _, e := range c.events {
 		switch e.Kind {
 		case AttemptArrived:
-			attempts[e.Request] = append(attempts[e.Request], overlap(e, attempts[e.Request]))
+			attempts[e.Request] = append(attempts[e.Request], newAttempt(e, attempts[e.Request]))
 		case AttemptEnded:
 			c.endAttempt(e, attempts[e.Request])
 		}
 	}
 }
 
-// overlap is the attempt that an event reports. The earlier of it and each open attempt at another replica is marked
+// newAttempt is the attempt that an event reports. The earlier of it and each open attempt at another replica is marked
 // as overlapping.
-func overlap(arrival Event, others []*attempt) *attempt {
-	this := &attempt{Event: arrival}
+func newAttempt(arrival Event, others []*attempt) *attempt {
+	added := &attempt{Event: arrival}
 	for _, other := range others {
 		switch {
-		case other.ended || other.overlapsAt != 0 || other.Replica == arrival.Replica:
+		case other.ended || other.overlapStart != 0 || other.Replica == arrival.Replica:
 		case arrival.firstByteAt() < other.firstByteAt():
 			// A fault held this one back, which was sent before; it may be on a connection that is closed by now.
-			this.overlapsAt = arrival.At
+			added.overlapStart = arrival.At
 		default:
-			other.overlapsAt = arrival.At
+			other.overlapStart = arrival.At
 		}
 	}
-	return this
+	return added
 }
 
 // endAttempt ends the first open attempt at the event's replica, and reports it if another had arrived long before. A
@@ -118,8 +118,8 @@
 	}
 	a := attempts[i]
 	a.ended = true
-	both := end.At - a.overlapsAt
-	if a.overlapsAt != 0 && both > c.rules.Slack && a.LinkHealthy && end.LinkHealthy {
-		c.report(RuleNoParallelAttempts, a.Event, "still out %v after the next attempt came", both)
+	overlapDuration := end.At - a.overlapStart
+	if a.overlapStart != 0 && overlapDuration > c.rules.Slack && a.LinkHealthy && end.LinkHealthy {
+		c.report(RuleNoParallelAttempts, a.Event, "still out %v after the next attempt came", overlapDuration)
 	}
 }
--- a/internal/faultbench/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -29,11 +29,11 @@
 	return func(e *history.Event) { e.Weight, e.Until = w, d }
 }
 
-func downBecause(why string, until time.Duration) func(*history.Event) {
+func processDown(why string, until time.Duration) func(*history.Event) {
 	return func(e *history.Event) { e.Class, e.Until = why, until }
 }
 
-func linkFaulty(e *history.Event) { e.LinkHealthy = false }
+func onFaultyLink(e *history.Event) { e.LinkHealthy = false }
 
 // Each rule has histories that just keep it and histories that just break it.
 func TestCheckReportsEachRuleAtItsLimit(t *testing.T) {
@@ -57,7 +57,7 @@
 			request,
 			event(1159*ms, history.ResponseReceived, status(502)),
 		}},
-		{"too late over a faulty link", "", []history.Event{request, event(1159*ms, history.ResponseReceived, linkFaulty)}},
+		{"too late over a faulty link", "", []history.Event{request, event(1159*ms, history.ResponseReceived, onFaultyLink)}},
 		{"too late while the process was paused", "", []history.Event{
 			pause,
 			request,
@@ -190,46 +190,46 @@
 			event(901*ms, history.StateReleased, nil),
 		}},
 		{"an attempt over a faulty link exempts no later one", history.RuleReservationRelease, []history.Event{
-			event(1*ms, history.AttemptArrived, linkFaulty),
-			event(2*ms, history.AttemptEnded, linkFaulty),
+			event(1*ms, history.AttemptArrived, onFaultyLink),
+			event(2*ms, history.AttemptEnded, onFaultyLink),
 			event(3*ms, history.AttemptArrived, nil),
 			event(4*ms, history.StateReserved, nil),
 			event(5*ms, history.AttemptEnded, nil),
-			event(656*ms, history.StateReleased, linkFaulty),
+			event(656*ms, history.StateReleased, onFaultyLink),
 		}},
 		{"the prefill's end could not be delivered", "", []history.Event{
 			request,
 			event(101*ms, history.AttemptArrived, nil),
 			event(102*ms, history.StateReserved, nil),
-			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(103*ms, history.AttemptEnded, onFaultyLink),
 			event(1750*ms, history.StateReleased, nil),
 		}},
 		{"the prefill's end could not be delivered, past the client's deadline", history.RuleReservationRelease, []history.Event{
 			request,
 			event(101*ms, history.AttemptArrived, nil),
 			event(102*ms, history.StateReserved, nil),
-			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(103*ms, history.AttemptEnded, onFaultyLink),
 			event(1751*ms, history.StateReleased, nil),
 		}},
 		{"paused meanwhile, at the limit after it", "", []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(4*ms, history.ProcessDown, processDown(history.DownPaused, 500*ms)),
 			event(1150*ms, history.StateReleased, nil),
 		}},
 		{"paused meanwhile, past the limit after it", history.RuleReservationRelease, []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(4*ms, history.ProcessDown, processDown(history.DownPaused, 500*ms)),
 			event(1151*ms, history.StateReleased, nil),
 		}},
 		{"never released by a process that ended by itself", history.RuleReservationRelease, []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownEnded, 0)),
+			event(4*ms, history.ProcessDown, processDown(history.DownEnded, 0)),
 			event(9000*ms, history.LoadPolled, nil),
 		}},
 		{"never released", history.RuleReservationRelease, []history.Event{
--- a/internal/faultbench/history/connection.go
+++ b/internal/faultbench/history/connection.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxEventDelay      = 300 * time.Millisecond // that an event of a stream may be on its way
-	minStreams         = 20                     // under which delayed events prove nothing
-	delayedOneIn       = 20                     // one stream in so many may have a delayed event
-	partialRequestWait = 3 * time.Second        // within which a client with half a request is owed an error or a close
+	maxEventDelay         = 300 * time.Millisecond // that an event of a stream may be on its way
+	minStreams            = 20                     // under which delayed events prove nothing
+	minStreamsPerDelayed  = 20                     // one stream in so many may have a delayed event
+	partialRequestTimeout = 3 * time.Second        // within which a client with half a request is owed an error or a close
 )
 
 // checkDroppedRequests judges RuleNoDroppedRequest: a request that was forwarded is not closed without a response.
@@ -47,7 +47,7 @@
 			last = e
 		}
 	}
-	if streams >= minStreams && delayed*delayedOneIn > streams {
+	if streams >= minStreams && delayed*minStreamsPerDelayed > streams {
 		c.report(RuleEventDelay, last, "%d of %d streams have an event held back, this one for %v",
 			delayed, streams, last.MaxEventDelay)
 	}
@@ -57,7 +57,7 @@
 // close in time.
 func (c *checker) checkPartialRequests() {
 	for _, e := range c.events {
-		if e.Kind == PartialRequestEnded && e.Elapsed > partialRequestWait+c.rules.Slack && !c.exempt(e) {
+		if e.Kind == PartialRequestEnded && e.Elapsed > partialRequestTimeout+c.rules.Slack && !c.exempt(e) {
 			c.report(RulePartialRequest, e, "half a request had no error and no close for %v", e.Elapsed)
 		}
 	}
--- a/internal/faultbench/history/drain.go
+++ b/internal/faultbench/history/drain.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// withdrawal names what one dispatcher was sent about one replica.
-type withdrawal struct {
+// withdrawalKey names what one dispatcher was sent about one replica.
+type withdrawalKey struct {
 	dispatcher int
 	replica    string
 }
@@ -12,9 +12,9 @@
 // instance was informed that it is 2 (draining) or 0 (gone)". "A request's time counts from its last byte. For
 // drains, a send counts from its first.": what a fault held back after that byte is not the sender's.
 func (c *checker) checkDrains() {
-	withdrawn := map[withdrawal]time.Duration{} // since when
+	withdrawn := map[withdrawalKey]time.Duration{} // since when
 	for _, e := range c.events {
-		key := withdrawal{e.Dispatcher, e.Replica}
+		key := withdrawalKey{e.Dispatcher, e.Replica}
 		switch e.Kind {
 		case EndpointWithdrawn:
 			if _, ok := withdrawn[key]; !ok {
--- a/internal/faultbench/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -19,8 +19,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// leastRecordings is how many recordings there are: three scenarios, three soaks and one soak with each mutant of the program.
-const leastRecordings = 12
+// minRecordings is how many recordings there are: three scenarios, three soaks and one soak with each mutant of the program.
+const minRecordings = 12
 
 // The checker judges each recording as it did when the recording was made: the same count by rule and the same
 // violations, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(paths) < leastRecordings {
-		t.Fatalf("%d recordings, want at least %d", len(paths), leastRecordings)
+	if len(paths) < minRecordings {
+		t.Fatalf("%d recordings, want at least %d", len(paths), minRecordings)
 	}
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".jsonl.gz")
@@ -44,16 +44,16 @@
 				t.Fatal("no events")
 			}
 			var out strings.Builder
-			for _, v := range judgedVariants {
-				v.judge(t, &out, r)
+			for _, v := range variants {
+				v.writeJudgement(t, &out, r)
 			}
-			checkLines(t, filepath.Join("testdata", "judgements", name+".jsonl"), out.String())
+			compareWithGolden(t, filepath.Join("testdata", "judgements", name+".jsonl"), out.String())
 		})
 	}
 }
 
-// checkLines compares a text with a file and shows the first line that differs, since both are long.
-func checkLines(t *testing.T, path, got string) {
+// compareWithGolden compares a text with a file and shows the first line that differs, since both are long.
+func compareWithGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
@@ -94,7 +94,7 @@
 	events func([]history.Event) []history.Event
 }
 
-var judgedVariants = []variant{
+var variants = []variant{
 	{"as recorded", recordedRules, unchanged},
 	{"without exemptions", recordedRules, withoutExemptions},
 	{"tight rules", tightRules, unchanged},
@@ -107,11 +107,11 @@
 
 func unchanged(events []history.Event) []history.Event { return slices.Clone(events) }
 
-func recordedRules(r *historytest.Recording) history.Rules { return r.Play.Rules.Checker() }
+func recordedRules(r *historytest.Recording) history.Rules { return r.Play.Rules.HistoryRules() }
 
 // tightRules allow less than the program is bound to, and let no class run twice.
 func tightRules(r *historytest.Recording) history.Rules {
-	rules := r.Play.Rules.Checker()
+	rules := r.Play.Rules.HistoryRules()
 	rules.Slack = -300 * time.Millisecond
 	rules.AnswerSlack = -700 * time.Millisecond
 	rules.DrainWithin = 350 * time.Millisecond
@@ -125,7 +125,7 @@
 
 // deduplicatedRules let each class drop its repeats at one replica, for a short time.
 func deduplicatedRules(r *historytest.Recording) history.Rules {
-	rules := r.Play.Rules.Checker()
+	rules := r.Play.Rules.HistoryRules()
 	rules.NonIdempotent, rules.Deduplicated = nil, map[string]history.Deduplication{}
 	for _, class := range classesOf(r.Events) {
 		rules.Deduplicated[class] = history.Deduplication{
@@ -172,7 +172,7 @@
 
 // damaged turns one event in some tens into another kind, in turn, and so breaks rules that no play breaks.
 func damaged(events []history.Event) []history.Event {
-	const oneIn = 29
+	const interval = 29
 	kinds := []history.Kind{
 		history.ExtraBytesReceived, history.ForeignResponseReceived, history.ClientGaveUp, history.ConnectionDropped,
 		history.PartialRequestEnded, history.ConnectionLingers, history.ClientClosed, history.ResponseReceived,
@@ -180,9 +180,9 @@
 		history.ExecutionStarted, history.AttemptArrived, history.ProcessDown, history.ReplicaStarted,
 	}
 	events = slices.Clone(events)
-	for i := oneIn; i < len(events); i += oneIn {
+	for i := interval; i < len(events); i += interval {
 		e := &events[i]
-		e.Kind = kinds[i/oneIn%len(kinds)]
+		e.Kind = kinds[i/interval%len(kinds)]
 		e.Elapsed = cmp.Or(e.Elapsed, 4*time.Second)
 		switch e.Kind {
 		case history.ResponseReceived:
@@ -231,10 +231,10 @@
 	}
 )
 
-func (v variant) judge(t *testing.T, out *strings.Builder, r *historytest.Recording) {
+func (v variant) writeJudgement(t *testing.T, out *strings.Builder, r *historytest.Recording) {
 	t.Helper()
 	rules, events := v.rules(r), v.events(r.Events)
-	given := slices.Clone(events)
+	original := slices.Clone(events)
 	violations := history.Check(events, rules)
 	if !slices.IsSortedFunc(violations, func(a, b history.Violation) int { return cmp.Compare(a.At, b.At) }) {
 		t.Errorf("%s: the violations are not in the order of their times", v.name)
@@ -243,19 +243,19 @@
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request),
 			cmp.Compare(a.Replica, b.Replica), cmp.Compare(a.Text, b.Text))
 	})
-	v.write(t, out, "rules", violations)
-	v.write(t, out, "strict rules", history.CheckStrict(events, rules))
+	v.writeViolations(t, out, "rules", violations)
+	v.writeViolations(t, out, "strict rules", history.CheckStrict(events, rules))
 	stale := history.StaleAttempts(events, rules.DrainWithin)
 	writeLine(t, out, countLine{v.name, "stale", map[string]int{"stale": len(stale)}})
 	for _, e := range stale {
 		writeLine(t, out, staleLine{e.Request, e.At, e.Dispatcher, e.Replica})
 	}
-	if !slices.Equal(given, events) {
+	if !slices.Equal(original, events) {
 		t.Errorf("%s: the checker has changed the events that it was given", v.name)
 	}
 }
 
-func (v variant) write(t *testing.T, out *strings.Builder, check string, violations []history.Violation) {
+func (v variant) writeViolations(t *testing.T, out *strings.Builder, check string, violations []history.Violation) {
 	t.Helper()
 	counts := map[string]int{}
 	for _, b := range violations {
--- a/internal/faultbench/history/historytest/historytest.go
+++ b/internal/faultbench/history/historytest/historytest.go
@@ -60,8 +60,8 @@
 	Domains     map[string]string `json:"domains"` // by replica: those of one domain drop each other's repeats
 }
 
-// Checker is the form that the checker takes.
-func (r Rules) Checker() history.Rules {
+// HistoryRules is the form that the checker takes.
+func (r Rules) HistoryRules() history.Rules {
 	out := history.Rules{
 		AnswerSlack:      r.AnswerSlack,
 		DrainWithin:      r.DrainWithin,
@@ -107,8 +107,8 @@
 func domains(d history.Deduplication, replicas []string) map[string]string {
 	out := map[string]string{}
 	for _, name := range replicas {
-		first := slices.IndexFunc(replicas, func(other string) bool { return other == name || d.SameDomain(other, name) })
-		out[name] = replicas[first]
+		firstInDomain := slices.IndexFunc(replicas, func(other string) bool { return other == name || d.SameDomain(other, name) })
+		out[name] = replicas[firstInDomain]
 	}
 	return out
 }
--- a/internal/faultbench/history/reservation.go
+++ b/internal/faultbench/history/reservation.go
@@ -30,10 +30,10 @@
 	end := time.Duration(0)
 	for _, e := range sortedByLastByte(c.events) {
 		end = e.At
-		r.apply(e)
+		r.applyEvent(e)
 	}
 	for _, s := range r.reservations {
-		r.judge(s, end)
+		r.checkRelease(s, end)
 	}
 }
 
@@ -48,14 +48,14 @@
 	return sortedByTime(events)
 }
 
-func (r *reservationChecker) apply(e Event) {
+func (r *reservationChecker) applyEvent(e Event) {
 	reserved := r.reservations[e.Request]
 	switch e.Kind {
 	case RequestSent:
 		r.requests[e.Request] = e
 	case AttemptArrived:
 		if reserved != nil {
-			r.judge(reserved, e.At)
+			r.checkRelease(reserved, e.At)
 		}
 		r.outstanding[e.Request]++
 	case AttemptEnded:
@@ -67,7 +67,7 @@
 		r.reservations[e.Request] = &reservation{Event: e, idleSince: e.At}
 	case StateReleased:
 		if reserved != nil {
-			r.judge(reserved, e.At)
+			r.checkRelease(reserved, e.At)
 			delete(r.reservations, e.Request)
 		}
 	}
@@ -87,10 +87,10 @@
 	return max(e.At, request.Until)
 }
 
-// judge reports a state that was reserved for too long until at. A process that was killed releases nothing ("What a
+// checkRelease reports a state that was reserved for too long until at. A process that was killed releases nothing ("What a
 // stopped instance left is freed some seconds later"); one that was paused acts again when it resumes; one that ended
 // by itself had time to.
-func (r *reservationChecker) judge(reserved *reservation, at time.Duration) {
+func (r *reservationChecker) checkRelease(reserved *reservation, at time.Duration) {
 	since := reserved.idleSince
 	for _, d := range r.downtimes[reserved.Dispatcher] {
 		if d.At > at || d.Until != 0 && d.Until < reserved.At {
--- a/internal/faultbench/history/rules.go
+++ b/internal/faultbench/history/rules.go
@@ -78,8 +78,8 @@
 // smallBudget is the budget, in requests, under which random arrivals are allowed a wider excess.
 const smallBudget = 30
 
-// excess is how many requests more than its budget of n a cold replica may get.
-func (r Rules) excess(n float64) float64 {
+// allowedExcess is how many requests more than its budget of n a cold replica may get.
+func (r Rules) allowedExcess(n float64) float64 {
 	switch {
 	case !r.RandomArrivals:
 		return 1
--- a/internal/faultbench/history/slowstart.go
+++ b/internal/faultbench/history/slowstart.go
@@ -22,7 +22,7 @@
 	}
 	allowed = b.Rules.OverloadMultiple * b.Start.Weight * b.Rules.CapacityFraction(b.Start, e.At)
 	allowed *= b.Rules.OverloadWindow.Seconds()
-	return sum, allowed, sum > allowed+b.Rules.excess(allowed/e.Weight)*e.Weight
+	return sum, allowed, sum > allowed+b.Rules.allowedExcess(allowed/e.Weight)*e.Weight
 }
 
 // checkSlowStarts judges RuleSlowStart: no cold replica gets more, over all dispatchers, than it bears. Each start is
--- a/internal/faultbench/history/stale.go
+++ b/internal/faultbench/history/stale.go
@@ -8,9 +8,9 @@
 	withdrawnAt time.Duration // 0: it is ready
 }
 
-// after is the status once another list was sent. An older list changes nothing; of two answers of one version the
+// updated is the status once another list was sent. An older list changes nothing; of two answers of one version the
 // withdrawal holds.
-func (s endpointStatus) after(e Event) endpointStatus {
+func (s endpointStatus) updated(e Event) endpointStatus {
 	ready := e.Kind == EndpointReady
 	if e.Version < s.version || e.Version == s.version && ready {
 		return s
@@ -33,7 +33,7 @@
 	for _, e := range sortedByTime(events) {
 		switch e.Kind {
 		case EndpointWithdrawn, EndpointReady:
-			endpoints[e.Replica] = endpoints[e.Replica].after(e)
+			endpoints[e.Replica] = endpoints[e.Replica].updated(e)
 		case AttemptArrived:
 			withdrawnAt := endpoints[e.Replica].withdrawnAt
 			since := withdrawnAt
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -10,21 +10,21 @@
 // Conn is one end of a connection on a link. What a cut holds back is sent when the cut ends, as TCP does.
 type Conn struct {
 	net.Conn
-	link   *Link
-	writes direction // of what this end writes
-	done   chan struct{}
-	once   sync.Once
+	link           *Link
+	writeDirection direction // of what this end writes
+	done           chan struct{}
+	closeOnce      sync.Once
 
 	lastReadAt     time.Time
 	burstArrivedAt atomic.Int64 // Unix nanoseconds, of the last burst
 	silenced       atomic.Bool  // nothing passes any more
-	passesFrom     time.Time    // nothing passes before
+	blockedUntil   time.Time    // nothing passes before
 
-	mu      sync.Mutex
-	queue   []packet // writes that are held back
-	pumping bool     // pump runs
-	closing bool
-	err     error // of a write that was held back
+	mu       sync.Mutex
+	queue    []packet // writes that are held back
+	flushing bool     // pump runs
+	closing  bool
+	err      error // of a write that was held back
 }
 
 // packet is a write that is held back.
@@ -33,9 +33,9 @@
 	due  time.Time
 }
 
-// wrap puts a connection on a link; writes is the direction of what this end writes.
-func wrap(c net.Conn, l *Link, writes direction) *Conn {
-	out := &Conn{Conn: c, link: l, writes: writes, done: make(chan struct{})}
+// newConn puts a connection on a link; writes is the direction of what this end writes.
+func newConn(c net.Conn, l *Link, writeDirection direction) *Conn {
+	out := &Conn{Conn: c, link: l, writeDirection: writeDirection, done: make(chan struct{})}
 	l.mu.Lock()
 	l.conns[out] = struct{}{}
 	l.mu.Unlock()
@@ -57,11 +57,11 @@
 	undelayed
 )
 
-// wait holds n bytes of a direction back for as long as its condition says.
-func (c *Conn) wait(d direction, n int, p pacing) error {
+// awaitTransmission holds n bytes of a direction back for as long as its condition says.
+func (c *Conn) awaitTransmission(d direction, n int, p pacing) error {
 	for {
-		delay, cut, changed := c.link.hold(d, n)
-		if connecting := time.Until(c.passesFrom); connecting > 0 {
+		delay, cut, changed := c.link.transmissionDelay(d, n)
+		if connecting := time.Until(c.blockedUntil); connecting > 0 {
 			delay, p = max(delay, connecting), delayed
 		}
 		if cut || c.silenced.Load() {
@@ -86,19 +86,19 @@
 	}
 }
 
-// sameBurst is how soon after bytes were read others belong to them, as a body to its head.
-const sameBurst = 5 * time.Millisecond
+// burstGap is how soon after bytes were read others belong to them, as a body to its head.
+const burstGap = 5 * time.Millisecond
 
 // Read implements net.Conn. A burst that was already under way is delayed only once.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	p := delayed
-	if time.Since(c.lastReadAt) < sameBurst {
+	if time.Since(c.lastReadAt) < burstGap {
 		p = undelayed
 	} else if n > 1 { // a single byte is what net/http reads ahead while a request is answered
 		c.burstArrivedAt.Store(time.Now().UnixNano())
 	}
-	if werr := c.wait(c.writes.opposite(), n, p); werr != nil {
+	if werr := c.awaitTransmission(c.writeDirection.opposite(), n, p); werr != nil {
 		return 0, werr
 	}
 	c.lastReadAt = time.Now()
@@ -107,7 +107,7 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	d, cut, _ := c.link.hold(c.writes, len(p))
+	d, cut, _ := c.link.transmissionDelay(c.writeDirection, len(p))
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
 	if c.err != nil || c.closing {
@@ -117,7 +117,7 @@
 		}
 		return 0, c.err
 	}
-	if d <= 0 && !cut && !c.pumping {
+	if d <= 0 && !cut && !c.flushing {
 		c.mu.Unlock()
 		return c.Conn.Write(p)
 	}
@@ -126,24 +126,24 @@
 		due = c.queue[n-1].due
 	}
 	c.queue = append(c.queue, packet{append([]byte(nil), p...), due})
-	if !c.pumping {
-		c.pumping = true
-		go c.pump()
+	if !c.flushing {
+		c.flushing = true
+		go c.flushQueue()
 	}
 	c.mu.Unlock()
 	return len(p), nil
 }
 
-// pump writes what is held back when it is due.
-func (c *Conn) pump() {
+// flushQueue writes what is held back when it is due.
+func (c *Conn) flushQueue() {
 	for {
 		c.mu.Lock()
 		if len(c.queue) == 0 {
-			c.pumping = false
+			c.flushing = false
 			closing := c.closing
 			c.mu.Unlock()
 			if closing {
-				c.end()
+				c.closeNow()
 			}
 			return
 		}
@@ -156,17 +156,17 @@
 		case <-c.done:
 		}
 		timer.Stop()
-		err := c.wait(c.writes, 0, undelayed)
+		err := c.awaitTransmission(c.writeDirection, 0, undelayed)
 		if err == nil {
 			_, err = c.Conn.Write(next.data)
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.err, c.queue, c.pumping = err, nil, false
+			c.err, c.queue, c.flushing = err, nil, false
 			closing := c.closing
 			c.mu.Unlock()
 			if closing {
-				c.end()
+				c.closeNow()
 			}
 			return
 		}
@@ -175,24 +175,24 @@
 
 // Close implements net.Conn. What was written still goes out first; the end too is held back by a cut.
 func (c *Conn) Close() error {
-	_, cut, _ := c.link.hold(c.writes, 0)
+	_, cut, _ := c.link.transmissionDelay(c.writeDirection, 0)
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
 	already := c.closing
 	c.closing = true
-	if already || c.pumping {
+	if already || c.flushing {
 		c.mu.Unlock()
 		return nil
 	}
 	if cut {
-		c.pumping = true
+		c.flushing = true
 		c.queue = append(c.queue, packet{})
-		go c.pump()
+		go c.flushQueue()
 		c.mu.Unlock()
 		return nil
 	}
 	c.mu.Unlock()
-	c.end()
+	c.closeNow()
 	return nil
 }
 
@@ -201,11 +201,11 @@
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
-	c.end()
+	c.closeNow()
 }
 
-func (c *Conn) end() {
-	c.once.Do(func() {
+func (c *Conn) closeNow() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		c.Conn.Close()
 		c.link.mu.Lock()
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -37,10 +37,10 @@
 	mu           sync.Mutex
 	conditions   [2]Condition // by direction
 	changed      chan struct{}
-	listeners    []func(cut bool)
+	cutHandlers  []func(cut bool)
 	conns        map[*Conn]struct{}
 	rng          *rand.Rand
-	healthyFrom  time.Time // the end of the last fault, or its last change
+	lastFaultAt  time.Time // the end of the last fault, or its last change
 	connectDelay time.Duration
 }
 
@@ -54,10 +54,10 @@
 	l.mu.Lock()
 	l.conditions = [...]Condition{toListener: to, fromListener: from}
 	l.notify()
-	l.healthyFrom = time.Now()
-	listeners, cut := l.listeners, to.Cut || from.Cut
+	l.lastFaultAt = time.Now()
+	cutHandlers, cut := l.cutHandlers, to.Cut || from.Cut
 	l.mu.Unlock()
-	for _, f := range listeners {
+	for _, f := range cutHandlers {
 		f(cut)
 	}
 }
@@ -72,7 +72,7 @@
 func (l *Link) Healthy(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conditions == [2]Condition{} && l.connectDelay == 0 && !l.healthyFrom.After(t)
+	return l.conditions == [2]Condition{} && l.connectDelay == 0 && !l.lastFaultAt.After(t)
 }
 
 // Reset breaks all open connections.
@@ -93,7 +93,7 @@
 func (l *Link) SilenceConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.healthyFrom = time.Now()
+	l.lastFaultAt = time.Now()
 	for c := range l.conns {
 		c.silenced.Store(true)
 	}
@@ -104,7 +104,7 @@
 func (l *Link) SetConnectDelay(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.connectDelay, l.healthyFrom = delay, time.Now()
+	l.connectDelay, l.lastFaultAt = delay, time.Now()
 }
 
 // currentConnectDelay is the delay of a connection that is accepted now.
@@ -122,8 +122,8 @@
 	return c.Cut || c.Loss > 0 && l.rng.Float64() < c.Loss, c.Delay
 }
 
-// hold is how long n bytes of a direction take from now; cut says that they wait for changed.
-func (l *Link) hold(d direction, n int) (wait time.Duration, cut bool, changed <-chan struct{}) {
+// transmissionDelay is how long n bytes of a direction take from now; cut says that they wait for changed.
+func (l *Link) transmissionDelay(d direction, n int) (wait time.Duration, cut bool, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions[d]
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -22,27 +22,27 @@
 	conns chan net.Conn
 	done  chan struct{}
 
-	mu         sync.Mutex
-	listener   net.Listener
-	fillers    []net.Conn // the full socket's own callers
-	fullSocket *os.File   // the full socket
-	cut        bool
-	down       bool
-	ended      bool
+	mu          sync.Mutex
+	listener    net.Listener
+	fillerConns []net.Conn // the full socket's own callers
+	fullSocket  *os.File   // the full socket
+	cut         bool
+	down        bool
+	ended       bool
 }
 
 // Listen opens an address for the calls of one link.
 func Listen(addr string, l *Link) (*Listener, error) {
-	at, err := net.ResolveTCPAddr("tcp4", addr)
+	tcpAddr, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("network: %w", err)
 	}
-	out := &Listener{addr: at, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
+	out := &Listener{addr: tcpAddr, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
 	if err := out.apply(); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
-	l.listeners = append(l.listeners, out.setCut)
+	l.cutHandlers = append(l.cutHandlers, out.setCut)
 	l.mu.Unlock()
 	return out, nil
 }
@@ -67,11 +67,11 @@
 	wantFull := l.cut && !l.ended
 	wantOpen := !l.cut && !l.down && !l.ended
 	if !wantFull && l.fullSocket != nil {
-		for _, c := range l.fillers {
+		for _, c := range l.fillerConns {
 			c.Close()
 		}
 		l.fullSocket.Close()
-		l.fillers, l.fullSocket = nil, nil
+		l.fillerConns, l.fullSocket = nil, nil
 	}
 	if !wantOpen && l.listener != nil {
 		l.listener.Close()
@@ -116,28 +116,28 @@
 	if err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
-	pit := os.NewFile(uintptr(fd), "pit")
-	at := &unix.SockaddrInet4{Port: l.addr.Port, Addr: [4]byte(l.addr.IP.To4())}
+	socket := os.NewFile(uintptr(fd), "pit")
+	sockaddr := &unix.SockaddrInet4{Port: l.addr.Port, Addr: [4]byte(l.addr.IP.To4())}
 	_, err = retryBusy(func() (struct{}, error) {
 		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 			return struct{}{}, err
 		}
-		return struct{}{}, unix.Bind(fd, at)
+		return struct{}{}, unix.Bind(fd, sockaddr)
 	})
 	if err == nil {
 		err = unix.Listen(fd, 0)
 	}
 	if err != nil {
-		pit.Close()
+		socket.Close()
 		return fmt.Errorf("full socket: %w", err)
 	}
-	l.fullSocket = pit
+	l.fullSocket = socket
 	for range 2 { // the first fills the queue; the second shows that it is full
 		c, err := net.DialTimeout("tcp4", l.addr.String(), fillTimeout)
 		if err != nil {
 			break
 		}
-		l.fillers = append(l.fillers, c)
+		l.fillerConns = append(l.fillerConns, c)
 	}
 	return nil
 }
@@ -148,8 +148,8 @@
 		if err != nil {
 			return
 		}
-		conn := wrap(c, l.link, fromListener)
-		conn.passesFrom = time.Now().Add(l.link.currentConnectDelay())
+		conn := newConn(c, l.link, fromListener)
+		conn.blockedUntil = time.Now().Add(l.link.currentConnectDelay())
 		select {
 		case l.conns <- conn:
 		case <-l.done:
@@ -189,7 +189,7 @@
 
 // Dial connects to an address over a link, from the side that dials; on a cut link the connection never comes up.
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
-	if _, cut, _ := l.hold(toListener, 0); cut {
+	if _, cut, _ := l.transmissionDelay(toListener, 0); cut {
 		<-ctx.Done()
 		return nil, fmt.Errorf("network: %w", ctx.Err())
 	}
@@ -197,5 +197,5 @@
 	if err != nil {
 		return nil, err // the caller tells errors apart by their type
 	}
-	return wrap(c, l, toListener), nil
+	return newConn(c, l, toListener), nil
 }
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -74,29 +74,29 @@
 		if l == nil {
 			continue
 		}
-		lost, late := l.DrawLoss()
+		lost, delay := l.DrawLoss()
 		if lost {
 			continue
 		}
 		r.bytes.Add(int64(n))
-		r.remember(buf[:n])
-		if late <= 0 {
+		r.storeForReplay(buf[:n])
+		if delay <= 0 {
 			r.udp.WriteTo(buf[:n], to)
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		time.AfterFunc(late, func() { r.udp.WriteTo(data, to) })
+		time.AfterFunc(delay, func() { r.udp.WriteTo(data, to) })
 	}
 }
 
-// maxRemembered is how many datagrams a relay remembers.
-const maxRemembered = 2000
+// maxReplayPackets is how many datagrams a relay remembers.
+const maxReplayPackets = 2000
 
-func (r *Relay) remember(b []byte) {
+func (r *Relay) storeForReplay(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recent = append(r.recent, append([]byte(nil), b...))
-	r.recent = r.recent[max(0, len(r.recent)-maxRemembered):]
+	r.recent = r.recent[max(0, len(r.recent)-maxReplayPackets):]
 }
 
 // Replay sends the receiver all remembered datagrams once more, sealed and signed as they were, and returns how many.
@@ -126,7 +126,7 @@
 			c.Close()
 			continue
 		}
-		r.wg.Go(func() { r.relayStream(wrap(c, l, fromListener)) })
+		r.wg.Go(func() { r.relayStream(newConn(c, l, fromListener)) })
 	}
 }
 
@@ -138,9 +138,9 @@
 		in.Abort()
 		return
 	}
-	end := make(chan struct{})
+	finished := make(chan struct{})
 	var once sync.Once
-	stop := func() { once.Do(func() { close(end) }) }
+	finish := func() { once.Do(func() { close(finished) }) }
 	go func() {
 		n, _ := io.Copy(out, in)
 		r.bytes.Add(n)
@@ -149,10 +149,10 @@
 	go func() {
 		n, _ := io.Copy(in, out)
 		r.bytes.Add(n)
-		stop()
+		finish()
 	}()
 	select {
-	case <-end:
+	case <-finished:
 		in.Close()
 	case <-in.done:
 	case <-r.done:
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -50,11 +50,11 @@
 	faults       hostos.Faults
 	terminatedAt time.Time // when SIGTERM was sent to this process; zero: it was not
 	cmd          *exec.Cmd
-	ended        chan struct{} // closed when this process has ended
-	endExpected  bool          // the bench ends this process
+	exited       chan struct{} // closed when this process has ended
+	exitExpected bool          // the bench ends this process
 	downSince    time.Duration // 0: it is up
 	downReason   string        // as ProcessDown events have it
-	upAgainAt    time.Time     // this process's start, or the end of its last pause
+	upSince      time.Time     // this process's start, or the end of its last pause
 	readyAfter   time.Duration // from this process's start until it served
 	maxFDs       int           // that were seen, if it was measured
 	maxOwnMB     float64       // likewise
@@ -99,27 +99,27 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("dispatcher %d: %w", p.config.Index, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.endExpected, p.terminatedAt = cmd, ended, false, time.Time{}
+	p.cmd, p.exited, p.exitExpected, p.terminatedAt = cmd, exited, false, time.Time{}
 	p.mu.Unlock()
 	go func() {
-		p.noteEnd(cmd, cmd.Wait())
-		close(ended)
+		p.recordEnd(cmd, cmd.Wait())
+		close(exited)
 	}()
 	began := time.Now()
-	if err := p.awaitReady(ctx, ended); err != nil {
+	if err := p.awaitReady(ctx, exited); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	p.readyAfter = time.Since(began)
 	p.mu.Unlock()
-	p.noteUp()
+	p.recordUp()
 	return nil
 }
 
 // awaitReady polls the process's health until it serves.
-func (p *Process) awaitReady(ctx context.Context, ended <-chan struct{}) error {
+func (p *Process) awaitReady(ctx context.Context, exited <-chan struct{}) error {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for deadline := time.Now().Add(readyTimeout); ; {
 		if resp, err := client.Get(p.config.HealthURL); err == nil {
@@ -129,7 +129,7 @@
 			}
 		}
 		select {
-		case <-ended:
+		case <-exited:
 			return fmt.Errorf("dispatcher %d ended before it served: see its log in %s", p.config.Index, p.config.Dir)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -141,12 +141,12 @@
 	}
 }
 
-// noteEnd notes that a process has ended. It has crashed unless the bench ended it, by SIGKILL or with exit code 0.
-func (p *Process) noteEnd(cmd *exec.Cmd, err error) {
+// recordEnd notes that a process has ended. It has crashed unless the bench ended it, by SIGKILL or with exit code 0.
+func (p *Process) recordEnd(cmd *exec.Cmd, err error) {
 	killed := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.endExpected || err != nil && !killed {
+	if !p.exitExpected || err != nil && !killed {
 		p.crashes++
 		p.config.Log.Warn("crashed", "dispatcher", p.config.Index, "err", err)
 	}
@@ -159,22 +159,22 @@
 	}
 }
 
-// noteUp records the time in which it was not up, and which it does not answer for.
-func (p *Process) noteUp() {
+// recordUp records the time in which it was not up, and which it does not answer for.
+func (p *Process) recordUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.downSince > 0 {
 		p.config.History.Add(history.Event{At: p.downSince, Kind: history.ProcessDown, Class: p.downReason,
 			Dispatcher: p.config.Index, Until: p.config.History.Now()})
 	}
-	p.downSince, p.upAgainAt = 0, time.Now()
+	p.downSince, p.upSince = 0, time.Now()
 }
 
 // UpSince tells whether it has been up since t without a break.
 func (p *Process) UpSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.downSince == 0 && p.upAgainAt.Before(t)
+	return p.downSince == 0 && p.upSince.Before(t)
 }
 
 // Terminating tells whether SIGTERM was sent to this process longer than a time ago.
@@ -222,24 +222,24 @@
 // Kill ends the process by SIGKILL, and waits for its end.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.endExpected = true
+	p.exitExpected = true
 	p.markDown()
 	p.sendSignal(syscall.SIGKILL)
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	<-ended
+	<-exited
 }
 
 // Terminate ends the process as a planned restart does: by SIGTERM, and SIGKILL where that takes too long.
 func (p *Process) Terminate() {
 	p.mu.Lock()
 	p.terminatedAt = time.Now()
-	p.endExpected = true
+	p.exitExpected = true
 	p.sendSignal(syscall.SIGTERM)
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(p.config.KillAfter):
 		p.Kill()
 	}
@@ -261,7 +261,7 @@
 	p.mu.Unlock()
 	timing.Sleep(ctx, d)
 	p.Signal(syscall.SIGCONT)
-	p.noteUp()
+	p.recordUp()
 }
 
 // Restart starts a process after the last one's end. One that does not come up counts as crashed, unless the context
@@ -278,8 +278,8 @@
 // Stop ends the last process gracefully and reads its counters.
 func (p *Process) Stop() {
 	p.mu.Lock()
-	ended, cmd := p.ended, p.cmd
-	p.endExpected = true
+	exited, cmd := p.exited, p.cmd
+	p.exitExpected = true
 	p.mu.Unlock()
 	if cmd == nil {
 		return
@@ -287,10 +287,10 @@
 	cmd.Process.Signal(syscall.SIGCONT)
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(p.config.KillAfter):
 		cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultbench/process/usage.go
+++ b/internal/faultbench/process/usage.go
@@ -29,7 +29,7 @@
 func (p *Process) Usage() (u Usage) {
 	pid := p.PID()
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	u.RSSMB, u.OwnMB = statusMB(status, maxResident), statusMB(status, anonymousResident)
+	u.RSSMB, u.OwnMB = statusMB(status, peakResidentLine), statusMB(status, anonymousResidentLine)
 	fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	p.mu.Lock()
 	p.maxFDs = max(p.maxFDs, len(fds))
@@ -42,8 +42,8 @@
 }
 
 var (
-	maxResident       = regexp.MustCompile(`(?m)^VmHWM:\s+(\d+) kB`)
-	anonymousResident = regexp.MustCompile(`(?m)^RssAnon:\s+(\d+) kB`)
+	peakResidentLine      = regexp.MustCompile(`(?m)^VmHWM:\s+(\d+) kB`)
+	anonymousResidentLine = regexp.MustCompile(`(?m)^RssAnon:\s+(\d+) kB`)
 )
 
 // statusMB reads a size from /proc/PID/status; 0: it is not there.
@@ -92,8 +92,8 @@
 }
 
 var (
-	counterLine = regexp.MustCompile(`(?m)^event=counters .*$`)
-	counter     = regexp.MustCompile(`(\w+)=([0-9.]+)`)
+	counterLine  = regexp.MustCompile(`(?m)^event=counters .*$`)
+	counterField = regexp.MustCompile(`(\w+)=([0-9.]+)`)
 )
 
 // readCounters reads the last line of counters in a log, with the most goroutines of any line.
@@ -112,7 +112,7 @@
 
 func parseCounters(line []byte) map[string]float64 {
 	out := map[string]float64{}
-	for _, m := range counter.FindAllSubmatch(line, -1) {
+	for _, m := range counterField.FindAllSubmatch(line, -1) {
 		if v, err := strconv.ParseFloat(string(m[2]), 64); err == nil {
 			out[string(m[1])] = v
 		}
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -49,13 +49,13 @@
 	tokens  int
 }
 
-// clusterStream is the stream of the random generator that draws the replicas' faults.
-const clusterStream = 0xc1
+// randomStream is the stream of the random generator that draws the replicas' faults.
+const randomStream = 0xc1
 
 // NewCluster makes a scenario's replicas. They record into r, which may be nil while nothing calls them.
 func NewCluster(r *history.Recorder, rules history.Rules, s *scenario.Scenario, seed uint64) *Cluster {
 	c := &Cluster{history: r, rules: rules, requests: map[string]*deployment.Request{}, states: map[string]*reservedState{},
-		waitingDecodes: map[string]int{}, eventWrittenAt: map[eventKey]time.Time{}, rng: rand.New(rand.NewPCG(seed, clusterStream))}
+		waitingDecodes: map[string]int{}, eventWrittenAt: map[eventKey]time.Time{}, rng: rand.New(rand.NewPCG(seed, randomStream))}
 	for i := range s.PrefillReplicas + s.DecodeReplicas {
 		p := &Replica{Name: fmt.Sprintf("reader-%d", i), Index: i, Zone: i % s.Zones, cluster: c, slowdown: 1,
 			cachedTokens: map[string]int{}, slots: make(chan struct{}, decodeSlots)}
@@ -105,8 +105,8 @@
 	return time.Since(at)
 }
 
-// eventWritten notes that an event is being written.
-func (c *Cluster) eventWritten(id string, tokens int) {
+// recordEventWrite notes that an event is being written.
+func (c *Cluster) recordEventWrite(id string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.eventWrittenAt[eventKey{id, tokens}] = time.Now()
@@ -124,12 +124,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.states[id] = &reservedState{holder: holder, tokens: tokens,
-		expiry: time.AfterFunc(reservationTimeout, func() { c.takeState(id, true) })}
+		expiry: time.AfterFunc(reservationTimeout, func() { c.removeState(id, true) })}
 	c.history.Add(history.Event{Kind: history.StateReserved, Request: id, Replica: holder.Name, Dispatcher: dispatcher})
 }
 
-// takeState removes the state of a request; linkHealthy tells whether the call for it came over a link without a fault.
-func (c *Cluster) takeState(id string, linkHealthy bool) *reservedState {
+// removeState removes the state of a request; linkHealthy tells whether the call for it came over a link without a fault.
+func (c *Cluster) removeState(id string, linkHealthy bool) *reservedState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.states[id]
@@ -148,12 +148,12 @@
 	waiting := c.waitingDecodes[id] > 0
 	c.mu.Unlock()
 	if !waiting {
-		c.takeState(id, linkHealthy)
+		c.removeState(id, linkHealthy)
 	}
 }
 
-// awaitState counts a decode attempt that waits for a request's state, until done is called.
-func (c *Cluster) awaitState(id string) (done func()) {
+// addWaitingDecode counts a decode attempt that waits for a request's state, until done is called.
+func (c *Cluster) addWaitingDecode(id string) (done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.waitingDecodes[id]++
@@ -166,8 +166,8 @@
 	}
 }
 
-// dropStatesOf releases all states of a replica whose process ends.
-func (c *Cluster) dropStatesOf(holder *Replica) {
+// removeStatesOf releases all states of a replica whose process ends.
+func (c *Cluster) removeStatesOf(holder *Replica) {
 	c.mu.Lock()
 	var lost []string
 	for id, s := range c.states {
@@ -177,7 +177,7 @@
 	}
 	c.mu.Unlock()
 	for _, id := range lost {
-		c.takeState(id, false)
+		c.removeState(id, false)
 	}
 }
 
--- a/internal/faultbench/replica/connections.go
+++ b/internal/faultbench/replica/connections.go
@@ -30,8 +30,8 @@
 	return slices.Clone(s.openedAt)
 }
 
-// track is the server's ConnState hook.
-func (s *ConnectionStats) track(_ net.Conn, state http.ConnState) {
+// trackConnState is the server's ConnState hook.
+func (s *ConnectionStats) trackConnState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		s.opened.Add(1)
--- a/internal/faultbench/replica/corrupt.go
+++ b/internal/faultbench/replica/corrupt.go
@@ -20,12 +20,12 @@
 	// trailingResponse follows each corrupt response after trailingResponseDelay.
 	trailingResponse      = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n"
 	trailingResponseDelay = 8 * time.Millisecond
-	// corruptLinger is how long the connection stays open then, unless the caller closes it.
-	corruptLinger = 2 * time.Second
+	// corruptConnTimeout is how long the connection stays open then, unless the caller closes it.
+	corruptConnTimeout = 2 * time.Second
 )
 
-// corrupt answers a call with a corrupt response if it draws one, and tells whether it did. Nothing has run then.
-func (r *Replica) corrupt(w http.ResponseWriter) bool {
+// maybeRespondCorrupt answers a call with a maybeRespondCorrupt response if it draws one, and tells whether it did. Nothing has run then.
+func (r *Replica) maybeRespondCorrupt(w http.ResponseWriter) bool {
 	r.mu.Lock()
 	rate := r.corruptionRate
 	r.mu.Unlock()
@@ -40,7 +40,7 @@
 	io.WriteString(conn, corruptResponses[int(r.cluster.random()*float64(len(corruptResponses)))])
 	time.Sleep(trailingResponseDelay)
 	io.WriteString(conn, trailingResponse)
-	conn.SetReadDeadline(time.Now().Add(corruptLinger))
+	conn.SetReadDeadline(time.Now().Add(corruptConnTimeout))
 	io.Copy(io.Discard, conn) // until the caller closes
 	return true
 }
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -28,16 +28,16 @@
 // EventMark is the content of an event: it names the request that it was made for and the tokens before it.
 func EventMark(id string, tokens int) string { return fmt.Sprintf("%s.%d ", id, tokens) }
 
-// answer answers an attempt that has begun, with the state that it took.
-type answer func(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState)
+// responder answers an attempt that has begun, with the state that it took.
+type responder func(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState)
 
-// failOnceBegun is the answer of a replica that fails while it executes.
-func failOnceBegun(w http.ResponseWriter, _ *http.Request, _ attempt, _ *reservedState) {
+// failAfterStart is the answer of a replica that fails while it executes.
+func failAfterStart(w http.ResponseWriter, _ *http.Request, _ attempt, _ *reservedState) {
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
 // decode waits for a slot, takes the request's state and answers.
-func (r *Replica) decode(w http.ResponseWriter, q *http.Request, a attempt, respond answer) {
+func (r *Replica) decode(w http.ResponseWriter, q *http.Request, a attempt, respond responder) {
 	r.mu.Lock()
 	if r.waiting+r.active >= decodeSlots+decodeQueueLimit {
 		r.mu.Unlock()
@@ -50,7 +50,7 @@
 		return
 	}
 	defer r.releaseSlot()
-	state := r.cluster.takeState(a.id, true)
+	state := r.cluster.removeState(a.id, true)
 	if state == nil {
 		respondNotExecuted(w, http.StatusGone)
 		return
@@ -84,8 +84,8 @@
 	r.mu.Unlock()
 }
 
-// streamAnswer transfers the state and streams the answer's events.
-func (r *Replica) streamAnswer(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState) {
+// streamResponse transfers the state and streams the answer's events.
+func (r *Replica) streamResponse(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState) {
 	ctx := q.Context()
 	transfer := float64(state.tokens) / transferTokensPerSecond
 	if state.holder.Zone != r.Zone {
@@ -103,7 +103,7 @@
 			return
 		}
 		if linkHealthy(q) {
-			r.cluster.eventWritten(a.id, n)
+			r.cluster.recordEventWrite(a.id, n)
 		}
 		finish := "null"
 		if n+TokensPerEvent >= output {
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -18,11 +18,11 @@
 // reservationPath is the path prefix of states; a request's ID follows.
 const reservationPath = "/bootstrap/rooms/"
 
-// linkHealthyFor is how long before a call its link must have been without a fault for the call to count as unimpeded.
-const linkHealthyFor = time.Second
+// minLinkHealthyTime is how long before a call its link must have been without a fault for the call to count as unimpeded.
+const minLinkHealthyTime = time.Second
 
-// decodeEarlyErrorPart is the part of a decode replica's failing calls that fail before anything has run.
-const decodeEarlyErrorPart = 0.5
+// decodeEarlyErrorFraction is the part of a decode replica's failing calls that fail before anything has run.
+const decodeEarlyErrorFraction = 0.5
 
 // call is how a call arrived.
 type call struct {
@@ -57,7 +57,7 @@
 		return
 	}
 	r.awaitResumed(q.Context())
-	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-linkHealthyFor)))
+	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-minLinkHealthyTime)))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	r.awaitResumed(q.Context())
-	if r.corrupt(w) {
+	if r.maybeRespondCorrupt(w) {
 		return
 	}
 	r.mu.Lock()
@@ -114,14 +114,14 @@
 	r.mu.Unlock()
 	failing := errorRate > 0 && r.cluster.random() < errorRate
 	switch {
-	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorPart):
+	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorFraction):
 		w.WriteHeader(http.StatusInternalServerError)
 	case failing:
-		defer r.cluster.awaitState(a.id)()
-		r.decode(w, q, a, failOnceBegun)
+		defer r.cluster.addWaitingDecode(a.id)()
+		r.decode(w, q, a, failAfterStart)
 	case r.Decode:
-		defer r.cluster.awaitState(a.id)()
-		r.decode(w, q, a, r.streamAnswer)
+		defer r.cluster.addWaitingDecode(a.id)()
+		r.decode(w, q, a, r.streamResponse)
 	default:
 		r.prefill(w, q, a)
 	}
@@ -132,7 +132,7 @@
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
 		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher,
-		LinkHealthy: a.link.Healthy(began.Add(-linkHealthyFor)), Weight: r.work(a.request)}
+		LinkHealthy: a.link.Healthy(began.Add(-minLinkHealthyTime)), Weight: r.meanWork(a.request)}
 	if timeout, err := parseTimeout(q.Header.Get("X-Expires-In")); err == nil {
 		event.AnnouncedTimeout = timeout
 	}
--- a/internal/faultbench/replica/load.go
+++ b/internal/faultbench/replica/load.go
@@ -8,8 +8,8 @@
 
 const (
 	loadReportInterval = 300 * time.Millisecond // load reports are refreshed no more often
-	// busyPrefills is how many waiting attempts make a prefill replica fully utilized; the others count as its queue.
-	busyPrefills = 4
+	// fullUtilizationPrefills is how many waiting attempts make a prefill replica fully utilized; the others count as its queue.
+	fullUtilizationPrefills = 4
 )
 
 // currentLoadReport is its load report, at most loadReportInterval old.
@@ -22,7 +22,7 @@
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.reportedAt) >= loadReportInterval {
 		r.reportedAt = now
-		utilization, queue := math.Min(float64(r.waiting)/busyPrefills, 1), max(r.waiting-busyPrefills, 0)
+		utilization, queue := math.Min(float64(r.waiting)/fullUtilizationPrefills, 1), max(r.waiting-fullUtilizationPrefills, 0)
 		memory := float64(reserved) / reservedTokensLimit
 		if r.Decode {
 			utilization, queue, memory = float64(r.active)/decodeSlots, r.waiting, float64(r.active)/decodeSlots
--- a/internal/faultbench/replica/replica.go
+++ b/internal/faultbench/replica/replica.go
@@ -65,7 +65,7 @@
 	for _, l := range r.listeners {
 		l.Link().Reset()
 	}
-	r.cluster.dropStatesOf(r)
+	r.cluster.removeStatesOf(r)
 }
 
 // Restart starts its process again, cold.
@@ -148,8 +148,8 @@
 	return speed
 }
 
-// work is a request's mean work, by its class, as a part of what the replica does in a second.
-func (r *Replica) work(request *deployment.Request) float64 {
+// meanWork is a request's mean meanWork, by its class, as a part of what the replica does in a second.
+func (r *Replica) meanWork(request *deployment.Request) float64 {
 	if r.Decode {
 		return float64(request.Class.OutputTokens) * deployment.DecodeTokenTime.Seconds() * meanBatchSlowdown / decodeSlots / r.Weight()
 	}
@@ -173,7 +173,7 @@
 		if process.Err() != nil {
 			panic(http.ErrAbortHandler) // the process has ended
 		}
-	}), ErrorLog: network.DiscardLog, ConnState: r.Connections.track, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+	}), ErrorLog: network.DiscardLog, ConnState: r.Connections.trackConnState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, c)
 	}}
 	go s.Serve(l)
