--- a/internal/faultbench/history/attempt.go
+++ b/internal/faultbench/history/attempt.go
@@ -6,18 +6,21 @@
 )
 
 const (
-	closeGrace = 100 * time.Millisecond // after a client's close, in which an attempt may still start
-	// timeoutSlack is on the timeout that an attempt announces, and how long a pause is that holds a process up.
+	// closeGrace is the time after a client's close within which an attempt may still start.
+	closeGrace = 100 * time.Millisecond
+	// timeoutSlack is the tolerance on the timeout that an attempt announces, and the length above which a pause
+	// counts as a delay of the process.
 	timeoutSlack = 150 * time.Millisecond
-	// resumeSlack is how soon after a pause bytes count as sent in the moment in which the process was paused.
+	// resumeSlack is the time after a pause within which arriving bytes may have been sent before the pause.
 	resumeSlack = 100 * time.Millisecond
 )
 
-// checkAttemptsAfterClose judges RuleNoAttemptAfterClose: no attempt starts over closeGrace after its client closed
-// its connection ("A client that closes its connection has gone away"). A fault on the client's link may hide the
-// close, and bytes of a process that was paused may have been sent before.
+// checkAttemptsAfterClose checks RuleNoAttemptAfterClose: no attempt starts later than closeGrace after its client
+// closed its connection ("A client that closes its connection has gone away"). The rule exempts a close over a faulty
+// link, since the dispatcher may not see it, and an attempt of a process that was just paused, since its bytes may have
+// been sent before the pause.
 func (c *checker) checkAttemptsAfterClose() {
-	closes := map[string]Event{} // the first, by request
+	closes := map[string]Event{} // first ClientClosed event by request
 	for _, e := range c.events {
 		switch e.Kind {
 		case ClientClosed:
@@ -35,15 +38,15 @@
 	}
 }
 
-// justResumed tells whether a process was paused at a time or resumed a moment before it.
+// justResumed reports whether a process was down or paused at a time, or resumed at most resumeSlack before it.
 func (c *checker) justResumed(dispatcher int, at time.Duration) bool {
 	return slices.ContainsFunc(c.downtimes[dispatcher], func(d Event) bool {
 		return d.At <= at && (d.Until == 0 || at <= d.Until+resumeSlack)
 	})
 }
 
-// checkAnnouncedTimeouts judges RuleAnnouncedTimeout: an attempt announces to its replica at most the client's
-// remaining time.
+// checkAnnouncedTimeouts checks RuleAnnouncedTimeout: the timeout that an attempt announces to its replica does not
+// exceed the client's remaining time.
 func (c *checker) checkAnnouncedTimeouts() {
 	requests := map[string]Event{}
 	for _, e := range c.events {
@@ -62,24 +65,24 @@
 	}
 }
 
-// hadLongPause tells whether a process was paused at some time of a span for longer than the operators' figure for
-// being held up: it cannot know then how long a request has waited to be read.
+// hadLongPause reports whether a process was down between from and to, or paused for longer than the operators' limit
+// for a delayed process. After such a pause the process cannot determine how long a request waited to be read.
 func (c *checker) hadLongPause(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.downtimes[dispatcher], func(d Event) bool {
 		return d.At <= to && (d.Until == 0 || d.Until >= from && d.Until-d.At > timeoutSlack)
 	})
 }
 
-// attempt is one that arrived at a replica.
+// attempt is an attempt that arrived at a replica.
 type attempt struct {
 	Event
-	overlapStart time.Duration // when it overlapped with another first, as that one arrived; 0: it did not
+	overlapStart time.Duration // arrival of the attempt that it first overlapped with, or 0 if it overlapped with none
 	ended        bool
 }
 
-// checkParallelAttempts judges RuleNoParallelAttempts: no two attempts of a request are outstanding at once ("It is a
-// second copy if an earlier one is still out on an open connection"). The end of one shows at its replica a moment
-// late.
+// checkParallelAttempts checks RuleNoParallelAttempts: no two attempts at a request are outstanding at the same time
+// ("It is a second copy if an earlier one is still out on an open connection"). A replica notices the end of an
+// attempt with a short delay, which Rules.Slack covers.
 func (c *checker) checkParallelAttempts() {
 	attempts := map[string][]*attempt{} // by request
 	for _, e := range c.events {
@@ -92,15 +95,15 @@
 	}
 }
 
-// newAttempt is the attempt that an event reports. The earlier of it and each open attempt at another replica is marked
-// as overlapping.
+// newAttempt returns the attempt that arrival reports. Of it and each open attempt at another replica, newAttempt marks
+// the one that was sent first as overlapping.
 func newAttempt(arrival Event, others []*attempt) *attempt {
 	added := &attempt{Event: arrival}
 	for _, other := range others {
 		switch {
 		case other.ended || other.overlapStart != 0 || other.Replica == arrival.Replica:
 		case arrival.firstByteAt() < other.firstByteAt():
-			// A fault held this one back, which was sent before; it may be on a connection that is closed by now.
+			// The new attempt was sent first, but a fault delayed it. Its connection may already be closed.
 			added.overlapStart = arrival.At
 		default:
 			other.overlapStart = arrival.At
@@ -109,8 +112,9 @@
 	return added
 }
 
-// endAttempt ends the first open attempt at the event's replica, and reports it if another had arrived long before. A
-// fault on either attempt's link may hide a close from the replica.
+// endAttempt ends the first open attempt at the event's replica, and reports it if another attempt arrived more than
+// Rules.Slack before this end. It exempts an attempt whose link was faulty at its arrival or its end, since the replica
+// may not have seen the close.
 func (c *checker) endAttempt(end Event, attempts []*attempt) {
 	i := slices.IndexFunc(attempts, func(a *attempt) bool { return a.Replica == end.Replica && !a.ended })
 	if i < 0 {
--- a/internal/faultbench/history/check_strict_test.go
+++ b/internal/faultbench/history/check_strict_test.go
@@ -7,7 +7,8 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// Each stricter rule has histories that just keep it and histories that just break it.
+// Guards against limits and exemptions of the stricter rules that are too wide or too narrow: each rule has histories
+// at its limit, without a violation, and histories just past it, with one.
 func TestCheckStrictReportsEachRuleAtItsLimit(t *testing.T) {
 	arrival := func(at time.Duration, replica string) history.Event {
 		return event(at, history.AttemptArrived, func(e *history.Event) { e.Replica = replica })
@@ -35,7 +36,7 @@
 	pause := event(50*ms, history.ProcessDown, until(1000*ms))
 	for _, c := range []struct {
 		name   string
-		rule   string // that is broken; "": none
+		rule   string // broken rule, or "" if none is broken
 		events []history.Event
 	}{
 		{"an attempt in time after the close", "", []history.Event{clientClose, arrival(200*ms, "r")}},
--- a/internal/faultbench/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -12,7 +12,7 @@
 var rules = history.Rules{AnswerSlack: 58 * ms, DrainWithin: 550 * ms, ReleaseAfter: 650 * ms, OverloadMultiple: 2.5,
 	OverloadWindow: 2 * time.Second, InitialCapacity: 0.34, NonIdempotent: []string{"filing"}}
 
-// event is an event of dispatcher 0 on a healthy link, with the fields that change sets.
+// event returns an event of dispatcher 0 on a healthy link, with the fields that change sets.
 func event(at time.Duration, kind history.Kind, change func(*history.Event)) history.Event {
 	e := history.Event{At: at, Kind: kind, Request: "a", Group: "g", Class: "filing", Replica: "r", LinkHealthy: true}
 	if change != nil {
@@ -25,6 +25,7 @@
 
 func until(d time.Duration) func(*history.Event) { return func(e *history.Event) { e.Until = d } }
 
+// weight sets the weight, and the time until which the event applies.
 func weight(w float64, d time.Duration) func(*history.Event) {
 	return func(e *history.Event) { e.Weight, e.Until = w, d }
 }
@@ -35,11 +36,13 @@
 
 func onFaultyLink(e *history.Event) { e.LinkHealthy = false }
 
-// Each rule has histories that just keep it and histories that just break it.
+// Guards against limits and exemptions of the checker that are too wide or too narrow: each rule has histories at its
+// limit, without a violation, and histories just past it, with one.
 func TestCheckReportsEachRuleAtItsLimit(t *testing.T) {
 	request := event(100*ms, history.RequestSent, until(1100*ms))
 	pause := event(50*ms, history.ProcessDown, until(1000*ms))
-	start := event(0, history.ReplicaStarted, weight(10, 13*time.Second)) // 3.4 a second at first: 17 in the first 2 s
+	// The initial capacity is 3.4 requests per second, so the budget of the first 2 s is 17 requests.
+	start := event(0, history.ReplicaStarted, weight(10, 13*time.Second))
 	burst := func(n int) []history.Event {
 		out := []history.Event{start}
 		for i := range n {
@@ -49,7 +52,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		rule   string // that is broken; "": none
+		rule   string // broken rule, or "" if none is broken
 		events []history.Event
 	}{
 		{"in time", "", []history.Event{request, event(1158*ms, history.ResponseReceived, status(502))}},
--- a/internal/faultbench/history/connection.go
+++ b/internal/faultbench/history/connection.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	maxEventDelay         = 300 * time.Millisecond // that an event of a stream may be on its way
-	minStreams            = 20                     // under which delayed events prove nothing
-	minStreamsPerDelayed  = 20                     // one stream in so many may have a delayed event
-	partialRequestTimeout = 3 * time.Second        // within which a client with half a request is owed an error or a close
+	maxEventDelay         = 300 * time.Millisecond // maximum time from a replica's write of a stream event to its receipt
+	minStreams            = 20                     // minimum number of streams for a verdict on delayed events
+	minStreamsPerDelayed  = 20                     // minimum number of streams for each one that has a delayed event
+	partialRequestTimeout = 3 * time.Second        // maximum wait of a partial request for an error or a close
 )
 
-// checkDroppedRequests judges RuleNoDroppedRequest: a request that was forwarded is not closed without a response.
-// One that its dispatcher had not read may be ("If that close crosses a request that the dispatcher has not read, the
-// client sends the request once more").
+// checkDroppedRequests checks RuleNoDroppedRequest: the connection of a request that was forwarded is not closed
+// without a response. It may be closed if the dispatcher had not read the request ("If that close crosses a request
+// that the dispatcher has not read, the client sends the request once more").
 func (c *checker) checkDroppedRequests() {
-	forwarded := map[string]time.Duration{} // when the first attempt arrived, by request
+	forwarded := map[string]time.Duration{} // arrival of the first attempt, by request
 	for _, e := range c.events {
 		switch e.Kind {
 		case AttemptArrived:
@@ -31,9 +31,9 @@
 	}
 }
 
-// checkEventDelays judges RuleEventDelay: at most one stream in delayedOneIn has an event that reached its client
-// over maxEventDelay after its replica wrote it ("the events of one replica's stream for this request, all of them,
-// unchanged and as they come").
+// checkEventDelays checks RuleEventDelay: at most one stream in minStreamsPerDelayed has an event that reached its
+// client later than maxEventDelay after its replica wrote it ("the events of one replica's stream for this request, all
+// of them, unchanged and as they come").
 func (c *checker) checkEventDelays() {
 	streams, delayed := 0, 0
 	var last Event
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkPartialRequests judges RulePartialRequest: a client that stops in the middle of a request gets an error or the
-// close in time.
+// checkPartialRequests checks RulePartialRequest: a client that stops in the middle of a request gets an error or a
+// closed connection within partialRequestTimeout.
 func (c *checker) checkPartialRequests() {
 	for _, e := range c.events {
 		if e.Kind == PartialRequestEnded && e.Elapsed > partialRequestTimeout+c.rules.Slack && !c.exempt(e) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkLingeringConnections judges RuleDrainEnds: four seconds after an operator's drain no connection of a client is
-// idle, or has a request of the last two seconds.
+// checkLingeringConnections checks RuleDrainEnds: four seconds after an operator's drain no client connection is idle
+// or has a request of the last two seconds. The bench records a ConnectionLingers event for each such connection.
 func (c *checker) checkLingeringConnections() {
 	for _, e := range c.events {
 		if e.Kind == ConnectionLingers && !c.exempt(e) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// exempt tells whether what a client saw over the elapsed time of an event may come from a fault on its link, or from
-// a process that was down.
+// exempt reports whether a fault on the client's link or a process that was down during the elapsed time of an event
+// may have caused what the client observed.
 func (c *checker) exempt(e Event) bool {
 	return !e.LinkHealthy || c.wasDown(e.Dispatcher, e.At-e.Elapsed, e.At)
 }
--- a/internal/faultbench/history/drain.go
+++ b/internal/faultbench/history/drain.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// withdrawalKey names what one dispatcher was sent about one replica.
+// withdrawalKey identifies the withdrawal of one replica as sent to one dispatcher.
 type withdrawalKey struct {
 	dispatcher int
 	replica    string
 }
 
-// checkDrains judges RuleOrderlyDrain: "No SEND to a replica after rules.stopSendingWithinMs has elapsed since this
-// instance was informed that it is 2 (draining) or 0 (gone)". "A request's time counts from its last byte. For
-// drains, a send counts from its first.": what a fault held back after that byte is not the sender's.
+// checkDrains checks RuleOrderlyDrain: a dispatcher sends nothing to a replica later than Rules.DrainWithin after it
+// was informed that the replica is draining or gone. The rule: "No SEND to a replica after rules.stopSendingWithinMs
+// has elapsed since this instance was informed that it is 2 (draining) or 0 (gone)". An attempt counts from its first
+// byte, so that a fault that delays the rest is not charged to the sender: "A request's time counts from its last byte.
+// For drains, a send counts from its first."
 func (c *checker) checkDrains() {
-	withdrawn := map[withdrawalKey]time.Duration{} // since when
+	withdrawn := map[withdrawalKey]time.Duration{} // time of the first withdrawal
 	for _, e := range c.events {
 		key := withdrawalKey{e.Dispatcher, e.Replica}
 		switch e.Kind {
@@ -36,8 +38,8 @@
 	}
 }
 
-// informedAt is when a dispatcher that was sent something at since could know of it before at: a process that was
-// paused knows it when it resumes.
+// informedAt returns when a dispatcher that was sent a list at since was informed of it, considering the downtimes that
+// began before at: a process that was down at since, or later, counts as informed from the end of that downtime.
 func (c *checker) informedAt(dispatcher int, since, at time.Duration) time.Duration {
 	for _, d := range c.downtimes[dispatcher] {
 		if d.At <= at && d.Until > since {
--- a/internal/faultbench/history/event.go
+++ b/internal/faultbench/history/event.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Event is one thing that a simulated client, replica or discovery server saw, or that the bench did to a process.
-// Which fields are set depends on the kind. Times are on the run's clock, since its start; the other durations are
-// spans. The keys are a stored form.
+// Event is one observation of a simulated client, replica or discovery server, or one fault that the bench injected
+// into a process. The kind determines which fields are set. Times are relative to the start of the run; the other
+// durations are lengths of time. The JSON keys are part of the stored form.
 type Event struct {
 	At               time.Duration `json:"at"`
 	Kind             Kind          `json:"kind"`
-	Request          string        `json:"request,omitempty"` // its ID, new for each retry
-	Group            string        `json:"group,omitempty"`   // the ID of the first request, which its retries share
-	Class            string        `json:"class,omitempty"`   // of the request; in ProcessDown and ConnectionLingers: why
-	Dispatcher       int           `json:"dispatcher"`        // from 0; -1: none
+	Request          string        `json:"request,omitempty"` // request ID; each retry has a new one
+	Group            string        `json:"group,omitempty"`   // ID of the first request, shared by its retries
+	Class            string        `json:"class,omitempty"`   // request class; ProcessDown, ConnectionLingers: the reason
+	Dispatcher       int           `json:"dispatcher"`        // index of the dispatcher, or -1 if there is none
 	Replica          string        `json:"replica,omitempty"`
-	Status           int           `json:"status,omitempty"` // of HTTP
+	Status           int           `json:"status,omitempty"` // HTTP status code
 	Complete         bool          `json:"whole,omitempty"`
-	Weight           float64       `json:"weight,omitempty"` // work of an attempt, or capacity a second
+	Weight           float64       `json:"weight,omitempty"` // work of an attempt, or capacity per second
 	Until            time.Duration `json:"until,omitempty"`
-	SentAt           time.Duration `json:"sent,omitempty"`    // in AttemptArrived: of its first byte; 0: at At
-	LastByteAt       time.Duration `json:"last,omitempty"`    // in AttemptArrived: when its last byte arrived; 0: at At
-	LinkHealthy      bool          `json:"sound,omitempty"`   // the link had no fault in all the time that matters
-	Version          uint64        `json:"version,omitempty"` // of the endpoint list, in what discovery sent
-	AnnouncedTimeout time.Duration `json:"told,omitempty"`    // in AttemptArrived: the remaining time that its head announces
-	Elapsed          time.Duration `json:"lasted,omitempty"`  // since the request was sent or stopped, or since the drain
-	MaxEventDelay    time.Duration `json:"lag,omitempty"`     // in ResponseReceived: the longest that an event was on its way
+	SentAt           time.Duration `json:"sent,omitempty"`    // AttemptArrived: arrival of the first byte; 0 means At
+	LastByteAt       time.Duration `json:"last,omitempty"`    // AttemptArrived: arrival of the last byte; 0 means At
+	LinkHealthy      bool          `json:"sound,omitempty"`   // the link had no fault during the relevant time
+	Version          uint64        `json:"version,omitempty"` // version of the endpoint list that discovery sent
+	AnnouncedTimeout time.Duration `json:"told,omitempty"`    // AttemptArrived: remaining time in the request header
+	Elapsed          time.Duration `json:"lasted,omitempty"`  // time since the client sent or stopped, or since the drain
+	MaxEventDelay    time.Duration `json:"lag,omitempty"`     // ResponseReceived: longest delay of a stream event
 }
 
-// firstByteAt is when the bytes of an attempt came to the replica's machine: what a fault held back after that is not
-// its sender's.
+// firstByteAt returns when the first byte of an attempt arrived at the replica's machine. The sender is not charged
+// with the time for which a fault held the attempt back after that.
 func (e Event) firstByteAt() time.Duration {
 	if e.SentAt > 0 {
 		return e.SentAt
@@ -38,83 +38,87 @@
 	return e.At
 }
 
-// refused tells whether a response is a refusal, which says that trying again is harmless: "A 429 or 503 answer is a
-// refusal, whoever worded it."
+// refused reports whether a response is a refusal, which tells the client that a retry is safe. The rule: "A 429 or 503
+// answer is a refusal, whoever worded it."
 func (e Event) refused() bool {
 	return e.Status == http.StatusTooManyRequests || e.Status == http.StatusServiceUnavailable
 }
 
-// Kind is what an event reports. Its text is a stored form.
+// Kind is the type of an event. Its text is part of the stored form.
 type Kind string
 
-// Kinds that clients see.
+// Kinds of events that clients observe.
 const (
-	// RequestSent: the last byte of a request went to a dispatcher. Until is the client's deadline.
+	// RequestSent means that the last byte of a request was sent to a dispatcher. Until is the client's deadline.
 	RequestSent Kind = "asked"
-	// ResponseReceived: a dispatcher's response with Status has ended, a stream with its end. Complete: it had all
-	// its events.
+	// ResponseReceived means that a dispatcher's response with Status has ended; a stream has ended when its end marker
+	// was received. Complete is set if all events of a stream were received.
 	ResponseReceived Kind = "answered"
-	// FirstEventReceived: the first event of a stream was received.
+	// FirstEventReceived means that the first event of a stream was received.
 	FirstEventReceived Kind = "first"
-	// ExtraBytesReceived: bytes came behind a final response.
+	// ExtraBytesReceived means that bytes followed a final response.
 	ExtraBytesReceived Kind = "extra"
-	// ForeignResponseReceived: a response had what no replica made for the request.
+	// ForeignResponseReceived means that a response contained data that no replica generated for the request.
 	ForeignResponseReceived Kind = "foreign"
-	// ClientClosed: the client closed its connection, or its half of it, of its own accord.
+	// ClientClosed means that the client itself closed its connection, or its sending half.
 	ClientClosed Kind = "closed"
-	// PartialRequestEnded: a client that stopped in the middle of a request got its error or the connection's close,
-	// after Elapsed.
+	// PartialRequestEnded means that a client that stopped in the middle of a request got an error or the close of its
+	// connection, after Elapsed.
 	PartialRequestEnded Kind = "waited"
-	// ConnectionDropped: a used connection broke without a response, and the client sends the request once more.
+	// ConnectionDropped means that a reused connection broke without a response, and that the client resends the
+	// request.
 	ConnectionDropped Kind = "dropped"
-	// ClientGaveUp: the client stopped waiting, or its connection broke without a response.
+	// ClientGaveUp means that the client stopped waiting, or that its connection broke without a response.
 	ClientGaveUp Kind = "quit"
-	// ConnectionLingers: Elapsed after an operator's drain a connection that should have ended was still open.
+	// ConnectionLingers means that a connection was still open at Elapsed after an operator's drain, although it should
+	// have ended.
 	ConnectionLingers Kind = "held_open"
 )
 
-// Kinds that replicas see.
+// Kinds of events that replicas observe.
 const (
-	// AttemptArrived: an attempt at a request arrived, with its work as Weight.
+	// AttemptArrived means that an attempt at a request arrived. Weight is its work.
 	AttemptArrived Kind = "came"
-	// ExecutionStarted: an attempt at a decode replica runs.
+	// ExecutionStarted means that a decode replica started to execute an attempt.
 	ExecutionStarted Kind = "began"
-	// AttemptEnded: an attempt that arrived is over.
+	// AttemptEnded means that an attempt that had arrived has ended.
 	AttemptEnded Kind = "ended"
-	// StateReserved: a prefill's state waits at its replica.
+	// StateReserved means that a prefill replica holds the computed state of a request.
 	StateReserved Kind = "held"
-	// StateReleased: that state was fetched, released or lost.
+	// StateReleased means that a reserved state was fetched, released or lost.
 	StateReleased Kind = "freed"
-	// ReplicaOverloaded: a replica failed under more than it bears in slow start.
+	// ReplicaOverloaded means that a replica in slow start failed because it was sent more than its budget.
 	ReplicaOverloaded Kind = "fell"
-	// ReplicaStarted: a replica started. It is warm at Until, with Weight as its capacity a second then.
+	// ReplicaStarted means that a replica started cold. It is warm at Until, and Weight is its warm capacity per
+	// second.
 	ReplicaStarted Kind = "cold"
-	// LoadPolled: a dispatcher polled a replica's load.
+	// LoadPolled means that a dispatcher polled a replica's load.
 	LoadPolled Kind = "probe"
 )
 
-// Kinds that discovery and the other observers see, and faults.
+// Kinds of events that discovery and other observers record, and of injected faults.
 const (
-	// DiscoveryRequested: a dispatcher requested the endpoint list, or a watch on it.
+	// DiscoveryRequested means that a dispatcher requested the endpoint list, or a watch on it.
 	DiscoveryRequested Kind = "called"
-	// EndpointWithdrawn: a dispatcher was sent a list in which a replica drains or is gone.
+	// EndpointWithdrawn means that a dispatcher was sent a list in which a replica is draining or gone.
 	EndpointWithdrawn Kind = "told"
-	// EndpointReady: a dispatcher was sent a list in which a replica is ready.
+	// EndpointReady means that a dispatcher was sent a list in which a replica is ready.
 	EndpointReady Kind = "listed"
-	// MembershipView: Dispatcher shows that it takes the member Replica to be in the state Request.
+	// MembershipView means that Dispatcher reports the member named by Replica in the state named by Request.
 	MembershipView Kind = "view"
-	// AdmissionChanged: the health endpoint of Dispatcher begins (Complete) or ends to reject new clients.
+	// AdmissionChanged means that the health endpoint of Dispatcher starts (Complete is set) or stops rejecting new
+	// clients.
 	AdmissionChanged Kind = "shut"
-	// StaleListServed: Dispatcher is sent an old endpoint list from At on, until Until.
+	// StaleListServed means that Dispatcher is sent an old endpoint list from At to Until.
 	StaleListServed Kind = "old"
-	// ProcessDown: a fault of a dispatcher's process, which is not to blame for what it does not do until Until (0:
-	// for good). Class says why.
+	// ProcessDown means that a dispatcher's process is down from At to Until, or permanently if Until is 0. Missing
+	// actions of the dispatcher during this time are no violations. Class is the reason.
 	ProcessDown Kind = "down"
 )
 
-// The classes of ProcessDown: why a process was down.
+// Values of Class in ProcessDown events: the reasons why a process was down.
 const (
-	DownKilled = "killed" // by SIGKILL
-	DownEnded  = "ended"  // by itself, after SIGTERM or by a fault of its own
-	DownPaused = "paused" // by SIGSTOP
+	DownKilled = "killed" // SIGKILL
+	DownEnded  = "ended"  // the process exited, after SIGTERM or because of its own failure
+	DownPaused = "paused" // SIGSTOP
 )
--- a/internal/faultbench/history/execution.go
+++ b/internal/faultbench/history/execution.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// checkExecutions judges RuleSingleExecution for the classes that must not run twice: a group of requests is executed
-// at most once, and not refused once it may have run ("a further SEND or a REFUSE is permitted only when every prior
-// attempt has an outcome establishing that it was never executed").
+// checkExecutions checks RuleSingleExecution for the classes that must not run twice: a group of requests is executed
+// at most once, and is not refused after it may have run ("a further SEND or a REFUSE is permitted only when every
+// prior attempt has an outcome establishing that it was never executed").
 func (c *checker) checkExecutions() {
 	executed := map[string]Event{} // the first execution, by group
 	for _, e := range c.events {
@@ -26,7 +26,7 @@
 	}
 }
 
-// attemptKey names the attempts at a request that go to one replica.
+// attemptKey identifies the attempts at one request on one replica.
 type attemptKey struct{ request, replica string }
 
 func keyOf(e Event) attemptKey { return attemptKey{e.Request, e.Replica} }
@@ -34,14 +34,15 @@
 // execution is the first execution of a request.
 type execution struct {
 	Event
-	arrivedAt time.Duration // its attempt, at the replica
+	arrivedAt time.Duration // arrival of its attempt at the replica
 }
 
-// checkDeduplicatedExecutions judges RuleSingleExecution for the classes whose repeats some replicas drop:
-// "subsequent sends shall be directed only to replicas within the same group as its replica ... and within
-// classes[].windowMs of its send; a REFUSE is permitted only if the group is all".
+// checkDeduplicatedExecutions checks RuleSingleExecution for the classes whose repeats some replicas drop: a request
+// that has run is sent again only to replicas that drop its repeat, and only within the class's window; it is refused
+// only if all replicas drop repeats. The rule: "subsequent sends shall be directed only to replicas within the same
+// group as its replica ... and within classes[].windowMs of its send; a REFUSE is permitted only if the group is all".
 func (c *checker) checkDeduplicatedExecutions() {
-	executed := map[string]execution{} // the first, by request
+	executed := map[string]execution{} // first execution by request
 	arrivals := map[attemptKey]time.Duration{}
 	for _, e := range c.events {
 		if e.Kind == AttemptArrived {
@@ -63,7 +64,7 @@
 	}
 }
 
-// checkRepeat reports a further execution where its replica does not drop it as a repeat.
+// checkRepeat reports a further execution of a request if its replica does not drop it as a repeat.
 func (c *checker) checkRepeat(class Deduplication, first execution, e Event, arrivedAt time.Duration) {
 	switch {
 	case !class.SameDomain(first.Replica, e.Replica):
--- a/internal/faultbench/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -19,11 +19,12 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// minRecordings is how many recordings there are: three scenarios, three soaks and one soak with each mutant of the program.
+// minRecordings counts the recordings of three scenarios, of three soaks, and of one soak for each of six mutants of
+// the program.
 const minRecordings = 12
 
-// The checker judges each recording as it did when the recording was made: the same count by rule and the same
-// violations, in full. The recordings are in testdata/recordings, the judgements in testdata/judgements.
+// Guards against unintended changes of the checker's verdicts: for each recording in testdata/recordings, the counts by
+// rule and all violations must equal those in testdata/judgements.
 func TestGoldenJudgements(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "recordings", "*.jsonl.gz"))
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 }
 
-// compareWithGolden compares a text with a file and shows the first line that differs, since both are long.
+// compareWithGolden compares a text with a file and prints only the first line that differs, since both are long.
 func compareWithGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
@@ -71,14 +72,14 @@
 	for i := range max(len(gotLines), len(wantLines)) {
 		g, w := lineAt(gotLines, i), lineAt(wantLines, i)
 		if g != w {
-			t.Errorf("%s: %d lines, want %d; first at line %d: got\n%s\nwant\n%s", path,
+			t.Errorf("%s: %d lines, want %d; first difference at line %d: got\n%s\nwant\n%s", path,
 				len(gotLines), len(wantLines), i+1, g, w)
 			return
 		}
 	}
 }
 
-// lineAt is one of lines, or a text that says that there is none.
+// lineAt returns line i, or "(no line)" if there are fewer lines.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -86,8 +87,8 @@
 	return "(no line)"
 }
 
-// variant is a form in which a recording is judged. A history of the program as it is breaks hardly a rule by its own
-// figures; the other forms break many, and show each rule and each exemption at work.
+// variant is one combination of rules and modified events with which a recording is checked. Unmodified histories break
+// few rules; the other variants break many, so that they exercise each rule and each exemption.
 type variant struct {
 	name   string
 	rules  func(*historytest.Recording) history.Rules
@@ -109,7 +110,7 @@
 
 func recordedRules(r *historytest.Recording) history.Rules { return r.Play.Rules.HistoryRules() }
 
-// tightRules allow less than the program is bound to, and let no class run twice.
+// tightRules returns rules with narrower limits than those the program must meet, under which no class may run twice.
 func tightRules(r *historytest.Recording) history.Rules {
 	rules := r.Play.Rules.HistoryRules()
 	rules.Slack = -300 * time.Millisecond
@@ -123,7 +124,8 @@
 	return rules
 }
 
-// deduplicatedRules let each class drop its repeats at one replica, for a short time.
+// deduplicatedRules returns rules under which, for a short window, each replica drops only its own repeats of any
+// class.
 func deduplicatedRules(r *historytest.Recording) history.Rules {
 	rules := r.Play.Rules.HistoryRules()
 	rules.NonIdempotent, rules.Deduplicated = nil, map[string]history.Deduplication{}
@@ -137,7 +139,7 @@
 	return rules
 }
 
-// classesOf are the classes of the requests that came at replicas, by name.
+// classesOf returns the sorted classes of the requests that arrived at replicas.
 func classesOf(events []history.Event) []string {
 	classes := map[string]bool{}
 	for _, e := range events {
@@ -148,8 +150,8 @@
 	return slices.Sorted(maps.Keys(classes))
 }
 
-// withoutExemptions takes out all that exempts an event from a rule: processes that were down, and links with a
-// fault.
+// withoutExemptions returns the events without anything that exempts an event from a rule: it removes process downtimes
+// and marks all links as healthy.
 func withoutExemptions(events []history.Event) []history.Event {
 	events = slices.Clone(events)
 	events = slices.DeleteFunc(events, func(e history.Event) bool { return e.Kind == history.ProcessDown })
@@ -159,7 +161,8 @@
 	return events
 }
 
-// lateEnds moves the ends of some attempts back, so that an attempt is still out as its request's next one comes.
+// lateEnds delays the ends of some attempts, so that an attempt is still outstanding when the request's next one
+// arrives.
 func lateEnds(events []history.Event) []history.Event {
 	events = slices.Clone(events)
 	for i, e := range events {
@@ -170,7 +173,7 @@
 	return events
 }
 
-// damaged turns one event in some tens into another kind, in turn, and so breaks rules that no play breaks.
+// damaged changes one event in interval to another kind, cycling through kinds, to break rules that no run breaks.
 func damaged(events []history.Event) []history.Event {
 	const interval = 29
 	kinds := []history.Kind{
@@ -204,11 +207,12 @@
 	return events
 }
 
+// damagedWithoutExemptions applies damaged, then withoutExemptions.
 func damagedWithoutExemptions(events []history.Event) []history.Event {
 	return withoutExemptions(damaged(events))
 }
 
-// Lines of the judgements, by keys that are fixed here.
+// Types of the lines of the files in testdata/judgements. The JSON keys are part of the golden files.
 type (
 	countLine struct {
 		Variant string         `json:"variant"`
@@ -221,25 +225,26 @@
 		Request string        `json:"request,omitempty"`
 		Replica string        `json:"replica,omitempty"`
 		Text    string        `json:"text"`
-		Line    string        `json:"line,omitempty"` // all of it in one line, as a report has it
+		Line    string        `json:"line,omitempty"` // Violation.String, only in a check's first line
 	}
 	staleLine struct {
-		Stale      string        `json:"stale"` // the request
+		Stale      string        `json:"stale"` // request ID
 		At         time.Duration `json:"at_ns"`
 		Dispatcher int           `json:"dispatcher"`
 		Replica    string        `json:"replica"`
 	}
 )
 
+// writeJudgement checks the recording in this variant and writes the results as JSON lines.
 func (v variant) writeJudgement(t *testing.T, out *strings.Builder, r *historytest.Recording) {
 	t.Helper()
 	rules, events := v.rules(r), v.events(r.Events)
 	original := slices.Clone(events)
 	violations := history.Check(events, rules)
 	if !slices.IsSortedFunc(violations, func(a, b history.Violation) int { return cmp.Compare(a.At, b.At) }) {
-		t.Errorf("%s: the violations are not in the order of their times", v.name)
+		t.Errorf("%s: the violations are not sorted by time", v.name)
 	}
-	slices.SortFunc(violations, func(a, b history.Violation) int { // violations of one time are in no order
+	slices.SortFunc(violations, func(a, b history.Violation) int { // the checker leaves violations of equal time unordered
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request),
 			cmp.Compare(a.Replica, b.Replica), cmp.Compare(a.Text, b.Text))
 	})
@@ -251,7 +256,7 @@
 		writeLine(t, out, staleLine{e.Request, e.At, e.Dispatcher, e.Replica})
 	}
 	if !slices.Equal(original, events) {
-		t.Errorf("%s: the checker has changed the events that it was given", v.name)
+		t.Errorf("%s: the checker modified the events passed to it", v.name)
 	}
 }
 
--- a/internal/faultbench/history/historytest/historytest.go
+++ b/internal/faultbench/history/historytest/historytest.go
@@ -1,10 +1,10 @@
-// Package historytest reads and writes recordings: histories of plays of the fault-injection test bench, together
-// with the rules that they were judged by. Golden tests hold the checker's judgements to recordings that were made
-// once and are never made anew.
+// Package historytest reads and writes recordings: histories of runs of the fault-injection test bench, together with
+// the rules that they were checked against. Golden tests compare the checker's results on these recordings, which were
+// recorded once and are never recorded again.
 //
-// A recording is one gzip file of JSON lines. The first line has the play and its rules, by keys that are fixed here;
-// each other line is one event, in the stored form of a history. The package is for tests only. Its functions share
-// no state.
+// A recording is one gzip file of JSON lines. The first line describes the run and its rules, with the keys defined
+// here; each further line is one event, in the stored form of a history. The package is for tests only. Its functions
+// share no state.
 package historytest
 
 import (
@@ -20,25 +20,25 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// Recording is one play's history and what the checker needs to judge it.
+// Recording is the history of one run and what the checker needs to check it.
 type Recording struct {
 	Play   Play
 	Events []history.Event // in the order in which they were recorded
 }
 
-// Play says what was played. Durations are in nanoseconds.
+// Play describes the run that was recorded. Durations are in nanoseconds.
 type Play struct {
-	Scenario    string  `json:"scenario"` // a scenario's name, or "soak"
+	Scenario    string  `json:"scenario"` // scenario name, or "soak"
 	Seed        uint64  `json:"seed"`
 	Dispatchers int     `json:"dispatchers"`
 	Seconds     float64 `json:"seconds"`
-	Mutant      string  `json:"mutant,omitempty"` // the fault that was built into the program; none: the program as it is
+	Mutant      string  `json:"mutant,omitempty"` // fault built into the program, or empty for the unmodified program
 	Options     string  `json:"options"`
-	Strict      bool    `json:"strict"` // judged by the stricter rules too
+	Strict      bool    `json:"strict"` // the stricter rules were checked too
 	Rules       Rules   `json:"rules"`
 }
 
-// Rules are the checker's rules in a stored form.
+// Rules is the stored form of the checker's rules.
 type Rules struct {
 	AnswerSlack      time.Duration            `json:"answer_slack_ns"`
 	DrainWithin      time.Duration            `json:"drain_within_ns"`
@@ -57,10 +57,10 @@
 type Deduplication struct {
 	Window      time.Duration     `json:"window_ns"`
 	AllReplicas bool              `json:"all_replicas"`
-	Domains     map[string]string `json:"domains"` // by replica: those of one domain drop each other's repeats
+	Domains     map[string]string `json:"domains"` // domain by replica; replicas of one domain drop each other's repeats
 }
 
-// HistoryRules is the form that the checker takes.
+// HistoryRules converts the rules to the form that the checker takes.
 func (r Rules) HistoryRules() history.Rules {
 	out := history.Rules{
 		AnswerSlack:      r.AnswerSlack,
@@ -82,7 +82,7 @@
 	return out
 }
 
-// Stored is the stored form of rules over the named replicas.
+// Stored converts rules to their stored form. The named replicas are those whose deduplication domains are stored.
 func Stored(r history.Rules, replicas []string) Rules {
 	out := Rules{
 		AnswerSlack:      r.AnswerSlack,
@@ -103,7 +103,7 @@
 	return out
 }
 
-// domains names each replica's deduplication domain by the domain's first replica.
+// domains returns the deduplication domain of each replica. A domain has the name of its first replica.
 func domains(d history.Deduplication, replicas []string) map[string]string {
 	out := map[string]string{}
 	for _, name := range replicas {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// Read reads a recording from a file. A key that is not known is an error.
+// Read reads a recording from a file. An unknown key is an error.
 func Read(path string) (*Recording, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/faultbench/history/recorder.go
+++ b/internal/faultbench/history/recorder.go
@@ -16,16 +16,16 @@
 	events []Event
 }
 
-// NewRecorder starts the run's clock.
+// NewRecorder returns an empty recorder and starts the run's clock.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Now is the time since the run began.
+// Now returns the time since the run began.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-// At is a time on the run's clock.
+// At converts t to a time on the run's clock.
 func (r *Recorder) At(t time.Time) time.Duration { return t.Sub(r.start) }
 
-// Add records an event; one without a time happens now.
+// Add records an event. If At is 0, Add sets it to the current time.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,14 +35,14 @@
 	r.events = append(r.events, e)
 }
 
-// Events is a copy of all events so far, in the order in which they were recorded.
+// Events returns a copy of all events so far, in the order in which they were recorded.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Event(nil), r.events...)
 }
 
-// Write writes events as lines of JSON.
+// Write writes events as JSON lines.
 func Write(w io.Writer, events []Event) error {
 	buffered := bufio.NewWriter(w)
 	lines := json.NewEncoder(buffered)
--- a/internal/faultbench/history/reservation.go
+++ b/internal/faultbench/history/reservation.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// reservationChecker judges RuleReservationRelease, by what replicas keep for requests. The operators' sentences bind
-// it: "A call counts when its last byte has come to a running replica, answered or not", so an attempt that has not
-// arrived is not outstanding and does not stop the clock; "While connections fail to come up, the time keeps
+// reservationChecker checks RuleReservationRelease on the states that replicas hold for requests. An attempt that has
+// not completely arrived is not outstanding and does not stop the time limit. The operators' rules: "A call counts when
+// its last byte has come to a running replica, answered or not"; "While connections fail to come up, the time keeps
 // running."
 type reservationChecker struct {
 	*checker
-	requests     map[string]Event        // as their clients sent them, by ID
-	reservations map[string]*reservation // by request
-	outstanding  map[string]int          // attempts that have arrived and have not ended, by request
+	requests     map[string]Event        // RequestSent events by request ID
+	reservations map[string]*reservation // current reservations by request ID
+	outstanding  map[string]int          // number of attempts that have arrived and not ended, by request ID
 }
 
-// reservation is a state that waits at a replica, as its StateReserved event reported it.
+// reservation is a state that a replica holds, with the StateReserved event that reported it.
 type reservation struct {
 	Event
-	idleSince time.Duration // the last attempt's end, as far as its dispatcher can know of it
+	idleSince time.Duration // end of the last attempt, at the latest time when its dispatcher knows of it
 }
 
-// checkReservations judges RuleReservationRelease: "While no attempt of a request is outstanding, a state ... held
-// for it is taken up by a SEND or relinquished by DROP_STATE within familyInfo.releaseWithinMs". What is still
-// reserved at the end of the history is judged there.
+// checkReservations checks RuleReservationRelease: "While no attempt of a request is outstanding, a state ... held
+// for it is taken up by a SEND or relinquished by DROP_STATE within familyInfo.releaseWithinMs". A state that is still
+// reserved at the end of the history is checked as of that time.
 func (c *checker) checkReservations() {
 	r := reservationChecker{c, map[string]Event{}, map[string]*reservation{}, map[string]int{}}
 	end := time.Duration(0)
@@ -37,7 +37,8 @@
 	}
 }
 
-// sortedByLastByte orders events by when they happened, an attempt's arrival by its last byte.
+// sortedByLastByte returns a copy of events, sorted by time. The copy's AttemptArrived events have the time of their
+// last byte.
 func sortedByLastByte(events []Event) []Event {
 	events = slices.Clone(events)
 	for i, e := range events {
@@ -48,6 +49,7 @@
 	return sortedByTime(events)
 }
 
+// applyEvent updates the reservations, and checks a reservation when a new attempt arrives or the state is released.
 func (r *reservationChecker) applyEvent(e Event) {
 	reserved := r.reservations[e.Request]
 	switch e.Kind {
@@ -73,23 +75,24 @@
 	}
 }
 
-// endKnownAt is when a dispatcher knows at the latest that an attempt has ended. Where a fault may keep that from it,
-// the attempt is outstanding for it until its client's deadline ("while no attempt of a request is outstanding": the
-// outcome has not been delivered).
+// endKnownAt returns when a dispatcher knows at the latest that an attempt has ended. If a fault may hide the end, the
+// attempt counts as outstanding until the client's deadline, because its outcome has not been delivered ("while no
+// attempt of a request is outstanding").
 func (r *reservationChecker) endKnownAt(e Event) time.Duration {
 	if e.LinkHealthy {
 		return e.At
 	}
 	request, ok := r.requests[e.Request]
-	if !ok { // the ID is its dispatcher's own, as on the chat front
+	if !ok { // the dispatcher assigned the ID itself, as the chat API does
 		return e.At + r.rules.LongestDeadline
 	}
 	return max(e.At, request.Until)
 }
 
-// checkRelease reports a state that was reserved for too long until at. A process that was killed releases nothing ("What a
-// stopped instance left is freed some seconds later"); one that was paused acts again when it resumes; one that ended
-// by itself had time to.
+// checkRelease reports a state that had been reserved for too long at the time at. A process that was killed is exempt,
+// because it releases nothing ("What a stopped instance left is freed some seconds later"). For a process that was
+// paused, the time limit starts when it resumes. A process that ended by itself is not exempt, because it had time to
+// release the state.
 func (r *reservationChecker) checkRelease(reserved *reservation, at time.Duration) {
 	since := reserved.idleSince
 	for _, d := range r.downtimes[reserved.Dispatcher] {
--- a/internal/faultbench/history/response.go
+++ b/internal/faultbench/history/response.go
@@ -1,8 +1,8 @@
 package history
 
-// checkResponses judges RuleSingleResponse: each request that a live dispatcher accepted gets one final response in
-// time, made for it by a replica, and nothing besides. "Once a stream has commenced, no deadline applies", so a
-// stream's first event counts as in time.
+// checkResponses checks RuleSingleResponse: each request that a live dispatcher accepted gets exactly one final
+// response in time, generated for it by a replica, and nothing else. The time of a stream's first event decides whether
+// the stream is in time: "Once a stream has commenced, no deadline applies".
 func (c *checker) checkResponses() {
 	pending, answered := map[string]Event{}, map[string]bool{}
 	for _, e := range c.events {
@@ -32,8 +32,8 @@
 	}
 }
 
-// checkResponseInTime reports a response that came after its client's deadline. A fault on the client's link may have
-// held it back, and a process that was down could not send it.
+// checkResponseInTime reports a response that arrived after its client's deadline. It exempts a response that a fault
+// on the client's link may have delayed, and one of a process that was down.
 func (c *checker) checkResponseInTime(sent, response Event) {
 	latest := sent.Until + c.rules.AnswerSlack + c.rules.Slack
 	if response.At > latest && response.LinkHealthy && !c.wasDown(sent.Dispatcher, sent.At, response.At) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// checkGivenUp reports a request that its client gave up: one that did so before its deadline lost its connection,
-// and one that did so after it waited in vain.
+// checkGivenUp reports a request that its client gave up. Before the deadline the client gives up because it lost its
+// connection, after the deadline because no response arrived.
 func (c *checker) checkGivenUp(sent, givenUp Event) {
 	if givenUp.LinkHealthy && !c.wasDown(sent.Dispatcher, sent.At, max(givenUp.At, sent.Until)) {
 		c.report(RuleSingleResponse, givenUp, "no final answer by dispatcher %d", sent.Dispatcher)
--- a/internal/faultbench/history/rules.go
+++ b/internal/faultbench/history/rules.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Rules are the figures that the checker holds a history to; they come from the platform's settings. A class is
-// in NonIdempotent, in Deduplicated or in neither, not in both.
+// Rules holds the limits against which the checker verifies a history; they come from the platform's settings. A class
+// is listed in at most one of NonIdempotent and Deduplicated.
 type Rules struct {
-	AnswerSlack      time.Duration            // beyond a client's deadline
-	DrainWithin      time.Duration            // from when a drain was sent to the last new request's first byte
-	ReleaseAfter     time.Duration            // from the end of the last attempt to the release of a state
-	OverloadMultiple float64                  // a cold replica bears so many times its present capacity,
-	OverloadWindow   time.Duration            // over any such span
-	InitialCapacity  float64                  // the fraction of its capacity that a replica starts with
-	LongestDeadline  time.Duration            // of any class
-	NonIdempotent    []string                 // classes that must not run twice
-	Deduplicated     map[string]Deduplication // classes whose repeats some replicas drop, by name
-	// Slack is added to each time limit: the processes share the machine with the bench.
+	AnswerSlack      time.Duration            // time after a client's deadline within which a response is still in time
+	DrainWithin      time.Duration            // maximum time from a drain notice to the first byte of the last new request
+	ReleaseAfter     time.Duration            // maximum time from the end of the last attempt to the release of a state
+	OverloadMultiple float64                  // multiple of its current capacity that a cold replica can take
+	OverloadWindow   time.Duration            // length of any time window to which OverloadMultiple applies
+	InitialCapacity  float64                  // fraction of its warm capacity that a replica starts with
+	LongestDeadline  time.Duration            // longest deadline of any class
+	NonIdempotent    []string                 // classes that must not be executed twice
+	Deduplicated     map[string]Deduplication // classes whose repeats some replicas drop, by class name
+	// Slack is added to each time limit, because the processes share the machine with the bench.
 	Slack time.Duration
-	// RandomArrivals lets a cold replica get as much more than its budget as chance gives, by the operators' figures.
-	// Without it, one request more.
+	// RandomArrivals allows a cold replica the random excess over its budget that the operators' figures grant. If it
+	// is unset, the excess is one request.
 	RandomArrivals bool
 }
 
-// Deduplication says where a class may run again.
+// Deduplication defines where and how long a class may be sent again.
 type Deduplication struct {
-	Window      time.Duration          // from the send of the first attempt that may have run
-	SameDomain  func(a, b string) bool // the replicas drop each other's repeats
-	AllReplicas bool                   // all do: then a refusal is harmless
+	Window      time.Duration          // time after the send of the first attempt that may have run
+	SameDomain  func(a, b string) bool // reports whether two replicas drop each other's repeats
+	AllReplicas bool                   // all replicas drop each other's repeats, so that a refusal is safe
 }
 
-// Violation is one broken rule.
+// Violation reports one broken rule.
 type Violation struct {
 	Rule    string        `json:"rule"`
-	At      time.Duration `json:"at"` // on the run's clock
+	At      time.Duration `json:"at"` // time on the run's clock
 	Request string        `json:"request,omitempty"`
 	Replica string        `json:"replica,omitempty"`
 	Text    string        `json:"text"`
 }
 
-// String is the violation in one line.
+// String formats the violation as one line.
 func (v Violation) String() string {
 	at := v.At.Round(time.Millisecond)
 	return fmt.Sprintf("rule=%s at=%v request=%s replica=%s %s", v.Rule, at, v.Request, v.Replica, v.Text)
 }
 
-// The names of the rules that Check judges by. They are a stored form.
+// Names of the rules that Check verifies. They are part of the stored form.
 const (
 	RuleSingleResponse     = "one_answer"
 	RuleSingleExecution    = "no_second_run"
@@ -56,7 +56,7 @@
 	RuleReservationRelease = "pinned"
 )
 
-// The names of the stricter rules, which CheckStrict judges by. They are a stored form.
+// Names of the stricter rules, which CheckStrict verifies. They are part of the stored form.
 const (
 	RuleNoAttemptAfterClose = "after_close"
 	RuleAnnouncedTimeout    = "told_time"
@@ -67,7 +67,8 @@
 	RuleDrainEnds           = "drain_lasts"
 )
 
-// CapacityFraction is the fraction of its warm capacity that a replica has at a time, after its ReplicaStarted event.
+// CapacityFraction returns the fraction of its warm capacity that a replica has at a time after its ReplicaStarted
+// event.
 func (r Rules) CapacityFraction(start Event, at time.Duration) float64 {
 	if at >= start.Until {
 		return 1
@@ -75,10 +76,10 @@
 	return r.InitialCapacity + (1-r.InitialCapacity)*float64(at-start.At)/float64(start.Until-start.At)
 }
 
-// smallBudget is the budget, in requests, under which random arrivals are allowed a wider excess.
+// smallBudget is the budget, in requests, below which random arrivals are allowed a larger excess.
 const smallBudget = 30
 
-// allowedExcess is how many requests more than its budget of n a cold replica may get.
+// allowedExcess returns how many requests a cold replica may get beyond its budget of n requests.
 func (r Rules) allowedExcess(n float64) float64 {
 	switch {
 	case !r.RandomArrivals:
--- a/internal/faultbench/history/slowstart.go
+++ b/internal/faultbench/history/slowstart.go
@@ -1,17 +1,19 @@
 package history
 
-// SlowStartBudget is what a cold replica bears: over any span of Rules.OverloadWindow, its multiple of what it can do
-// at the span's end ("counted as a budget: what is sent within any span of that length must stay under multiple x
-// present capacity x span"). It is not safe for concurrent use.
+// SlowStartBudget tracks the work that a cold replica can take. Within any window of Rules.OverloadWindow, that is
+// Rules.OverloadMultiple times what the replica can do in such a window at its capacity at the window's end ("counted
+// as a budget: what is sent within any span of that length must stay under multiple x present capacity x span"). It is
+// not safe for concurrent use.
 type SlowStartBudget struct {
 	Rules    Rules
-	Start    Event   // its ReplicaStarted event
-	arrivals []Event // attempts since then, by time
+	Start    Event   // ReplicaStarted event of the replica
+	arrivals []Event // attempts that arrived since Start, by time
 }
 
-// Add takes an attempt that arrived at the replica and tells whether it went past the budget, and by what work out of
-// what was allowed. Some requests more are chance ("with a little slack for chance"), at least one: budgets are
-// counted in whole requests. "All work reaching it contributes, including work it rejects."
+// Add counts an attempt that arrived at the replica. It returns the work of the window that ends with the attempt, the
+// allowed work, and whether the budget is exceeded. Rejected attempts count too: "All work reaching it contributes,
+// including work it rejects." The budget is exceeded only beyond a random excess ("with a little slack for chance") of
+// at least one request, because budgets are counted in whole requests.
 func (b *SlowStartBudget) Add(e Event) (sum, allowed float64, over bool) {
 	if e.At > b.Start.Until {
 		return 0, 0, false
@@ -25,8 +27,8 @@
 	return sum, allowed, sum > allowed+b.Rules.allowedExcess(allowed/e.Weight)*e.Weight
 }
 
-// checkSlowStarts judges RuleSlowStart: no cold replica gets more, over all dispatchers, than it bears. Each start is
-// reported once.
+// checkSlowStarts checks RuleSlowStart: the dispatchers together send no cold replica more than its budget. Each start
+// is reported at most once.
 func (c *checker) checkSlowStarts() {
 	budgets := map[string]*SlowStartBudget{} // by replica
 	for _, e := range c.events {
--- a/internal/faultbench/history/stale.go
+++ b/internal/faultbench/history/stale.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// endpointStatus is what the newest list so far, sent to any dispatcher, says of a replica.
+// endpointStatus is the status of a replica on the newest list that any dispatcher was sent so far.
 type endpointStatus struct {
 	version     uint64
-	withdrawnAt time.Duration // 0: it is ready
+	withdrawnAt time.Duration // time of the withdrawal, or 0 if the replica is ready
 }
 
-// updated is the status once another list was sent. An older list changes nothing; of two answers of one version the
-// withdrawal holds.
+// updated returns the status after a further list was sent. An older list changes nothing. If two lists of one version
+// disagree, the withdrawal takes precedence.
 func (s endpointStatus) updated(e Event) endpointStatus {
 	ready := e.Kind == EndpointReady
 	if e.Version < s.version || e.Version == s.version && ready {
@@ -25,9 +25,9 @@
 	return s
 }
 
-// StaleAttempts are the attempts that dispatchers sent to replicas that a list newer than any before, sent to any
-// dispatcher, had withdrawn for longer than within. Who was sent it, and whether the sender could have known, is the
-// caller's to judge: a process that was paused counts from when it resumed, one that was restarted from its start.
+// StaleAttempts returns the attempts at replicas that had been withdrawn for longer than within by the newest list sent
+// to any dispatcher. The caller must determine which dispatchers were sent that list. For a process that was paused or
+// restarted, the time counts from when it resumed or started.
 func StaleAttempts(events []Event, within time.Duration) (stale []Event) {
 	endpoints, downtimes := map[string]endpointStatus{}, downtimes(events)
 	for _, e := range sortedByTime(events) {
--- a/internal/faultbench/history/stale_test.go
+++ b/internal/faultbench/history/stale_test.go
@@ -7,8 +7,8 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// An attempt is stale from some time after a newer list withdrew its replica, whichever dispatcher was sent it. An older
-// list does not make the replica ready, a newer one does, and a process that was paused counts from when it resumed.
+// Guards against stale attempts that are missed because another dispatcher was sent the withdrawal or because an older
+// list names the replica as ready, and against false reports after a newer list or shortly after a pause.
 func TestStaleAttemptsCountFromTheNewestList(t *testing.T) {
 	version := func(v uint64, dispatcher int) func(*history.Event) {
 		return func(e *history.Event) { e.Version, e.Dispatcher = v, dispatcher }
