--- a/internal/faultbench/discovery/faults.go
+++ b/internal/faultbench/discovery/faults.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// SetDelay delays later changes.
+// SetDelay sets the delay of later changes of the list.
 func (d *Server) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
 }
 
-// Silence makes discovery send nothing and answer no request.
+// Silence makes discovery send nothing, on watches or to new requests.
 func (d *Server) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -18,7 +18,7 @@
 	d.notifyWatchers()
 }
 
-// Resume ends its silence. Agents then get what they missed.
+// Resume ends the silence, and records the changes that the dispatchers missed.
 func (d *Server) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -33,7 +33,7 @@
 	d.notifyWatchers()
 }
 
-// Freeze makes a dispatcher's discovery serve the list as it is now, and no change.
+// Freeze makes discovery serve a dispatcher the list as it is now, without later changes.
 func (d *Server) Freeze(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +41,7 @@
 	d.notifyWatchers()
 }
 
-// Unfreeze makes a dispatcher's discovery serve the current list again.
+// Unfreeze makes discovery serve a dispatcher the current list again.
 func (d *Server) Unfreeze(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +49,7 @@
 	d.notifyWatchers()
 }
 
-// SilenceWatches makes the open watches of a dispatcher fall silent.
+// SilenceWatches makes the open watches of a dispatcher stay open without sending anything more.
 func (d *Server) SilenceWatches(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +57,8 @@
 	d.watchSilences[dispatcher]++
 }
 
-// recordWatchOpened notes that a dispatcher opens a watch, and returns what tells whether that has fallen silent since.
+// recordWatchOpened records that a dispatcher opens a watch. The returned function reports whether SilenceWatches has
+// silenced the watch since then.
 func (d *Server) recordWatchOpened(dispatcher int) (silenced func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,15 +71,15 @@
 	}
 }
 
-// NoteMove notes that a dispatcher is about to be moved to another discovery.
+// NoteMove records that a dispatcher is about to be moved to another discovery service.
 func (d *Server) NoteMove(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.movedAt[dispatcher] = time.Now()
 }
 
-// Open makes one of a dispatcher's two addresses accept calls.
+// Open makes one of a dispatcher's two addresses accept new connections.
 func (d *Server) Open(dispatcher, address int) { d.listeners[dispatcher][address].SetDown(false) }
 
-// Refuse makes one of a dispatcher's two addresses refuse new calls; open connections stay.
+// Refuse makes one of a dispatcher's two addresses refuse new connections. Open connections stay open.
 func (d *Server) Refuse(dispatcher, address int) { d.listeners[dispatcher][address].SetDown(true) }
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -12,10 +12,10 @@
 	"rampspread/internal/faultbench/network"
 )
 
-// keepAliveInterval is how often an empty line goes to an open watch.
+// keepAliveInterval is the interval at which an empty line is sent on an open watch.
 const keepAliveInterval = 2 * time.Second
 
-// Endpoint is a replica as it is sent.
+// Endpoint is the entry of a replica in a sent List.
 type Endpoint struct {
 	ID          string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -27,14 +27,14 @@
 	StartedAtMS int64   `json:"startedAtMs"`
 }
 
-// List is the endpoint list, or its changes after a version, as it is sent.
+// List is the message that contains the endpoint list, or its changes after a version.
 type List struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // it is the whole list
+	Reset      bool       `json:"reset"` // the message contains the whole list
 	Instances  []Endpoint `json:"instances"`
 }
 
-// Serve answers one dispatcher's requests on one of its two addresses.
+// Serve starts and returns a server that handles one dispatcher's requests on one of its two addresses.
 func (d *Server) Serve(l *network.Listener, dispatcher, address int) *http.Server {
 	d.listeners[dispatcher][address] = l
 	s := &http.Server{ErrorLog: network.DiscardLog,
@@ -43,7 +43,7 @@
 	return s
 }
 
-// LastKnown is the list as a dispatcher last had it, or could have had it.
+// LastKnown returns the newest list that a dispatcher has received or could have received.
 func (d *Server) LastKnown(dispatcher int) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,8 @@
 	return d.fullList(d.current, dispatcher)
 }
 
-// effectiveSnapshot is the list that a dispatcher is effectiveSnapshot in place of the given one; mu is held.
+// effectiveSnapshot returns the list that a dispatcher is served in place of s: the frozen one, if there is one. The
+// caller must hold mu.
 func (d *Server) effectiveSnapshot(s snapshot, dispatcher int) snapshot {
 	if frozen, ok := d.frozen[dispatcher]; ok {
 		return frozen
@@ -61,7 +62,7 @@
 	return s
 }
 
-// fullList is the whole list for a dispatcher; mu is held.
+// fullList returns the whole list for a dispatcher. The caller must hold mu.
 func (d *Server) fullList(s snapshot, dispatcher int) List {
 	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Reset: true, Instances: []Endpoint{}}
@@ -73,7 +74,7 @@
 	return out
 }
 
-// changesAfter are the changes of the list after a version; mu is held.
+// changesAfter returns the changes of the list after a version. The caller must hold mu.
 func (d *Server) changesAfter(s snapshot, version uint64, dispatcher int) List {
 	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Instances: []Endpoint{}}
@@ -96,7 +97,7 @@
 	return out
 }
 
-// send writes a list to a dispatcher and records what it learns by it.
+// send writes a list to a dispatcher and records the state of each replica on it.
 func (d *Server) send(w io.Writer, l List, dispatcher int) error {
 	for _, in := range l.Instances {
 		kind := history.EndpointReady
@@ -115,13 +116,14 @@
 	return nil
 }
 
-// sendChanges sends changes, if there are any. The first time it sends at least a keep-alive, as a watch's head.
+// sendChanges sends changes if there are any. If first is set and there are none, it sends a keep-alive, so that the
+// watch's response header is sent.
 func (d *Server) sendChanges(w io.Writer, l List, first bool, dispatcher int) error { //revive:disable-line:flag-parameter a fact about the watch's state
 	if len(l.Instances) > 0 {
 		return d.send(w, l, dispatcher)
 	}
 	if first {
-		io.WriteString(w, "\n") // the flush that follows reports an error
+		io.WriteString(w, "\n") // the caller's flush reports an error
 	}
 	return nil
 }
@@ -141,7 +143,7 @@
 	}
 }
 
-// handleRequest sends the whole list, once discovery is not silent.
+// handleRequest sends the whole list as soon as discovery is not silent.
 func (d *Server) handleRequest(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
@@ -150,7 +152,7 @@
 		l, silent, changed := d.fullList(d.current, dispatcher), d.silent, d.changed
 		d.mu.Unlock()
 		if !silent {
-			d.send(w, l, dispatcher) // a caller that has gone is not an error
+			d.send(w, l, dispatcher) // fails only if the caller has disconnected
 			return
 		}
 		select {
@@ -162,8 +164,9 @@
 	}
 }
 
-// handleWatch sends the changes after a version (0: first the whole list) until the caller leaves, and empty lines as
-// keep-alives. A watch that has fallen silent stays open and carries nothing more.
+// handleWatch sends the changes after a version, and empty lines as keep-alives, until the caller disconnects. If the
+// version is 0, it sends the whole list first. A watch that SilenceWatches has silenced stays open but sends nothing
+// more.
 func (d *Server) handleWatch(w http.ResponseWriter, r *http.Request, version uint64, dispatcher int) {
 	silenced := d.recordWatchOpened(dispatcher)
 	keepAlive := time.NewTicker(keepAliveInterval)
--- a/internal/faultbench/discovery/server.go
+++ b/internal/faultbench/discovery/server.go
@@ -1,6 +1,6 @@
-// Package discovery simulates the service that lists the replicas to the dispatchers, with the faults that it may have:
-// silence, delay, stale lists and watches that fall silent. It records into the history when a change counts as known
-// to each dispatcher, by the protocol page. A Server is safe for concurrent use.
+// Package discovery simulates the service that sends the dispatchers the list of replicas, with injected faults:
+// silence, delay, stale lists and watches that fall silent. It records in the history when each dispatcher counts as
+// informed of a change according to the protocol page. A Server is safe for concurrent use.
 package discovery
 
 import (
@@ -15,59 +15,60 @@
 )
 
 const (
-	// unwatchedNoticeDelay is the time after which a change counts as known, received or not, to a dispatcher that must
-	// request it, or whose watch has fallen silent (from that time on).
+	// unwatchedNoticeDelay is the time after which a dispatcher without a working watch counts as informed of a change,
+	// received or not. It counts from the change if the dispatcher polls the list, or from when the watch fell silent.
 	unwatchedNoticeDelay = 6 * time.Second
-	// moveNoticeDelay is how long after SIGHUP the list of the new discovery counts as known (the full fleet's page).
+	// moveNoticeDelay is the time after SIGHUP within which a dispatcher must have the list of its new discovery
+	// service (the full fleet's page).
 	moveNoticeDelay = 4 * time.Second
 )
 
-// Addresses is at how many addresses each dispatcher is served; a dispatcher uses one of them at a time.
+// Addresses is the number of addresses at which each dispatcher is served. A dispatcher uses one of them at a time.
 const Addresses = 2
 
 // State is the lifecycle state of a replica on the endpoint list.
 type State string
 
-// The states. Their texts are sent.
+// Lifecycle states. Their texts are sent to dispatchers.
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
-	Gone     State = "gone" // off the list
+	Gone     State = "gone" // the replica is no longer on the list
 )
 
-// Config says whom a Server serves.
+// Config configures a Server.
 type Config struct {
 	History     *history.Recorder
 	Replicas    []*replica.Replica
 	Deployment  *deployment.Deployment
 	Dispatchers int
-	Address     func(r *replica.Replica, dispatcher int) string // at which a dispatcher finds a replica
-	// GraceAfterMove gives a dispatcher moveNotice after a move of its discovery before a change counts as known.
+	Address     func(r *replica.Replica, dispatcher int) string // returns the replica's address for a dispatcher
+	// GraceAfterMove grants a dispatcher moveNoticeDelay after a move to another discovery service before it counts as
+	// informed of a change.
 	GraceAfterMove bool
 }
 
-// Server simulates the discovery service. Each dispatcher is served on listeners of its own, at two addresses, and gets
-// addresses of its own for the replicas.
+// Server simulates the discovery service. Each dispatcher has its own listeners at two addresses, and receives its own
+// addresses of the replicas.
 type Server struct {
 	config    Config
 	listeners [][Addresses]*network.Listener // by dispatcher
 
 	mu                sync.Mutex
 	current           snapshot
-	delay             time.Duration // of changes
+	delay             time.Duration // delay of changes
 	silent            bool
-	lastBeforeSilence snapshot // at the time when it fell silent
-	// By dispatcher:
-	movedAt           map[int]time.Time // when its discovery was moved last
-	watchesSilencedAt map[int]time.Time // when its watches fell silent, until it opens another
-	watchSilences     map[int]int       // how often they did
-	frozen            map[int]snapshot  // of dispatchers that are sent an old list
+	lastBeforeSilence snapshot          // list when discovery last fell silent
+	movedAt           map[int]time.Time // last move to another discovery service, by dispatcher
+	watchesSilencedAt map[int]time.Time // time when the watches were silenced, by dispatcher, until it opens another
+	watchSilences     map[int]int       // number of times that the watches were silenced, by dispatcher
+	frozen            map[int]snapshot  // old list served to a dispatcher, by dispatcher
 	changed           chan struct{}     // closed at the next change
 }
 
-// snapshot is the list at a version.
+// snapshot is the endpoint list at a version.
 type snapshot struct {
-	entries map[string]entry // by the replicas' names
+	entries map[string]entry // by replica name
 	version uint64
 }
 
@@ -81,7 +82,7 @@
 	version uint64
 }
 
-// NewServer lists all replicas as ready.
+// NewServer returns a Server whose list contains all replicas as ready.
 func NewServer(c Config) *Server {
 	d := &Server{config: c, listeners: make([][Addresses]*network.Listener, c.Dispatchers),
 		current: snapshot{entries: map[string]entry{}, version: 1}, frozen: map[int]snapshot{}, movedAt: map[int]time.Time{},
@@ -92,13 +93,13 @@
 	return d
 }
 
-// notifyWatchers wakes all watches; mu is held.
+// notifyWatchers wakes all watches and waiting requests. The caller must hold mu.
 func (d *Server) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Set changes a replica's entry after the delay that is set. A zero start time leaves the entry's as it is.
+// Set changes a replica's entry after the delay set by SetDelay. If started is zero, the entry keeps its start time.
 func (d *Server) Set(r *replica.Replica, state State, started time.Time) {
 	d.mu.Lock()
 	delay := d.delay
@@ -119,13 +120,14 @@
 	})
 }
 
-// recordChange records when a change counts as known to each dispatcher; mu is held. What an agent has counts at once.
+// recordChange records when each dispatcher counts as informed of a change. A dispatcher that gets its lists pushed by
+// an agent counts as informed immediately. The caller must hold mu.
 func (d *Server) recordChange(e entry) {
 	for i := range d.listeners {
 		if _, stale := d.frozen[i]; stale {
 			continue
 		}
-		if e.state == Ready { // a dispatcher that does not know what was before breaks no rule from now on
+		if e.state == Ready { // recorded at once: even uninformed dispatchers may send to a ready replica
 			d.config.History.Add(history.Event{Kind: history.EndpointReady, Replica: e.replica.Name, Dispatcher: i, Version: e.version})
 			continue
 		}
@@ -145,7 +147,7 @@
 	}
 }
 
-// noticeDelay is how long from now on a dispatcher may not know of a change; mu is held.
+// noticeDelay returns how long from now a dispatcher may remain uninformed of a change. The caller must hold mu.
 func (d *Server) noticeDelay(dispatcher int) (noticeDelay time.Duration) {
 	if at, ok := d.watchesSilencedAt[dispatcher]; ok {
 		noticeDelay = unwatchedNoticeDelay - time.Since(at)
--- a/internal/faultbench/frontlayer/front.go
+++ b/internal/faultbench/frontlayer/front.go
@@ -1,5 +1,6 @@
-// Package frontlayer simulates the layer in front of the dispatchers: it polls their health and spreads the clients'
-// new connections over those that it takes for healthy, after the protocol page. A Front is safe for concurrent use.
+// Package frontlayer simulates the load balancer in front of the dispatchers as the protocol page specifies it: it
+// polls the dispatchers' health and distributes the clients' new connections over the healthy ones. A Front is safe for
+// concurrent use.
 package frontlayer
 
 import (
@@ -13,37 +14,37 @@
 )
 
 const (
-	// HealthPollInterval is how often each dispatcher's health is polled.
+	// HealthPollInterval is the interval at which each dispatcher's health is polled.
 	HealthPollInterval = 100 * time.Millisecond
 	healthTimeout      = time.Second
-	// unhealthyAfter is how long a dispatcher may not answer before it gets no new connections.
+	// unhealthyAfter is the time without a response after which a dispatcher gets no new connections.
 	unhealthyAfter = 2 * time.Second
 )
 
-// Config says which dispatchers a Front has. The functions take a dispatcher's number, from 0.
+// Config configures a Front. The functions take the index of a dispatcher.
 type Config struct {
 	Dispatchers int
 	Zones       int
-	// HotFactor is how many times as many connections as any other the first dispatcher gets; 0: as many.
+	// HotFactor is the factor by which the first dispatcher gets more connections than each other one; 0 means 1.
 	HotFactor int
 	HealthURL func(dispatcher int) string
 	Link      func(dispatcher int) *network.Link
-	// Leaving tells whether a dispatcher that answers its health polls gets no new connections, since it shuts down.
+	// Leaving reports whether a dispatcher is shutting down, and gets no new connections although its health is good.
 	Leaving func(dispatcher int) bool
 }
 
-// Front spreads connections round robin, first over the dispatchers of the client's zone.
+// Front distributes connections round robin, preferably over the dispatchers of the client's zone.
 type Front struct {
 	config   Config
-	rotation []int // the dispatchers in turn, the hot one several times
+	rotation []int // round-robin order of the dispatchers; the first dispatcher occurs HotFactor times
 
 	mu         sync.Mutex
 	healthy    []bool
 	answeredAt []time.Time
-	next       []int // position in order, by zone
+	next       []int // position in rotation, by zone
 }
 
-// New makes a Front that takes no dispatcher for healthy yet.
+// New returns a Front to which all dispatchers are unhealthy until they are polled.
 func New(c Config) *Front {
 	f := &Front{config: c, healthy: make([]bool, c.Dispatchers), answeredAt: make([]time.Time, c.Dispatchers), next: make([]int, c.Zones)}
 	for d := range c.Dispatchers {
@@ -57,7 +58,7 @@
 	return f
 }
 
-// Watch polls one dispatcher's health until the context ends.
+// Watch polls the health of dispatcher d until the context ends.
 func (f *Front) Watch(ctx context.Context, d int) {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -79,7 +80,8 @@
 	}
 }
 
-// recordPoll takes in a health poll's result: a refusal counts at once, a missing answer after unhealthyAfter.
+// recordPoll records the result of a health poll. Any status but 200 makes the dispatcher unhealthy immediately, a
+// failed poll only if the last status of 200 is more than unhealthyAfter ago.
 func (f *Front) recordPoll(d int, resp *http.Response, err error) {
 	now := time.Now()
 	f.mu.Lock()
@@ -94,8 +96,8 @@
 	}
 }
 
-// Pick is the dispatcher for a new connection of a zone's client; where the zone has none, others serve it. -1: there is
-// none.
+// Pick returns the dispatcher for a new connection of a client in a zone. It picks one of another zone if the zone has
+// none that accepts connections, and returns -1 if no zone has one.
 func (f *Front) Pick(zone int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,12 +115,12 @@
 	return -1
 }
 
-// Serves tells whether a dispatcher gets new connections.
+// Serves reports whether a dispatcher gets new connections.
 func (f *Front) Serves(d int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servesLocked(d)
 }
 
-// servesLocked is Serves with the lock held.
+// servesLocked reports whether a dispatcher gets new connections. The caller must hold the lock.
 func (f *Front) servesLocked(d int) bool { return f.healthy[d] && !f.config.Leaving(d) }
--- a/internal/faultbench/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -252,7 +252,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := history.Check(c.events, rules)
 			if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule) {
-				t.Errorf("%v, want %q", got, c.rule)
+				t.Errorf("violations %v, want rule %q", got, c.rule)
 			}
 		})
 	}
--- a/internal/faultbench/history/stale_test.go
+++ b/internal/faultbench/history/stale_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := len(history.StaleAttempts(c.events, 500*ms)); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+				t.Errorf("%d stale attempts, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Conn is one end of a connection on a link. What a cut holds back is sent when the cut ends, as TCP does.
+// Conn is one end of a connection on a link. It delivers bytes that a cut holds back when the cut ends, as TCP does.
 type Conn struct {
 	net.Conn
 	link           *Link
-	writeDirection direction // of what this end writes
+	writeDirection direction // direction of the bytes that this end writes
 	done           chan struct{}
 	closeOnce      sync.Once
 
 	lastReadAt     time.Time
-	burstArrivedAt atomic.Int64 // Unix nanoseconds, of the last burst
-	silenced       atomic.Bool  // nothing passes any more
-	blockedUntil   time.Time    // nothing passes before
+	burstArrivedAt atomic.Int64 // arrival of the last burst, in Unix nanoseconds
+	silenced       atomic.Bool  // the connection permanently passes no bytes
+	blockedUntil   time.Time    // the connection passes no bytes before this time
 
 	mu       sync.Mutex
 	queue    []packet // writes that are held back
-	flushing bool     // pump runs
+	flushing bool     // flushQueue is running
 	closing  bool
-	err      error // of a write that was held back
+	err      error // error of a write that was held back
 }
 
-// packet is a write that is held back.
+// packet is a write that is held back until due.
 type packet struct {
 	data []byte
 	due  time.Time
 }
 
-// newConn puts a connection on a link; writes is the direction of what this end writes.
+// newConn adds a connection to a link; writeDirection is the direction of the bytes that this end writes.
 func newConn(c net.Conn, l *Link, writeDirection direction) *Conn {
 	out := &Conn{Conn: c, link: l, writeDirection: writeDirection, done: make(chan struct{})}
 	l.mu.Lock()
@@ -42,14 +42,14 @@
 	return out
 }
 
-// ArrivedAt is when the bytes that were read last arrived at this machine, before a fault held them back: for the sender they
-// were sent by then.
+// ArrivedAt returns when the bytes that were read last arrived at this machine, before a fault held them back. The peer
+// had sent them by then.
 func (c *Conn) ArrivedAt() time.Time { return time.Unix(0, c.burstArrivedAt.Load()) }
 
-// Link is the link that the connection is on.
+// Link returns the link that the connection uses.
 func (c *Conn) Link() *Link { return c.link }
 
-// pacing is whether bytes are held back by a delay, or only by a cut.
+// pacing selects whether a delay holds bytes back too, or only a cut.
 type pacing int
 
 const (
@@ -57,7 +57,7 @@
 	undelayed
 )
 
-// awaitTransmission holds n bytes of a direction back for as long as its condition says.
+// awaitTransmission blocks for as long as the direction's condition holds n bytes back.
 func (c *Conn) awaitTransmission(d direction, n int, p pacing) error {
 	for {
 		delay, cut, changed := c.link.transmissionDelay(d, n)
@@ -79,23 +79,23 @@
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-			p = undelayed // and once more for a cut that began meanwhile
+			p = undelayed // the next iteration checks for a cut that began meanwhile
 		case <-c.done:
 			return net.ErrClosed
 		}
 	}
 }
 
-// burstGap is how soon after bytes were read others belong to them, as a body to its head.
+// burstGap is the time after a read within which further bytes belong to the same burst, as a body to its header.
 const burstGap = 5 * time.Millisecond
 
-// Read implements net.Conn. A burst that was already under way is delayed only once.
+// Read implements net.Conn. Each burst is delayed only once.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	p := delayed
 	if time.Since(c.lastReadAt) < burstGap {
 		p = undelayed
-	} else if n > 1 { // a single byte is what net/http reads ahead while a request is answered
+	} else if n > 1 { // net/http reads a single byte ahead while a request is being answered
 		c.burstArrivedAt.Store(time.Now().UnixNano())
 	}
 	if werr := c.awaitTransmission(c.writeDirection.opposite(), n, p); werr != nil {
@@ -134,7 +134,7 @@
 	return len(p), nil
 }
 
-// flushQueue writes what is held back when it is due.
+// flushQueue writes each held-back packet when it is due, and closes the connection afterwards if Close was called.
 func (c *Conn) flushQueue() {
 	for {
 		c.mu.Lock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// Close implements net.Conn. What was written still goes out first; the end too is held back by a cut.
+// Close implements net.Conn. Bytes that were written are sent before the connection closes, and a cut delays the close.
 func (c *Conn) Close() error {
 	_, cut, _ := c.link.transmissionDelay(c.writeDirection, 0)
 	cut = cut || c.silenced.Load()
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// Abort ends the connection at once with a reset.
+// Abort closes the connection immediately with a reset.
 func (c *Conn) Abort() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -204,6 +204,7 @@
 	c.closeNow()
 }
 
+// closeNow closes the underlying connection and removes it from its link.
 func (c *Conn) closeNow() {
 	c.closeOnce.Do(func() {
 		close(c.done)
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -1,7 +1,7 @@
-// Package network makes the links of one machine's processes fail as networks do: cut, one way only, slow, late,
-// lossy or reset. It needs no privileges: a party of the bench listens on a loopback address for each of its
-// callers, so the address that was called tells who called, and faults are injected where bytes come in and go out.
-// All types are safe for concurrent use.
+// Package network injects network faults into the links between processes of one machine: cuts (also in one direction
+// only), delays, limited bandwidth, loss and resets. It needs no privileges: each party of the bench listens on one
+// loopback address per caller, so that the address that was called identifies the caller, and faults are injected where
+// bytes are read and written. All types are safe for concurrent use.
 package network
 
 import (
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Condition is what happens to the bytes of one direction of a link. The zero value lets them pass.
+// Condition describes the faults of one direction of a link. The zero value has none.
 type Condition struct {
 	Cut       bool
 	Delay     time.Duration
-	Loss      float64 // part of datagrams lost; of TCP's writes as many are delayed by a retransmission timeout
-	BytesPerS float64 // 0: unbounded
+	Loss      float64 // fraction of datagrams lost, and of TCP writes delayed by a retransmission timeout
+	BytesPerS float64 // bandwidth, or 0 if it is unlimited
 }
 
-// retransmissionTimeout delays a lost segment of TCP: the minimum of Linux.
+// retransmissionTimeout is the delay of a lost TCP segment: the minimum retransmission timeout of Linux.
 const retransmissionTimeout = 200 * time.Millisecond
 
-// direction is a way over a link.
+// direction is one of the two directions of a link.
 type direction int
 
 const (
@@ -29,27 +29,27 @@
 	fromListener
 )
 
-// opposite is the other way.
+// opposite returns the other direction.
 func (d direction) opposite() direction { return fromListener - d }
 
-// Link is one pair of parties.
+// Link is the network link between two parties of the bench.
 type Link struct {
 	mu           sync.Mutex
-	conditions   [2]Condition // by direction
-	changed      chan struct{}
-	cutHandlers  []func(cut bool)
+	conditions   [2]Condition     // by direction
+	changed      chan struct{}    // closed at the next change
+	cutHandlers  []func(cut bool) // called after each change of the conditions
 	conns        map[*Conn]struct{}
 	rng          *rand.Rand
-	lastFaultAt  time.Time // the end of the last fault, or its last change
+	lastFaultAt  time.Time // time of the last start, change or end of a fault
 	connectDelay time.Duration
 }
 
-// NewLink returns a healthy link; the seed draws what is lost.
+// NewLink returns a healthy link. The seed initializes the random generator that determines losses.
 func NewLink(seed uint64) *Link {
 	return &Link{changed: make(chan struct{}), conns: map[*Conn]struct{}{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Set changes both directions: to the party that listens, and from it.
+// Set changes the conditions of both directions: to the party that listens, and from it.
 func (l *Link) Set(to, from Condition) {
 	l.mu.Lock()
 	l.conditions = [...]Condition{toListener: to, fromListener: from}
@@ -62,20 +62,20 @@
 	}
 }
 
-// notify wakes what waits for a change; the caller holds the lock.
+// notify wakes all goroutines that wait for a change. The caller must hold the lock.
 func (l *Link) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Healthy tells whether the link has had no fault since t.
+// Healthy reports whether the link has had no fault since t.
 func (l *Link) Healthy(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conditions == [2]Condition{} && l.connectDelay == 0 && !l.lastFaultAt.After(t)
 }
 
-// Reset breaks all open connections.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	conns := make([]*Conn, 0, len(l.conns))
@@ -88,8 +88,8 @@
 	}
 }
 
-// SilenceConns makes the open connections fall silent for good, with no error: what is written to them is dropped. New
-// ones are healthy.
+// SilenceConns permanently stops all open connections from passing bytes, without an error: bytes written to them are
+// never delivered. New connections are healthy.
 func (l *Link) SilenceConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,21 +100,21 @@
 	l.notify()
 }
 
-// SetConnectDelay makes each new connection pass nothing for a time after it was accepted.
+// SetConnectDelay stops each new connection from passing bytes for a time after it was accepted.
 func (l *Link) SetConnectDelay(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.connectDelay, l.lastFaultAt = delay, time.Now()
 }
 
-// currentConnectDelay is the delay of a connection that is accepted now.
+// currentConnectDelay returns the delay of a connection that is accepted now.
 func (l *Link) currentConnectDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.connectDelay
 }
 
-// DrawLoss draws whether a datagram to the listener is lost, and its delay.
+// DrawLoss draws at random whether a datagram to the listener is lost, and returns its delay.
 func (l *Link) DrawLoss() (lost bool, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,8 @@
 	return c.Cut || c.Loss > 0 && l.rng.Float64() < c.Loss, c.Delay
 }
 
-// transmissionDelay is how long n bytes of a direction take from now; cut says that they wait for changed.
+// transmissionDelay returns how long n bytes of a direction take from now. If cut is true, they must wait until changed
+// is closed.
 func (l *Link) transmissionDelay(d direction, n int) (wait time.Duration, cut bool, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts the calls of one link at an address. While the link is cut, new connections never come up:
-// the address is then held by a socket whose queue is full, so that the kernel drops what arrives. While
-// the party is down they are refused.
+// Listener accepts the connections of one link at an address. While the link is cut, new connections are never
+// established: a socket with a full accept queue then occupies the address, so that the kernel drops SYN packets. While
+// the party is down, new connections are refused.
 type Listener struct {
 	addr  *net.TCPAddr
 	link  *Link
@@ -24,14 +24,14 @@
 
 	mu          sync.Mutex
 	listener    net.Listener
-	fillerConns []net.Conn // the full socket's own callers
-	fullSocket  *os.File   // the full socket
+	fillerConns []net.Conn // connections that fill the queue of fullSocket
+	fullSocket  *os.File   // socket with a full accept queue, or nil while the link is not cut
 	cut         bool
 	down        bool
 	ended       bool
 }
 
-// Listen opens an address for the calls of one link.
+// Listen listens at an address for the connections of one link.
 func Listen(addr string, l *Link) (*Listener, error) {
 	tcpAddr, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
@@ -51,10 +51,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	l.apply() // a listener that cannot come back shows as refused calls
+	l.apply() // if the listener cannot be reopened, connections are refused
 }
 
-// SetDown makes calls be refused, or accepted again. Connections that are open stay.
+// SetDown makes the listener refuse new connections, or accept them again. Open connections stay open.
 func (l *Listener) SetDown(down bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +62,7 @@
 	return l.apply()
 }
 
-// apply opens and closes sockets as the state wants them; the caller holds the lock (or is alone).
+// apply opens and closes sockets according to the state. The caller must hold the lock, or be the only user.
 func (l *Listener) apply() error {
 	wantFull := l.cut && !l.ended
 	wantOpen := !l.cut && !l.down && !l.ended
@@ -96,10 +96,10 @@
 const (
 	maxBusyRetries    = 50
 	busyRetryInterval = 2 * time.Millisecond
-	fillTimeout       = 20 * time.Millisecond // for a connection that fills the backlog
+	fillTimeout       = 20 * time.Millisecond // dial timeout of a connection that fills the accept queue
 )
 
-// retryBusy retries for a while where a socket that was just closed still holds the address.
+// retryBusy calls f again for a short time while a socket that was just closed still occupies the address.
 func retryBusy[T any](f func() (T, error)) (T, error) {
 	for n := 0; ; n++ {
 		out, err := f()
@@ -110,7 +110,7 @@
 	}
 }
 
-// openFullSocket opens a listening socket with a backlog of one connection and fills that itself.
+// openFullSocket opens a listening socket with an accept queue of one connection, and fills the queue.
 func (l *Listener) openFullSocket() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -132,7 +132,7 @@
 		return fmt.Errorf("full socket: %w", err)
 	}
 	l.fullSocket = socket
-	for range 2 { // the first fills the queue; the second shows that it is full
+	for range 2 { // the first connection fills the queue; the second times out if the queue is full
 		c, err := net.DialTimeout("tcp4", l.addr.String(), fillTimeout)
 		if err != nil {
 			break
@@ -181,13 +181,14 @@
 	return l.apply()
 }
 
-// Link is the link whose calls it accepts.
+// Link returns the link whose connections the listener accepts.
 func (l *Listener) Link() *Link { return l.link }
 
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Dial connects to an address over a link, from the side that dials; on a cut link the connection never comes up.
+// Dial connects to an address over a link. If the direction to the listener is cut, Dial blocks until ctx ends and
+// returns an error.
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
 	if _, cut, _ := l.transmissionDelay(toListener, 0); cut {
 		<-ctx.Done()
@@ -195,7 +196,7 @@
 	}
 	c, err := new(net.Dialer).DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return nil, err // the caller tells errors apart by their type
+		return nil, err // not wrapped, since the caller distinguishes errors by type
 	}
 	return newConn(c, l, toListener), nil
 }
--- a/internal/faultbench/network/log.go
+++ b/internal/faultbench/network/log.go
@@ -5,5 +5,5 @@
 	"log"
 )
 
-// DiscardLog drops what net/http logs of connections that a fault breaks.
+// DiscardLog discards what net/http logs about connections that an injected fault breaks.
 var DiscardLog = log.New(io.Discard, "", 0)
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// Relay forwards to one receiver of a group of peers that communicate by UDP and TCP: its address is the one
-// that the receiver advertises. The source address identifies the sender, so each peer must send from an address of its
-// own. Link names the link from a sender to this receiver.
+// Relay forwards UDP and TCP traffic to one receiver in a group of peers. The receiver advertises the relay's address
+// in place of its own. The source address identifies the sender, so each peer must send from an address of its own.
 type Relay struct {
-	receiver string // the receiver's own address
-	link     func(sender net.IP) *Link
+	receiver string                    // address to which the relay forwards
+	link     func(sender net.IP) *Link // returns the link from a sender to the receiver, or nil
 	udp      net.PacketConn
 	tcp      net.Listener
 	done     chan struct{}
 	wg       sync.WaitGroup
 	mu       sync.Mutex
-	recent   [][]byte     // the last datagrams, for Replay
-	bytes    atomic.Int64 // forwarded by UDP and TCP, to the receiver and back
+	recent   [][]byte     // last forwarded datagrams, for Replay
+	bytes    atomic.Int64 // bytes forwarded by UDP and TCP, to the receiver and back
 }
 
-// Bytes is how many bytes it has forwarded, both ways.
+// Bytes returns how many bytes the relay has forwarded in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
 const dialTimeout = 2 * time.Second
 
-// NewRelay listens at addr on UDP and TCP and forwards to the receiver at to. Senders without a link (nil) are rejected.
+// NewRelay returns a relay that listens at addr on UDP and TCP and forwards to the receiver at to. It rejects senders
+// for which link returns nil.
 func NewRelay(addr, to string, link func(sender net.IP) *Link) (*Relay, error) {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return r, nil
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	close(r.done)
 	r.udp.Close()
@@ -68,7 +68,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram's receiver was not listening
+			continue // the receiver of an earlier datagram was not listening
 		}
 		l := r.link(from.(*net.UDPAddr).IP)
 		if l == nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// maxReplayPackets is how many datagrams a relay remembers.
+// maxReplayPackets is the maximum number of datagrams that a relay stores for Replay.
 const maxReplayPackets = 2000
 
 func (r *Relay) storeForReplay(b []byte) {
@@ -99,7 +99,8 @@
 	r.recent = r.recent[max(0, len(r.recent)-maxReplayPackets):]
 }
 
-// Replay sends the receiver all remembered datagrams once more, sealed and signed as they were, and returns how many.
+// Replay resends all stored datagrams to the receiver, unchanged and thus still validly encrypted and signed, and
+// returns their number.
 func (r *Relay) Replay() (int, error) {
 	to, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -1,7 +1,6 @@
-// Package process controls the processes of one dispatcher, one after the other: it starts, pauses, kills and stops
-// them, records in the history when the dispatcher was not up, and reads what they take of the machine and the counters
-// in their logs. A Process is safe for concurrent use, but the caller must serialize what ends, pauses or starts it
-// with Lifecycle.
+// Package process controls the successive processes of one dispatcher: it starts, pauses, kills and stops them, records
+// in the history when the dispatcher was down, and reads the processes' resource usage and the counters in their logs.
+// A Process is safe for concurrent use, but the caller must hold Lifecycle while it ends, pauses or starts the process.
 package process
 
 import (
@@ -27,20 +26,20 @@
 	healthPollInterval = 10 * time.Millisecond
 )
 
-// Config is what does not change between a dispatcher's processes.
+// Config holds the settings that are the same for all processes of a dispatcher.
 type Config struct {
-	Index     int           // of the dispatcher
+	Index     int           // index of the dispatcher
 	Program   string        // path of the binary
-	Dir       string        // of the logs and the file of faults
-	HealthURL string        // answers 200 once a process serves
-	KillAfter time.Duration // between SIGTERM and SIGKILL
+	Dir       string        // directory of the logs and the faults file
+	HealthURL string        // health endpoint, which returns 200 once a process is serving
+	KillAfter time.Duration // time between SIGTERM and SIGKILL
 	History   *history.Recorder
 	Log       *slog.Logger
 }
 
-// Process is a dispatcher's process and those before it.
+// Process controls a dispatcher's current process and keeps the results of its earlier ones.
 type Process struct {
-	// Lifecycle is held by what ends, pauses or starts the process.
+	// Lifecycle must be held by callers that end, pause or start the process.
 	Lifecycle sync.Mutex
 	config    Config
 
@@ -48,21 +47,21 @@
 	configPath   string
 	args         []string
 	faults       hostos.Faults
-	terminatedAt time.Time // when SIGTERM was sent to this process; zero: it was not
+	terminatedAt time.Time // time of SIGTERM to the current process, or zero if it was not sent
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when this process has ended
-	exitExpected bool          // the bench ends this process
-	downSince    time.Duration // 0: it is up
-	downReason   string        // as ProcessDown events have it
-	upSince      time.Time     // this process's start, or the end of its last pause
-	readyAfter   time.Duration // from this process's start until it served
-	maxFDs       int           // that were seen, if it was measured
-	maxOwnMB     float64       // likewise
+	exited       chan struct{} // closed when the current process has ended
+	exitExpected bool          // the bench ends the current process
+	downSince    time.Duration // start of the downtime, or 0 if the process is up
+	downReason   string        // Class of the ProcessDown event
+	upSince      time.Time     // time when the current process was ready, or end of its last pause
+	readyAfter   time.Duration // time from the current process's start until it was serving
+	maxFDs       int           // largest number of file descriptors measured by Usage
+	maxOwnMB     float64       // largest OwnMB measured by Usage
 	crashes      int
-	counters     map[string]float64 // of the last process
+	counters     map[string]float64 // counters of the last process
 }
 
-// New makes the control of a dispatcher's processes, of which none runs yet.
+// New returns a Process that has not been started.
 func New(c Config) *Process { return &Process{config: c} }
 
 // Configure sets the arguments of later processes.
@@ -83,7 +82,7 @@
 	return filepath.Join(p.config.Dir, fmt.Sprintf("n%d.log", p.config.Index))
 }
 
-// Start starts a process and returns once it serves.
+// Start starts a process and returns once it is serving.
 func (p *Process) Start(ctx context.Context) error {
 	log, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// awaitReady polls the process's health until it serves.
+// awaitReady polls the process's health endpoint until it is serving.
 func (p *Process) awaitReady(ctx context.Context, exited <-chan struct{}) error {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for deadline := time.Now().Add(readyTimeout); ; {
@@ -130,18 +129,19 @@
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("dispatcher %d ended before it served: see its log in %s", p.config.Index, p.config.Dir)
+			return fmt.Errorf("dispatcher %d exited before it was serving: see its log in %s", p.config.Index, p.config.Dir)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(healthPollInterval):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("dispatcher %d did not serve within %v", p.config.Index, readyTimeout)
+			return fmt.Errorf("dispatcher %d was not serving within %v", p.config.Index, readyTimeout)
 		}
 	}
 }
 
-// recordEnd notes that a process has ended. It has crashed unless the bench ended it, by SIGKILL or with exit code 0.
+// recordEnd records that a process has ended. The end counts as a crash unless the bench ended the process and it was
+// killed by SIGKILL or exited with code 0.
 func (p *Process) recordEnd(cmd *exec.Cmd, err error) {
 	killed := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal() == syscall.SIGKILL
 	p.mu.Lock()
@@ -159,7 +159,7 @@
 	}
 }
 
-// recordUp records the time in which it was not up, and which it does not answer for.
+// recordUp marks the process as up and adds a ProcessDown event for the downtime that has ended, if any.
 func (p *Process) recordUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,56 +170,56 @@
 	p.downSince, p.upSince = 0, time.Now()
 }
 
-// UpSince tells whether it has been up since t without a break.
+// UpSince reports whether the process has been up without interruption since t.
 func (p *Process) UpSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.downSince == 0 && p.upSince.Before(t)
 }
 
-// Terminating tells whether SIGTERM was sent to this process longer than a time ago.
+// Terminating reports whether SIGTERM was sent to the current process more than longerThan ago.
 func (p *Process) Terminating(longerThan time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.terminatedAt.IsZero() && time.Since(p.terminatedAt) > longerThan
 }
 
-// Crashes is how many processes ended, or failed to start, without the bench's doing.
+// Crashes returns how many processes crashed or failed to restart.
 func (p *Process) Crashes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.crashes
 }
 
-// PID is the process ID.
+// PID returns the process ID of the current or last process.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal to the process. One that has ended already takes none.
+// Signal sends a signal to the process. It has no effect on a process that has ended.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sendSignal(s)
 }
 
-// sendSignal is Signal with the lock held.
+// sendSignal sends a signal to the process. The caller must hold the lock.
 func (p *Process) sendSignal(s syscall.Signal) {
 	if p.cmd != nil {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// markDown notes that it is not up from now on; the caller holds the lock.
+// markDown records that the process is down from now on. The caller must hold the lock.
 func (p *Process) markDown() {
 	if p.downSince == 0 {
 		p.downSince = p.config.History.Now()
 	}
 }
 
-// Kill ends the process by SIGKILL, and waits for its end.
+// Kill ends the process with SIGKILL and waits for its end.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.exitExpected = true
@@ -230,7 +230,7 @@
 	<-exited
 }
 
-// Terminate ends the process as a planned restart does: by SIGTERM, and SIGKILL where that takes too long.
+// Terminate ends the process as a planned restart does: with SIGTERM, and after Config.KillAfter with SIGKILL.
 func (p *Process) Terminate() {
 	p.mu.Lock()
 	p.terminatedAt = time.Now()
@@ -245,7 +245,7 @@
 	}
 }
 
-// Suspend stops the process by SIGSTOP.
+// Suspend stops the process with SIGSTOP.
 func (p *Process) Suspend() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,8 +264,8 @@
 	p.recordUp()
 }
 
-// Restart starts a process after the last one's end. One that does not come up counts as crashed, unless the context
-// has ended.
+// Restart starts a process after the last one has ended. A failed start counts as a crash, unless the context has
+// ended.
 func (p *Process) Restart(ctx context.Context) {
 	if err := p.Start(ctx); err != nil && ctx.Err() == nil {
 		p.mu.Lock()
@@ -275,7 +275,7 @@
 	}
 }
 
-// Stop ends the last process gracefully and reads its counters.
+// Stop ends the last process with SIGTERM, and after Config.KillAfter with SIGKILL, and reads its counters.
 func (p *Process) Stop() {
 	p.mu.Lock()
 	exited, cmd := p.exited, p.cmd
@@ -294,18 +294,18 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.downSince > 0 { // for good
+	if p.downSince > 0 { // the dispatcher stays down, so the event has no Until
 		p.config.History.Add(history.Event{At: p.downSince, Kind: history.ProcessDown, Class: p.downReason, Dispatcher: p.config.Index})
 	}
 	p.counters = readCounters(p.logPath())
 }
 
-// faultsPath is the file that tells the process its machine's faults.
+// faultsPath returns the path of the file from which the process reads the faults of its simulated machine.
 func (p *Process) faultsPath() string {
 	return filepath.Join(p.config.Dir, fmt.Sprintf("n%d.faults.json", p.config.Index))
 }
 
-// ChangeFaults changes the faults of its machine's clock and system calls.
+// ChangeFaults changes the faults of the clock and system calls of the process's simulated machine.
 func (p *Process) ChangeFaults(change func(*hostos.Faults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultbench/process/usage.go
+++ b/internal/faultbench/process/usage.go
@@ -13,19 +13,19 @@
 	"rampspread/internal/faultbench/timing"
 )
 
-// measureInterval is how often Measure looks at a process.
+// measureInterval is the interval at which Measure reads the usage of a process.
 const measureInterval = 500 * time.Millisecond
 
-// Usage is what a process takes of its machine.
+// Usage is the resource usage of a process.
 type Usage struct {
-	RSSMB      float64 // the most so far
-	OwnMB      float64 // without the pages of files, which the kernel can take back; now, or the most that was seen
-	FDs        int     // now, or the most that were seen
+	RSSMB      float64 // peak resident memory
+	OwnMB      float64 // largest measured resident memory without file pages, which the kernel can reclaim
+	FDs        int     // largest measured number of open file descriptors
 	ReadyAfter time.Duration
 	CPU        time.Duration
 }
 
-// Usage reads what the current process has taken so far.
+// Usage reads the resource usage of the current process.
 func (p *Process) Usage() (u Usage) {
 	pid := p.PID()
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -46,7 +46,7 @@
 	anonymousResidentLine = regexp.MustCompile(`(?m)^RssAnon:\s+(\d+) kB`)
 )
 
-// statusMB reads a size from /proc/PID/status; 0: it is not there.
+// statusMB returns a size in MB from /proc/PID/status, or 0 if the line is missing.
 func statusMB(status []byte, line *regexp.Regexp) float64 {
 	m := line.FindSubmatch(status)
 	if m == nil {
@@ -56,14 +56,14 @@
 	return kb / 1024
 }
 
-// Fields of /proc/PID/stat behind the command's name, and the unit of its times.
+// Indices of the fields of /proc/PID/stat after the command name, and the unit of their times.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 	clockTick       = 10 * time.Millisecond
 )
 
-// cpuTime reads the user and system time from /proc/PID/stat; 0: they are not there.
+// cpuTime returns the sum of user and system time from /proc/PID/stat, or 0 if they are missing.
 func cpuTime(stat string) time.Duration {
 	_, rest, ok := strings.Cut(stat, ") ")
 	fields := strings.Fields(rest)
@@ -75,7 +75,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Measure looks at the process until the context ends, and makes it log its counters.
+// Measure reads the usage of the process until the context ends, and each time signals the process to log its counters.
 func (p *Process) Measure(ctx context.Context) {
 	for timing.Sleep(ctx, measureInterval) == nil {
 		p.Usage()
@@ -83,8 +83,8 @@
 	}
 }
 
-// Counter is one of the last process's counters, once Stop has read them; 0: it has none of that name. That of
-// goroutines is the most that was logged.
+// Counter returns a counter of the last process as read by Stop, or 0 if it has none of that name. The counter
+// "goroutines" is the largest value that was logged.
 func (p *Process) Counter(name string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,8 @@
 	counterField = regexp.MustCompile(`(\w+)=([0-9.]+)`)
 )
 
-// readCounters reads the last line of counters in a log, with the most goroutines of any line.
+// readCounters returns the counters of the last counters line in a log, with the largest number of goroutines of any
+// such line.
 func readCounters(logPath string) map[string]float64 {
 	text, _ := os.ReadFile(logPath)
 	lines := counterLine.FindAll(text, -1)
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -1,7 +1,7 @@
-// Package replica simulates the replicas behind the dispatchers, after the protocol page: prefill replicas with a queue,
-// a prefix cache and reserved KV states, decode replicas with slots, load reports, slow start, and the faults of both.
-// The replicas record what arrives on their sockets into the bench's history. All types are safe for concurrent use;
-// a Cluster's exported fields are set before the first call and not changed afterwards.
+// Package replica simulates the replicas behind the dispatchers as the protocol page specifies them: prefill replicas
+// with a queue, a prefix cache and reserved KV states, decode replicas with slots, load reports, slow start, and the
+// faults of both. The replicas record in the bench's history what arrives on their sockets. All types are safe for
+// concurrent use; a Cluster's exported fields must be set before the first call and not changed afterwards.
 package replica
 
 import (
@@ -18,44 +18,47 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Cluster is all replicas of a run, and what they hold of requests.
+// Cluster holds all replicas of a run, and the requests and reserved states that they share.
 type Cluster struct {
 	Replicas   []*Replica
 	Deployment *deployment.Deployment
-	// Unregistered makes a request of a call that Register does not know; nil, or a nil result: it is answered with 400.
+	// Unregistered returns the request for a call whose ID was not passed to Register. If Unregistered or its result is
+	// nil, the replica responds with 400.
 	Unregistered func(*http.Request, []byte) *deployment.Request
 
 	history *history.Recorder
 	rules   history.Rules
 
-	mu             sync.Mutex
-	requests       map[string]*deployment.Request // that clients have sent, by ID
-	states         map[string]*reservedState      // by request ID
-	waitingDecodes map[string]int                 // decode attempts that have not fetched their request's state yet
-	eventWrittenAt map[eventKey]time.Time
-	rng            *rand.Rand
+	mu                sync.Mutex
+	requests          map[string]*deployment.Request // registered requests by ID
+	states            map[string]*reservedState      // reserved states by request ID
+	decodesInProgress map[string]int                 // number of decode attempts in progress, by request ID
+	eventWrittenAt    map[eventKey]time.Time
+	rng               *rand.Rand
 }
 
-// reservedState is the KV state of a computed prompt, which waits at its prefill replica.
+// reservedState is the KV state of a computed prompt, which its prefill replica holds until a decode replica fetches
+// it.
 type reservedState struct {
 	holder *Replica
 	tokens int
 	expiry *time.Timer
 }
 
-// eventKey names one event of an answer, by the tokens before it.
+// eventKey identifies one event of a streamed response by the number of tokens before it.
 type eventKey struct {
 	request string
 	tokens  int
 }
 
-// randomStream is the stream of the random generator that draws the replicas' faults.
+// randomStream selects the stream of the random generator that draws the replicas' faults.
 const randomStream = 0xc1
 
-// NewCluster makes a scenario's replicas. They record into r, which may be nil while nothing calls them.
+// NewCluster returns a cluster with the replicas of a scenario. They record in r, which may be nil if nothing calls
+// them.
 func NewCluster(r *history.Recorder, rules history.Rules, s *scenario.Scenario, seed uint64) *Cluster {
 	c := &Cluster{history: r, rules: rules, requests: map[string]*deployment.Request{}, states: map[string]*reservedState{},
-		waitingDecodes: map[string]int{}, eventWrittenAt: map[eventKey]time.Time{}, rng: rand.New(rand.NewPCG(seed, randomStream))}
+		decodesInProgress: map[string]int{}, eventWrittenAt: map[eventKey]time.Time{}, rng: rand.New(rand.NewPCG(seed, randomStream))}
 	for i := range s.PrefillReplicas + s.DecodeReplicas {
 		p := &Replica{Name: fmt.Sprintf("reader-%d", i), Index: i, Zone: i % s.Zones, cluster: c, slowdown: 1,
 			cachedTokens: map[string]int{}, slots: make(chan struct{}, decodeSlots)}
@@ -73,13 +76,13 @@
 	return c
 }
 
-// Named is the replica of a name, which must be one of the cluster's.
+// Named returns the replica with a name. The name must be that of one of the cluster's replicas.
 func (c *Cluster) Named(name string) *Replica {
 	i := slices.IndexFunc(c.Replicas, func(r *Replica) bool { return r.Name == name })
 	return c.Replicas[i]
 }
 
-// Register makes a request known before its client sends it.
+// Register adds a request before its client sends it.
 func (c *Cluster) Register(id string, r *deployment.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +95,8 @@
 	return c.requests[id]
 }
 
-// EventDelay is how long an event that a client has just received was on its way; it can be read once. 0: not known.
+// EventDelay returns the time since a replica wrote an event that a client has just received, or 0 if it is unknown.
+// Each event's delay can be read only once.
 func (c *Cluster) EventDelay(id string, tokens int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,21 +109,21 @@
 	return time.Since(at)
 }
 
-// recordEventWrite notes that an event is being written.
+// recordEventWrite records that an event is being written now.
 func (c *Cluster) recordEventWrite(id string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.eventWrittenAt[eventKey{id, tokens}] = time.Now()
 }
 
-// random is a number from 0 up to 1.
+// random returns a random number in [0, 1).
 func (c *Cluster) random() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Float64()
 }
 
-// reserveState keeps a request's state until it is taken or expires.
+// reserveState holds a request's state until it is removed or expires.
 func (c *Cluster) reserveState(id string, holder *Replica, tokens, dispatcher int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +132,8 @@
 	c.history.Add(history.Event{Kind: history.StateReserved, Request: id, Replica: holder.Name, Dispatcher: dispatcher})
 }
 
-// removeState removes the state of a request; linkHealthy tells whether the call for it came over a link without a fault.
+// removeState removes and returns the state of a request, or returns nil if there is none. linkHealthy is recorded: it
+// is false if the call to remove the state arrived over a link with a fault, or if the replica's process ended.
 func (c *Cluster) removeState(id string, linkHealthy bool) *reservedState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,31 +147,31 @@
 	return s
 }
 
-// releaseState drops the state of a request unless a decode attempt waits for it.
+// releaseState removes the state of a request unless a decode attempt for the request is in progress.
 func (c *Cluster) releaseState(id string, linkHealthy bool) {
 	c.mu.Lock()
-	waiting := c.waitingDecodes[id] > 0
+	inProgress := c.decodesInProgress[id] > 0
 	c.mu.Unlock()
-	if !waiting {
+	if !inProgress {
 		c.removeState(id, linkHealthy)
 	}
 }
 
-// addWaitingDecode counts a decode attempt that waits for a request's state, until done is called.
-func (c *Cluster) addWaitingDecode(id string) (done func()) {
+// trackDecode counts a decode attempt for a request as in progress until done is called.
+func (c *Cluster) trackDecode(id string) (done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waitingDecodes[id]++
+	c.decodesInProgress[id]++
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.waitingDecodes[id]--; c.waitingDecodes[id] == 0 {
-			delete(c.waitingDecodes, id)
+		if c.decodesInProgress[id]--; c.decodesInProgress[id] == 0 {
+			delete(c.decodesInProgress, id)
 		}
 	}
 }
 
-// removeStatesOf releases all states of a replica whose process ends.
+// removeStatesOf removes all states of a replica whose process ends.
 func (c *Cluster) removeStatesOf(holder *Replica) {
 	c.mu.Lock()
 	var lost []string
@@ -181,7 +186,7 @@
 	}
 }
 
-// reservedTokens is how many tokens of states a prefill replica holds.
+// reservedTokens returns the total number of tokens of the states that a prefill replica holds.
 func (c *Cluster) reservedTokens(r *Replica) (tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultbench/replica/connections.go
+++ b/internal/faultbench/replica/connections.go
@@ -17,20 +17,20 @@
 	openedAt []time.Time
 }
 
-// Opened is how many connections were opened in all.
+// Opened returns how many connections were opened in total.
 func (s *ConnectionStats) Opened() int64 { return s.opened.Load() }
 
-// MaxOpen is the largest number of connections that were open at once.
+// MaxOpen returns the largest number of connections that were open at the same time.
 func (s *ConnectionStats) MaxOpen() int64 { return s.maxOpen.Load() }
 
-// OpenTimes are the times at which connections were opened.
+// OpenTimes returns the times at which connections were opened.
 func (s *ConnectionStats) OpenTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.openedAt)
 }
 
-// trackConnState is the server's ConnState hook.
+// trackConnState updates the counts. It is the ConnState hook of the replica's HTTP servers.
 func (s *ConnectionStats) trackConnState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
--- a/internal/faultbench/replica/corrupt.go
+++ b/internal/faultbench/replica/corrupt.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// corruptResponses are noise, half a head, an answer that never ran with another behind it, a length that does not fit,
-// and a chunk that never ends.
+// corruptResponses are noise, a truncated header, a response for an attempt that never ran (followed by another
+// response), a response with a wrong content length, and a response with an incomplete chunk.
 var corruptResponses = []string{
 	"\x00\xff\x17noise\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nContent-Ty",
@@ -17,14 +17,15 @@
 }
 
 const (
-	// trailingResponse follows each corrupt response after trailingResponseDelay.
+	// trailingResponse is sent trailingResponseDelay after each corrupt response.
 	trailingResponse      = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 14\r\n\r\ndata: [DONE]\n\n"
 	trailingResponseDelay = 8 * time.Millisecond
-	// corruptConnTimeout is how long the connection stays open then, unless the caller closes it.
+	// corruptConnTimeout is how long the connection stays open after that, unless the caller closes it.
 	corruptConnTimeout = 2 * time.Second
 )
 
-// maybeRespondCorrupt answers a call with a maybeRespondCorrupt response if it draws one, and tells whether it did. Nothing has run then.
+// maybeRespondCorrupt responds to a call with a corrupt response, with the probability corruptionRate, and reports
+// whether it did. If so, nothing has been executed.
 func (r *Replica) maybeRespondCorrupt(w http.ResponseWriter) bool {
 	r.mu.Lock()
 	rate := r.corruptionRate
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -12,31 +12,31 @@
 	"rampspread/internal/faultbench/timing"
 )
 
-// What a decode replica can do.
+// Capacity and speed of a decode replica.
 const (
 	decodeSlots             = 16
 	decodeQueueLimit        = 16
-	fullBatchSlowdown       = 0.5  // by which a token takes longer when all slots are in use
-	meanBatchSlowdown       = 1.25 // factor, with half of the slots in use
+	fullBatchSlowdown       = 0.5  // fraction by which a token takes longer when all slots are in use
+	meanBatchSlowdown       = 1.25 // factor by which a token takes longer when half of the slots are in use
 	transferTokensPerSecond = 250e3
-	crossZoneTransferFactor = 2.0 // times as long as within a zone
+	crossZoneTransferFactor = 2.0 // factor by which a transfer between zones takes longer than within a zone
 )
 
-// TokensPerEvent is how many tokens an event of a stream has.
+// TokensPerEvent is the number of tokens in an event of a stream.
 const TokensPerEvent = 4
 
-// EventMark is the content of an event: it names the request that it was made for and the tokens before it.
+// EventMark returns the content of an event, which identifies its request and the number of tokens before the event.
 func EventMark(id string, tokens int) string { return fmt.Sprintf("%s.%d ", id, tokens) }
 
-// responder answers an attempt that has begun, with the state that it took.
+// responder responds to an attempt that started to execute with the request's state.
 type responder func(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState)
 
-// failAfterStart is the answer of a replica that fails while it executes.
+// failAfterStart is the responder of a replica that fails during execution.
 func failAfterStart(w http.ResponseWriter, _ *http.Request, _ attempt, _ *reservedState) {
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// decode waits for a slot, takes the request's state and answers.
+// decode waits for a slot, fetches the request's state and calls respond.
 func (r *Replica) decode(w http.ResponseWriter, q *http.Request, a attempt, respond responder) {
 	r.mu.Lock()
 	if r.waiting+r.active >= decodeSlots+decodeQueueLimit {
@@ -60,7 +60,7 @@
 	respond(w, q, a, state)
 }
 
-// acquireSlot makes a waiting attempt an active one, or drops it when its caller has gone.
+// acquireSlot waits for a slot and makes the waiting attempt active. It returns false if the caller disconnects first.
 func (r *Replica) acquireSlot(ctx context.Context) bool {
 	acquired := false
 	select {
@@ -84,7 +84,7 @@
 	r.mu.Unlock()
 }
 
-// streamResponse transfers the state and streams the answer's events.
+// streamResponse transfers the state and streams the response's events.
 func (r *Replica) streamResponse(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState) {
 	ctx := q.Context()
 	transfer := float64(state.tokens) / transferTokensPerSecond
@@ -118,15 +118,15 @@
 		"\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\ndata: [DONE]\n\n", a.request.PromptTokens, output, a.request.PromptTokens)
 }
 
-// tokenTime is how long a token takes now, in nanoseconds.
+// tokenTime returns the current time per token, in nanoseconds.
 func (r *Replica) tokenTime() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return float64(deployment.DecodeTokenTime) * (1 + float64(r.active)/decodeSlots*fullBatchSlowdown) / r.relativeSpeed()
 }
 
-// linkHealthy tells whether what is written to a call's connection now leaves this machine: what a fault of the link
-// holds back is not held back by the dispatcher.
+// linkHealthy reports whether the link of a call's connection currently has no fault. The delay of an event that is
+// written over a faulty link is not measured, because the fault and not the dispatcher may cause it.
 func linkHealthy(q *http.Request) bool {
 	c, ok := q.Context().Value(connectionKey{}).(*network.Conn)
 	return ok && c.Link().Healthy(time.Now())
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -12,26 +12,28 @@
 	"rampspread/internal/faultbench/network"
 )
 
-// LeasedPoll is the class of a load poll on behalf of the whole fleet; the event's weight is its lease's fencing token.
+// LeasedPoll is the Class of the event of a load poll that a dispatcher sends for the whole fleet under a lease. The
+// event's Weight is the lease's fencing token.
 const LeasedPoll = "duty"
 
-// reservationPath is the path prefix of states; a request's ID follows.
+// reservationPath is the path prefix of reserved states. The request ID follows it.
 const reservationPath = "/bootstrap/rooms/"
 
-// minLinkHealthyTime is how long before a call its link must have been without a fault for the call to count as unimpeded.
+// minLinkHealthyTime is how long before a call its link must have had no fault for the call to be recorded with a
+// healthy link.
 const minLinkHealthyTime = time.Second
 
-// decodeEarlyErrorFraction is the part of a decode replica's failing calls that fail before anything has run.
+// decodeEarlyErrorFraction is the fraction of a decode replica's failing calls that fail before execution.
 const decodeEarlyErrorFraction = 0.5
 
-// call is how a call arrived.
+// call describes how an HTTP request arrived at the replica.
 type call struct {
 	link       *network.Link
 	dispatcher int
-	arrivedAt  time.Duration // on the history's clock
+	arrivedAt  time.Duration // time on the history's clock
 }
 
-// attempt is a dispatcher's attempt at a request on this replica.
+// attempt is a dispatcher's attempt to have this replica execute a request.
 type attempt struct {
 	call
 	id      string
@@ -50,7 +52,7 @@
 	r.handleAttempt(w, q, c)
 }
 
-// handleRelease drops the state of a request.
+// handleRelease releases the state of a request.
 func (r *Replica) handleRelease(w http.ResponseWriter, q *http.Request, c call, id string) {
 	if q.Method != http.MethodDelete {
 		w.WriteHeader(http.StatusNotFound)
@@ -78,11 +80,11 @@
 	}
 }
 
-// handleAttempt records an attempt and answers it, unless a fault of the replica answers in its place.
+// handleAttempt records an attempt and executes it, unless an injected fault determines the response.
 func (r *Replica) handleAttempt(w http.ResponseWriter, q *http.Request, c call) {
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
-		return // cut before its last byte: it never began
+		return // the body is incomplete, so the attempt does not count as arrived
 	}
 	a := attempt{call: c, id: q.Header.Get("X-Trace-Id")}
 	a.request = r.cluster.request(a.id)
@@ -117,17 +119,17 @@
 	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorFraction):
 		w.WriteHeader(http.StatusInternalServerError)
 	case failing:
-		defer r.cluster.addWaitingDecode(a.id)()
+		defer r.cluster.trackDecode(a.id)()
 		r.decode(w, q, a, failAfterStart)
 	case r.Decode:
-		defer r.cluster.addWaitingDecode(a.id)()
+		defer r.cluster.trackDecode(a.id)()
 		r.decode(w, q, a, r.streamResponse)
 	default:
 		r.prefill(w, q, a)
 	}
 }
 
-// recordArrival records an attempt, and tells whether it overloads a replica in slow start.
+// recordArrival records an attempt and reports whether it overloads the replica, if that is in slow start.
 func (r *Replica) recordArrival(q *http.Request, a attempt, began time.Time) (overloaded bool) {
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
@@ -148,13 +150,14 @@
 	return overloaded
 }
 
-// parseTimeout reads the remaining time that an attempt announces, such as 4800m.
+// parseTimeout parses the remaining time that an attempt announces: a number of milliseconds followed by "m", such as
+// 4800m.
 func parseTimeout(text string) (time.Duration, error) {
 	ms, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// respondNotExecuted answers that an attempt has not run, so that it may be retried elsewhere.
+// respondNotExecuted responds that an attempt was not executed, so that the dispatcher may retry it on another replica.
 func respondNotExecuted(w http.ResponseWriter, status int) {
 	w.Header().Set("X-Never-Ran", "1")
 	w.WriteHeader(status)
--- a/internal/faultbench/replica/load.go
+++ b/internal/faultbench/replica/load.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	loadReportInterval = 300 * time.Millisecond // load reports are refreshed no more often
-	// fullUtilizationPrefills is how many waiting attempts make a prefill replica fully utilized; the others count as its queue.
+	loadReportInterval = 300 * time.Millisecond // minimum time between updates of the load report
+	// fullUtilizationPrefills is the number of waiting attempts that make a prefill replica fully utilized. Further
+	// attempts count as its queue.
 	fullUtilizationPrefills = 4
 )
 
-// currentLoadReport is its load report, at most loadReportInterval old.
+// currentLoadReport returns a load report that is less than loadReportInterval old.
 func (r *Replica) currentLoadReport() string {
 	reserved := 0
 	if !r.Decode {
--- a/internal/faultbench/replica/prefill.go
+++ b/internal/faultbench/replica/prefill.go
@@ -9,16 +9,16 @@
 	"rampspread/internal/faultbench/timing"
 )
 
-// What a prefill replica can do.
+// Capacity and limits of a prefill replica.
 const (
-	prefillQueueLimit   = 32    // attempts that may wait
-	prefixCacheTokens   = 150e3 // that its prefix cache holds
-	reservedTokensLimit = 120e3 // of states that it holds
+	prefillQueueLimit   = 32    // maximum number of waiting attempts
+	prefixCacheTokens   = 150e3 // capacity of the prefix cache, in tokens
+	reservedTokensLimit = 120e3 // tokens of reserved states above which attempts are rejected
 	prefillOverhead     = 3 * time.Millisecond
-	reservationTimeout  = 10 * time.Second // then a state that nobody took is dropped
+	reservationTimeout  = 10 * time.Second // time after which an unused state is removed
 )
 
-// prefill computes the prompt from where the cached tokens end; attempts are computed one after the other.
+// prefill simulates the computation of the prompt after its cached tokens. Attempts are processed one after the other.
 func (r *Replica) prefill(w http.ResponseWriter, q *http.Request, a attempt) {
 	r.mu.Lock()
 	if r.waiting >= prefillQueueLimit || float64(r.cluster.reservedTokens(r)) > reservedTokensLimit {
@@ -52,7 +52,8 @@
 	fmt.Fprintf(w, `{"cached_tokens":%d}`, cached)
 }
 
-// cachePrefix notes a prefix; the caller holds the lock. When the cache is full others are evicted, in no order.
+// cachePrefix adds a prefix to the cache, and evicts others in arbitrary order if the cache is full. The caller must
+// hold the lock.
 func (r *Replica) cachePrefix(prefix string, tokens int) {
 	if prefix == "" || r.cachedTokens[prefix] >= tokens {
 		return
--- a/internal/faultbench/replica/replica.go
+++ b/internal/faultbench/replica/replica.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/faultbench/network"
 )
 
-// SlowStartDuration is how long after a cold start a replica has less than its capacity.
+// SlowStartDuration is how long after a cold start a replica has less than its warm capacity.
 const SlowStartDuration = 6 * time.Second
 
 // Replica simulates one prefill or decode replica. Name, Index, Zone and Decode don't change.
@@ -21,39 +21,40 @@
 	Name        string
 	Index       int
 	Zone        int
-	Decode      bool // otherwise prefill
+	Decode      bool // the replica is a decode replica, otherwise a prefill replica
 	Connections ConnectionStats
-	// ListingFault is held while a fault changes what the endpoint list says of it, or ends its process; HangFault while
-	// it hangs.
+	// ListingFault must be held while a fault changes the replica's entry on the endpoint list or ends its process.
 	ListingFault sync.Mutex
-	HangFault    sync.Mutex
+	// HangFault must be held while the replica hangs.
+	HangFault sync.Mutex
 
 	cluster          *Cluster
-	configuredWeight float64             // 0: 1
-	listeners        []*network.Listener // one for each dispatcher
-	slots            chan struct{}       // of a decode replica
+	configuredWeight float64             // weight set by the scenario, or 0 for the default of 1
+	listeners        []*network.Listener // one listener for each dispatcher
+	slots            chan struct{}       // semaphore of a decode replica's slots
 
 	mu                sync.Mutex
-	processContext    context.Context // ends when its process does
+	processContext    context.Context // ends when the simulated process ends
 	endProcess        context.CancelFunc
-	slowStart         *history.SlowStartBudget // nil: it was warm from the start
-	slowdown          float64                  // factor
-	resumed           chan struct{}            // closed once it answers again; nil: it does
-	corruptionRate    float64                  // the part of its calls that it answers with a corrupt response
-	errorRate         float64                  // the part of its calls that it answers with 500
-	queueEmptyAt      time.Time                // of a prefill replica
-	waiting           int                      // attempts waiting, and at a prefill replica the one in progress
-	active            int                      // answers in progress at a decode replica
-	cachedTokens      map[string]int           // by prefix or session
+	slowStart         *history.SlowStartBudget // budget since the last restart, or nil if the replica never restarted
+	slowdown          float64                  // factor by which execution takes longer
+	resumed           chan struct{}            // closed when a hang ends, or nil if the replica does not hang
+	corruptionRate    float64                  // fraction of calls with a corrupt response
+	errorRate         float64                  // fraction of calls with status 500
+	queueEmptyAt      time.Time                // time when a prefill replica has processed its queue
+	waiting           int                      // waiting attempts; at a prefill replica also the one in progress
+	active            int                      // attempts that hold a slot of a decode replica
+	cachedTokens      map[string]int           // cached tokens by prefix or session
 	totalCachedTokens int
 	loadReport        string
 	reportedAt        time.Time
 }
 
-// Weight is its capacity relative to others', as discovery lists it.
+// Weight returns the replica's capacity relative to other replicas, as discovery lists it.
 func (r *Replica) Weight() float64 { return cmp.Or(r.configuredWeight, 1) }
 
-// Kill ends its process: connections are reset, states and the prefix cache are lost, calls are refused.
+// Kill ends the simulated process: connections are reset, states and the prefix cache are lost, and new connections are
+// refused.
 func (r *Replica) Kill() {
 	r.mu.Lock()
 	r.endProcess()
@@ -68,7 +69,7 @@
 	r.cluster.removeStatesOf(r)
 }
 
-// Restart starts its process again, cold.
+// Restart starts the simulated process again. It is cold at first.
 func (r *Replica) Restart() {
 	now := r.cluster.history.Now()
 	start := history.Event{At: now, Kind: history.ReplicaStarted, Replica: r.Name, Until: now + SlowStartDuration, Weight: 1, Dispatcher: -1}
@@ -82,35 +83,35 @@
 	}
 }
 
-// SetSlowdown makes it a factor slower; 1: as fast as usual.
+// SetSlowdown sets the factor by which execution takes longer. A factor of 1 is the normal speed.
 func (r *Replica) SetSlowdown(factor float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.slowdown = factor
 }
 
-// SetErrorRate sets the part of its calls that it answers with 500.
+// SetErrorRate sets the fraction of calls to which the replica responds with 500.
 func (r *Replica) SetErrorRate(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errorRate = rate
 }
 
-// SetCorruptionRate sets the part of its calls that it answers with a corrupt response.
+// SetCorruptionRate sets the fraction of calls to which the replica sends a corrupt response.
 func (r *Replica) SetCorruptionRate(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.corruptionRate = rate
 }
 
-// Hang makes it accept calls and answer none.
+// Hang makes the replica accept calls without responding.
 func (r *Replica) Hang() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resumed = make(chan struct{})
 }
 
-// Resume makes it answer again after Hang.
+// Resume makes the replica respond again after Hang.
 func (r *Replica) Resume() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +119,7 @@
 	r.resumed = nil
 }
 
-// awaitResumed returns once it does not hang, or its caller has gone.
+// awaitResumed returns once the replica does not hang, or ctx ends because the caller disconnected.
 func (r *Replica) awaitResumed(ctx context.Context) {
 	r.mu.Lock()
 	resumed := r.resumed
@@ -132,14 +133,15 @@
 	}
 }
 
-// FlushCache loses its prefix cache.
+// FlushCache empties the replica's prefix cache.
 func (r *Replica) FlushCache() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cachedTokens, r.totalCachedTokens = map[string]int{}, 0
 }
 
-// relativeSpeed is its speed now, relative to a warm replica of weight 1; the caller holds the lock.
+// relativeSpeed returns the replica's current speed, relative to a warm replica of weight 1. The caller must hold the
+// lock.
 func (r *Replica) relativeSpeed() float64 {
 	speed := r.Weight() / r.slowdown
 	if r.slowStart != nil {
@@ -148,7 +150,7 @@
 	return speed
 }
 
-// meanWork is a request's mean meanWork, by its class, as a part of what the replica does in a second.
+// meanWork returns the mean work of requests of a request's class, as a fraction of the replica's capacity per second.
 func (r *Replica) meanWork(request *deployment.Request) float64 {
 	if r.Decode {
 		return float64(request.Class.OutputTokens) * deployment.DecodeTokenTime.Seconds() * meanBatchSlowdown / decodeSlots / r.Weight()
@@ -156,10 +158,10 @@
 	return float64(request.Class.PromptTokens) * deployment.UncachedFraction / deployment.PrefillTokensPerSecond / r.Weight()
 }
 
-// connectionKey finds the connection of a call in its context.
+// connectionKey is the context key of a call's connection.
 type connectionKey struct{}
 
-// Serve answers the calls of one dispatcher on its link's listener.
+// Serve starts and returns a server that handles the calls of one dispatcher on its link's listener.
 func (r *Replica) Serve(l *network.Listener, dispatcher int) *http.Server {
 	r.listeners = append(r.listeners, l)
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -171,7 +173,7 @@
 		defer context.AfterFunc(process, cancel)()
 		r.handle(w, q.WithContext(ctx), call{link: l.Link(), dispatcher: dispatcher, arrivedAt: r.cluster.history.Now()})
 		if process.Err() != nil {
-			panic(http.ErrAbortHandler) // the process has ended
+			panic(http.ErrAbortHandler) // the simulated process has ended, so the connection must break
 		}
 	}), ErrorLog: network.DiscardLog, ConnState: r.Connections.trackConnState, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, c)
