--- a/internal/faultbench/discovery/faults.go
+++ b/internal/faultbench/discovery/faults.go
@@ -9,7 +9,7 @@
 	d.delay = delay
 }
 
-// Silence makes discovery send nothing, on watches or to new requests.
+// Silence makes discovery stop sending, both on watches and to new requests.
 func (d *Server) Silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -99,12 +99,12 @@
 
 // send writes a list to a dispatcher and records the state of each replica on it.
 func (d *Server) send(w io.Writer, l List, dispatcher int) error {
-	for _, in := range l.Instances {
+	for _, instance := range l.Instances {
 		kind := history.EndpointReady
-		if in.Lifecycle != Ready {
+		if instance.Lifecycle != Ready {
 			kind = history.EndpointWithdrawn
 		}
-		d.config.History.Add(history.Event{Kind: kind, Replica: in.ID, Dispatcher: dispatcher, Version: l.Generation})
+		d.config.History.Add(history.Event{Kind: kind, Replica: instance.ID, Dispatcher: dispatcher, Version: l.Generation})
 	}
 	out := json.NewEncoder(w)
 	if d.config.Deployment.IndentedLists {
--- a/internal/faultbench/history/event.go
+++ b/internal/faultbench/history/event.go
@@ -18,7 +18,7 @@
 	Replica          string        `json:"replica,omitempty"`
 	Status           int           `json:"status,omitempty"` // HTTP status code
 	Complete         bool          `json:"whole,omitempty"`
-	Weight           float64       `json:"weight,omitempty"` // work of an attempt, or capacity per second
+	Weight           float64       `json:"weight,omitempty"` // work of an attempt, capacity per second, or a fencing token
 	Until            time.Duration `json:"until,omitempty"`
 	SentAt           time.Duration `json:"sent,omitempty"`    // AttemptArrived: arrival of the first byte; 0 means At
 	LastByteAt       time.Duration `json:"last,omitempty"`    // AttemptArrived: arrival of the last byte; 0 means At
@@ -58,7 +58,8 @@
 	FirstEventReceived Kind = "first"
 	// ExtraBytesReceived means that bytes followed a final response.
 	ExtraBytesReceived Kind = "extra"
-	// ForeignResponseReceived means that a response contained data that no replica generated for the request.
+	// ForeignResponseReceived means that a response contained data that no replica generated for the request, or that a
+	// replica received a request that it does not know or whose body differs from the client's.
 	ForeignResponseReceived Kind = "foreign"
 	// ClientClosed means that the client itself closed its connection, or its sending half.
 	ClientClosed Kind = "closed"
@@ -109,7 +110,8 @@
 	// AdmissionChanged means that the health endpoint of Dispatcher starts (Complete is set) or stops rejecting new
 	// clients.
 	AdmissionChanged Kind = "shut"
-	// StaleListServed means that Dispatcher is sent an old endpoint list from At to Until.
+	// StaleListServed means that Dispatcher is sent an old endpoint list, or old settings if Class says so, from At to
+	// Until.
 	StaleListServed Kind = "old"
 	// ProcessDown means that a dispatcher's process is down from At to Until, or permanently if Until is 0. Missing
 	// actions of the dispatcher during this time are no violations. Class is the reason.
--- a/internal/faultbench/history/execution.go
+++ b/internal/faultbench/history/execution.go
@@ -9,7 +9,7 @@
 // at most once, and is not refused after it may have run ("a further SEND or a REFUSE is permitted only when every
 // prior attempt has an outcome establishing that it was never executed").
 func (c *checker) checkExecutions() {
-	executed := map[string]Event{} // the first execution, by group
+	executed := map[string]Event{} // first execution by group
 	for _, e := range c.events {
 		if !slices.Contains(c.rules.NonIdempotent, e.Class) {
 			continue
--- a/internal/faultbench/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -263,14 +263,14 @@
 func (v variant) writeViolations(t *testing.T, out *strings.Builder, check string, violations []history.Violation) {
 	t.Helper()
 	counts := map[string]int{}
-	for _, b := range violations {
-		counts[b.Rule]++
+	for _, violation := range violations {
+		counts[violation.Rule]++
 	}
 	writeLine(t, out, countLine{v.name, check, counts})
-	for i, b := range violations {
-		line := violationLine{Rule: b.Rule, At: b.At, Request: b.Request, Replica: b.Replica, Text: b.Text}
+	for i, violation := range violations {
+		line := violationLine{Rule: violation.Rule, At: violation.At, Request: violation.Request, Replica: violation.Replica, Text: violation.Text}
 		if i == 0 {
-			line.Line = fmt.Sprint(b)
+			line.Line = fmt.Sprint(violation)
 		}
 		writeLine(t, out, line)
 	}
--- a/internal/faultbench/history/historytest/historytest.go
+++ b/internal/faultbench/history/historytest/historytest.go
@@ -143,11 +143,11 @@
 		return nil, fmt.Errorf("recording: %w", err)
 	}
 	defer f.Close()
-	text, err := gzip.NewReader(bufio.NewReader(f))
+	decompressed, err := gzip.NewReader(bufio.NewReader(f))
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	lines := json.NewDecoder(text)
+	lines := json.NewDecoder(decompressed)
 	lines.DisallowUnknownFields()
 	out := &Recording{}
 	if err := lines.Decode(&out.Play); err != nil {
--- a/internal/faultbench/history/reservation.go
+++ b/internal/faultbench/history/reservation.go
@@ -19,7 +19,7 @@
 // reservation is a state that a replica holds, with the StateReserved event that reported it.
 type reservation struct {
 	Event
-	idleSince time.Duration // end of the last attempt, at the latest time when its dispatcher knows of it
+	idleSince time.Duration // latest time at which the dispatcher knows that the last attempt has ended
 }
 
 // checkReservations checks RuleReservationRelease: "While no attempt of a request is outstanding, a state ... held
@@ -32,8 +32,8 @@
 		end = e.At
 		r.applyEvent(e)
 	}
-	for _, s := range r.reservations {
-		r.checkRelease(s, end)
+	for _, reserved := range r.reservations {
+		r.checkRelease(reserved, end)
 	}
 }
 
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Conn is one end of a connection on a link. It delivers bytes that a cut holds back when the cut ends, as TCP does.
+// Conn is one end of a connection on a link. When a cut ends, Conn delivers the bytes that were held back, as TCP does.
 type Conn struct {
 	net.Conn
 	link           *Link
@@ -107,7 +107,7 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	d, cut, _ := c.link.transmissionDelay(c.writeDirection, len(p))
+	delay, cut, _ := c.link.transmissionDelay(c.writeDirection, len(p))
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
 	if c.err != nil || c.closing {
@@ -117,11 +117,11 @@
 		}
 		return 0, c.err
 	}
-	if d <= 0 && !cut && !c.flushing {
+	if delay <= 0 && !cut && !c.flushing {
 		c.mu.Unlock()
 		return c.Conn.Write(p)
 	}
-	due := time.Now().Add(d)
+	due := time.Now().Add(delay)
 	if n := len(c.queue); n > 0 && c.queue[n-1].due.After(due) {
 		due = c.queue[n-1].due
 	}
@@ -178,9 +178,9 @@
 	_, cut, _ := c.link.transmissionDelay(c.writeDirection, 0)
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
-	already := c.closing
+	alreadyClosing := c.closing
 	c.closing = true
-	if already || c.flushing {
+	if alreadyClosing || c.flushing {
 		c.mu.Unlock()
 		return nil
 	}
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -124,16 +124,16 @@
 
 // transmissionDelay returns how long n bytes of a direction take from now. If cut is true, they must wait until changed
 // is closed.
-func (l *Link) transmissionDelay(d direction, n int) (wait time.Duration, cut bool, changed <-chan struct{}) {
+func (l *Link) transmissionDelay(d direction, n int) (delay time.Duration, cut bool, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions[d]
-	wait = c.Delay
+	delay = c.Delay
 	if c.Loss > 0 && l.rng.Float64() < c.Loss {
-		wait += retransmissionTimeout
+		delay += retransmissionTimeout
 	}
 	if c.BytesPerS > 0 {
-		wait += time.Duration(float64(n) / c.BytesPerS * float64(time.Second))
+		delay += time.Duration(float64(n) / c.BytesPerS * float64(time.Second))
 	}
-	return wait, c.Cut, l.changed
+	return delay, c.Cut, l.changed
 }
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -28,7 +28,7 @@
 	fullSocket  *os.File   // socket with a full accept queue, or nil while the link is not cut
 	cut         bool
 	down        bool
-	ended       bool
+	closed      bool
 }
 
 // Listen listens at an address for the connections of one link.
@@ -64,8 +64,8 @@
 
 // apply opens and closes sockets according to the state. The caller must hold the lock, or be the only user.
 func (l *Listener) apply() error {
-	wantFull := l.cut && !l.ended
-	wantOpen := !l.cut && !l.down && !l.ended
+	wantFull := l.cut && !l.closed
+	wantOpen := !l.cut && !l.down && !l.closed
 	if !wantFull && l.fullSocket != nil {
 		for _, c := range l.fillerConns {
 			c.Close()
@@ -173,10 +173,10 @@
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return nil
 	}
-	l.ended = true
+	l.closed = true
 	close(l.done)
 	return l.apply()
 }
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -30,9 +30,9 @@
 
 const dialTimeout = 2 * time.Second
 
-// NewRelay returns a relay that listens at addr on UDP and TCP and forwards to the receiver at to. It rejects senders
-// for which link returns nil.
-func NewRelay(addr, to string, link func(sender net.IP) *Link) (*Relay, error) {
+// NewRelay returns a relay that listens at addr on UDP and TCP and forwards to receiverAddr. It rejects senders for
+// which link returns nil.
+func NewRelay(addr, receiverAddr string, link func(sender net.IP) *Link) (*Relay, error) {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -42,7 +42,7 @@
 		udp.Close()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{receiver: to, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
+	r := &Relay{receiver: receiverAddr, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
 	r.wg.Go(r.relayPackets)
 	r.wg.Go(r.acceptStreams)
 	return r, nil
@@ -57,7 +57,7 @@
 }
 
 func (r *Relay) relayPackets() {
-	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	receiverAddr, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return
 	}
@@ -81,11 +81,11 @@
 		r.bytes.Add(int64(n))
 		r.storeForReplay(buf[:n])
 		if delay <= 0 {
-			r.udp.WriteTo(buf[:n], to)
+			r.udp.WriteTo(buf[:n], receiverAddr)
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		time.AfterFunc(delay, func() { r.udp.WriteTo(data, to) })
+		time.AfterFunc(delay, func() { r.udp.WriteTo(data, receiverAddr) })
 	}
 }
 
@@ -102,14 +102,14 @@
 // Replay resends all stored datagrams to the receiver, unchanged and thus still validly encrypted and signed, and
 // returns their number.
 func (r *Relay) Replay() (int, error) {
-	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	receiverAddr, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return 0, fmt.Errorf("relay: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range r.recent {
-		if _, err := r.udp.WriteTo(b, to); err != nil {
+		if _, err := r.udp.WriteTo(b, receiverAddr); err != nil {
 			return 0, fmt.Errorf("relay: %w", err)
 		}
 	}
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -106,12 +106,12 @@
 		p.recordEnd(cmd, cmd.Wait())
 		close(exited)
 	}()
-	began := time.Now()
+	startedAt := time.Now()
 	if err := p.awaitReady(ctx, exited); err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.readyAfter = time.Since(began)
+	p.readyAfter = time.Since(startedAt)
 	p.mu.Unlock()
 	p.recordUp()
 	return nil
@@ -275,7 +275,8 @@
 	}
 }
 
-// Stop ends the last process with SIGTERM, and after Config.KillAfter with SIGKILL, and reads its counters.
+// Stop resumes the last process if it is stopped, ends it with SIGTERM, and after Config.KillAfter with SIGKILL, and
+// reads its counters.
 func (p *Process) Stop() {
 	p.mu.Lock()
 	exited, cmd := p.exited, p.cmd
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -45,7 +45,7 @@
 	expiry *time.Timer
 }
 
-// eventKey identifies one event of a streamed response by the number of tokens before it.
+// eventKey identifies one event of a streamed response by its request and the number of tokens before the event.
 type eventKey struct {
 	request string
 	tokens  int
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -29,7 +29,7 @@
 func EventMark(id string, tokens int) string { return fmt.Sprintf("%s.%d ", id, tokens) }
 
 // responder responds to an attempt that started to execute with the request's state.
-type responder func(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState)
+type responder func(w http.ResponseWriter, req *http.Request, a attempt, state *reservedState)
 
 // failAfterStart is the responder of a replica that fails during execution.
 func failAfterStart(w http.ResponseWriter, _ *http.Request, _ attempt, _ *reservedState) {
@@ -37,7 +37,7 @@
 }
 
 // decode waits for a slot, fetches the request's state and calls respond.
-func (r *Replica) decode(w http.ResponseWriter, q *http.Request, a attempt, respond responder) {
+func (r *Replica) decode(w http.ResponseWriter, req *http.Request, a attempt, respond responder) {
 	r.mu.Lock()
 	if r.waiting+r.active >= decodeSlots+decodeQueueLimit {
 		r.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 	r.waiting++
 	r.mu.Unlock()
-	if !r.acquireSlot(q.Context()) {
+	if !r.acquireSlot(req.Context()) {
 		return
 	}
 	defer r.releaseSlot()
@@ -57,7 +57,7 @@
 	}
 	r.cluster.history.Add(history.Event{Kind: history.ExecutionStarted, Request: a.id, Group: a.request.Group,
 		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher})
-	respond(w, q, a, state)
+	respond(w, req, a, state)
 }
 
 // acquireSlot waits for a slot and makes the waiting attempt active. It returns false if the caller disconnects first.
@@ -85,8 +85,8 @@
 }
 
 // streamResponse transfers the state and streams the response's events.
-func (r *Replica) streamResponse(w http.ResponseWriter, q *http.Request, a attempt, state *reservedState) {
-	ctx := q.Context()
+func (r *Replica) streamResponse(w http.ResponseWriter, req *http.Request, a attempt, state *reservedState) {
+	ctx := req.Context()
 	transfer := float64(state.tokens) / transferTokensPerSecond
 	if state.holder.Zone != r.Zone {
 		transfer *= crossZoneTransferFactor
@@ -97,19 +97,19 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	output := a.request.OutputTokens
-	for n := 0; n < output; n += TokensPerEvent {
+	for sent := 0; sent < output; sent += TokensPerEvent {
 		r.awaitResumed(ctx)
-		if timing.Sleep(ctx, time.Duration(r.tokenTime()*float64(min(TokensPerEvent, output-n)))) != nil {
+		if timing.Sleep(ctx, time.Duration(r.tokenTime()*float64(min(TokensPerEvent, output-sent)))) != nil {
 			return
 		}
-		if linkHealthy(q) {
-			r.cluster.recordEventWrite(a.id, n)
+		if linkHealthy(req) {
+			r.cluster.recordEventWrite(a.id, sent)
 		}
 		finish := "null"
-		if n+TokensPerEvent >= output {
+		if sent+TokensPerEvent >= output {
 			finish = `"stop"`
 		}
-		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":%s}]}\n\n", EventMark(a.id, n), finish)
+		fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":%s}]}\n\n", EventMark(a.id, sent), finish)
 		if rc.Flush() != nil {
 			return
 		}
@@ -127,7 +127,7 @@
 
 // linkHealthy reports whether the link of a call's connection currently has no fault. The delay of an event that is
 // written over a faulty link is not measured, because the fault and not the dispatcher may cause it.
-func linkHealthy(q *http.Request) bool {
-	c, ok := q.Context().Value(connectionKey{}).(*network.Conn)
+func linkHealthy(req *http.Request) bool {
+	c, ok := req.Context().Value(connectionKey{}).(*network.Conn)
 	return ok && c.Link().Healthy(time.Now())
 }
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -40,32 +40,32 @@
 	request *deployment.Request
 }
 
-func (r *Replica) handle(w http.ResponseWriter, q *http.Request, c call) {
-	if id, ok := strings.CutPrefix(q.URL.Path, reservationPath); ok {
-		r.handleRelease(w, q, c, id)
+func (r *Replica) handle(w http.ResponseWriter, req *http.Request, c call) {
+	if id, ok := strings.CutPrefix(req.URL.Path, reservationPath); ok {
+		r.handleRelease(w, req, c, id)
 		return
 	}
-	if q.Method == http.MethodGet && (q.URL.Path == "/load" || q.URL.Path == "/healthz") {
-		r.handleLoadPoll(w, q, c)
+	if req.Method == http.MethodGet && (req.URL.Path == "/load" || req.URL.Path == "/healthz") {
+		r.handleLoadPoll(w, req, c)
 		return
 	}
-	r.handleAttempt(w, q, c)
+	r.handleAttempt(w, req, c)
 }
 
 // handleRelease releases the state of a request.
-func (r *Replica) handleRelease(w http.ResponseWriter, q *http.Request, c call, id string) {
-	if q.Method != http.MethodDelete {
+func (r *Replica) handleRelease(w http.ResponseWriter, req *http.Request, c call, id string) {
+	if req.Method != http.MethodDelete {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.awaitResumed(q.Context())
+	r.awaitResumed(req.Context())
 	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-minLinkHealthyTime)))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (r *Replica) handleLoadPoll(w http.ResponseWriter, q *http.Request, c call) {
+func (r *Replica) handleLoadPoll(w http.ResponseWriter, req *http.Request, c call) {
 	e := history.Event{Kind: history.LoadPolled, Replica: r.Name, Dispatcher: c.dispatcher}
-	if _, token, ok := strings.Cut(q.Header.Get("X-Duty"), " "); ok {
+	if _, token, ok := strings.Cut(req.Header.Get("X-Duty"), " "); ok {
 		e.Class = LeasedPoll
 		e.Weight, _ = strconv.ParseFloat(token, 64)
 	}
@@ -74,40 +74,40 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.awaitResumed(q.Context())
+	r.awaitResumed(req.Context())
 	if r.cluster.Deployment.LoadReports {
 		io.WriteString(w, r.currentLoadReport())
 	}
 }
 
 // handleAttempt records an attempt and executes it, unless an injected fault determines the response.
-func (r *Replica) handleAttempt(w http.ResponseWriter, q *http.Request, c call) {
-	body, err := io.ReadAll(q.Body)
+func (r *Replica) handleAttempt(w http.ResponseWriter, req *http.Request, c call) {
+	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return // the body is incomplete, so the attempt does not count as arrived
 	}
-	a := attempt{call: c, id: q.Header.Get("X-Trace-Id")}
+	a := attempt{call: c, id: req.Header.Get("X-Trace-Id")}
 	a.request = r.cluster.request(a.id)
 	if a.request == nil && r.cluster.Unregistered != nil {
-		a.request = r.cluster.Unregistered(q, body)
+		a.request = r.cluster.Unregistered(req, body)
 	}
 	if a.request == nil || string(body) != a.request.Body {
 		r.cluster.history.Add(history.Event{Kind: history.ForeignResponseReceived, Request: a.id, Replica: r.Name, Dispatcher: c.dispatcher})
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	began := time.Now()
-	overloaded := r.recordArrival(q, a, began)
+	receivedAt := time.Now()
+	overloaded := r.recordArrival(req, a, receivedAt)
 	defer func() {
 		r.cluster.history.Add(history.Event{Kind: history.AttemptEnded, Request: a.id, Replica: r.Name, Dispatcher: a.dispatcher,
-			LinkHealthy: a.link.Healthy(began)})
+			LinkHealthy: a.link.Healthy(receivedAt)})
 	}()
 	if overloaded {
 		r.cluster.history.Add(history.Event{Kind: history.ReplicaOverloaded, Replica: r.Name, Dispatcher: -1})
 		r.Kill()
 		return
 	}
-	r.awaitResumed(q.Context())
+	r.awaitResumed(req.Context())
 	if r.maybeRespondCorrupt(w) {
 		return
 	}
@@ -120,25 +120,25 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	case failing:
 		defer r.cluster.trackDecode(a.id)()
-		r.decode(w, q, a, failAfterStart)
+		r.decode(w, req, a, failAfterStart)
 	case r.Decode:
 		defer r.cluster.trackDecode(a.id)()
-		r.decode(w, q, a, r.streamResponse)
+		r.decode(w, req, a, r.streamResponse)
 	default:
-		r.prefill(w, q, a)
+		r.prefill(w, req, a)
 	}
 }
 
 // recordArrival records an attempt and reports whether it overloads the replica, if that is in slow start.
-func (r *Replica) recordArrival(q *http.Request, a attempt, began time.Time) (overloaded bool) {
+func (r *Replica) recordArrival(req *http.Request, a attempt, receivedAt time.Time) (overloaded bool) {
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
 		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher,
-		LinkHealthy: a.link.Healthy(began.Add(-minLinkHealthyTime)), Weight: r.meanWork(a.request)}
-	if timeout, err := parseTimeout(q.Header.Get("X-Expires-In")); err == nil {
+		LinkHealthy: a.link.Healthy(receivedAt.Add(-minLinkHealthyTime)), Weight: r.meanWork(a.request)}
+	if timeout, err := parseTimeout(req.Header.Get("X-Expires-In")); err == nil {
 		event.AnnouncedTimeout = timeout
 	}
-	if c, ok := q.Context().Value(connectionKey{}).(*network.Conn); ok {
+	if c, ok := req.Context().Value(connectionKey{}).(*network.Conn); ok {
 		event.SentAt = max(min(h.At(c.ArrivedAt()), a.arrivedAt), 1)
 	}
 	h.Add(event)
--- a/internal/faultbench/replica/load.go
+++ b/internal/faultbench/replica/load.go
@@ -23,12 +23,12 @@
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.reportedAt) >= loadReportInterval {
 		r.reportedAt = now
-		utilization, queue := math.Min(float64(r.waiting)/fullUtilizationPrefills, 1), max(r.waiting-fullUtilizationPrefills, 0)
+		utilization, queueLength := math.Min(float64(r.waiting)/fullUtilizationPrefills, 1), max(r.waiting-fullUtilizationPrefills, 0)
 		memory := float64(reserved) / reservedTokensLimit
 		if r.Decode {
-			utilization, queue, memory = float64(r.active)/decodeSlots, r.waiting, float64(r.active)/decodeSlots
+			utilization, queueLength, memory = float64(r.active)/decodeSlots, r.waiting, float64(r.active)/decodeSlots
 		}
-		r.loadReport = fmt.Sprintf("TEXT util=%.3f, queue=%d, x0=%.3f", utilization, queue, memory)
+		r.loadReport = fmt.Sprintf("TEXT util=%.3f, queue=%d, x0=%.3f", utilization, queueLength, memory)
 	}
 	return r.loadReport
 }
--- a/internal/faultbench/replica/prefill.go
+++ b/internal/faultbench/replica/prefill.go
@@ -19,7 +19,7 @@
 )
 
 // prefill simulates the computation of the prompt after its cached tokens. Attempts are processed one after the other.
-func (r *Replica) prefill(w http.ResponseWriter, q *http.Request, a attempt) {
+func (r *Replica) prefill(w http.ResponseWriter, req *http.Request, a attempt) {
 	r.mu.Lock()
 	if r.waiting >= prefillQueueLimit || float64(r.cluster.reservedTokens(r)) > reservedTokensLimit {
 		r.mu.Unlock()
@@ -36,7 +36,7 @@
 	due := r.queueEmptyAt
 	r.waiting++
 	r.mu.Unlock()
-	err := timing.Sleep(q.Context(), time.Until(due))
+	err := timing.Sleep(req.Context(), time.Until(due))
 	r.mu.Lock()
 	r.waiting--
 	if err == nil {
--- a/internal/faultbench/replica/replica.go
+++ b/internal/faultbench/replica/replica.go
@@ -164,14 +164,14 @@
 // Serve starts and returns a server that handles the calls of one dispatcher on its link's listener.
 func (r *Replica) Serve(l *network.Listener, dispatcher int) *http.Server {
 	r.listeners = append(r.listeners, l)
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
 		process := r.processContext
 		r.mu.Unlock()
-		ctx, cancel := context.WithCancel(q.Context())
+		ctx, cancel := context.WithCancel(req.Context())
 		defer cancel()
 		defer context.AfterFunc(process, cancel)()
-		r.handle(w, q.WithContext(ctx), call{link: l.Link(), dispatcher: dispatcher, arrivedAt: r.cluster.history.Now()})
+		r.handle(w, req.WithContext(ctx), call{link: l.Link(), dispatcher: dispatcher, arrivedAt: r.cluster.history.Now()})
 		if process.Err() != nil {
 			panic(http.ErrAbortHandler) // the simulated process has ended, so the connection must break
 		}
