--- a/internal/faultbench/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -12,7 +12,7 @@
 var rules = history.Rules{AnswerSlack: 58 * ms, DrainWithin: 550 * ms, ReleaseAfter: 650 * ms, OverloadMultiple: 2.5,
 	OverloadWindow: 2 * time.Second, InitialCapacity: 0.34, NonIdempotent: []string{"filing"}}
 
-// event is an event of dispatcher 0 on a healthy link, with the fields that change sets.
+// event returns an event of dispatcher 0 on a healthy link, with the fields that change sets.
 func event(at time.Duration, kind history.Kind, change func(*history.Event)) history.Event {
 	e := history.Event{At: at, Kind: kind, Request: "a", Group: "g", Class: "filing", Replica: "r", LinkHealthy: true}
 	if change != nil {
@@ -25,21 +25,24 @@
 
 func until(d time.Duration) func(*history.Event) { return func(e *history.Event) { e.Until = d } }
 
+// weight sets the weight, and the time until which the event applies.
 func weight(w float64, d time.Duration) func(*history.Event) {
 	return func(e *history.Event) { e.Weight, e.Until = w, d }
 }
 
-func downBecause(why string, until time.Duration) func(*history.Event) {
+func processDown(why string, until time.Duration) func(*history.Event) {
 	return func(e *history.Event) { e.Class, e.Until = why, until }
 }
 
-func linkFaulty(e *history.Event) { e.LinkHealthy = false }
+func onFaultyLink(e *history.Event) { e.LinkHealthy = false }
 
-// Each rule has histories that just keep it and histories that just break it.
+// Guards against limits and exemptions of the checker that are too wide or too narrow: each rule has histories at its
+// limit, without a violation, and histories just past it, with one.
 func TestCheckReportsEachRuleAtItsLimit(t *testing.T) {
 	request := event(100*ms, history.RequestSent, until(1100*ms))
 	pause := event(50*ms, history.ProcessDown, until(1000*ms))
-	start := event(0, history.ReplicaStarted, weight(10, 13*time.Second)) // 3.4 a second at first: 17 in the first 2 s
+	// The initial capacity is 3.4 requests per second, so the budget of the first 2 s is 17 requests.
+	start := event(0, history.ReplicaStarted, weight(10, 13*time.Second))
 	burst := func(n int) []history.Event {
 		out := []history.Event{start}
 		for i := range n {
@@ -49,7 +52,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		rule   string // that is broken; "": none
+		rule   string // broken rule, or "" if none is broken
 		events []history.Event
 	}{
 		{"in time", "", []history.Event{request, event(1158*ms, history.ResponseReceived, status(502))}},
@@ -57,7 +60,7 @@
 			request,
 			event(1159*ms, history.ResponseReceived, status(502)),
 		}},
-		{"too late over a faulty link", "", []history.Event{request, event(1159*ms, history.ResponseReceived, linkFaulty)}},
+		{"too late over a faulty link", "", []history.Event{request, event(1159*ms, history.ResponseReceived, onFaultyLink)}},
 		{"too late while the process was paused", "", []history.Event{
 			pause,
 			request,
@@ -190,46 +193,46 @@
 			event(901*ms, history.StateReleased, nil),
 		}},
 		{"an attempt over a faulty link exempts no later one", history.RuleReservationRelease, []history.Event{
-			event(1*ms, history.AttemptArrived, linkFaulty),
-			event(2*ms, history.AttemptEnded, linkFaulty),
+			event(1*ms, history.AttemptArrived, onFaultyLink),
+			event(2*ms, history.AttemptEnded, onFaultyLink),
 			event(3*ms, history.AttemptArrived, nil),
 			event(4*ms, history.StateReserved, nil),
 			event(5*ms, history.AttemptEnded, nil),
-			event(656*ms, history.StateReleased, linkFaulty),
+			event(656*ms, history.StateReleased, onFaultyLink),
 		}},
 		{"the prefill's end could not be delivered", "", []history.Event{
 			request,
 			event(101*ms, history.AttemptArrived, nil),
 			event(102*ms, history.StateReserved, nil),
-			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(103*ms, history.AttemptEnded, onFaultyLink),
 			event(1750*ms, history.StateReleased, nil),
 		}},
 		{"the prefill's end could not be delivered, past the client's deadline", history.RuleReservationRelease, []history.Event{
 			request,
 			event(101*ms, history.AttemptArrived, nil),
 			event(102*ms, history.StateReserved, nil),
-			event(103*ms, history.AttemptEnded, linkFaulty),
+			event(103*ms, history.AttemptEnded, onFaultyLink),
 			event(1751*ms, history.StateReleased, nil),
 		}},
 		{"paused meanwhile, at the limit after it", "", []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(4*ms, history.ProcessDown, processDown(history.DownPaused, 500*ms)),
 			event(1150*ms, history.StateReleased, nil),
 		}},
 		{"paused meanwhile, past the limit after it", history.RuleReservationRelease, []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownPaused, 500*ms)),
+			event(4*ms, history.ProcessDown, processDown(history.DownPaused, 500*ms)),
 			event(1151*ms, history.StateReleased, nil),
 		}},
 		{"never released by a process that ended by itself", history.RuleReservationRelease, []history.Event{
 			event(1*ms, history.AttemptArrived, nil),
 			event(2*ms, history.StateReserved, nil),
 			event(3*ms, history.AttemptEnded, nil),
-			event(4*ms, history.ProcessDown, downBecause(history.DownEnded, 0)),
+			event(4*ms, history.ProcessDown, processDown(history.DownEnded, 0)),
 			event(9000*ms, history.LoadPolled, nil),
 		}},
 		{"never released", history.RuleReservationRelease, []history.Event{
@@ -249,7 +252,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := history.Check(c.events, rules)
 			if c.rule == "" && len(got) > 0 || c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule) {
-				t.Errorf("%v, want %q", got, c.rule)
+				t.Errorf("violations %v, want rule %q", got, c.rule)
 			}
 		})
 	}
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// Conn is one end of a connection on a link. What a cut holds back is sent when the cut ends, as TCP does.
+// Conn is one end of a connection on a link. When a cut ends, Conn delivers the bytes that were held back, as TCP does.
 type Conn struct {
 	net.Conn
-	link   *Link
-	writes direction // of what this end writes
-	done   chan struct{}
-	once   sync.Once
+	link           *Link
+	writeDirection direction // direction of the bytes that this end writes
+	done           chan struct{}
+	closeOnce      sync.Once
 
 	lastReadAt     time.Time
-	burstArrivedAt atomic.Int64 // Unix nanoseconds, of the last burst
-	silenced       atomic.Bool  // nothing passes any more
-	passesFrom     time.Time    // nothing passes before
-
-	mu      sync.Mutex
-	queue   []packet // writes that are held back
-	pumping bool     // pump runs
-	closing bool
-	err     error // of a write that was held back
+	burstArrivedAt atomic.Int64 // arrival of the last burst, in Unix nanoseconds
+	silenced       atomic.Bool  // the connection permanently passes no bytes
+	blockedUntil   time.Time    // the connection passes no bytes before this time
+
+	mu       sync.Mutex
+	queue    []packet // writes that are held back
+	flushing bool     // flushQueue is running
+	closing  bool
+	err      error // error of a write that was held back
 }
 
-// packet is a write that is held back.
+// packet is a write that is held back until due.
 type packet struct {
 	data []byte
 	due  time.Time
 }
 
-// wrap puts a connection on a link; writes is the direction of what this end writes.
-func wrap(c net.Conn, l *Link, writes direction) *Conn {
-	out := &Conn{Conn: c, link: l, writes: writes, done: make(chan struct{})}
+// newConn adds a connection to a link; writeDirection is the direction of the bytes that this end writes.
+func newConn(c net.Conn, l *Link, writeDirection direction) *Conn {
+	out := &Conn{Conn: c, link: l, writeDirection: writeDirection, done: make(chan struct{})}
 	l.mu.Lock()
 	l.conns[out] = struct{}{}
 	l.mu.Unlock()
 	return out
 }
 
-// ArrivedAt is when the bytes that were read last arrived at this machine, before a fault held them back: for the sender they
-// were sent by then.
+// ArrivedAt returns when the bytes that were read last arrived at this machine, before a fault held them back. The peer
+// had sent them by then.
 func (c *Conn) ArrivedAt() time.Time { return time.Unix(0, c.burstArrivedAt.Load()) }
 
-// Link is the link that the connection is on.
+// Link returns the link that the connection uses.
 func (c *Conn) Link() *Link { return c.link }
 
-// pacing is whether bytes are held back by a delay, or only by a cut.
+// pacing selects whether a delay holds bytes back too, or only a cut.
 type pacing int
 
 const (
@@ -57,11 +57,11 @@
 	undelayed
 )
 
-// wait holds n bytes of a direction back for as long as its condition says.
-func (c *Conn) wait(d direction, n int, p pacing) error {
+// awaitTransmission blocks for as long as the direction's condition holds n bytes back.
+func (c *Conn) awaitTransmission(d direction, n int, p pacing) error {
 	for {
-		delay, cut, changed := c.link.hold(d, n)
-		if connecting := time.Until(c.passesFrom); connecting > 0 {
+		delay, cut, changed := c.link.transmissionDelay(d, n)
+		if connecting := time.Until(c.blockedUntil); connecting > 0 {
 			delay, p = max(delay, connecting), delayed
 		}
 		if cut || c.silenced.Load() {
@@ -79,26 +79,26 @@
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-			p = undelayed // and once more for a cut that began meanwhile
+			p = undelayed // the next iteration checks for a cut that began meanwhile
 		case <-c.done:
 			return net.ErrClosed
 		}
 	}
 }
 
-// sameBurst is how soon after bytes were read others belong to them, as a body to its head.
-const sameBurst = 5 * time.Millisecond
+// burstGap is the time after a read within which further bytes belong to the same burst, as a body to its header.
+const burstGap = 5 * time.Millisecond
 
-// Read implements net.Conn. A burst that was already under way is delayed only once.
+// Read implements net.Conn. Each burst is delayed only once.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	p := delayed
-	if time.Since(c.lastReadAt) < sameBurst {
+	if time.Since(c.lastReadAt) < burstGap {
 		p = undelayed
-	} else if n > 1 { // a single byte is what net/http reads ahead while a request is answered
+	} else if n > 1 { // net/http reads a single byte ahead while a request is being answered
 		c.burstArrivedAt.Store(time.Now().UnixNano())
 	}
-	if werr := c.wait(c.writes.opposite(), n, p); werr != nil {
+	if werr := c.awaitTransmission(c.writeDirection.opposite(), n, p); werr != nil {
 		return 0, werr
 	}
 	c.lastReadAt = time.Now()
@@ -107,7 +107,7 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	d, cut, _ := c.link.hold(c.writes, len(p))
+	delay, cut, _ := c.link.transmissionDelay(c.writeDirection, len(p))
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
 	if c.err != nil || c.closing {
@@ -117,33 +117,33 @@
 		}
 		return 0, c.err
 	}
-	if d <= 0 && !cut && !c.pumping {
+	if delay <= 0 && !cut && !c.flushing {
 		c.mu.Unlock()
 		return c.Conn.Write(p)
 	}
-	due := time.Now().Add(d)
+	due := time.Now().Add(delay)
 	if n := len(c.queue); n > 0 && c.queue[n-1].due.After(due) {
 		due = c.queue[n-1].due
 	}
 	c.queue = append(c.queue, packet{append([]byte(nil), p...), due})
-	if !c.pumping {
-		c.pumping = true
-		go c.pump()
+	if !c.flushing {
+		c.flushing = true
+		go c.flushQueue()
 	}
 	c.mu.Unlock()
 	return len(p), nil
 }
 
-// pump writes what is held back when it is due.
-func (c *Conn) pump() {
+// flushQueue writes each held-back packet when it is due, and closes the connection afterwards if Close was called.
+func (c *Conn) flushQueue() {
 	for {
 		c.mu.Lock()
 		if len(c.queue) == 0 {
-			c.pumping = false
+			c.flushing = false
 			closing := c.closing
 			c.mu.Unlock()
 			if closing {
-				c.end()
+				c.closeNow()
 			}
 			return
 		}
@@ -156,56 +156,57 @@
 		case <-c.done:
 		}
 		timer.Stop()
-		err := c.wait(c.writes, 0, undelayed)
+		err := c.awaitTransmission(c.writeDirection, 0, undelayed)
 		if err == nil {
 			_, err = c.Conn.Write(next.data)
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.err, c.queue, c.pumping = err, nil, false
+			c.err, c.queue, c.flushing = err, nil, false
 			closing := c.closing
 			c.mu.Unlock()
 			if closing {
-				c.end()
+				c.closeNow()
 			}
 			return
 		}
 	}
 }
 
-// Close implements net.Conn. What was written still goes out first; the end too is held back by a cut.
+// Close implements net.Conn. Bytes that were written are sent before the connection closes, and a cut delays the close.
 func (c *Conn) Close() error {
-	_, cut, _ := c.link.hold(c.writes, 0)
+	_, cut, _ := c.link.transmissionDelay(c.writeDirection, 0)
 	cut = cut || c.silenced.Load()
 	c.mu.Lock()
-	already := c.closing
+	alreadyClosing := c.closing
 	c.closing = true
-	if already || c.pumping {
+	if alreadyClosing || c.flushing {
 		c.mu.Unlock()
 		return nil
 	}
 	if cut {
-		c.pumping = true
+		c.flushing = true
 		c.queue = append(c.queue, packet{})
-		go c.pump()
+		go c.flushQueue()
 		c.mu.Unlock()
 		return nil
 	}
 	c.mu.Unlock()
-	c.end()
+	c.closeNow()
 	return nil
 }
 
-// Abort ends the connection at once with a reset.
+// Abort closes the connection immediately with a reset.
 func (c *Conn) Abort() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
-	c.end()
+	c.closeNow()
 }
 
-func (c *Conn) end() {
-	c.once.Do(func() {
+// closeNow closes the underlying connection and removes it from its link.
+func (c *Conn) closeNow() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		c.Conn.Close()
 		c.link.mu.Lock()
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -13,36 +13,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts the calls of one link at an address. While the link is cut, new connections never come up:
-// the address is then held by a socket whose queue is full, so that the kernel drops what arrives. While
-// the party is down they are refused.
+// Listener accepts the connections of one link at an address. While the link is cut, new connections are never
+// established: a socket with a full accept queue then occupies the address, so that the kernel drops SYN packets. While
+// the party is down, new connections are refused.
 type Listener struct {
 	addr  *net.TCPAddr
 	link  *Link
 	conns chan net.Conn
 	done  chan struct{}
 
-	mu         sync.Mutex
-	listener   net.Listener
-	fillers    []net.Conn // the full socket's own callers
-	fullSocket *os.File   // the full socket
-	cut        bool
-	down       bool
-	ended      bool
+	mu          sync.Mutex
+	listener    net.Listener
+	fillerConns []net.Conn // connections that fill the queue of fullSocket
+	fullSocket  *os.File   // socket with a full accept queue, or nil while the link is not cut
+	cut         bool
+	down        bool
+	closed      bool
 }
 
-// Listen opens an address for the calls of one link.
+// Listen listens at an address for the connections of one link.
 func Listen(addr string, l *Link) (*Listener, error) {
-	at, err := net.ResolveTCPAddr("tcp4", addr)
+	tcpAddr, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("network: %w", err)
 	}
-	out := &Listener{addr: at, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
+	out := &Listener{addr: tcpAddr, link: l, conns: make(chan net.Conn), done: make(chan struct{})}
 	if err := out.apply(); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
-	l.listeners = append(l.listeners, out.setCut)
+	l.cutHandlers = append(l.cutHandlers, out.setCut)
 	l.mu.Unlock()
 	return out, nil
 }
@@ -51,10 +51,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
-	l.apply() // a listener that cannot come back shows as refused calls
+	l.apply() // if the listener cannot be reopened, connections are refused
 }
 
-// SetDown makes calls be refused, or accepted again. Connections that are open stay.
+// SetDown makes the listener refuse new connections, or accept them again. Open connections stay open.
 func (l *Listener) SetDown(down bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,16 +62,16 @@
 	return l.apply()
 }
 
-// apply opens and closes sockets as the state wants them; the caller holds the lock (or is alone).
+// apply opens and closes sockets according to the state. The caller must hold the lock, or be the only user.
 func (l *Listener) apply() error {
-	wantFull := l.cut && !l.ended
-	wantOpen := !l.cut && !l.down && !l.ended
+	wantFull := l.cut && !l.closed
+	wantOpen := !l.cut && !l.down && !l.closed
 	if !wantFull && l.fullSocket != nil {
-		for _, c := range l.fillers {
+		for _, c := range l.fillerConns {
 			c.Close()
 		}
 		l.fullSocket.Close()
-		l.fillers, l.fullSocket = nil, nil
+		l.fillerConns, l.fullSocket = nil, nil
 	}
 	if !wantOpen && l.listener != nil {
 		l.listener.Close()
@@ -96,10 +96,10 @@
 const (
 	maxBusyRetries    = 50
 	busyRetryInterval = 2 * time.Millisecond
-	fillTimeout       = 20 * time.Millisecond // for a connection that fills the backlog
+	fillTimeout       = 20 * time.Millisecond // dial timeout of a connection that fills the accept queue
 )
 
-// retryBusy retries for a while where a socket that was just closed still holds the address.
+// retryBusy calls f again for a short time while a socket that was just closed still occupies the address.
 func retryBusy[T any](f func() (T, error)) (T, error) {
 	for n := 0; ; n++ {
 		out, err := f()
@@ -110,34 +110,34 @@
 	}
 }
 
-// openFullSocket opens a listening socket with a backlog of one connection and fills that itself.
+// openFullSocket opens a listening socket with an accept queue of one connection, and fills the queue.
 func (l *Listener) openFullSocket() error {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
-	pit := os.NewFile(uintptr(fd), "pit")
-	at := &unix.SockaddrInet4{Port: l.addr.Port, Addr: [4]byte(l.addr.IP.To4())}
+	socket := os.NewFile(uintptr(fd), "pit")
+	sockaddr := &unix.SockaddrInet4{Port: l.addr.Port, Addr: [4]byte(l.addr.IP.To4())}
 	_, err = retryBusy(func() (struct{}, error) {
 		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 			return struct{}{}, err
 		}
-		return struct{}{}, unix.Bind(fd, at)
+		return struct{}{}, unix.Bind(fd, sockaddr)
 	})
 	if err == nil {
 		err = unix.Listen(fd, 0)
 	}
 	if err != nil {
-		pit.Close()
+		socket.Close()
 		return fmt.Errorf("full socket: %w", err)
 	}
-	l.fullSocket = pit
-	for range 2 { // the first fills the queue; the second shows that it is full
+	l.fullSocket = socket
+	for range 2 { // the first connection fills the queue; the second times out if the queue is full
 		c, err := net.DialTimeout("tcp4", l.addr.String(), fillTimeout)
 		if err != nil {
 			break
 		}
-		l.fillers = append(l.fillers, c)
+		l.fillerConns = append(l.fillerConns, c)
 	}
 	return nil
 }
@@ -148,8 +148,8 @@
 		if err != nil {
 			return
 		}
-		conn := wrap(c, l.link, fromListener)
-		conn.passesFrom = time.Now().Add(l.link.currentConnectDelay())
+		conn := newConn(c, l.link, fromListener)
+		conn.blockedUntil = time.Now().Add(l.link.currentConnectDelay())
 		select {
 		case l.conns <- conn:
 		case <-l.done:
@@ -173,29 +173,30 @@
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closed {
 		return nil
 	}
-	l.ended = true
+	l.closed = true
 	close(l.done)
 	return l.apply()
 }
 
-// Link is the link whose calls it accepts.
+// Link returns the link whose connections the listener accepts.
 func (l *Listener) Link() *Link { return l.link }
 
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Dial connects to an address over a link, from the side that dials; on a cut link the connection never comes up.
+// Dial connects to an address over a link. If the direction to the listener is cut, Dial blocks until ctx ends and
+// returns an error.
 func Dial(ctx context.Context, addr string, l *Link) (*Conn, error) {
-	if _, cut, _ := l.hold(toListener, 0); cut {
+	if _, cut, _ := l.transmissionDelay(toListener, 0); cut {
 		<-ctx.Done()
 		return nil, fmt.Errorf("network: %w", ctx.Err())
 	}
 	c, err := new(net.Dialer).DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return nil, err // the caller tells errors apart by their type
+		return nil, err // not wrapped, since the caller distinguishes errors by type
 	}
-	return wrap(c, l, toListener), nil
+	return newConn(c, l, toListener), nil
 }
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// Relay forwards to one receiver of a group of peers that communicate by UDP and TCP: its address is the one
-// that the receiver advertises. The source address identifies the sender, so each peer must send from an address of its
-// own. Link names the link from a sender to this receiver.
+// Relay forwards UDP and TCP traffic to one receiver in a group of peers. The receiver advertises the relay's address
+// in place of its own. The source address identifies the sender, so each peer must send from an address of its own.
 type Relay struct {
-	receiver string // the receiver's own address
-	link     func(sender net.IP) *Link
+	receiver string                    // address to which the relay forwards
+	link     func(sender net.IP) *Link // returns the link from a sender to the receiver, or nil
 	udp      net.PacketConn
 	tcp      net.Listener
 	done     chan struct{}
 	wg       sync.WaitGroup
 	mu       sync.Mutex
-	recent   [][]byte     // the last datagrams, for Replay
-	bytes    atomic.Int64 // forwarded by UDP and TCP, to the receiver and back
+	recent   [][]byte     // last forwarded datagrams, for Replay
+	bytes    atomic.Int64 // bytes forwarded by UDP and TCP, to the receiver and back
 }
 
-// Bytes is how many bytes it has forwarded, both ways.
+// Bytes returns how many bytes the relay has forwarded in both directions.
 func (r *Relay) Bytes() int64 { return r.bytes.Load() }
 
 const dialTimeout = 2 * time.Second
 
-// NewRelay listens at addr on UDP and TCP and forwards to the receiver at to. Senders without a link (nil) are rejected.
-func NewRelay(addr, to string, link func(sender net.IP) *Link) (*Relay, error) {
+// NewRelay returns a relay that listens at addr on UDP and TCP and forwards to receiverAddr. It rejects senders for
+// which link returns nil.
+func NewRelay(addr, receiverAddr string, link func(sender net.IP) *Link) (*Relay, error) {
 	udp, err := net.ListenPacket("udp4", addr)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -42,13 +42,13 @@
 		udp.Close()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{receiver: to, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
+	r := &Relay{receiver: receiverAddr, link: link, udp: udp, tcp: tcp, done: make(chan struct{})}
 	r.wg.Go(r.relayPackets)
 	r.wg.Go(r.acceptStreams)
 	return r, nil
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	close(r.done)
 	r.udp.Close()
@@ -57,7 +57,7 @@
 }
 
 func (r *Relay) relayPackets() {
-	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	receiverAddr, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return
 	}
@@ -68,47 +68,48 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram's receiver was not listening
+			continue // the receiver of an earlier datagram was not listening
 		}
 		l := r.link(from.(*net.UDPAddr).IP)
 		if l == nil {
 			continue
 		}
-		lost, late := l.DrawLoss()
+		lost, delay := l.DrawLoss()
 		if lost {
 			continue
 		}
 		r.bytes.Add(int64(n))
-		r.remember(buf[:n])
-		if late <= 0 {
-			r.udp.WriteTo(buf[:n], to)
+		r.storeForReplay(buf[:n])
+		if delay <= 0 {
+			r.udp.WriteTo(buf[:n], receiverAddr)
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
-		time.AfterFunc(late, func() { r.udp.WriteTo(data, to) })
+		time.AfterFunc(delay, func() { r.udp.WriteTo(data, receiverAddr) })
 	}
 }
 
-// maxRemembered is how many datagrams a relay remembers.
-const maxRemembered = 2000
+// maxReplayPackets is the maximum number of datagrams that a relay stores for Replay.
+const maxReplayPackets = 2000
 
-func (r *Relay) remember(b []byte) {
+func (r *Relay) storeForReplay(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recent = append(r.recent, append([]byte(nil), b...))
-	r.recent = r.recent[max(0, len(r.recent)-maxRemembered):]
+	r.recent = r.recent[max(0, len(r.recent)-maxReplayPackets):]
 }
 
-// Replay sends the receiver all remembered datagrams once more, sealed and signed as they were, and returns how many.
+// Replay resends all stored datagrams to the receiver, unchanged and thus still validly encrypted and signed, and
+// returns their number.
 func (r *Relay) Replay() (int, error) {
-	to, err := net.ResolveUDPAddr("udp4", r.receiver)
+	receiverAddr, err := net.ResolveUDPAddr("udp4", r.receiver)
 	if err != nil {
 		return 0, fmt.Errorf("relay: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range r.recent {
-		if _, err := r.udp.WriteTo(b, to); err != nil {
+		if _, err := r.udp.WriteTo(b, receiverAddr); err != nil {
 			return 0, fmt.Errorf("relay: %w", err)
 		}
 	}
@@ -126,7 +127,7 @@
 			c.Close()
 			continue
 		}
-		r.wg.Go(func() { r.relayStream(wrap(c, l, fromListener)) })
+		r.wg.Go(func() { r.relayStream(newConn(c, l, fromListener)) })
 	}
 }
 
@@ -138,9 +139,9 @@
 		in.Abort()
 		return
 	}
-	end := make(chan struct{})
+	finished := make(chan struct{})
 	var once sync.Once
-	stop := func() { once.Do(func() { close(end) }) }
+	finish := func() { once.Do(func() { close(finished) }) }
 	go func() {
 		n, _ := io.Copy(out, in)
 		r.bytes.Add(n)
@@ -149,10 +150,10 @@
 	go func() {
 		n, _ := io.Copy(in, out)
 		r.bytes.Add(n)
-		stop()
+		finish()
 	}()
 	select {
-	case <-end:
+	case <-finished:
 		in.Close()
 	case <-in.done:
 	case <-r.done:
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -12,58 +12,60 @@
 	"rampspread/internal/faultbench/network"
 )
 
-// LeasedPoll is the class of a load poll on behalf of the whole fleet; the event's weight is its lease's fencing token.
+// LeasedPoll is the Class of the event of a load poll that a dispatcher sends for the whole fleet under a lease. The
+// event's Weight is the lease's fencing token.
 const LeasedPoll = "duty"
 
-// reservationPath is the path prefix of states; a request's ID follows.
+// reservationPath is the path prefix of reserved states. The request ID follows it.
 const reservationPath = "/bootstrap/rooms/"
 
-// linkHealthyFor is how long before a call its link must have been without a fault for the call to count as unimpeded.
-const linkHealthyFor = time.Second
+// minLinkHealthyTime is how long before a call its link must have had no fault for the call to be recorded with a
+// healthy link.
+const minLinkHealthyTime = time.Second
 
-// decodeEarlyErrorPart is the part of a decode replica's failing calls that fail before anything has run.
-const decodeEarlyErrorPart = 0.5
+// decodeEarlyErrorFraction is the fraction of a decode replica's failing calls that fail before execution.
+const decodeEarlyErrorFraction = 0.5
 
-// call is how a call arrived.
+// call describes how an HTTP request arrived at the replica.
 type call struct {
 	link       *network.Link
 	dispatcher int
-	arrivedAt  time.Duration // on the history's clock
+	arrivedAt  time.Duration // time on the history's clock
 }
 
-// attempt is a dispatcher's attempt at a request on this replica.
+// attempt is a dispatcher's attempt to have this replica execute a request.
 type attempt struct {
 	call
 	id      string
 	request *deployment.Request
 }
 
-func (r *Replica) handle(w http.ResponseWriter, q *http.Request, c call) {
-	if id, ok := strings.CutPrefix(q.URL.Path, reservationPath); ok {
-		r.handleRelease(w, q, c, id)
+func (r *Replica) handle(w http.ResponseWriter, req *http.Request, c call) {
+	if id, ok := strings.CutPrefix(req.URL.Path, reservationPath); ok {
+		r.handleRelease(w, req, c, id)
 		return
 	}
-	if q.Method == http.MethodGet && (q.URL.Path == "/load" || q.URL.Path == "/healthz") {
-		r.handleLoadPoll(w, q, c)
+	if req.Method == http.MethodGet && (req.URL.Path == "/load" || req.URL.Path == "/healthz") {
+		r.handleLoadPoll(w, req, c)
 		return
 	}
-	r.handleAttempt(w, q, c)
+	r.handleAttempt(w, req, c)
 }
 
-// handleRelease drops the state of a request.
-func (r *Replica) handleRelease(w http.ResponseWriter, q *http.Request, c call, id string) {
-	if q.Method != http.MethodDelete {
+// handleRelease releases the state of a request.
+func (r *Replica) handleRelease(w http.ResponseWriter, req *http.Request, c call, id string) {
+	if req.Method != http.MethodDelete {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.awaitResumed(q.Context())
-	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-linkHealthyFor)))
+	r.awaitResumed(req.Context())
+	r.cluster.releaseState(id, c.link.Healthy(time.Now().Add(-minLinkHealthyTime)))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (r *Replica) handleLoadPoll(w http.ResponseWriter, q *http.Request, c call) {
+func (r *Replica) handleLoadPoll(w http.ResponseWriter, req *http.Request, c call) {
 	e := history.Event{Kind: history.LoadPolled, Replica: r.Name, Dispatcher: c.dispatcher}
-	if _, token, ok := strings.Cut(q.Header.Get("X-Duty"), " "); ok {
+	if _, token, ok := strings.Cut(req.Header.Get("X-Duty"), " "); ok {
 		e.Class = LeasedPoll
 		e.Weight, _ = strconv.ParseFloat(token, 64)
 	}
@@ -72,41 +74,41 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	r.awaitResumed(q.Context())
+	r.awaitResumed(req.Context())
 	if r.cluster.Deployment.LoadReports {
 		io.WriteString(w, r.currentLoadReport())
 	}
 }
 
-// handleAttempt records an attempt and answers it, unless a fault of the replica answers in its place.
-func (r *Replica) handleAttempt(w http.ResponseWriter, q *http.Request, c call) {
-	body, err := io.ReadAll(q.Body)
+// handleAttempt records an attempt and executes it, unless an injected fault determines the response.
+func (r *Replica) handleAttempt(w http.ResponseWriter, req *http.Request, c call) {
+	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		return // cut before its last byte: it never began
+		return // the body is incomplete, so the attempt does not count as arrived
 	}
-	a := attempt{call: c, id: q.Header.Get("X-Trace-Id")}
+	a := attempt{call: c, id: req.Header.Get("X-Trace-Id")}
 	a.request = r.cluster.request(a.id)
 	if a.request == nil && r.cluster.Unregistered != nil {
-		a.request = r.cluster.Unregistered(q, body)
+		a.request = r.cluster.Unregistered(req, body)
 	}
 	if a.request == nil || string(body) != a.request.Body {
 		r.cluster.history.Add(history.Event{Kind: history.ForeignResponseReceived, Request: a.id, Replica: r.Name, Dispatcher: c.dispatcher})
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	began := time.Now()
-	overloaded := r.recordArrival(q, a, began)
+	receivedAt := time.Now()
+	overloaded := r.recordArrival(req, a, receivedAt)
 	defer func() {
 		r.cluster.history.Add(history.Event{Kind: history.AttemptEnded, Request: a.id, Replica: r.Name, Dispatcher: a.dispatcher,
-			LinkHealthy: a.link.Healthy(began)})
+			LinkHealthy: a.link.Healthy(receivedAt)})
 	}()
 	if overloaded {
 		r.cluster.history.Add(history.Event{Kind: history.ReplicaOverloaded, Replica: r.Name, Dispatcher: -1})
 		r.Kill()
 		return
 	}
-	r.awaitResumed(q.Context())
-	if r.corrupt(w) {
+	r.awaitResumed(req.Context())
+	if r.maybeRespondCorrupt(w) {
 		return
 	}
 	r.mu.Lock()
@@ -114,29 +116,29 @@
 	r.mu.Unlock()
 	failing := errorRate > 0 && r.cluster.random() < errorRate
 	switch {
-	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorPart):
+	case failing && (!r.Decode || r.cluster.random() < decodeEarlyErrorFraction):
 		w.WriteHeader(http.StatusInternalServerError)
 	case failing:
-		defer r.cluster.awaitState(a.id)()
-		r.decode(w, q, a, failOnceBegun)
+		defer r.cluster.trackDecode(a.id)()
+		r.decode(w, req, a, failAfterStart)
 	case r.Decode:
-		defer r.cluster.awaitState(a.id)()
-		r.decode(w, q, a, r.streamAnswer)
+		defer r.cluster.trackDecode(a.id)()
+		r.decode(w, req, a, r.streamResponse)
 	default:
-		r.prefill(w, q, a)
+		r.prefill(w, req, a)
 	}
 }
 
-// recordArrival records an attempt, and tells whether it overloads a replica in slow start.
-func (r *Replica) recordArrival(q *http.Request, a attempt, began time.Time) (overloaded bool) {
+// recordArrival records an attempt and reports whether it overloads the replica, if that is in slow start.
+func (r *Replica) recordArrival(req *http.Request, a attempt, receivedAt time.Time) (overloaded bool) {
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
 		Class: a.request.Class.Name, Replica: r.Name, Dispatcher: a.dispatcher,
-		LinkHealthy: a.link.Healthy(began.Add(-linkHealthyFor)), Weight: r.work(a.request)}
-	if timeout, err := parseTimeout(q.Header.Get("X-Expires-In")); err == nil {
+		LinkHealthy: a.link.Healthy(receivedAt.Add(-minLinkHealthyTime)), Weight: r.meanWork(a.request)}
+	if timeout, err := parseTimeout(req.Header.Get("X-Expires-In")); err == nil {
 		event.AnnouncedTimeout = timeout
 	}
-	if c, ok := q.Context().Value(connectionKey{}).(*network.Conn); ok {
+	if c, ok := req.Context().Value(connectionKey{}).(*network.Conn); ok {
 		event.SentAt = max(min(h.At(c.ArrivedAt()), a.arrivedAt), 1)
 	}
 	h.Add(event)
@@ -148,13 +150,14 @@
 	return overloaded
 }
 
-// parseTimeout reads the remaining time that an attempt announces, such as 4800m.
+// parseTimeout parses the remaining time that an attempt announces: a number of milliseconds followed by "m", such as
+// 4800m.
 func parseTimeout(text string) (time.Duration, error) {
 	ms, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 	return time.Duration(ms) * time.Millisecond, err
 }
 
-// respondNotExecuted answers that an attempt has not run, so that it may be retried elsewhere.
+// respondNotExecuted responds that an attempt was not executed, so that the dispatcher may retry it on another replica.
 func respondNotExecuted(w http.ResponseWriter, status int) {
 	w.Header().Set("X-Never-Ran", "1")
 	w.WriteHeader(status)
--- a/internal/faultbench/replica/load.go
+++ b/internal/faultbench/replica/load.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	loadReportInterval = 300 * time.Millisecond // load reports are refreshed no more often
-	// busyPrefills is how many waiting attempts make a prefill replica fully utilized; the others count as its queue.
-	busyPrefills = 4
+	loadReportInterval = 300 * time.Millisecond // minimum time between updates of the load report
+	// fullUtilizationPrefills is the number of waiting attempts that make a prefill replica fully utilized. Further
+	// attempts count as its queue.
+	fullUtilizationPrefills = 4
 )
 
-// currentLoadReport is its load report, at most loadReportInterval old.
+// currentLoadReport returns a load report that is less than loadReportInterval old.
 func (r *Replica) currentLoadReport() string {
 	reserved := 0
 	if !r.Decode {
@@ -22,12 +23,12 @@
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.reportedAt) >= loadReportInterval {
 		r.reportedAt = now
-		utilization, queue := math.Min(float64(r.waiting)/busyPrefills, 1), max(r.waiting-busyPrefills, 0)
+		utilization, queueLength := math.Min(float64(r.waiting)/fullUtilizationPrefills, 1), max(r.waiting-fullUtilizationPrefills, 0)
 		memory := float64(reserved) / reservedTokensLimit
 		if r.Decode {
-			utilization, queue, memory = float64(r.active)/decodeSlots, r.waiting, float64(r.active)/decodeSlots
+			utilization, queueLength, memory = float64(r.active)/decodeSlots, r.waiting, float64(r.active)/decodeSlots
 		}
-		r.loadReport = fmt.Sprintf("TEXT util=%.3f, queue=%d, x0=%.3f", utilization, queue, memory)
+		r.loadReport = fmt.Sprintf("TEXT util=%.3f, queue=%d, x0=%.3f", utilization, queueLength, memory)
 	}
 	return r.loadReport
 }
