--- a/internal/faultbench/state_transfer_test.go
+++ b/internal/faultbench/state_transfer_test.go
@@ -14,13 +14,14 @@
 
 var transferredState = regexp.MustCompile(`event=handover prefixes=(\d+) endpoints=(\d+)`)
 
-// Processes that are restarted gracefully or killed start with the state that the earlier process learned; no rule is broken by it.
+// A process that follows a terminated or killed one must start with the state that the earlier process learned, and
+// must break no rule.
 func TestHandover(t *testing.T) {
-	for _, do := range []string{"term", "kill"} {
-		t.Run(do, func(t *testing.T) {
+	for _, action := range []string{"term", "kill"} {
+		t.Run(action, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			s := &scenario.Scenario{Name: do, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []scenario.Fault{{At: 7, Action: do, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
+			s := &scenario.Scenario{Name: action, Seconds: 13, Rate: 30, Zones: 1, PrefillReplicas: 3, DecodeReplicas: 3, Faults: []scenario.Fault{{At: 7, Action: action, Fraction: 1, SpareFirst: 1, Duration: 0.5}}}
 			r, err := Play(context.Background(), s, Options{Program: programPath, Dispatchers: 2, Seed: 1, Handover: true, Dir: dir})
 			if err != nil {
 				t.Fatal(err)
@@ -31,18 +32,19 @@
 			}
 			m := transferredState.FindSubmatch(text)
 			if m == nil {
-				t.Fatalf("nothing was handed over: %s", text)
+				t.Fatalf("no state was transferred: %s", text)
 			}
-			texts, _ := strconv.Atoi(string(m[1]))
-			if texts < 10 || string(m[2]) != "6" || !r.Good() {
-				t.Errorf("%d texts, %s servers, %v", texts, m[2], r.violations)
+			prefixes, _ := strconv.Atoi(string(m[1]))
+			if prefixes < 10 || string(m[2]) != "6" || !r.Good() {
+				t.Errorf("%d prefixes, %s endpoints, %v", prefixes, m[2], r.violations)
 			}
 		})
 	}
 }
 
-// Most members are killed at once and lose their state: those that start learn from the few that know, and pass it on; no donor
-// is overloaded and no rule is broken. When part of them is cut off they go on by themselves.
+// Most members are killed at once and lose their state. Those that start must take learned state from the few that have
+// it, and pass it on, without overloading a donor and without breaking a rule. Members that are cut off must go on
+// without it.
 func TestBootstrapFromPeers(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(map[bool]string{false: "restart", true: "cut off"}[cut], func(t *testing.T) {
@@ -58,8 +60,8 @@
 			if !r.Good() {
 				t.Error(r.violations)
 			}
-			if taken := r.BootstrapsApplied; taken < 1 || !cut && taken < 4 {
-				t.Errorf("%v gifts were taken by those that run at the end", taken)
+			if applied := r.BootstrapsApplied; applied < 1 || !cut && applied < 4 {
+				t.Errorf("the last processes applied %v transfers of state", applied)
 			}
 		})
 	}
--- a/internal/faultbench/timing/timing.go
+++ b/internal/faultbench/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing has the bench's wait that a context ends.
+// Package timing provides the bench's sleep that a context can end.
 package timing
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration, or returns the context's error once that ends. A duration that is not positive may still
-// return nil when the context has ended.
+// Sleep waits for a duration and returns nil, or returns the context's error as soon as the context ends. If the
+// context has ended already and the duration is not positive, either result is possible.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/faultbench/totals.go
+++ b/internal/faultbench/totals.go
@@ -8,32 +8,37 @@
 	"rampspread/internal/faultbench/replica"
 )
 
-// FleetTotals are what all dispatchers did together, counted at the replicas, and the quotas that they show.
+// FleetTotals holds what the replicas counted of all dispatchers together, and the quotas that the dispatchers
+// reported.
 type FleetTotals struct {
-	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // prefills and decodes beyond the first, for each request
-	MaxRepeatsPerRequest float64 `json:"repeats_per_request_most"` // the same in the worst 5 s
-	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // without a lease
-	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // at any replica, over the worst 5 s
+	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // prefills and decodes beyond the first, per request
+	MaxRepeatsPerRequest float64 `json:"repeats_per_request_most"` // repeats per request in the worst 5 s
+	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // rate of load polls without a lease
+	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // at any replica, in the worst 5 s
 	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // connections that dispatchers opened
-	MaxConnections       int64   `json:"connections_most"`         // at one replica at once
-	HandshakeSurge       float64 `json:"handshakes_rush"`          // the most that all dispatchers opened in 5 s from the first fault on, against calm; 0: no fault
-	MaxLoadOverMean      float64 `json:"load_max_over_mean"`       // work of a replica, against the mean of its stage by weight
-	SlowStartUsed        float64 `json:"cold_used"`                // of what replicas in slow start may be sent, where there were any
-	MaxSlowStartLoad     float64 `json:"cold_most"`                // the most that one got of what makes it fall over
-	MaxQuotaSum          float64 `json:"share_sum_most"`           // of the quotas that dispatchers had at once
-	MinQuotaSum          float64 `json:"share_sum_least"`          // once the first were granted
-	MeanQuotaSum         float64 `json:"share_sum_mean"`           // likewise
-	MaxQuota             float64 `json:"share_hot_most"`           // of the dispatcher with most
-	MaxDiscoveryCalls    float64 `json:"discovery_calls_most_5s"`  // of all dispatchers in the worst 5 s
+	MaxConnections       int64   `json:"connections_most"`         // largest number of open connections at one replica
+	// HandshakeSurge is the largest number of connections that all dispatchers opened in 5 s after the first fault,
+	// divided by the mean number before it; 0 without a fault.
+	HandshakeSurge    float64 `json:"handshakes_rush"`
+	MaxLoadOverMean   float64 `json:"load_max_over_mean"`      // most work of a replica over its stage's mean by weight
+	SlowStartUsed     float64 `json:"cold_used"`               // work of replicas in slow start over their share
+	MaxSlowStartLoad  float64 `json:"cold_most"`               // largest load in slow start over the overload limit
+	MaxQuotaSum       float64 `json:"share_sum_most"`          // largest sum of the quotas that dispatchers had at once
+	MinQuotaSum       float64 `json:"share_sum_least"`         // smallest sum after the first grants
+	MeanQuotaSum      float64 `json:"share_sum_mean"`          // mean sum after the first grants
+	MaxQuota          float64 `json:"share_hot_most"`          // largest quota of any dispatcher
+	MaxDiscoveryCalls float64 `json:"discovery_calls_most_5s"` // calls by all dispatchers in the worst 5 s
 }
 
 const (
-	totalsWindow      = 5 * time.Second
-	slowStartTarget   = 0.45 // of what a replica in slow start can take, at an even load: the program's own target
+	totalsWindow = 5 * time.Second
+	// slowStartTarget is the load that the program gives a replica in slow start at an even load, as a fraction of the
+	// replica's overload limit.
+	slowStartTarget   = 0.45
 	quotaPollInterval = 100 * time.Millisecond
 )
 
-// maxSumWithin is the largest sum of weights within a span; times are in order.
+// maxSumWithin returns the largest sum of weights within a span. The times must be in order.
 func maxSumWithin(at []time.Duration, weight []float64, span time.Duration) (most float64) {
 	sum, from := 0.0, 0
 	for i := range at {
@@ -45,7 +50,7 @@
 	return most
 }
 
-// series is what happened when, with weights.
+// series holds the times of events, in order, and their weights.
 type series struct {
 	at     []time.Duration
 	weight []float64
@@ -55,10 +60,11 @@
 	s.at, s.weight = append(s.at, at), append(s.weight, weight)
 }
 
-// maxSum is the largest sum within totalsWindow.
+// maxSum returns the largest sum of weights within totalsWindow.
 func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
-// fleetTotals counts what arrived at the replicas, from base on for a length. It sorts the events by time.
+// fleetTotals returns the totals of a run whose traffic began at base and lasted for length. It sorts the events by
+// time.
 func fleetTotals(events []history.Event, rules history.Rules, replicas []*replica.Replica, base, length time.Duration) (out FleetTotals) {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return int(a.At - b.At) })
 	c := newArrivals(replicas)
@@ -69,13 +75,13 @@
 		case history.LoadPolled:
 			c.addPoll(e)
 		case history.DiscoveryRequested:
-			if e.At > base { // all start at once
+			if e.At > base { // the calls of all dispatchers at their start do not count
 				c.discoveryCalls.add(e.At, 1)
 			}
 		}
 	}
 	out.MaxDiscoveryCalls = c.discoveryCalls.maxSum()
-	if n := len(c.firsts.at); n > 0 {
+	if n := len(c.firstAttempts.at); n > 0 {
 		out.RepeatsPerRequest = float64(len(c.repeats.at)) / float64(n)
 		perWindow := float64(n) / length.Seconds() * totalsWindow.Seconds()
 		out.MaxRepeatsPerRequest = c.repeats.maxSum() / perWindow
@@ -96,29 +102,30 @@
 	return out
 }
 
-// step is one of a request's two stages.
-type step struct {
+// requestStage is the prefill stage or the decode stage of a request.
+type requestStage struct {
 	request string
 	decode  bool
 }
 
-// arrivals are what arrived at the replicas. Stages are told apart by whether they decode.
+// arrivals accumulates what arrived at the replicas. In maps by stage, the key is true for decode and false for
+// prefill.
 type arrivals struct {
 	replicas       map[string]*replica.Replica
 	order          []*replica.Replica
-	stageWeight    map[bool]float64 // of all listed replicas
-	attempts       map[step]int
-	seen           map[string]bool // requests
-	firsts         series          // first attempts of requests
-	repeats        series          // of steps
+	stageWeight    map[bool]float64 // sum of the replicas' weights, by stage
+	attempts       map[requestStage]int
+	seen           map[string]bool // IDs of requests with an attempt
+	firstAttempts  series          // first attempt of each request
+	repeats        series          // attempts at a stage of a request beyond the first
 	discoveryCalls series
-	ownPolls       map[string]*series // that no lease asked for, by replica
-	load           map[string]float64 // work, by replica
-	work           map[bool]*series   // by stage
+	ownPolls       map[string]*series // load polls without a lease, by replica
+	load           map[string]float64 // sum of the work, by replica
+	work           map[bool]*series   // work of each attempt, by stage
 }
 
 func newArrivals(replicas []*replica.Replica) *arrivals {
-	c := &arrivals{replicas: map[string]*replica.Replica{}, order: replicas, stageWeight: map[bool]float64{}, attempts: map[step]int{},
+	c := &arrivals{replicas: map[string]*replica.Replica{}, order: replicas, stageWeight: map[bool]float64{}, attempts: map[requestStage]int{},
 		seen: map[string]bool{}, ownPolls: map[string]*series{}, load: map[string]float64{}, work: map[bool]*series{false: {}, true: {}}}
 	for _, r := range replicas {
 		c.replicas[r.Name] = r
@@ -129,13 +136,13 @@
 
 func (c *arrivals) addAttempt(e history.Event) {
 	r := c.replicas[e.Replica]
-	s := step{e.Request, r.Decode}
+	s := requestStage{e.Request, r.Decode}
 	if c.attempts[s]++; c.attempts[s] > 1 {
 		c.repeats.add(e.At, 1)
 	}
 	if !c.seen[e.Request] {
 		c.seen[e.Request] = true
-		c.firsts.add(e.At, 1)
+		c.firstAttempts.add(e.At, 1)
 	}
 	c.load[e.Replica] += e.Weight
 	c.work[r.Decode].add(e.At, e.Weight)
@@ -151,7 +158,7 @@
 	c.ownPolls[e.Replica].add(e.At, 1)
 }
 
-// stageLoad is the work of all replicas, by stage.
+// stageLoad returns the work of all replicas, by stage.
 func (c *arrivals) stageLoad() map[bool]float64 {
 	all := map[bool]float64{}
 	for _, r := range c.order {
@@ -160,17 +167,19 @@
 	return all
 }
 
-// connectionsSettled is when all dispatchers have the connections that they begin with.
+// connectionsSettled is the time after the start of the traffic when all dispatchers have opened their initial
+// connections.
 const connectionsSettled = 4 * time.Second
 
-// handshakeSurge is the most connections made in a span from a fault on, against the mean of so long a span before it. At least one is
-// taken for the calm, which may have none. Times count from the beginning of the traffic.
-func handshakeSurge(made []time.Duration, fault time.Duration) float64 {
+// handshakeSurge returns the largest number of connections opened in a totalsWindow after a fault, divided by the mean
+// number in such a window before it, or by 1 if the mean is smaller. Connections opened before connectionsSettled do
+// not count, and a fault before that time gives 0. Times count from the start of the traffic.
+func handshakeSurge(opened []time.Duration, fault time.Duration) float64 {
 	if fault <= connectionsSettled {
 		return 0
 	}
 	calm, after := 0.0, series{}
-	for _, at := range made {
+	for _, at := range opened {
 		switch {
 		case at >= fault:
 			after.add(at, 1)
@@ -181,8 +190,8 @@
 	return after.maxSum() / max(calm*totalsWindow.Seconds()/(fault-connectionsSettled).Seconds(), 1)
 }
 
-// addSlowStart is how much of what they may be sent replicas in slow start were sent, and the most that one was sent of
-// what it can take.
+// addSlowStart adds the fraction of their share of the work that replicas in slow start were sent, and the largest
+// fraction of its overload limit that one of them was sent.
 func (out *FleetTotals) addSlowStart(events []history.Event, rules history.Rules, c *arrivals) {
 	var used []float64
 	for _, start := range events {
@@ -207,8 +216,8 @@
 	}
 }
 
-// slowStartShare is the work that a replica in slow start may have of all that arrived meanwhile: its even share, by its
-// capacity then.
+// slowStartShare returns the part of the work arriving during a replica's slow start that the replica may get: its even
+// share, reduced by its capacity at each time.
 func (c *arrivals) slowStartShare(start history.Event, rules history.Rules) (share float64) {
 	r := c.replicas[start.Replica]
 	work := c.work[r.Decode]
--- a/internal/faultbench/versionskew.go
+++ b/internal/faultbench/versionskew.go
@@ -9,29 +9,35 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// VersionSkewReport is what became of dispatchers that were sent an old list, seen from outside.
+// VersionSkewReport holds how dispatchers with an old list or old settings were fenced and readmitted, as seen from
+// outside.
 type VersionSkewReport struct {
-	DetectionS     []float64 `json:"straggler_seen_s"`  // from the first change that one missed until it took no clients
-	ReadmissionS   []float64 `json:"straggler_level_s"` // from its list's return until it took them again
-	WorkAfterFence int       `json:"acts_after_shut_out"`
-	FalselyFenced  int       `json:"wrongly_shut_out"` // that had been sent no old list
+	// DetectionS holds the seconds from the first change that a dispatcher missed until it stopped taking clients.
+	DetectionS []float64 `json:"straggler_seen_s"`
+	// ReadmissionS holds the seconds from the return of a current list or current settings until the dispatcher took
+	// clients again.
+	ReadmissionS []float64 `json:"straggler_level_s"`
+	// WorkAfterFence is the number of attempts for requests that a fenced dispatcher accepted.
+	WorkAfterFence int `json:"acts_after_shut_out"`
+	// FalselyFenced is the number of times that a dispatcher without an old list or old settings was fenced.
+	FalselyFenced int `json:"wrongly_shut_out"`
 }
 
 const (
-	staleSettings = "settings" // Class of a StaleListServed event that is about the settings
+	staleSettings = "settings" // Class of a StaleListServed event about the settings
 
 	admissionPollInterval = 50 * time.Millisecond
-	// fenceSettleTime is how long a request that was on its way to a fenced dispatcher may still lead to work.
+	// fenceSettleTime is how long after the fencing of a dispatcher requests in flight to it may still lead to work.
 	fenceSettleTime = 1500 * time.Millisecond
 )
 
-// watchAdmission records when a dispatcher's health poll says that it takes no clients, until the context ends. No answer
-// changes nothing.
+// watchAdmission polls a dispatcher's health until the context ends, and records when the dispatcher stops and starts
+// taking clients. A poll without an answer changes nothing.
 func (r *Run) watchAdmission(ctx context.Context, d int) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	tick := time.NewTicker(admissionPollInterval)
 	defer tick.Stop()
-	var refusedAt time.Duration // the last refusal: it may have accepted others since, before it does here
+	var refusedAt time.Duration // time of the last refused poll; the dispatcher may have taken clients since then
 	for fenced := false; ; {
 		polledAt := r.history.Now()
 		if resp, err := client.Get("http://" + r.addrs.listen(d) + "/healthz"); err == nil {
@@ -55,7 +61,7 @@
 	}
 }
 
-// versionSkewReport sums up what happened to dispatchers with an old list or settings; events are in order.
+// versionSkewReport returns the report on dispatchers with an old list or old settings. The events must be in order.
 func versionSkewReport(events []history.Event) VersionSkewReport {
 	s := skewTracker{stale: map[int]history.Event{}, missedAt: map[int]time.Duration{}, fencedAt: map[int]time.Duration{},
 		sentAt: map[string]time.Duration{}}
@@ -79,16 +85,16 @@
 	return s.report
 }
 
-// skewTracker follows the dispatchers with an old list or settings.
+// skewTracker tracks the dispatchers with an old list or old settings.
 type skewTracker struct {
-	stale    map[int]history.Event    // by dispatcher: when its list or settings were old
-	missedAt map[int]time.Duration    // the first change that it was not sent; settings are missed from the beginning
-	fencedAt map[int]time.Duration    // since when it takes no clients
-	sentAt   map[string]time.Duration // by request
+	stale    map[int]history.Event    // by dispatcher: the period in which its list or settings were old
+	missedAt map[int]time.Duration    // by dispatcher: time of the first list change that it missed
+	fencedAt map[int]time.Duration    // by dispatcher: time since which it takes no clients
+	sentAt   map[string]time.Duration // by request: time at which the client sent it
 	report   VersionSkewReport
 }
 
-// listChanged notes which dispatchers missed a change that another got.
+// listChanged records which dispatchers missed a change of the list that another one got.
 func (s *skewTracker) listChanged(e history.Event) {
 	for d, stale := range s.stale {
 		if stale.Class != staleSettings && s.missedAt[d] == 0 && d != e.Dispatcher && e.At > stale.At && e.At < stale.Until {
@@ -97,15 +103,15 @@
 	}
 }
 
-// admissionChanged notes that a dispatcher takes no clients from now on (Complete), or takes them again.
+// admissionChanged records that a dispatcher stopped taking clients, if e.Complete is set, or that it takes them again.
 func (s *skewTracker) admissionChanged(e history.Event) {
-	stale, was := s.stale[e.Dispatcher]
+	stale, wasStale := s.stale[e.Dispatcher]
 	switch {
-	case e.Complete && (!was || e.At < stale.At):
+	case e.Complete && (!wasStale || e.At < stale.At):
 		s.report.FalselyFenced++
 	case e.Complete:
 		s.report.DetectionS = append(s.report.DetectionS, (e.At - max(s.missedAt[e.Dispatcher], stale.At)).Seconds())
-	case was:
+	case wasStale:
 		s.report.ReadmissionS = append(s.report.ReadmissionS, (e.At - stale.Until).Seconds())
 	}
 	delete(s.fencedAt, e.Dispatcher)
@@ -114,7 +120,7 @@
 	}
 }
 
-// attemptArrived counts work for a request that a fenced dispatcher took.
+// attemptArrived counts an attempt for a request that a dispatcher accepted while it was fenced.
 func (s *skewTracker) attemptArrived(e history.Event) {
 	at, fenced := s.fencedAt[e.Dispatcher]
 	if fenced && e.At > at+fenceSettleTime && s.sentAt[e.Request] > at+fenceSettleTime {
--- a/internal/faultbench/versionskew_test.go
+++ b/internal/faultbench/versionskew_test.go
@@ -10,8 +10,9 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// Detection counts from the first change that a dispatcher missed, for settings from their change on; fencing one that was sent
-// no old list is false, and work for a request that it took long after its fencing is counted.
+// Detection time counts from the first list change that a dispatcher missed, or from the change of the settings.
+// Fencing a dispatcher that was sent no old list must count as false, and work for a request that a dispatcher accepted
+// long after its fencing must be counted.
 func TestVersionSkewReport(t *testing.T) {
 	const s = time.Second
 	events := []history.Event{{At: 1 * s, Kind: history.StaleListServed, Dispatcher: 0, Until: 9 * s}, {At: 1 * s, Kind: history.StaleListServed, Class: staleSettings, Dispatcher: 1, Until: 9 * s},
@@ -23,11 +24,11 @@
 	}
 }
 
-// A dispatcher whose discovery is stuck takes no clients after a while, and takes them again when its list is current; the
-// others go on. The same holds for settings that differ from most members'. Where most are stuck, or one is cut off or paused
-// meanwhile, nobody is fenced.
+// A dispatcher whose discovery is stuck must stop taking clients after a while, and take them again when its list is
+// current, while the others go on. A dispatcher whose settings differ from most members' settings must also be fenced
+// until they agree. If most dispatchers are stuck, or one is cut off or paused meanwhile, none may be fenced.
 func TestVersionSkewFencing(t *testing.T) {
-	for name, outs := range map[string]int{"straggler-list": 1, "straggler-settings": 1, "all-behind": 0, "straggler-split": 0} {
+	for name, wantFenced := range map[string]int{"straggler-list": 1, "straggler-settings": 1, "all-behind": 0, "straggler-split": 0} {
 		t.Run(name, func(t *testing.T) {
 			if name != "straggler-list" && name != "all-behind" && !*includeLong {
 				t.Skip("-bench.long")
@@ -41,8 +42,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if g := r.VersionSkew; !r.Good() || r.StaleAttempts > 0 || len(g.DetectionS) != outs || outs > 0 && slices.Max(g.DetectionS) > 10 || len(g.ReadmissionS) != outs || g.FalselyFenced > 0 || g.WorkAfterFence > 0 {
-				t.Errorf("%+v, %d stale acts, %v", g, r.StaleAttempts, r.violations)
+			if g := r.VersionSkew; !r.Good() || r.StaleAttempts > 0 || len(g.DetectionS) != wantFenced || wantFenced > 0 && slices.Max(g.DetectionS) > 10 || len(g.ReadmissionS) != wantFenced || g.FalselyFenced > 0 || g.WorkAfterFence > 0 {
+				t.Errorf("%+v, %d attempts at withdrawn replicas, %v", g, r.StaleAttempts, r.violations)
 			}
 		})
 	}
--- a/internal/testutil/eventstream.go
+++ b/internal/testutil/eventstream.go
@@ -8,8 +8,8 @@
 // eventEnd is the empty line at the end of each server-sent event.
 const eventEnd = "\n\n"
 
-// EventStream returns the server-sent events by which a decode replica responds: one for each token, one for the reason
-// of the finish, one for the usage, and the end mark.
+// EventStream returns the server-sent events with which a decode replica responds: one for each token, one for the
+// finish reason, one for the usage, and the end mark.
 func EventStream(tokens ...string) string {
 	var b strings.Builder
 	for _, token := range tokens {
@@ -26,8 +26,8 @@
 	return stream[:strings.LastIndex(eventEnd+stream, eventEnd)]
 }
 
-// ChunkedResponse returns the bytes of an HTTP response with the stream as its body, a chunk for each event, without the
-// last chunk, which would end the body.
+// ChunkedResponse returns the bytes of an HTTP response with the stream as its body, a chunk for each event, without
+// the last chunk, which would end the body.
 func ChunkedResponse(stream string) string {
 	var b strings.Builder
 	b.WriteString("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/internal/testutil/fakesystem.go
+++ b/internal/testutil/fakesystem.go
@@ -7,14 +7,14 @@
 	"rampspread/internal/hostos"
 )
 
-// FakeSystem is a hostos.System whose wall clock a test steps and whose system calls it makes fail.
+// FakeSystem is a hostos.System whose wall clock a test can step and whose system calls a test can make fail.
 type FakeSystem struct {
 	mu       sync.Mutex
-	offset   time.Duration // of the wall clock from the real one
+	offset   time.Duration // difference between the wall clock and the real time
 	failures map[hostos.Op]error
 }
 
-// NewFakeSystem returns a system with the real time on which no call fails.
+// NewFakeSystem returns a system whose clock shows the real time and on which no call fails.
 func NewFakeSystem() *FakeSystem { return &FakeSystem{failures: map[hostos.Op]error{}} }
 
 // StepClock steps the wall clock.
--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,6 +1,7 @@
-// Package golden compares what a test produced with golden files, which are in the testdata folder of the tested package.
-// The files hold forms that other processes, later versions or operators read, so a difference is a change of a format,
-// never of the test alone. The flag -update of the test program replaces the files by what the code produces.
+// Package golden compares what a test produced with golden files, which are in the testdata folder of the tested
+// package. The files hold formats that other processes, later versions or operators read, so a difference means that a
+// format has changed, not only the test. The flag -update of the test program replaces the files by what the code
+// produces.
 //
 // The functions must be called from the goroutine of the test.
 package golden
@@ -36,7 +37,8 @@
 	return S(want)
 }
 
-// Bytes compares got with the file testdata/name, which holds it as hexadecimal text, and returns the bytes of the file.
+// Bytes compares got with the file testdata/name, which holds it as hexadecimal text, and returns the bytes of the
+// file.
 func Bytes(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	text := read(t, name, dump(got))
--- a/internal/testutil/replica.go
+++ b/internal/testutil/replica.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// releasePath is the path of a DELETE request by which a dispatcher releases the state of a prefill; an id follows.
+// releasePath is the start of the path of a DELETE request by which a dispatcher releases the state of a prefill; the
+// request's ID follows.
 const releasePath = "/bootstrap/rooms/"
 
 // Replica is a fake replica on a loopback socket. It answers calls by its script, which may be replaced at any time,
@@ -46,7 +47,7 @@
 	}
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		return // a call that is cut before its last byte never ran
+		return // a call whose body is incomplete is not executed
 	}
 	script, n := r.recordCall(req, string(body))
 	script(w, req, n)
--- a/internal/testutil/simtest/simtest.go
+++ b/internal/testutil/simtest/simtest.go
@@ -1,6 +1,6 @@
 // Package simtest holds what the tests by deterministic simulation share: running the steps of a simulation, checking
-// that its checker detects built-in faults, and taking messages from a simulated network. It imports nothing of the
-// program, so that the tests of every package can use it. It has no state and starts no goroutine.
+// that its checker detects built-in faults, and taking messages from a simulated network. It imports no other package
+// of the program, so that the tests of every package can use it. It has no state and starts no goroutine.
 package simtest
 
 import "testing"
--- a/lint/run.sh
+++ b/lint/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Static checks: staticcheck and revive. Both are pinned in go.mod as tools of this module.
-# Folders in unfinished.txt are left out of the rules on shape.
+# Static checks by staticcheck and revive, which are pinned in go.mod as tools of this module.
+# The rules of revive-shape.toml are not applied to the folders in unfinished.txt.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 go tool staticcheck ./...
--- a/test.sh
+++ b/test.sh
@@ -11,7 +11,8 @@
 fi
 go vet ./...
 bash lint/run.sh
-# Tests of real faults that are not mended yet, one line each: name, cause, issue. They are passed over and printed.
+# KNOWN-RED.txt lists tests that fail because of known faults that are not fixed yet, one line each: name, cause, issue.
+# These tests are skipped, and the list is printed.
 known_red=
 if [ -f KNOWN-RED.txt ]; then
 	known_red=$(cut -d: -f1 KNOWN-RED.txt | paste -sd '|')
