--- a/internal/faultbench/addresses.go
+++ b/internal/faultbench/addresses.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// addresses returns the addresses of a run, all in a /16 of the loopback range that no other run on this machine uses.
+// addresses provides the addresses of a run, all in a /16 of the loopback range that no other run on this machine uses.
 // The third octet says what listens at an address, and the fourth is the dispatcher's index plus one.
 type addresses struct {
 	secondOctet int
--- a/internal/faultbench/idempotency_test.go
+++ b/internal/faultbench/idempotency_test.go
@@ -41,7 +41,8 @@
 }
 
 // A process is killed while a request with an idempotency key is in flight, and restarts alone with its state. It must
-// answer a retry that the request may have run, or with the answer that it had stored, and no key may execute twice.
+// answer a retry with an error that the request may have run, or with the answer that it had stored. No key may execute
+// twice.
 func TestIdempotentRequestAcrossRestart(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("filings")
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -211,14 +211,14 @@
 	}
 }
 
-// exclusively calls do, which injects a fault and returns when it is over. It does nothing if another fault of the kind
-// that the lock guards is in progress.
-func exclusively(kind *sync.Mutex, do func()) {
-	if !kind.TryLock() {
+// exclusively calls injectFault, which injects a fault and returns when it is over. It does nothing if another fault
+// with the same lock is in progress.
+func exclusively(lock *sync.Mutex, injectFault func()) {
+	if !lock.TryLock() {
 		return
 	}
-	defer kind.Unlock()
-	do()
+	defer lock.Unlock()
+	injectFault()
 }
 
 // changeSettings changes the settings of the targets at once, and of all other dispatchers when the fault ends. It
--- a/internal/faultbench/loadgen/connection.go
+++ b/internal/faultbench/loadgen/connection.go
@@ -76,7 +76,8 @@
 	return c.connect(ctx, dispatcher)
 }
 
-// getNewConnection opens a connection to a dispatcher. It takes an idle connection out of use, which stays open.
+// getNewConnection opens a connection to a dispatcher. It also removes an idle connection from those that are reused;
+// that one stays open and unused.
 func (c *Clients) getNewConnection(ctx context.Context, dispatcher int) (*connection, error) {
 	c.takeIdle(dispatcher)
 	return c.connect(ctx, dispatcher)
--- a/internal/faultbench/loadgen/faulty.go
+++ b/internal/faultbench/loadgen/faulty.go
@@ -147,8 +147,7 @@
 	}
 }
 
-// IdleClients opens idle connections and keeps them open until the context ends. Every second client makes one call
-// first.
+// IdleClients opens connections, makes one call on every second of them, and keeps all open until the context ends.
 func (c *Clients) IdleClients(ctx context.Context, dispatcher, count int) {
 	var open []net.Conn
 	defer func() {
--- a/internal/faultbench/loadgen/idempotency.go
+++ b/internal/faultbench/loadgen/idempotency.go
@@ -34,7 +34,7 @@
 	Unavailable   int                `json:"unavailable"` // attempts refused: no majority of record replicas
 	Other         map[string]int     `json:"other"`       // attempts with another outcome, by outcome
 	AnswerMS      map[string]float64 `json:"answer_ms"`   // percentiles of the time until an executed attempt's answer
-	GrantMS       float64            `json:"claim_ms"`    // mean time until a record was granted, over all dispatchers
+	GrantMS       float64            `json:"claim_ms"`    // mean time until a record was granted, over dispatchers
 	UnavailableMS map[string]float64 `json:"refused_ms"`  // percentiles of the time until a refusal without a majority
 }
 
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -234,8 +234,8 @@
 }
 
 // recovery returns the seconds from the end of the last fault until the served share begins to stay at 95% of the level
-// before the faults for 3 s, or nil if it never does. The first fault is in the window from, and the last one ends at
-// end.
+// before the faults for 3 s, or nil if it never does. The parameter from is the window of the first fault, and end is
+// the end of the last one.
 func recovery(perSecond, earned, offered []float64, from int, end time.Duration) *float64 {
 	baseline := 1.0
 	if from > warmUpWindows {
--- a/internal/faultbench/scenario/fault.go
+++ b/internal/faultbench/scenario/fault.go
@@ -79,7 +79,7 @@
 	HangReplica       = "replica-hang"     // the replica accepts calls, but answers none before Duration has passed
 	KillReplica       = "replica-kill"     // the replica is killed, and started again cold after Duration
 	SlowReplica       = "replica-slow"     // the replica is Factor times slower for Duration
-	CorruptReplica    = "replica-spoil"    // the replica answers Loss of its calls with noise, half a header or twice
+	CorruptReplica    = "replica-spoil"    // Loss of the replica's answers are noise, half a header, or followed by another
 	FailReplica       = "replica-fail"     // the replica answers Loss of its calls with status 500
 	DrainReplica      = "replica-drain"    // the replica is listed as draining, and as ready again after Duration
 	DelistReplica     = "replica-leave"    // the replica is not listed but still serves; listed again after Duration
--- a/internal/faultbench/totals.go
+++ b/internal/faultbench/totals.go
@@ -14,8 +14,8 @@
 	RepeatsPerRequest    float64 `json:"repeats_per_request"`      // prefills and decodes beyond the first, per request
 	MaxRepeatsPerRequest float64 `json:"repeats_per_request_most"` // repeats per request in the worst 5 s
 	OwnPollRate          float64 `json:"own_probes_per_replica_s"` // rate of load polls without a lease
-	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // at any replica, in the worst 5 s
-	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // connections that dispatchers opened
+	MaxOwnPollRate       float64 `json:"own_probes_most_s"`        // highest such rate at a replica in the worst 5 s
+	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // rate of connections that dispatchers opened
 	MaxConnections       int64   `json:"connections_most"`         // largest number of open connections at one replica
 	// HandshakeSurge is the largest number of connections that all dispatchers opened in 5 s after the first fault,
 	// divided by the mean number before it; 0 without a fault.
