--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -125,10 +125,10 @@
 	case outcomeServed:
 		return routing.Served, nil
 	case outcomeErrored:
-		return routing.Errored, nil
+		return routing.ErrorResponse, nil
 	case outcomeQueueFull:
 		if detail == detailStateMissing {
-			return routing.StateMissing, nil
+			return routing.PrefillResultMissing, nil
 		}
 		return routing.QueueFull, nil
 	case outcomeTimedOut:
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -66,7 +66,7 @@
 	r.classes = next
 	r.settings.set(&cfg.Settings)
 	r.frontendHandler.SetClasses(next)
-	names := slices.Sorted(maps.Keys(next.Names))
+	names := slices.Sorted(maps.Keys(next.IndexByName))
 	slog.Info("reloaded", "discovery", cfg.Discovery, "classes", strings.Join(names, ","),
 		"attempts", next.Config.MaxAttempts)
 	r.watcher.MoveTo(cfg.Discovery)
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -10,10 +10,10 @@
 // grows: an open request keeps the index of its class, and the rules at that index must not change. A Classes value is
 // immutable.
 type Classes struct {
-	Config     routing.Config // for the router; has every class that has been in force since the start
-	Names      map[string]int // names that clients may use now; the values are indexes into Config.Classes
-	classNames []string       // name of each class in Config.Classes
-	hasZones   bool           // whether the deployment has zones
+	Config      routing.Config // for the router; has every class that has been in force since the start
+	IndexByName map[string]int // index into Config.Classes of each name that clients may use now
+	classNames  []string       // name of each class in Config.Classes
+	hasZones    bool           // whether the deployment has zones
 }
 
 // ClassTable returns the table with which the process starts.
@@ -22,11 +22,11 @@
 	if err != nil {
 		return Classes{}, err
 	}
-	t := Classes{Config: cfg, Names: map[string]int{}, hasZones: len(s.Zones) > 0}
+	t := Classes{Config: cfg, IndexByName: map[string]int{}, hasZones: len(s.Zones) > 0}
 	for i, c := range s.Classes {
 		t.classNames = append(t.classNames, c.Name)
-		if _, ok := t.Names[c.Name]; !ok {
-			t.Names[c.Name] = i
+		if _, ok := t.IndexByName[c.Name]; !ok {
+			t.IndexByName[c.Name] = i
 		}
 	}
 	return t, nil
@@ -43,7 +43,7 @@
 	if err != nil {
 		return t, err
 	}
-	out := Classes{Config: cfg, Names: map[string]int{}, classNames: append([]string(nil), t.classNames...), hasZones: t.hasZones}
+	out := Classes{Config: cfg, IndexByName: map[string]int{}, classNames: append([]string(nil), t.classNames...), hasZones: t.hasZones}
 	out.Config.Classes = append([]routing.Class(nil), t.Config.Classes...)
 	for i, class := range cfg.Classes {
 		name := next.Classes[i].Name
@@ -53,7 +53,7 @@
 			out.Config.Classes = append(out.Config.Classes, class)
 			out.classNames = append(out.classNames, name)
 		}
-		out.Names[name] = index
+		out.IndexByName[name] = index
 	}
 	return out, nil
 }
--- a/internal/config/classes_test.go
+++ b/internal/config/classes_test.go
@@ -61,9 +61,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := map[string]int{"frage": 0, "meldung": 3, "neu": 2}; len(got.Names) != 3 || got.Names["frage"] != 0 ||
-		got.Names["meldung"] != 3 || got.Names["neu"] != 2 {
-		t.Errorf("names %v, want %v", got.Names, want)
+	if want := map[string]int{"frage": 0, "meldung": 3, "neu": 2}; len(got.IndexByName) != 3 || got.IndexByName["frage"] != 0 ||
+		got.IndexByName["meldung"] != 3 || got.IndexByName["neu"] != 2 {
+		t.Errorf("names %v, want %v", got.IndexByName, want)
 	}
 	c := got.Config.Classes
 	if len(c) != 4 || c[1].Idempotency != routing.NonIdempotent || c[3].Idempotency != routing.Idempotent || c[2].Idempotency != routing.IdempotentByKey ||
@@ -75,8 +75,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := afterDrop.Names["frage"]; ok || afterDrop.Names["meldung"] != 1 || len(afterDrop.Config.Classes) != 4 {
-		t.Errorf("after a class was removed: %v, %d classes", afterDrop.Names, len(afterDrop.Config.Classes))
+	if _, ok := afterDrop.IndexByName["frage"]; ok || afterDrop.IndexByName["meldung"] != 1 || len(afterDrop.Config.Classes) != 4 {
+		t.Errorf("after a class was removed: %v, %d classes", afterDrop.IndexByName, len(afterDrop.Config.Classes))
 	}
 }
 
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -226,7 +226,7 @@
 // sent, the reservation is released repeatedly.
 func (d *Dispatcher) recordResponse(a *attempt, outcome routing.Outcome) {
 	switch outcome {
-	case routing.Served, routing.Errored, routing.QueueFull, routing.StateMissing, routing.PrefillDone:
+	case routing.Served, routing.ErrorResponse, routing.QueueFull, routing.PrefillResultMissing, routing.PrefillDone:
 		a.endpoint.lastResponse = d.now()
 	case routing.TimedOut, routing.Cancelled, routing.ConnectionReset:
 		a.request.unobservedEnd = true
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -31,16 +31,16 @@
 }
 
 var outcomeNames = [...]string{
-	routing.Served:          "served",
-	routing.Errored:         "errored",
-	routing.QueueFull:       "full",
-	routing.StateMissing:    "no_state",
-	routing.TimedOut:        "timed_out",
-	routing.ConnectFailed:   "connect_failed",
-	routing.ConnectionReset: "reset",
-	routing.Cancelled:       "cancelled",
-	routing.NotSent:         "moot",
-	routing.PrefillDone:     "read",
+	routing.Served:               "served",
+	routing.ErrorResponse:        "errored",
+	routing.QueueFull:            "full",
+	routing.PrefillResultMissing: "no_state",
+	routing.TimedOut:             "timed_out",
+	routing.ConnectFailed:        "connect_failed",
+	routing.ConnectionReset:      "reset",
+	routing.Cancelled:            "cancelled",
+	routing.NotSent:              "moot",
+	routing.PrefillDone:          "read",
 }
 
 // outcomeName returns the name of an outcome in logs and in the keys of the counters line. Programs parse that line, so
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -34,7 +34,7 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for name, outcome := range map[string]routing.Outcome{
 		"connection reset": routing.ConnectionReset,
-		"errored":          routing.Errored,
+		"errored":          routing.ErrorResponse,
 		"timed out":        routing.TimedOut,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -47,7 +47,7 @@
 
 // SetClasses replaces the classes that clients may name, after a configuration change. Open requests keep their class.
 func (h *Handler) SetClasses(classes config.Classes) {
-	table := &classTable{indexes: classes.Names}
+	table := &classTable{indexes: classes.IndexByName}
 	for _, class := range classes.Config.Classes {
 		table.idempotent = append(table.idempotent, class.Idempotency == routing.Idempotent)
 	}
--- a/internal/state/statetransfer/golden_test.go
+++ b/internal/state/statetransfer/golden_test.go
@@ -78,14 +78,14 @@
 
 func goldenSnapshot() routing.Snapshot {
 	return routing.Snapshot{
-		TakenAt:          101,
-		Prefill:          routing.LatencyModel{Normal: goldenPrefillA, Moments: [3]float64{10.5, 11.5, 12.5}, At: 102},
-		Decode:           routing.LatencyModel{Normal: goldenDecodeA, Moments: [3]float64{30.5, 31.5, 32.5}, At: 103},
-		CommonQueueDelay: routing.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
-		EstimateError:    routing.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
-		CacheHitRatio:    routing.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
-		Arrivals:         routing.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
-		PerQueuedRequest: routing.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
+		TakenAt:               101,
+		PrefillModel:          routing.LatencyModel{Normal: goldenPrefillA, Moments: [3]float64{10.5, 11.5, 12.5}, At: 102},
+		DecodeModel:           routing.LatencyModel{Normal: goldenDecodeA, Moments: [3]float64{30.5, 31.5, 32.5}, At: 103},
+		CommonQueueDelay:      routing.DecayedMean{Sum: 41.5, Count: 42.5, At: 104},
+		EstimateError:         routing.DecayedMean{Sum: 43.5, Count: 44.5, At: 105},
+		CacheHitRatio:         routing.DecayedMean{Sum: 45.5, Count: 46.5, At: 106},
+		Arrivals:              routing.DecayedMean{Sum: 47.5, Count: 48.5, At: 107},
+		DelayPerQueuedRequest: routing.DecayedMean{Sum: 49.5, Count: 50.5, At: 108},
 		Prefixes: []routing.PrefixCacheEntry{
 			{
 				Key: 1<<63 + 1, Endpoint: 1<<31 + 1, Tokens: 1<<40 + 1, UpdatedAt: 109,
--- a/internal/state/statetransfer/records.go
+++ b/internal/state/statetransfer/records.go
@@ -70,13 +70,13 @@
 func newSnapshotRecord(s routing.Snapshot) snapshotRecord {
 	return snapshotRecord{
 		At:       s.TakenAt,
-		Read:     newLatencyModelRecord(s.Prefill),
-		Fetch:    newLatencyModelRecord(s.Decode),
+		Read:     newLatencyModelRecord(s.PrefillModel),
+		Fetch:    newLatencyModelRecord(s.DecodeModel),
 		Lag:      newDecayedMeanRecord(s.CommonQueueDelay),
 		Scatter:  newDecayedMeanRecord(s.EstimateError),
 		Trust:    newDecayedMeanRecord(s.CacheHitRatio),
 		Arrivals: newDecayedMeanRecord(s.Arrivals),
-		Each:     newDecayedMeanRecord(s.PerQueuedRequest),
+		Each:     newDecayedMeanRecord(s.DelayPerQueuedRequest),
 		Texts:    convertAll(s.Prefixes, newPrefixCacheEntryRecord),
 		Servers:  convertAll(s.Endpoints, newEndpointStatsRecord),
 	}
@@ -84,16 +84,16 @@
 
 func (r snapshotRecord) snapshot() routing.Snapshot {
 	return routing.Snapshot{
-		TakenAt:          r.At,
-		Prefill:          r.Read.latencyModel(),
-		Decode:           r.Fetch.latencyModel(),
-		CommonQueueDelay: r.Lag.decayedMean(),
-		EstimateError:    r.Scatter.decayedMean(),
-		CacheHitRatio:    r.Trust.decayedMean(),
-		Arrivals:         r.Arrivals.decayedMean(),
-		PerQueuedRequest: r.Each.decayedMean(),
-		Prefixes:         convertAll(r.Texts, prefixCacheEntryRecord.prefixCacheEntry),
-		Endpoints:        convertAll(r.Servers, endpointStatsRecord.endpointStats),
+		TakenAt:               r.At,
+		PrefillModel:          r.Read.latencyModel(),
+		DecodeModel:           r.Fetch.latencyModel(),
+		CommonQueueDelay:      r.Lag.decayedMean(),
+		EstimateError:         r.Scatter.decayedMean(),
+		CacheHitRatio:         r.Trust.decayedMean(),
+		Arrivals:              r.Arrivals.decayedMean(),
+		DelayPerQueuedRequest: r.Each.decayedMean(),
+		Prefixes:              convertAll(r.Texts, prefixCacheEntryRecord.prefixCacheEntry),
+		Endpoints:             convertAll(r.Servers, endpointStatsRecord.endpointStats),
 	}
 }
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -25,13 +25,13 @@
 		want   routing.Outcome
 	}{
 		"prefill done":      {testutil.ServePrefill, routing.PrefillDone},
-		"500":               {testutil.ServeStatus(500), routing.Errored},
+		"500":               {testutil.ServeStatus(500), routing.ErrorResponse},
 		"503 queue full":    {testutil.ServeStatusNeverRan(503), routing.QueueFull},
 		"504 queue full":    {testutil.ServeStatusNeverRan(504), routing.QueueFull},
-		"503 without proof": {testutil.ServeStatus(503), routing.Errored},
-		"410 state missing": {testutil.ServeStatusNeverRan(410), routing.StateMissing},
-		"410 without proof": {testutil.ServeStatus(410), routing.Errored},
-		"400 unknown":       {testutil.ServeStatus(400), routing.Errored},
+		"503 without proof": {testutil.ServeStatus(503), routing.ErrorResponse},
+		"410 state missing": {testutil.ServeStatusNeverRan(410), routing.PrefillResultMissing},
+		"410 without proof": {testutil.ServeStatus(410), routing.ErrorResponse},
+		"400 unknown":       {testutil.ServeStatus(400), routing.ErrorResponse},
 		"dropped":           {drop, routing.ConnectionReset},
 		"no event":          {testutil.ServeTruncated(0, "a"), routing.ConnectionReset},
 	} {
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -95,9 +95,9 @@
 		"202 Accepted": {Outcome: routing.PrefillDone, CachedTokens: 3, Load: report},
 		"503 Service Unavailable\r\nX-Never-Ran: 1":  {Outcome: routing.QueueFull, Load: report},
 		"504 Gateway Timeout\r\nX-Never-Ran: 1":      {Outcome: routing.QueueFull, Load: report},
-		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: routing.StateMissing, Load: report},
-		"500 Internal Server Error":                  {Outcome: routing.Errored, Load: report},
-		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: routing.Errored, Load: report},
+		"410 Gone\r\nX-Never-Ran: 1":                 {Outcome: routing.PrefillResultMissing, Load: report},
+		"500 Internal Server Error":                  {Outcome: routing.ErrorResponse, Load: report},
+		"503 Service Unavailable\r\nX-Never-Ran: no": {Outcome: routing.ErrorResponse, Load: report},
 	} {
 		target, _ := recordingReplica(t, "HTTP/1.1 "+head+"\r\nEndpoint-Load-Metrics: TEXT util=0.5, queue=3, x0=0.25\r\n"+
 			"Content-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":3}")
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -21,7 +21,7 @@
 
 // shortResult converts a response that is not a stream into the attempt's result; err is the error of reading its body.
 func (c *Client) shortResult(resp *http.Response, data []byte, err error) dispatch.AttemptResult {
-	result := dispatch.AttemptResult{Outcome: routing.Errored, Load: c.parseLoadReport(resp.Header.Get(loadHeader))}
+	result := dispatch.AttemptResult{Outcome: routing.ErrorResponse, Load: c.parseLoadReport(resp.Header.Get(loadHeader))}
 	neverRan := resp.Header.Get(neverRanHeader) == "1"
 	switch resp.StatusCode {
 	case http.StatusAccepted:
@@ -34,7 +34,7 @@
 		}
 	case http.StatusGone:
 		if neverRan {
-			result.Outcome = routing.StateMissing
+			result.Outcome = routing.PrefillResultMissing
 		}
 	case http.StatusInternalServerError:
 	default:
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -85,7 +85,7 @@
 			_, obs := send(t, testutil.NewReplica(t, testutil.ServeRaw(c.received)).Addr)
 			want := routing.ConnectionReset
 			if name == "half a short response" {
-				want = routing.Errored
+				want = routing.ErrorResponse
 			}
 			checkEnd(t, obs, c.passed, want)
 		})
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -337,7 +337,7 @@
 	}
 	elapsed := time.Duration(5+d.rng.IntN(300)) * ms
 	role := d.cfg.Kinds[endpoint.Kind].Role
-	outcomes := []Outcome{Errored, QueueFull, StateMissing, TimedOut, ConnectFailed, ConnectionReset, NotSent}
+	outcomes := []Outcome{ErrorResponse, QueueFull, PrefillResultMissing, TimedOut, ConnectFailed, ConnectionReset, NotSent}
 	drawn := PrefillDone
 	if role != Prefill {
 		drawn = Served
--- a/routing/event.go
+++ b/routing/event.go
@@ -127,9 +127,9 @@
 // The outcomes. NeverRan reports which of them prove that nothing ran.
 const (
 	Served Outcome = iota
-	Errored
+	ErrorResponse
 	QueueFull
-	StateMissing // the replica could not fetch the prefill result
+	PrefillResultMissing // the replica could not fetch the prefill result
 	TimedOut
 	ConnectFailed
 	ConnectionReset
@@ -140,14 +140,14 @@
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool {
-	return o == QueueFull || o == StateMissing || o == ConnectFailed || o == NotSent || o == PrefillDone
+	return o == QueueFull || o == PrefillResultMissing || o == ConnectFailed || o == NotSent || o == PrefillDone
 }
 
 // reachedReplica reports whether the outcome proves that the attempt reached a running replica, that is, that the
 // replica responded.
 func (o Outcome) reachedReplica() bool {
 	switch o {
-	case Served, Errored, QueueFull, StateMissing, PrefillDone:
+	case Served, ErrorResponse, QueueFull, PrefillResultMissing, PrefillDone:
 		return true
 	}
 	return false
--- a/routing/learning.go
+++ b/routing/learning.go
@@ -12,9 +12,9 @@
 	case PrefillDone:
 		r.recordSuccess(replica, req.Class)
 		r.recordPrefill(replica, req, event)
-	case Served, QueueFull, StateMissing:
+	case Served, QueueFull, PrefillResultMissing:
 		r.recordSuccess(replica, req.Class)
-	case Errored:
+	case ErrorResponse:
 		r.recordFailure(replica, req.Class, errorWeight)
 	case ConnectFailed, ConnectionReset:
 		// A single connection may break at a live replica: a replica that answers others meanwhile is not ejected at
--- a/routing/request.go
+++ b/routing/request.go
@@ -283,7 +283,7 @@
 	req.retrying = true
 	idempotency := r.cfg.Classes[req.Class].Idempotency
 	canRepeatPrefill := idempotency == Idempotent && req.attempts+attemptsFromPrefill <= r.maxAttempts(req)
-	if event.Outcome == StateMissing || event.StreamStarted && canRepeatPrefill {
+	if event.Outcome == PrefillResultMissing || event.StreamStarted && canRepeatPrefill {
 		// The prefill result may be lost or merely unreachable, so it must not stay reserved. Another decode replica
 		// could not fetch it either, and trying one would use up an attempt that the second prefill needs.
 		r.retryPrefill(req)
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -42,8 +42,8 @@
 	if next == decodeReplica || next < 11 {
 		t.Errorf("after QueueFull it went to %d, want another decode replica", next)
 	}
-	if again := h.sentTo(h.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: StateMissing})); again > 2 {
-		t.Errorf("after StateMissing it went to %d, want a prefill replica", again)
+	if again := h.sentTo(h.handle(ms, AttemptEnded{Request: 1, Attempt: 2, Endpoint: next, Outcome: PrefillResultMissing})); again > 2 {
+		t.Errorf("after PrefillResultMissing it went to %d, want a prefill replica", again)
 	}
 }
 
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -27,7 +27,7 @@
 func (req *request) updateReservation(now time.Duration, o Outcome, priorState requestState) {
 	decode := priorState == decoding
 	switch {
-	case o == Served, o == StateMissing && decode:
+	case o == Served, o == PrefillResultMissing && decode:
 		req.reservation.mayExist = false
 	case o == PrefillDone, decode && o.reachedReplica():
 		req.reservation.mayExist, req.reservation.since = true, now
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -10,15 +10,15 @@
 // Snapshot is a router's learned state. Another router starts with it: a replacement of the router, or an additional
 // one. Times refer to a clock that both share (see Shift).
 type Snapshot struct {
-	TakenAt          time.Duration
-	Prefill, Decode  LatencyModel
-	CommonQueueDelay DecayedMean
-	EstimateError    DecayedMean
-	CacheHitRatio    DecayedMean
-	Arrivals         DecayedMean
-	PerQueuedRequest DecayedMean
-	Prefixes         []PrefixCacheEntry
-	Endpoints        []EndpointStats
+	TakenAt                   time.Duration
+	PrefillModel, DecodeModel LatencyModel
+	CommonQueueDelay          DecayedMean
+	EstimateError             DecayedMean
+	CacheHitRatio             DecayedMean
+	Arrivals                  DecayedMean
+	DelayPerQueuedRequest     DecayedMean
+	Prefixes                  []PrefixCacheEntry
+	Endpoints                 []EndpointStats
 }
 
 // The parts of a Snapshot.
@@ -64,13 +64,13 @@
 // start times, because they come from the endpoint list.
 func (snapshot *Snapshot) Shift(by time.Duration) {
 	snapshot.TakenAt += by
-	snapshot.Prefill.At += by
-	snapshot.Decode.At += by
+	snapshot.PrefillModel.At += by
+	snapshot.DecodeModel.At += by
 	snapshot.CommonQueueDelay.At += by
 	snapshot.EstimateError.At += by
 	snapshot.CacheHitRatio.At += by
 	snapshot.Arrivals.At += by
-	snapshot.PerQueuedRequest.At += by
+	snapshot.DelayPerQueuedRequest.At += by
 	for i := range snapshot.Prefixes {
 		snapshot.Prefixes[i].UpdatedAt += by
 		snapshot.Prefixes[i].Requests.At += by
@@ -92,14 +92,14 @@
 func (r *Router) Snapshot(now time.Duration, maxPrefixes int) Snapshot {
 	r.now = max(now, r.now)
 	snapshot := Snapshot{
-		TakenAt:          r.now,
-		Prefill:          r.prefillModel.snapshot(),
-		Decode:           r.decodeModel.snapshot(),
-		CommonQueueDelay: r.commonQueueDelay.snapshot(),
-		EstimateError:    r.estimateError.snapshot(),
-		CacheHitRatio:    r.cacheHitRatio.snapshot(),
-		Arrivals:         r.arrivals.snapshot(),
-		PerQueuedRequest: r.delayPerQueuedRequest.snapshot(),
+		TakenAt:               r.now,
+		PrefillModel:          r.prefillModel.snapshot(),
+		DecodeModel:           r.decodeModel.snapshot(),
+		CommonQueueDelay:      r.commonQueueDelay.snapshot(),
+		EstimateError:         r.estimateError.snapshot(),
+		CacheHitRatio:         r.cacheHitRatio.snapshot(),
+		Arrivals:              r.arrivals.snapshot(),
+		DelayPerQueuedRequest: r.delayPerQueuedRequest.snapshot(),
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.prefixCache)) {
 		entry := r.prefixCache[key]
@@ -151,13 +151,13 @@
 	if age := r.now - snapshot.TakenAt; age > snapshotMaxAge || age < -maxClockSkew {
 		return
 	}
-	r.prefillModel.restore(r.now, snapshot.Prefill)
-	r.decodeModel.restore(r.now, snapshot.Decode)
+	r.prefillModel.restore(r.now, snapshot.PrefillModel)
+	r.decodeModel.restore(r.now, snapshot.DecodeModel)
 	r.commonQueueDelay.restore(r.now, snapshot.CommonQueueDelay)
 	r.estimateError.restore(r.now, snapshot.EstimateError)
 	r.cacheHitRatio.restore(r.now, snapshot.CacheHitRatio)
 	r.arrivals.restore(r.now, snapshot.Arrivals)
-	r.delayPerQueuedRequest.restore(r.now, snapshot.PerQueuedRequest)
+	r.delayPerQueuedRequest.restore(r.now, snapshot.DelayPerQueuedRequest)
 	restored := map[EndpointID]bool{}
 	for _, stats := range snapshot.Endpoints {
 		if replica := r.byID[stats.ID]; replica != nil && r.sameIncarnation(replica, stats) {
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -71,7 +71,7 @@
 		for i := range changed.Endpoints {
 			changed.Endpoints[i].Started += time.Minute // state of another start of the replica
 		}
-		changed.Prefill.Moments[1], changed.CommonQueueDelay.Sum, changed.EstimateError.Count = math.NaN(), math.Inf(1), -1
+		changed.PrefillModel.Moments[1], changed.CommonQueueDelay.Sum, changed.EstimateError.Count = math.NaN(), math.Inf(1), -1
 	})
 	if len(implausible.r.prefixCache) > 0 || !implausible.r.healthy(implausible.r.byID[11], 0) || implausible.r.prefillModel.coefficients[0] != initialPrefillBaseMS || implausible.r.commonQueueDelay.count(implausible.now) > 0 {
 		t.Errorf("%d prefixes, coefficients %v", len(implausible.r.prefixCache), implausible.r.prefillModel.coefficients)
