--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -66,7 +66,7 @@
 		count("broken", n.BrokenStreams),
 		count("refused", n.Rejected),
 		count("failed", n.Failed),
-		count("overdue", n.DeadlineForced),
+		count("overdue", n.DeadlineFailures),
 		count("left", n.ClientGone),
 	}, outcomes
 }
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -26,9 +26,9 @@
 	// Claim requests permission to run the first attempt of a key, which takes at most maxDuration. If the vote is
 	// VoteAnswered, the returned bytes are the stored answer.
 	Claim(key string, body []byte, maxDuration time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
-	// Settle records that an attempt ended, with its answer, or with nil if it may have run and its answer is not
-	// known.
-	Settle(key string, attempt idempotency.Attempt, answer []byte)
+	// RecordResult records that an attempt ended, with its answer, or with nil if it may have run and its answer is
+	// not known.
+	RecordResult(key string, attempt idempotency.Attempt, answer []byte)
 	// Withdraw records that an attempt never ran, which releases the key.
 	Withdraw(key string, attempt idempotency.Attempt)
 }
@@ -103,7 +103,7 @@
 	h.keys.finish(key, result.completion)
 	h.peers.MarkMayHaveRun(key)
 	if h.store != nil {
-		h.store.Settle(key, attempt, encodeStoredAnswer(result.completion))
+		h.store.RecordResult(key, attempt, encodeStoredAnswer(result.completion))
 	}
 }
 
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -12,14 +12,15 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-// memoryStore is an IdempotencyStore that rejects every claim with the last answer passed to Settle.
+// memoryStore is an IdempotencyStore that rejects every claim with the last answer passed to
+// RecordResult.
 type memoryStore struct{ answer []byte }
 
 func (m *memoryStore) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
 	return idempotency.Rejected, idempotency.VoteAnswered, m.answer, idempotency.Attempt{}
 }
-func (m *memoryStore) Settle(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
-func (m *memoryStore) Withdraw(string, idempotency.Attempt)                  {}
+func (m *memoryStore) RecordResult(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
+func (m *memoryStore) Withdraw(string, idempotency.Attempt)                        {}
 
 // Stored answers are read by other versions of the program, so that their format must not change.
 func TestGoldenStoredAnswer(t *testing.T) {
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -20,7 +20,7 @@
 	l := NewLimiter(nil, semaphore.NewWeighted(1), new(Lifecycle), nil)
 	server.limiter = l
 	l.Attach(&http.Server{})
-	tracked := &trackedConn{limiter: l, quietSince: time.Now().Add(-time.Hour)}
+	tracked := &trackedConn{limiter: l, lastActivity: time.Now().Add(-time.Hour)}
 	l.conns = map[net.Conn]*trackedConn{server: tracked}
 	if _, err := client.Write([]byte(smallRequest)); err != nil {
 		t.Fatal(err)
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -88,8 +88,8 @@
 		wantClosed bool
 		wantRead   string
 	}{
-		{"unread bytes in the socket, drain", precondition.ForDrain, false, "POST"},
-		{"unread bytes in the socket, shutdown", precondition.AtShutdown, true, ""},
+		{"unread bytes in the socket, drain", precondition.CauseDrain, false, "POST"},
+		{"unread bytes in the socket, shutdown", precondition.CauseShutdown, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, client := connPair(t)
@@ -108,11 +108,11 @@
 		sendBytes(t, server, client)
 		server.Read(make([]byte, 8))
 		server.awaitingBytes = true // as if a Read waited for the rest
-		if closeIdle(server, precondition.AtShutdown) {
+		if closeIdle(server, precondition.CauseShutdown) {
 			t.Fatal("closed although a partial request was read")
 		}
 		server.recordRequestComplete()
-		if !closeIdle(server, precondition.ForDrain) {
+		if !closeIdle(server, precondition.CauseDrain) {
 			t.Fatal("not closed while idle")
 		}
 	})
@@ -121,7 +121,7 @@
 		sendBytes(t, server, client)
 		server.Read(make([]byte, 8))
 		server.recordRequestComplete()
-		if closeIdle(server, precondition.AtShutdown) {
+		if closeIdle(server, precondition.CauseShutdown) {
 			t.Fatal("closed although net/http has a buffered request")
 		}
 	})
@@ -129,7 +129,7 @@
 		server, client := connPair(t)
 		read := make(chan error)
 		go func() { _, err := server.Read(make([]byte, 8)); read <- err }()
-		testutil.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.ForDrain) })
+		testutil.Eventually(t, "the close", func() bool { return closeIdle(server, precondition.CauseDrain) })
 		io.WriteString(client, "POST")
 		if err := <-read; err == nil {
 			t.Fatal("read after the close")
@@ -150,7 +150,7 @@
 		client.Close()
 		testutil.Eventually(t, "the client's close", func() bool { _, hungUp := server.pollSocket(); return hungUp })
 		server.awaitingBytes = true
-		if !closeIdle(server, precondition.ForDrain) {
+		if !closeIdle(server, precondition.CauseDrain) {
 			t.Fatal("not closed though its client has gone")
 		}
 	})
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -52,7 +52,7 @@
 	if reason := facts.Check(); reason != precondition.Allowed {
 		return reason
 	}
-	if c.partialRequest && facts.Cause == precondition.ForDrain {
+	if c.partialRequest && facts.Cause == precondition.CauseDrain {
 		c.rejectPartialRequest()
 	}
 	c.stage = max(c.stage, stageReadClosed)
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -21,18 +21,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	cause := precondition.ForDrain
+	cause := precondition.CauseDrain
 	if l.lifecycle.Closing.Load() {
-		cause = precondition.AtShutdown
+		cause = precondition.CauseShutdown
 	}
 	closed := 0
 	for netConn, c := range l.conns {
-		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {
+		if c.state == connEvicted || c.state != connIdle && now.Sub(c.lastActivity) < quietTimeout {
 			continue
 		}
 		facts := precondition.CloseConnection{
 			Cause:                 cause,
-			Idle:                  now.Sub(lastByteAt(netConn, c.quietSince)),
+			Idle:                  now.Sub(lastByteAt(netConn, c.lastActivity)),
 			PartialRequestTimeout: quietTimeout,
 		}
 		if l.closeQuiet(netConn, c, facts) {
@@ -46,12 +46,12 @@
 // the connection. The caller sets the cause and the times in facts. l.mu must be held.
 func (l *Limiter) closeQuiet(netConn net.Conn, c *trackedConn, facts precondition.CloseConnection) bool {
 	inHandler := c.inHandler()
-	if inHandler && c.state != connHandling && facts.Cause == precondition.ForDrain && c.client != nil {
+	if inHandler && c.state != connHandling && facts.Cause == precondition.CauseDrain && c.client != nil {
 		c.client.abortBodyRead()
 		return false
 	}
 	facts.RequestInProgress = c.state == connHandling || inHandler
-	facts.PartialRequest = c.state != connIdle && !inHandler && facts.Cause == precondition.ForDrain
+	facts.PartialRequest = c.state != connIdle && !inHandler && facts.Cause == precondition.CauseDrain
 	c.closeDeferred = closeIfAllowed(netConn, facts)
 	if c.closeDeferred != precondition.Allowed {
 		if c.closeDeferred != precondition.RequestUnanswered {
@@ -61,7 +61,7 @@
 	}
 	l.drained.Add(1)
 	if facts.PartialRequest { // the rest of the request is not awaited
-		l.forget(netConn)
+		l.untrack(netConn)
 		netConn.Close()
 		return true
 	}
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -47,9 +47,10 @@
 	requestsBegun   int  // number of requests whose header was read
 	requestsHandled int  // number of requests that reached the handler
 	acceptedAt      time.Time
-	// quietSince is the latest of these times: when the connection was accepted, when its last answer was finished, and
-	// when a header was read after its first complete request.
-	quietSince    time.Time
+	// lastActivity is the latest of these times: when the connection was accepted, when its last answer was finished,
+	// and when a header was read after its first complete request. Received bytes alone do not update it (see
+	// lastByteAt).
+	lastActivity  time.Time
 	lastRequestID string    // id of the last request that was accepted or rejected; empty if there was none
 	lastRequestAt time.Time // when that request was accepted or rejected; zero if there was none
 	// closeDeferred is why the last attempt to close the connection failed, or Allowed if it succeeded or there was
@@ -86,7 +87,7 @@
 		c.client.beginRequest()
 	}
 	if c.hadRequest {
-		c.quietSince = time.Now()
+		c.lastActivity = time.Now()
 	}
 }
 
@@ -111,7 +112,7 @@
 		c.client.endRequest()
 	}
 	c.moveTo(connIdle)
-	c.quietSince = time.Now()
+	c.lastActivity = time.Now()
 }
 
 // inHandler reports whether the handler has been called for the last request and has not finished. Limiter.mu must be
--- a/internal/connlimit/drain.go
+++ b/internal/connlimit/drain.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// drainAcceptFor is how long after the start of an operator's drain requests are still accepted. The load balancer
-	// opens new connections until it has noticed the drain, which takes 0.3 s, and no request may start in the two
-	// seconds before the operator checks that the drain is finished.
-	drainAcceptFor = 1900 * time.Millisecond
+	// drainAcceptWindow is how long after the start of an operator's drain requests are still accepted. The load
+	// balancer opens new connections until it has noticed the drain, which takes 0.3 s, and no request may start in the
+	// two seconds before the operator checks that the drain is finished.
+	drainAcceptWindow = 1900 * time.Millisecond
 	// drainDeadline is the time after the start of a drain from which only connections with an answer in progress
 	// remain open. The operator checks half a second later.
 	drainDeadline = 3500 * time.Millisecond
@@ -19,7 +19,7 @@
 )
 
 // Drain is the state of an operator's drain. While it is active, each answer is the last on its connection, and nothing
-// is read after it. Requests that are complete later than drainAcceptFor are rejected. From drainDeadline on, a
+// is read after it. Requests that are complete later than drainAcceptWindow are rejected. From drainDeadline on, a
 // connection stays open only while an answer is in progress. The zero value is an inactive drain. Its methods may be
 // called from any goroutine.
 type Drain struct {
@@ -45,7 +45,7 @@
 }
 
 // acceptsRequests reports whether a request that has been received completely may still be accepted.
-func (d *Drain) acceptsRequests(now time.Time) bool { return d.elapsed(now) < drainAcceptFor }
+func (d *Drain) acceptsRequests(now time.Time) bool { return d.elapsed(now) < drainAcceptWindow }
 
 // quietTimeout returns how long a connection without an open request may remain without a complete request. It shrinks
 // as drainDeadline approaches, but stays long enough for a client that has just connected to get a rejection.
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -53,11 +53,11 @@
 	for netConn, c := range l.conns {
 		switch {
 		case c.state == connHandling || busy[netConn]:
-		case !c.hadRequest && lastByteAt(netConn, c.quietSince).Before(silentSince):
+		case !c.hadRequest && lastByteAt(netConn, c.lastActivity).Before(silentSince):
 			// A client that writes its request slowly is not silent: the time counts from its last byte.
-			silent, silentSince = netConn, lastByteAt(netConn, c.quietSince)
-		case c.hadRequest && c.quietSince.Before(idleSince):
-			idle, idleSince = netConn, c.quietSince
+			silent, silentSince = netConn, lastByteAt(netConn, c.lastActivity)
+		case c.hadRequest && c.lastActivity.Before(idleSince):
+			idle, idleSince = netConn, c.lastActivity
 		}
 	}
 	if silent != nil {
@@ -70,16 +70,16 @@
 // closed the connection. l.mu must be held.
 func (l *Limiter) evict(candidate evictionCandidate, now time.Time) bool {
 	facts := precondition.CloseConnection{
-		Cause:                 precondition.ForCapacity,
+		Cause:                 precondition.CauseCapacity,
 		PartialRequest:        candidate.partialRequest,
-		Idle:                  now.Sub(lastByteAt(candidate.conn, l.conns[candidate.conn].quietSince)),
+		Idle:                  now.Sub(lastByteAt(candidate.conn, l.conns[candidate.conn].lastActivity)),
 		PartialRequestTimeout: evictSilentAfter,
 	}
 	if closeIfAllowed(candidate.conn, facts) != precondition.Allowed {
 		l.closeDeferred.Add(1)
 		return false
 	}
-	l.forget(candidate.conn)
+	l.untrack(candidate.conn)
 	if candidate.partialRequest { // the rest of the request is not awaited
 		candidate.conn.Close()
 	}
@@ -87,8 +87,8 @@
 	return true
 }
 
-// forget removes a connection from the table at once, since net/http reports the close only later. l.mu must be held.
-func (l *Limiter) forget(netConn net.Conn) {
+// untrack removes a connection from the table at once, since net/http reports the close only later. l.mu must be held.
+func (l *Limiter) untrack(netConn net.Conn) {
 	l.conns[netConn].moveTo(connEvicted)
 	delete(l.conns, netConn)
 }
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -100,7 +100,7 @@
 // track adds a connection to the table. It is the server's ConnContext hook.
 func (l *Limiter) track(ctx context.Context, netConn net.Conn) context.Context {
 	now := time.Now()
-	c := &trackedConn{limiter: l, quietSince: now, acceptedAt: now}
+	c := &trackedConn{limiter: l, lastActivity: now, acceptedAt: now}
 	c.client, _ = netConn.(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -17,12 +17,12 @@
 
 	ExpiredReservations int // releases sent because nothing had proved in time that an attempt had reached its endpoint
 
-	Served         int // requests answered with a stream
-	Rejected       int // requests answered Rejected
-	Failed         int // requests answered Failed, by the Router or by AbandonPending
-	ClientGone     int // requests whose client disconnected before the final answer
-	DeadlineForced int // requests failed because the Router gave no answer within deadlineGrace of their deadline
-	BrokenStreams  int // streams that broke after their first token
+	Served           int // requests answered with a stream
+	Rejected         int // requests answered Rejected
+	Failed           int // requests answered Failed, by the Router or by AbandonPending
+	ClientGone       int // requests whose client disconnected before the final answer
+	DeadlineFailures int // requests failed because the Router gave no answer within deadlineGrace of their deadline
+	BrokenStreams    int // streams that broke after their first token
 
 	Outcomes map[string]int // ended attempts by outcome name, or nil if none has ended
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -72,7 +72,7 @@
 // New returns a Dispatcher, which handles nothing until Run is called. seed seeds the Router's random number generator;
 // violations may be nil. New fails if the Router rejects the configuration.
 func New(
-	cfg routing.Config, seed uint64, upstream Upstream, hostSystem hostos.System, violations *precondition.ViolationCounter,
+	cfg routing.Config, seed uint64, upstream Upstream, machine hostos.System, violations *precondition.ViolationCounter,
 ) (*Dispatcher, error) {
 	router, err := routing.New(cfg, seed)
 	if err != nil {
@@ -82,10 +82,10 @@
 		router:          router,
 		config:          cfg,
 		upstream:        upstream,
-		system:          hostSystem,
+		system:          machine,
 		violations:      violations,
 		startedAt:       time.Now(),
-		epochOffset:     time.Duration(hostSystem.Wall().UnixNano()),
+		epochOffset:     time.Duration(machine.Wall().UnixNano()),
 		mailbox:         make(chan func(), mailboxCapacity),
 		stopped:         make(chan struct{}),
 		requests:        map[routing.RequestID]*request{},
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -85,7 +85,7 @@
 			}
 			attempt.end(routing.ConnectionReset)
 			counters := dispatcher.Counters(t.Context())
-			if counters.Open != 0 || counters.DeadlineForced+counters.Rejected+counters.Failed != 1 || len(upstream.sends) > 0 {
+			if counters.Open != 0 || counters.DeadlineFailures+counters.Rejected+counters.Failed != 1 || len(upstream.sends) > 0 {
 				t.Errorf("counters %+v, %d more sends", counters, len(upstream.sends))
 			}
 			// The possible reservation of the prefill is released twice, since the end of the prefill was not observed.
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -141,7 +141,7 @@
 	if req.answered() {
 		return
 	}
-	d.counters.DeadlineForced++
+	d.counters.DeadlineFailures++
 	d.answerAndCancel(req, Answer{Kind: Failed})
 }
 
--- a/internal/faultbench/soak_test.go
+++ b/internal/faultbench/soak_test.go
@@ -118,14 +118,14 @@
 		{"routing/reservation.go", "	if !req.reservation.mayExist {\n		return\n	}\n	if r.now", "	if true {\n		return\n	}\n	if r.now"},
 	},
 	"a drain that goes on taking requests": {
-		{"internal/connlimit/drain.go", "return d.elapsed(now) < drainAcceptFor", "return true"},
+		{"internal/connlimit/drain.go", "return d.elapsed(now) < drainAcceptWindow", "return true"},
 		{"internal/connlimit/clientconn.go", "!c.partialRequest && c.limiter.lifecycle.Drain.Active()", "false"},
 		{"internal/connlimit/limiter.go", "	if draining || l.lifecycle.Stopping.Load() {", "	if l.lifecycle.Stopping.Load() {"},
 		{"internal/app/listeners.go", "		limiter.DrainConnections()\n", "		_ = limiter\n"},
 	},
 	"a close over a read request": {
-		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}",
-			"		if cause == precondition.AtShutdown && c.state != connIdle && c.state != connEvicted {\n			l.forget(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || c.state != connIdle && now.Sub(c.quietSince) < quietTimeout {\n			continue\n		}"},
+		{"internal/connlimit/close_idle.go", "		if c.state == connEvicted || c.state != connIdle && now.Sub(c.lastActivity) < quietTimeout {\n			continue\n		}",
+			"		if cause == precondition.CauseShutdown && c.state != connIdle && c.state != connEvicted {\n			l.untrack(netConn)\n			netConn.Close()\n			continue\n		}\n		if c.state == connEvicted || c.state != connIdle && now.Sub(c.lastActivity) < quietTimeout {\n			continue\n		}"},
 	},
 }
 
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -44,9 +44,9 @@
 //
 //	free       -> InFlight    Claim
 //	InFlight   -> free        Withdraw
-//	InFlight   -> MayHaveRun  Settle without an answer, or the attempt's deadline
-//	InFlight   -> Answered    Settle with an answer
-//	MayHaveRun -> Answered    Settle with an answer
+//	InFlight   -> MayHaveRun  RecordResult without an answer, or the attempt's deadline
+//	InFlight   -> Answered    RecordResult with an answer
+//	MayHaveRun -> Answered    RecordResult with an answer
 //	any state  -> free        the retention ends
 type State uint8
 
--- a/internal/fleet/idempotency/replica.go
+++ b/internal/fleet/idempotency/replica.go
@@ -110,10 +110,10 @@
 	return VoteGranted, nil, nil
 }
 
-// Settle records how an attempt ended: with the given answer or, if it is nil, with an unknown result, in which case
-// the request may have run. Settle changes nothing if the attempt does not hold the key, or if an answer is already
+// RecordResult records how an attempt ended: with the given answer or, if it is nil, with an unknown result, in which
+// case the request may have run. It changes nothing if the attempt does not hold the key, or if an answer is already
 // stored. The error is ErrAnswerTooLong or an error of the store.
-func (r *Replica) Settle(key Key, attempt Attempt, answer []byte) error {
+func (r *Replica) RecordResult(key Key, attempt Attempt, answer []byte) error {
 	if len(answer) > r.limits.MaxAnswerBytes {
 		return ErrAnswerTooLong
 	}
--- a/internal/fleet/idempotency/replica_test.go
+++ b/internal/fleet/idempotency/replica_test.go
@@ -79,13 +79,13 @@
 	expectVote(keyA, digest(keyA), attempt1, VoteGranted)
 	expectVote(keyA, digest(keyA), attempt2, VoteInFlight)
 	expectVote(keyA, digest(keyB), attempt2, VoteKeyReused)
-	replica.Settle(keyA, attempt2, []byte("of another attempt"))
-	replica.Settle(keyA, attempt1, []byte("answer"))
-	replica.Settle(keyA, attempt1, nil)
+	replica.RecordResult(keyA, attempt2, []byte("of another attempt"))
+	replica.RecordResult(keyA, attempt1, []byte("answer"))
+	replica.RecordResult(keyA, attempt1, nil)
 	if got := expectVote(keyA, digest(keyA), attempt2, VoteAnswered); string(got) != "answer" {
 		t.Errorf("answered %q", got)
 	}
-	if err := replica.Settle(keyA, attempt1, make([]byte, l.MaxAnswerBytes+1)); !errors.Is(err, ErrAnswerTooLong) {
+	if err := replica.RecordResult(keyA, attempt1, make([]byte, l.MaxAnswerBytes+1)); !errors.Is(err, ErrAnswerTooLong) {
 		t.Errorf("a long answer: %v", err)
 	}
 	expectVote(keyB, digest(keyB), attempt1, VoteGranted)
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -223,7 +223,7 @@
 		answer = answerOf(a.key)
 	}
 	for i := range s.replicas {
-		s.sendToReplica(a.member, i, func(r *simReplica) { r.replica.Settle(a.key, a.attempt, answer) })
+		s.sendToReplica(a.member, i, func(r *simReplica) { r.replica.RecordResult(a.key, a.attempt, answer) })
 	}
 	if s.mutant.withdrawsAfterRun && s.rng.IntN(4) == 0 {
 		s.withdraw(a)
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -24,7 +24,7 @@
 	// claimResendInterval is the time after which a claim is sent again to replicas that have not voted, since packets
 	// may get lost.
 	claimResendInterval = 60 * time.Millisecond
-	// Settlements and withdrawals are not acknowledged, so each is sent notificationSends times.
+	// Results and withdrawals are not acknowledged, so each is sent notificationSends times.
 	notificationSends    = 3
 	notificationInterval = 250 * time.Millisecond
 )
@@ -86,8 +86,8 @@
 
 // Claim claims a key for a new attempt at the replicas, and waits for votes that decide the claim, for at most
 // claimTimeout. A claim that is not granted is withdrawn. maxDuration is the longest time from now that the attempt can
-// last. The outcome, vote and answer are defined by idempotency.Round.Outcome; the caller passes the attempt to Settle
-// or Withdraw.
+// last. The outcome, vote and answer are defined by idempotency.Round.Outcome; the caller passes the attempt to
+// RecordResult or Withdraw.
 func (c *Coordinator) Claim(key string, body []byte, maxDuration time.Duration) (
 	idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt,
 ) {
@@ -155,10 +155,10 @@
 	}
 }
 
-// Settle tells the replicas how an attempt ended: with the given answer or, if it is nil, with an unknown
-// result, in which case the request may have run. It does not block.
-func (c *Coordinator) Settle(key string, attempt idempotency.Attempt, answer []byte) {
-	c.notify(message{kind: kindSettle, attempt: attempt, key: c.hash(key), answer: answer, hasAnswer: answer != nil})
+// RecordResult tells the replicas how an attempt ended: with the given answer or, if it is nil, with an unknown result,
+// in which case the request may have run. It does not block.
+func (c *Coordinator) RecordResult(key string, attempt idempotency.Attempt, answer []byte) {
+	c.notify(message{kind: kindResult, attempt: attempt, key: c.hash(key), answer: answer, hasAnswer: answer != nil})
 }
 
 // Withdraw cancels the claim of an attempt that never ran. It does not block.
--- a/internal/fleet/idempotencyquorum/coordinator_test.go
+++ b/internal/fleet/idempotencyquorum/coordinator_test.go
@@ -115,8 +115,8 @@
 	return dir
 }
 
-// claimEverywhere claims a key at all members at once, settles granted claims with the answer, and returns how many
-// claims were granted.
+// claimEverywhere claims a key at all members at once, records the answer as the result of each granted claim, and
+// returns how many claims were granted.
 func claimEverywhere(members []*Coordinator, key string, answer []byte) (granted int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -127,7 +127,7 @@
 				mu.Lock()
 				granted++
 				mu.Unlock()
-				c.Settle(key, attempt, answer)
+				c.RecordResult(key, attempt, answer)
 			}
 		})
 	}
@@ -227,13 +227,13 @@
 	if _, err := state.Open(dir, state.Identity{Fleet: "f", Name: "n0"}); !errors.Is(err, state.ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
-	n.stops["n0"]() // before the attempt is settled
+	n.stops["n0"]() // before the attempt's result is recorded
 	second := n.start(t, "n0", dir, 2, "n0")
 	outcome, vote, _, _ := second.Claim("a", []byte("body"), time.Minute)
 	if outcome != idempotency.Rejected || vote != idempotency.VoteInFlight {
 		t.Errorf("after the restart: %v, %v", outcome, vote)
 	}
-	second.Settle("a", attempt, []byte("late"))
+	second.RecordResult("a", attempt, []byte("late"))
 	testutil.Eventually(t, "its answer", func() bool {
 		_, vote, _, _ := second.Claim("a", []byte("body"), time.Minute)
 		return vote == idempotency.VoteAnswered
--- a/internal/fleet/idempotencyquorum/golden_test.go
+++ b/internal/fleet/idempotencyquorum/golden_test.go
@@ -32,9 +32,9 @@
 			"word-held-known.hex",
 			message{kind: kindVote, replica: "k0", vote: idempotency.VoteAnswered, answer: answer, hasAnswer: true},
 		},
-		{"settle.hex", message{kind: kindSettle, answer: answer, hasAnswer: true}},
-		{"settle-empty.hex", message{kind: kindSettle, answer: []byte{}, hasAnswer: true}},
-		{"settle-unknown.hex", message{kind: kindSettle}},
+		{"settle.hex", message{kind: kindResult, answer: answer, hasAnswer: true}},
+		{"settle-empty.hex", message{kind: kindResult, answer: []byte{}, hasAnswer: true}},
+		{"settle-unknown.hex", message{kind: kindResult}},
 		{"withdraw.hex", message{kind: kindWithdraw}},
 	} {
 		c.m.attempt, c.m.key = goldenAttempt, goldenKey
@@ -46,7 +46,7 @@
 }
 
 func TestGoldenNumbers(t *testing.T) {
-	kinds := []messageKind{kindClaim, kindVote, kindSettle, kindWithdraw}
+	kinds := []messageKind{kindClaim, kindVote, kindResult, kindWithdraw}
 	if want := []messageKind{1, 2, 3, 4}; !slices.Equal(kinds, want) {
 		t.Errorf("kinds are %v, want %v", kinds, want)
 	}
--- a/internal/fleet/idempotencyquorum/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -17,7 +17,7 @@
 const (
 	kindClaim    messageKind = 1 // asks a replica for its vote
 	kindVote     messageKind = 2 // replies to a claim
-	kindSettle   messageKind = 3 // tells a replica how an attempt ended
+	kindResult   messageKind = 3 // tells a replica how an attempt ended
 	kindWithdraw messageKind = 4 // cancels a claim
 )
 
@@ -53,7 +53,7 @@
 	maxDuration time.Duration      // kindClaim: longest time that the attempt can last
 	replica     string             // kindVote: name of the replica that votes
 	vote        idempotency.Vote   // kindVote
-	answer      []byte             // kindVote and kindSettle: answer to the request, if hasAnswer
+	answer      []byte             // kindVote and kindResult: answer to the request, if hasAnswer
 	hasAnswer   bool               // distinguishes an empty answer from none
 }
 
@@ -165,7 +165,7 @@
 		return d.hasDigest
 	case kindVote:
 		return d.replica != "" && d.vote != 0
-	case kindSettle, kindWithdraw:
+	case kindResult, kindWithdraw:
 		return true
 	}
 	return false
--- a/internal/fleet/idempotencyquorum/message_test.go
+++ b/internal/fleet/idempotencyquorum/message_test.go
@@ -20,7 +20,7 @@
 			kind: kindVote, attempt: attempt, key: key,
 			replica: "n2", vote: idempotency.VoteAnswered, answer: []byte("a"), hasAnswer: true,
 		},
-		{kind: kindSettle, attempt: attempt, key: key, answer: []byte{}, hasAnswer: true},
+		{kind: kindResult, attempt: attempt, key: key, answer: []byte{}, hasAnswer: true},
 	} {
 		if got, err := decode(in.encode()); err != nil || !reflect.DeepEqual(got, in) {
 			f.Errorf("%+v became %+v, %v", in, got, err)
--- a/internal/fleet/idempotencyquorum/replica.go
+++ b/internal/fleet/idempotencyquorum/replica.go
@@ -97,8 +97,8 @@
 	switch m.kind {
 	case kindClaim:
 		c.serveClaim(now, m)
-	case kindSettle:
-		if err := c.replica.Settle(m.key, m.attempt, m.answer); err != nil {
+	case kindResult:
+		if err := c.replica.RecordResult(m.key, m.attempt, m.answer); err != nil {
 			c.storeFailed(err)
 		}
 	case kindWithdraw:
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -158,9 +158,9 @@
 
 // The values of Cause.
 const (
-	ForCapacity Cause = iota // the connection's capacity is needed for another one
-	ForDrain                 // the process is being drained
-	AtShutdown               // the process is shutting down
+	CauseCapacity Cause = iota // the connection's capacity is needed for another one
+	CauseDrain                 // the process is being drained
+	CauseShutdown              // the process is shutting down
 )
 
 // CloseConnection holds the facts for closing a client's connection from the dispatcher's side.
@@ -181,9 +181,9 @@
 		return RequestUnanswered
 	case !c.AwaitingBytes:
 		return RequestArriving
-	case c.PartialRequest && (c.Cause == AtShutdown || c.Idle < c.PartialRequestTimeout):
+	case c.PartialRequest && (c.Cause == CauseShutdown || c.Idle < c.PartialRequestTimeout):
 		return RequestArriving // at shutdown a separate time limit ends the request with an answer
-	case c.UnreadBytes && c.Cause != AtShutdown:
+	case c.UnreadBytes && c.Cause != CauseShutdown:
 		return UnreadBytes // at shutdown unread requests are not accepted: the client sends them again
 	}
 	return Allowed
--- a/internal/precondition/precondition_test.go
+++ b/internal/precondition/precondition_test.go
@@ -99,11 +99,11 @@
 		{"idle", CloseConnection{AwaitingBytes: true}, Allowed},
 		{"request open", CloseConnection{AwaitingBytes: true, RequestInProgress: true}, RequestUnanswered},
 		{"read bytes not parsed", CloseConnection{}, RequestArriving},
-		{"partial request within its timeout", partial(1, 2, ForCapacity), RequestArriving},
-		{"partial request after its timeout", partial(2, 2, ForCapacity), Allowed},
-		{"partial request at shutdown", partial(2, 0, AtShutdown), RequestArriving},
-		{"unread bytes at a drain", unread(ForDrain), UnreadBytes},
-		{"unread bytes at shutdown", unread(AtShutdown), Allowed},
+		{"partial request within its timeout", partial(1, 2, CauseCapacity), RequestArriving},
+		{"partial request after its timeout", partial(2, 2, CauseCapacity), Allowed},
+		{"partial request at shutdown", partial(2, 0, CauseShutdown), RequestArriving},
+		{"unread bytes at a drain", unread(CauseDrain), UnreadBytes},
+		{"unread bytes at shutdown", unread(CauseShutdown), Allowed},
 	})
 }
 
