--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -80,7 +80,7 @@
 }
 
 func (l *Listener) acceptOnce() (net.Conn, error) {
-	if err := l.machine.Before(hostos.Accept); err != nil {
+	if err := l.machine.BeforeCall(hostos.Accept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.Addr().Network(), Addr: l.Addr(), Err: err}
 	}
 	return l.Listener.Accept()
--- a/internal/app/endpoint_cache.go
+++ b/internal/app/endpoint_cache.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	return endpointcache.Save(a.machine, a.inputs.stateDir, endpointcache.Cached{
+	return endpointcache.Save(a.machine, a.inputs.stateDir, endpointcache.CachedList{
 		Owner: a.endpointCacheOwner(), SavedAt: hostos.Now(a.machine), Version: list.Generation, Entries: entries,
 	})
 }
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -117,13 +117,15 @@
 // them.
 type endpointLists struct{ fleet *fleetRuntime }
 
-// Version implements leasedtasks.EndpointLists.
+// Version implements leasedtasks.EndpointListSource.
 func (l endpointLists) Version() uint64 { return l.fleet.watcher.Version() }
 
-// Peek implements leasedtasks.EndpointLists.
-func (l endpointLists) Peek(ctx context.Context) (uint64, error) { return l.fleet.watcher.Peek(ctx) }
+// FetchVersion implements leasedtasks.EndpointListSource.
+func (l endpointLists) FetchVersion(ctx context.Context) (uint64, error) {
+	return l.fleet.watcher.FetchVersion(ctx)
+}
 
-// Refresh implements leasedtasks.EndpointLists.
+// Refresh implements leasedtasks.EndpointListSource.
 func (l endpointLists) Refresh() { l.fleet.watcher.Refresh() }
 
 // versionSkewActions carries out the fleet's decisions on version skew that concern this process.
--- a/internal/app/fleet_tables.go
+++ b/internal/app/fleet_tables.go
@@ -107,7 +107,7 @@
 func printEndpointFilter(out io.Writer, status endpointfilter.Status) error {
 	fmt.Fprintf(out, "list %d; %d replicas held back by newer lists of others, %d such lists came, "+
 		"%d times they would have ended too much\n",
-		status.List, status.Suppressed, status.PeerLists, status.Rejected)
+		status.ListVersion, status.Suppressed, status.PeerLists, status.Rejected)
 	return nil
 }
 
--- a/internal/app/hung_disk_test.go
+++ b/internal/app/hung_disk_test.go
@@ -22,8 +22,8 @@
 	listen := freeAddr(t)
 	program, out := startProcess(t, "", writeFile(t, "config.json", configText(listen, discovery, list)), "-handover", t.TempDir())
 	awaitReady(t, listen)
-	hungWrites := hostos.Faults{Fails: map[hostos.Op]hostos.Failure{hostos.Write: {Every: 1, DelayMS: 5000}}}
-	if err := hungWrites.Set(faults); err != nil {
+	hungWrites := hostos.Faults{Failures: map[hostos.Op]hostos.Failure{hostos.Write: {Every: 1, DelayMS: 5000}}}
+	if err := hungWrites.WriteFile(faults); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // longer than the 10 ms for which a process may cache the faults file
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -115,8 +115,8 @@
 // CurrentList returns the full list as it was last passed on, in discovery's format.
 func (w *Watcher) CurrentList() (List, error) { return w.endpoints.encode() }
 
-// Peek returns the current version of the list at discovery, without applying the list.
-func (w *Watcher) Peek(ctx context.Context) (version uint64, err error) {
+// FetchVersion returns the current version of the list at discovery, without applying the list.
+func (w *Watcher) FetchVersion(ctx context.Context) (version uint64, err error) {
 	list, err := w.api.list(ctx, w.Address())
 	return list.Generation, err
 }
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -119,9 +119,9 @@
 	},
 	scenario.FailSyscalls: func(r *Run, ctx context.Context, f scenario.Fault, d int) {
 		r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) {
-			s.Fails[f.Syscall] = hostos.Failure{Errno: f.Errno, Every: max(f.EveryNth, 1), DelayMS: int(f.DelayMS)}
+			s.Failures[f.Syscall] = hostos.Failure{Errno: f.Errno, Every: max(f.EveryNth, 1), DelayMS: int(f.DelayMS)}
 		})
-		endAfterDuration(ctx, f, func() { r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) { delete(s.Fails, f.Syscall) }) })
+		endAfterDuration(ctx, f, func() { r.dispatchers[d].ChangeFaults(func(s *hostos.Faults) { delete(s.Failures, f.Syscall) }) })
 	},
 	scenario.PartialRequests:   (*Run).misbehavingClients,
 	scenario.PipelinedRequests: (*Run).misbehavingClients,
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -310,11 +310,11 @@
 func (p *Process) ChangeFaults(change func(*hostos.Faults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.faults.Fails == nil {
-		p.faults.Fails = map[hostos.Op]hostos.Failure{}
+	if p.faults.Failures == nil {
+		p.faults.Failures = map[hostos.Op]hostos.Failure{}
 	}
 	change(&p.faults)
-	if err := p.faults.Set(p.faultsPath()); err != nil {
+	if err := p.faults.WriteFile(p.faultsPath()); err != nil {
 		p.config.Log.Warn("faults_not_set", "dispatcher", p.config.Index, "err", err)
 	}
 }
--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -30,10 +30,10 @@
 
 // Status is the state of a Filter as shown to operators.
 type Status struct {
-	List       uint64 `json:"list"`      // version of this member's own list
-	Suppressed int    `json:"held_back"` // number of replicas suppressed by newer lists of peers
-	PeerLists  int64  `json:"told"`      // number of newer lists received from peers
-	Rejected   int    `json:"refused"`   // times that peers' lists were ignored for suppressing too many replicas
+	ListVersion uint64 `json:"list"`      // version of this member's own list
+	Suppressed  int    `json:"held_back"` // number of replicas suppressed by newer lists of peers
+	PeerLists   int64  `json:"told"`      // number of newer lists received from peers
+	Rejected    int    `json:"refused"`   // times that peers' lists were ignored for suppressing too many replicas
 }
 
 // New returns a Filter that passes its updates to publish, which must not block. The function version returns the
@@ -143,9 +143,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Status{
-		List:       f.table.Version(),
-		Suppressed: f.table.Suppressed(),
-		PeerLists:  f.peerLists,
-		Rejected:   f.table.Rejections(),
+		ListVersion: f.table.Version(),
+		Suppressed:  f.table.Suppressed(),
+		PeerLists:   f.peerLists,
+		Rejected:    f.table.Rejections(),
 	}
 }
--- a/internal/fleet/endpointfilter/filter_test.go
+++ b/internal/fleet/endpointfilter/filter_test.go
@@ -88,7 +88,7 @@
 	f.Tick()
 	b.wantReady(t, "after the peer list expired", "a", "b", "c", "d", "e")
 	s := f.Status()
-	if s.PeerLists != 2 || s.Suppressed != 0 || s.List != 7 || f.Version() != 7 || len(f.Digest().Ready) != 5 {
+	if s.PeerLists != 2 || s.Suppressed != 0 || s.ListVersion != 7 || f.Version() != 7 || len(f.Digest().Ready) != 5 {
 		t.Errorf("status %+v", s)
 	}
 }
--- a/internal/fleet/endpointfilter/golden_test.go
+++ b/internal/fleet/endpointfilter/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenStatus(t *testing.T) {
-	golden.JSON(t, "status.json", Status{List: 1, Suppressed: 2, PeerLists: 3, Rejected: 4})
+	golden.JSON(t, "status.json", Status{ListVersion: 1, Suppressed: 2, PeerLists: 3, Rejected: 4})
 }
--- a/internal/fleet/leasedtasks/golden_test.go
+++ b/internal/fleet/leasedtasks/golden_test.go
@@ -27,9 +27,9 @@
 
 type goldenList struct{}
 
-func (goldenList) Version() uint64                      { return 301 }
-func (goldenList) Peek(context.Context) (uint64, error) { return 300, nil }
-func (goldenList) Refresh()                             {}
+func (goldenList) Version() uint64                              { return 301 }
+func (goldenList) FetchVersion(context.Context) (uint64, error) { return 300, nil }
+func (goldenList) Refresh()                                     {}
 
 // The names of tasks, the header of polls and the encoding of results must be the same in all versions: members hash
 // the names to agree on leases, replicas receive the name and the fencing token in a header, and all members receive
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -46,12 +46,12 @@
 	PollLoadFor(lease string, to dispatch.EndpointAddress, timeout time.Duration, done func(*routing.LoadReport))
 }
 
-// EndpointLists gives access to this member's own connection to service discovery.
-type EndpointLists interface {
+// EndpointListSource gives access to this member's own connection to service discovery.
+type EndpointListSource interface {
 	// Version returns the version of the endpoint list that this member acts on.
 	Version() uint64
-	// Peek reads the version of discovery's current list, without the list.
-	Peek(ctx context.Context) (version uint64, err error)
+	// FetchVersion returns the version of discovery's current list, without applying the list.
+	FetchVersion(ctx context.Context) (version uint64, err error)
 	// Refresh requests the list again.
 	Refresh()
 }
@@ -59,7 +59,7 @@
 // Tasks implements fleet.TaskRunner.
 type Tasks struct {
 	poller     LoadPoller
-	lists      EndpointLists
+	lists      EndpointListSource
 	applyLoads func([]dispatch.PeerLoad) bool
 	now        func() time.Time
 	dropped    atomic.Int64 // load reports dropped because the dispatcher's queue was full
@@ -73,7 +73,7 @@
 
 // New returns a Tasks. applyLoads passes load reports to the dispatcher; it must not block, and returns false if it
 // dropped them. If poller is nil, replicas are not polled.
-func New(poller LoadPoller, lists EndpointLists, applyLoads func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
+func New(poller LoadPoller, lists EndpointListSource, applyLoads func([]dispatch.PeerLoad) bool, now func() time.Time) *Tasks {
 	return &Tasks{poller: poller, lists: lists, applyLoads: applyLoads, now: now, targets: map[string]dispatch.EndpointAddress{}}
 }
 
@@ -138,7 +138,7 @@
 func (t *Tasks) peekList(done func([]byte)) {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
-	version, err := t.lists.Peek(ctx)
+	version, err := t.lists.FetchVersion(ctx)
 	if err != nil {
 		slog.Debug("list_task_failed", "err", err)
 		done(nil)
--- a/internal/fleet/leasedtasks/leasedtasks_test.go
+++ b/internal/fleet/leasedtasks/leasedtasks_test.go
@@ -18,7 +18,7 @@
 type fakeLists struct{ ownVersion, discoveryVersion, refreshes uint64 }
 
 func (l *fakeLists) Version() uint64 { return l.ownVersion }
-func (l *fakeLists) Peek(context.Context) (uint64, error) {
+func (l *fakeLists) FetchVersion(context.Context) (uint64, error) {
 	if l.discoveryVersion == 0 {
 		return 0, errors.New("down")
 	}
--- a/internal/hostos/faulty.go
+++ b/internal/hostos/faulty.go
@@ -14,8 +14,8 @@
 type Faults struct {
 	// WallStepMS is the offset that is added to the wall clock, in ms.
 	WallStepMS int64 `json:"wall_step_ms"`
-	// Fails maps kinds of system call to the failure injected into them.
-	Fails map[Op]Failure `json:"fails"`
+	// Failures maps kinds of system call to the failure injected into them.
+	Failures map[Op]Failure `json:"fails"`
 }
 
 // Failure describes the failure injected into system calls of one kind.
@@ -42,8 +42,8 @@
 // NewFaulty returns a System that injects the faults described in the file at path, and none until the file exists.
 func NewFaulty(path string) *Faulty { return &Faulty{path: path, calls: map[Op]int{}} }
 
-// Set replaces the file at path atomically.
-func (f Faults) Set(path string) error {
+// WriteFile writes the faults to the file at path, which it replaces atomically.
+func (f Faults) WriteFile(path string) error {
 	text, err := json.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("faults: %w", err)
@@ -83,8 +83,8 @@
 	return time.Now().Round(0).Add(time.Duration(f.faults.WallStepMS) * time.Millisecond)
 }
 
-// Before implements System.
-func (f *Faulty) Before(op Op) error {
+// BeforeCall implements System.
+func (f *Faulty) BeforeCall(op Op) error {
 	failure, ok := f.nextFailure(op)
 	if !ok {
 		return nil
@@ -101,7 +101,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refresh()
-	failure, ok := f.faults.Fails[op]
+	failure, ok := f.faults.Failures[op]
 	if !ok || failure.Every < 1 {
 		return failure, false
 	}
--- a/internal/hostos/hostos.go
+++ b/internal/hostos/hostos.go
@@ -29,9 +29,9 @@
 	// Wall returns the wall clock time, without a monotonic clock reading. Code that measures durations must not use
 	// it.
 	Wall() time.Time
-	// Before is called before each system call of the given kind. If it returns an error, the caller returns this error
-	// instead of making the system call.
-	Before(Op) error
+	// BeforeCall is called before each system call of the given kind. If it returns an error, the caller returns this
+	// error instead of making the system call.
+	BeforeCall(Op) error
 }
 
 type realSystem struct{}
@@ -42,8 +42,8 @@
 // Wall implements System.
 func (realSystem) Wall() time.Time { return time.Now().Round(0) }
 
-// Before implements System.
-func (realSystem) Before(Op) error { return nil }
+// BeforeCall implements System.
+func (realSystem) BeforeCall(Op) error { return nil }
 
 // Stamp is a point in time on two clocks: the wall clock, which may be stepped, and the boot clock, which restarts with
 // each boot of the machine. Other versions of the program read stored stamps, so the JSON names must not change.
--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -84,27 +84,27 @@
 }
 
 func write(machine hostos.System, f *os.File, content []byte, durability Durability) error {
-	if err := machine.Before(hostos.Write); err != nil {
+	if err := machine.BeforeCall(hostos.Write); err != nil {
 		return err
 	}
 	if _, err := f.Write(content); err != nil || durability == Unsynced {
 		return err
 	}
-	if err := machine.Before(hostos.Sync); err != nil {
+	if err := machine.BeforeCall(hostos.Sync); err != nil {
 		return err
 	}
 	return f.Sync() // before the rename, since a crash that leaves the new name without its content corrupts the file
 }
 
 func rename(machine hostos.System, from, to string) error {
-	if err := machine.Before(hostos.Rename); err != nil {
+	if err := machine.BeforeCall(hostos.Rename); err != nil {
 		return err
 	}
 	return os.Rename(from, to)
 }
 
 func syncDir(machine hostos.System, dir string) error {
-	if err := machine.Before(hostos.Sync); err != nil {
+	if err := machine.BeforeCall(hostos.Sync); err != nil {
 		return err
 	}
 	d, err := os.Open(dir)
--- a/internal/state/endpointcache/endpointcache.go
+++ b/internal/state/endpointcache/endpointcache.go
@@ -17,8 +17,8 @@
 	"rampspread/internal/state/atomicfile"
 )
 
-// Cached is a stored list. Other versions of the program read the file, so the JSON names must not change.
-type Cached struct {
+// CachedList is a stored endpoint list. Other versions of the program read the file, so the JSON names must not change.
+type CachedList struct {
 	Owner   Owner           `json:"Owner"`
 	SavedAt hostos.Stamp    `json:"At"`
 	Version uint64          `json:"Version"`
@@ -50,7 +50,7 @@
 var ErrUnusable = errors.New("endpointcache: unusable list")
 
 // Save replaces the list in a folder, and creates the folder if necessary. The list is on disk when Save returns.
-func Save(machine hostos.System, dir string, list Cached) error {
+func Save(machine hostos.System, dir string, list CachedList) error {
 	body, err := json.Marshal(list)
 	if err != nil {
 		return fmt.Errorf("endpointcache: %w", err)
@@ -70,31 +70,31 @@
 
 // Load returns the list in a folder. The error is fs.ErrNotExist if there is none, and ErrUnusable if the owner must
 // not use it now.
-func Load(dir string, owner Owner, now hostos.Stamp) (Cached, error) {
+func Load(dir string, owner Owner, now hostos.Stamp) (CachedList, error) {
 	sealed, err := atomicfile.Read(filepath.Join(dir, fileName), maxBytes)
 	if err != nil && !errors.Is(err, atomicfile.ErrCorrupt) {
-		return Cached{}, fmt.Errorf("endpointcache: %w", err)
+		return CachedList{}, fmt.Errorf("endpointcache: %w", err)
 	}
-	var list Cached
+	var list CachedList
 	if err == nil {
 		list, err = decode(sealed)
 	}
 	if err != nil {
-		return Cached{}, fmt.Errorf("%w: %w", ErrUnusable, err)
+		return CachedList{}, fmt.Errorf("%w: %w", ErrUnusable, err)
 	}
 	switch age := list.SavedAt.Age(now); {
 	case list.Owner != owner:
-		return Cached{}, fmt.Errorf("%w: it belongs to member %q of fleet %q with service discovery at %s",
+		return CachedList{}, fmt.Errorf("%w: it belongs to member %q of fleet %q with service discovery at %s",
 			ErrUnusable, list.Owner.Name, list.Owner.Fleet, list.Owner.Discovery)
 	case age < 0:
-		return Cached{}, fmt.Errorf("%w: it was saved in the future", ErrUnusable)
+		return CachedList{}, fmt.Errorf("%w: it was saved in the future", ErrUnusable)
 	case age > MaxAge:
-		return Cached{}, fmt.Errorf("%w: it is %v old", ErrUnusable, age.Round(time.Second))
+		return CachedList{}, fmt.Errorf("%w: it is %v old", ErrUnusable, age.Round(time.Second))
 	}
 	return list, nil
 }
 
-func decode(sealed []byte) (list Cached, err error) {
+func decode(sealed []byte) (list CachedList, err error) {
 	body, err := atomicfile.Open(magic, sealed)
 	if err != nil {
 		return list, err
--- a/internal/state/endpointcache/endpointcache_test.go
+++ b/internal/state/endpointcache/endpointcache_test.go
@@ -15,8 +15,8 @@
 
 var testOwner = Owner{Fleet: "f", Name: "n0", Discovery: "127.0.0.1:8500"}
 
-func testList(at hostos.Stamp) Cached {
-	return Cached{Owner: testOwner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
+func testList(at hostos.Stamp) CachedList {
+	return CachedList{Owner: testOwner, SavedAt: at, Version: 7, Entries: []byte(`[{"instanceId":"s1"}]`)}
 }
 
 // A saved list replaces the previous list, and only its owner can load it.
--- a/internal/state/endpointcache/golden_test.go
+++ b/internal/state/endpointcache/golden_test.go
@@ -12,7 +12,7 @@
 
 const goldenFileName = "newest.list"
 
-var goldenList = Cached{
+var goldenList = CachedList{
 	Owner:   Owner{Fleet: "golden-fleet", Name: "golden-name", Discovery: "192.0.2.1:8500"},
 	SavedAt: hostos.Stamp{Wall: 1_700_000_000_000_000_001, Boot: 2_000_000_000_002, BootID: "golden-boot"},
 	Version: 1<<63 + 3,
--- a/internal/state/inflight/marker.go
+++ b/internal/state/inflight/marker.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("encode marker: %w", err)
 	}
-	if err := t.machine.Before(hostos.Write); err != nil {
+	if err := t.machine.BeforeCall(hostos.Write); err != nil {
 		return err
 	}
 	if err := os.WriteFile(path, content, fileMode); err != nil {
--- a/internal/testutil/fakesystem.go
+++ b/internal/testutil/fakesystem.go
@@ -38,8 +38,8 @@
 	return time.Now().Round(0).Add(s.offset)
 }
 
-// Before implements hostos.System.
-func (s *FakeSystem) Before(op hostos.Op) error {
+// BeforeCall implements hostos.System.
+func (s *FakeSystem) BeforeCall(op hostos.Op) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failures[op]
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -78,7 +78,7 @@
 }
 
 func (d *dialer) dialOnce(ctx context.Context, network, addr string) (net.Conn, error) {
-	if err := d.machine.Before(hostos.Connect); err != nil {
+	if err := d.machine.BeforeCall(hostos.Connect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
 	return new(net.Dialer).DialContext(ctx, network, addr)
