--- a/internal/faultbench/discovery/faults.go
+++ b/internal/faultbench/discovery/faults.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// NoteMove records that a dispatcher is about to be moved to another discovery service.
-func (d *Server) NoteMove(dispatcher int) {
+// RecordMove records that a dispatcher is about to be moved to another discovery service.
+func (d *Server) RecordMove(dispatcher int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.movedAt[dispatcher] = time.Now()
--- a/internal/faultbench/dispatcher.go
+++ b/internal/faultbench/dispatcher.go
@@ -162,7 +162,7 @@
 	d.configChange.Lock()
 	defer d.configChange.Unlock()
 	r := d.run
-	r.discovery.NoteMove(d.index)
+	r.discovery.RecordMove(d.index)
 	old := d.discoveryAddress()
 	d.discoveryMoves++
 	r.discovery.Open(d.index, d.discoveryAddress())
--- a/internal/faultbench/frontlayer/front.go
+++ b/internal/faultbench/frontlayer/front.go
@@ -29,8 +29,9 @@
 	HotFactor int
 	HealthURL func(dispatcher int) string
 	Link      func(dispatcher int) *network.Link
-	// Leaving reports whether a dispatcher is shutting down, and gets no new connections although its health is good.
-	Leaving func(dispatcher int) bool
+	// ShuttingDown reports whether a dispatcher is shutting down. If so, it gets no new connections although its health
+	// is good.
+	ShuttingDown func(dispatcher int) bool
 }
 
 // Front distributes connections round robin, preferably over the dispatchers of the client's zone.
@@ -58,8 +59,8 @@
 	return f
 }
 
-// Watch polls the health of dispatcher d until the context ends.
-func (f *Front) Watch(ctx context.Context, d int) {
+// PollHealth polls the health of dispatcher d until the context ends.
+func (f *Front) PollHealth(ctx context.Context, d int) {
 	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			return network.Dial(ctx, addr, f.config.Link(d))
@@ -107,7 +108,7 @@
 		for range f.rotation {
 			f.next[zone]++
 			d := f.rotation[f.next[zone]%len(f.rotation)]
-			if f.servesLocked(d) && eligible(d) {
+			if f.receivesConnectionsLocked(d) && eligible(d) {
 				return d
 			}
 		}
@@ -115,12 +116,14 @@
 	return -1
 }
 
-// Serves reports whether a dispatcher gets new connections.
-func (f *Front) Serves(d int) bool {
+// ReceivesConnections reports whether a dispatcher gets new connections.
+func (f *Front) ReceivesConnections(d int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.servesLocked(d)
+	return f.receivesConnectionsLocked(d)
 }
 
-// servesLocked reports whether a dispatcher gets new connections. The caller must hold the lock.
-func (f *Front) servesLocked(d int) bool { return f.healthy[d] && !f.config.Leaving(d) }
+// receivesConnectionsLocked reports whether a dispatcher gets new connections. The caller must hold the lock.
+func (f *Front) receivesConnectionsLocked(d int) bool {
+	return f.healthy[d] && !f.config.ShuttingDown(d)
+}
--- a/internal/faultbench/history/check_test.go
+++ b/internal/faultbench/history/check_test.go
@@ -83,7 +83,7 @@
 		}},
 		{"a foreign response", history.RuleSingleResponse, []history.Event{
 			request,
-			event(200*ms, history.ForeignResponseReceived, nil),
+			event(200*ms, history.ForeignDataReceived, nil),
 		}},
 		{"never answered", history.RuleSingleResponse, []history.Event{request, event(1300*ms, history.ClientGaveUp, nil)}},
 		{"never answered by a killed process", "", []history.Event{
--- a/internal/faultbench/history/event.go
+++ b/internal/faultbench/history/event.go
@@ -58,9 +58,9 @@
 	FirstEventReceived Kind = "first"
 	// ExtraBytesReceived means that bytes followed a final response.
 	ExtraBytesReceived Kind = "extra"
-	// ForeignResponseReceived means that a response contained data that no replica generated for the request, or that a
+	// ForeignDataReceived means that a response contained data that no replica generated for the request, or that a
 	// replica received a request that it does not know or whose body differs from the client's.
-	ForeignResponseReceived Kind = "foreign"
+	ForeignDataReceived Kind = "foreign"
 	// ClientClosed means that the client itself closed its connection, or its sending half.
 	ClientClosed Kind = "closed"
 	// PartialRequestEnded means that a client that stopped in the middle of a request got an error or the close of its
--- a/internal/faultbench/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -177,7 +177,7 @@
 func damaged(events []history.Event) []history.Event {
 	const interval = 29
 	kinds := []history.Kind{
-		history.ExtraBytesReceived, history.ForeignResponseReceived, history.ClientGaveUp, history.ConnectionDropped,
+		history.ExtraBytesReceived, history.ForeignDataReceived, history.ClientGaveUp, history.ConnectionDropped,
 		history.PartialRequestEnded, history.ConnectionLingers, history.ClientClosed, history.ResponseReceived,
 		history.EndpointWithdrawn, history.EndpointReady, history.StateReserved, history.StateReleased, history.AttemptEnded,
 		history.ExecutionStarted, history.AttemptArrived, history.ProcessDown, history.ReplicaStarted,
--- a/internal/faultbench/history/historytest/historytest.go
+++ b/internal/faultbench/history/historytest/historytest.go
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Stored converts rules to their stored form. The named replicas are those whose deduplication domains are stored.
-func Stored(r history.Rules, replicas []string) Rules {
+// StoredRules converts rules to their stored form. The named replicas are those whose deduplication domains are stored.
+func StoredRules(r history.Rules, replicas []string) Rules {
 	out := Rules{
 		AnswerSlack:      r.AnswerSlack,
 		DrainWithin:      r.DrainWithin,
--- a/internal/faultbench/history/response.go
+++ b/internal/faultbench/history/response.go
@@ -21,7 +21,7 @@
 			answered[e.Request] = answered[e.Request] || final
 		case ExtraBytesReceived:
 			c.report(RuleSingleResponse, e, "bytes behind the final answer")
-		case ForeignResponseReceived:
+		case ForeignDataReceived:
 			c.report(RuleSingleResponse, e, "served with what no replica made for it")
 		case ClientGaveUp:
 			if sent, ok := pending[e.Request]; ok {
--- a/internal/faultbench/loadgen/attempt.go
+++ b/internal/faultbench/loadgen/attempt.go
@@ -156,7 +156,7 @@
 	received.MaxEventDelay = s.maxEventDelay
 	c.finishResponse(a, k, resp, received, err)
 	if err == nil && !s.done {
-		c.config.History.Add(a.event(history.ForeignResponseReceived))
+		c.config.History.Add(a.event(history.ForeignDataReceived))
 	}
 	if err != nil || !s.done {
 		return outcome{status: Broken}
@@ -206,7 +206,7 @@
 			}
 			s.maxEventDelay = max(s.maxEventDelay, c.config.Cluster.EventDelay(a.id, s.tokens))
 			if !strings.Contains(line, replica.EventMark(a.id, s.tokens)) {
-				c.config.History.Add(a.event(history.ForeignResponseReceived))
+				c.config.History.Add(a.event(history.ForeignDataReceived))
 			}
 			s.tokens += replica.TokensPerEvent
 		}
--- a/internal/faultbench/loadgen/connection.go
+++ b/internal/faultbench/loadgen/connection.go
@@ -51,7 +51,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for d, idle := range c.idle {
-		if len(idle) > 0 && d%c.config.Zones == zone && !c.config.Front.Serves(d) {
+		if len(idle) > 0 && d%c.config.Zones == zone && !c.config.Front.ReceivesConnections(d) {
 			return d
 		}
 	}
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -30,7 +30,7 @@
 	r.front = frontlayer.New(frontlayer.Config{Dispatchers: len(r.dispatchers), Zones: r.scenario.Zones, HotFactor: r.scenario.HotFactor,
 		HealthURL: func(d int) string { return "http://" + r.addrs.listen(d) + "/healthz" },
 		Link:      func(d int) *network.Link { return r.links.clients[d] },
-		Leaving: func(d int) bool {
+		ShuttingDown: func(d int) bool {
 			return r.options.Strict && r.dispatchers[d].Terminating(maxShutdownDetection)
 		}})
 	c := loadgen.Config{History: r.history, Deployment: r.deployment, Cluster: r.cluster, Front: r.front, Zones: r.scenario.Zones,
@@ -45,7 +45,7 @@
 // returns once the front layer has had time to poll the health of all dispatchers.
 func (r *Run) observe(ctx context.Context, watchers *sync.WaitGroup, quotas *FleetTotals) error {
 	for d := range r.dispatchers {
-		watchers.Go(func() { r.front.Watch(ctx, d) })
+		watchers.Go(func() { r.front.PollHealth(ctx, d) })
 	}
 	if r.peerLinks != nil && !r.options.SkipViews {
 		for d := range min(len(r.dispatchers), maxWatchedViews) {
@@ -60,7 +60,7 @@
 			watchers.Go(func() { r.watchAdmission(ctx, d) })
 		}
 		if r.options.MeasureUsage {
-			watchers.Go(func() { p.Measure(ctx) })
+			watchers.Go(func() { p.MonitorUsage(ctx) })
 		}
 	}
 	if r.options.Budgets {
--- a/internal/faultbench/process/usage.go
+++ b/internal/faultbench/process/usage.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/faultbench/timing"
 )
 
-// measureInterval is the interval at which Measure reads the usage of a process.
+// measureInterval is the interval at which MonitorUsage reads the usage of a process.
 const measureInterval = 500 * time.Millisecond
 
 // Usage is the resource usage of a process.
@@ -75,8 +75,9 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Measure reads the usage of the process until the context ends, and each time signals the process to log its counters.
-func (p *Process) Measure(ctx context.Context) {
+// MonitorUsage reads the usage of the process every measureInterval until the context ends, and each time signals the
+// process to log its counters.
+func (p *Process) MonitorUsage(ctx context.Context) {
 	for timing.Sleep(ctx, measureInterval) == nil {
 		p.Usage()
 		p.Signal(syscall.SIGUSR1)
--- a/internal/faultbench/recording_test.go
+++ b/internal/faultbench/recording_test.go
@@ -95,14 +95,14 @@
 		plan = deployment.Draw(s.Zones, o.Deployment)
 	}
 	c := replica.NewCluster(nil, plan.Rules(nil), s, o.Seed)
-	rules := plan.Rules(func(name string) int { return c.Named(name).Zone })
+	rules := plan.Rules(func(name string) int { return c.ReplicaByName(name).Zone })
 	rules.RandomArrivals = o.Strict
 	var replicas []string
 	for _, r := range c.Replicas {
 		replicas = append(replicas, r.Name)
 	}
 	r := &historytest.Recording{Events: report.events, Play: historytest.Play{Scenario: s.Name, Seed: o.Seed, Dispatchers: o.Dispatchers,
-		Seconds: s.Seconds, Mutant: mutant, Options: o.describe(), Strict: o.Strict, Rules: historytest.Stored(rules, replicas)}}
+		Seconds: s.Seconds, Mutant: mutant, Options: o.describe(), Strict: o.Strict, Rules: historytest.StoredRules(rules, replicas)}}
 	if err := historytest.Write(path+".jsonl.gz", r); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -22,9 +22,9 @@
 type Cluster struct {
 	Replicas   []*Replica
 	Deployment *deployment.Deployment
-	// Unregistered returns the request for a call whose ID was not passed to Register. If Unregistered or its result is
-	// nil, the replica responds with 400.
-	Unregistered func(*http.Request, []byte) *deployment.Request
+	// ResolveUnregistered returns the request for a call whose ID was not passed to Register. If ResolveUnregistered or
+	// its result is nil, the replica responds with 400.
+	ResolveUnregistered func(*http.Request, []byte) *deployment.Request
 
 	history *history.Recorder
 	rules   history.Rules
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Named returns the replica with a name. The name must be that of one of the cluster's replicas.
-func (c *Cluster) Named(name string) *Replica {
+// ReplicaByName returns the replica with the given name, which must be one of the cluster's replicas.
+func (c *Cluster) ReplicaByName(name string) *Replica {
 	i := slices.IndexFunc(c.Replicas, func(r *Replica) bool { return r.Name == name })
 	return c.Replicas[i]
 }
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -88,11 +88,11 @@
 	}
 	a := attempt{call: c, id: req.Header.Get("X-Trace-Id")}
 	a.request = r.cluster.request(a.id)
-	if a.request == nil && r.cluster.Unregistered != nil {
-		a.request = r.cluster.Unregistered(req, body)
+	if a.request == nil && r.cluster.ResolveUnregistered != nil {
+		a.request = r.cluster.ResolveUnregistered(req, body)
 	}
 	if a.request == nil || string(body) != a.request.Body {
-		r.cluster.history.Add(history.Event{Kind: history.ForeignResponseReceived, Request: a.id, Replica: r.Name, Dispatcher: c.dispatcher})
+		r.cluster.history.Add(history.Event{Kind: history.ForeignDataReceived, Request: a.id, Replica: r.Name, Dispatcher: c.dispatcher})
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -68,7 +68,7 @@
 	if o.Deployment != 0 {
 		r.deployment = deployment.Draw(s.Zones, o.Deployment)
 	}
-	r.rules = r.deployment.Rules(func(name string) int { return r.cluster.Named(name).Zone })
+	r.rules = r.deployment.Rules(func(name string) int { return r.cluster.ReplicaByName(name).Zone })
 	r.rules.RandomArrivals = o.Strict
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "fleetrig-")
@@ -103,7 +103,7 @@
 	}
 	n := r.options.Dispatchers
 	r.cluster = replica.NewCluster(r.history, r.rules, r.scenario, r.options.Seed)
-	r.cluster.Unregistered = r.unregisteredRequest
+	r.cluster.ResolveUnregistered = r.unregisteredRequest
 	r.cluster.Deployment = r.deployment
 	r.discovery = discovery.NewServer(discovery.Config{History: r.history, Replicas: r.cluster.Replicas, Deployment: r.deployment, Dispatchers: n,
 		Address:        func(p *replica.Replica, d int) string { return r.addrs.replica(p.Index, d) },
