--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -75,12 +75,13 @@
 	return string(got), !ok || !timeout.Timeout()
 }
 
-// drainClient holds what a client of a process that is being drained can use.
+// drainClient holds the process that is being drained, the time at which its drain began, and a connection on which the
+// process is streaming an answer. The client of a drainCase uses this connection or opens another one.
 type drainClient struct {
 	process   *drainFixture
-	start     time.Time // start of the drain
-	streaming net.Conn  // connection whose first request is being answered
-	answers   *bufio.Reader
+	start     time.Time     // start of the drain
+	streaming net.Conn      // connection whose first request is being answered
+	answers   *bufio.Reader // reads from streaming
 }
 
 // connectAfter waits until delay has passed since the start of the drain, and connects.
--- a/internal/chatapi/golden_test.go
+++ b/internal/chatapi/golden_test.go
@@ -115,7 +115,8 @@
 		{name: "broken stream", decode: testutil.ServeTruncated(150, "a", "b"), body: requestBody("frage", true, "x")},
 	} {
 		s := startService(t, scriptOr(c.prefill, testutil.ServePrefill), scriptOr(c.decode, testutil.ServeDecode("a")))
-		resp, text, _ := s.post(t, c.body, c.headers...) // the error is the one of a stream that broke
+		// The error is ignored: in the case "broken stream" the connection is closed before the body is complete.
+		resp, text, _ := s.post(t, c.body, c.headers...)
 		all.WriteString(formatAnswer(c.name, resp, text))
 	}
 	golden.Text(t, "errors.golden", all.String())
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	l.drained.Add(1)
-	if facts.PartialRequest { // the rest of the request is not awaited
+	if facts.PartialRequest { // closed without waiting for the rest of the request
 		l.untrack(netConn)
 		netConn.Close()
 		return true
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -80,7 +80,7 @@
 		return false
 	}
 	l.untrack(candidate.conn)
-	if candidate.partialRequest { // the rest of the request is not awaited
+	if candidate.partialRequest { // closed without waiting for the rest of the request
 		candidate.conn.Close()
 	}
 	l.evicted.Add(1)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -24,8 +24,11 @@
 const (
 	// silenceTimeout ends a watch that receives nothing. While nothing changes, discovery sends an empty line every
 	// 2 s, so a watch that receives nothing for this long is dead. If such a watch misses a change, the dispatcher
-	// counts as notified of the change 6 s after the watch fell silent or, if an agent has the change and had lost
-	// discovery for a while, as soon as discovery is back.
+	// counts as notified of the change 6 s after the watch fell silent.
+	//
+	// An agent, which is a process on the dispatcher's machine that gets the lists from discovery and pushes them, can
+	// itself lose discovery. It receives the changes that it missed when discovery is back, and the dispatcher counts
+	// as notified of them from that moment on.
 	silenceTimeout = 2500 * time.Millisecond
 
 	dialTimeout = time.Second
--- a/internal/fleet/lease/voter.go
+++ b/internal/fleet/lease/voter.go
@@ -33,9 +33,10 @@
 	}
 }
 
-// ObserveToken records the highest token that another member has seen, so that tokens keep growing across incarnations
-// of the voter. A grant that the voter has recorded keeps its own highest token; otherwise its holder could not renew
-// it.
+// ObserveToken records the highest token that another member has seen for any task, so that tokens keep growing across
+// incarnations of the voter. It affects only tasks for which the voter has no recorded grant. The highest token of a
+// recorded grant stays as it is, since it already covers every grant recorded for the task. If it were raised, the
+// voter would refuse a new claim for the task only because the token of another task is higher.
 func (v *Voter) ObserveToken(token uint64) { v.minToken = max(v.minToken, token) }
 
 // Recovering reports whether the voter is still waiting for the grants of an earlier incarnation to expire.
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -149,7 +149,7 @@
 	}
 	first.request("release id- a")
 	testutil.Eventually(t, "the released name to be free", func() bool { return second.request("acquire id- a") == claimText(Acquired) })
-	second.kill() // frees its names
+	second.kill() // its lock ends with the process, so its names become free
 	testutil.Eventually(t, "the name of the killed process to be free", func() bool {
 		return first.request("acquire id- c") == claimText(Acquired)
 	})
