--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -7,7 +7,8 @@
 	"rampspread/routing"
 )
 
-// Upstream sends calls to endpoints. Its methods must not block, since the dispatcher's owner calls them.
+// Upstream sends calls to endpoints. Its methods must not block, since the dispatcher's owner (the goroutine of
+// Dispatcher.Run) calls them.
 type Upstream interface {
 	// Send starts one attempt and reports its events to the observer.
 	Send(spec AttemptSpec, observer AttemptObserver) Attempt
@@ -45,9 +46,9 @@
 	Timeout time.Duration // limit for the whole attempt
 	// ClientGone reports whether the client has disconnected. It does not wait. It is nil if this cannot be checked.
 	ClientGone func() bool
-	// MayHaveRun says that an earlier attempt may have executed the request and that the endpoint discards repeats.
+	// MayHaveRun says that an earlier attempt may have executed the request and that the endpoint discards duplicates.
 	MayHaveRun bool
-	// DedupWindow is how long from now the endpoint still discards repeats. It has no meaning without MayHaveRun.
+	// DedupWindow is how long from now the endpoint still discards duplicates. It has no meaning without MayHaveRun.
 	DedupWindow time.Duration
 }
 
@@ -131,9 +132,9 @@
 	Addr    string // host:port
 	Zone    int
 	Kind    int // index into the configuration's kinds
-	Cell    int
+	Cell    int // group of endpoints with fast transfer between them, such as a rack
 	State   routing.EndpointState
-	Weight  float64
+	Weight  float64   // capacity relative to endpoints of the same role
 	Started time.Time // start time of the process; the zero time means long ago
 }
 
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -28,8 +28,8 @@
 	attemptEnded
 )
 
-// attempt is one try of a request at one endpoint, whether or not it could be sent. It is the AttemptObserver of the
-// upstream attempt.
+// attempt is one attempt of a request at one endpoint, whether or not it could be sent. It is the AttemptObserver of
+// the upstream attempt.
 type attempt struct {
 	dispatcher      *Dispatcher
 	request         *request
@@ -124,9 +124,9 @@
 	}
 }
 
-// remainingDedupWindow returns how much longer the attempt's endpoint discards repeats of the attempt that may have
-// executed the request. inScope is false if the endpoint does not discard repeats of that attempt, or if no attempt may
-// have executed the request.
+// remainingDedupWindow returns how much longer the attempt's endpoint discards duplicates of the attempt that may have
+// executed the request. inScope is false if the endpoint does not discard duplicates of that attempt, or if no attempt
+// may have executed the request.
 func (d *Dispatcher) remainingDedupWindow(a *attempt) (remaining time.Duration, inScope bool) {
 	class, execution := d.config.Classes[a.request.Class], a.request.execution
 	if execution.endpoint == nil || a.endpoint == nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -66,7 +66,7 @@
 	counters        Counters
 
 	accepted        atomic.Int64 // equals counters.Accepted
-	pendingReleases atomic.Int64 // number of second releases that are scheduled
+	pendingReleases atomic.Int64 // number of scheduled second releases (secondReleaseDelay)
 }
 
 // New returns a Dispatcher, which handles nothing until Run is called. seed seeds the Router's random number generator;
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A non-idempotent request that may have been executed must not be sent again: it could be executed twice. Its
-// answer is Failed, which does not say that a retry is harmless.
+// A non-idempotent request that may have been executed must not be retried: it could be executed twice. Its answer is
+// Failed, which does not say that a retry is harmless.
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for name, outcome := range map[string]routing.Outcome{
 		"connection reset": routing.ConnectionReset,
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -12,8 +12,8 @@
 	"rampspread/routing"
 )
 
-// Discovery may report the same endpoint list again, for example after it has moved to another server. This must not
-// reset an endpoint's statistics or the used part of its slow start's budget.
+// Discovery may report the same endpoint list again, for example after the client has switched to another discovery
+// server. This must not reset an endpoint's statistics or its slow-start credit.
 func TestRepeatedListChangesNothing(t *testing.T) {
 	_, dispatcher := startDispatcher(t)
 	list := []dispatch.Endpoint{
@@ -81,7 +81,7 @@
 		"gone": func(d *dispatch.Dispatcher, leaving string) {
 			d.UpdateEndpoints(false, []dispatch.Endpoint{{Name: leaving, State: routing.Gone}})
 		},
-		"missing from a whole list": func(d *dispatch.Dispatcher, leaving string) {
+		"missing from a full list": func(d *dispatch.Dispatcher, leaving string) {
 			other := map[string]string{"r1": "r2", "r2": "r1"}[leaving]
 			d.UpdateEndpoints(true, []dispatch.Endpoint{readyEndpoint(other, prefillKind), readyEndpoint("w1", decodeKind)})
 		},
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -9,7 +9,7 @@
 	"rampspread/routing"
 )
 
-// loadPollTimeout is the limit for an endpoint to answer a load poll. The Router's own limit is shorter.
+// loadPollTimeout is the time within which an endpoint must answer a load poll. The Router's own limit is shorter.
 const loadPollTimeout = 200 * time.Millisecond
 
 // handleEvent passes an event to the Router and executes the actions that it returns. An action may cause another call
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// Snapshot returns a snapshot of the Router's estimates and statistics with at most maxPrefixes prefixes. It returns
-// false if the context is done or Run has ended first.
+// Snapshot returns a snapshot of the Router's learned state with at most maxPrefixes prefixes. It returns false if the
+// context is done or Run has ended first.
 func (d *Dispatcher) Snapshot(ctx context.Context, maxPrefixes int) (routing.Snapshot, bool) {
 	snapshot, err := query(ctx, d, func() routing.Snapshot { return d.router.Snapshot(d.now(), maxPrefixes) })
 	return snapshot, err == nil
--- a/internal/dispatch/releases.go
+++ b/internal/dispatch/releases.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxReleaseTargets is the maximum number of endpoints through which one release is tried. Upstream pauses between
-	// two endpoints, and with this number the release still reaches the last one in time.
+	// maxReleaseTargets is the maximum number of endpoints to which one release is sent, one after the other until one
+	// answers. Upstream pauses between two endpoints; with this number the release still reaches the last one in time.
 	maxReleaseTargets = 24
 	// secondReleaseDelay is the time between the first release and the second one, which follows an attempt whose end
 	// was not observed. A prefill that succeeds just as its connection is closed may make its reservation after the
@@ -71,7 +71,7 @@
 	time.AfterFunc(lostPrefillReleaseInterval, func() { d.post(release) })
 }
 
-// sendRelease sends one release through the endpoints that have responded most recently.
+// sendRelease sends one release to the endpoints that have responded most recently.
 func (d *Dispatcher) sendRelease(req *request, reason routing.ReleaseReason) {
 	d.counters.Releases++
 	if reason == routing.ReservationExpired {
@@ -104,7 +104,7 @@
 }
 
 // mostRecentlyResponsive returns at most limit endpoints that are not gone, sorted by the time of their last response,
-// latest first. It selects them without sorting the whole endpoint list, which may be large.
+// latest first. It selects them without sorting the full endpoint list, which may be large.
 func (d *Dispatcher) mostRecentlyResponsive(limit int) []*endpointRecord {
 	compareRecency := func(a, b *endpointRecord) int {
 		return cmp.Or(cmp.Compare(b.lastResponse, a.lastResponse), strings.Compare(a.Name, b.Name))
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -42,9 +42,9 @@
 	answer        chan Answer // receives the one final answer; its buffer has one slot
 	state         requestState
 	execution     possibleExecution
-	unobservedEnd bool   // whether the end of an attempt was not observed, so that its reservation may be made later
-	reason        string // reason for the rejection or failure, for logs
-	deadline      time.Duration
+	unobservedEnd bool          // the end of an attempt was not observed, so that its reservation may be made later
+	reason        string        // reason for the rejection or failure, for logs
+	deadline      time.Duration // on the Router's clock
 	deadlineTimer *time.Timer
 	attempts      []*attempt // in the order of the Router's decisions, indexed by attempt.number
 }
@@ -58,7 +58,7 @@
 }
 
 // Dispatch accepts a request, waits for its final answer and returns it. If the client's context is done first,
-// Dispatch tells the owner and still waits for the owner's answer, which is ClientDisconnected in most cases. If Run
+// Dispatch notifies the owner and still waits for the owner's answer, which is ClientDisconnected in most cases. If Run
 // ends before the answer, Dispatch returns Failed, or ClientDisconnected if the client's context was done before.
 func (d *Dispatcher) Dispatch(client context.Context, req Request) Answer {
 	answer := make(chan Answer, 1)
--- a/internal/dispatch/starttime_test.go
+++ b/internal/dispatch/starttime_test.go
@@ -27,7 +27,7 @@
 		{name: "started before a step back, reported after it", step: -hour, age: shortAge, want: shortAge},
 		{name: "started after a step forward", step: hour, startedAfterStep: true},
 		{name: "started after a step back", step: -hour, startedAfterStep: true},
-		{name: "warm, reported before a step back", step: -hour, reportedBefore: true, age: 30 * hour, want: 30 * hour},
+		{name: "past its slow start, reported before a step back", step: -hour, reportedBefore: true, age: 30 * hour, want: 30 * hour},
 		{name: "no step", reportedBefore: true, age: shortAge, want: shortAge},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -4,8 +4,8 @@
 // Reason for the first one that forbids the action. Callers gather the facts immediately before the action, call Check,
 // and act only if it returns Allowed.
 //
-// If an earlier stage should already have prevented the action, an invariant is violated. A [ViolationCounter] counts
-// these violations.
+// If an earlier stage should already have prevented the action, that stage has violated a rule. A [ViolationCounter]
+// counts these violations.
 //
 // The checks do no I/O, read no clock and keep no state. A ViolationCounter is safe for concurrent use.
 package precondition
@@ -29,9 +29,9 @@
 	Withdrawn                 // the attempt was withdrawn before its first byte was written
 	AttemptInFlight           // another attempt of the request has not ended
 	MayHaveRun                // the request may have been executed and must not be executed again at this endpoint
-	DedupWindowExpired        // the endpoints no longer discard repeats of the attempt that may have been executed
+	DedupWindowExpired        // the endpoints no longer discard duplicates of the attempt that may have run
 	ShuttingDown              // the process may be killed before it can answer
-	Draining                  // the drain began so long ago that new requests are no longer accepted
+	Draining                  // the operator's drain began so long ago that new requests are no longer accepted
 	Evicted                   // the connection was closed to free capacity for another one
 	RequestUnanswered         // a request of the connection has no answer yet
 	RequestArriving           // a request on the connection is being received, or is received but not parsed yet
@@ -74,7 +74,7 @@
 	ClientGone   bool
 	Evicted      bool // the request's connection was closed to free capacity for another one
 	ShuttingDown bool // the request arrived so long after SIGTERM that the process might end before it can answer
-	Draining     bool // the request arrived too long after the drain began
+	Draining     bool // the request arrived too long after the operator's drain began
 }
 
 // Check returns Allowed if the request may be accepted, and otherwise the reason why not.
@@ -102,8 +102,8 @@
 	Executes        bool          // an attempt at this endpoint executes the request; a prefill does not
 	MayHaveRun      bool          // an earlier attempt may have executed the request
 	Idempotency     routing.Idempotency
-	InDedupScope    bool          // the endpoint discards repeats of the earlier attempt; used for IdempotentByKey only
-	DedupWindow     time.Duration // how much longer it discards them; used for IdempotentByKey only
+	InDedupScope    bool          // for IdempotentByKey only: the endpoint discards duplicates of the earlier attempt
+	DedupWindow     time.Duration // for IdempotentByKey only: how much longer it discards them
 }
 
 // Check returns Allowed if the attempt may be sent, and otherwise the reason why not.
@@ -135,7 +135,7 @@
 	ClientGone    bool
 	RemainingTime time.Duration // time until the attempt's timeout
 	MayHaveRun    bool          // an earlier attempt may have executed the request, so that DedupWindow is checked
-	DedupWindow   time.Duration // how much longer the endpoint discards repeats of that attempt
+	DedupWindow   time.Duration // how much longer the endpoint discards duplicates of that attempt
 }
 
 // Check returns Allowed if the byte may be written, and otherwise the reason why not.
@@ -159,7 +159,7 @@
 // The values of Cause.
 const (
 	CauseCapacity Cause = iota // the connection's capacity is needed for another one
-	CauseDrain                 // the process is being drained
+	CauseDrain                 // the operator drains the process
 	CauseShutdown              // the process is shutting down
 )
 
--- a/internal/precondition/violations.go
+++ b/internal/precondition/violations.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// ViolationCounter counts violated invariants by reason. It is safe for concurrent use. With a nil ViolationCounter,
+// ViolationCounter counts violations of rules by reason. It is safe for concurrent use. With a nil ViolationCounter,
 // Record logs violations without counting them.
 type ViolationCounter struct {
 	counts [reasonCount]atomic.Int64
 }
 
-// Operation is the action that violated an invariant.
+// Operation is the action that violated a rule.
 type Operation string
 
 // The values of Operation, which appear in logs.
@@ -23,8 +23,8 @@
 	OperationAnswer Operation = "answer" // giving a final answer
 )
 
-// Record logs and counts an operation that has violated an invariant, or would have if a check had not stopped it. id
-// is the ID of the request or the remote address of the connection.
+// Record logs and counts an operation that has violated a rule, or would have if a check had not stopped it. id is the
+// ID of the request or the remote address of the connection.
 func (c *ViolationCounter) Record(operation Operation, reason Reason, id string) {
 	slog.Error("violation", "operation", string(operation), "reason", reason.String(), "id", id)
 	if c != nil && reason < reasonCount {
--- a/routing/action.go
+++ b/routing/action.go
@@ -39,7 +39,7 @@
 		Request RequestID
 		Attempt int
 	}
-	// SetTimer requests a TimerFired event after a time.
+	// SetTimer requests a TimerFired event with the ID Timer after the time After.
 	SetTimer struct {
 		After time.Duration
 		Timer TimerID
@@ -62,9 +62,9 @@
 	SharedPrefix       Key
 	PromptTokens       int
 	SharedPrefixTokens int
-	CachedTokens       int     // prompt tokens expected in the replica's prefix cache
-	QueueDelayMS       float64 // wait before the prefill begins
-	PrefillMS          float64
+	CachedTokens       int        // prompt tokens expected in the replica's prefix cache
+	QueueDelayMS       float64    // wait before the prefill begins
+	PrefillMS          float64    // duration of the prefill itself
 	AttemptsAhead      int        // unfinished attempts of this router at the replica
 	Load               LoadReport // report that the estimate used; all values are negative if it used none
 }
@@ -89,7 +89,7 @@
 	NoPrefillReplica     Reason = "no_prefill_replica"
 	NoDecodeReplica      Reason = "no_decode_replica"
 	OverLatencyBudget    Reason = "over_latency_budget" // the first token is estimated to arrive too late
-	MayHaveRun           Reason = "may_have_run"
+	MayHaveRun           Reason = "may_have_run"        // an attempt may have run the request, which must not run twice
 	UnknownClass         Reason = "unknown_class"
 )
 
@@ -98,9 +98,9 @@
 
 // The values of ReleaseReason.
 const (
-	AfterAnswer        ReleaseReason = "after_answer"
+	AfterAnswer        ReleaseReason = "after_answer" // the request was rejected or failed
 	ClientDisconnected ReleaseReason = "client_disconnected"
-	LateOutcome        ReleaseReason = "late_outcome"
+	LateOutcome        ReleaseReason = "late_outcome" // an attempt ended after the answer or the disconnect
 	BeforePrefillRetry ReleaseReason = "before_prefill_retry"
 	ReservationExpired ReleaseReason = "reservation_expired"
 )
--- a/routing/badinput_test.go
+++ b/routing/badinput_test.go
@@ -94,12 +94,12 @@
 		h.now += 10 * time.Microsecond
 		h.r.now = h.now
 		h.r.countArrival(&request{RequestArrived: RequestArrived{SharedPrefix: Key(i + 1)}})
-		h.r.sweepPrefixCache()
-		if len(h.r.prefixCache) > maxPrefixEntries+1 {
-			t.Fatalf("%d entries after %d prefixes", len(h.r.prefixCache), i+1)
+		h.r.sweepPrefixTable()
+		if len(h.r.prefixTable) > maxPrefixEntries+1 {
+			t.Fatalf("%d entries after %d prefixes", len(h.r.prefixTable), i+1)
 		}
 	}
-	if h.r.prefixCache[prefixes] == nil || len(h.r.prefixCache) < maxPrefixEntries/8 {
-		t.Errorf("%d entries, the latest: %v", len(h.r.prefixCache), h.r.prefixCache[prefixes])
+	if h.r.prefixTable[prefixes] == nil || len(h.r.prefixTable) < maxPrefixEntries/8 {
+		t.Errorf("%d entries, the latest: %v", len(h.r.prefixTable), h.r.prefixTable[prefixes])
 	}
 }
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -147,7 +147,7 @@
 }
 
 // fillLevel returns how full a decode replica is. If the replica has reported its memory, that is the reported memory
-// plus a small term for this router's own load; otherwise it is the own load relative to the replica's capacity.
+// plus a small term for this router's own load; otherwise it is that load relative to the replica's capacity.
 func (r *Router) fillLevel(replica *replica) float64 {
 	ownLoad := float64(replica.streams+len(replica.pending)+1) / (replica.Weight * r.rampFraction(replica))
 	if replica.reportedMemory >= 0 && r.loadKnown(replica) {
@@ -156,8 +156,8 @@
 	return ownLoad
 }
 
-// decodeTimeout returns the timeout of a decode attempt. Where a retry is allowed, the timeout leaves time to try
-// another replica if this one is silent; otherwise it is the time until the deadline.
+// decodeTimeout returns the timeout of a decode attempt. Where a retry is allowed, the timeout leaves time for a retry
+// at another replica if this one is silent; otherwise it is the time until the deadline.
 func (r *Router) decodeTimeout(req *request) time.Duration {
 	remaining := req.deadline - r.now
 	retryable := r.cfg.Classes[req.Class].Idempotency == Idempotent && req.attempts+1 < r.maxAttempts(req)
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -50,13 +50,13 @@
 	attemptsInFlight  int // attempts without an outcome
 	attemptsAtReplica int // attempts without an outcome that have reached a running replica
 	decodesAtReplica  int // of attemptsAtReplica, those at a decode replica, which use the prefill result
-	attempts          int
+	attempts          int // number of attempts made so far
 	answered          bool
-	finished          bool
+	finished          bool // no answer is due: the client has disconnected, or the stream or the time has ended
 	mayHaveRun        bool
 	mayHaveRunAt      time.Duration
 	mayHaveRunOn      EndpointID
-	reserved          bool
+	reserved          bool          // something may be reserved for the request
 	lastReachedEnd    time.Duration // end of the last attempt that had reached a replica
 	streaming         bool
 }
@@ -202,7 +202,7 @@
 	})
 }
 
-// injectFault draws a change of a replica and reports it in the endpoint list.
+// injectFault draws a change of a replica's state or health and sends the router an update of the endpoint list.
 func (d *driver) injectFault() {
 	d.after(time.Duration(300+d.rng.IntN(1500))*ms, d.injectFault)
 	endpoints := d.endpointList()
@@ -265,7 +265,7 @@
 func (d *driver) recordAnswer(id RequestID) {
 	req := d.requests[id]
 	if req == nil || req.answered || req.finished || req.attemptsInFlight > 0 {
-		d.recordViolation("rule 1: request %d was answered twice, after its end or with an attempt out", id)
+		d.recordViolation("rule 1: request %d was answered twice, after its end or with an attempt in flight", id)
 		return
 	}
 	req.answered = true
@@ -282,7 +282,7 @@
 		d.recordViolation("rule 3: request %d went to a replica that is not ready", a.Request)
 	}
 	if req.attemptsInFlight > 0 {
-		d.recordViolation("rule 2: request %d has two attempts out", a.Request)
+		d.recordViolation("rule 2: request %d has two attempts in flight", a.Request)
 	}
 	if req.mayHaveRun && d.cfg.Kinds[endpoint.Kind].Role != Prefill {
 		d.checkRetry(req, endpoint)
@@ -304,11 +304,11 @@
 	switch {
 	case class.Idempotency == Idempotent:
 	case class.Idempotency == NonIdempotent:
-		d.recordViolation("rule 2: non-idempotent request %d was sent again after it may have run", req.Request)
+		d.recordViolation("rule 2: non-idempotent request %d was retried after it may have run", req.Request)
 	case d.now > req.mayHaveRunAt+class.DedupWindow:
-		d.recordViolation("rule 2: request %d was sent again after its deduplication window", req.Request)
+		d.recordViolation("rule 2: request %d was retried after its deduplication window", req.Request)
 	case class.DedupScope == DedupScopeCell && endpoint.Cell != ranOn.Cell, class.DedupScope == DedupScopeZone && endpoint.Zone != ranOn.Zone:
-		d.recordViolation("rule 2: request %d was sent again outside its deduplication scope", req.Request)
+		d.recordViolation("rule 2: request %d was retried outside its deduplication scope", req.Request)
 	}
 }
 
@@ -403,7 +403,7 @@
 func (d *driver) checkReservations() {
 	for id, req := range d.requests {
 		if req.attemptsAtReplica == 0 && req.reserved && d.now > req.lastReachedEnd+d.cfg.ReservationTTL+8*ms {
-			d.recordViolation("rule 5: the reservation of request %d has outlasted its time", id)
+			d.recordViolation("rule 5: the reservation of request %d has outlasted its TTL", id)
 			req.reserved = false
 		}
 		if req.attemptsInFlight == 0 && !req.reserved && (req.answered || req.finished) && d.now > req.deadline+time.Second {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -26,8 +26,8 @@
 	r.updateActive()
 }
 
-// updateEndpoint applies one entry of the endpoint list. If the replica's process was restarted, it resets the learned
-// state.
+// updateEndpoint applies one entry of the endpoint list. It resets the learned state if the replica's process was
+// restarted or the replica is gone.
 func (r *Router) updateEndpoint(endpoint Endpoint) {
 	replica := r.byID[endpoint.ID]
 	if replica == nil {
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -4,10 +4,10 @@
 
 // prefillEstimate returns the estimated queue delay and prefill time at one prefill replica, in ms; their sum is the
 // paper's estimated time to first token. The queue delay follows from a fresh load report or an unanswered load poll
-// alone, if there is one. Otherwise it follows from own pending prefills or a reported backlog, plus the recent delay
-// common to all prefill replicas, plus this replica's difference from the common delay. In each case it includes the
-// time by which the oldest pending attempt is overdue. The common delay is not divided by the ramp fraction, because a
-// replica in slow start gets less than its share of requests.
+// alone, if there is one. Otherwise it follows from this router's pending prefills or a reported backlog, plus the
+// recent delay common to all prefill replicas, plus this replica's difference from the common delay. In each case it
+// includes the time by which the oldest pending attempt is overdue. The common delay is not divided by the ramp
+// fraction, because a replica in slow start gets less than its share of requests.
 func (r *Router) prefillEstimate(replica *replica, cachedTokens int, req *request) (queueDelayMS, prefillMS float64) {
 	coefficients := &r.prefillModel.coefficients
 	uncachedKiloTokens := float64(max(0, req.PromptTokens-cachedTokens)) / 1000
@@ -56,7 +56,8 @@
 }
 
 // decodeWaitMS returns the wait that a decode replica adds to the estimate, in ms. It is 0 unless the replica is nearly
-// full according to its load report, a QueueFull, or the first tokens that are outstanding there.
+// full according to its load report, a recent QueueFull outcome, or the time that attempts there take or have been
+// waiting for their first token.
 func (r *Router) decodeWaitMS(replica *replica) float64 {
 	waitMS := replica.firstTokenDelay.mean(r.now, 0, priorSamples)
 	if len(replica.pending) > 0 {
--- a/routing/event.go
+++ b/routing/event.go
@@ -21,7 +21,7 @@
 type (
 	// EndpointUpdate changes the endpoint list.
 	EndpointUpdate struct {
-		Full      bool // Endpoints replaces the whole list; otherwise it updates single entries
+		Full      bool // Endpoints is the full list; otherwise it contains only the changed entries
 		Endpoints []Endpoint
 	}
 	// RequestArrived is a client's request. The router gives it exactly one final answer.
@@ -53,7 +53,7 @@
 		CachedTokens  int           // prompt tokens that the replica found in its prefix cache
 		StreamStarted bool          // the response had begun, so a decode attempt has consumed the prefill result
 		Final         bool          // the request already has its final answer
-		Load          *LoadReport
+		Load          *LoadReport   // load report in the response; nil if there was none
 	}
 	// LoadPolled reports the result of a PollLoad. Load is nil if no answer came in time or the replica is unhealthy.
 	LoadPolled struct {
@@ -104,7 +104,7 @@
 type Endpoint struct {
 	ID      EndpointID
 	Zone    int
-	Cell    int
+	Cell    int // group of replicas with fast transfer between them, such as a rack
 	Kind    int // index into Config.Kinds
 	State   EndpointState
 	Weight  float64       // capacity relative to replicas of the same role; 1 if not positive
--- a/routing/health.go
+++ b/routing/health.go
@@ -4,8 +4,9 @@
 // replicas may be sent requests, according to the outcomes of earlier attempts.
 
 // healthy reports whether a replica may be sent requests of a class. It protects against replicas that die, become
-// silent or fail fast, for all classes or for one. A high failure level ejects the replica; at a lower one it gets one
-// attempt at a time, of a kind that may safely fail, which can restore its health.
+// silent or fail fast, for all classes or for one. A failure level of ejectionThreshold ejects the replica. From half
+// of that level on it gets one attempt at a time, and only if a failure of the attempt is harmless; a success lowers
+// the level.
 func (r *Router) healthy(replica *replica, class int) bool {
 	if replica.State != Ready {
 		return false
@@ -24,8 +25,8 @@
 	replica.health[0].update(r.now, 1, weight)
 }
 
-// recordClassFailure raises the failure level of a replica for one class only, because the replica has responded to
-// other requests since.
+// recordClassFailure raises the failure level of a replica for one class only. It is used alone if the replica has
+// responded to other requests since the attempt was sent.
 func (r *Router) recordClassFailure(replica *replica, class int, weight float64) {
 	replica.health[1+class].update(r.now, 1, weight)
 }
--- a/routing/learning.go
+++ b/routing/learning.go
@@ -29,7 +29,8 @@
 	}
 	if event.Outcome == QueueFull {
 		replica.fullUntil = r.now + queueFullBackoff
-		if priorState == prefilling { // a full queue counts as a delay of the smallest latency objective
+		// A full queue delays for longer than any class can wait, so it counts as a delay of the smallest objective.
+		if priorState == prefilling {
 			event.Elapsed = fromMS(r.tightestBudgetMS / latencyHeadroom)
 			r.recordPrefill(replica, req, event)
 		}
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// If a replica reports its backlog, the backlog replaces the queue delay of own attempts.
+// If a replica reports its backlog, the backlog replaces the queue delay estimated from this router's own attempts.
 func TestReportedBacklogIsTheQueueDelay(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(ms, AttemptEnded{Request: 99, Endpoint: 1, Load: &LoadReport{Memory: -1, QueuedKiloTokens: 50}})
--- a/routing/loadpoll.go
+++ b/routing/loadpoll.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// peerLoadReport applies another router's observation of a replica, with less weight the older it is. Own observations
-// take precedence: a router that sees enough prefills of its own measures which replicas are slow, which a load report
-// does not show, so a peer's report is used only where this router would poll. It never makes a replica count as alive
-// here, because the path from this router may be cut although the peer's path is not.
+// peerLoadReport applies another router's observation of a replica, with less weight the older it is. This router's own
+// observations take precedence: a router that sees enough prefills of its own measures which replicas are slow, which a
+// load report does not show, so a peer's report is used only where this router would poll. It never makes a replica
+// count as alive here, because the path from this router may be cut although the peer's path is not.
 func (r *Router) peerLoadReport(event PeerLoadReport) {
 	replica := r.byID[event.Endpoint]
 	reportedAt := r.now - event.Age
--- a/routing/loadpoll_test.go
+++ b/routing/loadpoll_test.go
@@ -113,7 +113,8 @@
 }
 
 // Before a decode attempt the decode replicas of the cell are polled. A replica with queued requests is not used; if
-// all have queued requests, the request leaves the cell.
+// all have queued requests, the request leaves the cell. full is the ID of the replica with queued requests; 0 means
+// none and 23 both.
 func TestLoadPollBeforeDecode(t *testing.T) {
 	for full, want := range map[int][]EndpointID{0: {11, 12}, 11: {12}, 12: {11}, 23: {13}} {
 		h := newHarness(t, func(c *Config) { c.CanPollLoad = true })
@@ -151,8 +152,9 @@
 	}
 }
 
-// A peer's load report replaces a poll and expires, and a later own report takes precedence. A peer's report of a
-// silent replica weighs less than an own observation, and no report of a peer makes a replica count as alive.
+// A peer's load report replaces a poll and expires, and a later report to this router takes precedence. A peer's report
+// of a silent replica weighs less than this router's own observation, and no report of a peer makes a replica count as
+// alive.
 func TestPeerLoadReport(t *testing.T) {
 	newPollingHarness := func() *harness { return newHarness(t, func(c *Config) { c.CanPollLoad = true }) }
 	report := func(h *harness, age time.Duration, queue1, queue2 float64) {
@@ -184,7 +186,7 @@
 	h.handle(0, LoadPolled{1, &LoadReport{QueuedRequests: 7}})
 	h.handle(100*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 400 * ms})
 	if replica := h.r.byID[1]; replica.reportedQueue != 7 {
-		t.Errorf("a peer's older report of %v replaced the own one", replica.reportedQueue)
+		t.Errorf("a peer's older report of %v replaced the router's own", replica.reportedQueue)
 	}
 	h.handle(200*ms, PeerLoadReport{Endpoint: 1, Load: &LoadReport{QueuedRequests: 1}, Age: 50 * ms})
 	if replica := h.r.byID[1]; replica.reportedQueue != 1 {
@@ -207,7 +209,7 @@
 	levelAfterPeerReport := replica.health[0].current(h.now)
 	h.handle(0, LoadPolled{1, nil})
 	if levelAfterOwnPoll := h.r.byID[1].health[0].current(h.now); levelAfterPeerReport <= health || levelAfterPeerReport >= levelAfterOwnPoll || replica.lastResponse != responseBefore {
-		t.Errorf("failure level %v, %v by a peer's report, %v by own experience; last response %v after %v", health, levelAfterPeerReport, levelAfterOwnPoll, replica.lastResponse, responseBefore)
+		t.Errorf("failure level %v, %v by a peer's report, %v by an own poll; last response %v after %v", health, levelAfterPeerReport, levelAfterOwnPoll, replica.lastResponse, responseBefore)
 	}
 	h.handle(0, PeerLoadReport{Endpoint: 2, Load: &LoadReport{}, Age: 0})
 	if replica.lastResponse != responseBefore {
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -58,7 +58,7 @@
 		lowestMS = min(lowestMS, c.scoreMS)
 	}
 	toleranceMS := minEstimateToleranceMS
-	if filter == anyHealth || !req.selectsByPoll() { // reported loads are not estimates
+	if filter == anyHealth || !req.selectsByPoll() { // the usual error of estimates does not apply to polled loads
 		toleranceMS = max(toleranceMS, r.estimateToleranceMS())
 	}
 	best := &candidate{rank: math.Inf(1)}
@@ -124,8 +124,8 @@
 	return estimateErrorTolerance * r.estimateError.mean(r.now, 0, priorSamples) / confidence
 }
 
-// prefillTimeout returns the timeout of a prefill attempt with an estimate. If no time or attempt remains for another
-// replica, it is the time until the deadline.
+// prefillTimeout returns the timeout of a prefill attempt, based on its estimate. If no time or attempt remains for
+// another replica, it is the time until the deadline.
 func (r *Router) prefillTimeout(req *request, estimateMS float64) time.Duration {
 	remaining := req.deadline - r.now
 	errorMS := r.estimateError.mean(r.now, 0, priorSamples)
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// prefixEntry is this router's state of a session or a shared prefix.
+// prefixEntry is this router's state of a session or a shared prefix, an entry of Router.prefixTable.
 type prefixEntry struct {
 	endpoint  EndpointID // replica of the latest prefill
 	tokens    int        // tokens that the replica cached; 0 if unknown
@@ -18,23 +18,23 @@
 func (r *Router) countArrival(req *request) {
 	r.arrivals.add(r.now, 0)
 	if req.SharedPrefix != 0 {
-		entry := getOrCreate(r.prefixCache, req.SharedPrefix)
+		entry := getOrCreate(r.prefixTable, req.SharedPrefix)
 		entry.requests.timeConstant = popularityTimeConstant
 		entry.requests.add(r.now, 0)
 	}
 }
 
-// sweepPrefixCache removes the expired entries every sweepInterval. While there are more than maxPrefixEntries, it also
+// sweepPrefixTable removes the expired entries every sweepInterval. While there are more than maxPrefixEntries, it also
 // removes the least recently used entries.
-func (r *Router) sweepPrefixCache() {
-	full := len(r.prefixCache) > maxPrefixEntries
+func (r *Router) sweepPrefixTable() {
+	full := len(r.prefixTable) > maxPrefixEntries
 	if !full && r.now-r.sweptAt < sweepInterval {
 		return
 	}
 	r.sweptAt = r.now
 	maxAge := time.Duration(prefixExpiryMultiple * popularityTimeConstant)
 	r.removePrefixesUnusedFor(maxAge)
-	for full && len(r.prefixCache) > maxPrefixEntries*3/4 && maxAge > 0 {
+	for full && len(r.prefixTable) > maxPrefixEntries*3/4 && maxAge > 0 {
 		maxAge /= 2
 		r.removePrefixesUnusedFor(maxAge)
 	}
@@ -43,7 +43,7 @@
 // removePrefixesUnusedFor removes the entries that have not been used for longer than maxAge.
 func (r *Router) removePrefixesUnusedFor(maxAge time.Duration) {
 	oldest := r.now - maxAge
-	maps.DeleteFunc(r.prefixCache, func(_ Key, entry *prefixEntry) bool {
+	maps.DeleteFunc(r.prefixTable, func(_ Key, entry *prefixEntry) bool {
 		return max(entry.updatedAt, entry.requests.updatedAt) < oldest
 	})
 }
@@ -54,14 +54,14 @@
 	if key == 0 {
 		return
 	}
-	entry := getOrCreate(r.prefixCache, key)
+	entry := getOrCreate(r.prefixTable, key)
 	entry.endpoint, entry.tokens, entry.updatedAt = id, tokens, r.now
 }
 
 // forgetPrefixes stops expecting that a replica which has failed a request's prefill has cached the request's prefixes.
 func (r *Router) forgetPrefixes(req *request, id EndpointID) {
 	for _, key := range []Key{req.Session, req.SharedPrefix} {
-		if entry := r.prefixCache[key]; entry != nil && entry.endpoint == id {
+		if entry := r.prefixTable[key]; entry != nil && entry.endpoint == id {
 			entry.tokens = 0
 		}
 	}
@@ -86,7 +86,7 @@
 // recordedTokens returns how many tokens of a prefix, up to limit, this router has sent to a replica, decayed with
 // time. There is no entry for key 0.
 func (r *Router) recordedTokens(key Key, limit int, replica *replica) float64 {
-	entry := r.prefixCache[key]
+	entry := r.prefixTable[key]
 	if entry == nil || entry.endpoint != replica.ID || entry.updatedAt < replica.cacheValidFrom {
 		return 0
 	}
@@ -97,7 +97,7 @@
 // the arrivals. It is a power of two, so that routers whose counts differ slightly agree on it.
 func (r *Router) prefixReplicaCount(req *request) float64 {
 	share := 0.0
-	if entry := r.prefixCache[req.SharedPrefix]; entry != nil {
+	if entry := r.prefixTable[req.SharedPrefix]; entry != nil {
 		share = max(entry.requests.count(r.now)-1, 0) / (r.arrivals.count(r.now) + popularityPriorRequests)
 	}
 	return math.Exp2(math.Floor(math.Log2(1 + share*float64(r.maxReady[Prefill])/maxPrefixShare)))
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -30,8 +30,8 @@
 	splitMixIncrement   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
 	splitMixMultiplier2 = 0x94d049bb133111eb
-	// float64Bits is the number of bits of a float64's significand.
-	float64Bits = 53
+	// significandBits is the number of bits of a float64's significand.
+	significandBits = 53
 )
 
 // exponentialDraw returns an exponential variate that depends only on the key and the replica. It applies inversion to
@@ -41,5 +41,5 @@
 	hash = (hash ^ hash>>30) * splitMixMultiplier1
 	hash = (hash ^ hash>>27) * splitMixMultiplier2
 	hash ^= hash >> 31
-	return -math.Log((float64(hash>>(64-float64Bits)) + 0.5) / (1 << float64Bits))
+	return -math.Log((float64(hash>>(64-significandBits)) + 0.5) / (1 << significandBits))
 }
--- a/routing/rendezvous_test.go
+++ b/routing/rendezvous_test.go
@@ -71,7 +71,7 @@
 	second := placementRouter(t, 100, func(EndpointID) bool { return false })
 	used := map[EndpointID]bool{}
 	for session := range Key(200) {
-		for _, r := range []*Router{first, second} { // their counts of the prefix differ by less than a power of two
+		for _, r := range []*Router{first, second} { // both count the same arrivals and so agree on the replica count
 			r.countArrival(&request{RequestArrived: RequestArrived{SharedPrefix: 5}})
 		}
 		if session < 50 {
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -15,9 +15,9 @@
 
 	pending      []pendingAttempt // attempts without a first token or an outcome yet, oldest first
 	streams      int              // number of attempts whose response stream has begun
-	lastResponse time.Duration
-	health       []ewma        // failure levels: for all classes together, then by class
-	fullUntil    time.Duration // time until which the replica counts as full
+	lastResponse time.Duration    // time of the latest response
+	health       []ewma           // failure levels: for all classes together, then by class
+	fullUntil    time.Duration    // time until which the replica counts as full
 
 	cacheValidFrom  time.Duration // prefixes recorded before this time are no longer cached
 	queueDelay      decayedMean   // prefill replicas: ms by which prefills exceeded the estimate common to all replicas
@@ -39,7 +39,7 @@
 // pendingAttempt is an attempt without a first token or an outcome yet.
 type pendingAttempt struct {
 	request            RequestID
-	sentAt, expectedBy time.Duration
+	sentAt, expectedBy time.Duration // after expectedBy the attempt counts as overdue
 }
 
 // resetStats discards the state learned from a replica's previous process: the new process has an empty prefix cache,
--- a/routing/request.go
+++ b/routing/request.go
@@ -75,7 +75,7 @@
 	ownAttemptsAhead     float64         // earlier pending attempts of this router at the replica
 
 	// The selection of the next replica.
-	selectionStart time.Duration // time of its first try; only the first try may use a replica in slow start
+	selectionStart time.Duration // time at which it began; a later repetition may not use a replica in slow start
 	pollCandidates []EndpointID  // replicas whose load is known or was polled for the request; nil if none yet
 	pendingPolls   int           // number of polls not answered yet
 	pollRounds     int           // number of poll rounds for the next attempt
@@ -108,7 +108,7 @@
 	}
 	r.requests[event.Request] = req
 	r.countArrival(req)
-	r.sweepPrefixCache()
+	r.sweepPrefixTable()
 	r.advance(req)
 }
 
@@ -257,7 +257,7 @@
 }
 
 // prefillEnded moves a request from prefilling to awaitingDecode, or back to awaitingPrefill after a failure. A prefill
-// has no lasting effect however it ends, so another replica may always be tried.
+// has no lasting effect however it ends, so a retry at another replica is always allowed.
 func (r *Router) prefillEnded(req *request, event AttemptEnded) {
 	if event.Outcome == PrefillDone {
 		req.state, req.pollCandidates, req.pollRounds = awaitingDecode, nil, 0
@@ -285,7 +285,7 @@
 	canRepeatPrefill := idempotency == Idempotent && req.attempts+attemptsFromPrefill <= r.maxAttempts(req)
 	if event.Outcome == PrefillResultMissing || event.StreamStarted && canRepeatPrefill {
 		// The prefill result may be lost or merely unreachable, so it must not stay reserved. Another decode replica
-		// could not fetch it either, and trying one would use up an attempt that the second prefill needs.
+		// could not fetch it either, and an attempt there would use up one that the second prefill needs.
 		r.retryPrefill(req)
 		return
 	}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -158,7 +158,7 @@
 }
 
 // A decode attempt that breaks after its stream has begun has consumed the prefill result. An idempotent request is
-// prefilled again at once if enough attempts remain; any other request is not sent again.
+// prefilled again at once if enough attempts remain; any other request is not retried.
 func TestBrokenStreamRetriesPrefill(t *testing.T) {
 	h := newHarness(t, nil)
 	_, decodeReplica := h.completePrefill(1, 0)
@@ -187,7 +187,7 @@
 	}
 }
 
-// A request that may have run is not sent again shortly before its deduplication window ends: a process that stalls for
+// A request that may have run is not retried shortly before its deduplication window ends: a process that stalls for
 // 0.15 s would write it after the replicas have stopped discarding its duplicates.
 func TestRetryEndsBeforeDedupWindowByProcessStall(t *testing.T) {
 	for remaining, retried := range map[time.Duration]bool{100 * ms: false, 500 * ms: true} {
--- a/routing/router.go
+++ b/routing/router.go
@@ -45,9 +45,9 @@
 	maxReady      [roleCount]int // largest number of active replicas that were ready at once, by role
 
 	requests    map[RequestID]*request
-	candidates  []candidate // scratch space of a selection
-	prefixCache map[Key]*prefixEntry
-	sweptAt     time.Duration // time of the last sweep of prefixCache
+	candidates  []candidate          // scratch space of a selection
+	prefixTable map[Key]*prefixEntry // replicas that are expected to have a session or shared prefix cached
+	sweptAt     time.Duration        // time of the last sweep of prefixTable
 
 	prefillModel          latencyModel // predicts the duration of prefills
 	decodeModel           latencyModel // predicts the time to the first token of decode attempts
@@ -79,7 +79,7 @@
 		byID:                  map[EndpointID]*replica{},
 		cells:                 map[int]*cellCapacity{},
 		requests:              map[RequestID]*request{},
-		prefixCache:           map[Key]*prefixEntry{},
+		prefixTable:           map[Key]*prefixEntry{},
 		tenantBuckets:         make([]tokenbucket.Bucket, len(cfg.TenantQuotas)),
 		commonQueueDelay:      decayedMean{timeConstant: commonDelayTimeConstant},
 		estimateError:         decayedMean{timeConstant: modelTimeConstant},
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -33,7 +33,7 @@
 		if n := len(d.r.requests); n > 1000 {
 			t.Errorf("seed %d: %d requests are still open", seed, n)
 		}
-		if n := len(d.r.prefixCache); n > 60 {
+		if n := len(d.r.prefixTable); n > 60 {
 			t.Errorf("seed %d: %d keys are in the prefix table", seed, n)
 		}
 	}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -25,12 +25,13 @@
 	return replica.Weight * r.rampFraction(replica)
 }
 
-// accrueSlowStartCredit adds the credit of one request to a replica in slow start and reports whether the request may
-// use the replica. It prevents all routers together from overloading such replicas: of the requests offered to the
-// replica, which are offeredFraction of all requests, a fixed fraction may use it. Each router counts that fraction
-// from a random start, so that all routers together keep to a fixed fraction of the replica's even share of all
-// requests. The router may send allowance requests ahead of that. The limit does harm if few replicas remain that are
-// not in slow start.
+// accrueSlowStartCredit adds the credit that one request earns a replica in slow start, and reports whether the request
+// may use the replica. It prevents all routers together from overloading such replicas: the credit limits the requests
+// that this router sends to the replica to a fixed fraction of the replica's even share of the router's requests. Only
+// offeredFraction of all requests are offered to the replica, so each of these earns correspondingly more credit. Each
+// router's credit starts at a random value (resetStats), so that the sends of many routers add up to the same fraction.
+// The router may send allowance requests ahead of its credit. The limit does harm if few replicas remain that are not
+// in slow start.
 func (r *Router) accrueSlowStartCredit(replica *replica, req *request, offeredFraction, allowance float64) bool {
 	firstOfStage := req.attempts == 0 || req.attempts == 1 && req.state == awaitingDecode
 	if !firstOfStage || r.now != req.selectionStart {
@@ -43,10 +44,10 @@
 }
 
 // slowStartAllowance returns how many requests this router may send to a prefill replica in slow start ahead of its
-// credit. If the prefix is known, it is 1, since the ranks limit what all routers send to the replica at once. If the
-// prefix is new, it is this router's fraction of newPrefixAllowance.
+// credit. If the request has no shared prefix or a known one, it is 1, since the ranks limit what all routers send to
+// the replica at once. If the prefix is new, it is this router's fraction of newPrefixAllowance.
 func (r *Router) slowStartAllowance(req *request) float64 {
-	if entry := r.prefixCache[req.SharedPrefix]; entry == nil || entry.requests.count(r.now) > knownPrefixRequests {
+	if entry := r.prefixTable[req.SharedPrefix]; entry == nil || entry.requests.count(r.now) > knownPrefixRequests {
 		return 1
 	}
 	return min(r.ownFraction(newPrefixAllowance), 1)
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -9,10 +9,10 @@
 
 // The test guards against overloading a replica in slow start. The replica starts during a burst of 1.5 times the
 // traffic of 20, 30 or 300 routers, some of which see several times the mean traffic. In any window, all routers
-// together may send it at most the allowed number N plus 2 sqrt(N) + 2 for chance. The replica is a prefill replica, or
-// a prefill replica to which a new prefix of a quarter of all requests hashes (more than the operators' pages state),
-// or a decode replica, or a decode replica whose cell gets all requests because the prefill replicas of other cells do
-// not respond.
+// together may send it at most the allowed number N plus 2 sqrt(N) + 2 for random variation. The replica is a prefill
+// replica, or a prefill replica to which a new prefix of a quarter of all requests hashes (a larger share than the
+// operators' documentation states), or a decode replica, or a decode replica whose cell gets all requests because the
+// prefill replicas of other cells do not respond.
 func TestSlowStartUnderBurstFromManyRouters(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -164,7 +164,7 @@
 }
 
 // Two hundred routers that get the endpoint of one new replica together send it no more than is allowed in any window,
-// from the first moment on. This fails if a router counts as the only one.
+// from the first moment on. It fails if each router assumes that it is the only one.
 func TestSlowStartWithManyRoutersFromStart(t *testing.T) {
 	if worst, sent := overloadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -23,18 +23,19 @@
 
 // The parts of a Snapshot.
 type (
-	// LatencyModel holds the decayed sums of a least-squares fit: the normal matrix and the moment vector.
+	// LatencyModel holds the sums of a least-squares fit, decayed to the time At: the normal matrix and the moment
+	// vector.
 	LatencyModel struct {
 		Normal  [3][3]float64
 		Moments [3]float64
 		At      time.Duration
 	}
-	// DecayedMean holds the decayed sum of samples and their decayed number.
+	// DecayedMean holds the sum of samples and their number, decayed to the time At.
 	DecayedMean struct {
 		Sum, Count float64
 		At         time.Duration
 	}
-	// EWMA holds an exponentially weighted moving average.
+	// EWMA holds an exponentially weighted moving average, decayed to the time At.
 	EWMA struct {
 		Value float64
 		At    time.Duration
@@ -101,8 +102,8 @@
 		Arrivals:              r.arrivals.snapshot(),
 		DelayPerQueuedRequest: r.delayPerQueuedRequest.snapshot(),
 	}
-	for _, key := range slices.Sorted(maps.Keys(r.prefixCache)) {
-		entry := r.prefixCache[key]
+	for _, key := range slices.Sorted(maps.Keys(r.prefixTable)) {
+		entry := r.prefixTable[key]
 		snapshot.Prefixes = append(snapshot.Prefixes, PrefixCacheEntry{
 			Key:       key,
 			Endpoint:  entry.endpoint,
@@ -187,7 +188,7 @@
 	if entry.Key == 0 || entry.Tokens < 0 || entry.UpdatedAt > r.now || entry.lastUsed() < oldest {
 		return
 	}
-	own := getOrCreate(r.prefixCache, entry.Key)
+	own := getOrCreate(r.prefixTable, entry.Key)
 	own.requests.timeConstant = popularityTimeConstant
 	own.requests.restore(r.now, entry.Requests)
 	if entry.UpdatedAt > own.updatedAt {
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -62,8 +62,8 @@
 		"too old":         func(changed *Snapshot) { changed.TakenAt -= snapshotMaxAge + time.Second },
 		"from the future": func(changed *Snapshot) { changed.TakenAt += time.Hour },
 	} {
-		if h := newRestoredHarness(change); len(h.r.prefixCache) > 0 || h.r.estimateError.count(h.now) > 0 {
-			t.Errorf("%s: %d prefixes", what, len(h.r.prefixCache))
+		if h := newRestoredHarness(change); len(h.r.prefixTable) > 0 || h.r.estimateError.count(h.now) > 0 {
+			t.Errorf("%s: %d prefixes", what, len(h.r.prefixTable))
 		}
 	}
 	implausible := newRestoredHarness(func(changed *Snapshot) {
@@ -73,14 +73,14 @@
 		}
 		changed.PrefillModel.Moments[1], changed.CommonQueueDelay.Sum, changed.EstimateError.Count = math.NaN(), math.Inf(1), -1
 	})
-	if len(implausible.r.prefixCache) > 0 || !implausible.r.healthy(implausible.r.byID[11], 0) || implausible.r.prefillModel.coefficients[0] != initialPrefillBaseMS || implausible.r.commonQueueDelay.count(implausible.now) > 0 {
-		t.Errorf("%d prefixes, coefficients %v", len(implausible.r.prefixCache), implausible.r.prefillModel.coefficients)
+	if len(implausible.r.prefixTable) > 0 || !implausible.r.healthy(implausible.r.byID[11], 0) || implausible.r.prefillModel.coefficients[0] != initialPrefillBaseMS || implausible.r.commonQueueDelay.count(implausible.now) > 0 {
+		t.Errorf("%d prefixes, coefficients %v", len(implausible.r.prefixTable), implausible.r.prefillModel.coefficients)
 	}
 	// A router's own samples take precedence.
 	own := newServedHarness()
 	before := own.r.estimateError
 	own.handle(0, SnapshotReceived{Snapshot{TakenAt: own.now, EstimateError: DecayedMean{1e6, 1, own.now}}})
 	if own.r.estimateError != before {
-		t.Error("one sample of another router replaced many own ones")
+		t.Error("one sample of another router replaced many of the router's own")
 	}
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -9,8 +9,8 @@
 // number of connections and lets each router see more of each replica that it uses. The router keeps its state of the
 // other replicas.
 type activeSubset struct {
-	active        []*replica // sorted by ID
-	subset        []EndpointID
+	active        []*replica    // sorted by ID
+	subset        []EndpointID  // IDs of the assigned subset, sorted; empty if none is assigned
 	usingSubset   bool          // whether active is the subset
 	fallbackUntil time.Duration // time until which an unhealthy subset is replaced by all replicas; 0 if none
 	// Largest number of replicas that were ready at once, by role: among all replicas, and among the subset.
@@ -25,8 +25,8 @@
 	r.updateActive()
 }
 
-// updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset without a
-// ready replica for prefill or without a ready replica for decode is ignored.
+// updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset is ignored if
+// it has no ready Combined replica and lacks a ready Prefill or a ready Decode replica.
 func (r *Router) updateActive() {
 	r.active, r.usingSubset = r.replicas, false
 	raiseMaxReady(&r.maxReadyAll, r.replicas)
--- a/routing/tuning.go
+++ b/routing/tuning.go
@@ -51,8 +51,8 @@
 	// commonDelayPriorSamples is the number of samples that a common wait of zero counts for. Raising it detects an
 	// overload later.
 	commonDelayPriorSamples = 0.3
-	// decodeWaitTimeConstant is the time constant of a decode replica's observed wait. Raising it avoids a replica that
-	// was slow for longer before it is tried again.
+	// decodeWaitTimeConstant is the time constant of a decode replica's observed wait. Raising it avoids a replica for
+	// a longer time after it was slow.
 	decodeWaitTimeConstant = 2 * time.Second
 	// initialDelayPerQueuedRequestMS is the prior queue delay per request ahead, for a router that has sent no prefill
 	// yet. Raising it makes a new router reject at shorter queues.
@@ -122,11 +122,11 @@
 
 // Selection of a decode replica: when one counts as full.
 const (
-	// nearFullMemoryFraction is the reported fraction of memory above which a decode replica adds to the wait. Raising
-	// it fills replicas more before requests are rejected.
+	// nearFullMemoryFraction is the reported fraction of memory above which a decode replica's wait counts in the
+	// estimate. Raising it fills replicas more before requests are rejected.
 	nearFullMemoryFraction = 0.90
-	// nearFullWaitMS is the time to the first token above which a decode replica adds to the wait. Raising it tolerates
-	// slower replicas.
+	// nearFullWaitMS is the time to the first token above which a decode replica's wait counts in the estimate. Raising
+	// it tolerates slower replicas.
 	nearFullWaitMS = 150.0
 	// queueFullBackoff is the time for which a replica counts as full after QueueFull. Raising it leaves capacity
 	// unused; lowering it sends more requests to full queues.
@@ -135,7 +135,7 @@
 	// a lower position is better. Raising it keeps more of these requests in the zone.
 	otherZoneSpreadFactor = 3
 	// ownLoadDivisor scales down the router's own load at a replica that reports its memory, so that it only breaks
-	// ties. Raising it gives the own load less weight.
+	// ties. Raising it gives that load less weight.
 	ownLoadDivisor = 1000
 )
 
@@ -147,8 +147,8 @@
 	// when load is even. Raising it fills new replicas sooner and is more likely to overload them.
 	slowStartShare = 0.45
 	// newPrefixAllowance is the number of requests with a new prefix by which all routers together may exceed
-	// slowStartShare, to allow for chance. Raising it sends more requests with a new prefix to a replica in slow start
-	// at once.
+	// slowStartShare, to allow for random variation. Raising it sends more requests with a new prefix to a replica in
+	// slow start at once.
 	newPrefixAllowance = 4.0
 	// knownPrefixRequests is the number of recent requests above which a prefix counts as known. Raising it makes
 	// newPrefixAllowance apply to more requests.
@@ -177,8 +177,8 @@
 	// loadMaxAge is the age up to which a report is used. Raising it polls less, and sends more requests at once to
 	// replicas that reported a short queue (herding).
 	loadMaxAge = 250 * ms
-	// peerLoadMaxAge is the age up to which a peer's report is used. It is no longer than for an own report: with an
-	// older one all routers would send to the replica whose queue was short then. Raising it causes more herding.
+	// peerLoadMaxAge is the age up to which a peer's report is used. It is no longer than loadMaxAge: with an older
+	// report all routers would send to the replica whose queue was short then. Raising it causes more herding.
 	peerLoadMaxAge = loadMaxAge
 	// queuedPerFullSlots is the number of queued requests that fully used slots count as. Raising it avoids busy
 	// replicas more.
@@ -203,9 +203,9 @@
 	// minDecodeTimeout is the least timeout of a decode attempt that may be retried. Raising it gives up on a silent
 	// replica later.
 	minDecodeTimeout = 800 * ms
-	// maxProcessStall is how much sooner than its end a deduplication window counts as over. A process may stall for
-	// 0.15 s between a decision and writing the bytes that follow from it, and a connection may have to be idle for a
-	// moment before its next call. Raising it rules out more retries that would have been safe.
+	// maxProcessStall is the time before the end of a deduplication window from which the window counts as over. A
+	// process may stall for 0.15 s between a decision and writing the bytes that follow from it, and a connection may
+	// have to be idle for a moment before its next call. Raising it rules out more retries that would have been safe.
 	maxProcessStall = 200 * ms
 	// reservationReleaseFraction is the fraction of Config.ReservationTTL after which a reservation is released; the
 	// rest of the time allows the release to arrive. Raising it risks that reservations outlast their TTL.
@@ -270,8 +270,9 @@
 	// snapshotMaxAge is the age up to which a snapshot is restored: most of its content has decayed by then. Raising it
 	// restores older state.
 	snapshotMaxAge = 30 * time.Second
-	// maxClockSkew is how far in the future a snapshot may be taken: the clocks of one machine differ by less. Raising
-	// it tolerates larger clock differences.
+	// maxClockSkew is how far in the future a snapshot's time may lie, and by how much two start times of one process
+	// may differ: the clocks of two processes on one machine differ by less. Raising it tolerates larger clock
+	// differences.
 	maxClockSkew = 100 * ms
 	// maxPlausible bounds the values of snapshots and load reports. Raising it accepts more corrupt values.
 	maxPlausible = 1e9
