--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 	// The pause after a failed accept starts at minAcceptBackoff and doubles up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
-	// maxNameBytes bounds the length to which a call's name is truncated in the log and in answers.
+	// maxNameBytes is the length to which a call's name is truncated in the log and in answers.
 	maxNameBytes = 40
 )
 
@@ -49,15 +49,15 @@
 	return &Server{calls: calls, log: log, conns: map[net.Conn]struct{}{}}
 }
 
-// Malformed returns the number of connections that sent no complete line or the name of an unknown call, or were
-// rejected because too many calls were open or the server was closing.
+// Malformed returns the number of connections that sent no complete line, that sent the name of an unknown call, or
+// that were rejected because too many calls were open or the server was closing.
 func (s *Server) Malformed() int64 { return s.malformed.Load() }
 
 // Served returns the number of calls that a handler answered.
 func (s *Server) Served() int64 { return s.served.Load() }
 
 // Serve answers calls on l until Close is called; each connection has its own goroutine. If the server is already
-// closed, Serve closes l and returns the error of that.
+// closed, Serve closes l and returns the error of closing it.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.register(l) {
 		return l.Close()
--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -242,8 +242,8 @@
 const maxDiscoveryWait = 2 * time.Second
 
 // awaitDiscovery waits until an agent that pushes endpoints has confirmed the list. The initial list may be old, and
-// the agent's changes count as notified from the moment at which the process starts. A working agent answers at once.
-// The wait for a silent agent is bounded by the drain deadline, within which a change must take effect, and by
+// the process counts as notified of the agent's changes from the moment at which it starts. A working agent answers at
+// once. The wait for a silent agent is bounded by the drain deadline, within which a change must take effect, and by
 // maxDiscoveryWait.
 func (a *application) awaitDiscovery(ctx context.Context) error {
 	settings := &a.inputs.config.Settings
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -165,7 +165,7 @@
 				t.Errorf("open %v after the start of the drain", time.Since(start))
 			}
 			if !strings.HasPrefix(text, c.answerPrefix) || c.answerPrefix == "" && text != "" {
-				t.Errorf("it got %q, want %q", text, c.answerPrefix)
+				t.Errorf("the client got %q, want %q", text, c.answerPrefix)
 			}
 		})
 	}
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -24,7 +24,7 @@
 	watcher *discovery.Watcher
 	tasks   *leasedtasks.Tasks
 	subset  *subsetter.Controller  // nil if the process routes to all replicas
-	filter  *endpointfilter.Filter // nil if only its own endpoint list counts
+	filter  *endpointfilter.Filter // nil if the process uses only its own endpoint list
 	fenced  atomic.Bool            // whether the process drains for version skew and not for an operator
 }
 
--- a/internal/app/helpers_test.go
+++ b/internal/app/helpers_test.go
@@ -77,7 +77,7 @@
 		`{"instanceId":"w","hostPort":%q,"zone":"wien","machineType":"decode-a","lifecycle":"ready","weight":1}]}`, prefill, decode)
 }
 
-// newDiscoveryAgent starts a fake discovery agent that serves one endpoint list. It counts the watches that it
+// newDiscoveryAgent starts a simulated discovery agent that serves one endpoint list. It counts the watches that it
 // receives.
 func newDiscoveryAgent(t *testing.T, list string) (addr string, watches *atomic.Int64) {
 	t.Helper()
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -22,7 +22,8 @@
 	// 1/8. The rest is for discovery, releases and the process itself.
 	clientSocketsNumerator, clientSocketsDenominator = 11, 24 // 1/3 + 1/8
 	upstreamSocketsDivisor                           = 8
-	// The chat frontend's connections are taken from the clients' sockets, and other proxies' from the rest.
+	// The chat frontend's connections are taken from the sockets of the clients, and the connections of other proxies,
+	// which use xDS, from the rest.
 	chatSocketsDivisor = 8
 	xdsSocketsDivisor  = 32
 	// minUpstreamConnections lets a process with very few sockets work.
@@ -75,5 +76,5 @@
 	return max(l.sockets/upstreamSocketsDivisor, minUpstreamConnections)
 }
 
-// xdsConnections returns the maximum number of connections from other proxies.
+// xdsConnections returns the maximum number of connections from other proxies, which use xDS.
 func (l resourceLimits) xdsConnections() int { return l.sockets / xdsSocketsDivisor }
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// A process must not accept clients before the agent has sent its list: the initial list may be old, and the agent's
-// changes count as notified from the moment at which the process starts. An agent that does not respond delays the
-// start no longer than the time within which a change must take effect.
+// A process must not accept clients before the agent has sent its list: the initial list may be old, and the process
+// counts as notified of the agent's changes from the moment at which it starts. An agent that does not respond delays
+// the start no longer than the time within which a change must take effect.
 func TestStartAwaitsDiscoveryConfirmation(t *testing.T) {
 	known := endpointList("127.0.0.1:1", "127.0.0.1:1")
 	for _, c := range []struct {
@@ -226,7 +226,7 @@
 		}
 		agent.Close() // waits until the request for the list has ended
 		if acceptedEarly.Load() {
-			t.Error("it accepted clients before the agent had sent its list")
+			t.Error("the process accepted clients before the agent had sent its list")
 		}
 		terminate()
 		if err := <-ended; err != nil {
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -93,8 +93,8 @@
 
 // closeGracefully closes the listeners once new connections have stopped arriving, closes connections as they become
 // idle, and returns when none is open. The limiters close the connections because http.Server.Shutdown could lose
-// requests: it closes connections on which a request is just being read, and drops a request whose head has been read
-// without an answer.
+// requests: it closes connections on which a request is just being read, and drops without an answer a request whose
+// head has been read.
 func (l *listeners) closeGracefully() error {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -19,7 +19,7 @@
 // stores owns the state that outlives the process or is shared with other processes of its name on its machine.
 type stores struct {
 	idempotency   *idempotencyquorum.Coordinator // nil if the chat frontend uses only its own table
-	inFlight      *inflight.Table                // nil if no peer process is looked for
+	inFlight      *inflight.Table                // nil if in-flight requests are not shared
 	endpointCache *atomicfile.Saver              // nil without a state folder
 	tokenFloor    *fencing.TokenFloor            // highest fencing token of the fleet's leases; nil if it is not stored
 	transfer      statetransfer.Exchange         // without a folder, nothing is transferred
@@ -52,8 +52,8 @@
 	default:
 		return nil, nil
 	}
-	// Open the state now, because only a start can report its errors. A state that another process has locked is opened
-	// later, by cfg.Open.
+	// Open the state now, because its errors can be reported only at the start. A state that another process has locked
+	// is opened later, by cfg.Open.
 	store, err := openState(in, now)
 	if err != nil && !errors.Is(err, state.ErrLocked) {
 		return nil, err
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -37,7 +37,8 @@
 // name a class that is not in the new settings. The rest of the router's configuration comes from the new settings.
 func (t Classes) Reconfigure(next *Settings) (Classes, error) {
 	if t.hasZones && len(next.Zones) == 0 {
-		return t, errors.New("settings: zones are missing, but the deployment has zones") // others may be missing too
+		// A file that lacks this key may lack others too.
+		return t, errors.New("settings: zones are missing, but the deployment has zones")
 	}
 	cfg, err := next.Router()
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,7 +39,8 @@
 	return &c, nil
 }
 
-// Validate returns an error if the configuration lacks something that a dispatcher needs in order to serve.
+// Validate returns an error if a dispatcher cannot serve with the configuration: a required address is missing, or an
+// address, the seed or the settings are invalid.
 func (c *Config) Validate() error {
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,8 +11,8 @@
 	"rampspread/routing"
 )
 
-// Settings holds the settings of a deployment that the dispatcher uses. Unknown keys are ignored, and keys match in any
-// case. Fields whose names end in Ms are in milliseconds.
+// Settings holds those settings of a deployment that the dispatcher uses. Unknown keys are ignored, and keys match in
+// any case. Fields whose names end in Ms are in milliseconds.
 //
 // Members of a fleet compare digests of this type's JSON, even if they run different versions of the program. The tags
 // and the order of the fields must therefore not change; the Go names of the fields may.
@@ -38,27 +38,28 @@
 	Weight          float64 `json:"Importance"` // weight of one request relative to other classes
 	TTFTObjectiveMs float64 `json:"PromiseMs"`  // target for the time to first token
 	DeadlineMs      float64 `json:"HardLimitMs"`
-	DedupWindowMs   float64 `json:"WindowMs"`
+	DedupWindowMs   float64 `json:"WindowMs"` // time for which replicas discard duplicates of a request
 }
 
 // FamilySettings describes the replicas' model family.
 type FamilySettings struct {
 	TTFTObjectiveUsPer1KTokens []float64 `json:"AimUsPer1000PromptTokens"` // by class index: µs added to the objective
 	RoleByKind                 []string  `json:"DutyByKind"`               // by index in Kinds: read, write or both
-	DecodeCanPrefill           bool      `json:"LocalRead"`
-	ReservationTTLMs           float64   `json:"ReleaseWithinMs"` // time for which a replica keeps a reservation
+	// DecodeCanPrefill is set if decode replicas can prefill as well.
+	DecodeCanPrefill bool    `json:"LocalRead"`
+	ReservationTTLMs float64 `json:"ReleaseWithinMs"` // time for which a replica keeps a reservation
 }
 
 // LimitSettings bounds what a dispatcher may do.
 type LimitSettings struct {
-	CanCancel        bool    `json:"Cancelling"`
-	ConnIdleMs       float64 `json:"ConnIdleMs"`
+	CanCancel        bool    `json:"Cancelling"` // whether attempts may be canceled
+	ConnIdleMs       float64 `json:"ConnIdleMs"` // idle time after which a replica's machine may reset a connection
 	ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
 	MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"` // longest Retry-After that clients follow
 	MaxOpenRequests  int     `json:"MostHeld"`        // limit of the platform; the dispatcher does not use it
-	LoadPolling      bool    `json:"Probing"`
-	MaxAttempts      int     `json:"MostTries"` // attempts for one request
-	RetryAfter       bool    `json:"RetryAfter"`
+	LoadPolling      bool    `json:"Probing"`         // whether replicas answer load polls
+	MaxAttempts      int     `json:"MostTries"`       // attempts for one request
+	RetryAfter       bool    `json:"RetryAfter"`      // whether clients follow Retry-After
 }
 
 // TenantSettings holds the quota of one tenant in requests per second.
@@ -71,8 +72,8 @@
 type RuleSettings struct {
 	AnswerSlackMs    float64 `json:"AnswerSlackMs"` // time after the deadline in which an answer still counts
 	SlowStartInitial float64 `json:"ColdFrom"`      // fraction of its capacity that a replica has at its start
-	SlowStartMs      float64 `json:"ColdMs"`
-	OverloadMultiple float64 `json:"FallMultiple"` // multiple of its capacity at which a replica in slow start fails
+	SlowStartMs      float64 `json:"ColdMs"`        // time from its start until a replica has its full capacity
+	OverloadMultiple float64 `json:"FallMultiple"`  // multiple of its capacity at which a replica in slow start fails
 
 	DrainDeadlineMs float64 `json:"StopSendingWithinMs"` // see DrainDeadline
 }
--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// donorMinAgeGap is the time by which another member must have started earlier than this process to count as one
-	// that has learned something.
+	// donorMinAgeGap is how much earlier than this process another member must have started to be preferred as a donor.
+	// A member that started later has learned as little as this process.
 	donorMinAgeGap = 3 * time.Second
-	// donorMinAge is the time for which a process must have run to count as one that has learned something, unless it
-	// has received the state of another member.
+	// donorMinAge is the time for which a process must have run before it sends its state to others, unless it has
+	// received the state of another member. A younger process has learned too little.
 	donorMinAge = 3 * time.Second
 	// snapshotTimeout bounds the wait for this process's learned state.
 	snapshotTimeout = time.Second
@@ -126,7 +126,7 @@
 	return true
 }
 
-// handleState handles the response of a member. A response that was not requested is ignored.
+// handleState handles a member's response to a request. A response that was not requested is ignored.
 func (b *bootstrapper) handleState(from string, state []byte) {
 	b.mu.Lock()
 	requested := b.requester.WasRequested(from)
--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -23,7 +23,8 @@
 	RetryInterval time.Duration
 	MaxTransfers  int // number of received transfers after which a process sends no more requests
 	MaxRequests   int // number of requests that a process sends at most
-	// Window is the time after the start in which requests are sent. By its end the process has learned more itself.
+	// Window is the time after the start in which requests are sent. By its end the process has itself learned more
+	// than a transfer would add.
 	Window time.Duration
 	// TransfersPerSecond and Burst are the rate and the size of a donor's token bucket.
 	TransfersPerSecond float64
@@ -47,5 +48,5 @@
 type Peer struct {
 	Name     string
 	Older    bool // whether the member started well before this process
-	SameZone bool // whether the member is in this process' zone, so that its state covers the same replicas best
+	SameZone bool // whether the member is in this process's zone, so that its state covers the same replicas best
 }
--- a/internal/fleet/component.go
+++ b/internal/fleet/component.go
@@ -16,8 +16,8 @@
 	// tick does the work that is due at now, by the node's clock. The component's own goroutine calls it every
 	// componentInterval.
 	tick(now time.Duration)
-	// stop releases what the component holds, because the process leaves the fleet. The node calls it once and waits
-	// for it to return. Ticks may continue meanwhile.
+	// stop releases what the component holds when the process leaves the fleet. The node calls it once and waits for it
+	// to return. Ticks may continue meanwhile.
 	stop()
 }
 
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -74,17 +74,17 @@
 }
 
 const (
-	defaultProbeInterval = 250 * time.Millisecond
-	minProbeMS           = 50
-	maxProbeMS           = 10_000
-	minTermMS            = 300
-	maxTermMS            = 60_000
-	maxMembers           = 4096 // memory that depends on the number of members is allocated as needed
-	maxNameBytes         = 64
-	minRetentionS        = 1
-	maxRetentionS        = 1e7 // exclusive
-	maxRecords           = 1e6
-	maxBudgetLimit       = 1e6
+	defaultProbeInterval  = 250 * time.Millisecond
+	minProbeIntervalMS    = 50
+	maxProbeIntervalMS    = 10_000
+	minLeaseTermMS        = 300
+	maxLeaseTermMS        = 60_000
+	maxMembers            = 4096 // a high bound costs no memory, which is allocated for the configured members only
+	maxNameBytes          = 64
+	minRetentionS         = 1
+	maxRetentionS         = 1e7 // exclusive
+	maxIdempotencyRecords = 1e6 // idempotency records at each voter
+	maxBudgetLimit        = 1e6 // in the unit of each limit of Budgets
 )
 
 // Load reads and checks an operator's file for the process of the given name.
@@ -147,10 +147,11 @@
 		return fmt.Errorf("fleet: the fleet's name has %d bytes, not from 1 to %d", len(c.Fleet), maxNameBytes)
 	case !slices.Contains([]int{16, 24, 32}, len(c.key)):
 		return fmt.Errorf("fleet: key has %d bytes, not 16, 24 or 32", len(c.key))
-	case c.ProbeIntervalMS != 0 && (c.ProbeIntervalMS < minProbeMS || c.ProbeIntervalMS > maxProbeMS):
-		return fmt.Errorf("fleet: probe_ms %d is not from %d to %d", c.ProbeIntervalMS, minProbeMS, maxProbeMS)
-	case c.LeaseTermMS != 0 && (c.LeaseTermMS < minTermMS || c.LeaseTermMS > maxTermMS):
-		return fmt.Errorf("fleet: term_ms %d is not from %d to %d", c.LeaseTermMS, minTermMS, maxTermMS)
+	case c.ProbeIntervalMS != 0 && (c.ProbeIntervalMS < minProbeIntervalMS || c.ProbeIntervalMS > maxProbeIntervalMS):
+		return fmt.Errorf("fleet: probe_ms %d is not from %d to %d", c.ProbeIntervalMS, minProbeIntervalMS,
+			maxProbeIntervalMS)
+	case c.LeaseTermMS != 0 && (c.LeaseTermMS < minLeaseTermMS || c.LeaseTermMS > maxLeaseTermMS):
+		return fmt.Errorf("fleet: term_ms %d is not from %d to %d", c.LeaseTermMS, minLeaseTermMS, maxLeaseTermMS)
 	case !slices.Contains([]int{0, 1, 3, 5}, len(c.Voters)):
 		return fmt.Errorf("fleet: %d voters, not 1, 3 or 5", len(c.Voters))
 	case len(c.Members) > maxMembers:
@@ -206,7 +207,7 @@
 		return nil
 	}
 	isRetentionValid := i.RetentionS >= minRetentionS && i.RetentionS < maxRetentionS // false for NaN
-	if !isRetentionValid || i.Entries < 1 || i.Entries > maxRecords {
+	if !isRetentionValid || i.Entries < 1 || i.Entries > maxIdempotencyRecords {
 		return errors.New("fleet: filings: keep_s is not from 1 to 10000000, or entries not from 1 to 1000000")
 	}
 	if len(c.Voters) == 0 {
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -60,8 +60,8 @@
 	return b
 }
 
-// MergeRemoteState implements memberlist.Delegate. It raises this process's incarnation above the incarnation that the
-// other member reports for its name.
+// MergeRemoteState implements memberlist.Delegate. If the other member reports a higher incarnation for this process's
+// name, this process takes an incarnation above it.
 func (d *delegate) MergeRemoteState(b []byte, _ bool) {
 	var incarnations []knownIncarnation
 	if len(b) > maxRemoteStateBytes || json.Unmarshal(b, &incarnations) != nil {
@@ -75,7 +75,8 @@
 	}
 }
 
-// raiseIncarnation raises this process's incarnation above one that another member reports for its name.
+// raiseIncarnation makes this process take an incarnation above the known one, which another member reports for this
+// process's name, unless its incarnation is at least as high.
 func (n *Node) raiseIncarnation(known uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +133,7 @@
 	for _, p := range peers {
 		if p.Name == n.self.Name && p.State == memberlist.StateAlive && p.Address() != own {
 			err := fmt.Errorf("%w: %q is at %s", ErrDuplicateName, p.Name, p.Address())
-			n.reportFailure.Do(func() { n.onFailure(err) })
+			n.failureOnce.Do(func() { n.onFailure(err) })
 			return err
 		}
 	}
--- a/internal/fleet/endpointfilter/filter.go
+++ b/internal/fleet/endpointfilter/filter.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	table     *tombstone.Table
 	endpoints map[string]dispatch.Endpoint // this member's own list, by endpoint name
-	peerLists int64
+	peerLists int64                        // number of newer lists received from peers
 }
 
 // Status is the state of a Filter as shown to operators.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s%d:7946", testutil.LoopbackPrefix(), 1+host)
 }
 
-// memberName returns the name of the member on a host.
+// memberName returns the name of the member on a host. Hosts whose numbers differ by 100 have members of the same name.
 func memberName(host int) string { return fmt.Sprint("n", host%100) }
 
 // configJSON returns the configuration of a fleet with one member on each of the hosts.
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -44,7 +44,7 @@
 	return position
 }
 
-// reachable returns the names of the other members that are neither unreachable nor have left, in the view's order.
+// reachable returns the names of the other members that are active or joining, in the view's order.
 func (n *Node) reachable() []string {
 	var names []string
 	for _, m := range n.View().Members {
--- a/internal/fleet/memberlistlog.go
+++ b/internal/fleet/memberlistlog.go
@@ -10,7 +10,7 @@
 // or are not from this fleet, since memberlist reports them only in its log.
 type memberlistLog struct{ node *Node }
 
-// malformedPacketPatterns lists substrings of memberlist's log lines about such packets.
+// malformedPacketPatterns lists substrings of memberlist's log lines about packets that are counted as malformed.
 var malformedPacketPatterns = [][]byte{
 	[]byte("failed to receive"),
 	[]byte("Decrypt packet failed"),
--- a/internal/fleet/message_lease.go
+++ b/internal/fleet/message_lease.go
@@ -15,7 +15,7 @@
 	maxClaimsPerPacket = 40
 	// maxResultsPacketBytes is the maximum size of a datagram with more than one result.
 	maxResultsPacketBytes = 1200
-	maxResultBytes        = 64
+	maxResultBytes        = 64 // maximum size of the data of one result
 	// resultOverheadBytes is an upper bound of the size of a result's tag and length.
 	resultOverheadBytes = 4
 	// maxDuration is the longest remaining time or age in a message.
--- a/internal/fleet/message_member.go
+++ b/internal/fleet/message_member.go
@@ -28,7 +28,7 @@
 
 	infoFieldCount = infoHighestToken + 1
 
-	memberInfoFormat   = 1
+	memberInfoFormat   = 1 // format that this version sends; later formats are decoded too
 	flagServing        = 1
 	flagLeaving        = 2
 	maxMemberInfoBytes = 512
@@ -73,7 +73,7 @@
 type infoMessage struct {
 	format uint64
 	info   membership.MemberInfo
-	sent   int64
+	sent   int64 // time of a heartbeat in ms since 1970, or 0 for metadata
 }
 
 // infoDecoder decodes one field of a member's info. A field with a wire type other than wireType is ignored.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -19,7 +19,8 @@
 	// membershipInterval is the interval at which a node advances the membership table and checks its own info for
 	// changes.
 	membershipInterval = 100 * time.Millisecond
-	// maxTickGap is the longest pause between two ticks of the process that other members do not notice.
+	// maxTickGap is the longest time between two ticks of the membership table of a process that is merely busy. After
+	// a longer pause, other members may have noticed that the process was stopped.
 	maxTickGap = 800 * time.Millisecond
 	// suspectAfterHeartbeats is the number of missed heartbeats after which a member is suspect.
 	suspectAfterHeartbeats = 3
@@ -87,14 +88,14 @@
 	start     time.Time // start by the monotonic clock, from which the clock of the views counts
 	startWall time.Time // start by the wall clock
 
-	gossip        *memberlist.Memberlist // nil until joined
-	joined        atomic.Bool            // whether memberlist listens at the peer address
-	leaving       atomic.Bool
-	rng           *rand.Rand // used only by run's goroutine
-	malformed     atomic.Int64
-	clockSkews    sync.Map // member's name -> time.Duration, from its last heartbeat
-	onFailure     func(error)
-	reportFailure sync.Once
+	gossip      *memberlist.Memberlist // nil until joined
+	joined      atomic.Bool            // whether memberlist listens at the peer address
+	leaving     atomic.Bool
+	rng         *rand.Rand // used only by run's goroutine
+	malformed   atomic.Int64
+	clockSkews  sync.Map // member's name -> time.Duration, from its last heartbeat
+	onFailure   func(error)
+	failureOnce sync.Once
 
 	components []component             // enabled components, in a fixed order
 	handlers   map[byte]messageHandler // by message kind
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// quotaLeadDivisor divides the term into the lead time: a grant that ends sooner than the lead time is no longer
-	// relied on.
+	// quotaLeadDivisor is the lease term divided by the lead time. A new share does not include a grant that ends
+	// within the lead time.
 	quotaLeadDivisor = 12
 	// When the process leaves, the shares are returned in returnTicks ticks at intervals of returnInterval: the process
 	// needs a moment to reduce its use to the minimum, and the voters may be notified only after that.
@@ -38,8 +38,8 @@
 type QuotaUser interface {
 	// Accepted returns the number of requests accepted so far.
 	Accepted() int64
-	// SetQuotaShare sets the process's share to a fraction of the whole for the remaining time. It calls applied once,
-	// when the share is in force, or returns false if it will not apply the share. It must not block.
+	// SetQuotaShare sets the process's share to a fraction of the whole budgets for the remaining time. It calls
+	// applied once, when the share is in force, or returns false if it will not apply the share. It must not block.
 	SetQuotaShare(fraction float64, remaining time.Duration, applied func()) bool
 }
 
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -20,15 +20,15 @@
 	Unconfigured int64          `json:"strangers"` // number of messages from names that are not configured
 }
 
-// MemberStatus is a member as shown to operators. StateForS and LastHeartbeatS count seconds up to now.
+// MemberStatus is a member as shown to operators.
 type MemberStatus struct {
 	Name           string  `json:"name"`
 	State          string  `json:"state"`
-	StateForS      float64 `json:"for_s"`
-	LastHeartbeatS float64 `json:"heard_s"`
+	StateForS      float64 `json:"for_s"`   // time since the state or the incarnation last changed, in seconds
+	LastHeartbeatS float64 `json:"heard_s"` // time since the last heartbeat, in seconds
 	Zone           string  `json:"zone"`
 	Incarnation    uint64  `json:"incarnation"`
-	Incarnations   int     `json:"lives"`
+	Incarnations   int     `json:"lives"` // number of incarnations seen under the name
 	Started        string  `json:"started,omitempty"`
 	Version        string  `json:"version"`
 	Settings       string  `json:"settings"`
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -77,12 +77,12 @@
 	assignment  lease.Assignment
 
 	nextRun      map[lease.Task]time.Duration
-	lastResult   map[lease.Task]time.Duration
+	lastResult   map[lease.Task]time.Duration // time of the last result, or from which the wait for one counts
 	standbySince map[lease.Task]time.Duration // time since which this member claims a task in place of its owner
 
 	unsentResults map[lease.Task]taskResult // latest unsent result of each task
-	lastFlush     time.Duration
-	byteBudget    float64 // number of bytes of results that may be sent now
+	lastFlush     time.Duration             // time of the last transmission of results
+	byteBudget    float64                   // number of bytes of results that may be sent now
 }
 
 func newLeasedTasks(n *Node, runner TaskRunner) *leasedTasks {
--- a/internal/fleet/tombstone/tombstone.go
+++ b/internal/fleet/tombstone/tombstone.go
@@ -53,7 +53,7 @@
 	own         map[string]routing.EndpointState
 	peers       map[string]peerDigest // latest digest of each peer
 	ignorePeers bool                  // whether the peers' digests would suppress more than MaxSuppressedFraction
-	rejected    int
+	rejected    int                   // number of times that ignorePeers became true
 }
 
 // peerDigest is a digest from a peer with the time at which it was received.
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -37,26 +37,29 @@
 
 // VersionSkewStatus shows operators which versions the members act on.
 type VersionSkewStatus struct {
-	Self                string          `json:"self"`
-	MajorityListVersion uint64          `json:"list"`     // list version that most members have had for a while
-	MajoritySettings    string          `json:"settings"` // fingerprint of the settings that most members have
-	Fault               string          `json:"fault,omitempty"`
-	Enabled             bool            `json:"judged"` // whether the detection is enabled
-	InsufficientView    bool            `json:"blind"`  // whether this process sees too few members for the detection
-	Frozen              bool            `json:"frozen"`
-	Members             []MemberVersion `json:"members"`
+	Self                string `json:"self"`
+	MajorityListVersion uint64 `json:"list"`     // list version that most members have had for a while
+	MajoritySettings    string `json:"settings"` // fingerprint of the settings that most members have
+	// Fault says why lagging members are not fenced, or that no settings are in use by a majority.
+	Fault   string `json:"fault,omitempty"`
+	Enabled bool   `json:"judged"` // whether the detection is enabled
+	// InsufficientView says whether this process's view is too old for the detection, lacks this process itself, or has
+	// too few members.
+	InsufficientView bool            `json:"blind"`
+	Frozen           bool            `json:"frozen"`
+	Members          []MemberVersion `json:"members"`
 }
 
 // MemberVersion shows which versions one member acts on, according to its last heartbeat.
 type MemberVersion struct {
 	Name           string  `json:"name"`
-	State          string  `json:"state"` // state of the membership
+	State          string  `json:"state"` // state in the membership table
 	LastHeartbeatS float64 `json:"heard_s"`
 	Program        string  `json:"program"`
 	Settings       string  `json:"settings"`
 	ListVersion    uint64  `json:"list"`
 	HighestToken   uint64  `json:"lease"` // highest fencing token known to the member
-	SkewState      string  `json:"step"`
+	SkewState      string  `json:"step"`  // name of the versionskew.State, or "-" if the member is not assessed
 	Reason         string  `json:"why,omitempty"`
 	LaggingS       float64 `json:"behind_s,omitempty"`
 	SkewStateForS  float64 `json:"step_for_s"`
