--- a/internal/fleet/idempotency/replica.go
+++ b/internal/fleet/idempotency/replica.go
@@ -11,8 +11,8 @@
 	// expireBatch is the maximum number of expired records that one deletion removes. Claims wait while it runs, so a
 	// larger batch delays them more.
 	expireBatch = 200
-	// withdrawnTTL is how long a withdrawn attempt is remembered, so that a claim of it that arrives later is not
-	// granted. It is longer than a packet can be in transit.
+	// withdrawnTTL is how long a withdrawn attempt is remembered, so that its claim is not granted if it arrives
+	// after the withdrawal. It is longer than a packet can be in transit.
 	withdrawnTTL = time.Minute
 )
 
@@ -23,9 +23,9 @@
 type Replica struct {
 	limits          Limits
 	store           Store
-	recoveringUntil time.Duration // lifetime before which the replica does not vote
-	storedKeys      int           // number of stored keys at the last expiry, adjusted since
-	lastExpiry      time.Duration
+	recoveringUntil time.Duration             // lifetime before which the replica does not vote
+	storedKeys      int                       // number of stored keys at the last expiry, adjusted since
+	lastExpiry      time.Duration             // lifetime at the last deletion of expired records
 	withdrawn       map[Attempt]time.Duration // withdrawn attempts, with the lifetime at their withdrawal
 }
 
--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -78,8 +78,8 @@
 	attempts  []*simAttempt   // attempts whose round is not decided
 	seq       uint64
 	lastRun   map[Key]time.Duration // when the request of a key last ran
-	ran       int                   // attempts that were granted
-	answered  int                   // claims that were answered with an earlier attempt's answer
+	ran       int                   // number of attempts that were granted
+	answered  int                   // number of claims that were answered with an earlier attempt's answer
 	keys      uint64                // number of keys used so far
 	violation string                // the violation that was found
 }
@@ -311,9 +311,9 @@
 	return s.violation
 }
 
-// No key runs twice, and a claim is only answered with the answer to its own key, while replicas are killed and lose
-// their stores, the network is partitioned and loses, repeats and reorders messages, and clients claim keys again at
-// other members.
+// The request of a key never runs twice, and a claim is only answered with the answer to its own key, while replicas
+// are killed and lose their stores, the network is partitioned and loses, repeats and reorders messages, and clients
+// claim keys again at other members.
 func TestNoKeyRunsTwiceAndAnswersBelongToTheirKey(t *testing.T) {
 	ran, answered := 0, 0
 	for seed := range *simSeeds {
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -24,7 +24,8 @@
 	// claimResendInterval is the time after which a claim is sent again to replicas that have not voted, since packets
 	// may get lost.
 	claimResendInterval = 60 * time.Millisecond
-	// Results and withdrawals are not acknowledged, so each is sent notificationSends times.
+	// Results and withdrawals are not acknowledged, so each is sent notificationSends times, at intervals of
+	// notificationInterval.
 	notificationSends    = 3
 	notificationInterval = 250 * time.Millisecond
 )
@@ -61,7 +62,7 @@
 	// The goroutine of Run sets these fields once. Afterwards only that goroutine and Status use them.
 	store             *state.Store
 	replica           *idempotency.Replica
-	startedRecovering bool
+	startedRecovering bool // the replica was recovering when the store was opened
 }
 
 // round counts the votes on a claim that is not decided yet.
@@ -155,8 +156,8 @@
 	}
 }
 
-// RecordResult tells the replicas how an attempt ended: with the given answer or, if it is nil, with an unknown result,
-// in which case the request may have run. It does not block.
+// RecordResult notifies the replicas how an attempt ended: with the given answer or, if it is nil, with an unknown
+// result, in which case the request may have run. It does not block.
 func (c *Coordinator) RecordResult(key string, attempt idempotency.Attempt, answer []byte) {
 	c.notify(message{kind: kindResult, attempt: attempt, key: c.hash(key), answer: answer, hasAnswer: answer != nil})
 }
@@ -180,7 +181,7 @@
 // send sends a message to a member, which may be this process itself.
 func (c *Coordinator) send(to string, m message) {
 	if to == c.cfg.Name {
-		c.dispatch(m)
+		c.deliver(m)
 		return
 	}
 	b := m.encode()
@@ -194,11 +195,11 @@
 		c.malformed.Add(1)
 		return
 	}
-	c.dispatch(m)
+	c.deliver(m)
 }
 
-// dispatch passes a vote to the claim that waits for it, and any other message to the replica of this process.
-func (c *Coordinator) dispatch(m message) {
+// deliver passes a vote to the claim that waits for it, and any other message to the replica of this process.
+func (c *Coordinator) deliver(m message) {
 	if m.kind == kindVote {
 		c.countVote(m)
 		return
--- a/internal/fleet/idempotencyquorum/coordinator_test.go
+++ b/internal/fleet/idempotencyquorum/coordinator_test.go
@@ -23,9 +23,9 @@
 	mu         sync.Mutex
 	rng        *rand.Rand
 	members    map[string]*Coordinator
-	cutOff     map[string]bool
+	cutOff     map[string]bool // names of the disconnected members
 	unreliable bool
-	stops      map[string]func()
+	stops      map[string]func() // functions that stop the members, by name
 }
 
 func newNetwork(t *testing.T) *network {
--- a/internal/fleet/idempotencyquorum/message.go
+++ b/internal/fleet/idempotencyquorum/message.go
@@ -17,7 +17,7 @@
 const (
 	kindClaim    messageKind = 1 // asks a replica for its vote
 	kindVote     messageKind = 2 // replies to a claim
-	kindResult   messageKind = 3 // tells a replica how an attempt ended
+	kindResult   messageKind = 3 // notifies a replica how an attempt ended
 	kindWithdraw messageKind = 4 // cancels a claim
 )
 
--- a/internal/fleet/lease/assign.go
+++ b/internal/fleet/lease/assign.go
@@ -24,8 +24,8 @@
 // TaskOf returns the task with the given name, such as probe/s-5be2a07c.
 func TaskOf(name string) Task { return Task(xxhash.Sum64String(name)) }
 
-// Score returns the rank of a member for a task, by rendezvous hashing (Thaler and Ravishankar 1998). Every process
-// computes the same score.
+// Score returns the score of a member for a task in rendezvous hashing (Thaler and Ravishankar 1998): the member with
+// the highest score ranks first. Every process computes the same score.
 func Score(task Task, member string) uint64 {
 	h := xxhash.NewWithSeed(uint64(task))
 	h.WriteString(member) // never returns an error
--- a/internal/fleet/lease/assign_test.go
+++ b/internal/fleet/lease/assign_test.go
@@ -33,8 +33,8 @@
 				t.Errorf("%d members: %s owns %d, the mean is %.1f", n, m, l, mean)
 			}
 		}
-		// The tasks of the new member must move. Where the load bound changes, some of the tasks move too that a member
-		// at the bound had to leave to others.
+		// The tasks of the new member must move. Where the load bound changes, some other tasks move too: tasks that a
+		// member at the bound could not own.
 		if n > 1 && float64(moved) > mean+0.04*float64(len(tasks))+2 {
 			t.Errorf("adding member %d moved %d tasks; its own are %.1f", n, moved, mean)
 		}
--- a/internal/fleet/lease/fence.go
+++ b/internal/fleet/lease/fence.go
@@ -14,9 +14,10 @@
 // for concurrent use.
 type Fence struct{ lastAccepted map[Task]acceptedToken }
 
+// acceptedToken is the token of the last accepted result for a task.
 type acceptedToken struct {
 	token uint64
-	at    time.Duration // time of the last accepted result under the token
+	at    time.Duration // time at which the result was accepted
 }
 
 // Accept reports whether a result under the token of a lease is current, and if so records the token.
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -90,8 +90,8 @@
 type Expired struct {
 	Task   Task
 	Token  uint64
-	At     time.Duration
-	Reason string // shown to operators
+	At     time.Duration // time at which the lease ended
+	Reason string        // shown to operators
 }
 
 // Reasons for the end of a lease, as shown to operators.
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -18,8 +18,8 @@
 const (
 	simStep  = 2 * time.Millisecond
 	simNodes = 7
-	simTasks = 3 // Task 1 to simTasks
-	// Clocks run up to 1% too slow or too fast.
+	simTasks = 3 // the tasks are numbered from 1 to simTasks
+	// slowClock and fastClock are the rates of the slowest and fastest clocks, relative to simulated time.
 	slowClock = 0.99
 	fastClock = 1.01
 )
@@ -41,7 +41,7 @@
 	name        string
 	incarnation uint64
 	up          bool
-	pausedUntil time.Duration // in simulated time
+	pausedUntil time.Duration // end of the pause, in simulated time
 	clockRate   float64
 	clockOffset time.Duration
 	holder      *Holder
@@ -68,10 +68,10 @@
 	nodes         []*simNode
 	voters        []string
 	cutLinks      map[[2]int]bool // links that deliver nothing, by sender and receiver
-	cutUntil      time.Duration
+	cutUntil      time.Duration   // injectFault does not restore the cut links before this time
 	queue         []simMessage
-	maxDelay      time.Duration
-	faultInterval int // mean number of steps between faults
+	maxDelay      time.Duration // bound of the delay of a message, unless other messages overtake it
+	faultInterval int           // mean number of steps between faults
 
 	fence     Fence
 	lastToken map[Task]uint64        // highest token of the accepted results, by task
--- a/internal/fleet/leasedtasks/leasedtasks.go
+++ b/internal/fleet/leasedtasks/leasedtasks.go
@@ -1,7 +1,7 @@
 // Package leasedtasks implements the tasks that one member of the fleet carries out for all members, under a lease:
 // polling a replica for its load, and reading the version of discovery's endpoint list. Every member receives the
-// results. It passes load reports to its dispatcher as evidence, and requests its endpoint list again if that list is
-// older than the version found.
+// results. It passes load reports to its dispatcher, and requests its endpoint list again if that list is older than
+// the version found.
 //
 // Tasks is the only type with state. It holds the addresses of the ready replicas and is safe for concurrent use.
 package leasedtasks
@@ -197,7 +197,7 @@
 }
 
 // staleBeyondGrace reports whether this member's list has been older than the version found for staleListGrace. It
-// records when the list became stale, and starts this time anew after it has returned true.
+// records when the list became stale. After it has returned true, staleListGrace begins again.
 func (t *Tasks) staleBeyondGrace(foundVersion uint64) bool {
 	now := t.now()
 	t.mu.Lock()
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -47,9 +47,9 @@
 	awaited         map[string]bool
 
 	conflicts    []Conflict
-	stale        int64
-	unconfigured int64
-	changed      bool // something other than a time has changed since the last call of Changed
+	stale        int64 // number of ignored messages: see Stale
+	unconfigured int64 // number of ignored messages: see Unconfigured
+	changed      bool  // something other than a time has changed since the last call of Changed
 }
 
 // New returns a Table for the configured names, which include self. The table begins in recovery, as after a long stop.
@@ -109,8 +109,8 @@
 	}
 }
 
-// lookup returns the member that sent info, and counts a new incarnation of it. It returns nil, and counts the message
-// as ignored, if the name is not configured or the incarnation is an earlier one.
+// lookup returns the member that info describes, and counts a new incarnation of it. It returns nil, and counts the
+// message as ignored, if the name is not configured or the incarnation is an earlier one.
 func (t *Table) lookup(info MemberInfo, now time.Duration) *Member {
 	m := t.members[info.Name]
 	switch {
@@ -217,7 +217,8 @@
 	t.members[t.self].LastHeartbeat = now
 	timeout := t.suspicionTimeout()
 	t.updateSuspicion(now, timeout)
-	// Recovery ends once at least half of the active members have been heard from, or once waiting longer is of no use.
+	// Recovery ends once at least half of the active members have been heard from, or after the suspicion timeout:
+	// members that are silent until then become suspect, so that waiting longer is of no use.
 	timedOut := now-t.recoveringSince > timeout
 	if t.recovering && (timedOut || now > t.recoveringSince && t.heardFromHalf()) {
 		t.recovering = false
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -14,9 +14,9 @@
 	Conflicts  []Conflict
 }
 
-// Fresh reports whether a decision at the time now may be based on the view: the view was known to be valid no longer
-// than within ago, and the process is not recovering from its start or a long stop. Call it directly before each
-// action.
+// Fresh reports whether a decision at the time now may be based on the view: the time since the view was last known to
+// be valid is at most within, and the process is not recovering after its start or a long stop. Call it directly before
+// each action.
 func (v View) Fresh(now, within time.Duration) bool { return !v.Recovering && now-v.AsOf <= within }
 
 // ActiveMembers returns the members that work may be shared with, sorted by name.
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -18,20 +18,21 @@
 	voters      []string
 	limits      Limits
 	seq         uint64
-	nextClaim   time.Duration
+	nextClaim   time.Duration            // time of the next claim
 	pending     map[uint64]time.Duration // send times of the claims that may still be answered, by Seq
 	grants      map[string]receivedGrant // latest grant of each voter
 	inForce     Share
 	inForceSeqs map[string]uint64 // Seqs of the claims whose grants are in force, by voter
 	unconfirmed bool              // NextShare returned a share that is neither confirmed nor discarded yet
-	leaving     bool
-	leaveSent   bool
+	leaving     bool              // ReturnAll was called
+	leaveSent   bool              // Step has returned the last claim, which reports that the borrower is leaving
 }
 
+// receivedGrant is a borrower's record of a Grant.
 type receivedGrant struct {
 	seq      uint64
 	fraction float64
-	until    time.Duration
+	until    time.Duration // time at which the borrower stops using the grant, before the voter may grant it again
 }
 
 // NewBorrower returns a Borrower whose share in force is the member's part of the floor.
@@ -69,8 +70,9 @@
 }
 
 // HandleGrant applies a voter's grant. It ignores a grant for an unknown claim or another incarnation, from a voter
-// that is not configured, or larger than a slice. It also ignores a grant that arrives after a later grant of the same
-// voter: this borrower may already have reported to the voter that the later one is in force.
+// that is not configured, or with a fraction that is negative or larger than a slice. It also ignores a grant that
+// arrives after a later grant of the same voter: this borrower may already have reported to the voter that the later
+// one is in force.
 func (b *Borrower) HandleGrant(g Grant) {
 	sent, ok := b.pending[g.Seq]
 	if !ok || g.To != b.self || !slices.Contains(b.voters, g.Voter) {
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -6,7 +6,7 @@
 // to use the share must call Borrower.Confirm.
 type Share struct {
 	Fraction float64           // fraction of the quota, including the member's part of the floor
-	Until    time.Duration     // from then on only the part of the floor may be used, unless another share has come
+	Until    time.Duration     // end of the share; afterwards only the part of the floor may be used
 	seqs     map[string]uint64 // Seq of the claim of the latest grant, by voter
 }
 
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -48,7 +48,7 @@
 type simNode struct {
 	id          BorrowerID
 	up          bool
-	pausedUntil time.Duration // in simulated time
+	pausedUntil time.Duration // end of the pause, in simulated time
 	clockRate   float64
 	clockOffset time.Duration
 	demand      float64
@@ -59,6 +59,7 @@
 	nextShareAt time.Duration // when nextShare arrives at the limiter
 }
 
+// simMessage is a claim or a grant in transit.
 type simMessage struct {
 	due      time.Duration
 	from, to int
@@ -296,7 +297,7 @@
 		return
 	}
 	n.nextShare, n.nextShareAt = &share, s.now+time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
-	if s.faultInterval > 0 && s.rng.IntN(50) == 0 { // the core of the limiter is busy
+	if s.faultInterval > 0 && s.rng.IntN(50) == 0 { // the limiter is busy and applies the share late
 		n.nextShareAt += time.Duration(s.rng.Int64N(int64(2 * time.Second)))
 	}
 	if s.mutant.earlyConfirm {
--- a/internal/fleet/quota/voter.go
+++ b/internal/fleet/quota/voter.go
@@ -35,10 +35,11 @@
 	outstanding float64            // largest fraction among the grants
 }
 
+// outstandingGrant is a voter's record of a Grant that its borrower may use.
 type outstandingGrant struct {
 	seq      uint64
 	fraction float64
-	until    time.Duration
+	until    time.Duration // time at which the grant ends
 }
 
 // NewVoter returns a voter without earlier state. It grants nothing until every grant that an earlier incarnation of it
--- a/internal/fleet/subset/match_test.go
+++ b/internal/fleet/subset/match_test.go
@@ -34,7 +34,7 @@
 		sum, low, high := 0, map[float64]int{}, map[float64]int{}
 		for u, c := range capacity {
 			if sum += c; c < 0 || c > len(dispatchers) {
-				t.Fatalf("unit %d of %d dispatchers has capacity for %d", u, len(dispatchers), c)
+				t.Fatalf("unit %d, with %d dispatchers in all, has capacity for %d", u, len(dispatchers), c)
 			}
 			w := weights[u]
 			if n, ok := low[w]; !ok || c < n {
@@ -53,14 +53,14 @@
 		got := make([]int, len(units))
 		for d, matched := range match(dispatchers, units, perDispatcher, capacity, nil) {
 			if len(matched) != perDispatcher || len(slices.Compact(slices.Sorted(slices.Values(matched)))) != perDispatcher {
-				t.Fatalf("dispatcher %d has %v, not %d different ones", d, matched, perDispatcher)
+				t.Fatalf("dispatcher %d has %v, not %d different units", d, matched, perDispatcher)
 			}
 			for _, u := range matched {
 				got[u]++
 			}
 		}
 		if !slices.Equal(got, capacity) {
-			t.Fatalf("units went to %v, not %v", got, capacity)
+			t.Fatalf("units have %v dispatchers, not %v", got, capacity)
 		}
 	})
 }
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -4,11 +4,11 @@
 // all of its functions are safe for concurrent use, and so is an Assignment.
 //
 // Replicas are assigned in units that stay whole: a cell, or a part of a large cell, with prefill replicas and the
-// decode replicas that take over their state. The number of dispatchers of each unit is proportional to the unit's
-// weight, within one: capacities are rounded to whole numbers that add up, and dispatchers and units are matched by
-// their rendezvous scores, the highest first (a greedy b-matching, which is stable in the sense of Gale and Shapley
-// because both sides rank a pair alike). Most of a dispatcher's units are in its own zone. Some are in other zones, so
-// that the dispatcher still has replicas if its zone is lost.
+// decode replicas that take over their prefill results. The number of dispatchers of each unit is proportional to the
+// unit's weight, to within one: capacities are rounded to whole numbers that add up, and dispatchers and units are
+// matched by their rendezvous scores, the highest first (a greedy b-matching, which is stable in the sense of Gale and
+// Shapley because both sides rank a pair alike). Most of a dispatcher's units are in its own zone. Some are in other
+// zones, so that the dispatcher still has replicas if its zone is lost.
 package subset
 
 import (
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -140,7 +140,7 @@
 	for _, n := range countDispatchers(pairsOf(t, s)) {
 		low, high = min(low, n), max(high, n)
 	}
-	if high-low > 2 { // at most one for the units of the own zone, and one for the units of other zones
+	if high-low > 2 { // at most 1 from the matching within a zone, and 1 from the matching across zones
 		t.Errorf("replicas have %d to %d dispatchers", low, high)
 	}
 	// All replicas of a zone are replaced. Only the pairs with these replicas change, and a few other pairs that free
--- a/internal/fleet/subset/zones.go
+++ b/internal/fleet/subset/zones.go
@@ -49,8 +49,8 @@
 }
 
 // assignOtherZones assigns units of other zones to the dispatchers; missing is the number of units that each dispatcher
-// needs. Zones with different numbers of units need different numbers, so the dispatchers that need the same number are
-// matched together, one matching per number.
+// needs. This number depends on how many units the dispatcher's own zone has, so the dispatchers that need the same
+// number are matched together, one matching per number.
 func (a *Assignment) assignOtherZones(missing []int) {
 	byMissing := map[int][]int{}
 	for d, n := range missing {
--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -25,7 +25,8 @@
 	// departedMemberGrace is how long a departed member still counts. Most members return after a restart, and each
 	// change of the members changes some replicas in the subsets of the others.
 	departedMemberGrace = 10 * time.Second
-	// trafficTolerance is the change of the traffic fraction, relative to the last one, up to which the subset is kept.
+	// trafficTolerance is the largest change of the traffic fraction, relative to that of the last subset, that does
+	// not cause a new subset.
 	trafficTolerance = 0.25
 	// defaultWeight replaces a weight that is not positive, as in package routing.
 	defaultWeight = 1
--- a/internal/fleet/versionskew/detector.go
+++ b/internal/fleet/versionskew/detector.go
@@ -198,8 +198,8 @@
 	return m.State, false
 }
 
-// fence fences the members that are due, in the order of how long they have lagged, as far as MaxFencedFraction allows.
-// It fences none if at least half of the fleet lags. lagging and fenced are the numbers of lagging and fenced members
+// fence fences the members that are due as far as MaxFencedFraction allows, those that have lagged longest first. It
+// fences none if at least half of the fleet lags. lagging and fenced are the numbers of lagging and fenced members
 // before this assessment changed any state.
 func (d *Detector) fence(now time.Duration, due []*member, lagging, fenced int, a *Assessment) {
 	allowed := int(d.limits.MaxFencedFraction*float64(len(d.members))) - fenced
--- a/internal/fleet/versionskew/sim_test.go
+++ b/internal/fleet/versionskew/sim_test.go
@@ -21,7 +21,7 @@
 type mutant struct {
 	name    string
 	limits  Limits
-	reports func([]Report) []Report
+	reports func([]Report) []Report // changes the reports that the detector assesses; nil leaves them unchanged
 }
 
 // sim simulates endpoint lists that spread to members. Some members do not receive them, and one member reports a wrong
--- a/internal/hostos/hostos.go
+++ b/internal/hostos/hostos.go
@@ -21,7 +21,7 @@
 	Connect Op = "connect" // connects to a replica; faults are injected before the socket is created
 	Write   Op = "write"   // writes to a file
 	Sync    Op = "sync"    // syncs a file or a folder to disk
-	Rename  Op = "rename"
+	Rename  Op = "rename"  // renames a file
 )
 
 // System provides the wall clock and injects faults into system calls. It is safe for concurrent use.
--- a/internal/state/atomicfile/atomicfile.go
+++ b/internal/state/atomicfile/atomicfile.go
@@ -33,6 +33,7 @@
 )
 
 const (
+	// Replace attempts to lock the temporary file up to lockAttempts times, at intervals of lockRetryInterval.
 	lockAttempts      = 20
 	lockRetryInterval = 5 * time.Millisecond
 	fileMode          = 0o600
--- a/internal/state/inflight/claim.go
+++ b/internal/state/inflight/claim.go
@@ -12,14 +12,14 @@
 // Kind says what a name identifies. Its value is the prefix of the name of the marker file.
 type Kind string
 
-// The kinds. A request is free once its process has ended. An idempotency key stays claimed then, since it may have
-// run.
+// The kinds. The name of a request is free once the process that held it has ended. An idempotency key then stays
+// claimed for its retention, since its request may have run.
 const (
 	Request        Kind = "id-"
 	IdempotencyKey Kind = "key-"
 )
 
-// Claim is the result of claiming a name among the processes.
+// Claim is the result of claiming a name among the processes that share the folder.
 type Claim uint8
 
 // The results.
--- a/internal/state/inflight/table.go
+++ b/internal/state/inflight/table.go
@@ -44,7 +44,7 @@
 	lock      *os.File      // lock file in ownDir, locked until the process ends
 	timeout   time.Duration // maximum time of a lookup: folderTimeout, longer in tests on busy machines
 	lookups   chan struct{} // holds one element for each lookup in the folder that has not returned
-	failures  atomic.Int64  // failed or timed-out operations on the folder
+	failures  atomic.Int64  // number of failed or timed-out operations on the folder
 
 	published bool // readyFile exists; used only by Start and the goroutine of Run
 
@@ -59,8 +59,8 @@
 }
 
 const (
-	peerPollInterval  = 200 * time.Millisecond // time between two checks which peers are running
-	readyPollInterval = peerPollInterval / 4   // time between two checks whether peers are ready
+	peerPollInterval  = 200 * time.Millisecond // time between two checks for running peers
+	readyPollInterval = peerPollInterval / 4   // time between two checks for peers that are not ready
 	// peerWaitTimeout is how long a process that starts waits for peers to publish; a stopped peer (SIGSTOP) never
 	// does.
 	peerWaitTimeout = 2 * time.Second
@@ -73,8 +73,8 @@
 	lockFile  = "lock"
 	readyFile = "shown" // exists while the process publishes every name that it has in flight
 
-	sharedDirHashBytes = 8
-	startTimeBase      = 36
+	sharedDirHashBytes = 8  // number of bytes of the name's hash in the name of the shared folder
+	startTimeBase      = 36 // number base of the start time in the name of the process's own folder
 	folderMode         = 0o700
 	fileMode           = 0o600
 )
@@ -182,8 +182,7 @@
 	}
 }
 
-// refresh counts the peers, synchronizes the markers of the names that takePending returns, and creates or removes the
-// ready file.
+// refresh counts the peers, synchronizes the markers that takePending returns, and creates or removes the ready file.
 func (t *Table) refresh() {
 	peers, err := t.countPeers()
 	if err == nil && peers.alive == 0 && t.published {
@@ -197,8 +196,8 @@
 		return
 	}
 	changed := t.takePending(peers)
-	for _, name := range changed {
-		t.syncMarker(name)
+	for _, file := range changed {
+		t.syncMarker(file)
 	}
 	if peers.alive > 0 && !t.published {
 		if err := os.WriteFile(filepath.Join(t.ownDir, readyFile), nil, fileMode); err != nil {
@@ -210,39 +209,39 @@
 	}
 }
 
-// takePending forgets idempotency keys whose retention has ended, records which peers exist, and returns the names
-// whose markers have to be synchronized: names that changed, and all held names if the first peer came or the last peer
-// went.
+// takePending forgets idempotency keys whose retention has ended, records whether there are peers, and returns the
+// names of the marker files that have to be synchronized: those of names that changed, and of all held names if the
+// first peer came or the last peer went.
 func (t *Table) takePending(peers peerCount) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for name, at := range t.held {
-		if t.mayHaveRun[name] && time.Since(at) >= t.retention {
-			delete(t.held, name)
-			delete(t.mayHaveRun, name)
-			t.pendingSync = append(t.pendingSync, name)
+	for file, at := range t.held {
+		if t.mayHaveRun[file] && time.Since(at) >= t.retention {
+			delete(t.held, file)
+			delete(t.mayHaveRun, file)
+			t.pendingSync = append(t.pendingSync, file)
 		}
 	}
-	names := t.pendingSync
+	files := t.pendingSync
 	t.pendingSync = nil
 	if t.hasPeers != (peers.alive > 0) {
-		for name := range t.held {
-			names = append(names, name)
+		for file := range t.held {
+			files = append(files, file)
 		}
 	}
 	t.hasPeers, t.hasEndedPeers = peers.alive > 0, peers.ended > 0
-	return names
+	return files
 }
 
-// syncMarker writes a name's marker if this process holds the name and has peers, and removes the marker otherwise.
-func (t *Table) syncMarker(name string) error {
+// syncMarker writes a name's marker file if this process holds the name and has peers, and removes the file otherwise.
+func (t *Table) syncMarker(file string) error {
 	t.syncMu.Lock()
 	defer t.syncMu.Unlock()
 	t.mu.Lock()
-	acquiredAt, held := t.held[name]
-	mayHaveRun, hasPeers := t.mayHaveRun[name], t.hasPeers
+	acquiredAt, held := t.held[file]
+	mayHaveRun, hasPeers := t.mayHaveRun[file], t.hasPeers
 	t.mu.Unlock()
-	path := filepath.Join(t.ownDir, name)
+	path := filepath.Join(t.ownDir, file)
 	var err error
 	if held && hasPeers {
 		err = t.writeMarker(path, acquiredAt, mayHaveRun)
@@ -260,18 +259,18 @@
 func (t *Table) shutdown() {
 	t.mu.Lock()
 	t.hasPeers = true // makes syncMarker write markers
-	names, hasKeys := t.pendingSync, false
-	for name := range t.held {
-		names = append(names, name)
-		if strings.HasPrefix(name, string(IdempotencyKey)) {
+	files, hasKeys := t.pendingSync, false
+	for file := range t.held {
+		files = append(files, file)
+		if strings.HasPrefix(file, string(IdempotencyKey)) {
 			hasKeys = true
 		} else {
-			delete(t.held, name)
+			delete(t.held, file)
 		}
 	}
 	t.mu.Unlock()
-	for _, name := range names {
-		t.syncMarker(name)
+	for _, file := range files {
+		t.syncMarker(file)
 	}
 	if !hasKeys {
 		os.RemoveAll(t.ownDir)
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -36,7 +36,8 @@
 const (
 	// MaxBytes is the maximum size of a snapshot file.
 	MaxBytes = 4 << 20
-	// MaxPrefixes is the maximum number of prefix entries in a snapshot file.
+	// MaxPrefixes is the maximum number of prefix entries in a snapshot file. The code that takes the snapshot must
+	// apply it.
 	MaxPrefixes = 10_000
 
 	// requestPollInterval is the time between two checks for a request of another process.
--- a/internal/state/verify.go
+++ b/internal/state/verify.go
@@ -21,7 +21,7 @@
 	offsetOverflow = 12
 
 	// A meta page's header is followed by magic 4, version 4, page size 4, flags 4, root bucket 16, freelist 8, high
-	// water mark 8, transaction 8, checksum 8 bytes.
+	// water mark 8, transaction 8, checksum 8 bytes. The offsets are counted from the end of the header.
 	metaSize            = 64
 	offsetVersion       = 4
 	offsetPageSize      = 8
@@ -37,21 +37,21 @@
 	// bucketHeaderSize is the size of the header before a nested bucket's inline page: root page 8, sequence 8 bytes.
 	bucketHeaderSize = 16
 
-	flagBranch = 0x01
-	flagLeaf   = 0x02
-	flagMeta   = 0x04
-	flagFree   = 0x10
+	flagBranch   = 0x01
+	flagLeaf     = 0x02
+	flagMeta     = 0x04
+	flagFreelist = 0x10
 
 	flagBucketElement = 0x01 // marks a leaf element whose value is a nested bucket
 
 	noFreelist           = ^uint64(0) // value of the freelist field if the file stores no list of free pages
-	freelistCountInBody  = 0xFFFF     // value of the header's count if the list's first number is the actual count
+	freelistCountInBody  = 0xFFFF     // the 16-bit count is too small; the list's first number is the count
 	freePageIDSize       = 8
 	metaPages            = 2             // pages 0 and 1
 	minPages             = metaPages + 2 // meta pages, a root and a list of free pages
 	minPageSize          = 1 << 10
 	maxPageSize          = 1 << 16
-	maxDepth             = 32
+	maxDepth             = 32 // levels of the B+ tree, including nested buckets
 	freelistErrorSubject = "the list of free pages"
 )
 
@@ -78,8 +78,8 @@
 
 // verifyFile checks that a bbolt file is intact: both meta pages, which must be one transaction apart, and every page
 // that the newer meta page refers to. Both meta pages must be valid: if only the older one is, bbolt would revert to it
-// and lose the last synced transaction. A crash while a meta page is written leaves either the old or the new one
-// valid, since a meta page lies within one sector.
+// and lose the last synced transaction. A crash while a meta page is written does not make it invalid: it lies within
+// one sector, so it has either its old or its new content.
 func verifyFile(file io.ReaderAt, size int64) error {
 	first, err := readMetaPage(file, 0)
 	if err != nil {
@@ -295,7 +295,7 @@
 	if err != nil {
 		return err
 	}
-	if binary.LittleEndian.Uint16(page[offsetFlags:]) != flagFree {
+	if binary.LittleEndian.Uint16(page[offsetFlags:]) != flagFreelist {
 		return corruptAt(freelistErrorSubject, "is none")
 	}
 	count, ids := uint64(binary.LittleEndian.Uint16(page[offsetCount:])), page[pageHeaderSize:]
