--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -36,8 +36,8 @@
 	machine  hostos.System
 	failures atomic.Int64
 
-	// failingSince is when the accepts began to fail that may have delayed the connections accepted now. It is zero if
-	// no accept failed, or once a connection was accepted that had not waited in the backlog.
+	// failingSince is when accepts began to fail; connections that are accepted now may have waited in the backlog
+	// since then. It is zero if no accept failed, or once a connection was accepted that had not waited in the backlog.
 	failingSince time.Time
 }
 
--- a/internal/chatapi/exchange.go
+++ b/internal/chatapi/exchange.go
@@ -73,7 +73,7 @@
 	return x, nil
 }
 
-// classTimeout returns the time that a class allows for a prompt of the given length: the class's hard limit, extended
+// classTimeout returns the time that a class allows for a prompt of the given length: the class's DeadlineMs, extended
 // by deadlineGrowthFactor times the growth of its latency objective with the prompt's length.
 func (h *Handler) classTimeout(class, promptTokens int) time.Duration {
 	return config.FromMS(h.settings.Classes[class].DeadlineMs) +
--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -1,6 +1,6 @@
-// Package chatapi is the second frontend, which implements OpenAI's chat completions API over HTTP. It streams answers
-// as server-sent events or returns them as one JSON object. It uses the same dispatcher as the platform's frontend and
-// follows the same rules.
+// Package chatapi is the chat frontend, which implements OpenAI's chat completions API over HTTP. It streams answers as
+// server-sent events or returns them as one JSON object. It uses the same dispatcher as the platform's frontend,
+// package frontend, so the same rules apply to the attempts of a request.
 //
 // The API's objects have the names that OpenAI uses, see https://platform.openai.com/docs/api-reference/chat. Requests
 // of classes that are not idempotent need an Idempotency-Key header, as in the IETF draft "The Idempotency-Key HTTP
--- a/internal/chatapi/idempotency.go
+++ b/internal/chatapi/idempotency.go
@@ -9,7 +9,8 @@
 
 const (
 	maxKeyLength = 255 // limit of the length of an Idempotency-Key in bytes
-	// keyRetrySeconds is the Retry-After time for a request whose key cannot be decided on yet.
+	// keyRetrySeconds is the Retry-After time for a request that cannot run or be answered yet: the first attempt of
+	// its key is in flight, its key cannot be decided on, or the key table is full.
 	keyRetrySeconds = 1.0
 )
 
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -23,8 +23,8 @@
 // IdempotencyStore decides which attempt may run for a key, across all dispatchers and across restarts of this one. Its
 // methods may be called from any goroutine. Only Claim blocks, for less than a second.
 type IdempotencyStore interface {
-	// Claim requests permission to run the first attempt of a key, which takes at most maxDuration. If the vote is
-	// VoteAnswered, the returned bytes are the stored answer.
+	// Claim requests permission to run the first attempt of a key; the attempt takes at most maxDuration. If the vote
+	// is VoteAnswered, the returned bytes are the stored answer.
 	Claim(key string, body []byte, maxDuration time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt)
 	// RecordResult records that an attempt ended, with its answer, or with nil if it may have run and its answer is
 	// not known.
--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -8,10 +8,10 @@
 )
 
 // keyTable records the idempotency keys that this process has received, so that a request whose first attempt may have
-// run is never run again. A key is removed when its first attempt certainly never ran, or after its retention time. A
-// full table accepts no new key, since removing one early could let its request run twice. The table belongs to one
-// process: a restarted process or another dispatcher does not have its keys, unless there is an IdempotencyStore. Its
-// methods may be called from any goroutine.
+// run is never run again. A key is removed when its first attempt certainly never ran in this process, or after its
+// retention time. A full table accepts no new key, since removing one early could let its request run twice. The table
+// belongs to one process: a restarted process or another dispatcher does not have its keys, unless there is an
+// IdempotencyStore. Its methods may be called from any goroutine.
 type keyTable struct {
 	mu        sync.Mutex
 	capacity  int
@@ -81,8 +81,8 @@
 	}
 }
 
-// finish records that a first attempt ended that may have run. The completion is nil if the complete answer is not
-// known.
+// finish records that the first attempt of a key, which may have run, has ended. The completion is nil if the complete
+// answer is not known.
 func (t *keyTable) finish(key string, completion *chatCompletion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +91,8 @@
 	}
 }
 
-// release removes the key of a first attempt that certainly never ran.
+// release removes a key whose first attempt certainly never ran in this process: the attempt was not executed by a
+// replica, or the peer processes or the store did not grant the key.
 func (t *keyTable) release(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/chatapi/request.go
+++ b/internal/chatapi/request.go
@@ -23,7 +23,8 @@
 )
 
 // chatCompletionRequest holds the fields of OpenAI's request body that this package uses. All other fields are
-// forwarded to the replicas unchanged.
+// forwarded to the replicas unchanged. encoding/json ignores the case of the tags here when it decodes, but writes them
+// into the error texts that clients receive.
 type chatCompletionRequest struct {
 	Model               string        `json:"Model"`
 	Messages            []message     `json:"Messages"`
@@ -126,8 +127,8 @@
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, fmt.Errorf("the body is no chat request: %w", err)
 	}
-	// encoding/json and the replicas ignore the case of field names, so that a name in another case would be read as
-	// the same field.
+	// encoding/json and the replicas ignore the case of field names. A field whose name has another case would be read
+	// as the same field and could override the value that is set here.
 	for name := range fields {
 		if lower := strings.ToLower(name); lower != name && (lower == streamKey || lower == streamOptionsKey) {
 			delete(fields, name)
--- a/internal/chatapi/stored_test.go
+++ b/internal/chatapi/stored_test.go
@@ -12,8 +12,7 @@
 	"rampspread/internal/fleet/idempotency"
 )
 
-// memoryStore is an IdempotencyStore that rejects every claim with the last answer passed to
-// RecordResult.
+// memoryStore is an IdempotencyStore that rejects every claim with the last answer passed to RecordResult.
 type memoryStore struct{ answer []byte }
 
 func (m *memoryStore) Claim(string, []byte, time.Duration) (idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt) {
@@ -22,7 +21,7 @@
 func (m *memoryStore) RecordResult(_ string, _ idempotency.Attempt, answer []byte) { m.answer = answer }
 func (m *memoryStore) Withdraw(string, idempotency.Attempt)                        {}
 
-// Stored answers are read by other versions of the program, so that their format must not change.
+// Stored answers are read by other versions of the program, so their format must not change.
 func TestGoldenStoredAnswer(t *testing.T) {
 	text, err := os.ReadFile("testdata/stored.golden")
 	if err != nil {
--- a/internal/chatapi/stream.go
+++ b/internal/chatapi/stream.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxEventBytes      = 256 << 10
-	initialEventBuffer = 4 << 10
+	maxEventBytes      = 256 << 10 // limit of one line of a replica's stream
+	initialEventBuffer = 4 << 10   // bytes
 	// writeTimeout limits one write to a client. A client that reads nothing for that long has stalled.
 	writeTimeout = 10 * time.Second
 
--- a/internal/connlimit/clientconn.go
+++ b/internal/connlimit/clientconn.go
@@ -182,9 +182,9 @@
 	c.betweenRequests = true
 }
 
-// recordRequestComplete records that the bytes read so far contain no incomplete request. It returns false if the
-// client has closed the connection. It polls the socket for that, since a process that was suspended reads the client's
-// close only after the request.
+// recordRequestComplete records that no further bytes of the current request are expected. It polls the socket and
+// returns false if the client has closed the connection: a process that was suspended would otherwise read the client's
+// close only after it has accepted the request.
 func (c *clientConn) recordRequestComplete() bool {
 	gone := c.clientGone()
 	c.mu.Lock()
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -216,7 +216,7 @@
 }
 
 // The count of lingering connections must return to zero, even if many connections exceed the limit while others end. A
-// drain waits until the count is zero, so that a count that is too high would hold it up.
+// drain waits until the count is zero, so a count that is too high would delay it.
 func TestLingeringIsCountedOnce(t *testing.T) {
 	l := NewLimiter(nil, nil, new(Lifecycle), nil)
 	l.maxLingering.Store(2)
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -107,7 +107,7 @@
 func (c *trackedConn) recordAnswered() {
 	if c.client != nil {
 		if c.state != connHandling {
-			c.client.recordRequestComplete() // the request was answered before it was read completely
+			c.client.recordRequestComplete() // answered before it was read completely; the rest is not expected any more
 		}
 		c.client.endRequest()
 	}
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -102,8 +102,8 @@
 		entered <- true
 		<-finish
 	})
-	promise := dial(t, s)
-	io.WriteString(promise, "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n")
+	announced := dial(t, s)
+	io.WriteString(announced, "POST / HTTP/1.1\r\nHost: b\r\nContent-Length: 9\r\n\r\n")
 	firstStatus := make(chan int)
 	go func() {
 		resp, err := http.Post(s.URL, "", strings.NewReader("12345678"))
@@ -139,7 +139,7 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			// A replacement process may share the address, so that a 503 here would remove both from the load balancer.
+			// A replacement process may share the address, so a 503 here would remove both from the load balancer.
 			if resp.Close != want || resp.StatusCode != 200 {
 				t.Errorf("stopping %t, %s: status %d, close %t", want, path, resp.StatusCode, resp.Close)
 			}
--- a/internal/discovery/api.go
+++ b/internal/discovery/api.go
@@ -75,6 +75,6 @@
 	return resp.Body, nil
 }
 
-// causeOr returns the cause of the context's end if it has ended, and else err. The cause is more informative than the
-// error that results from the end.
+// causeOr returns the cause of the context's end if the context has ended, and err otherwise. The cause is more
+// informative than the error that results from the end.
 func causeOr(ctx context.Context, err error) error { return cmp.Or(context.Cause(ctx), err) }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -27,13 +27,13 @@
 	// counts as notified of the change 6 s after the watch fell silent.
 	//
 	// An agent, which is a process on the dispatcher's machine that gets the lists from discovery and pushes them, can
-	// itself lose discovery. It receives the changes that it missed when discovery is back, and the dispatcher counts
-	// as notified of them from that moment on.
+	// itself lose discovery. When discovery is back, the agent receives the changes that it missed, and the dispatcher
+	// counts as notified of them from that moment on.
 	silenceTimeout = 2500 * time.Millisecond
 
-	dialTimeout = time.Second
+	dialTimeout = time.Second // limit for connecting to discovery
 
-	// agentBackoffDivisor is the divisor of the drain deadline that gives the backoff if discovery is a local agent.
+	// agentBackoffDivisor sets the backoff if discovery is a local agent: the drain deadline divided by it.
 	agentBackoffDivisor = 10
 )
 
--- a/internal/frontend/chunked_body_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -90,7 +90,7 @@
 		conn.Close()
 	}
 	if total, _ := deployment.Prefill.Calls(); total != 1 {
-		t.Errorf("%d sends, want the whole request's only", total)
+		t.Errorf("%d prefill calls, want only that of the complete request", total)
 	}
 }
 
@@ -111,6 +111,6 @@
 		t.Errorf("%v, %v", resp, err)
 	}
 	if total, _ := deployment.Prefill.Calls(); total != 0 {
-		t.Errorf("%d sends", total)
+		t.Errorf("%d prefill calls, want none", total)
 	}
 }
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -31,8 +31,8 @@
 	return l.Listener.Accept()
 }
 
-// The time that a request waits in the backlog while accepts fail counts against its deadline, so that the replica must
-// be given a deadline that is shorter by that time. It does not count for a request whose last bytes are sent later.
+// The time that a request waits in the backlog while accepts fail counts against its deadline, so the replica must be
+// given a deadline that is shorter by that time. It does not count for a request whose last bytes are sent later.
 func TestDeadlineCountsTheTimeInTheBacklog(t *testing.T) {
 	const stall, timeout = 400 * time.Millisecond, time.Second
 	deployment := testutil.NewDeployment(t, testutil.ServePrefill, testutil.ServeDecode("alpha"))
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -186,7 +186,7 @@
 		}
 	}
 	if total, _ := deployment.Prefill.Calls(); total != 0 || handler.Malformed() != int64(len(cases)) {
-		t.Errorf("%d sends, %d counted of %d", total, handler.Malformed(), len(cases))
+		t.Errorf("%d prefill calls, %d of %d requests counted as malformed", total, handler.Malformed(), len(cases))
 	}
 	if resp, _, err := doRequest(t, newRequest(t, url, nil)); resp.StatusCode != 200 || err != nil {
 		t.Errorf("a good request after them: status %d, %v", resp.StatusCode, err)
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -28,11 +28,12 @@
 	// answerMargin is the time from a request's deadline in the dispatcher to the moment at which the client gives up,
 	// so that the answer arrives in time.
 	answerMargin = 25 * time.Millisecond
-	// maxMarginDivisor limits the margin to the client's time divided by maxMarginDivisor.
-	maxMarginDivisor   = 4
-	maxExpiry          = time.Hour
-	maxRequestIDLength = 64
-	maxTokenCount      = 1e9
+	// answerMarginDivisor shortens the margin for a client that gives up soon: the margin is at most the time until the
+	// client gives up, divided by answerMarginDivisor.
+	answerMarginDivisor = 4
+	maxExpiry           = time.Hour // longest time until a client gives up
+	maxRequestIDLength  = 64        // bytes
+	maxTokenCount       = 1e9       // limit of each number of tokens in X-Props
 )
 
 // requestError is the reason why a request is malformed and the HTTP status of the answer. Its text is sent to clients.
@@ -94,7 +95,7 @@
 	if err != nil {
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Expires-In: %w", err)
 	}
-	req.Deadline = arrivedAt.Add(expiry - min(answerMargin, expiry/maxMarginDivisor))
+	req.Deadline = arrivedAt.Add(expiry - min(answerMargin, expiry/answerMarginDivisor))
 	if err := parseProperties(&req, header.Get(headerProperties)); err != nil {
 		return dispatch.Request{}, malformedRequest(http.StatusBadRequest, "X-Props: %w", err)
 	}
--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -18,7 +18,7 @@
 // Member is one server that a file names.
 type Member struct {
 	Name     string // unique within the file
-	Balancer string
+	Balancer string // name of its balancer, or its own name if mod_jk's worker.list names it directly
 	Addr     string // host and port
 	Weight   float64
 	Draining bool // accepts no new requests
--- a/internal/importer/modjk.go
+++ b/internal/importer/modjk.go
@@ -55,6 +55,8 @@
 	return members, nil
 }
 
+// parseProperties reads lines of the form NAME=VALUE. If worker.list or a balance_workers property is given several
+// times, its values are joined; for any other property the last value counts.
 func parseProperties(lines []logicalLine) (workerProperties, error) {
 	properties := workerProperties{}
 	for _, line := range lines {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -40,7 +40,7 @@
 	client      *Client
 	spec        dispatch.AttemptSpec
 	deadline    time.Time // deadline of the whole attempt
-	dedupExpiry time.Time // time until which replicas drop repeats; used only with spec.MayHaveRun
+	dedupExpiry time.Time // time until which replicas discard a repeated call; used only with spec.MayHaveRun
 	ctx         context.Context
 	cancel      context.CancelFunc
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,8 +10,8 @@
 
 // reuseDelay is the least time for which a connection is idle before its next call, and the limit for how long it may
 // then take to be ready for the call. Bytes after the end of a response may arrive some milliseconds late, according to
-// the operators' page on the full fleet. A goroutine of the Transport reads them, which runs at once unless the machine
-// is busy.
+// the operators' page on the full fleet. A goroutine of the Transport reads them; it runs at once unless the machine is
+// busy.
 const reuseDelay = 20 * time.Millisecond
 
 var (
@@ -23,7 +23,7 @@
 // to the next call. The Transport drops an idle connection on which it sees such bytes, but not if a call takes the
 // connection at that moment.
 //
-// conn also checks with the attempt that uses it whether the attempt's first byte may be written.
+// conn also asks the attempt that uses it whether the attempt's first byte may be written.
 type conn struct {
 	net.Conn
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -66,7 +66,7 @@
 	request            requestState
 	response           responseState
 	connUnusable       bool          // the connection could not be used for the request, and nothing was written to it
-	idleTime           time.Duration // of the connection before the exchange, or newConnIdleTime
+	idleTime           time.Duration // how long the connection was idle before the exchange, or newConnIdleTime
 	informationalHeads int           // number of complete 1xx heads received
 	headTimer          *time.Timer   // cancels the attempt headTimeout after the response's first byte
 	headTimerStopped   bool          // stopHeadTimer was called, so headTimer must not be started again
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,7 +14,7 @@
 const (
 	loadHeader         = "Endpoint-Load-Metrics"
 	neverRanHeader     = "X-Never-Ran"           // "1" proves that no part of the call ran
-	loadLinePrefix     = ": " + loadHeader + ":" // starts a comment of a stream that holds a load report
+	loadLinePrefix     = ": " + loadHeader + ":" // starts a comment line with a load report in a stream
 	loadReportPrefix   = "TEXT "
 	maxLoadReportValue = 1e9
 )
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	firstEventTimeout = time.Second             // from the head to the end of the first event
+	firstEventTimeout = time.Second             // limit from the head to the end of the first event
 	eventTimeout      = 3500 * time.Millisecond // a stream without a complete event for this long is aborted
-	tailSize          = 2 << 10                 // last bytes of a stream, kept for the usage and the load report
+	tailSize          = 2 << 10                 // number of a stream's last bytes kept for the usage and the load report
 )
 
 // stream implements dispatch.Stream over a replica's response. It passes on only complete events, byte for byte. A
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -38,11 +38,11 @@
 )
 
 const (
-	sharedSnapshotKey = "all" // key of the only snapshot, which all proxies receive
-	connectTimeout    = 250 * time.Millisecond
-	maxStreams        = 1024 // concurrent streams on one connection
+	sharedSnapshotKey = "all"                  // key of the only snapshot, which all proxies receive
+	connectTimeout    = 250 * time.Millisecond // limit for a proxy's connection to an endpoint
+	maxStreams        = 1024                   // concurrent streams on one connection
 	// weightScale converts the relative weights of an endpoint list into the integers that xDS requires. It keeps two
-	// decimal places.
+	// decimal places. The converted weights are limited to the range from minWeight to maxWeight.
 	weightScale = 100
 	minWeight   = 1
 	maxWeight   = 1e6
