--- a/deploy/sites/sites_test.go
+++ b/deploy/sites/sites_test.go
@@ -1,5 +1,6 @@
-// Package sites holds the variants of the kit's deployments on which the program is tested, as files of the values in
-// which they differ.
+// Package sites holds variants of deployments on which the program is tested. The operators' kit provides the
+// deployments: a site file each, and the files real.json, wire.json and unlock.txt beside it. A variant is a file with
+// the values in which it differs from a site file.
 package sites
 
 import (
@@ -32,8 +33,8 @@
 name = "k"
 `
 
-// runLayScript runs lay.sh with the values on a kit of its own. It returns the site file that the script made, its
-// standard error, and whether it succeeded.
+// runLayScript runs lay.sh with the values on a temporary kit that consists of the named files. It returns the site
+// file that the script made, its standard error, and whether it succeeded.
 func runLayScript(t *testing.T, values string, kitFiles ...string) (result, stderr string, ok bool) {
 	t.Helper()
 	dir, temp := t.TempDir(), t.TempDir()
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -22,7 +22,7 @@
 	return pages
 }
 
-// currentPages lists the pages that follow the code as it is now.
+// currentPages lists the pages that must agree with the present code.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	pages := slices.DeleteFunc(allPages(t), func(page string) bool { return slices.Contains(historyPages, page) })
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// listVersion is the one version of the endpoint list.
+	// listVersion is the version of the endpoint list, which never changes.
 	listVersion = "1"
 	// watchKeepalive is the interval between the empty lines of a watch.
 	watchKeepalive = 2 * time.Second
--- a/internal/faultbench/addresses.go
+++ b/internal/faultbench/addresses.go
@@ -59,7 +59,7 @@
 func (a *addresses) chat(d int) string   { return a.address(listenSubnet, d+1, chatPort) }
 func (a *addresses) admin(d int) string  { return a.address(listenSubnet, d+1, adminPort) }
 
-// discovery returns the address with index i of the two that a dispatcher's discovery has.
+// discovery returns address i, 0 or 1, of the two at which dispatcher d reaches discovery.
 func (a *addresses) discovery(d, i int) string {
 	return a.address(discoverySubnet, d+1, discoveryPort+i)
 }
@@ -69,7 +69,7 @@
 	return a.address(firstReplicaSubnet+r%replicaSubnets, d+1, replicaPort+r/replicaSubnets)
 }
 
-// peerListen returns the address at which a dispatcher listens for peers and from which it sends. peerRelay returns the
-// address of the relay through which its peers reach it.
+// peerListen returns the address at which dispatcher d listens for its peers and from which it sends to them. peerRelay
+// returns the address of the relay through which its peers reach it.
 func (a *addresses) peerListen(d int) string { return a.address(peerSubnet, d+1, peerPort) }
 func (a *addresses) peerRelay(d int) string  { return a.address(relaySubnet, d+1, peerPort) }
--- a/internal/faultbench/bench_test.go
+++ b/internal/faultbench/bench_test.go
@@ -36,8 +36,8 @@
 	os.Exit(code)
 }
 
-// shortScenario returns a built-in scenario cut to its first seconds. Its faults begin earlier by shift and last at
-// most 3 s; faults that would end after the cut are dropped.
+// shortScenario returns a built-in scenario cut to its first seconds. Its faults begin shift seconds earlier and last
+// at most 3 s; faults that would end after the cut are dropped.
 func shortScenario(t *testing.T, name string, seconds, shift float64) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -97,8 +97,8 @@
 	}
 }
 
-// checkLastLine checks that the last line of a printed report is a JSON object with these keys, and returns all its
-// text.
+// checkLastLine checks that the last line of a printed report is a JSON object with these keys, and returns the whole
+// printed text.
 func checkLastLine(t *testing.T, report interface{ Print(io.Writer) error }, keys ...string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -147,14 +147,14 @@
 func TestRecovery(t *testing.T) {
 	ones := slices.Repeat([]float64{1}, 20)
 	for _, c := range []struct {
-		low  []int
+		low  []int   // indexes of the windows in which the served share is 0.9 instead of 1
 		want float64 // seconds, or -1 if the level is not reached
 	}{{nil, 0}, {[]int{10, 11}, 2}, {[]int{10, 13}, 4}, {[]int{10, 13, 16, 18}, -1}} {
-		per := slices.Clone(ones)
+		perSecond := slices.Clone(ones)
 		for _, i := range c.low {
-			per[i] = 0.9
+			perSecond[i] = 0.9
 		}
-		got := recovery(per, ones, ones, 8, 10*time.Second)
+		got := recovery(perSecond, ones, ones, 8, 10*time.Second)
 		if c.want < 0 && got != nil || c.want >= 0 && (got == nil || *got != c.want) {
 			t.Errorf("%v: %v, want %v", c.low, got, c.want)
 		}
--- a/internal/faultbench/deployment/class.go
+++ b/internal/faultbench/deployment/class.go
@@ -27,7 +27,7 @@
 	SessionShare  float64 // fraction of the sessions
 	Weight        float64 // value of a request relative to its work
 	Effect        string
-	Repeatable    bool // clients repeat it after any failure
+	Repeatable    bool // clients retry it after any failure
 	TTFTObjective time.Duration
 	Deadline      time.Duration
 	TokenInterval time.Duration // objective for the time between tokens
--- a/internal/faultbench/deployment/request.go
+++ b/internal/faultbench/deployment/request.go
@@ -33,8 +33,8 @@
 	Prefix       string // ID of the prompt prefix that sessions share, or "" for none
 	PrefixTokens int
 	PromptTokens int
-	OutputTokens int // length of the answer, which clients don't announce
-	Timeout      time.Duration
+	OutputTokens int           // length of the answer, which clients don't announce
+	Timeout      time.Duration // time that the client allows for an attempt
 	Body         string
 }
 
@@ -60,10 +60,10 @@
 	minOutputTokens      = 8
 	sharedPrefixFraction = 0.8 // fraction of the sessions that share a prefix
 	sharedPrefixes       = 24
-	prefixSkew           = 2 // exponent that makes some prefixes much more common than others
-	minTurnTokens        = 100
-	minTurnInterval      = 1.5
-	meanExtraInterval    = 3
+	prefixSkew           = 2   // exponent that makes some prefixes much more common than others
+	minTurnTokens        = 100 // minimum number of tokens that a turn adds to the prompt
+	minTurnInterval      = 1.5 // minimum time between two turns
+	meanExtraInterval    = 3   // mean of the random time that is added to minTurnInterval
 )
 
 // DrawRequests draws a scenario's requests, without retries, in order of arrival. Sessions begin at random times, and
@@ -94,7 +94,8 @@
 	return c
 }
 
-// drawSession draws the requests of a session that begins at a time. It omits requests outside the scenario's duration.
+// drawSession draws the requests of a session that begins at the given time. It omits requests outside the scenario's
+// duration.
 func drawSession(rng *rand.Rand, s *scenario.Scenario, c *Class, at float64) (out []*Request) {
 	session := strconv.FormatUint(rng.Uint64(), 16)
 	prefix, prefixTokens := "", 0
--- a/internal/faultbench/deployment/rules.go
+++ b/internal/faultbench/deployment/rules.go
@@ -6,9 +6,9 @@
 	"rampspread/internal/faultbench/history"
 )
 
-// Parameters of the rules that are equal in all deployments.
+// Those parameters of the rules that are equal in all deployments.
 const (
-	// InitialCapacity is the fraction of its capacity that a replica has at a cold start.
+	// InitialCapacity is the fraction of its capacity that a replica has at the beginning of its slow start.
 	InitialCapacity = 0.34
 	// OverloadMultiple is the multiple of its capacity, over OverloadWindow, that overloads a replica in slow start.
 	OverloadMultiple = 2.5
--- a/internal/faultbench/discovery/faults.go
+++ b/internal/faultbench/discovery/faults.go
@@ -78,8 +78,9 @@
 	d.movedAt[dispatcher] = time.Now()
 }
 
-// Open makes one of a dispatcher's two addresses accept new connections.
+// Open makes one of the two addresses at which a dispatcher is served accept new connections.
 func (d *Server) Open(dispatcher, address int) { d.listeners[dispatcher][address].SetDown(false) }
 
-// Refuse makes one of a dispatcher's two addresses refuse new connections. Open connections stay open.
+// Refuse makes one of the two addresses at which a dispatcher is served refuse new connections. Open connections stay
+// open.
 func (d *Server) Refuse(dispatcher, address int) { d.listeners[dispatcher][address].SetDown(true) }
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -27,10 +27,10 @@
 	StartedAtMS int64   `json:"startedAtMs"`
 }
 
-// List is the message that contains the endpoint list, or its changes after a version.
+// List is the message that contains the full endpoint list, or its changes after a version.
 type List struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // the message contains the whole list
+	Reset      bool       `json:"reset"` // the message contains the full list
 	Instances  []Endpoint `json:"instances"`
 }
 
@@ -62,7 +62,7 @@
 	return s
 }
 
-// fullList returns the whole list for a dispatcher. The caller must hold mu.
+// fullList returns the full list for a dispatcher. The caller must hold mu.
 func (d *Server) fullList(s snapshot, dispatcher int) List {
 	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Reset: true, Instances: []Endpoint{}}
@@ -143,7 +143,7 @@
 	}
 }
 
-// handleRequest sends the whole list as soon as discovery is not silent.
+// handleRequest sends the full list as soon as discovery is not silent.
 func (d *Server) handleRequest(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
@@ -165,7 +165,7 @@
 }
 
 // handleWatch sends the changes after a version, and empty lines as keep-alives, until the caller disconnects. If the
-// version is 0, it sends the whole list first. A watch that SilenceWatches has silenced stays open but sends nothing
+// version is 0, it sends the full list first. A watch that SilenceWatches has silenced stays open but sends nothing
 // more.
 func (d *Server) handleWatch(w http.ResponseWriter, r *http.Request, version uint64, dispatcher int) {
 	silenced := d.recordWatchOpened(dispatcher)
--- a/internal/faultbench/discovery/server.go
+++ b/internal/faultbench/discovery/server.go
@@ -1,6 +1,6 @@
-// Package discovery simulates the service that sends the dispatchers the list of replicas, with injected faults:
-// silence, delay, stale lists and watches that fall silent. It records in the history when each dispatcher counts as
-// informed of a change according to the protocol page. A Server is safe for concurrent use.
+// Package discovery simulates the service that sends the dispatchers the endpoint list, with injected faults: silence,
+// delay, stale lists and watches that fall silent. It records in the history when each dispatcher counts as informed of
+// a change according to the protocol page. A Server is safe for concurrent use.
 package discovery
 
 import (
@@ -19,7 +19,7 @@
 	// received or not. It counts from the change if the dispatcher polls the list, or from when the watch fell silent.
 	unwatchedNoticeDelay = 6 * time.Second
 	// moveNoticeDelay is the time after SIGHUP within which a dispatcher must have the list of its new discovery
-	// service (the full fleet's page).
+	// service, as the operators' page on the full fleet requires.
 	moveNoticeDelay = 4 * time.Second
 )
 
@@ -78,7 +78,7 @@
 type entry struct {
 	replica *replica.Replica
 	state   State
-	started time.Time
+	started time.Time // last restart of the replica, or zero if there was none
 	version uint64
 }
 
--- a/internal/faultbench/frontlayer/front.go
+++ b/internal/faultbench/frontlayer/front.go
@@ -25,7 +25,7 @@
 type Config struct {
 	Dispatchers int
 	Zones       int
-	// HotFactor is the factor by which the first dispatcher gets more connections than each other one; 0 means 1.
+	// HotFactor is how many times as many connections the first dispatcher gets as any other one; 0 means 1.
 	HotFactor int
 	HealthURL func(dispatcher int) string
 	Link      func(dispatcher int) *network.Link
@@ -40,12 +40,12 @@
 	rotation []int // round-robin order of the dispatchers; the first dispatcher occurs HotFactor times
 
 	mu         sync.Mutex
-	healthy    []bool
-	answeredAt []time.Time
-	next       []int // position in rotation, by zone
+	healthy    []bool      // by dispatcher
+	answeredAt []time.Time // time of the last status 200, by dispatcher
+	next       []int       // position in rotation, by zone
 }
 
-// New returns a Front to which all dispatchers are unhealthy until they are polled.
+// New returns a Front that considers each dispatcher unhealthy until a poll shows that it is healthy.
 func New(c Config) *Front {
 	f := &Front{config: c, healthy: make([]bool, c.Dispatchers), answeredAt: make([]time.Time, c.Dispatchers), next: make([]int, c.Zones)}
 	for d := range c.Dispatchers {
--- a/internal/faultbench/history/attempt.go
+++ b/internal/faultbench/history/attempt.go
@@ -76,7 +76,7 @@
 // attempt is an attempt that arrived at a replica.
 type attempt struct {
 	Event
-	overlapStart time.Duration // arrival of the attempt that it first overlapped with, or 0 if it overlapped with none
+	overlapStart time.Duration // time from which it overlapped another attempt, or 0 if it overlapped none
 	ended        bool
 }
 
@@ -95,8 +95,8 @@
 	}
 }
 
-// newAttempt returns the attempt that arrival reports. Of it and each open attempt at another replica, newAttempt marks
-// the one that was sent first as overlapping.
+// newAttempt returns the attempt that arrival reports. For each open attempt at another replica, it marks the earlier
+// of the two as overlapping from the new attempt's arrival on. The earlier one is the one that was sent first.
 func newAttempt(arrival Event, others []*attempt) *attempt {
 	added := &attempt{Event: arrival}
 	for _, other := range others {
--- a/internal/faultbench/history/event.go
+++ b/internal/faultbench/history/event.go
@@ -16,10 +16,10 @@
 	Class            string        `json:"class,omitempty"`   // request class; ProcessDown, ConnectionLingers: the reason
 	Dispatcher       int           `json:"dispatcher"`        // index of the dispatcher, or -1 if there is none
 	Replica          string        `json:"replica,omitempty"`
-	Status           int           `json:"status,omitempty"` // HTTP status code
-	Complete         bool          `json:"whole,omitempty"`
-	Weight           float64       `json:"weight,omitempty"` // work of an attempt, capacity per second, or a fencing token
-	Until            time.Duration `json:"until,omitempty"`
+	Status           int           `json:"status,omitempty"`  // HTTP status code
+	Complete         bool          `json:"whole,omitempty"`   // the response is complete, or rejection starts
+	Weight           float64       `json:"weight,omitempty"`  // work of an attempt, capacity a second, or fencing token
+	Until            time.Duration `json:"until,omitempty"`   // deadline, or end of a period; 0 means no end
 	SentAt           time.Duration `json:"sent,omitempty"`    // AttemptArrived: arrival of the first byte; 0 means At
 	LastByteAt       time.Duration `json:"last,omitempty"`    // AttemptArrived: arrival of the last byte; 0 means At
 	LinkHealthy      bool          `json:"sound,omitempty"`   // the link had no fault during the relevant time
@@ -90,7 +90,7 @@
 	StateReleased Kind = "freed"
 	// ReplicaOverloaded means that a replica in slow start failed because it was sent more than its budget.
 	ReplicaOverloaded Kind = "fell"
-	// ReplicaStarted means that a replica started cold. It is warm at Until, and Weight is its warm capacity per
+	// ReplicaStarted means that a replica started and is in slow start until Until. Weight is its full capacity per
 	// second.
 	ReplicaStarted Kind = "cold"
 	// LoadPolled means that a dispatcher polled a replica's load.
@@ -101,9 +101,11 @@
 const (
 	// DiscoveryRequested means that a dispatcher requested the endpoint list, or a watch on it.
 	DiscoveryRequested Kind = "called"
-	// EndpointWithdrawn means that a dispatcher was sent a list in which a replica is draining or gone.
+	// EndpointWithdrawn means that a dispatcher was sent a list in which a replica is draining or gone, or counts as
+	// informed of that without having received the list.
 	EndpointWithdrawn Kind = "told"
-	// EndpointReady means that a dispatcher was sent a list in which a replica is ready.
+	// EndpointReady means that a dispatcher was sent a list in which a replica is ready, or that the replica became
+	// ready on the list, even if the dispatcher was not sent it yet.
 	EndpointReady Kind = "listed"
 	// MembershipView means that Dispatcher reports the member named by Replica in the state named by Request.
 	MembershipView Kind = "view"
--- a/internal/faultbench/history/golden_test.go
+++ b/internal/faultbench/history/golden_test.go
@@ -173,7 +173,8 @@
 	return events
 }
 
-// damaged changes one event in interval to another kind, cycling through kinds, to break rules that no run breaks.
+// damaged changes every 29th event (interval) to another kind, in the order of kinds, to break rules that no run
+// breaks.
 func damaged(events []history.Event) []history.Event {
 	const interval = 29
 	kinds := []history.Kind{
--- a/internal/faultbench/history/reservation.go
+++ b/internal/faultbench/history/reservation.go
@@ -19,7 +19,7 @@
 // reservation is a state that a replica holds, with the StateReserved event that reported it.
 type reservation struct {
 	Event
-	idleSince time.Duration // latest time at which the dispatcher knows that the last attempt has ended
+	idleSince time.Duration // time by which the dispatcher knows that the last attempt has ended
 }
 
 // checkReservations checks RuleReservationRelease: "While no attempt of a request is outstanding, a state ... held
@@ -75,7 +75,7 @@
 	}
 }
 
-// endKnownAt returns when a dispatcher knows at the latest that an attempt has ended. If a fault may hide the end, the
+// endKnownAt returns the time by which a dispatcher knows that an attempt has ended. If a fault may hide the end, the
 // attempt counts as outstanding until the client's deadline, because its outcome has not been delivered ("while no
 // attempt of a request is outstanding").
 func (r *reservationChecker) endKnownAt(e Event) time.Duration {
--- a/internal/faultbench/history/rules.go
+++ b/internal/faultbench/history/rules.go
@@ -12,20 +12,20 @@
 	AnswerSlack      time.Duration            // time after a client's deadline within which a response is still in time
 	DrainWithin      time.Duration            // maximum time from a drain notice to the first byte of the last new request
 	ReleaseAfter     time.Duration            // maximum time from the end of the last attempt to the release of a state
-	OverloadMultiple float64                  // multiple of its current capacity that a cold replica can take
+	OverloadMultiple float64                  // multiple of its current capacity that a replica in slow start can take
 	OverloadWindow   time.Duration            // length of any time window to which OverloadMultiple applies
-	InitialCapacity  float64                  // fraction of its warm capacity that a replica starts with
+	InitialCapacity  float64                  // fraction of its full capacity that a replica starts with
 	LongestDeadline  time.Duration            // longest deadline of any class
 	NonIdempotent    []string                 // classes that must not be executed twice
 	Deduplicated     map[string]Deduplication // classes whose repeats some replicas drop, by class name
 	// Slack is added to each time limit, because the processes share the machine with the bench.
 	Slack time.Duration
-	// RandomArrivals allows a cold replica the random excess over its budget that the operators' figures grant. If it
-	// is unset, the excess is one request.
+	// RandomArrivals allows a replica in slow start the random excess over its budget that the operators' figures
+	// grant. If it is unset, the excess is one request.
 	RandomArrivals bool
 }
 
-// Deduplication defines where and how long a class may be sent again.
+// Deduplication defines to which replicas, and for how long, a request of a class may be sent again.
 type Deduplication struct {
 	Window      time.Duration          // time after the send of the first attempt that may have run
 	SameDomain  func(a, b string) bool // reports whether two replicas drop each other's repeats
@@ -67,7 +67,7 @@
 	RuleDrainEnds           = "drain_lasts"
 )
 
-// CapacityFraction returns the fraction of its warm capacity that a replica has at a time after its ReplicaStarted
+// CapacityFraction returns the fraction of its full capacity that a replica has at a time after its ReplicaStarted
 // event.
 func (r Rules) CapacityFraction(start Event, at time.Duration) float64 {
 	if at >= start.Until {
@@ -79,7 +79,7 @@
 // smallBudget is the budget, in requests, below which random arrivals are allowed a larger excess.
 const smallBudget = 30
 
-// allowedExcess returns how many requests a cold replica may get beyond its budget of n requests.
+// allowedExcess returns how many requests a replica in slow start may get beyond its budget of n requests.
 func (r Rules) allowedExcess(n float64) float64 {
 	switch {
 	case !r.RandomArrivals:
--- a/internal/faultbench/history/slowstart.go
+++ b/internal/faultbench/history/slowstart.go
@@ -1,9 +1,9 @@
 package history
 
-// SlowStartBudget tracks the work that a cold replica can take. Within any window of Rules.OverloadWindow, that is
-// Rules.OverloadMultiple times what the replica can do in such a window at its capacity at the window's end ("counted
-// as a budget: what is sent within any span of that length must stay under multiple x present capacity x span"). It is
-// not safe for concurrent use.
+// SlowStartBudget tracks the work that a replica in slow start can take. Within any window of Rules.OverloadWindow,
+// that is Rules.OverloadMultiple times what the replica can do in such a window at its capacity at the window's end
+// ("counted as a budget: what is sent within any span of that length must stay under multiple x present capacity x
+// span"). It is not safe for concurrent use.
 type SlowStartBudget struct {
 	Rules    Rules
 	Start    Event   // ReplicaStarted event of the replica
@@ -27,8 +27,8 @@
 	return sum, allowed, sum > allowed+b.Rules.allowedExcess(allowed/e.Weight)*e.Weight
 }
 
-// checkSlowStarts checks RuleSlowStart: the dispatchers together send no cold replica more than its budget. Each start
-// is reported at most once.
+// checkSlowStarts checks RuleSlowStart: the dispatchers together send no replica in slow start more than its budget.
+// Each start is reported at most once.
 func (c *checker) checkSlowStarts() {
 	budgets := map[string]*SlowStartBudget{} // by replica
 	for _, e := range c.events {
--- a/internal/faultbench/history/stale.go
+++ b/internal/faultbench/history/stale.go
@@ -25,9 +25,9 @@
 	return s
 }
 
-// StaleAttempts returns the attempts at replicas that had been withdrawn for longer than within by the newest list sent
-// to any dispatcher. The caller must determine which dispatchers were sent that list. For a process that was paused or
-// restarted, the time counts from when it resumed or started.
+// StaleAttempts returns the attempts at replicas that the newest list sent to any dispatcher had withdrawn more than
+// within before. It does not consider whether the sender was sent that list or could have known of it; the caller
+// decides what that means. For a process that was paused or restarted, the time counts from when it resumed or started.
 func StaleAttempts(events []Event, within time.Duration) (stale []Event) {
 	endpoints, downtimes := map[string]endpointStatus{}, downtimes(events)
 	for _, e := range sortedByTime(events) {
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -48,8 +48,8 @@
 	return out[:min(count, len(out))]
 }
 
-// stagger returns the time between the n targets of a staggered fault. It shortens the scenario's value if all targets
-// could not be reached within maxStaggeredFraction of the remaining time otherwise.
+// stagger returns the time between the n targets of a staggered fault. It shortens the scenario's value if not all
+// targets would be reached within maxStaggeredFraction of the remaining time.
 func (r *Run) stagger(f scenario.Fault, n int) time.Duration {
 	every := scenario.Seconds(f.Stagger)
 	if n > 1 {
--- a/internal/faultbench/loadgen/attempt.go
+++ b/internal/faultbench/loadgen/attempt.go
@@ -34,7 +34,7 @@
 	request    *deployment.Request
 	start      time.Time // start of the first attempt
 	timeout    time.Duration
-	text       string
+	text       string // the HTTP request
 	dispatcher int
 	leaves     bool // the client leaves after leaveAfter, in the way that leaveMode says
 	leaveAfter time.Duration
@@ -185,10 +185,10 @@
 
 // stream holds what a client has read of a streamed answer.
 type stream struct {
-	tokens        int
-	done          bool // the end mark has arrived
-	first, last   time.Time
-	maxEventDelay time.Duration
+	tokens        int           // number of tokens received
+	done          bool          // the end mark has arrived
+	first, last   time.Time     // arrival of the first and the last event
+	maxEventDelay time.Duration // longest time from a replica's write of an event to its receipt
 }
 
 // readStream reads a stream to its end, and records each event that belongs to another request.
--- a/internal/faultbench/loadgen/clients.go
+++ b/internal/faultbench/loadgen/clients.go
@@ -38,10 +38,10 @@
 	config Config
 
 	mu            sync.Mutex
-	idle          map[int][]*connection // by dispatcher
-	open          map[*connection]struct{}
-	opened        int     // number of connections opened so far
-	leaveFraction float64 // fraction of the clients that leave before their answer is complete
+	idle          map[int][]*connection    // by dispatcher
+	open          map[*connection]struct{} // open connections, busy or idle
+	opened        int                      // number of connections opened so far
+	leaveFraction float64                  // fraction of the clients that leave before their answer is complete
 }
 
 // New returns clients without connections.
--- a/internal/faultbench/loadgen/connection.go
+++ b/internal/faultbench/loadgen/connection.go
@@ -23,11 +23,11 @@
 	reused     bool
 	owner      *Clients
 
-	// The lock of owner guards these.
-	busy      bool // a request is in flight
-	leaving   bool // the client is about to leave, so it reads nothing and does not notice a close
-	sentAt    time.Time
-	idleSince time.Time
+	// The fields below are guarded by owner.mu.
+	busy      bool      // a request is in flight
+	leaving   bool      // the client is about to leave, so it reads nothing and does not notice a close
+	sentAt    time.Time // when a request last took the connection
+	idleSince time.Time // when the last answer was complete
 }
 
 // Close closes the connection.
@@ -76,8 +76,8 @@
 	return c.connect(ctx, dispatcher)
 }
 
-// getNewConnection opens a connection to a dispatcher. It also removes an idle connection from those that are reused;
-// that one stays open and unused.
+// getNewConnection opens a connection to a dispatcher. It also takes the most recently used idle connection, if any,
+// out of the pool for good; that connection stays open but unused.
 func (c *Clients) getNewConnection(ctx context.Context, dispatcher int) (*connection, error) {
 	c.takeIdle(dispatcher)
 	return c.connect(ctx, dispatcher)
--- a/internal/faultbench/loadgen/faulty.go
+++ b/internal/faultbench/loadgen/faulty.go
@@ -147,7 +147,8 @@
 	}
 }
 
-// IdleClients opens connections, makes one call on every second of them, and keeps all open until the context ends.
+// IdleClients opens count connections, or as many as the dispatcher accepts, sends a request on every second one, and
+// keeps all open until the context ends.
 func (c *Clients) IdleClients(ctx context.Context, dispatcher, count int) {
 	var open []net.Conn
 	defer func() {
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -11,8 +11,8 @@
 type Conn struct {
 	net.Conn
 	link           *Link
-	writeDirection direction // direction of the bytes that this end writes
-	done           chan struct{}
+	writeDirection direction     // direction of the bytes that this end writes
+	done           chan struct{} // closed when the connection is closed
 	closeOnce      sync.Once
 
 	lastReadAt     time.Time
@@ -23,8 +23,8 @@
 	mu       sync.Mutex
 	queue    []packet // writes that are held back
 	flushing bool     // flushQueue is running
-	closing  bool
-	err      error // error of a write that was held back
+	closing  bool     // Close was called
+	err      error    // error of a write that was held back
 }
 
 // packet is a write that is held back until due.
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -40,8 +40,8 @@
 	cutHandlers  []func(cut bool) // called after each change of the conditions
 	conns        map[*Conn]struct{}
 	rng          *rand.Rand
-	lastFaultAt  time.Time // time of the last start, change or end of a fault
-	connectDelay time.Duration
+	lastFaultAt  time.Time     // time of the last start, change or end of a fault
+	connectDelay time.Duration // time for which a new connection passes no bytes
 }
 
 // NewLink returns a healthy link. The seed initializes the random generator that determines losses.
--- a/internal/faultbench/options.go
+++ b/internal/faultbench/options.go
@@ -25,9 +25,10 @@
 	// IdempotentRequests makes requests with an idempotency key execute once in the fleet. Clients send some of these
 	// requests to several dispatchers.
 	IdempotentRequests bool
-	// LocalIdempotency makes clients send such requests too, but each dispatcher has records of its own only.
+	// LocalIdempotency makes clients send requests with an idempotency key to dispatchers that each keep records of
+	// their own only.
 	LocalIdempotency bool
-	// Handover makes a dispatcher start with the state that its earlier process learned.
+	// Handover makes a dispatcher's process start with the state that its previous process learned.
 	Handover bool
 	// Bootstrap makes a dispatcher take learned state from other members when it starts.
 	Bootstrap bool
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -41,8 +41,9 @@
 	return c
 }
 
-// observe starts goroutines that watch the fleet from outside until the context ends, and adds them to watchers. It
-// returns once the front layer has had time to poll the health of all dispatchers.
+// observe starts goroutines that watch the fleet from outside until the context ends, and adds them to watchers. If the
+// dispatchers share budgets, their quotas are recorded in quotas. It returns once the front layer has had time to poll
+// the health of all dispatchers.
 func (r *Run) observe(ctx context.Context, watchers *sync.WaitGroup, quotas *FleetTotals) error {
 	for d := range r.dispatchers {
 		watchers.Go(func() { r.front.PollHealth(ctx, d) })
--- a/internal/faultbench/process/process.go
+++ b/internal/faultbench/process/process.go
@@ -275,7 +275,7 @@
 	}
 }
 
-// Stop resumes the last process if it is stopped, ends it with SIGTERM, and after Config.KillAfter with SIGKILL, and
+// Stop resumes the last process if it is suspended, ends it with SIGTERM, and after Config.KillAfter with SIGKILL, and
 // reads its counters.
 func (p *Process) Stop() {
 	p.mu.Lock()
--- a/internal/faultbench/process/usage.go
+++ b/internal/faultbench/process/usage.go
@@ -18,11 +18,11 @@
 
 // Usage is the resource usage of a process.
 type Usage struct {
-	RSSMB      float64 // peak resident memory
-	OwnMB      float64 // largest measured resident memory without file pages, which the kernel can reclaim
-	FDs        int     // largest measured number of open file descriptors
-	ReadyAfter time.Duration
-	CPU        time.Duration
+	RSSMB      float64       // peak resident memory
+	OwnMB      float64       // largest measured resident memory without file pages, which the kernel can reclaim
+	FDs        int           // largest measured number of open file descriptors
+	ReadyAfter time.Duration // time from the start until the process was serving
+	CPU        time.Duration // user and system time
 }
 
 // Usage reads the resource usage of the current process.
--- a/internal/faultbench/quotas_test.go
+++ b/internal/faultbench/quotas_test.go
@@ -27,7 +27,7 @@
 		long        bool // not run in CI; run it by go test ./internal/faultbench -args -bench.long
 	}{
 		{"retry-storm", 3, 11, func(r *Report) bool { return r.RepeatsPerRequest > 0 }, false},
-		{"cut-half", 5, 11, func(r *Report) bool { return r.MinQuotaSum < 0.9 }, false}, // one voter is on the other side
+		{"cut-half", 5, 11, func(r *Report) bool { return r.MinQuotaSum < 0.9 }, false}, // a voter is on the other side of the cut
 		{"kill-most", 4, 10, func(r *Report) bool { return countDowntimes(r) == 3 }, false},
 		{"hot-dispatcher", 4, 9, func(r *Report) bool { return r.MaxQuota > 0.4 }, true},
 		{"cold-wave", 5, 11, func(r *Report) bool { return r.MaxSlowStartLoad > 0 }, true},
@@ -51,7 +51,8 @@
 			if r.MaxQuotaSum > 1.0001 || r.MaxQuotaSum < 0.8 {
 				t.Errorf("the quotas added up to at most %.4f, want 0.8 to 1", r.MaxQuotaSum)
 			}
-			// Unused budget may be spent at once: 10 s of load polls and 5 s of retries. Besides, each incarnation of a
+			// Unused budget may be spent at once: 10 s of load polls and 5 s of retries. The worst 5 s may therefore
+			// hold the load polls of 15 s, three times the rate of the budget. Besides, each incarnation of a
 			// dispatcher may make one load poll and one retry.
 			incarnations := float64(c.dispatchers + countDowntimes(r))
 			if limit := budgets.PollsPerReplica*3 + incarnations/totalsWindow.Seconds(); r.MaxOwnPollRate > limit {
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -33,7 +33,7 @@
 	requests          map[string]*deployment.Request // registered requests by ID
 	states            map[string]*reservedState      // reserved states by request ID
 	decodesInProgress map[string]int                 // number of decode attempts in progress, by request ID
-	eventWrittenAt    map[eventKey]time.Time
+	eventWrittenAt    map[eventKey]time.Time         // until EventDelay reads it
 	rng               *rand.Rand
 }
 
@@ -42,7 +42,7 @@
 type reservedState struct {
 	holder *Replica
 	tokens int
-	expiry *time.Timer
+	expiry *time.Timer // removes the state after reservationTimeout
 }
 
 // eventKey identifies one event of a streamed response by its request and the number of tokens before the event.
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -28,7 +28,7 @@
 // EventMark returns the content of an event, which identifies its request and the number of tokens before the event.
 func EventMark(id string, tokens int) string { return fmt.Sprintf("%s.%d ", id, tokens) }
 
-// responder responds to an attempt that started to execute with the request's state.
+// responder responds to an attempt that started to execute. The state is the request's, which decode has fetched.
 type responder func(w http.ResponseWriter, req *http.Request, a attempt, state *reservedState)
 
 // failAfterStart is the responder of a replica that fails during execution.
--- a/internal/faultbench/replica/replica.go
+++ b/internal/faultbench/replica/replica.go
@@ -13,7 +13,7 @@
 	"rampspread/internal/faultbench/network"
 )
 
-// SlowStartDuration is how long after a cold start a replica has less than its warm capacity.
+// SlowStartDuration is the duration of slow start: how long after a restart a replica has less than its full capacity.
 const SlowStartDuration = 6 * time.Second
 
 // Replica simulates one prefill or decode replica. Name, Index, Zone and Decode don't change.
@@ -46,8 +46,8 @@
 	active            int                      // attempts that hold a slot of a decode replica
 	cachedTokens      map[string]int           // cached tokens by prefix or session
 	totalCachedTokens int
-	loadReport        string
-	reportedAt        time.Time
+	loadReport        string    // latest load report
+	reportedAt        time.Time // time of loadReport
 }
 
 // Weight returns the replica's capacity relative to other replicas, as discovery lists it.
@@ -69,7 +69,7 @@
 	r.cluster.removeStatesOf(r)
 }
 
-// Restart starts the simulated process again. It is cold at first.
+// Restart starts the simulated process again. The replica is then in slow start for SlowStartDuration.
 func (r *Replica) Restart() {
 	now := r.cluster.history.Now()
 	start := history.Event{At: now, Kind: history.ReplicaStarted, Replica: r.Name, Until: now + SlowStartDuration, Weight: 1, Dispatcher: -1}
@@ -140,8 +140,8 @@
 	r.cachedTokens, r.totalCachedTokens = map[string]int{}, 0
 }
 
-// relativeSpeed returns the replica's current speed, relative to a warm replica of weight 1. The caller must hold the
-// lock.
+// relativeSpeed returns the replica's current speed, relative to a replica of weight 1 that is not in slow start. The
+// caller must hold the lock.
 func (r *Replica) relativeSpeed() float64 {
 	speed := r.Weight() / r.slowdown
 	if r.slowStart != nil {
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -20,18 +20,18 @@
 	Dispatchers  int                `json:"dispatchers"`
 	Requests     int                `json:"asked"` // number of requests, not counting retries
 	ServedShare  float64            `json:"served_share"`
-	Worst10S     float64            `json:"worst_10s"`
-	RecoveryS    *float64           `json:"recovery_s"` // null if the level before the faults was not reached
+	Worst10S     float64            `json:"worst_10s"`  // smallest share in any 10 s
+	RecoveryS    *float64           `json:"recovery_s"` // seconds after the last fault; null if it did not recover
 	RulesBroken  int                `json:"rules_broken"`
 	Crashes      int                `json:"crashes"`
-	ByClass      map[string]float64 `json:"by_class"`
-	ByStatus     map[string]int     `json:"by_status"` // number of requests by status after all retries
-	FirstTokenMS map[string]float64 `json:"first_token_ms"`
+	ByClass      map[string]float64 `json:"by_class"`       // share by class
+	ByStatus     map[string]int     `json:"by_status"`      // number of requests by status after all retries
+	FirstTokenMS map[string]float64 `json:"first_token_ms"` // percentiles of the time to the first token
 	Attempts     int                `json:"tries"`
-	Connections  int                `json:"connections"` // number of connections that clients opened
-	PollRate     float64            `json:"probes_per_replica_s"`
-	Overloaded   int                `json:"fell"` // number of replicas that were overloaded in slow start
-	PerSecond    []float64          `json:"per_second"`
+	Connections  int                `json:"connections"`          // number of connections that clients opened
+	PollRate     float64            `json:"probes_per_replica_s"` // load polls per replica and second
+	Overloaded   int                `json:"fell"`                 // number of replicas overloaded in slow start
+	PerSecond    []float64          `json:"per_second"`           // share of each second
 	// With a fleet: the times until the views of other members showed that a process had ended or was paused, and the
 	// number of times that a view showed a running member as suspect or worse.
 	DetectionS       []float64 `json:"detect_s,omitempty"`
@@ -75,10 +75,10 @@
 const leaseSettleTime = 3 * time.Second
 
 const (
-	window            = time.Second
-	recoveredFraction = 0.95 // fraction of the level before the faults that counts as recovered
-	recoveredWindows  = 3    // number of consecutive windows that must reach this fraction
-	warmUpWindows     = 3    // number of windows at the start that do not count towards the level
+	window            = time.Second // length of the windows in which value is summed
+	recoveredFraction = 0.95        // fraction of the level before the faults that counts as recovered
+	recoveredWindows  = 3           // number of consecutive windows that must reach this fraction
+	warmUpWindows     = 3           // number of windows at the start that do not count towards the level
 )
 
 // report returns the report of what was recorded since base.
@@ -155,7 +155,7 @@
 	return v
 }
 
-// worstWindows is the number of windows in each span whose served share is compared for the worst one.
+// worstWindows is the number of consecutive windows over which Worst10S takes the served share.
 const worstWindows = 10
 
 // addValue adds the served shares to the report.
@@ -233,9 +233,9 @@
 	return earnedSum / offeredSum
 }
 
-// recovery returns the seconds from the end of the last fault until the served share begins to stay at 95% of the level
-// before the faults for 3 s, or nil if it never does. The parameter from is the window of the first fault, and end is
-// the end of the last one.
+// recovery returns the seconds from the end of the last fault to the beginning of the first 3 s in which the served
+// share of each second is at least 95% of the level before the faults, or nil if there are no such 3 s. The parameter
+// from is the window of the first fault, and end is the end of the last one.
 func recovery(perSecond, earned, offered []float64, from int, end time.Duration) *float64 {
 	baseline := 1.0
 	if from > warmUpWindows {
--- a/internal/faultbench/run.go
+++ b/internal/faultbench/run.go
@@ -27,8 +27,8 @@
 	scenario     *scenario.Scenario
 	options      Options
 	deployment   *deployment.Deployment
-	dir          string
-	names        []string
+	dir          string   // folder for the files of the run
+	names        []string // names of the dispatchers
 	rules        history.Rules
 	history      *history.Recorder
 	cluster      *replica.Cluster
--- a/internal/faultbench/scenario/fault.go
+++ b/internal/faultbench/scenario/fault.go
@@ -19,7 +19,7 @@
 	// SpareFirst is the number of dispatchers, counted from the first, that are never targets. In a fleet the first
 	// three vote.
 	SpareFirst int `json:"spare"`
-	// Stagger is the time between the injections into two targets; 0 means all at once.
+	// Stagger is the time in seconds between the injections into one target and the next; 0 means all at once.
 	Stagger float64 `json:"every"`
 	// Zone is the target of a fault that is injected into one zone.
 	Zone int `json:"zone"`
@@ -30,13 +30,13 @@
 	Links string `json:"links"`
 	// Direction is "to" or "from" the dispatchers, or "both"; empty means both.
 	Direction string  `json:"way"`
-	DelayMS   float64 `json:"delay_ms"`
-	Loss      float64 `json:"loss"` // probability
+	DelayMS   float64 `json:"delay_ms"` // delay of a link, of new connections or of a system call
+	Loss      float64 `json:"loss"`     // probability that a packet is lost, or an answer is corrupt or an error
 	// LinkFraction is the fraction of a dispatcher's links into which the fault is injected.
 	LinkFraction float64 `json:"share"`
-	KBPerS       float64 `json:"kb_per_s"`
-	Factor       float64 `json:"factor"` // how many times slower a replica is
-	LoseState    bool    `json:"forget"` // a restart loses the stored state
+	KBPerS       float64 `json:"kb_per_s"` // bandwidth of a link; 0 means unlimited
+	Factor       float64 `json:"factor"`   // how many times slower a replica is
+	LoseState    bool    `json:"forget"`   // a restart loses the stored state
 	// ClockStepS is how far a wall clock is stepped, in seconds.
 	ClockStepS float64 `json:"step_s"`
 	// Syscall is a kind of system call. Every EveryNth call of this kind fails with Errno.
@@ -62,7 +62,7 @@
 	Pause             = "pause"            // SIGSTOP for Duration
 	Terminate         = "term"             // SIGTERM, SIGKILL as early as is allowed; started again Duration after its end
 	MoveDiscovery     = "move"             // discovery moves to its other address, by SIGHUP
-	ChangeSettings    = "retune"           // other settings by SIGHUP; all have them after Duration
+	ChangeSettings    = "retune"           // targets get other settings by SIGHUP, and all others after Duration
 	ImpairLinks       = "links"            // Links are cut, delayed, lossy or slow, as the other fields say
 	ResetLinks        = "reset"            // the connections of Links are reset
 	SilenceLinks      = "links-silent"     // LinkFraction of the links to replicas are cut, the same at each dispatcher
@@ -77,7 +77,7 @@
 	FreezeDiscovery   = "discovery-stale"  // the targets' discovery serves the list of the fault's start, no changes
 	SilenceWatches    = "watch-silent"     // open watches stay open but carry nothing more
 	HangReplica       = "replica-hang"     // the replica accepts calls, but answers none before Duration has passed
-	KillReplica       = "replica-kill"     // the replica is killed, and started again cold after Duration
+	KillReplica       = "replica-kill"     // the replica is killed; after Duration it starts again, in slow start
 	SlowReplica       = "replica-slow"     // the replica is Factor times slower for Duration
 	CorruptReplica    = "replica-spoil"    // Loss of the replica's answers are noise, half a header, or followed by another
 	FailReplica       = "replica-fail"     // the replica answers Loss of its calls with status 500
--- a/internal/faultbench/scenario/scenario.go
+++ b/internal/faultbench/scenario/scenario.go
@@ -20,7 +20,7 @@
 	Zones           int     `json:"zones"`
 	PrefillReplicas int     `json:"readers"`
 	DecodeReplicas  int     `json:"writers"`
-	// HotFactor is the ratio of the first dispatcher's connections to any other dispatcher's connections; 0 means 1.
+	// HotFactor is how many times as many connections the first dispatcher gets as any other one; 0 means 1.
 	HotFactor int `json:"hot"`
 	// Weights are the replicas' relative capacities, assigned in turn; if empty, all are equal.
 	Weights []float64 `json:"weights"`
--- a/internal/faultbench/soak_plan.go
+++ b/internal/faultbench/soak_plan.go
@@ -140,9 +140,9 @@
 	episodeInterval = 3.0 // mean seconds between the starts of episodes, which overlap
 	episodeSpread   = 0.8 // seconds within which the faults of an episode begin
 	minSoakSeconds  = 10.0
-	crowdOdds       = 3   // one soak in crowdOdds has a crowd: idle clients all the time, and more traffic
-	crowdRateFactor = 1.5 // factor on the traffic of a soak with a crowd
-	planStream      = 0x50a4
+	crowdOdds       = 3      // one soak in crowdOdds has a crowd: idle clients all the time, and more traffic
+	crowdRateFactor = 1.5    // factor on the traffic of a soak with a crowd
+	planStream      = 0x50a4 // stream of the random generator
 )
 
 // drawPlan draws a soak's plan from its seed: in each episode two or three faults begin within episodeSpread. It also
--- a/internal/faultbench/state_test.go
+++ b/internal/faultbench/state_test.go
@@ -8,9 +8,9 @@
 	"rampspread/internal/faultbench/scenario"
 )
 
-// A dispatcher is killed and restarts while discovery is silent. It must not send to replicas that were draining, which
-// it reads from its state folder, since the list in its configuration is older. Without a state folder it must send to
-// them, which proves that the test can detect it.
+// A dispatcher is killed and restarts while discovery is silent. It must not send to replicas that were draining: it
+// reads from its state folder which they are, since the list in its configuration is older. Without a state folder it
+// must send to them, which proves that the test can detect it.
 func TestEndpointListSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	s := &scenario.Scenario{Name: "silent-restart", Seconds: 13, Rate: 14, Zones: 2, PrefillReplicas: 5, DecodeReplicas: 5, Faults: []scenario.Fault{
--- a/internal/faultbench/totals.go
+++ b/internal/faultbench/totals.go
@@ -111,13 +111,13 @@
 // arrivals accumulates what arrived at the replicas. In maps by stage, the key is true for decode and false for
 // prefill.
 type arrivals struct {
-	replicas       map[string]*replica.Replica
-	order          []*replica.Replica
-	stageWeight    map[bool]float64 // sum of the replicas' weights, by stage
-	attempts       map[requestStage]int
-	seen           map[string]bool // IDs of requests with an attempt
-	firstAttempts  series          // first attempt of each request
-	repeats        series          // attempts at a stage of a request beyond the first
+	replicas       map[string]*replica.Replica // by name
+	order          []*replica.Replica          // the same replicas in a fixed order
+	stageWeight    map[bool]float64            // sum of the replicas' weights, by stage
+	attempts       map[requestStage]int        // number of attempts so far
+	seen           map[string]bool             // IDs of requests with an attempt
+	firstAttempts  series                      // first attempt of each request
+	repeats        series                      // attempts at a stage of a request beyond the first
 	discoveryCalls series
 	ownPolls       map[string]*series // load polls without a lease, by replica
 	load           map[string]float64 // sum of the work, by replica
--- a/internal/faultbench/versionskew.go
+++ b/internal/faultbench/versionskew.go
@@ -88,7 +88,7 @@
 // skewTracker tracks the dispatchers with an old list or old settings.
 type skewTracker struct {
 	stale    map[int]history.Event    // by dispatcher: the period in which its list or settings were old
-	missedAt map[int]time.Duration    // by dispatcher: time of the first list change that it missed
+	missedAt map[int]time.Duration    // by dispatcher: first list change that it missed; unset for old settings
 	fencedAt map[int]time.Duration    // by dispatcher: time since which it takes no clients
 	sentAt   map[string]time.Duration // by request: time at which the client sent it
 	report   VersionSkewReport
--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -94,7 +94,7 @@
 	return want
 }
 
-// dump writes bytes as lines of hexadecimal text.
+// dump returns bytes as lines of hexadecimal text.
 func dump(b []byte) []byte {
 	var out bytes.Buffer
 	for len(b) > 0 {
--- a/internal/testutil/replica.go
+++ b/internal/testutil/replica.go
@@ -14,16 +14,16 @@
 // request's ID follows.
 const releasePath = "/bootstrap/rooms/"
 
-// Replica is a fake replica on a loopback socket. It answers calls by its script, which may be replaced at any time,
-// accepts each release, and records both. A call counts once its whole body has arrived.
+// Replica is a fake replica on a loopback socket. It answers calls according to its script, which may be replaced at
+// any time, accepts each release, and records both. A call counts once its whole body has arrived.
 type Replica struct {
 	Addr string // host and port
 
 	mu        sync.Mutex
 	script    Script
-	callsByID map[string]int
-	total     int // of callsByID
-	releases  map[string]int
+	callsByID map[string]int // number of calls by request ID
+	total     int            // number of all calls
+	releases  map[string]int // number of releases by request ID
 	headers   []http.Header
 	bodies    []string
 }
@@ -59,7 +59,7 @@
 	r.releases[id]++
 }
 
-// recordCall returns the script to follow and the number of the call.
+// recordCall records a call, and returns its number, counted from 0, and the script to follow.
 func (r *Replica) recordCall(req *http.Request, body string) (script Script, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +78,7 @@
 	r.script = script
 }
 
-// Calls returns the number of calls, and the largest number of calls with the same id.
+// Calls returns the number of calls, and the largest number of calls with the same request ID.
 func (r *Replica) Calls() (total, maxPerID int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	return r.total, maxPerID
 }
 
-// Releases returns the number of releases of an id.
+// Releases returns the number of releases of a request ID.
 func (r *Replica) Releases(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
