--- a/cmd/simhost/translate.go
+++ b/cmd/simhost/translate.go
@@ -147,7 +147,7 @@
 	return 0, fmt.Errorf("unknown outcome %d", code)
 }
 
-// translateAction translates an action of one instance. For an action that has no record in the protocol it returns a
+// translateAction translates an action of one instance. For an action that the adapter does not support it returns a
 // Die, which reports that the instance has failed.
 func translateAction(id uint16, action routing.Action) any {
 	switch a := action.(type) {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -112,7 +112,7 @@
 	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
 	return precondition.Attempt{
 		Answered:        req.answered(),
-		ClientGone:      req.clientGone(),
+		ClientGone:      req.clientHasLeft(),
 		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
 		RemainingTime:   timeout,
 		AttemptInFlight: req.hasAttemptInFlight(),
@@ -149,7 +149,7 @@
 	slog.Info("not_sent", "id", req.Call.ID, "attempt", a.number, "server", a.endpointName(), "reason", reason.String())
 	switch reason {
 	case precondition.AttemptInFlight, precondition.MayHaveRun, precondition.DedupWindowExpired:
-		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have decided on it
+		d.violations.Record(precondition.OperationSend, reason, req.Call.ID) // the Router should not have emitted Send
 	}
 	d.endAttempt(a, AttemptResult{Outcome: routing.NotSent})
 	if reason == precondition.ClientDisconnected {
--- a/internal/dispatch/releases.go
+++ b/internal/dispatch/releases.go
@@ -29,8 +29,9 @@
 // PendingReleases returns the number of second releases that are scheduled. It may be called from any goroutine.
 func (d *Dispatcher) PendingReleases() int64 { return d.pendingReleases.Load() }
 
-// releaseReservation releases the reservations of a request. It releases them a second time after secondReleaseDelay if
-// the end of an attempt was not observed.
+// releaseReservation releases the reservations of a request whose answer is not a stream. If the end of an attempt was
+// not observed, it releases them a second time after secondReleaseDelay, provided that the request then has its final
+// answer.
 func (d *Dispatcher) releaseReservation(id routing.RequestID, reason routing.ReleaseReason) {
 	req := d.requests[id]
 	if req == nil || req.state == requestServed {
--- a/internal/precondition/precondition.go
+++ b/internal/precondition/precondition.go
@@ -128,8 +128,9 @@
 	return Allowed
 }
 
-// FirstByte holds the facts for writing the first byte of an attempt. They are checked again at that moment, since the
-// connection may have been established long after Attempt.Check allowed the attempt.
+// FirstByte holds the facts that decide whether the first byte of an attempt may be written. They are checked at that
+// moment, since they may have changed since Attempt.Check allowed the attempt: the connection may have taken long to
+// establish.
 type FirstByte struct {
 	Withdrawn     bool
 	ClientGone    bool
--- a/routing/action.go
+++ b/routing/action.go
@@ -34,7 +34,7 @@
 		Request RequestID
 		Reason  Reason
 	}
-	// Cancel stops waiting for one attempt.
+	// Cancel aborts one attempt; its AttemptEnded follows.
 	Cancel struct {
 		Request RequestID
 		Attempt int
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -23,9 +23,10 @@
 	return queueDelayMS <= min(budgetMS, maxQueueMS) && (prefillMS > budgetMS || queueDelayMS+prefillMS <= budgetMS)
 }
 
-// overQuota reports whether the requests that this router sent for a tenant have used up its fraction of the tenant's
-// quota. The fraction of one router among many is small and its traffic uneven, so several seconds' share may arrive at
-// once. Rejected requests do not count; otherwise clients' retries would use up the quota.
+// overQuota reports whether the requests that this router has sent for a tenant have used up this router's fraction of
+// the tenant's quota. One router among many has a small fraction and uneven traffic, so as many requests as the
+// fraction allows in several seconds may arrive at once. Rejected requests do not count; otherwise clients' retries
+// would use up the quota.
 func (r *Router) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(r.tenantBuckets) || r.cfg.TenantQuotas[tenant] <= 0 {
 		return false
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -14,9 +14,9 @@
 	return limit / float64(r.cfg.Routers)
 }
 
-// withinPollBudget returns the candidates and spends a poll for each one whose load is not known. If the budget of one
-// of them is used up, it returns none: a choice among only some of them would send a request away from its cached
-// prefix.
+// withinPollBudget returns the candidates and spends a poll for each one that has to be polled, because its load is not
+// known and no poll of it is in flight. If the poll budget of one of these is used up, it returns none: a choice among
+// only some of the candidates would send a request away from its cached prefix.
 func (r *Router) withinPollBudget(candidates []candidate) []candidate {
 	limit := r.cfg.Budgets.PollsPerReplica
 	if limit <= 0 {
@@ -43,8 +43,9 @@
 	return r.ownFraction(r.cfg.Budgets.RetriesPerSecond)*retryBurstSpan.Seconds() + retryBurstExtra
 }
 
-// withinRetryBudget reports whether a request that failed may be retried. It prevents the retries of all routers from
-// amplifying a fault (a retry storm). A fraction of the budget is reserved for critical requests.
+// withinRetryBudget reports whether the retry budget allows a request's next attempt. It always allows an attempt that
+// is not a retry. The budget prevents the retries of all routers from amplifying a fault (a retry storm). A fraction of
+// it is reserved for critical requests.
 func (r *Router) withinRetryBudget(req *request) bool {
 	budgets := r.cfg.Budgets
 	if !req.retrying || budgets.RetriesPerRequest <= 0 && budgets.RetriesPerSecond <= 0 {
@@ -58,7 +59,7 @@
 }
 
 // chargeBudgets charges an attempt to the budgets: a request's first attempt adds to the retry budget and counts
-// against its tenant's quota; a retry spends one retry.
+// against the quota of the request's tenant; a retry spends one retry.
 func (r *Router) chargeBudgets(req *request) {
 	if req.retrying {
 		r.retryBucket.Spend()
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Many routers together poll a replica no more often than its budget allows, and beyond that send without a poll.
+// Many routers together poll a replica no more often than the poll budget allows, and send further requests without a
+// poll.
 func TestLoadPollsStayWithinBudgetOverAllRouters(t *testing.T) {
 	const routers, span = 100, 80 * time.Second
 	polls, sends := map[EndpointID]int{}, 0
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -9,7 +9,7 @@
 type cellCapacity struct {
 	prefillCapacity      float64 // capacity of healthy prefill replicas
 	decodeCapacity       float64 // capacity of healthy replicas that decode
-	readyPrefillCapacity float64 // capacity of ready prefill replicas, healthy or not: the cell's fraction of prefills
+	readyPrefillCapacity float64 // capacity of ready prefill replicas, healthy or not; gives the cell's share of prefills
 	minDecodeWaitMS      float64 // least wait among healthy replicas that decode
 }
 
@@ -51,8 +51,9 @@
 // cellPreference returns two figures for a cell, under the assumption that all replicas are used evenly. preference is
 // the factor for the weight of the cell's prefill replicas; it is below 1 if the cell has too few decode replicas.
 // decodeCapacityRatio is the fraction of the requests prefilled in the cell that its decode replicas can then take; it
-// is above 1 if the cell has spare decode capacity. Both figures come from the endpoint list, because one router among
-// many sees few of a cell's replicas busy. They do harm if the weights on the endpoint list are meaningless.
+// is above 1 if the cell has spare decode capacity. Both figures are computed from the weights of healthy replicas and
+// not from observed loads, because one router among many sees few of a cell's replicas busy. They do harm if the
+// weights on the endpoint list are meaningless.
 func (r *Router) cellPreference(c *cellCapacity) (preference, decodeCapacityRatio float64) {
 	ratio := math.Inf(1)
 	if c.prefillCapacity > 0 && r.totalCapacity.decodeCapacity > 0 {
--- a/routing/decayedmean.go
+++ b/routing/decayedmean.go
@@ -14,8 +14,8 @@
 	timeConstant time.Duration
 }
 
-// decayFactor returns the fraction of the samples' weight at updatedAt that remains. It returns early if there are no
-// samples, as for most replicas of a large endpoint list; computing an exponential for each of them at each decision
+// decayFactor returns the fraction of the samples' weight at updatedAt that remains. It returns 0 at once if there are
+// no samples, as for most replicas of a large endpoint list; computing an exponential for each of them at each decision
 // would take most of the router's time.
 func (m *decayedMean) decayFactor(now time.Duration) float64 {
 	if m.samples == 0 && m.sum == 0 {
--- a/routing/decode.go
+++ b/routing/decode.go
@@ -51,8 +51,8 @@
 
 // bestDecodeReplica returns a decode replica for a request, or nil. It prefers a replica with capacity in the prefill
 // replica's cell, then one with capacity elsewhere, then any. The requests that exceed the capacity of the cell's
-// decode replicas spill to cells with spare decode capacity. A replica in slow start comes first if its credit allows
-// the request.
+// decode replicas spill to cells with spare decode capacity. A healthy replica in slow start comes first if its credit
+// allows the request.
 func (r *Router) bestDecodeReplica(req *request) *replica {
 	r.sumCapacity(req.Class)
 	selection := r.newDecodeSelection(req)
@@ -75,7 +75,8 @@
 	return best.replica
 }
 
-// newDecodeSelection decides at random whether a request leaves the cell of its prefill replica.
+// newDecodeSelection returns the parameters of a request's selection. For a prefilled request it decides at random
+// whether the request leaves the cell of its prefill replica.
 func (r *Router) newDecodeSelection(req *request) decodeSelection {
 	origin := r.byID[req.prefillEndpoint]
 	if req.state != awaitingDecode || origin == nil {
@@ -103,7 +104,7 @@
 }
 
 // accrueDecodeSlowStartCredit calls accrueSlowStartCredit for a decode replica. Only requests that stay in the
-// replica's cell may use it, unless no prefill replica of the cell is ready.
+// replica's cell may use the replica, unless no prefill replica of the cell is ready.
 func (r *Router) accrueDecodeSlowStartCredit(replica *replica, req *request, selection decodeSelection) bool {
 	if replica.cell.readyPrefillCapacity <= 0 {
 		return r.accrueSlowStartCredit(replica, req, 1, 0)
@@ -156,8 +157,8 @@
 	return ownLoad
 }
 
-// decodeTimeout returns the timeout of a decode attempt. Where a retry is allowed, the timeout leaves time for a retry
-// at another replica if this one is silent; otherwise it is the time until the deadline.
+// decodeTimeout returns the timeout of a decode attempt. Where a retry is allowed and enough time remains, the timeout
+// leaves time for a retry at another replica if this one is silent; otherwise it is the time until the deadline.
 func (r *Router) decodeTimeout(req *request) time.Duration {
 	remaining := req.deadline - r.now
 	retryable := r.cfg.Classes[req.Class].Idempotency == Idempotent && req.attempts+1 < r.maxAttempts(req)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// updateEndpoints applies a change of the endpoint list. A replica that has gone is removed once none of its attempts
-// is in flight.
+// updateEndpoints applies a change of the endpoint list. A replica that has gone is removed at the first change at
+// which none of its attempts is in flight.
 func (r *Router) updateEndpoints(event EndpointUpdate) {
 	if event.Full {
 		for _, replica := range r.replicas {
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -73,7 +73,7 @@
 
 // cellDecodeWaitMS returns the least wait among the decode replicas of a prefill replica's cell, but at most
 // nearFullWaitMS more than the least wait among all decode replicas. For a cell without healthy decode replicas it
-// returns the least wait among all.
+// returns the least wait among all, and 0 if no decode replica is healthy.
 func (r *Router) cellDecodeWaitMS(c *cellCapacity) float64 {
 	waitMS := c.minDecodeWaitMS
 	if math.IsInf(waitMS, 1) {
--- a/routing/event.go
+++ b/routing/event.go
@@ -124,7 +124,7 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes. NeverRan reports which of them prove that nothing ran.
+// The outcomes. NeverRan reports which of them prove that the attempt did not execute the request.
 const (
 	Served Outcome = iota
 	ErrorResponse
@@ -138,7 +138,8 @@
 	PrefillDone
 )
 
-// NeverRan reports whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt did not execute the request. A prefill does not execute
+// it.
 func (o Outcome) NeverRan() bool {
 	return o == QueueFull || o == PrefillResultMissing || o == ConnectFailed || o == NotSent || o == PrefillDone
 }
--- a/routing/health.go
+++ b/routing/health.go
@@ -31,7 +31,7 @@
 	replica.health[1+class].update(r.now, 1, weight)
 }
 
-// recordSuccess lowers the failure levels of a replica for one class and for all classes.
+// recordSuccess records a response of a replica and lowers its failure levels for one class and for all classes.
 func (r *Router) recordSuccess(replica *replica, class int) {
 	replica.lastResponse = r.now
 	replica.health[0].update(r.now, 0, successWeight)
--- a/routing/latencymodel.go
+++ b/routing/latencymodel.go
@@ -118,8 +118,9 @@
 }
 
 // priorPerKiloTokenMS returns the prior cost of 1,000 uncached tokens: the least time that a class's latency objective
-// allows for 1,000 prompt tokens, which reflects the speed of the replicas. The prior matters because a router that
-// sees few prefills uses it most of the time.
+// allows for 1,000 prompt tokens, which reflects the speed of the replicas. If no class's objective grows with the
+// prompt, it returns initialPrefillPerKiloTokenMS. The prior matters because a router that sees few prefills uses it
+// most of the time.
 func (cfg *Config) priorPerKiloTokenMS() float64 {
 	prior := math.Inf(1)
 	for _, class := range cfg.Classes {
--- a/routing/loadpoll.go
+++ b/routing/loadpoll.go
@@ -86,7 +86,8 @@
 	return candidates[:count]
 }
 
-// loadPolled stores a replica's load and continues the requests that were waiting for this answer only.
+// loadPolled stores a replica's load, or counts a failure of the replica if it has not reported its load. It then
+// continues the requests that were waiting for this answer only.
 func (r *Router) loadPolled(event LoadPolled) {
 	replica := r.byID[event.Endpoint]
 	if replica == nil {
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -72,7 +72,7 @@
 }
 
 // canPrefill reports whether a replica may be sent the request's prefill. For a replica in slow start it accrues the
-// request's slow-start credit. With filter anyHealth it excludes replicas in slow start.
+// request's slow-start credit if the filter is healthyOnly, and returns false if it is anyHealth.
 func (r *Router) canPrefill(replica *replica, req *request, filter healthFilter) bool {
 	if replica.role != Prefill || replica.State != Ready {
 		return false
@@ -89,13 +89,13 @@
 	return !r.inSlowStart(replica) || r.accrueSlowStartCredit(replica, req, 1, r.slowStartAllowance(req))
 }
 
-// polledFor reports whether a replica was polled for the request and either its load is known or its poll is
-// unanswered.
+// polledFor reports whether a replica is among the request's poll candidates and either its load is known or it has not
+// answered a load poll in time.
 func (r *Router) polledFor(replica *replica, req *request) bool {
 	return slices.Contains(req.pollCandidates, replica.ID) && (r.loadFresh(replica) || r.pollUnanswered(replica))
 }
 
-// selectsByPoll reports whether the request goes to one of the replicas that were polled for it. Only its first attempt
+// selectsByPoll reports whether the request's next attempt goes to one of its poll candidates. Only the first attempt
 // does.
 func (req *request) selectsByPoll() bool { return req.pollCandidates != nil && req.attempts == 0 }
 
--- a/routing/prefixcache.go
+++ b/routing/prefixcache.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// sweepPrefixTable removes the expired entries every sweepInterval. While there are more than maxPrefixEntries, it also
-// removes the least recently used entries.
+// sweepPrefixTable removes the expired entries every sweepInterval. If there are more than maxPrefixEntries entries, it
+// also removes the least recently used ones until at most three quarters of maxPrefixEntries remain.
 func (r *Router) sweepPrefixTable() {
 	full := len(r.prefixTable) > maxPrefixEntries
 	if !full && r.now-r.sweptAt < sweepInterval {
@@ -67,11 +67,12 @@
 	}
 }
 
-// expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache. It counts the
-// tokens that this router has sent there and, if the rank marks the replica as a replica for the shared prefix, the
-// tokens that other routers will have sent there. A request that is placed by polled loads does not count on other
-// routers: this router sees too few requests to tell a popular prefix from a rare one, which no router has sent there,
-// and the rank alone decides between equal queues.
+// expectedCachedTokens returns how many of the prompt's tokens are expected in a prefill replica's cache: those of the
+// prefixes that this router has sent there and, if the replica's rank is below notPrefixReplicaRank, all tokens of the
+// shared prefix, since other routers send that prefix to the same replicas. The number is scaled by the recent cache
+// hit ratio. For a request whose replica is selected by polling, the second part is left out: this router sees too few
+// requests to know whether the prefix is popular, and a rare prefix has not been sent there by any router. Then the
+// rank only decides between equal queues.
 func (r *Router) expectedCachedTokens(replica *replica, req *request, rank float64) int {
 	tokens := max(
 		r.recordedTokens(req.Session, req.PromptTokens, replica),
--- a/routing/prefixcache_test.go
+++ b/routing/prefixcache_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestPolledRequestsCountOnOwnPrefillsOnly checks which cached tokens are expected. For a request that is placed by
-// estimates, a low rank is enough to expect the shared prefix in the cache. For a request that is placed by polled
-// loads it is not; only what this router has sent counts.
+// TestPolledRequestsCountOnOwnPrefillsOnly checks which cached tokens are expected. For a request whose replica is
+// selected by estimates, a low rank is enough to expect the shared prefix in the cache. For a request whose replica is
+// selected by polling it is not; only what this router has sent counts.
 func TestPolledRequestsCountOnOwnPrefillsOnly(t *testing.T) {
 	h := newHarness(t, nil)
 	req := &request{RequestArrived: RequestArrived{SharedPrefix: 5, SharedPrefixTokens: 700, PromptTokens: 1000}}
--- a/routing/rendezvous.go
+++ b/routing/rendezvous.go
@@ -9,9 +9,9 @@
 // rendezvousRank returns a prefill replica's rank for a request; lower is better. It uses weighted rendezvous (highest
 // random weight) hashing (D. Thaler, C. Ravishankar: Using Name-Based Mappings to Increase Hit Rates; the weighted form
 // divides an exponential variate by the weight). All routers compute the same order, so that prefixes are found in the
-// cache without communication: the replicas for the shared prefix, of which there are about replicaCount, come first,
-// in an order by session; then the others. This does harm if one prefix has more requests than its replicas can take
-// before its popularity is known.
+// cache without communication. The replicas for the shared prefix, of which there are about replicaCount, come first,
+// ordered by session; then come the others, ordered by shared prefix. Without a shared prefix all replicas are ordered
+// by session. This does harm if one prefix has more requests than its replicas can take before its popularity is known.
 func (r *Router) rendezvousRank(replica *replica, req *request, replicaCount float64) float64 {
 	preference, _ := r.cellPreference(replica.cell)
 	weight := r.effectiveWeight(replica) * preference
--- a/routing/request.go
+++ b/routing/request.go
@@ -87,7 +87,8 @@
 	mayHaveRunOn EndpointID
 }
 
-// requestArrived opens a request in state awaitingPrefill and takes its first step.
+// requestArrived opens a request in state awaitingPrefill and takes its first step. A request of an unknown class
+// fails at once.
 func (r *Router) requestArrived(event RequestArrived) {
 	if r.requests[event.Request] != nil {
 		return
@@ -303,8 +304,8 @@
 }
 
 // retryPrefill releases what may remain of a request's reservation and moves the request to awaitingPrefill. The host
-// sends the new prefill only after the release has arrived; otherwise the release would discard the new prefill's
-// result.
+// sends the new prefill after the release has arrived, unless that takes too long: a release that arrives after the new
+// prefill would discard its result.
 func (r *Router) retryPrefill(req *request) {
 	r.release(req, BeforePrefillRetry)
 	req.state, req.reservation.releasedWhileDecoding = awaitingPrefill, false
--- a/routing/reservation.go
+++ b/routing/reservation.go
@@ -44,8 +44,9 @@
 	r.emit(Release{req.Request, reason})
 }
 
-// scheduleRelease sets the timer by which the reservation is released in time, whatever the outcome of the attempt in
-// flight.
+// scheduleRelease sets a timer for the release deadline of a request's reservation, unless there is no reservation or a
+// timer is already pending. The timer fires whatever the outcome of the attempt in flight, so that the reservation is
+// released in time.
 func (r *Router) scheduleRelease(req *request) {
 	if !req.reservation.mayExist || req.reservation.timerSet {
 		return
@@ -54,7 +55,8 @@
 	r.emit(SetTimer{max(r.releaseDeadline(req)-r.now, 0), TimerID(req.Request) | releaseTimerFlag})
 }
 
-// releaseIfExpired handles the timer of scheduleRelease.
+// releaseIfExpired is called when the timer of scheduleRelease fires. It releases the reservation if the release
+// deadline has passed, and otherwise sets the timer again.
 func (r *Router) releaseIfExpired(req *request) {
 	req.reservation.timerSet = false
 	if !req.reservation.mayExist {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -2,8 +2,8 @@
 
 // Slow start (as in NGINX and Envoy): how many requests a replica that has just started may be sent.
 
-// rampFraction returns the fraction of its full capacity that a replica has at least. It rises linearly from
-// Config.SlowStartInitial to 1 during Config.SlowStartDuration.
+// rampFraction returns the least fraction of its full capacity that a replica has. It rises linearly from
+// Config.SlowStartInitial to 1 during Config.SlowStartDuration. It is always 1 if Config.OverloadMultiple is 0.
 func (r *Router) rampFraction(replica *replica) float64 {
 	age := r.now - replica.Started
 	if replica.Started <= 0 || age >= r.cfg.SlowStartDuration || r.cfg.OverloadMultiple <= 0 {
@@ -45,7 +45,7 @@
 
 // slowStartAllowance returns how many requests this router may send to a prefill replica in slow start ahead of its
 // credit. If the request has no shared prefix or a known one, it is 1, since the ranks limit what all routers send to
-// the replica at once. If the prefix is new, it is this router's fraction of newPrefixAllowance.
+// the replica at once. If the prefix is new, it is this router's fraction of newPrefixAllowance, at most 1.
 func (r *Router) slowStartAllowance(req *request) float64 {
 	if entry := r.prefixTable[req.SharedPrefix]; entry == nil || entry.requests.count(r.now) > knownPrefixRequests {
 		return 1
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// overloadUnderBurst returns the largest ratio, in any window, of the sends to a replica in slow start to the allowed
-// number, and the total number of these sends. If routers is negative, there are -routers routers, each configured as
-// one of three.
+// overloadUnderBurst counts the sends to a replica in slow start. It returns the worst window's count divided by the
+// allowed count, and the total count. If routers is negative, there are -routers routers, each configured as one of
+// three.
 func overloadUnderBurst(t *testing.T, routers int, hotShare float64, decode, otherCellsFail bool, seed uint64) (worst float64, total int) {
 	t.Helper()
 	const rate = 40.0 // requests per second before the burst
@@ -163,8 +163,8 @@
 	}
 }
 
-// Two hundred routers that get the endpoint of one new replica together send it no more than is allowed in any window,
-// from the first moment on. It fails if each router assumes that it is the only one.
+// In any window, from the first moment on, two hundred routers that get the endpoint of one new replica together send
+// it no more than is allowed. The test fails if each router assumes that it is the only one.
 func TestSlowStartWithManyRoutersFromStart(t *testing.T) {
 	if worst, sent := overloadFromStart(t, false); worst > 1 || sent == 0 {
 		t.Errorf("%d sends, at worst %.2f of what is allowed", sent, worst)
@@ -175,9 +175,9 @@
 	}
 }
 
-// overloadFromStart returns the largest ratio, in any window, of the sends to a replica in slow start to the allowed
-// number, and the total number of these sends. With singleSession, all requests belong to one session, which hashes to
-// that replica.
+// overloadFromStart counts the sends to a replica in slow start. It returns the worst window's count divided by the
+// allowed count, and the total count. With singleSession, all requests belong to one session, which hashes to that
+// replica.
 func overloadFromStart(t *testing.T, singleSession bool) (worst float64, total int) {
 	t.Helper()
 	const routers, rate = 200, 200.0 // requests per second at all routers
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // Snapshot is a router's learned state. Another router starts with it: a replacement of the router, or an additional
-// one. Times refer to a clock that both share (see Shift).
+// one. Times refer to a clock that both routers share (see Shift).
 type Snapshot struct {
 	TakenAt                   time.Duration
 	PrefillModel, DecodeModel LatencyModel
@@ -197,7 +197,8 @@
 }
 
 // restoreStats adopts another router's learned state of a replica where it is plausible and either rests on more
-// samples or is more recent than this router's own.
+// samples or is more recent than this router's own. Of two slow-start credits or two values of cacheValidFrom, the
+// lower one counts.
 func (r *Router) restoreStats(replica *replica, stats EndpointStats) {
 	replica.cacheValidFrom = min(replica.cacheValidFrom, stats.CacheValidFrom)
 	replica.queueDelay.restore(r.now, stats.QueueDelay)
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -25,8 +25,9 @@
 	r.updateActive()
 }
 
-// updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset is ignored if
-// it has no ready Combined replica and lacks a ready Prefill or a ready Decode replica.
+// updateActive recomputes the active replicas after a change of the endpoint list or the subset. A subset is ignored
+// during a fallback (toggleFallback), or if it has no ready Combined replica and lacks a ready Prefill or a ready
+// Decode replica.
 func (r *Router) updateActive() {
 	r.active, r.usingSubset = r.replicas, false
 	raiseMaxReady(&r.maxReadyAll, r.replicas)
