--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -112,7 +112,7 @@
 	dedupWindow, inDedupScope := d.remainingDedupWindow(a)
 	return precondition.Attempt{
 		Answered:        req.answered(),
-		ClientGone:      req.clientHasLeft(),
+		ClientGone:      req.clientGone(),
 		EndpointLeaving: a.endpoint == nil || a.endpoint.state != routing.Ready,
 		RemainingTime:   timeout,
 		AttemptInFlight: req.hasAttemptInFlight(),
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -113,7 +113,7 @@
 		d.abandonRequest(req)
 		return
 	}
-	if req.clientHasLeft() {
+	if req.clientGone() {
 		d.clientDisconnected(req)
 		return
 	}
@@ -249,8 +249,8 @@
 // answered reports whether the request has its final answer.
 func (r *request) answered() bool { return r.state == requestServed || r.state == requestAnswered }
 
-// clientHasLeft reports whether the request's client has disconnected.
-func (r *request) clientHasLeft() bool {
+// clientGone reports whether the request's client has disconnected.
+func (r *request) clientGone() bool {
 	return r.state == requestCompleting || r.clientContext.Err() != nil || r.ClientGone != nil && r.ClientGone()
 }
 
--- a/routing/driver_test.go
+++ b/routing/driver_test.go
@@ -43,7 +43,7 @@
 	return x
 }
 
-// trackedRequest is the driver's view of one request.
+// trackedRequest is what the driver has recorded of one request.
 type trackedRequest struct {
 	RequestArrived
 	deadline          time.Duration
--- a/routing/estimate_test.go
+++ b/routing/estimate_test.go
@@ -3,7 +3,8 @@
 import "testing"
 
 // TestSilentReplicaCountsAsBusy checks that a replica which does not answer a load poll in time is estimated to have
-// requests ahead, that its estimated wait follows the time which its prefill then takes, and that an answer ends this.
+// requests ahead, and that its estimated wait follows the time which its prefill then takes. Once the replica answers,
+// its report counts instead.
 func TestSilentReplicaCountsAsBusy(t *testing.T) {
 	h := newHarness(t, func(cfg *Config) { cfg.CanPollLoad = true })
 	h.arrive(1, 0)
