--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -20,8 +20,8 @@
 
 // requestState is the state of a request, with these transitions:
 //
-//	requestOpen -> requestServed       an attempt's stream is the final answer (firstToken)
 //	requestOpen -> requestCompleting   the client has disconnected; an attempt runs to completion (clientDisconnected)
+//	requestOpen, requestCompleting -> requestServed     an attempt's stream is the final answer (firstToken)
 //	requestOpen, requestCompleting -> requestAnswered   the final answer is not a stream (reply)
 //
 // removeIfDone removes a request in requestServed or requestAnswered once none of its attempts is in flight.
@@ -249,7 +249,8 @@
 // answered reports whether the request has its final answer.
 func (r *request) answered() bool { return r.state == requestServed || r.state == requestAnswered }
 
-// clientGone reports whether the request's client has disconnected.
+// clientGone reports whether the request's client has disconnected: according to the request's state, to the client's
+// context, or to the frontend's check Request.ClientGone.
 func (r *request) clientGone() bool {
 	return r.state == requestCompleting || r.clientContext.Err() != nil || r.ClientGone != nil && r.ClientGone()
 }
--- a/routing/budget_test.go
+++ b/routing/budget_test.go
@@ -96,7 +96,7 @@
 	}
 	acts := h.failPrefill(100, 1)
 	if !containsAction[Send](acts) {
-		t.Error("a critical request is not retried although a part is reserved for it")
+		t.Error("a critical request is not retried although a part of the budget is reserved for it")
 	}
 	h.handle(5*ms, AttemptEnded{Request: 100, Attempt: 1, Endpoint: h.sentTo(acts), Outcome: PrefillDone, Elapsed: 5 * ms, Final: true})
 	h.handle(time.Minute, TimerFired{}) // meanwhile the prefill replicas' failure levels decay too
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -9,7 +9,7 @@
 type cellCapacity struct {
 	prefillCapacity      float64 // capacity of healthy prefill replicas
 	decodeCapacity       float64 // capacity of healthy replicas that decode
-	readyPrefillCapacity float64 // capacity of ready prefill replicas, healthy or not; gives the cell's share of prefills
+	readyPrefillCapacity float64 // capacity of ready prefill replicas, even unhealthy; gives the cell's share of prefills
 	minDecodeWaitMS      float64 // least wait among healthy replicas that decode
 }
 
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// drawLoad draws a load report, in which values may be absent, or nil.
+// drawLoad draws a load report, which may lack some values. It returns nil for a replica that did not report its load.
 func (d *driver) drawLoad() *LoadReport {
 	if d.rng.IntN(8) == 0 {
 		return nil
--- a/routing/loadpoll.go
+++ b/routing/loadpoll.go
@@ -87,7 +87,7 @@
 }
 
 // loadPolled stores a replica's load, or counts a failure of the replica if it has not reported its load. It then
-// continues the requests that were waiting for this answer only.
+// continues the requests that were not waiting for any other answer.
 func (r *Router) loadPolled(event LoadPolled) {
 	replica := r.byID[event.Endpoint]
 	if replica == nil {
--- a/routing/prefill.go
+++ b/routing/prefill.go
@@ -26,7 +26,8 @@
 
 // bestPrefillReplica returns the prefill replica with the lowest estimate; rank decides between nearly equal ones. If
 // no healthy replica is eligible, it considers the unhealthy ones, so that poor health alone never leaves a request
-// without a replica.
+// without a replica. It returns false if none of those is eligible either. A returned replica in slow start spends one
+// credit.
 func (r *Router) bestPrefillReplica(req *request) (candidate, bool) {
 	r.sumCapacity(req.Class)
 	replicaCount := r.prefixReplicaCount(req)
--- a/routing/request.go
+++ b/routing/request.go
@@ -134,7 +134,9 @@
 	}
 }
 
-// startPrefill applies the admission test and sends the request to the prefill replica with the lowest estimate.
+// startPrefill sends the request to the prefill replica with the lowest estimate if the admission test allows it, and
+// rejects it otherwise. Before that it may wait for load polls. If no prefill replica is eligible, the request goes to
+// a decode replica that can prefill, or the selection is repeated later.
 func (r *Router) startPrefill(req *request) {
 	if req.attempts+attemptsFromPrefill > r.maxAttempts(req) {
 		r.rejectOrFail(req, AttemptsExhausted, 0)
@@ -170,7 +172,8 @@
 	r.send(req, replica, r.prefillTimeout(req, estimateMS), expectedBy)
 }
 
-// startDecode sends a request to the decode replica that bestDecodeReplica selects.
+// startDecode sends a request to the decode replica that bestDecodeReplica selects. Before that it may wait for load
+// polls. If there is no such replica, the selection is repeated later.
 func (r *Router) startDecode(req *request) {
 	if r.pollLoads(req) {
 		return
