--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -107,7 +107,7 @@
 // The votes. Members send each other their values, which must not change.
 const (
 	VoteGranted    Vote = iota + 1 // the replica grants the claim
-	VoteInFlight                   // another attempt holds the key and may be executing
+	VoteInFlight                   // another attempt holds the key and may be executing, or the claim is withdrawn
 	VoteMayHaveRun                 // another attempt holds the key and may have run
 	VoteAnswered                   // another attempt has run, and its answer comes with the vote
 	VoteKeyReused                  // the key was used with another request body
--- a/internal/fleet/idempotencyquorum/coordinator.go
+++ b/internal/fleet/idempotencyquorum/coordinator.go
@@ -87,8 +87,8 @@
 
 // Claim claims a key for a new attempt at the replicas, and waits for votes that decide the claim, for at most
 // claimTimeout. A claim that is not granted is withdrawn. maxDuration is the longest time from now that the attempt can
-// last. The outcome, vote and answer are defined by idempotency.Round.Outcome; the caller passes the attempt to
-// RecordResult or Withdraw.
+// last. The outcome, vote and answer are defined by idempotency.Round.Outcome. After a grant, the caller passes the
+// attempt to RecordResult or Withdraw.
 func (c *Coordinator) Claim(key string, body []byte, maxDuration time.Duration) (
 	idempotency.Outcome, idempotency.Vote, []byte, idempotency.Attempt,
 ) {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -164,8 +164,8 @@
 // out, and the next attempt comes after a random backoff, whose range doubles with each such failure.
 func (h *Holder) handleRefusal(now time.Duration, w *wantedTask, voter string, g Grant) {
 	w.refusals[voter] = true
-	blockingMinority := len(h.voters) - len(h.voters)/2
-	if len(w.refusals) < blockingMinority {
+	blockingRefusals := len(h.voters) - len(h.voters)/2
+	if len(w.refusals) < blockingRefusals {
 		return
 	}
 	wait, span := min(g.Remaining, h.limits.Renew), int64(h.limits.Renew)/2
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -65,7 +65,8 @@
 	ClaimedToken uint64
 	Token        uint64 // the claimed token if granted, else the highest token recorded for the task
 	Granted      bool
-	// Remaining is how much longer the grant to another candidate lasts.
+	// Remaining is how much longer an earlier grant for the task lasts, if the claim was refused. It is 0 if the claim
+	// was granted, or if the earlier grant has ended.
 	Remaining time.Duration
 }
 
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -12,7 +12,8 @@
 
 var (
 	simSeeds = flag.Int("lease.seeds", 6, "how many seeds the simulation of leases is run with")
-	simSteps = flag.Int("lease.steps", 20_000, "of 2 ms each")
+	// stepsPerSeed is the number of steps that the simulation runs with each seed.
+	stepsPerSeed = flag.Int("lease.steps", 20_000, "of 2 ms each")
 )
 
 const (
@@ -33,7 +34,7 @@
 	noMargin    bool
 	noRecovery  bool // a voter that restarts without its state grants at once
 	noFence     bool
-	onlyAtStart bool // a member checks its lease when it begins, and not before each action
+	onlyAtStart bool // a member that once held a wanted task acts on it without checking that its lease is still valid
 }
 
 // simNode is one member. It has a holder and, if it is one of the first members, a voter.
@@ -47,7 +48,7 @@
 	holder      *Holder
 	voter       *Voter
 	wanted      map[Task]bool
-	startTokens map[Task]uint64 // tokens of the leases when they began, for the mutant onlyAtStart
+	heldTokens  map[Task]uint64 // token of the last lease on each task, for the mutant onlyAtStart
 }
 
 // simMessage is a request, a reply, or a result of a task under a token.
@@ -75,8 +76,8 @@
 
 	fence     Fence
 	lastToken map[Task]uint64        // highest token of the accepted results, by task
-	lastHeld  map[Task]time.Duration // last time at which a member held the task, or no member could hold it
-	maxGap    time.Duration          // longest time without a holder while all voters were healthy
+	gapStart  map[Task]time.Duration // last time at which a member acted, none wanted the task, or healthy was false
+	maxGap    time.Duration          // longest time for which no member acted on a wanted task while healthy was true
 	results   int                    // number of accepted results
 }
 
@@ -89,7 +90,7 @@
 		maxDelay:      3 * time.Millisecond,
 		faultInterval: []int{150, 150, 600}[seed%3],
 		lastToken:     map[Task]uint64{},
-		lastHeld:      map[Task]time.Duration{},
+		gapStart:      map[Task]time.Duration{},
 	}
 	if seed%2 == 1 {
 		s.voters = append(s.voters, "n3", "n4")
@@ -136,7 +137,7 @@
 		l.Margin = 0
 	}
 	n.holder = NewHolder(Candidate{n.name, n.incarnation}, s.voters, l, s.rng.Int64N)
-	n.startTokens = map[Task]uint64{}
+	n.heldTokens = map[Task]uint64{}
 	if i < len(s.voters) && (n.voter == nil || !keepVoter) {
 		n.voter = NewVoter(n.name, l, s.clock(n))
 		if s.mutant.noRecovery || s.now == 0 { // no grant can exist when the simulation starts
@@ -190,7 +191,9 @@
 		if n.up {
 			s.start(i, s.rng.IntN(2) == 0)
 		}
-	case 6: // views differ, so any node may want any task
+	case 6:
+		// A node begins or ceases to want a task. In a fleet this follows from its membership view, which can differ
+		// from the views of the others.
 		task := Task(1 + s.rng.IntN(simTasks))
 		if n.wanted[task] {
 			delete(n.wanted, task)
@@ -223,14 +226,15 @@
 	s.cutUntil = s.now + time.Duration(s.rng.Int64N(int64(3*time.Second))) // a lease may expire before this time
 }
 
-// mayAct reports whether a node would act on a task now, and under which token.
-func (s *sim) mayAct(n *simNode, task Task) (uint64, bool) {
+// actingToken returns the token under which a node would act on a task now, and whether it would act. With the mutant
+// onlyAtStart, it would also act after its lease has ended.
+func (s *sim) actingToken(n *simNode, task Task) (uint64, bool) {
 	token, ok := n.holder.Holds(s.clock(n), task)
 	if s.mutant.onlyAtStart && n.wanted[task] {
 		if ok {
-			n.startTokens[task] = token
+			n.heldTokens[task] = token
 		}
-		return n.startTokens[task], n.startTokens[task] > 0
+		return n.heldTokens[task], n.heldTokens[task] > 0
 	}
 	return token, ok
 }
@@ -259,7 +263,7 @@
 	return ""
 }
 
-// deliver passes a message to its receiver.
+// deliver passes a message to its receiver. It returns the violation that it found, or an empty string.
 func (s *sim) deliver(m simMessage) string {
 	if m.task != 0 {
 		return s.deliverResult(m)
@@ -281,7 +285,8 @@
 	return ""
 }
 
-// deliverResult passes a result to the receiver, which never fails, and checks that the accepted tokens never decrease.
+// deliverResult passes a result to the receiver, which never fails. It returns a violation if the accepted tokens of a
+// task decrease, or an empty string.
 func (s *sim) deliverResult(m simMessage) string {
 	accepted := s.fence.Accept(s.now, m.task, m.token)
 	if !accepted && !s.mutant.noFence {
@@ -311,7 +316,8 @@
 	}
 }
 
-// actAndCheck lets the holders of a task act, and checks that there is at most one.
+// actAndCheck lets the members that would act on a task act, and returns a violation if there is more than one, or an
+// empty string.
 func (s *sim) actAndCheck(task Task) string {
 	actors, wanted := 0, false
 	for i, n := range s.nodes {
@@ -319,9 +325,9 @@
 			continue
 		}
 		wanted = wanted || n.wanted[task]
-		if token, ok := s.mayAct(n, task); ok {
+		if token, ok := s.actingToken(n, task); ok {
 			actors++
-			s.lastHeld[task] = s.now
+			s.gapStart[task] = s.now
 			s.sendResult(i, task, token)
 		}
 	}
@@ -329,9 +335,9 @@
 		return fmt.Sprintf("%d members act on task %d at %v", actors, task, s.now)
 	}
 	if !wanted || !s.healthy() {
-		s.lastHeld[task] = s.now
+		s.gapStart[task] = s.now
 	}
-	s.maxGap = max(s.maxGap, s.now-s.lastHeld[task])
+	s.maxGap = max(s.maxGap, s.now-s.gapStart[task])
 	return ""
 }
 
@@ -364,7 +370,7 @@
 	worstGap, results := time.Duration(0), 0
 	for seed := range *simSeeds {
 		s := newSim(uint64(seed), mutant{})
-		for range *simSteps {
+		for range *stepsPerSeed {
 			if violation := s.step(); violation != "" {
 				t.Fatalf("seed %d: %s", seed, violation)
 			}
@@ -372,7 +378,7 @@
 		worstGap, results = max(worstGap, s.maxGap), results+s.results
 	}
 	t.Logf("%d seeds of %d steps: longest gap with all voters healthy %v, %d results accepted",
-		*simSeeds, *simSteps, worstGap, results)
+		*simSeeds, *stepsPerSeed, worstGap, results)
 	if results == 0 {
 		t.Error("no member ever acted")
 	}
--- a/internal/fleet/lease/voter.go
+++ b/internal/fleet/lease/voter.go
@@ -67,9 +67,9 @@
 		v.grants[c.Task] = g
 	}
 	sameLease := g.candidate == from && g.token == c.Token
-	grantedToOther := now < g.until
+	grantUnexpired := now < g.until
 	staleToken := c.Token <= g.highestToken && !c.Renew
-	if !sameLease && (grantedToOther || staleToken) {
+	if !sameLease && (grantUnexpired || staleToken) {
 		return Grant{
 			Task:         c.Task,
 			ClaimedToken: c.Token,
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -49,7 +49,7 @@
 	conflicts    []Conflict
 	stale        int64 // number of ignored messages: see Stale
 	unconfigured int64 // number of ignored messages: see Unconfigured
-	changed      bool  // something other than a time has changed since the last call of Changed
+	changed      bool  // the version has increased, or recovery has ended, since the last call of Changed
 }
 
 // New returns a Table for the configured names, which include self. The table begins in recovery, as after a long stop.
@@ -88,8 +88,8 @@
 	return Joining
 }
 
-// Stale returns how many messages were ignored because they came from an earlier incarnation, or from a member that was
-// lost or had left.
+// Stale returns how many messages were ignored because they came from or concerned an earlier incarnation, or came from
+// a member that was lost or had left.
 func (t *Table) Stale() int64 { return t.stale }
 
 // Unconfigured returns how many messages were ignored because the name of their sender is not configured.
@@ -217,8 +217,8 @@
 	t.members[t.self].LastHeartbeat = now
 	timeout := t.suspicionTimeout()
 	t.updateSuspicion(now, timeout)
-	// Recovery ends once at least half of the active members have been heard from, or after the suspicion timeout:
-	// members that are silent until then become suspect, so that waiting longer is of no use.
+	// Recovery ends once at least half of the other active members have been heard from, or after the suspicion
+	// timeout: members that are silent until then become suspect, so that waiting longer is of no use.
 	timedOut := now-t.recoveringSince > timeout
 	if t.recovering && (timedOut || now > t.recoveringSince && t.heardFromHalf()) {
 		t.recovering = false
@@ -256,7 +256,8 @@
 	}
 }
 
-// heardFromHalf reports whether at least half of the active members have been heard from since recovery began.
+// heardFromHalf reports whether at least half of the other active members have been heard from since recovery began. It
+// returns false if there are no other active members.
 func (t *Table) heardFromHalf() bool {
 	others, missing := 0, len(t.awaited)
 	for name, m := range t.members {
@@ -279,7 +280,7 @@
 	return time.Duration(t.limits.SuspectAfter * float64(t.limits.HeartbeatInterval(size)))
 }
 
-// Changed reports whether anything other than times has changed since the previous call.
+// Changed reports whether the version of the view has increased, or recovery has ended, since the previous call.
 func (t *Table) Changed() bool {
 	changed := t.changed
 	t.changed = false
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// For any sequence of events, versions and incarnations never decrease, each change of a member shows in the version,
-// and a returned view does not change.
+// For any sequence of events, the version of the view and the incarnations of the members never decrease, and the
+// version increases with each change of a member's state or incarnation.
 func TestVersionsAndIncarnationsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		table, now := newTable(), time.Duration(0)
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,7 +4,9 @@
 
 // View is the fleet as one process sees it at one time. It is immutable once returned.
 type View struct {
-	Version uint64        // increases with every change, and never decreases within an incarnation of the process
+	// Version increases when a member's state or incarnation changes, a conflict is recorded, or recovery begins. It
+	// never decreases within an incarnation of the process.
+	Version uint64
 	AsOf    time.Duration // last time at which the view was known to be valid
 	Self    string        // name of the process that has this view
 	Members []Member      // sorted by name
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -97,7 +97,7 @@
 		return Share{}, false
 	}
 	next := b.shareFromGrants(now)
-	if maps.Equal(next.seqs, b.inForceSeqs) && next.Fraction == b.inForce.Fraction && next.Until == b.inForce.Until {
+	if maps.Equal(next.claimSeqs, b.inForceSeqs) && next.Fraction == b.inForce.Fraction && next.Until == b.inForce.Until {
 		return Share{}, false
 	}
 	b.unconfirmed = true
@@ -105,12 +105,12 @@
 }
 
 // shareFromGrants returns the share that adds up the member's part of the floor and the latest grants that last longer
-// than Lead.
+// than Lead. While the borrower is leaving, the share is only the part of the floor.
 func (b *Borrower) shareFromGrants(now time.Duration) Share {
-	s := Share{Fraction: b.limits.MinFraction(), seqs: map[string]uint64{}}
+	s := Share{Fraction: b.limits.MinFraction(), claimSeqs: map[string]uint64{}}
 	for _, voter := range slices.Sorted(maps.Keys(b.grants)) {
 		g := b.grants[voter]
-		s.seqs[voter] = g.seq
+		s.claimSeqs[voter] = g.seq
 		if b.leaving || g.until-now <= b.limits.Lead || g.fraction <= 0 {
 			continue
 		}
@@ -123,7 +123,7 @@
 }
 
 // Confirm records that a share is in use from now on.
-func (b *Borrower) Confirm(s Share) { b.unconfirmed, b.inForce, b.inForceSeqs = false, s, s.seqs }
+func (b *Borrower) Confirm(s Share) { b.unconfirmed, b.inForce, b.inForceSeqs = false, s, s.claimSeqs }
 
 // Discard records that the share last returned by NextShare will never be used.
 func (b *Borrower) Discard() { b.unconfirmed = false }
--- a/internal/fleet/quota/sim_test.go
+++ b/internal/fleet/quota/sim_test.go
@@ -12,7 +12,8 @@
 
 var (
 	simSeeds = flag.Int("share.seeds", 4, "how many seeds the simulation of shares is run with")
-	simSteps = flag.Int("share.steps", 20_000, "of 2 ms each")
+	// stepsPerSeed is the number of steps that the simulation runs with each seed.
+	stepsPerSeed = flag.Int("share.steps", 20_000, "of 2 ms each")
 )
 
 const (
@@ -325,14 +326,14 @@
 	maxSum := 0.0
 	for seed := range uint64(*simSeeds) {
 		s := newSim(seed, simMembers(seed), mutant{})
-		for range *simSteps {
+		for range *stepsPerSeed {
 			if violation := s.step(); violation != "" {
 				t.Fatalf("seed %d: %s", seed, violation)
 			}
 		}
 		maxSum = max(maxSum, s.maxSum)
 	}
-	t.Logf("%d seeds of %d steps: at most %.4f of the quota was used at a time", *simSeeds, *simSteps, maxSum)
+	t.Logf("%d seeds of %d steps: at most %.4f of the quota was used at a time", *simSeeds, *stepsPerSeed, maxSum)
 	if maxSum < 0.9 {
 		t.Errorf("at most %.2f of the quota was ever used", maxSum)
 	}
--- a/internal/fleet/quota/voter.go
+++ b/internal/fleet/quota/voter.go
@@ -88,7 +88,8 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// dropGrants drops the grants that have ended, and the grants before the one in force.
+// dropGrants drops the grants that have ended, and the grants for claims before inForce, the Seq of the claim whose
+// grant the borrower uses. With 0 it drops only the grants that have ended.
 func (b *borrower) dropGrants(now time.Duration, inForce uint64) {
 	b.grants = slices.DeleteFunc(b.grants, func(g outstandingGrant) bool { return now >= g.until || g.seq < inForce })
 	b.outstanding = 0
--- a/internal/fleet/subset/capacity.go
+++ b/internal/fleet/subset/capacity.go
@@ -14,28 +14,28 @@
 		offsets[i] = roundingOffset(name)
 	}
 	r := rounding{
-		quotas:  quotas(weights, dispatchers, slots),
-		offsets: offsets,
-		limit:   dispatchers,
-		out:     make([]int, len(names)),
+		fractionalSlots: fractionalSlots(weights, dispatchers, slots),
+		offsets:         offsets,
+		limit:           dispatchers,
+		out:             make([]int, len(names)),
 	}
 	r.roundTo(slots)
 	return r.out
 }
 
-// quotas divides the slots among the units in proportion to their weights, with at most limit slots for each unit. The
-// other units get the slots that a heavy unit cannot take.
-func quotas(weights []float64, limit, slots int) []float64 {
+// fractionalSlots divides the slots among the units in proportion to their weights, with at most limit slots for each
+// unit. The other units get the slots that a heavy unit cannot take.
+func fractionalSlots(weights []float64, limit, slots int) []float64 {
 	out := make([]float64, len(weights))
 	full := make([]bool, len(weights))
-	for fillQuotas(out, full, weights, float64(limit), float64(slots)) {
+	for divideSlots(out, full, weights, float64(limit), float64(slots)) {
 	}
 	return out
 }
 
-// fillQuotas divides the slots that the full units leave among the other units. It marks the units that would exceed
+// divideSlots divides the slots that the full units leave among the other units. It marks the units that would exceed
 // the limit as full, and reports whether there are any, so that the division must be repeated.
-func fillQuotas(out []float64, full []bool, weights []float64, limit, slots float64) (repeat bool) {
+func divideSlots(out []float64, full []bool, weights []float64, limit, slots float64) (repeat bool) {
 	remaining, weightSum := slots, 0.0
 	for i, w := range weights {
 		if full[i] {
@@ -56,22 +56,22 @@
 	return repeat
 }
 
-// Range and steps of the bisection that finds the shift with which the rounded quotas add up. The range is wider than
-// any rounding error.
+// Range and steps of the bisection that finds the shift with which the rounded numbers of slots add up. The range is
+// wider than any rounding error.
 const (
 	maxShift       = 2.0
 	bisectionSteps = 60 // enough to make the two bounds adjacent float64 values
 )
 
-// rounding rounds quotas to whole numbers.
+// rounding rounds the fractional numbers of slots of the units to whole numbers.
 type rounding struct {
-	quotas  []float64
-	offsets []float64 // offset in [0, 1) of each quota
-	limit   int       // maximum of each rounded number
-	out     []int     // rounded quotas
+	fractionalSlots []float64
+	offsets         []float64 // offset in [0, 1) of each unit
+	limit           int       // maximum of each rounded number
+	out             []int     // rounded number of slots of each unit
 }
 
-// roundTo rounds the quotas to numbers that add up to total, with the smallest shift that reaches it.
+// roundTo rounds the numbers of slots so that they add up to total, with the smallest shift that reaches it.
 func (r *rounding) roundTo(total int) {
 	low, high := -maxShift, maxShift
 	for range bisectionSteps {
@@ -85,16 +85,17 @@
 	// these units, in order.
 	excess := r.roundShifted(high) - total
 	for i := 0; excess > 0 && i < len(r.out); i++ {
-		if r.quotas[i]+r.offsets[i]+low < float64(r.out[i]) && r.out[i] > 0 {
+		if r.fractionalSlots[i]+r.offsets[i]+low < float64(r.out[i]) && r.out[i] > 0 {
 			r.out[i]--
 			excess--
 		}
 	}
 }
 
-// roundShifted adds to each quota its offset and the common shift, rounds it down, and returns the sum of the results.
+// roundShifted adds the offset of the unit and the common shift to each fractional number of slots, rounds the sum down
+// to a number from 0 to limit, and returns the total of these numbers.
 func (r *rounding) roundShifted(shift float64) (sum int) {
-	for i, q := range r.quotas {
+	for i, q := range r.fractionalSlots {
 		r.out[i] = min(max(int(math.Floor(q+r.offsets[i]+shift)), 0), r.limit)
 		sum += r.out[i]
 	}
--- a/internal/fleet/subset/match.go
+++ b/internal/fleet/subset/match.go
@@ -5,10 +5,12 @@
 	"slices"
 )
 
-// match assigns perDispatcher units to each dispatcher, and each unit to as many dispatchers as its capacity allows. It
-// makes the pairs with the highest scores first, which yields a stable matching that is independent of the order of the
-// names. allowed reports whether a pair may be made; nil allows all pairs. The result lists the indices of the units of
-// each dispatcher by descending score, followed by the units that repair added.
+// match assigns units to dispatchers: to each dispatcher perDispatcher units, as far as possible, and each unit to at
+// most as many dispatchers as its capacity. It makes the pairs with the highest scores first. Unless scores are equal,
+// these pairs form a stable matching that is independent of the order of the names. repair then gives units to the
+// dispatchers that still lack some, in the order of the arguments. allowed reports whether a pair may be made; nil
+// allows all pairs. The result lists the indices of the units of each dispatcher by descending score, followed by the
+// units that repair added.
 func match(dispatchers, units []string, perDispatcher int, capacity []int, allowed func(d, u int) bool) [][]int {
 	return matchBy(score, dispatchers, units, perDispatcher, capacity, allowed)
 }
@@ -46,8 +48,8 @@
 	dispatcher, unit int32
 }
 
-// rankedPairs returns the allowed pairs, the highest score first; pairs with equal scores are in the order of the
-// names.
+// rankedPairs returns the allowed pairs, the highest score first. Pairs with equal scores are ordered by dispatcher,
+// then by unit, as in the arguments, which every process passes in the same order.
 func rankedPairs(
 	score func(dispatcher, unit string) uint64, dispatchers, units []string, allowed func(d, u int) bool,
 ) []pair {
--- a/internal/fleet/subset/match_test.go
+++ b/internal/fleet/subset/match_test.go
@@ -75,7 +75,7 @@
 	score func(dispatcher, unit string) uint64
 }
 
-// ringScore ranks units by their distance from a dispatcher on a hash ring.
+// ringScore returns the distance from a dispatcher to a unit on a hash ring, in the direction of increasing hashes.
 func ringScore(dispatcher, unit string) uint64 { return score("", unit) - score("", dispatcher) }
 
 // assignUnits assigns units of equal weight; it omits the unit with the given number.
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// newCells returns cells of five prefill and five decode replicas each, spread over the zones in turn.
+// newCells returns cells of five prefill and five decode replicas each, distributed round-robin over the zones.
 func newCells(cells, zones int) (out []Replica) {
 	for c := range cells {
 		for i := range 5 {
@@ -20,7 +20,7 @@
 	return out
 }
 
-// newDispatchers returns dispatchers that are spread over the zones in turn.
+// newDispatchers returns dispatchers that are distributed round-robin over the zones.
 func newDispatchers(n, zones int) (out []Dispatcher) {
 	for d := range n {
 		out = append(out, Dispatcher{fmt.Sprint("n", d), d % zones})
--- a/internal/fleet/subsetter/controller.go
+++ b/internal/fleet/subsetter/controller.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// updateInterval is how often the controller checks for changes. A new replica gets work from the dispatchers whose
-	// subsets contain it after this time at the latest.
+	// updateInterval is how often the controller checks for changes. The dispatchers whose subsets contain a new
+	// replica send it work after this time at the latest.
 	updateInterval = 500 * time.Millisecond
 	// departedMemberGrace is how long a departed member still counts. Most members return after a restart, and each
 	// change of the members changes some replicas in the subsets of the others.
@@ -62,7 +62,7 @@
 type Status struct {
 	Self      string   `json:"self"`
 	Subset    []string `json:"kept"`    // names of the replicas in the subset; empty if all replicas are used
-	Endpoints int      `json:"of"`      // number of replicas on the list
+	Endpoints int      `json:"of"`      // number of ready replicas on the endpoint list
 	Members   int      `json:"members"` // number of members to which the replicas are assigned
 	Updates   int      `json:"times"`   // number of subsets that were passed to the dispatcher
 	TookMS    float64  `json:"took_ms"` // duration of the last computation in milliseconds
@@ -179,7 +179,9 @@
 	}
 }
 
-// takeChanges returns the current replicas, and whether any input differs from the inputs of the last subset.
+// takeChanges returns the current replicas and true if a new subset must be computed: the replicas or the members have
+// changed, the traffic fraction has changed by more than trafficTolerance, or the dispatcher did not accept the last
+// subset. Otherwise it returns nil and false.
 func (c *Controller) takeChanges(members []subset.Dispatcher, trafficFraction float64) (
 	replicas []subset.Replica, changed bool,
 ) {
@@ -198,7 +200,8 @@
 	return replicas, true
 }
 
-// compute returns the names of this dispatcher's replicas, or none if it uses all replicas.
+// compute returns the names of this dispatcher's replicas. It returns none if the dispatcher uses all replicas: subsets
+// are not used, or this process is not among the members.
 func (c *Controller) compute(replicas []subset.Replica, members []subset.Dispatcher, trafficFraction float64) []string {
 	assignment := subset.Assign(replicas, members, c.limits)
 	if assignment == nil {
--- a/internal/fleet/versionskew/detector.go
+++ b/internal/fleet/versionskew/detector.go
@@ -27,7 +27,7 @@
 
 type member struct {
 	MemberStatus
-	currentSince time.Duration // when the member became current; meaningless if it lags
+	currentSince time.Duration // when the member ceased to lag or was first seen; meaningless if it lags
 }
 
 // New returns a Detector without members.
--- a/internal/fleet/versionskew/sim_test.go
+++ b/internal/fleet/versionskew/sim_test.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	simSeeds = 60
-	simSteps = 3000
-	simStep  = 100 * time.Millisecond
+	simSeeds     = 60
+	stepsPerSeed = 3000
+	simStep      = 100 * time.Millisecond
 	// spreadTime is the time within which a change nearly always reaches a member that is not stuck.
 	spreadTime = second
 )
@@ -117,10 +117,10 @@
 	return nil
 }
 
-// simulate runs simSteps steps, and returns an error if it found a violation.
+// simulate runs stepsPerSeed steps, and returns an error if it found a violation.
 func simulate(seed uint64, m mutant) error {
 	s := newSim(seed, m)
-	for step := range simSteps {
+	for step := range stepsPerSeed {
 		if err := s.step(); err != nil {
 			return fmt.Errorf("step %d: %w", step, err)
 		}
--- a/internal/fleet/versionskew/versionskew.go
+++ b/internal/fleet/versionskew/versionskew.go
@@ -5,9 +5,9 @@
 // report. So a member that reports a wrong version, or that alone has a newer list because of a partition, does not
 // make the other members count as lagging. The state of a member depends on how long it has lagged, with hysteresis on
 // recovery, as in a failure detector with timeouts. At most a fraction of the fleet is fenced. If at least half of the
-// members lag behind the version that a majority once had, no further member is fenced; if no majority has the same
-// settings, no member counts as lagging because of its settings. In both cases the source is at fault and not the
-// members, and the Assessment reports the fault.
+// members lag, for instance behind the version that a majority once had, no further member is fenced. If no majority
+// has the same settings, no member counts as lagging because of its settings. In both cases the source is at fault and
+// not the members, and the Assessment reports the fault.
 //
 // The package does no I/O and has no clock. A Detector is not safe for concurrent use.
 package versionskew
@@ -54,8 +54,8 @@
 	RestrictAfter, FenceAfter time.Duration
 	// RecoverAfter is how long a restricted or fenced member must have been current before it is released.
 	RecoverAfter time.Duration
-	// MaxFencedFraction is the largest fraction of the fleet that is fenced at once. A fleet of fewer than
-	// 1/MaxFencedFraction members fences none.
+	// MaxFencedFraction is the largest fraction of the fleet that is fenced at once, apart from overrides by an
+	// operator. A fleet of fewer than 1/MaxFencedFraction members fences none.
 	MaxFencedFraction float64
 }
 
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Report holds the versions that a member publishes.
+// Report holds the list version and the settings digest that a member publishes.
 type Report struct {
 	Name           string
 	ListVersion    uint64
