--- a/internal/fleet/idempotency/sim_test.go
+++ b/internal/fleet/idempotency/sim_test.go
@@ -15,7 +15,8 @@
 
 var (
 	simSeeds = flag.Int("claim.seeds", 6, "how many seeds the simulation of claims is run with")
-	simSteps = flag.Int("claim.steps", 20_000, "of 2 ms each")
+	// stepsPerSeed is the number of steps that the simulation runs with each seed.
+	stepsPerSeed = flag.Int("claim.steps", 20_000, "of 2 ms each")
 )
 
 const (
@@ -53,9 +54,9 @@
 type simAttempt struct {
 	key           Key
 	attempt       Attempt
-	member        int
+	member        int // index of the claiming member
 	round         *Round
-	deadline      time.Duration
+	deadline      time.Duration // end of the round, in simulated time
 	decided       bool
 	repeatedVotes int // number of votes received, with the mutant countsRepeatedVotes
 }
@@ -73,10 +74,10 @@
 	mutant    mutant
 	now       time.Duration
 	replicas  []*simReplica
-	cutLinks  map[[2]int]bool // links that are down, by sending and receiving member
-	queue     []simMessage    // messages in transit
-	attempts  []*simAttempt   // attempts whose round is not decided
-	seq       uint64
+	cutLinks  map[[2]int]bool       // links that are down, by sending and receiving member
+	queue     []simMessage          // messages in transit
+	attempts  []*simAttempt         // attempts whose round is not decided
+	seq       uint64                // Seq of the last attempt
 	lastRun   map[Key]time.Duration // when the request of a key last ran
 	ran       int                   // number of attempts that were granted
 	answered  int                   // number of claims that were answered with an earlier attempt's answer
@@ -318,7 +319,7 @@
 	ran, answered := 0, 0
 	for seed := range *simSeeds {
 		s := newSim(uint64(seed), mutant{})
-		for range *simSteps {
+		for range *stepsPerSeed {
 			if violation := s.step(); violation != "" {
 				t.Fatalf("seed %d: %s", seed, violation)
 			}
@@ -326,7 +327,7 @@
 		ran, answered = ran+s.ran, answered+s.answered
 	}
 	t.Logf("%d seeds of %d steps: %d keys ran, %d claims were answered by the first attempt's answer", *simSeeds,
-		*simSteps, ran, answered)
+		*stepsPerSeed, ran, answered)
 	if ran == 0 || answered == 0 {
 		t.Error("no key ran, or no claim was answered by the first attempt's answer")
 	}
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -19,7 +19,7 @@
 	self         Candidate
 	limits       Limits
 	voters       []string
-	seq          uint64
+	seq          uint64                   // Seq of the last request
 	pending      map[uint64]time.Duration // send times of the requests that may still be answered, by Seq
 	tasks        map[Task]*wantedTask
 	highestToken uint64 // highest token known for any task
--- a/internal/fleet/quota/borrower.go
+++ b/internal/fleet/quota/borrower.go
@@ -17,7 +17,7 @@
 	self        BorrowerID
 	voters      []string
 	limits      Limits
-	seq         uint64
+	seq         uint64                   // Seq of the last claim
 	nextClaim   time.Duration            // time of the next claim
 	pending     map[uint64]time.Duration // send times of the claims that may still be answered, by Seq
 	grants      map[string]receivedGrant // latest grant of each voter
