--- a/internal/chatapi/completion.go
+++ b/internal/chatapi/completion.go
@@ -57,8 +57,8 @@
 }
 
 // relay forwards a replica's stream to the client, or collects it if the client requested an answer without streaming.
-// It returns the complete answer, or nil if the stream broke or the answer is too long to retain. The stream of a
-// request with a key is read to its end even if the client disconnects.
+// It returns the complete answer, or nil if the stream was not read to its end or the answer is too long to retain. The
+// stream of a request with a key is read to its end even if the client disconnects.
 func (h *Handler) relay(w http.ResponseWriter, x *exchange, stream dispatch.Stream) *chatCompletion {
 	defer stream.Close()
 	out := newEventWriter(w, x)
@@ -103,8 +103,9 @@
 	return nil
 }
 
-// writeBrokenStream writes the final answer for a stream that broke. A streaming client gets an error event, and its
-// stream ends without the last event, so that it cannot mistake the events received so far for the complete answer.
+// writeBrokenStream writes the final answer for a stream that was not read to its end. A streaming client gets an error
+// event, and its stream ends without the last event, so that it cannot mistake the events received so far for the
+// complete answer.
 func writeBrokenStream(out *eventWriter, cause error) {
 	failure := &apiError{status: http.StatusBadGateway, Type: serverErrorType, Code: "stream_broken",
 		Message: "the answer broke off"}
--- a/internal/chatapi/exchange.go
+++ b/internal/chatapi/exchange.go
@@ -21,7 +21,8 @@
 	// deadlineGrowthFactor is how many times faster than its latency objective a class's deadline grows with the length
 	// of the prompt.
 	deadlineGrowthFactor = 2
-	// objectiveTokens is the number of prompt tokens for which routing.Class.TTFTObjectivePer1K is added.
+	// objectiveTokens is the number of prompt tokens for which a class's latency objective grows by
+	// routing.Class.TTFTObjectivePer1K.
 	objectiveTokens = 1000
 
 	requestIDBytes = 8
--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -69,7 +69,8 @@
 func (h *Handler) UsePeerTable(table *inflight.Table) { h.peers = table }
 
 // Malformed returns the number of requests that were rejected without being sent to a replica because they were
-// invalid, or because their idempotency key or a full key table did not permit them to run.
+// invalid, because connlimit.ReadBody did not accept their body, or because their idempotency key or a full key table
+// did not permit them to run.
 func (h *Handler) Malformed() int64 { return h.malformed.Load() }
 
 // SkippedEvents returns the number of events from replicas that could not be decoded and were not forwarded.
--- a/internal/chatapi/idempotency_store.go
+++ b/internal/chatapi/idempotency_store.go
@@ -41,7 +41,7 @@
 	case inflight.HeldByOther:
 		return h.releaseClaim(key, claimInProgress)
 	case inflight.MayHaveRun:
-		return h.recordClaimEnded(key, nil)
+		return h.recordEndedElsewhere(key, nil)
 	case inflight.Unknown:
 		return h.releaseClaim(key, claimUnavailable)
 	}
@@ -63,9 +63,9 @@
 		if err != nil {
 			slog.Warn("stored_answer_invalid", "id", x.dispatchRequest.Call.ID, "err", err)
 		}
-		return h.recordClaimEnded(key, completion)
+		return h.recordEndedElsewhere(key, completion)
 	case idempotency.VoteMayHaveRun:
-		return h.recordClaimEnded(key, nil)
+		return h.recordEndedElsewhere(key, nil)
 	case idempotency.VoteInFlight:
 		return h.releaseClaim(key, claimInProgress)
 	case idempotency.VoteKeyReused:
@@ -80,9 +80,9 @@
 	return claim{result: result}
 }
 
-// recordClaimEnded records in the table that the first attempt of a key has ended elsewhere, and returns the claim for
-// that. The completion is nil if the attempt's answer is not known.
-func (h *Handler) recordClaimEnded(key string, completion *chatCompletion) claim {
+// recordEndedElsewhere records in the table that the first attempt of a key has ended elsewhere. It returns a claim
+// with the result claimAnswered, or claimMayHaveRun if the completion is nil because the attempt's answer is not known.
+func (h *Handler) recordEndedElsewhere(key string, completion *chatCompletion) claim {
 	h.keys.finish(key, completion)
 	if completion == nil {
 		return claim{result: claimMayHaveRun}
@@ -107,8 +107,8 @@
 	}
 }
 
-// encodeStoredAnswer returns the form in which the store keeps an answer, or nil if the answer is not known or too
-// large.
+// encodeStoredAnswer returns the form in which the store keeps an answer, or nil if the answer is not known, cannot be
+// encoded or is too large.
 func encodeStoredAnswer(completion *chatCompletion) []byte {
 	if completion == nil {
 		return nil
--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -47,8 +47,8 @@
 	return &keyTable{capacity: capacity, retention: retention, now: now, entries: map[string]*keyEntry{}}
 }
 
-// claim claims a key for a request if the key is new, and otherwise returns how the request is handled. The completion
-// is set for claimAnswered.
+// claim returns how a request with the key is handled. A new key is claimed if the table has capacity. The completion
+// is set only with claimAnswered.
 func (t *keyTable) claim(key string, body []byte) (claimResult, *chatCompletion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/connlimit/capacity.go
+++ b/internal/connlimit/capacity.go
@@ -9,8 +9,8 @@
 const (
 	// evictionRetryInterval is the time between two searches for a connection to evict.
 	evictionRetryInterval = 5 * time.Millisecond
-	// capacityTimeout is how long a new connection waits for a request to end while all connections have open requests.
-	// After that it is rejected.
+	// capacityTimeout is how long a new connection waits for capacity before it may be rejected. It is then rejected as
+	// soon as all connections have open requests.
 	capacityTimeout = 20 * time.Millisecond
 	// rejectionWriteTimeout limits the time for writing a rejection, whose few bytes fit into the send buffer of a new
 	// connection.
@@ -49,8 +49,8 @@
 	}
 }
 
-// waitForCapacity waits until there is capacity for one more connection. It returns false if all connections have open
-// requests and none ends within capacityTimeout.
+// waitForCapacity waits until there is capacity for one more connection, and then returns true. It returns false if all
+// connections have open requests once capacityTimeout has passed.
 func (l *limitedListener) waitForCapacity() bool {
 	for waited := time.Duration(0); !l.limiter.ensureCapacity(l.maxConns); waited += evictionRetryInterval {
 		if waited >= capacityTimeout && l.limiter.allConnsHandling() {
--- a/internal/connlimit/clientconn.go
+++ b/internal/connlimit/clientconn.go
@@ -18,9 +18,9 @@
 // that a request that arrives while its connection is being closed is either read and answered, or not read at all. All
 // methods except Read may be called from any goroutine.
 //
-// The boolean fields are independent facts about the two directions rather than one state: net/http reads the header of
-// the next request while the connection is between requests, and may read one byte of it while the answer to the
-// previous request is pending.
+// The boolean fields describe reading and writing independently of each other rather than one state: net/http reads the
+// header of the next request while the connection is between requests, and may read one byte of it while the answer to
+// the previous request is pending.
 type clientConn struct {
 	net.Conn
 	rawConn        syscall.RawConn // nil if the connection is not a socket
@@ -76,7 +76,7 @@
 }
 
 // read reads from the socket. Unlike the socket's own Read, it makes each system call either before or after a close,
-// and reads no further request once the process is shutting down or draining.
+// and begins to read no further request once Lifecycle.Closing is set or a drain is active.
 func (c *clientConn) read(p []byte) (int, error) {
 	if c.rawConn == nil || len(p) == 0 {
 		return c.Conn.Read(p)
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -31,7 +31,7 @@
 	if c, ok := netConn.(*clientConn); ok {
 		return c.closeIfAllowed(facts)
 	}
-	facts.AwaitingBytes = true // the state of its bytes is unknown
+	facts.AwaitingBytes = true // assumed, since only a clientConn records it
 	reason := facts.Check()
 	if reason == precondition.Allowed {
 		netConn.Close()
--- a/internal/connlimit/close_idle.go
+++ b/internal/connlimit/close_idle.go
@@ -15,8 +15,9 @@
 
 // CloseIdle closes the connections that are idle between requests, and the quiet ones: those without an open request
 // that have sent no complete request for quietTimeout. It is how a draining server closes its connections without
-// losing a request: an open request is finished, and its answer is the last on its connection; a partial request is
-// answered with a rejection. CloseIdle returns how many connections it closed.
+// losing a request: an open request is finished, and its answer is the last on its connection. A partial request is
+// answered with a rejection in an operator's drain; at shutdown its connection stays open. CloseIdle returns how many
+// connections it closed.
 func (l *Limiter) CloseIdle(quietTimeout time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/conn_state.go
+++ b/internal/connlimit/conn_state.go
@@ -53,8 +53,8 @@
 	lastActivity  time.Time
 	lastRequestID string    // id of the last request that was accepted or rejected; empty if there was none
 	lastRequestAt time.Time // when that request was accepted or rejected; zero if there was none
-	// closeDeferred is why the last attempt to close the connection failed, or Allowed if it succeeded or there was
-	// none.
+	// closeDeferred is why a drain or shutdown was last not allowed to close the connection. It is Allowed if the
+	// connection was closed, or if no drain or shutdown has checked whether it may be closed.
 	closeDeferred precondition.Reason
 }
 
--- a/internal/connlimit/counters.go
+++ b/internal/connlimit/counters.go
@@ -14,7 +14,8 @@
 // Drained returns the number of connections that were closed during an operator's drain or a shutdown.
 func (l *Limiter) Drained() int64 { return l.drained.Load() }
 
-// CloseDeferred returns how often a connection was not closed because a request was arriving or had arrived on it.
+// CloseDeferred returns how often a connection was not closed because a request was arriving or had arrived on it. In a
+// drain or a shutdown it does not count connections with an open request.
 func (l *Limiter) CloseDeferred() int64 { return l.closeDeferred.Load() }
 
 // AcceptFailures returns the number of accepts that failed.
--- a/internal/connlimit/evict.go
+++ b/internal/connlimit/evict.go
@@ -44,9 +44,10 @@
 	}
 }
 
-// selectEvictionCandidate returns the least recently active connection. It prefers connections whose first request is
-// incomplete, and of them the one that has sent nothing for longest; otherwise it returns the connection that has had
-// no open request for longest. It skips the connections in busy. l.mu must be held.
+// selectEvictionCandidate returns the connection to evict, or a candidate without a connection if none may be evicted.
+// It prefers connections whose first request is incomplete, and of them the one that has sent nothing for longest. If
+// there is none, it selects the connection with the earliest lastActivity. It skips the connections in busy. l.mu must
+// be held.
 func (l *Limiter) selectEvictionCandidate(now time.Time, busy map[net.Conn]bool) evictionCandidate {
 	var silent, idle net.Conn
 	silentSince, idleSince := now.Add(-evictSilentAfter), now.Add(-evictIdleAfter)
--- a/internal/connlimit/framing.go
+++ b/internal/connlimit/framing.go
@@ -9,20 +9,21 @@
 // contentLengthName is the lower-case start of a header line that gives a body's length.
 const contentLengthName = "content-length:"
 
-// mismatchedLine is the value of contentLengthCounter.matched within a line that does not start with contentLengthName.
-const mismatchedLine = -1
+// skippingLine is the value of contentLengthCounter.matched in the rest of a line that has been counted, or that does
+// not start with contentLengthName.
+const skippingLine = -1
 
 // contentLengthCounter counts the lines of a byte stream that begin with "Content-Length:". One goroutine calls scan;
 // any goroutine may read the count.
 type contentLengthCounter struct {
 	lines   atomic.Int64
-	matched int // bytes of contentLengthName that the current line has matched so far, or mismatchedLine
+	matched int // bytes of contentLengthName that the current line has matched so far, or skippingLine
 }
 
 // scan processes the next bytes of the stream, which may be split anywhere.
 func (c *contentLengthCounter) scan(p []byte) {
 	for len(p) > 0 {
-		if c.matched == mismatchedLine {
+		if c.matched == skippingLine {
 			end := bytes.IndexByte(p, '\n')
 			if end < 0 {
 				return
@@ -44,17 +45,17 @@
 	case b == '\n': // an empty or short line has ended
 		c.matched = 0
 	case b != contentLengthName[c.matched]:
-		c.matched = mismatchedLine
+		c.matched = skippingLine
 	case c.matched == len(contentLengthName)-1:
 		c.lines.Add(1)
-		c.matched = mismatchedLine
+		c.matched = skippingLine
 	default:
 		c.matched++
 	}
 }
 
-// framingError returns the HTTP status for a request that is rejected without reading its body, or 0 if the request's
-// framing is valid. It prevents request smuggling: a request with both a Content-Length and a chunked body may contain
+// framingError returns the HTTP status for a request that is rejected without reading its body, or 0 if the request is
+// not rejected. It prevents request smuggling: a request with both a Content-Length and a chunked body may contain
 // a hidden request (RFC 9112, section 6.1). net/http drops the Content-Length header of such a request, so framingError
 // uses the count of raw lines: it accepts a chunked request only if every line on the connection that began with
 // Content-Length is a header of a request that is not chunked. This also rejects a chunked request that is followed by
--- a/internal/connlimit/lifecycle.go
+++ b/internal/connlimit/lifecycle.go
@@ -10,10 +10,10 @@
 	// the two apart.
 	Stopping atomic.Bool
 	// Closing is set some time after Stopping: connections are closed when they become idle, even if unread bytes are
-	// waiting, since the process may be killed before it could answer them.
+	// waiting, since the process may be killed before it could answer the request that the bytes belong to.
 	Closing atomic.Bool
-	// RejectNew is set when the process may be killed before it could answer a new request: requests that are completed
-	// from then on are rejected.
+	// RejectNew is set when the process may be killed before it could answer a new request: requests that have been
+	// received completely only after that are rejected.
 	RejectNew atomic.Bool
 	// Drain is the state of the operator's drain: while it is active, GET /healthz answers 503, and connections are
 	// closed as soon as they are idle.
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,11 +1,11 @@
 // Package connlimit limits the client connections of an http.Server and closes them without losing a request.
 //
-// A Limiter wraps the server's handler and listener and sets its connection hooks. When the capacity is used up, it
-// evicts the least recently active connection without an open request, or rejects new connections if there is none. It
-// limits the memory of request bodies, rejects requests whose framing is ambiguous (RFC 9112, section 6.1), answers GET
-// /healthz, and closes connections during an operator's drain and at shutdown. Package precondition decides whether a
-// request may be accepted and whether a connection may be closed. The Limiter counts the requests and connections that
-// never reach the handler.
+// A Limiter wraps the server's handler and listener and sets the server's connection hooks. When the capacity is used
+// up, it evicts a connection without an open request, or rejects a new connection while all others have open requests.
+// It limits the memory of request bodies, rejects requests whose framing is ambiguous (RFC 9112, section 6.1), answers
+// GET /healthz, and closes connections during an operator's drain and at shutdown. Package precondition decides whether
+// a request may be accepted and whether a connection may be closed. The Limiter counts the requests and connections
+// that never reach the handler.
 //
 // Files: capacity.go accepts or rejects connections, evict.go selects the connection to evict, drain.go and
 // close_idle.go implement the drain, close.go closes a single connection, conn_state.go has the states of a connection,
--- a/internal/connlimit/open_connections.go
+++ b/internal/connlimit/open_connections.go
@@ -15,8 +15,8 @@
 	Age            time.Duration // time since the connection was accepted
 	LastRequestAge time.Duration // time since the last request was accepted or rejected; 0 if there was none
 	LastByteAge    time.Duration // time since the last byte was received
-	// CloseDeferredReason is why the last attempt to close the connection failed, or "allowed" if it succeeded or there
-	// was none.
+	// CloseDeferredReason is why a drain or shutdown was last not allowed to close the connection. It is "allowed" if
+	// the connection was closed, or if no drain or shutdown has checked whether it may be closed.
 	CloseDeferredReason string
 }
 
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -8,9 +8,10 @@
 	"rampspread/internal/precondition"
 )
 
-// acceptRequest decides whether a request that was received completely is accepted. Once it is accepted, its connection
-// is not evicted. The check for a client that has gone is needed since net/http passes pipelined requests to the
-// handler even if their client has closed the connection.
+// acceptRequest decides whether a request that was received completely is accepted. It returns precondition.Allowed, or
+// the reason why the request is not accepted. Once it is accepted, its connection is not evicted. The check for a
+// client that has gone is needed since net/http passes pipelined requests to the handler even if their client has
+// closed the connection.
 func acceptRequest(r *http.Request) precondition.Reason {
 	c := trackedConnOf(r)
 	if c == nil {
@@ -43,7 +44,7 @@
 	return decision
 }
 
-// isRejection reports whether a request is not accepted while its client can still receive an answer.
+// isRejection reports whether a decision of acceptRequest rejects a request whose client can still receive an answer.
 func isRejection(decision precondition.Reason) bool {
 	return decision == precondition.ShuttingDown || decision == precondition.Draining
 }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -40,7 +40,7 @@
 type backoff struct {
 	rng        *rand.Rand
 	fleetSize  func() float64 // number of dispatchers that share discovery, including this one
-	failures   int            // number of attempts that ended since discovery last sent something
+	failures   int            // number of calls of next since the last reset
 	agentDelay time.Duration  // delay if discovery is an agent on this machine, which answers at no cost; else 0
 }
 
@@ -61,5 +61,6 @@
 	return time.Duration(b.rng.Int64N(int64(span)))
 }
 
-// reset restores the shortest span. It is called when discovery has sent something.
+// reset restores the shortest span. It is called when discovery has sent something, and after Watcher.MoveTo and
+// Watcher.Refresh.
 func (b *backoff) reset() { b.failures = 0 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -90,13 +90,13 @@
 // backoffs. SetFleetSize must be called before Run.
 func (w *Watcher) SetFleetSize(size func() float64) { w.backoff.fleetSize = size }
 
-// MoveTo continues at another address at once. The full list is fetched there; until then the current list remains
-// valid.
+// MoveTo makes Run continue at another address: at once if discovery is a local agent, and after a random backoff if it
+// must be polled. The full list is fetched there; until then the current list remains valid.
 func (w *Watcher) MoveTo(addr string) {
 	w.address.move(addr, w.api.http.CloseIdleConnections)
 }
 
-// Refresh fetches the full list again at once, as after MoveTo, because the current one may be old.
+// Refresh makes Run fetch the full list again, as soon as after MoveTo, because the current one may be old.
 func (w *Watcher) Refresh() { w.address.interrupt() }
 
 // Address returns the current address of discovery.
@@ -134,8 +134,8 @@
 	}
 }
 
-// Apply passes on a full list, or changes if full is false. The next watch continues from its version. Entries that
-// cannot be read are counted as malformed, and a *RejectedEntriesError returns their number.
+// Apply passes on a full list, or changes if full is false. The next watch continues from the list's version. Entries
+// that cannot be read are counted as malformed, and a *RejectedEntriesError returns their number.
 func (w *Watcher) Apply(list List, full bool) error {
 	entries, rejected := w.endpoints.update(list, full)
 	w.malformed.Add(int64(rejected))
@@ -183,7 +183,8 @@
 }
 
 // waitBackoff waits for a backoff, or until discovery moves or Refresh is called. The full list is needed then, since a
-// new discovery may count versions differently.
+// new discovery may count the list's versions differently. If discovery must be polled, waitBackoff then waits for
+// another backoff, drawn from the shortest span.
 func (w *Watcher) waitBackoff(ctx context.Context, interrupted <-chan struct{}, delay time.Duration) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -228,8 +229,8 @@
 	return err
 }
 
-// watch applies changes until the watch ends, falls silent or sends data that cannot be read. Unreadable data may have
-// been a change, so the full list is fetched next.
+// watch applies changes until the watch ends, falls silent, or sends malformed data or changes with a malformed entry.
+// Malformed data may have been a change, so the full list is fetched next.
 func (w *Watcher) watch(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// copyStream forwards a stream to the client event by event, and closes it. If the stream breaks or the client does not
-// read, copyStream panics with http.ErrAbortHandler, which closes the connection without a last chunk. The client can
-// then tell that the answer is incomplete.
+// copyStream forwards a stream's events to the client as they arrive, and closes the stream. If the stream breaks or
+// the client does not read, copyStream panics with http.ErrAbortHandler, which closes the connection without a last
+// chunk. The client can then tell that the answer is incomplete.
 func copyStream(w http.ResponseWriter, stream dispatch.Stream) {
 	defer stream.Close()
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -54,8 +54,8 @@
 	h.classes.Store(table)
 }
 
-// Malformed returns the number of requests that were malformed or had the id of another open request. They were
-// answered without being sent to a replica.
+// Malformed returns the number of requests that were malformed, had the id of another open request, or had a body that
+// connlimit.ReadBody did not accept. They were answered without being sent to a replica.
 func (h *Handler) Malformed() int64 { return h.malformed.Load() }
 
 // ServeHTTP implements http.Handler.
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -36,7 +36,8 @@
 	maxTokenCount       = 1e9       // limit of each number of tokens in X-Props
 )
 
-// requestError is the reason why a request is malformed and the HTTP status of the answer. Its text is sent to clients.
+// requestError is the reason why a request is malformed or its body was not accepted, with the HTTP status of the
+// answer. Its text is sent to clients.
 type requestError struct {
 	status int
 	cause  error
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -118,8 +118,8 @@
 	observer.Ended(a.client.shortResult(resp, data, err))
 }
 
-// nextExchange restarts the attempt on another connection. It returns nil if the attempt has been aborted or withdrawn
-// in the meantime.
+// nextExchange returns a new exchange, with which the attempt begins again on another connection. It returns nil if the
+// attempt has been aborted or withdrawn in the meantime.
 func (a *attempt) nextExchange() *exchange {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -49,7 +49,7 @@
 		if h.Get("X-Trace-Id") != call.ID || h.Get("Accept-Encoding") != "" {
 			t.Errorf("%s: headers %v", name, h)
 		}
-		// The header holds the time that remained when it was written: the limit less at most the time since Send.
+		// The header holds the time that remained when it was written: at least the limit less the time since Send.
 		const limit = 5 * time.Second
 		remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In"))
 		if err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -73,8 +73,8 @@
 
 // dialTimeout returns the limit for establishing one connection. A replica holds a request's state only for a limited
 // time, which continues to run while connections cannot be established. The limit is therefore half the configured
-// connect timeout, and at most half of that time: a second and a third decode replica can then be tried before the
-// state must be released.
+// connect timeout, and at most half of the time for which the state is held: a second and a third decode replica can
+// then be tried before the state must be released.
 func dialTimeout(settings *config.Settings) time.Duration {
 	timeout := config.FromMS(settings.Limits.ConnectTimeoutMs) / 2
 	if timeout <= 0 {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -13,8 +13,8 @@
 	"rampspread/internal/hostos"
 )
 
-// After a failure on this machine the dialer waits for minDialBackoff, then for twice as long each time, up to
-// maxDialBackoff.
+// After a failure on this machine or its routes the dialer waits for minDialBackoff, then for twice as long each time,
+// up to maxDialBackoff.
 const (
 	minDialBackoff = time.Millisecond
 	maxDialBackoff = 20 * time.Millisecond
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -199,7 +199,8 @@
 	return x.request != waitingForConn
 }
 
-// responseBegan reports whether the response itself has begun. A complete 1xx head does not count as a response.
+// responseBegan reports whether a response has begun. A complete 1xx head does not count as a response, unless it is
+// one more than maxInformationalHeads. An incomplete head counts, since its status is not known.
 func (x *exchange) responseBegan() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -17,7 +17,7 @@
 )
 
 // FuzzResponse sends arbitrary bytes to the client as a replica's response. The client must not panic and must report
-// one end of the attempt, and its outcome must agree with the end of the stream.
+// one end of the attempt, and the attempt's outcome must agree with the end of the stream.
 func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 	for _, text := range testutil.CorruptedSeeds(1, head+"Connection: close\r\n\r\n"+testutil.EventStream("a"),
--- a/internal/upstream/release.go
+++ b/internal/upstream/release.go
@@ -29,8 +29,8 @@
 )
 
 // Release implements dispatch.Upstream. The state must be released in time, but only a response shows whether a call
-// reached a replica. So the release is hedged: if a replica does not respond at once, the same call is also sent to the
-// next replica, and if none of them has responded, it is sent to all of them again. A release is idempotent.
+// reached a replica. So the release is hedged: if a replica does not confirm it at once, the same call is also sent to
+// the next replica, and if none of them has confirmed it, it is sent to all of them again. A release is idempotent.
 func (c *Client) Release(call dispatch.UpstreamCall, targets []dispatch.EndpointAddress) {
 	c.pendingReleases.Add(1)
 	done := make(chan struct{})
@@ -43,8 +43,8 @@
 	}()
 }
 
-// awaitRelease waits until no release of a call is in flight, but no longer than maxReleaseWait. A release that arrives
-// during the call's prefill would release the state that the prefill creates.
+// awaitRelease waits until the newest release of a call has ended, but no longer than maxReleaseWait. A release that
+// arrives during the call's prefill would release the state that the prefill creates.
 func (c *Client) awaitRelease(ctx context.Context, callID string) {
 	done, ok := c.releaseDone.Load(callID)
 	if !ok {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -67,7 +67,8 @@
 	return resp, data, err
 }
 
-// readShortBody reads a short body to its end, so that the connection can be reused.
+// readShortBody reads at most maxShortBody bytes of a body, and closes it. It reads a short body to its end, so that
+// the connection can be reused.
 func readShortBody(body io.ReadCloser) ([]byte, error) {
 	defer body.Close()
 	return io.ReadAll(io.LimitReader(body, maxShortBody))
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -15,7 +15,8 @@
 )
 
 // A duplicate response that arrives some milliseconds after the first must never be read as the response to the next
-// call on that connection. Here the next call would then be sent again although it runs.
+// call on that connection. Here the duplicate says that the call never ran, so the dispatcher would send the next call
+// again although it runs.
 func TestLateDuplicateResponseIsNotTheNextResponse(t *testing.T) {
 	for _, late := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
 		const refusal = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
