--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -41,7 +41,7 @@
 
 	keys  *keyTable
 	store IdempotencyStore // nil if only this process's table decides
-	peers *inflight.Table  // nil if there are no peer processes of this name
+	peers *inflight.Table  // nil if no keys are shared with peer processes
 
 	malformed     atomic.Int64
 	skippedEvents atomic.Int64
@@ -64,8 +64,8 @@
 // It must be called before the handler serves requests.
 func (h *Handler) UseIdempotencyStore(store IdempotencyStore) { h.store = store }
 
-// UsePeerTable makes the handler share the idempotency keys in use with the peer processes of this name on this
-// machine. It must be called before the handler serves requests.
+// UsePeerTable makes the handler share the idempotency keys in use with its peer processes, which are the other
+// processes on this machine with the same dispatcher name. It must be called before the handler serves requests.
 func (h *Handler) UsePeerTable(table *inflight.Table) { h.peers = table }
 
 // Malformed returns the number of requests that were rejected without being sent to a replica because they were
--- a/internal/chatapi/request.go
+++ b/internal/chatapi/request.go
@@ -22,9 +22,9 @@
 	streamOptionsKey = "stream_options"
 )
 
-// chatCompletionRequest holds the fields of OpenAI's request body that this package uses. All other fields are
-// forwarded to the replicas unchanged. encoding/json ignores the case of the tags here when it decodes, but writes them
-// into the error texts that clients receive.
+// chatCompletionRequest holds the fields of OpenAI's request body that this package uses. The replicas receive all
+// fields of the body; only stream and stream_options are changed (see withStreaming). encoding/json ignores the case of
+// the tags here when it decodes, but writes them into the error texts that clients receive.
 type chatCompletionRequest struct {
 	Model               string        `json:"Model"`
 	Messages            []message     `json:"Messages"`
--- a/internal/chatapi/stream.go
+++ b/internal/chatapi/stream.go
@@ -44,7 +44,7 @@
 func (e *eventWriter) end() { e.writeEvent([]byte(doneMarker)) }
 
 // forward forwards a replica's chunk. It sets the fields that clients expect and leaves the chunk's other fields
-// unchanged.
+// unchanged. If the client did not request the usage, forward removes it, and drops a chunk without choices.
 func (e *eventWriter) forward(chunk *chatCompletionChunk, fields map[string]json.RawMessage) {
 	if !e.exchange.request.StreamOptions.IncludeUsage {
 		if delete(fields, "usage"); len(chunk.Choices) == 0 {
--- a/internal/connlimit/capacity_test.go
+++ b/internal/connlimit/capacity_test.go
@@ -82,7 +82,7 @@
 		conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("response %v, error %v", resp, err)
 		}
 	}
 }
--- a/internal/connlimit/clientconn_test.go
+++ b/internal/connlimit/clientconn_test.go
@@ -210,7 +210,7 @@
 	io.WriteString(conn, smallRequest+strings.Repeat(smallRequest, 1000))
 	got, err := io.ReadAll(conn)
 	if text := string(got); err != nil || strings.Count(text, "the answer") != 1 || strings.Count(text, "HTTP/1.1 ") != 1 {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("read %q, error %v", text, err)
 	}
 	testutil.Eventually(t, "no open connection", func() bool { return l.ConnectionCount() == 0 })
 }
--- a/internal/discovery/ndjson.go
+++ b/internal/discovery/ndjson.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-// next reads the next object. The error wraps errMalformed if the object is invalid.
+// next reads the next object. The error wraps errMalformed if the object is invalid or too large.
 func (r *objectReader) next(into any) error {
 	err := r.decoder.Decode(into)
 	if err == nil {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// A dispatcher that starts with a list must watch from its version, so that a fleet whose dispatchers all start at once
-// does not fetch the full list from discovery.
+// A dispatcher that starts with a list must watch from the list's version, so that a fleet whose dispatchers all start
+// at once does not fetch the full list from discovery.
 func TestWatchBeginsAfterTheInitialList(t *testing.T) {
 	fake := &fakeDiscovery{watchResponses: []string{listJSON(42, false, entryJSON("s1", "gone")) + "\n"}}
 	s := httptest.NewServer(fake)
--- a/internal/frontend/chunked_body_test.go
+++ b/internal/frontend/chunked_body_test.go
@@ -59,7 +59,7 @@
 	if l.Malformed() != 0 {
 		t.Errorf("%d counted as malformed", l.Malformed())
 	}
-	// After them, a request with both framings is rejected, and its connection is closed.
+	// A request with both framings after them on the connection is rejected, and the connection is closed.
 	fmt.Fprintf(conn, chunkedHead+"Content-Length: 9\r\n\r\n9\r\n"+want+"\r\n0\r\n\r\n", "both")
 	if resp, err := http.ReadResponse(responses, nil); err != nil || resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("both framings on a persistent connection: %v, %v", resp, err)
@@ -108,7 +108,7 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("response %v, error %v", resp, err)
 	}
 	if total, _ := deployment.Prefill.Calls(); total != 0 {
 		t.Errorf("%d prefill calls, want none", total)
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -24,7 +24,7 @@
 	settings   *config.Settings
 	malformed  atomic.Int64
 	openIDs    sync.Map                   // ids (string) of this process's open requests
-	peerTable  *inflight.Table            // request ids shared with peer processes of this name, or nil if there are none
+	peerTable  *inflight.Table            // ids of open requests of this process and its peers, or nil without peers
 	classes    atomic.Pointer[classTable] // classes that clients may name
 }
 
@@ -41,8 +41,8 @@
 	return h
 }
 
-// UsePeerTable makes the handler share the ids of open requests with peer processes of this name. It must be called
-// before the handler serves requests.
+// UsePeerTable makes the handler share the ids of open requests with its peer processes, which are the other processes
+// on this machine with the same dispatcher name. It must be called before the handler serves requests.
 func (h *Handler) UsePeerTable(t *inflight.Table) { h.peerTable = t }
 
 // SetClasses replaces the classes that clients may name, after a configuration change. Open requests keep their class.
--- a/internal/importer/modjk.go
+++ b/internal/importer/modjk.go
@@ -104,7 +104,8 @@
 	return defaultValue
 }
 
-// workersOf returns the workers of a listed balancer, or only the listed name itself if it is a server.
+// workersOf returns the workers of a listed balancer, no workers for a status worker, or only the listed name itself if
+// it is a server.
 func (p workerProperties) workersOf(listed string) []string {
 	switch p.get(listed, "type", defaultWorkerType) {
 	case loadBalancerType:
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -135,9 +135,9 @@
 
 func (o rejectingObserver) Ended(dispatch.AttemptResult) { o.ended <- time.Now() }
 
-// The end of an abandoned attempt must be reported only after its close had time to reach the replica, since another
-// attempt may be sent right after the report. The fault-injection bench, with three runs on a core, counted such an
-// attempt as overlapping with the first.
+// The end of an abandoned attempt must be reported only after the close of its connection had time to reach the
+// replica, since another attempt may be sent right after the report. The fault-injection bench, with three runs on a
+// core, counted such an attempt as overlapping with the first.
 func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
 	for name, script := range map[string]testutil.Script{"no answer": testutil.NeverRespond, "a rejected stream": testutil.ServeDecode("a")} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/loadpoll_test.go
+++ b/internal/upstream/loadpoll_test.go
@@ -27,7 +27,7 @@
 	} {
 		replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodGet || r.URL.Path != "/load" {
-				t.Errorf("%s %s", r.Method, r.URL.Path)
+				t.Errorf("load poll sent as %s %s", r.Method, r.URL.Path)
 			}
 			if answer == "silent" {
 				<-r.Context().Done()
--- a/internal/upstream/release_test.go
+++ b/internal/upstream/release_test.go
@@ -38,7 +38,7 @@
 	client.Release(call, append(targets, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
 	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) == 1 })
 	if took := time.Since(start); took > 300*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the release took %v to arrive", took)
 	}
 }
 
@@ -51,7 +51,7 @@
 	client.Release(call, append(targets, dispatch.EndpointAddress{Name: "live", Addr: live.Addr}))
 	testutil.Eventually(t, "the release", func() bool { return live.Releases(call.ID) > 0 || time.Since(start) > time.Second })
 	if took := time.Since(start); took > 600*time.Millisecond {
-		t.Errorf("it took %v", took)
+		t.Errorf("the release took %v to arrive", took)
 	}
 }
 
@@ -72,7 +72,7 @@
 	client.Release(call, nil)
 	testutil.Eventually(t, "the end of the release", func() bool { return client.PendingReleases() == 0 })
 	if n, took := calls.Load(), time.Since(start); n < 3 || n > 20 || took < time.Second {
-		t.Errorf("%d calls in %v", n, took)
+		t.Errorf("%d release calls in %v", n, took)
 	}
 }
 
--- a/internal/xds/xds.go
+++ b/internal/xds/xds.go
@@ -87,7 +87,8 @@
 // Stop closes the listener and ends all streams.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// Publish applies a full endpoint list, or changes to it, and sends the result to all proxies.
+// Publish applies a full endpoint list, or changes to it, and sends the result to all proxies. If an endpoint cannot be
+// converted, it logs the error, and the proxies keep the last snapshot.
 func (s *Server) Publish(full bool, endpoints []dispatch.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
