--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -40,7 +40,7 @@
 	claimMayHaveRun                     // the first attempt has ended, and may have run without a known answer
 	claimKeyReused                      // the key was used with another request body
 	claimTableFull                      // the table has no capacity for another key
-	claimUnavailable                    // the store has no majority, or the peer processes did not answer
+	claimUnavailable                    // the store lacks a majority or capacity, or the peer processes' folder failed
 )
 
 func newKeyTable(capacity int, retention time.Duration, now func() time.Time) *keyTable {
--- a/internal/connlimit/drain.go
+++ b/internal/connlimit/drain.go
@@ -11,7 +11,7 @@
 	// two seconds before the operator checks that the drain is finished.
 	drainAcceptWindow = 1900 * time.Millisecond
 	// drainDeadline is the time after the start of a drain from which only connections with an answer in progress
-	// remain open. The operator checks half a second later.
+	// remain open. The operator checks half a second later that the drain is finished.
 	drainDeadline = 3500 * time.Millisecond
 	// drainQuietTimeout is how long a draining limiter waits for a complete request on a connection without an open
 	// request. The wait is shorter once drainDeadline is near.
@@ -19,9 +19,9 @@
 )
 
 // Drain is the state of an operator's drain. While it is active, each answer is the last on its connection, and nothing
-// is read after it. Requests that are complete later than drainAcceptWindow are rejected. From drainDeadline on, a
-// connection stays open only while an answer is in progress. The zero value is an inactive drain. Its methods may be
-// called from any goroutine.
+// is read after it. Requests that are received completely later than drainAcceptWindow after the start are rejected.
+// From drainDeadline on, a connection stays open only while an answer is in progress. The zero value is an inactive
+// drain. Its methods may be called from any goroutine.
 type Drain struct {
 	startedAt atomic.Pointer[time.Time] // nil while the drain is inactive
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -61,7 +61,7 @@
 		"used, broke before anything was written":        {used, waitingForConn, false, true},
 		"used, broke with all of it ready to be written": {used, waitingForConn, true, true},
 		"used, written":                                  {used, written, true, false},
-		"used, nobody knows how much was written":        {used, writing, true, false},
+		"used, an unknown part of it was written":        {used, writing, true, false},
 		"new, failed in writing":                         {unused, writeFailed, false, false},
 		"no connection came up":                          {unused, waitingForConn, false, false},
 	} {
