--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -49,7 +49,7 @@
 }
 
 // The bytes of each kind of request to replicas must match the golden file. In its headings a load poll is named probe,
-// and a lease duty.
+// and a lease duty, since the golden file must not change.
 func TestGoldenRequests(t *testing.T) {
 	const loadReport = "HTTP/1.1 200 OK\r\nContent-Length: 30\r\nConnection: close\r\n\r\nTEXT util=0.5, queue=1, x0=0.2"
 	const released = "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
