--- a/internal/chatapi/handler.go
+++ b/internal/chatapi/handler.go
@@ -41,7 +41,7 @@
 
 	keys  *keyTable
 	store IdempotencyStore // nil if only this process's table decides
-	peers *inflight.Table  // nil if there are no peer processes of this name
+	peers *inflight.Table  // nil if no keys are shared with peer processes
 
 	malformed     atomic.Int64
 	skippedEvents atomic.Int64
@@ -64,12 +64,13 @@
 // It must be called before the handler serves requests.
 func (h *Handler) UseIdempotencyStore(store IdempotencyStore) { h.store = store }
 
-// UsePeerTable makes the handler share the idempotency keys in use with the peer processes of this name on this
-// machine. It must be called before the handler serves requests.
+// UsePeerTable makes the handler share the idempotency keys in use with its peer processes, which are the other
+// processes on this machine with the same dispatcher name. It must be called before the handler serves requests.
 func (h *Handler) UsePeerTable(table *inflight.Table) { h.peers = table }
 
 // Malformed returns the number of requests that were rejected without being sent to a replica because they were
-// invalid, or because their idempotency key or a full key table did not permit them to run.
+// invalid, because connlimit.ReadBody did not accept their body, or because their idempotency key or a full key table
+// did not permit them to run.
 func (h *Handler) Malformed() int64 { return h.malformed.Load() }
 
 // SkippedEvents returns the number of events from replicas that could not be decoded and were not forwarded.
--- a/internal/chatapi/key_table.go
+++ b/internal/chatapi/key_table.go
@@ -40,15 +40,15 @@
 	claimMayHaveRun                     // the first attempt has ended, and may have run without a known answer
 	claimKeyReused                      // the key was used with another request body
 	claimTableFull                      // the table has no capacity for another key
-	claimUnavailable                    // the store has no majority, or the peer processes did not answer
+	claimUnavailable                    // the store lacks a majority or capacity, or the peer processes' folder failed
 )
 
 func newKeyTable(capacity int, retention time.Duration, now func() time.Time) *keyTable {
 	return &keyTable{capacity: capacity, retention: retention, now: now, entries: map[string]*keyEntry{}}
 }
 
-// claim claims a key for a request if the key is new, and otherwise returns how the request is handled. The completion
-// is set for claimAnswered.
+// claim returns how a request with the key is handled. A new key is claimed if the table has capacity. The completion
+// is set only with claimAnswered.
 func (t *keyTable) claim(key string, body []byte) (claimResult, *chatCompletion) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -49,7 +49,7 @@
 		if h.Get("X-Trace-Id") != call.ID || h.Get("Accept-Encoding") != "" {
 			t.Errorf("%s: headers %v", name, h)
 		}
-		// The header holds the time that remained when it was written: the limit less at most the time since Send.
+		// The header holds the time that remained when it was written: at least the limit less the time since Send.
 		const limit = 5 * time.Second
 		remaining, err := frontend.ParseExpiry(h.Get("X-Expires-In"))
 		if err != nil || remaining > limit || remaining < limit-took-time.Millisecond {
@@ -135,9 +135,9 @@
 
 func (o rejectingObserver) Ended(dispatch.AttemptResult) { o.ended <- time.Now() }
 
-// The end of an abandoned attempt must be reported only after its close had time to reach the replica, since another
-// attempt may be sent right after the report. The fault-injection bench, with three runs on a core, counted such an
-// attempt as overlapping with the first.
+// The end of an abandoned attempt must be reported only after the close of its connection had time to reach the
+// replica, since another attempt may be sent right after the report. The fault-injection bench, with three runs on a
+// core, counted such an attempt as overlapping with the first.
 func TestEndIsReportedNoSoonerThanCloseDelay(t *testing.T) {
 	for name, script := range map[string]testutil.Script{"no answer": testutil.NeverRespond, "a rejected stream": testutil.ServeDecode("a")} {
 		t.Run(name, func(t *testing.T) {
