--- a/internal/app/application.go
+++ b/internal/app/application.go
@@ -123,7 +123,7 @@
 		{"configuration reloads", func() error { return a.startReloader(reloads) }, nil},
 		{"discovery confirmed", func() error { return a.awaitDiscovery(ctx) }, nil},
 		{"peer processes", func() error { return a.awaitPeers(ctx) }, nil},
-		{"client listener", a.openClientListener, nil}, // drainClients closes the listeners
+		{"client listener", a.openClientListener, nil}, // drainClients closes this and the chat listener
 		{"chat listener", a.openChatListener, nil},
 		{"fleet membership", a.joinFleet, a.fleet.close},
 		{"admin calls", a.startAdmin, a.stopAdmin},
@@ -258,7 +258,8 @@
 	return nil
 }
 
-// awaitPeers waits until the processes of this name that were already running have published their in-flight requests.
+// awaitPeers waits, for a bounded time, until the processes of this name that were already running have published their
+// in-flight requests.
 func (a *application) awaitPeers(ctx context.Context) error {
 	a.stores.inFlight.WaitForPeers(ctx)
 	return nil
--- a/internal/app/background.go
+++ b/internal/app/background.go
@@ -12,7 +12,7 @@
 const maxBackgroundWait = time.Second
 
 // background runs the long-running goroutines of the process. They share a context that is canceled at the end of the
-// process and not by SIGTERM, because requests that are still open during the drain need these goroutines.
+// process and not by SIGTERM, because requests that are still open during the graceful shutdown need these goroutines.
 type background struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
--- a/internal/app/component.go
+++ b/internal/app/component.go
@@ -4,7 +4,7 @@
 type component struct {
 	name  string       // describes the component to readers of the code
 	start func() error // nil if there is nothing to start
-	stop  func()       // nil if it ends with the background goroutines or with the process
+	stop  func()       // nil if the component ends with the background goroutines, in drainClients or with the process
 }
 
 // startAll starts components in order until one fails, and returns the components that were started.
--- a/internal/app/fleet_runtime.go
+++ b/internal/app/fleet_runtime.go
@@ -20,7 +20,7 @@
 // file, only watcher is set. All fields but node and fenced are set before the process starts any goroutine.
 type fleetRuntime struct {
 	config  *fleet.Config              // nil if the process is not a member of a fleet
-	node    atomic.Pointer[fleet.Node] // nil until the process has joined
+	node    atomic.Pointer[fleet.Node] // nil until joinFleet has started it
 	watcher *discovery.Watcher
 	tasks   *leasedtasks.Tasks
 	subset  *subsetter.Controller  // nil if the process routes to all replicas
@@ -51,27 +51,28 @@
 	for _, kind := range router.Kinds {
 		roles = append(roles, kind.Role)
 	}
-	return subsetter.NewController(f.config.SubsetLimits(), cfg.Name, cfg.Settings.Zone, roles, f.view, dispatcher.SetSubset)
+	return subsetter.NewController(f.config.SubsetLimits(), cfg.Name, cfg.Settings.Zone, roles, f.subsetFleetView, dispatcher.SetSubset)
 }
 
-// view returns the fleet as the subset controller needs it. It is empty until this process has joined.
-func (f *fleetRuntime) view() (view subsetter.FleetView) {
+// subsetFleetView returns the fleet as the subset controller needs it. It is empty until joinFleet has started the
+// node.
+func (f *fleetRuntime) subsetFleetView() (subsetFleetView subsetter.FleetView) {
 	node := f.node.Load()
 	if node == nil {
-		return view
+		return subsetFleetView
 	}
-	view.View, view.Now = node.View(), node.Now()
-	view.TrafficFraction, _ = node.QuotaFraction()
-	view.Usable = view.View.Fresh(view.Now, fleet.MaxViewAge)
-	return view
+	subsetFleetView.View, subsetFleetView.Now = node.View(), node.Now()
+	subsetFleetView.TrafficFraction, _ = node.QuotaFraction()
+	subsetFleetView.Usable = subsetFleetView.View.Fresh(subsetFleetView.Now, fleet.MaxViewAge)
+	return subsetFleetView
 }
 
 // minQuotaFraction is a lower bound for a member's share, so that dividing by the share gives a finite result.
 const minQuotaFraction = 1e-9
 
 // effectiveSize returns a function that computes how many dispatchers, each with a share like this member's, would put
-// the same load on discovery as the whole fleet. The share comes from the fleet's quota. If the fleet file has no
-// budgets, the function returns the number of dispatchers in the settings.
+// the same load on discovery as the whole fleet. The share comes from the fleet's quota. Without a fleet file, or if
+// the file has no budgets, the function returns the number of dispatchers in the settings.
 func (f *fleetRuntime) effectiveSize(settings *config.Settings) func() float64 {
 	return func() float64 {
 		if f.config == nil || f.config.Budgets == nil {
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -54,11 +54,11 @@
 // busy reports whether a request is being answered.
 func (l *listeners) busy() bool { return slices.ContainsFunc(l.limiters, (*connlimit.Limiter).Busy) }
 
-// closeIdle closes connections without an open request that have been quiet for minIdle. It returns how many
-// connections remain open.
-func (l *listeners) closeIdle(minIdle time.Duration) (open int) {
+// closeIdle closes connections that are idle between requests, and connections without an open request that have sent
+// no complete request for quietTimeout. It returns how many connections remain open.
+func (l *listeners) closeIdle(quietTimeout time.Duration) (open int) {
 	for _, limiter := range l.limiters {
-		limiter.CloseIdle(minIdle)
+		limiter.CloseIdle(quietTimeout)
 		open += limiter.ConnectionCount()
 	}
 	return open
--- a/internal/app/operator_drain.go
+++ b/internal/app/operator_drain.go
@@ -19,8 +19,8 @@
 
 // operatorDrain sends clients to other processes, on an operator's call or while the fleet fences this process. During
 // a drain GET /healthz answers 503, each answer is the last on its connection, and connections without an open request
-// are closed as they become idle or quiet. There are two states, serving and draining. begin and end are the
-// transitions between them and may be called concurrently.
+// are closed as they become idle or quiet (see connlimit.Limiter.CloseIdle). There are two states, serving and
+// draining. begin and end are the transitions between them and may be called concurrently.
 type operatorDrain struct{ listeners *listeners }
 
 func (d operatorDrain) active() bool { return d.listeners.lifecycle.Drain.Active() }
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -30,8 +30,8 @@
 	watcher         *discovery.Watcher
 }
 
-// run reloads the configuration on each request until the context ends. It does so even while the process drains,
-// because open requests still depend on the endpoint list.
+// run reloads the configuration on each request until the context ends. It does so during an operator's drain and the
+// graceful shutdown too, because open requests still depend on the endpoint list.
 func (r *reloader) run(ctx context.Context, requests <-chan os.Signal) {
 	for {
 		select {
--- a/internal/app/replacement_test.go
+++ b/internal/app/replacement_test.go
@@ -167,7 +167,7 @@
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 40 { // until after the last accept of the first process, and its end
+	for i := range 40 { // takes at least a second, longer than the first process accepts connections
 		if status, text := postRequest(t, listen, fmt.Sprintf("r%d", i), `{}`); status != 200 || text != testutil.EventStream("alpha") {
 			t.Errorf("request %d: status %d, %q", i, status, text)
 		}
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -33,7 +33,7 @@
 func (a *application) shutDown(out io.Writer) error {
 	var writing sync.WaitGroup
 	if a.options.transferDir != "" {
-		writing.Go(a.writeSnapshot) // concurrent with the drain, which a hung disk must not delay
+		writing.Go(a.writeSnapshot) // concurrent with drainClients, which a hung disk must not delay
 	}
 	err := a.drainClients(a.settings.shutdownGrace())
 	waitAtMost(&writing, maxBackgroundWait)
@@ -41,9 +41,10 @@
 	return err
 }
 
-// drainClients answers open requests and requests that still arrive, and returns once no client is connected. New
-// connections still arrive for a while: they are accepted, and each answer is the last on its connection. Then idle
-// connections are closed, and at last the listeners. The platform may kill the process once grace has passed.
+// drainClients answers open requests and requests that still arrive, and returns once no client is connected. It
+// returns an error if connections without an open request stay open for too long; see closeGracefully. New connections
+// still arrive for a while: they are accepted, and each answer is the last on its connection. Then idle connections are
+// closed, and at last the listeners. The platform may kill the process once grace has passed.
 func (a *application) drainClients(grace time.Duration) error {
 	slog.Info("draining")
 	abandon := time.AfterFunc(grace-releaseTime, a.abandonPending)
@@ -91,10 +92,11 @@
 	}
 }
 
-// closeGracefully closes the listeners once new connections have stopped arriving, closes connections as they become
-// idle, and returns when none is open. The limiters close the connections because http.Server.Shutdown could lose
-// requests: it closes connections on which a request is just being read, and drops without an answer a request whose
-// head has been read.
+// closeGracefully closes the listeners once new connections have stopped arriving, and closes connections as they
+// become idle. It returns when none is open, or with an error if some are still open listenerCloseDelay and
+// maxConnectionWait after the last request was answered. The limiters close the connections because
+// http.Server.Shutdown could lose requests: it closes connections on which a request is just being read, and drops
+// without an answer a request whose head has been read.
 func (l *listeners) closeGracefully() error {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -21,7 +21,7 @@
 	idempotency   *idempotencyquorum.Coordinator // nil if the chat frontend uses only its own table
 	inFlight      *inflight.Table                // nil if in-flight requests are not shared
 	endpointCache *atomicfile.Saver              // nil without a state folder
-	tokenFloor    *fencing.TokenFloor            // highest fencing token of the fleet's leases; nil if it is not stored
+	tokenFloor    *fencing.TokenFloor            // lower bound for new fencing tokens of the fleet; nil if none is stored
 	transfer      statetransfer.Exchange         // without a folder, nothing is transferred
 }
 
@@ -33,7 +33,7 @@
 
 // newIdempotencyCoordinator returns the coordinator that decides whether an idempotent request may run: among the
 // fleet's voters if the fleet file has a section for it, or in this process alone if it has a state folder and a chat
-// frontend. It returns nil if the chat frontend uses only its own table. now is the time of the wall clock.
+// frontend. Otherwise it returns nil, and a chat frontend uses only its own table. now is the time of the wall clock.
 func newIdempotencyCoordinator(in inputs, send func(to string, message []byte, large bool),
 	now time.Time) (*idempotencyquorum.Coordinator, error) {
 	cfg := idempotencyquorum.Config{Name: in.config.Name, Incarnation: uint64(now.UnixNano()), Send: send}
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// startTokenFloor opens the store of the highest fencing token that this member has seen, if it has a state folder and
-// a fleet.
+// startTokenFloor opens the stored lower bound for new fencing tokens, and stores it again as tokens grow. It does
+// nothing without a state folder or without a fleet.
 func (a *application) startTokenFloor() error {
 	if a.inputs.stateDir == "" || a.inputs.fleet == nil {
 		return nil
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
 // Package cli holds what the project's command lines share: the conventions for flags and commands, the log format, and
-// the strict decoding of operators' files. It has no state; its functions may be called from any goroutine.
+// the strict decoding of configuration and scenario files. It has no state; its functions may be called from any
+// goroutine.
 package cli
 
 import (
--- a/internal/cli/strict.go
+++ b/internal/cli/strict.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// DecodeStrict decodes an operators' file into a value. The file must hold exactly one JSON object, without unknown
-// keys.
+// DecodeStrict decodes the JSON text of a configuration or scenario file into the value that into points to. The text
+// must be exactly one JSON object, without unknown keys.
 func DecodeStrict(contents []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(contents))
 	decoder.DisallowUnknownFields()
--- a/internal/fleet/bootstrap/bootstrap_test.go
+++ b/internal/fleet/bootstrap/bootstrap_test.go
@@ -10,7 +10,7 @@
 var testMembers = []Peer{{Name: "new"}, {Name: "old", Older: true}, {Name: "near", Older: true, SameZone: true}}
 
 // Requests go to the older member in the same zone first, then to the other older one, then to the new one. The next
-// request waits for the response timeout, and the next one to the same member also for its retry interval.
+// request waits for the response timeout. The next request to the same member also waits for the retry interval.
 func TestRequesterPrefersOlderAndNearerMembers(t *testing.T) {
 	r := NewRequester(DefaultLimits, 0, drawZero)
 	now := 2 * time.Millisecond
--- a/internal/fleet/clock_test.go
+++ b/internal/fleet/clock_test.go
@@ -9,7 +9,8 @@
 )
 
 // A process that restarts after its machine's wall clock was set back must count as a later incarnation of its name.
-// Its clock gives it a lower incarnation, so it must take a higher one than the former, which other members report.
+// Its clock gives it a lower incarnation, so it must take a higher one than the one that other members report for its
+// name.
 func TestComesBackAfterTheClockWasSetBack(t *testing.T) {
 	text := configJSON("f", testKey, 20, 21, 22)
 	one, two := startNode(t, text, 20, nil), startNode(t, text, 21, nil)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -13,7 +13,8 @@
 	"rampspread/internal/fleet/subset"
 )
 
-// Config is the content of the operator's file, deploy/fleet.json. It is the same at all members, except for Listen.
+// Config is the content of the fleet file, which the operator writes (deploy/fleet.json). It is the same at all
+// members, except for Listen.
 type Config struct {
 	// Fleet is the name of the deployment. Packets of another fleet are ignored.
 	Fleet string `json:"fleet"`
@@ -38,7 +39,8 @@
 	Idempotency *IdempotencyConfig `json:"filings,omitempty"`
 	// Bootstrap lets a starting member receive what other members have learned about replicas and prefixes.
 	Bootstrap bool `json:"beliefs,omitempty"`
-	// EndpointFilter lets members stop each other from using replicas that a newer endpoint list has removed.
+	// EndpointFilter lets members stop each other from using replicas that a newer endpoint list has removed or set to
+	// draining.
 	EndpointFilter bool `json:"ends,omitempty"`
 	// VersionSkew lets members that act on older versions than most others be restricted and fenced. If it is nil, no
 	// member is restricted or fenced.
@@ -87,7 +89,7 @@
 	maxBudgetLimit        = 1e6 // in the unit of each limit of Budgets
 )
 
-// Load reads and checks an operator's file for the process of the given name.
+// Load reads and checks the fleet file at path for the process of the given name.
 func Load(path, name string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -100,8 +102,8 @@
 	return c, nil
 }
 
-// Parse parses and checks the text of an operator's file for the process of the given name. Unknown keys and invalid
-// values are errors.
+// Parse parses and checks the text of a fleet file for the process of the given name. Unknown keys and invalid values
+// are errors.
 func Parse(text []byte, name string) (*Config, error) {
 	var c Config
 	if err := cli.DecodeStrict(text, &c); err != nil {
--- a/internal/fleet/endpointfilter.go
+++ b/internal/fleet/endpointfilter.go
@@ -19,8 +19,8 @@
 	maxDatagramBytes = 1200
 )
 
-// EndpointFilter suppresses endpoints that newer lists of other members have removed, and provides the digest of this
-// process's own list. Its methods must not block.
+// EndpointFilter suppresses endpoints that newer lists of other members have removed or set to draining, and provides
+// the digest of this process's own list. Its methods must not block.
 type EndpointFilter interface {
 	// Version returns the version of this process's list.
 	Version() uint64
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -87,9 +87,9 @@
 	testutil.Eventually(t, what, func() bool { return memberState(n, name) == want })
 }
 
-// Members discover each other while the first member of the configuration is missing, detect a member that crashes and
-// one that leaves, and accept the crashed member again as a new incarnation. A late heartbeat of the old incarnation
-// must not mark the new one as leaving.
+// Members discover each other while the first member of the configuration is missing. They detect a member that crashes
+// and one that leaves, and accept the crashed member again as a new incarnation. A late heartbeat of the old
+// incarnation must not mark the new one as leaving.
 func TestMembersTrackJoinsCrashesAndLeaves(t *testing.T) {
 	text := configJSON("f", testKey, 10, 11, 12, 13)
 	one, two := startNode(t, text, 11, nil), startNode(t, text, 12, nil)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -339,8 +339,8 @@
 }
 
 // The random draws of a component depend on the process's seed and the component's own constant, and have a fixed
-// order. The draws of the node itself (the order of the initial contacts, the delays between rejoins, the choice of a
-// missing member) depend on timers, so TestGoldenNodeSeed compares only their seed.
+// order. The draws of the node itself (the order of the initial contacts, the delays between contacts of missing
+// members, the choice of a missing member) depend on timers, so TestGoldenNodeSeed compares only their seed.
 func TestGoldenDraws(t *testing.T) {
 	n := offlineNode(t, Options{Name: "n0", Seed: 17, Machine: hostos.Real()})
 	var text []byte
--- a/internal/fleet/join.go
+++ b/internal/fleet/join.go
@@ -21,9 +21,9 @@
 	listenRetryInterval = 300 * time.Millisecond
 	// initialContacts is the number of other members that a process contacts at its start.
 	initialContacts = 3
-	// rejoinInterval is the mean time between two contacts of missing members. One member is contacted each time. After
-	// a long partition nothing else would connect the two sides again.
-	rejoinInterval = 2 * time.Second
+	// missingContactInterval is the mean time between two contacts of missing members. One member is contacted each
+	// time. After a long partition nothing else would connect the two sides again.
+	missingContactInterval = 2 * time.Second
 
 	// Parameters of memberlist. Times are multiples of the configured probe interval. The TCP timeout bounds the time
 	// to connect.
@@ -115,10 +115,10 @@
 	}
 }
 
-// drawRejoinDelay returns a random time until the next contact of a missing member. It is random so that members do not
-// all make their contacts at the same time.
-func (n *Node) drawRejoinDelay() time.Duration {
-	return rejoinInterval/2 + time.Duration(n.rng.Int64N(int64(rejoinInterval)))
+// drawContactDelay returns a random time until the next contact of a missing member. It is random so that members do
+// not all make their contacts at the same time.
+func (n *Node) drawContactDelay() time.Duration {
+	return missingContactInterval/2 + time.Duration(n.rng.Int64N(int64(missingContactInterval)))
 }
 
 // contactMissingMember contacts one of the members that are not reachable, so that the sides of a partition merge
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -59,9 +59,9 @@
 	Seed uint64
 	// Tasks runs the tasks that one member runs for the whole fleet. If it is nil, this member runs none.
 	Tasks TaskRunner
-	// TokenFloor is at least as high as every fencing token that an earlier incarnation of this member has seen.
-	// ObserveToken is called often with the highest token known to this incarnation, so that it can be stored. It must
-	// not block. If ObserveToken is nil, tokens are lost when the process ends.
+	// TokenFloor is at least as high as every fencing token that an earlier incarnation of this member has seen, or 0 if
+	// no such bound is known. ObserveToken is called often with the highest token known to this incarnation, so that it
+	// can be stored. It must not block. If ObserveToken is nil, tokens are lost when the process ends.
 	TokenFloor   uint64
 	ObserveToken func(token uint64)
 	// HandleIdempotency handles messages of package idempotencyquorum from other members. It must not block. If it is
@@ -164,7 +164,7 @@
 func (n *Node) runMembership(ctx context.Context) {
 	ticks := time.NewTicker(membershipInterval)
 	defer ticks.Stop()
-	nextHeartbeat, nextRejoin := n.now(), n.now()
+	nextHeartbeat, nextContact := n.now(), n.now()
 	position := n.rng.IntN(len(n.cfg.Members))
 	for {
 		select {
@@ -181,8 +181,8 @@
 			nextHeartbeat = now + heartbeatInterval
 			position = n.sendHeartbeats(position)
 		}
-		if now >= nextRejoin {
-			nextRejoin = now + n.drawRejoinDelay()
+		if now >= nextContact {
+			nextContact = now + n.drawContactDelay()
 			n.contactMissingMember()
 		}
 	}
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -18,7 +18,7 @@
 	returnInterval = leaveNoticeInterval / 6
 )
 
-// Budgets is the part of the operator's file that limits what the whole fleet may do together. If PollsPerReplica is 0,
+// Budgets is the part of the fleet file that limits what the whole fleet may do together. If PollsPerReplica is 0,
 // polls are unlimited. Retries are unlimited only if both RetriesPerRequest and RetriesPerSecond are 0.
 type Budgets struct {
 	// Floor is the fraction of each budget that is permanently and evenly divided among the configured members. The
@@ -78,7 +78,7 @@
 // others if this member is a voter.
 type quotaShares struct {
 	node    *Node
-	user    QuotaUser
+	applier QuotaUser
 	limits  quota.Limits
 	applied atomic.Int64
 	dropped atomic.Int64
@@ -90,8 +90,8 @@
 	demand   float64 // requests per second
 }
 
-func newQuotaShares(n *Node, user QuotaUser) *quotaShares {
-	q := &quotaShares{node: n, user: user, limits: n.cfg.quotaLimits()}
+func newQuotaShares(n *Node, applier QuotaUser) *quotaShares {
+	q := &quotaShares{node: n, applier: applier, limits: n.cfg.quotaLimits()}
 	self := quota.BorrowerID{Name: n.self.Name, Incarnation: uint64(n.startWall.UnixNano())}
 	q.borrower = quota.NewBorrower(self, n.cfg.Voters, q.limits)
 	if n.cfg.IsVoter(n.self.Name) {
@@ -111,9 +111,9 @@
 	}
 }
 
-// tick implements component. It applies a new share and sends a claim, if either is due.
+// tick implements component. It applies a new share if there is one, and sends a claim if one is due.
 func (q *quotaShares) tick(now time.Duration) {
-	accepted := q.user.Accepted()
+	accepted := q.applier.Accepted()
 	q.mu.Lock()
 	q.demand = q.traffic.Observe(now, accepted)
 	share, hasShare := q.borrower.NextShare(now)
@@ -149,7 +149,7 @@
 		defer q.mu.Unlock()
 		q.borrower.Confirm(share)
 	}
-	if q.user.SetQuotaShare(share.Fraction, share.Until-q.node.now(), confirm) {
+	if q.applier.SetQuotaShare(share.Fraction, share.Until-q.node.now(), confirm) {
 		q.applied.Add(1)
 		return
 	}
--- a/internal/fleet/taskresults.go
+++ b/internal/fleet/taskresults.go
@@ -87,8 +87,8 @@
 	data []byte
 }
 
-// flushResults returns packets with the unsent results, as far as the byte budget allows. Other results are dropped.
-// The caller holds the lock.
+// flushResults returns packets with the unsent results, as far as the byte budget allows, and drops the other results.
+// It returns none before the flush interval has passed. The caller holds the lock.
 func (t *leasedTasks) flushResults(now time.Duration) (packets []outgoingPacket) {
 	interval := max(flushInterval, time.Duration(len(t.members))*flushIntervalPerMember)
 	if now-t.lastFlush < interval || len(t.unsentResults) == 0 {
--- a/internal/fleet/versionskew.go
+++ b/internal/fleet/versionskew.go
@@ -117,7 +117,7 @@
 	s.applyTransition(previous, own)
 }
 
-// reports returns the versions that the active members report, and whether this process is one of them.
+// reports returns the versions that the active members report, and whether this process is one of these members.
 func (s *skewMonitor) reports(v membership.View) (reports []versionskew.Report, includesSelf bool) {
 	for _, m := range v.ActiveMembers() {
 		report := versionskew.Report{Name: m.Name, ListVersion: m.ListVersion, SettingsDigest: m.SettingsDigest}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -35,9 +35,9 @@
 	n.publishView()
 }
 
-// refreshInfo updates this process's info, and reports whether the change is to be gossiped. A new version of only the
-// endpoint list is sent with the next heartbeat: the list changes often, and all members would gossip the new version
-// at the same time.
+// refreshInfo updates this process's info, and reports whether the change is to be gossiped. If only the version of the
+// endpoint list has changed, the new version is sent with the next heartbeat: the list changes often, and otherwise all
+// members would gossip the new version at the same time.
 func (n *Node) refreshInfo() (gossip bool) {
 	local := n.self.LocalState()
 	n.mu.Lock()
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -1,6 +1,7 @@
-// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing even
-// if all members are killed at once. Otherwise results of earlier leases would be mistaken for newer ones. The bound is
-// the high-water mark of a block allocator (hi/lo): it is ahead of all observed tokens, so that it is seldom written.
+// Package fencing stores a lower bound for the fencing tokens that the fleet's leases get after a restart, so that
+// tokens keep growing even if all members are killed at once. Otherwise results of earlier leases would be mistaken for
+// newer ones. The bound is the high-water mark of a block allocator (hi/lo): it is ahead of all observed tokens, so
+// that it is seldom written.
 //
 // The package owns one file in the state folder. TokenFloor is safe for concurrent use.
 package fencing
@@ -77,8 +78,8 @@
 	return f
 }
 
-// Floor returns the bound that an earlier process stored, or 0 if there was none. No earlier process observed a greater
-// token.
+// Floor returns the bound that an earlier process stored, or 0 if there was none or Open ignored it. No earlier process
+// observed a token greater than that bound, unless saving had failed for hours.
 func (f *TokenFloor) Floor() uint64 { return f.initial }
 
 // Observe raises the bound if the token is less than minReservation below it. It never waits for the disk.
--- a/internal/state/identity.go
+++ b/internal/state/identity.go
@@ -7,7 +7,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Identity names the owner of a state: one member of one fleet. A state is never opened for another owner.
+// Identity names the owner of a state: one member of one fleet. A state is opened only for its owner, except that the
+// zero Identity accepts any owner; see OpenReadOnly.
 type Identity struct {
 	Fleet, Name string
 }
--- a/internal/state/inflight/claim.go
+++ b/internal/state/inflight/claim.go
@@ -27,7 +27,7 @@
 	Acquired    Claim = iota // this process holds the name now, and must call Release or MarkMayHaveRun
 	HeldByOther              // another process has the name in flight
 	MayHaveRun               // another process may have executed the request, or ended while it was in flight
-	Unknown                  // the folder failed or did not respond in time
+	Unknown                  // the folder failed or did not respond in time, or too many lookups are pending
 )
 
 // errFolderTimeout reports that the folder did not respond within Table.timeout, or that too many lookups are pending.
--- a/internal/state/inflight/peers.go
+++ b/internal/state/inflight/peers.go
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// listPeers lists the folders of other processes. It removes the folders of ended processes without idempotency keys
-// within their retention.
+// listPeers lists the folders of other processes. It removes the folder of an ended process unless it has idempotency
+// keys within their retention.
 func (t *Table) listPeers() ([]peer, error) {
 	entries, err := os.ReadDir(t.sharedDir)
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // removeExpired removes the folder of an ended process unless it has idempotency keys within their retention, and
-// reports whether the folder remains.
+// reports whether the folder remains. It returns false for a folder that cannot be read.
 func (t *Table) removeExpired(dir string) (remains bool) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/state/inflight/table_test.go
+++ b/internal/state/inflight/table_test.go
@@ -159,8 +159,8 @@
 	})
 }
 
-// An idempotency key that a process used, or had in flight when it ended, counts as one that may have run in the next
-// process, until its retention ends.
+// An idempotency key that a process used, or had in flight when it ended, counts in the next process as one that may
+// have run, until its retention ends.
 func TestIdempotencyKeysOutliveTheirProcess(t *testing.T) {
 	for _, end := range []string{"killed while it has a peer", "shut down alone"} {
 		t.Run(end, func(t *testing.T) {
@@ -199,7 +199,8 @@
 }
 
 // Three processes acquire the same names, either all at once or one before the others, while processes are killed and
-// replaced. No name is ever held by two running processes, and a process that is the first to acquire a name gets it.
+// replaced. No name is ever held by two running processes. In the second case the first process to acquire a name gets
+// it.
 func TestConcurrentProcessesNeverShareAName(t *testing.T) {
 	dir, random := t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	processes := []*process{startProcess(t, dir), startProcess(t, dir), startProcess(t, dir)}
--- a/internal/state/statetransfer/statetransfer.go
+++ b/internal/state/statetransfer/statetransfer.go
@@ -145,8 +145,8 @@
 }
 
 // Serve writes the snapshot that takeSnapshot returns whenever another process requests one, and every
-// periodicWriteInterval without a request, until the context ends. It writes nothing while the second result of
-// takeSnapshot is false, so that a process answers requests only once its own request has ended.
+// periodicWriteInterval without a request, until the context ends. It writes nothing if takeSnapshot returns false.
+// Call Serve after Request has returned, so that a process answers requests only once its own request has ended.
 func (e Exchange) Serve(ctx context.Context, takeSnapshot func() (routing.Snapshot, bool)) {
 	tick := time.NewTicker(requestPollInterval)
 	defer tick.Stop()
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -1,9 +1,10 @@
-// Package state stores the idempotency records that a process holds as one of the fleet's replicas, so that they
-// survive a restart. It owns one file, a bbolt database in a folder that the operator configures.
+// Package state stores the idempotency records that a process holds as a replica of the idempotency quorum, so that
+// they survive a restart. It owns one file, a bbolt database in a folder that the operator configures.
 //
 // Durability: writes are atomic, since bbolt commits copy-on-write pages by writing one meta page, and are synced
 // before the call returns. Integrity: each record has a checksum, and a further checksum covers all entries. Before
-// bbolt opens the file, its whole page structure is verified, and the file is refused if any page in use is damaged.
+// bbolt opens the file, its whole page structure is verified, and the file is refused if the structure of any page in
+// use is damaged.
 //
 // Concurrency: Store is safe for concurrent use. A lock on the file excludes other processes.
 package state
@@ -77,9 +78,9 @@
 	historyLost                    // the member may have had a state that was lost
 )
 
-// Init creates the state of a member that never had one, and marks it as complete. A replica whose state is incomplete
-// does not vote until every record that it may have written has expired. Init returns an error if the folder has a
-// state.
+// Init creates the state of a member that never had one, and marks it as complete. A replica of the idempotency quorum
+// whose state is incomplete does not vote until every record that it may have written has expired. Init returns an
+// error if the folder has a state.
 func Init(dir string, owner Identity) error {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("state: %s has a state already", dir)
@@ -101,7 +102,8 @@
 	return open(dir, owner, historyIfCreated)
 }
 
-// OpenReadOnly opens an existing state for reading; it creates none. The zero Identity accepts any owner.
+// OpenReadOnly opens an existing state to read its records, and returns an error if there is none. The zero Identity
+// accepts any owner. As after Open, Close records the lifetime, and a file of an earlier format is converted.
 func OpenReadOnly(dir string, owner Identity) (*Store, error) {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return nil, fmt.Errorf("state: %s has none: %w", dir, err)
