--- a/internal/app/fleet_join.go
+++ b/internal/app/fleet_join.go
@@ -50,7 +50,7 @@
 	return opts
 }
 
-// localState returns the part of the process's state that its heartbeats report.
+// localState returns the part of the process's state that it reports to the other members.
 func (a *application) localState() fleet.LocalState {
 	return fleet.LocalState{
 		SettingsDigest: a.settings.fingerprint(),
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -30,8 +30,8 @@
 	watcher         *discovery.Watcher
 }
 
-// run reloads the configuration on each request until the context ends. It does so during an operator's drain and the
-// graceful shutdown too, because open requests still depend on the endpoint list.
+// run reloads the configuration on each signal from requests until the context ends. It does so during an operator's
+// drain and the graceful shutdown too, because open requests still depend on the endpoint list.
 func (r *reloader) run(ctx context.Context, requests <-chan os.Signal) {
 	for {
 		select {
@@ -43,9 +43,10 @@
 	}
 }
 
-// reload reads the configuration file again, applies its settings to the dispatcher and moves discovery to the address
-// in the file. The address in the environment applies only at the start. A file that fails any check changes nothing.
-// Limits, telemetry, zones, kinds, tenants and the chat frontend's file are read only at the next start.
+// reload reads the configuration file again, applies its settings to the dispatcher and makes the watcher use discovery
+// at the address in the file. The address in the environment applies only at the start. A file that fails any check
+// changes nothing. Limits, telemetry, zones, kinds, tenants and the chat frontend's file are read only at the next
+// start.
 func (r *reloader) reload(ctx context.Context) {
 	cfg, err := readConfig(r.path, nil)
 	if err == nil {
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -38,8 +38,8 @@
 	return a.shutDown(out)
 }
 
-// awaitStop prints the counters on each request until ctx ends. It returns an error if a component that the process
-// needs in order to serve fails.
+// awaitStop prints the counters on each signal from printRequests until ctx ends. It returns an error if a component
+// that the process needs in order to serve fails.
 func (a *application) awaitStop(ctx context.Context, printRequests <-chan os.Signal, out io.Writer) error {
 	for {
 		select {
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -11,9 +11,9 @@
 	"rampspread/internal/protofield"
 )
 
-// peerMessage is the decoded form of a datagram or a TCP message between members, of any kind. Each kind uses some of
-// the fields and leaves the others zero. Messages are encoded as protobuf, so that a later version of the program may
-// add fields; unknown fields are ignored.
+// peerMessage is the decoded form of a datagram or a TCP message between members, of any kind except heartbeats and
+// idempotency messages. Each kind uses some of the fields and leaves the others zero. Messages are encoded as protobuf,
+// so that a later version of the program may add fields; unknown fields are ignored.
 type peerMessage struct {
 	seq         uint64 // sequence number of the sender's request; in an endpoint digest, the version of the list
 	from        string // name of the sender
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -164,7 +164,8 @@
 }
 
 // observeToken records the highest fencing token known to another member, so that a process that has just started
-// neither grants nor claims lower ones. The tokens arrive while its voter is recovering and may not vote yet.
+// neither grants nor claims lower ones. The tokens arrive while the voter of that process is recovering and may not
+// vote yet.
 func (t *leasedTasks) observeToken(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/tasks_test.go
+++ b/internal/fleet/tasks_test.go
@@ -101,9 +101,9 @@
 	return n
 }
 
-// Tasks are divided among the members, each task runs at one member at a time under a lease, all members receive the
-// results, and other members take over the tasks of a member that crashes. A member that reaches only a minority of the
-// voters must run nothing.
+// Tasks are divided among the members, and each task runs at one member at a time under a lease. All members receive
+// the results, and other members take over the tasks of a member that crashes. A member that reaches only a minority of
+// the voters must run nothing.
 func TestTasksAreDividedAndTakenOver(t *testing.T) {
 	text := tasksConfigJSON(60, 61, 62, 63)
 	recorder := &taskRecorder{results: map[string]int{}}
--- a/internal/state/lifetime.go
+++ b/internal/state/lifetime.go
@@ -22,8 +22,8 @@
 }
 
 // Complete reports whether the state holds every unexpired record that the member ever wrote, and if not, how long
-// until it does. A state that was created after a loss is complete once the member's lifetime reaches the retention of
-// records: every record that was written before the loss has expired by then.
+// until it does. A state that may have been created after a loss is complete once the member's lifetime reaches the
+// retention of records: every record that was written before the loss has expired by then.
 func (s *Store) Complete(retention time.Duration) (complete bool, remaining time.Duration) {
 	lifetime := s.Lifetime()
 	s.mu.Lock()
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -30,7 +30,7 @@
 
 	mu               sync.Mutex
 	previousLifetime time.Duration // recorded lifetime of the member when the store was opened
-	incomplete       bool          // an earlier state was lost: see Complete
+	incomplete       bool          // an earlier state may have been lost: see Complete
 	keyCount         int           // number of records in the store
 }
 
@@ -66,7 +66,7 @@
 	keyFleet      = []byte("fleet")
 	keyName       = []byte("name")
 	keyLifetime   = []byte("lived")
-	keyIncomplete = []byte("lost") // present if an earlier state was lost: see Complete
+	keyIncomplete = []byte("lost") // present if an earlier state may have been lost: see Complete
 	keyChecksum   = []byte("sum")  // checksum of all other entries: see entryWriter
 )
 
