--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -68,8 +68,8 @@
 }
 
 // SIGHUP moves discovery to the address that the file now has, whatever the environment's address at the start was, and
-// open requests of both frontends continue. A malformed file changes nothing, and SIGHUP during a drain ends no
-// request.
+// open requests of both frontends continue. A malformed file changes nothing, and SIGHUP during the graceful shutdown
+// ends no request.
 func TestReloadMovesDiscoveryWhileRequestsAreOpen(t *testing.T) {
 	finish := make(chan bool)
 	var inFlight atomic.Int64
@@ -127,13 +127,13 @@
 	}
 }
 
-// A process serves both frontends and prints its counters on request. After SIGTERM it answers the open requests and
-// the requests that still arrive.
+// A process serves both frontends and prints its counters when it gets the signal to do so. After SIGTERM it answers the
+// open requests and the requests that still arrive.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	started, finish := make(chan bool, 8), make(chan bool)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
 	decode := testutil.NewReplica(t, func(w http.ResponseWriter, r *http.Request, n int) {
-		if n == 1 { // the second request stays open until the process drains
+		if n == 1 { // the second request stays open until finish is closed, after SIGTERM
 			started <- true
 			<-finish
 		}
--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -30,7 +30,7 @@
 	saver   *atomicfile.Saver
 
 	mu    sync.Mutex
-	bound uint64 // bound to store, at least minReservation above every observed token
+	bound uint64 // bound to store, at least minBoundLead above every observed token
 }
 
 // Owner names the process whose bound is stored.
@@ -50,13 +50,13 @@
 	magic    = "rampspread lease numbers 1\n"
 	maxBytes = 4 << 10
 
-	// reservation is how far a new bound is ahead of the observed token. Tokens grow with each takeover, by a few a
+	// boundLead is how far a new bound is ahead of the observed token. Tokens grow with each takeover, by a few a
 	// second at most, so the bound is seldom written and the disk has hours to store it. A higher value makes tokens
 	// jump further at a restart.
-	reservation = 1 << 16
-	// minReservation is the minimum distance between an observed token and the bound. When a token comes closer, a
+	boundLead = 1 << 16
+	// minBoundLead is the minimum distance between an observed token and the bound. When a token comes closer, a
 	// greater bound is stored.
-	minReservation = reservation / 2
+	minBoundLead = boundLead / 2
 
 	folderMode = 0o700
 )
@@ -82,12 +82,12 @@
 // observed a token greater than that bound, unless saving had failed for hours.
 func (f *TokenFloor) Floor() uint64 { return f.initial }
 
-// Observe raises the bound if the token is less than minReservation below it. It never waits for the disk.
+// Observe raises the bound if the token is less than minBoundLead below it. It never waits for the disk.
 func (f *TokenFloor) Observe(token uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if token+minReservation > f.bound {
-		f.bound = token + reservation
+	if token+minBoundLead > f.bound {
+		f.bound = token + boundLead
 		f.saver.MarkDirty()
 	}
 }
