--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// A process serves both frontends and prints its counters when it gets the signal to do so. After SIGTERM it answers the
-// open requests and the requests that still arrive.
+// A process serves both frontends and prints its counters when it gets the signal to do so. After SIGTERM it answers
+// the open requests and the requests that still arrive.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	started, finish := make(chan bool, 8), make(chan bool)
 	prefill := testutil.NewReplica(t, testutil.ServePrefill)
