--- a/internal/state/fencing/fencing.go
+++ b/internal/state/fencing/fencing.go
@@ -1,6 +1,7 @@
-// Package fencing stores a lower bound for the fencing tokens of the fleet's leases, so that tokens keep growing even
-// if all members are killed at once. Otherwise results of earlier leases would be mistaken for newer ones. The bound is
-// the high-water mark of a block allocator (hi/lo): it is ahead of all observed tokens, so that it is seldom written.
+// Package fencing stores a lower bound for the fencing tokens that the fleet's leases get after a restart, so that
+// tokens keep growing even if all members are killed at once. Otherwise results of earlier leases would be mistaken for
+// newer ones. The bound is the high-water mark of a block allocator (hi/lo): it is ahead of all observed tokens, so
+// that it is seldom written.
 //
 // The package owns one file in the state folder. TokenFloor is safe for concurrent use.
 package fencing
@@ -29,7 +30,7 @@
 	saver   *atomicfile.Saver
 
 	mu    sync.Mutex
-	bound uint64 // bound to store, at least minReservation above every observed token
+	bound uint64 // bound to store, at least minBoundLead above every observed token
 }
 
 // Owner names the process whose bound is stored.
@@ -49,13 +50,13 @@
 	magic    = "rampspread lease numbers 1\n"
 	maxBytes = 4 << 10
 
-	// reservation is how far a new bound is ahead of the observed token. Tokens grow with each takeover, by a few a
+	// boundLead is how far a new bound is ahead of the observed token. Tokens grow with each takeover, by a few a
 	// second at most, so the bound is seldom written and the disk has hours to store it. A higher value makes tokens
 	// jump further at a restart.
-	reservation = 1 << 16
-	// minReservation is the minimum distance between an observed token and the bound. When a token comes closer, a
+	boundLead = 1 << 16
+	// minBoundLead is the minimum distance between an observed token and the bound. When a token comes closer, a
 	// greater bound is stored.
-	minReservation = reservation / 2
+	minBoundLead = boundLead / 2
 
 	folderMode = 0o700
 )
@@ -77,16 +78,16 @@
 	return f
 }
 
-// Floor returns the bound that an earlier process stored, or 0 if there was none. No earlier process observed a greater
-// token.
+// Floor returns the bound that an earlier process stored, or 0 if there was none or Open ignored it. No earlier process
+// observed a token greater than that bound, unless saving had failed for hours.
 func (f *TokenFloor) Floor() uint64 { return f.initial }
 
-// Observe raises the bound if the token is less than minReservation below it. It never waits for the disk.
+// Observe raises the bound if the token is less than minBoundLead below it. It never waits for the disk.
 func (f *TokenFloor) Observe(token uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if token+minReservation > f.bound {
-		f.bound = token + reservation
+	if token+minBoundLead > f.bound {
+		f.bound = token + boundLead
 		f.saver.MarkDirty()
 	}
 }
