--- a/internal/faultbench/demo.go
+++ b/internal/faultbench/demo.go
@@ -48,7 +48,8 @@
 	os.RemoveAll(d.run.dir)
 }
 
-// Commands returns two shell commands, one that sends a request to the first dispatcher and one that checks its state.
+// Commands returns two shell commands: one sends a request to the first dispatcher, and one checks the state of that
+// dispatcher.
 func (d *Demo) Commands() []string {
 	chat := d.run.addrs.chat(0)
 	return []string{
--- a/internal/faultbench/deployment/deployment.go
+++ b/internal/faultbench/deployment/deployment.go
@@ -132,8 +132,8 @@
 	return ""
 }
 
-// KindOf returns the name of a replica's kind. The kinds of a stage, prefill or decode, are assigned to its replicas in
-// turn, by index.
+// KindOf returns the name of a replica's kind. The kinds of the replica's stage, prefill or decode, alternate by the
+// replica's index.
 func (d *Deployment) KindOf(index int, decode bool) string {
 	ofStage := slices.DeleteFunc(slices.Clone(d.Kinds), func(k Kind) bool { return k.Decode != decode })
 	return ofStage[index%len(ofStage)].Name
--- a/internal/faultbench/discovery/handler.go
+++ b/internal/faultbench/discovery/handler.go
@@ -34,7 +34,8 @@
 	Instances  []Endpoint `json:"instances"`
 }
 
-// Serve starts and returns a server that handles one dispatcher's requests on one of its two addresses.
+// Serve starts and returns a server that handles one dispatcher's requests at one of the two addresses for that
+// dispatcher.
 func (d *Server) Serve(l *network.Listener, dispatcher, address int) *http.Server {
 	d.listeners[dispatcher][address] = l
 	s := &http.Server{ErrorLog: network.DiscardLog,
@@ -53,8 +54,8 @@
 	return d.fullList(d.current, dispatcher)
 }
 
-// effectiveSnapshot returns the list that a dispatcher is served in place of s: the frozen one, if there is one. The
-// caller must hold mu.
+// effectiveSnapshot returns the list that a dispatcher is served: the list that Freeze froze for it, or s if there is
+// none. The caller must hold mu.
 func (d *Server) effectiveSnapshot(s snapshot, dispatcher int) snapshot {
 	if frozen, ok := d.frozen[dispatcher]; ok {
 		return frozen
@@ -62,7 +63,8 @@
 	return s
 }
 
-// fullList returns the full list for a dispatcher. The caller must hold mu.
+// fullList returns the message with the full list s, or with the dispatcher's frozen list in place of s. The caller
+// must hold mu.
 func (d *Server) fullList(s snapshot, dispatcher int) List {
 	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Reset: true, Instances: []Endpoint{}}
@@ -74,7 +76,8 @@
 	return out
 }
 
-// changesAfter returns the changes of the list after a version. The caller must hold mu.
+// changesAfter returns the message with the changes of the list s after a version, or with those of the dispatcher's
+// frozen list in place of s. The caller must hold mu.
 func (d *Server) changesAfter(s snapshot, version uint64, dispatcher int) List {
 	s = d.effectiveSnapshot(s, dispatcher)
 	out := List{Generation: s.version, Instances: []Endpoint{}}
@@ -165,8 +168,8 @@
 }
 
 // handleWatch sends the changes after a version, and empty lines as keep-alives, until the caller disconnects. If the
-// version is 0, it sends the full list first. A watch that SilenceWatches has silenced stays open but sends nothing
-// more.
+// version is 0, it sends the full list first. It sends nothing while discovery is silent. A watch that SilenceWatches
+// has silenced stays open but sends nothing more.
 func (d *Server) handleWatch(w http.ResponseWriter, r *http.Request, version uint64, dispatcher int) {
 	silenced := d.recordWatchOpened(dispatcher)
 	keepAlive := time.NewTicker(keepAliveInterval)
--- a/internal/faultbench/discovery/server.go
+++ b/internal/faultbench/discovery/server.go
@@ -48,8 +48,8 @@
 	GraceAfterMove bool
 }
 
-// Server simulates the discovery service. Each dispatcher has its own listeners at two addresses, and receives its own
-// addresses of the replicas.
+// Server simulates the discovery service. It listens at two addresses for each dispatcher, and sends each dispatcher a
+// list with the addresses at which that dispatcher reaches the replicas.
 type Server struct {
 	config    Config
 	listeners [][Addresses]*network.Listener // by dispatcher
@@ -120,8 +120,9 @@
 	})
 }
 
-// recordChange records when each dispatcher counts as informed of a change. A dispatcher that gets its lists pushed by
-// an agent counts as informed immediately. The caller must hold mu.
+// recordChange records when each dispatcher counts as informed of a change, except dispatchers with a frozen list. A
+// dispatcher that gets its lists pushed by an agent counts as informed immediately, unless its watches were silenced or
+// discovery has just moved. The caller must hold mu.
 func (d *Server) recordChange(e entry) {
 	for i := range d.listeners {
 		if _, stale := d.frozen[i]; stale {
--- a/internal/faultbench/dispatcher.go
+++ b/internal/faultbench/dispatcher.go
@@ -33,8 +33,8 @@
 	index int
 
 	configChange   sync.Mutex // held while the configuration changes
-	maxAttempts    int        // limit on attempts in its settings
-	discoveryMoves int        // number of moves so far; discovery alternates between its two addresses
+	maxAttempts    int        // limit on the attempts of a request, in the dispatcher's settings
+	discoveryMoves int        // number of moves of discovery so far; it alternates between its two addresses
 }
 
 func (r *Run) newDispatcher(index int) *dispatcher {
@@ -131,9 +131,9 @@
 	d.restart(ctx)
 }
 
-// restart starts a new process after the end of the previous one. With Options.Strict its configuration has the
-// endpoint list that the previous process had last. Otherwise it has an older list, which the platform may also
-// provide.
+// restart starts a new process after the end of the previous one. With Options.Strict it first writes the configuration
+// again, with the newest endpoint list that the dispatcher can have received. Otherwise the configuration keeps the
+// list with which it was written last. That list may be older, and the platform may provide such a list too.
 func (d *dispatcher) restart(ctx context.Context) {
 	if d.run.options.Strict {
 		d.configChange.Lock()
@@ -157,7 +157,7 @@
 	d.Signal(syscall.SIGHUP)
 }
 
-// moveDiscovery moves the dispatcher's discovery to its other address. The old address accepts no new calls.
+// moveDiscovery moves the dispatcher's discovery to its other address. The old address then refuses new connections.
 func (d *dispatcher) moveDiscovery() {
 	d.configChange.Lock()
 	defer d.configChange.Unlock()
@@ -174,7 +174,8 @@
 	d.Signal(syscall.SIGHUP)
 }
 
-// reloadRepeatedly changes the dispatcher's settings and moves its discovery in turn, several times during the fault.
+// reloadRepeatedly makes the dispatcher reload its configuration several times during the fault. The reloads alternate
+// between changed settings and a move of discovery to its other address.
 func (d *dispatcher) reloadRepeatedly(ctx context.Context, f scenario.Fault) {
 	const reloads = 5
 	for n := range reloads {
--- a/internal/faultbench/drain.go
+++ b/internal/faultbench/drain.go
@@ -11,11 +11,11 @@
 	"rampspread/internal/faultbench/timing"
 )
 
-// drainCheckAfter is the time from an operator's drain to the check of the client connections.
+// drainCheckAfter is the time from an operator's drain to the check of the client connections, without slack.
 const drainCheckAfter = 4 * time.Second
 
-// operatorDrain drains a dispatcher by an admin call. After drainCheckAfter it records the client connections that
-// should have ended but are still open. It ends the drain when the fault is over.
+// operatorDrain drains a dispatcher by an admin call. After drainCheckAfter and loadgen.DrainSlack it records the
+// client connections that should have ended but are still open. It ends the drain when the fault is over.
 func (r *Run) operatorDrain(ctx context.Context, f scenario.Fault, d int) {
 	if _, err := admin.Request(r.addrs.admin(d), "drain-on", adminTimeout); err != nil {
 		return // the process is not up
--- a/internal/faultbench/fleet.go
+++ b/internal/faultbench/fleet.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// split sets the condition of the links between dispatchers on different sides. The function side returns the side of a
-// dispatcher.
+// split sets the condition of the links between dispatchers on different sides of a partition. The function side
+// returns the side of a dispatcher.
 func (p *peerLinks) split(side func(d int) int, c network.Condition) {
 	for a := range p.links {
 		for b := range p.links {
--- a/internal/faultbench/fleet_report.go
+++ b/internal/faultbench/fleet_report.go
@@ -8,8 +8,8 @@
 )
 
 // detectionTimes returns how long after each end or pause of a process the views of other dispatchers showed it as
-// unreachable or left, in seconds, and how often a view showed a running dispatcher as suspect or worse. It ignores the
-// views of dispatchers that were themselves down.
+// unreachable or left, in seconds, and how often a view showed a running dispatcher as suspect or unreachable. It
+// ignores the views of dispatchers that were themselves down.
 func detectionTimes(events []history.Event, names []string) (seconds []float64, falselySuspected int) {
 	downs := downtimes{}
 	for _, e := range events {
@@ -53,7 +53,7 @@
 
 // leasedPolls evaluates the load polls that replicas received under a lease. It returns the longest time in seconds,
 // between settled and end, in which a listed replica was not polled, the number of polls under a lower fencing token
-// than an earlier poll, and the number of all polls.
+// than an earlier poll of the same replica, and the number of all polls.
 func leasedPolls(events []history.Event, settled, end time.Duration) (gap float64, stale, total int) {
 	lastPoll, maxToken := map[string]time.Duration{}, map[string]float64{}
 	withdrawn := map[string]bool{}
--- a/internal/faultbench/history/attempt.go
+++ b/internal/faultbench/history/attempt.go
@@ -65,8 +65,9 @@
 	}
 }
 
-// hadLongPause reports whether a process was down between from and to, or paused for longer than the operators' limit
-// for a delayed process. After such a pause the process cannot determine how long a request waited to be read.
+// hadLongPause reports whether a process was down or paused at some time between from and to, and this downtime has no
+// end or lasted for longer than timeoutSlack, the operators' limit for a delayed process. After such a pause the
+// process cannot determine how long a request waited to be read.
 func (c *checker) hadLongPause(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.downtimes[dispatcher], func(d Event) bool {
 		return d.At <= to && (d.Until == 0 || d.Until >= from && d.Until-d.At > timeoutSlack)
--- a/internal/faultbench/history/event.go
+++ b/internal/faultbench/history/event.go
@@ -51,15 +51,16 @@
 const (
 	// RequestSent means that the last byte of a request was sent to a dispatcher. Until is the client's deadline.
 	RequestSent Kind = "asked"
-	// ResponseReceived means that a dispatcher's response with Status has ended; a stream has ended when its end marker
-	// was received. Complete is set if all events of a stream were received.
+	// ResponseReceived means that a dispatcher's response with Status has ended or broken off. Complete is set if its
+	// body was read to the end without an error.
 	ResponseReceived Kind = "answered"
 	// FirstEventReceived means that the first event of a stream was received.
 	FirstEventReceived Kind = "first"
 	// ExtraBytesReceived means that bytes followed a final response.
 	ExtraBytesReceived Kind = "extra"
-	// ForeignDataReceived means that a response contained data that no replica generated for the request, or that a
-	// replica received a request that it does not know or whose body differs from the client's.
+	// ForeignDataReceived means that a response contained data that no replica generated for the request, that a stream
+	// ended without its end mark, or that a replica received a request that it does not know or whose body differs from
+	// the client's.
 	ForeignDataReceived Kind = "foreign"
 	// ClientClosed means that the client itself closed its connection, or its sending half.
 	ClientClosed Kind = "closed"
--- a/internal/faultbench/history/slowstart.go
+++ b/internal/faultbench/history/slowstart.go
@@ -1,9 +1,9 @@
 package history
 
-// SlowStartBudget tracks the work that a replica in slow start can take. Within any window of Rules.OverloadWindow,
-// that is Rules.OverloadMultiple times what the replica can do in such a window at its capacity at the window's end
-// ("counted as a budget: what is sent within any span of that length must stay under multiple x present capacity x
-// span"). It is not safe for concurrent use.
+// SlowStartBudget tracks the work that a replica in slow start can take. In each time window of length
+// Rules.OverloadWindow it can take Rules.OverloadMultiple times the work that it can do in that time at the capacity
+// that it has at the window's end ("counted as a budget: what is sent within any span of that length must stay under
+// multiple x present capacity x span"). A SlowStartBudget is not safe for concurrent use.
 type SlowStartBudget struct {
 	Rules    Rules
 	Start    Event   // ReplicaStarted event of the replica
@@ -13,7 +13,8 @@
 // Add counts an attempt that arrived at the replica. It returns the work of the window that ends with the attempt, the
 // allowed work, and whether the budget is exceeded. Rejected attempts count too: "All work reaching it contributes,
 // including work it rejects." The budget is exceeded only beyond a random excess ("with a little slack for chance") of
-// at least one request, because budgets are counted in whole requests.
+// at least one request, because budgets are counted in whole requests. After the slow start Add returns zeros and
+// false.
 func (b *SlowStartBudget) Add(e Event) (sum, allowed float64, over bool) {
 	if e.At > b.Start.Until {
 		return 0, 0, false
--- a/internal/faultbench/history/stale.go
+++ b/internal/faultbench/history/stale.go
@@ -25,9 +25,10 @@
 	return s
 }
 
-// StaleAttempts returns the attempts at replicas that the newest list sent to any dispatcher had withdrawn more than
-// within before. It does not consider whether the sender was sent that list or could have known of it; the caller
-// decides what that means. For a process that was paused or restarted, the time counts from when it resumed or started.
+// StaleAttempts returns the attempts at replicas that the newest list sent to any dispatcher had withdrawn, if an
+// attempt arrived later than the duration within after the withdrawal. It does not consider whether the sender was sent
+// that list or could have known of it; the caller decides what that means. For a process that was paused or restarted,
+// the time counts from when it resumed or started.
 func StaleAttempts(events []Event, within time.Duration) (stale []Event) {
 	endpoints, downtimes := map[string]endpointStatus{}, downtimes(events)
 	for _, e := range sortedByTime(events) {
--- a/internal/faultbench/inject.go
+++ b/internal/faultbench/inject.go
@@ -17,11 +17,12 @@
 	"rampspread/internal/hostos"
 )
 
-// maxStaggeredFraction is the fraction of the remaining time within which a staggered fault must reach all its targets.
+// maxStaggeredFraction is the fraction of the time from a staggered fault's start to the scenario's end within which
+// the fault must reach all its targets.
 const maxStaggeredFraction = 0.6
 
-// targets draws the indexes of the dispatchers or replicas into which a fault is injected. It returns nil for a fault
-// of the whole fleet.
+// targets returns the indexes of the dispatchers or replicas into which a fault is injected. For a fault of one zone it
+// returns all dispatchers of that zone, and for a fault of the whole fleet nil. Other targets are drawn at random.
 func (r *Run) targets(f scenario.Fault, rng *rand.Rand) []int {
 	n := 0
 	switch f.Target() {
@@ -48,8 +49,8 @@
 	return out[:min(count, len(out))]
 }
 
-// stagger returns the time between the n targets of a staggered fault. It shortens the scenario's value if not all
-// targets would be reached within maxStaggeredFraction of the remaining time.
+// stagger returns the time between the injections of a staggered fault into one of its n targets and the next. It is
+// shorter than Fault.Stagger if otherwise not all targets would be reached in time: see maxStaggeredFraction.
 func (r *Run) stagger(f scenario.Fault, n int) time.Duration {
 	every := scenario.Seconds(f.Stagger)
 	if n > 1 {
@@ -83,8 +84,8 @@
 		endAfterDuration(ctx, f, func() { r.peerLinks.split(side, healthyLink) })
 	},
 	scenario.CutZone: func(r *Run, ctx context.Context, f scenario.Fault, _ []int) {
-		r.isolateZone(f.Zone, cutLink)
-		endAfterDuration(ctx, f, func() { r.isolateZone(f.Zone, healthyLink) })
+		r.setZoneLinks(f.Zone, cutLink)
+		endAfterDuration(ctx, f, func() { r.setZoneLinks(f.Zone, healthyLink) })
 	},
 }
 
--- a/internal/faultbench/inject_links.go
+++ b/internal/faultbench/inject_links.go
@@ -61,7 +61,7 @@
 		return
 	}
 	to, from := c, c // conditions of the bytes to and from the listening party
-	if dialed := f.Links == "clients"; f.Direction == "to" && dialed || f.Direction == "from" && !dialed {
+	if dispatcherListens := f.Links == "clients"; f.Direction == "to" && dispatcherListens || f.Direction == "from" && !dispatcherListens {
 		from = healthyLink
 	} else if f.Direction == "to" || f.Direction == "from" {
 		to = healthyLink
@@ -123,9 +123,9 @@
 	})
 }
 
-// isolateZone sets the condition of all links between a zone and the other zones, in both directions: those between
+// setZoneLinks sets the condition of all links between a zone and the other zones, in both directions: those between
 // dispatchers, and those between a dispatcher and a replica.
-func (r *Run) isolateZone(zone int, c network.Condition) {
+func (r *Run) setZoneLinks(zone int, c network.Condition) {
 	var links []*network.Link
 	for d, row := range r.links.replicas {
 		for i, l := range row {
--- a/internal/faultbench/loadgen/attempt.go
+++ b/internal/faultbench/loadgen/attempt.go
@@ -18,9 +18,10 @@
 )
 
 const (
-	answerGrace   = 600 * time.Millisecond // time after its timeout for which a client still waits for an answer
+	answerGrace   = 600 * time.Millisecond // time after a request's timeout for which its client still waits
 	streamSilence = 6 * time.Second        // silence after which a client abandons a stream
-	// linkHealthyFor is how long before a request its link must have been without a fault to count as healthy.
+	// A link counts as healthy for a request if it has had no fault since linkHealthyFor before the client sent the
+	// request or, for a partial request, stopped sending.
 	linkHealthyFor = time.Second
 	// A first token may take promptAllowance for each token of the prompt, in addition to the class's objective. A late
 	// answer earns lateFraction of its value.
@@ -87,9 +88,9 @@
 	return o
 }
 
-// send sends an attempt on a connection and reads its answer. The result resend reports whether the dispatcher closed
-// the connection while the attempt was on its way. If the connection was reused, the client then sends the attempt once
-// more on a new one.
+// send sends an attempt on a connection and reads its answer. The result resend is true if the attempt could not be
+// written, or if a reused connection was closed before an answer although the dispatcher's process stayed up. If the
+// connection was reused, the client then sends the attempt once more on a new one.
 func (c *Clients) send(ctx context.Context, a *attempt, k *connection, out *Result) (o outcome, resend bool) {
 	a.sentAt = time.Now()
 	if _, err := io.WriteString(k, a.text); err != nil {
@@ -183,16 +184,17 @@
 	}
 }
 
-// stream holds what a client has read of a streamed answer.
-type stream struct {
+// streamMeasurements holds what a client has measured of a streamed answer.
+type streamMeasurements struct {
 	tokens        int           // number of tokens received
 	done          bool          // the end mark has arrived
 	first, last   time.Time     // arrival of the first and the last event
 	maxEventDelay time.Duration // longest time from a replica's write of an event to its receipt
 }
 
-// readStream reads a stream to its end, and records each event that belongs to another request.
-func (c *Clients) readStream(a *attempt, k *connection, body io.Reader) (s stream, err error) {
+// readStream reads a stream to its end. It records the arrival of the stream's first event, and each event that is not
+// the one that the request's replica writes next.
+func (c *Clients) readStream(a *attempt, k *connection, body io.Reader) (s streamMeasurements, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		k.SetReadDeadline(time.Now().Add(streamSilence))
@@ -215,8 +217,9 @@
 	return s, lines.Err()
 }
 
-// evaluate compares a complete stream with the class's objectives, and stores the earned value in out.
-func (s *stream) evaluate(a *attempt, out *Result) outcome {
+// evaluate compares a complete stream with the class's objectives, and returns whether it was served in time or late.
+// It stores the time to the first token and the earned value in out.
+func (s *streamMeasurements) evaluate(a *attempt, out *Result) outcome {
 	r := a.request
 	out.FirstToken = s.first.Sub(a.start)
 	objective := r.Class.TTFTObjective + time.Duration(r.PromptTokens)*promptAllowance
--- a/internal/faultbench/loadgen/connection.go
+++ b/internal/faultbench/loadgen/connection.go
@@ -44,9 +44,9 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// pickDispatcher returns the dispatcher for a request from a zone. Clients go on using idle connections to a dispatcher
-// that gets no new connections from the front layer any more, so such a dispatcher is preferred. Otherwise the front
-// layer picks one.
+// pickDispatcher returns the dispatcher for a request from a zone, or -1 if no dispatcher gets new connections. Clients
+// go on using idle connections to a dispatcher that gets no new connections from the front layer any more, so such a
+// dispatcher is preferred. Otherwise the front layer picks one.
 func (c *Clients) pickDispatcher(zone int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +147,8 @@
 	closePeekTimeout = 2 * time.Millisecond // time for a read to return a close that has arrived
 )
 
-// Lingering returns one reason for each connection to a dispatcher that should have ended since its drain began.
+// Lingering returns one reason for each connection to a dispatcher that is still open, although it should have ended
+// since the dispatcher's drain began.
 func (c *Clients) Lingering(dispatcher int, drainBegan time.Time) (reasons []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultbench/network/conn.go
+++ b/internal/faultbench/network/conn.go
@@ -57,7 +57,8 @@
 	undelayed
 )
 
-// awaitTransmission blocks for as long as the direction's condition holds n bytes back.
+// awaitTransmission blocks for as long as a fault holds back n bytes of a direction. It returns net.ErrClosed if the
+// connection is closed meanwhile.
 func (c *Conn) awaitTransmission(d direction, n int, p pacing) error {
 	for {
 		delay, cut, changed := c.link.transmissionDelay(d, n)
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -68,7 +68,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Healthy reports whether the link has had no fault since t.
+// Healthy reports whether the link has had no fault since t. Resets don't count as faults.
 func (l *Link) Healthy(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultbench/network/listen.go
+++ b/internal/faultbench/network/listen.go
@@ -62,7 +62,7 @@
 	return l.apply()
 }
 
-// apply opens and closes sockets according to the state. The caller must hold the lock, or be the only user.
+// apply opens and closes sockets according to cut, down and closed. The caller must hold the lock, or be the only user.
 func (l *Listener) apply() error {
 	wantFull := l.cut && !l.closed
 	wantOpen := !l.cut && !l.down && !l.closed
--- a/internal/faultbench/network/relay.go
+++ b/internal/faultbench/network/relay.go
@@ -15,7 +15,7 @@
 // in place of its own. The source address identifies the sender, so each peer must send from an address of its own.
 type Relay struct {
 	receiver string                    // address to which the relay forwards
-	link     func(sender net.IP) *Link // returns the link from a sender to the receiver, or nil
+	link     func(sender net.IP) *Link // returns the link from a sender to the receiver, or nil to reject the sender
 	udp      net.PacketConn
 	tcp      net.Listener
 	done     chan struct{}
--- a/internal/faultbench/options.go
+++ b/internal/faultbench/options.go
@@ -32,7 +32,8 @@
 	Handover bool
 	// Bootstrap makes a dispatcher take learned state from other members when it starts.
 	Bootstrap bool
-	// VersionSkew restricts and fences a dispatcher whose versions are behind those of most others.
+	// VersionSkew makes the fleet restrict, and later fence, a dispatcher whose endpoint list is older than that of
+	// most others, or whose settings differ from theirs.
 	VersionSkew bool
 	// EndpointFilter keeps a dispatcher with an older endpoint list from sending to replicas that a newer list has
 	// withdrawn.
@@ -45,8 +46,8 @@
 	State bool
 	// MemoryMB and Sockets are the limits of a dispatcher; 0 means 192 MB and 1,024 sockets.
 	MemoryMB, Sockets int
-	// AdvertisedDispatchers is the number of dispatchers that the settings announce. If it is 0, they announce the
-	// number of the deployment, or else the number that run.
+	// AdvertisedDispatchers is the number of dispatchers that the settings announce. If it is 0, the settings announce
+	// the fleet size of the deployment, or the number of running dispatchers if the deployment has none.
 	AdvertisedDispatchers int
 	// MeasureUsage measures the resource usage of the processes every half second, not only at the end.
 	MeasureUsage bool
--- a/internal/faultbench/play.go
+++ b/internal/faultbench/play.go
@@ -136,7 +136,8 @@
 	return results, nil
 }
 
-// finish reads the status and the resource usage of the dispatchers, stops them, and returns the report.
+// finish reads the dispatchers' resource usage and their status of the idempotency records, stops the dispatchers, and
+// returns the report.
 func (r *Run) finish(results []loadgen.Result, idempotency *loadgen.IdempotencyClients, quotas FleetTotals, base time.Duration) *Report {
 	var status []idempotencyquorum.Status
 	for d := range r.dispatchers {
--- a/internal/faultbench/process/usage.go
+++ b/internal/faultbench/process/usage.go
@@ -25,7 +25,8 @@
 	CPU        time.Duration // user and system time
 }
 
-// Usage reads the resource usage of the current process.
+// Usage reads the resource usage of the current process. FDs and OwnMB are the largest values that any call has read so
+// far, also from earlier processes of the dispatcher.
 func (p *Process) Usage() (u Usage) {
 	pid := p.PID()
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/internal/faultbench/quotas.go
+++ b/internal/faultbench/quotas.go
@@ -38,8 +38,8 @@
 // minGrantedSum is the sum of all quotas above which the first grants count as complete.
 const minGrantedSum = 0.9
 
-// watchQuotas polls the dispatchers' quotas until the context ends, and stores the extremes and the mean of their sum
-// in out.
+// watchQuotas polls the dispatchers' quotas until the context ends. It stores the largest quota in out, and the
+// extremes and the mean of the sum of all quotas.
 func (r *Run) watchQuotas(ctx context.Context, out *FleetTotals) {
 	granted, n, total := false, 0.0, 0.0
 	tick := time.NewTicker(quotaPollInterval)
--- a/internal/faultbench/replica/cluster.go
+++ b/internal/faultbench/replica/cluster.go
@@ -33,7 +33,7 @@
 	requests          map[string]*deployment.Request // registered requests by ID
 	states            map[string]*reservedState      // reserved states by request ID
 	decodesInProgress map[string]int                 // number of decode attempts in progress, by request ID
-	eventWrittenAt    map[eventKey]time.Time         // until EventDelay reads it
+	eventWrittenAt    map[eventKey]time.Time         // kept until EventDelay reads it
 	rng               *rand.Rand
 }
 
--- a/internal/faultbench/replica/decode.go
+++ b/internal/faultbench/replica/decode.go
@@ -36,7 +36,8 @@
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// decode waits for a slot, fetches the request's state and calls respond.
+// decode waits for a slot, fetches the request's state and calls respond. If the queue is full or there is no state, it
+// responds that the attempt was not executed.
 func (r *Replica) decode(w http.ResponseWriter, req *http.Request, a attempt, respond responder) {
 	r.mu.Lock()
 	if r.waiting+r.active >= decodeSlots+decodeQueueLimit {
--- a/internal/faultbench/replica/handler.go
+++ b/internal/faultbench/replica/handler.go
@@ -19,8 +19,8 @@
 // reservationPath is the path prefix of reserved states. The request ID follows it.
 const reservationPath = "/bootstrap/rooms/"
 
-// minLinkHealthyTime is how long before a call its link must have had no fault for the call to be recorded with a
-// healthy link.
+// minLinkHealthyTime is the minimum time without a fault on a call's link, up to the call, for the call to be recorded
+// with a healthy link.
 const minLinkHealthyTime = time.Second
 
 // decodeEarlyErrorFraction is the fraction of a decode replica's failing calls that fail before execution.
@@ -129,7 +129,8 @@
 	}
 }
 
-// recordArrival records an attempt and reports whether it overloads the replica, if that is in slow start.
+// recordArrival records an attempt and reports whether the attempt overloads the replica. Only a replica in slow start
+// can be overloaded.
 func (r *Replica) recordArrival(req *http.Request, a attempt, receivedAt time.Time) (overloaded bool) {
 	h := r.cluster.history
 	event := history.Event{At: a.arrivedAt, LastByteAt: h.Now(), Kind: history.AttemptArrived, Request: a.id, Group: a.request.Group,
--- a/internal/faultbench/replica/replica.go
+++ b/internal/faultbench/replica/replica.go
@@ -41,7 +41,7 @@
 	resumed           chan struct{}            // closed when a hang ends, or nil if the replica does not hang
 	corruptionRate    float64                  // fraction of calls with a corrupt response
 	errorRate         float64                  // fraction of calls with status 500
-	queueEmptyAt      time.Time                // time when a prefill replica has processed its queue
+	queueEmptyAt      time.Time                // time when a prefill replica will have processed its queue
 	waiting           int                      // waiting attempts; at a prefill replica also the one in progress
 	active            int                      // attempts that hold a slot of a decode replica
 	cachedTokens      map[string]int           // cached tokens by prefix or session
--- a/internal/faultbench/report.go
+++ b/internal/faultbench/report.go
@@ -21,7 +21,7 @@
 	Requests     int                `json:"asked"` // number of requests, not counting retries
 	ServedShare  float64            `json:"served_share"`
 	Worst10S     float64            `json:"worst_10s"`  // smallest share in any 10 s
-	RecoveryS    *float64           `json:"recovery_s"` // seconds after the last fault; null if it did not recover
+	RecoveryS    *float64           `json:"recovery_s"` // seconds from the last fault's end to recovery; null without one
 	RulesBroken  int                `json:"rules_broken"`
 	Crashes      int                `json:"crashes"`
 	ByClass      map[string]float64 `json:"by_class"`       // share by class
@@ -33,7 +33,7 @@
 	Overloaded   int                `json:"fell"`                 // number of replicas overloaded in slow start
 	PerSecond    []float64          `json:"per_second"`           // share of each second
 	// With a fleet: the times until the views of other members showed that a process had ended or was paused, and the
-	// number of times that a view showed a running member as suspect or worse.
+	// number of times that a view showed a running member as suspect or unreachable.
 	DetectionS       []float64 `json:"detect_s,omitempty"`
 	FalselySuspected int       `json:"falsely_suspected"`
 	// Load polls under a lease, as the replicas saw them: the longest gap at any replica, the number under a lease that
@@ -70,15 +70,15 @@
 // Good reports whether no rule was broken and no process crashed.
 func (r *Report) Good() bool { return r.RulesBroken == 0 && r.Crashes == 0 }
 
-// leaseSettleTime is the time from the start of the traffic until all leases are held. Voters wait for one term after
-// their start.
+// leaseSettleTime is the time from the start of the traffic until all leases are held. Voters grant no lease until
+// slightly more than one lease term after their start.
 const leaseSettleTime = 3 * time.Second
 
 const (
 	window            = time.Second // length of the windows in which value is summed
-	recoveredFraction = 0.95        // fraction of the level before the faults that counts as recovered
+	recoveredFraction = 0.95        // fraction of the served share before the faults that counts as recovered
 	recoveredWindows  = 3           // number of consecutive windows that must reach this fraction
-	warmUpWindows     = 3           // number of windows at the start that do not count towards the level
+	warmUpWindows     = 3           // number of windows at the start that do not count towards that share
 )
 
 // report returns the report of what was recorded since base.
@@ -234,8 +234,8 @@
 }
 
 // recovery returns the seconds from the end of the last fault to the beginning of the first 3 s in which the served
-// share of each second is at least 95% of the level before the faults, or nil if there are no such 3 s. The parameter
-// from is the window of the first fault, and end is the end of the last one.
+// share of each second is at least 95% of the served share before the faults, or nil if there are no such 3 s. The
+// parameter from is the index of the window in which the first fault begins, and end is the end of the last fault.
 func recovery(perSecond, earned, offered []float64, from int, end time.Duration) *float64 {
 	baseline := 1.0
 	if from > warmUpWindows {
--- a/internal/faultbench/scenario/fault.go
+++ b/internal/faultbench/scenario/fault.go
@@ -79,8 +79,8 @@
 	HangReplica       = "replica-hang"     // the replica accepts calls, but answers none before Duration has passed
 	KillReplica       = "replica-kill"     // the replica is killed; after Duration it starts again, in slow start
 	SlowReplica       = "replica-slow"     // the replica is Factor times slower for Duration
-	CorruptReplica    = "replica-spoil"    // Loss of the replica's answers are noise, half a header, or followed by another
-	FailReplica       = "replica-fail"     // the replica answers Loss of its calls with status 500
+	CorruptReplica    = "replica-spoil"    // a fraction Loss of its answers are noise, half a header or the like
+	FailReplica       = "replica-fail"     // the replica answers a fraction Loss of its calls with status 500
 	DrainReplica      = "replica-drain"    // the replica is listed as draining, and as ready again after Duration
 	DelistReplica     = "replica-leave"    // the replica is not listed but still serves; listed again after Duration
 	FlushReplica      = "replica-flush"    // the replica loses its prefix cache
--- a/internal/faultbench/scenario/scenario.go
+++ b/internal/faultbench/scenario/scenario.go
@@ -22,7 +22,8 @@
 	DecodeReplicas  int     `json:"writers"`
 	// HotFactor is how many times as many connections the first dispatcher gets as any other one; 0 means 1.
 	HotFactor int `json:"hot"`
-	// Weights are the replicas' relative capacities, assigned in turn; if empty, all are equal.
+	// Weights are the replicas' relative capacities, assigned by index and repeated from the first if there are fewer
+	// weights than replicas; if empty, all capacities are equal.
 	Weights []float64 `json:"weights"`
 	Faults  []Fault   `json:"faults"`
 }
--- a/internal/faultbench/soak.go
+++ b/internal/faultbench/soak.go
@@ -74,7 +74,7 @@
 	return run
 }
 
-// describe returns the options that differ between soaks as text.
+// describe returns a text with the options in which soaks differ.
 func (o Options) describe() string {
 	return fmt.Sprintf("handover=%t fleet=%t filings=%t deployment=%d", o.Handover, o.Fleet, o.IdempotentRequests, o.Deployment)
 }
--- a/internal/faultbench/soak_plan.go
+++ b/internal/faultbench/soak_plan.go
@@ -120,8 +120,8 @@
 	return scenario.Fault{Action: scenario.StepClock, ClockStepS: steps[rng.IntN(len(steps))], Duration: uniform(rng, 0.5, 4), Fraction: 0.7}
 }
 
-// drawSyscallFailure draws a fault in which all system calls of a kind fail for up to maxAllS seconds, or every second
-// to fourth call fails for 0.5 to 3 s.
+// drawSyscallFailure draws a fault in which all system calls of a kind fail for up to maxAllS seconds, or in which
+// every second, third or fourth call fails for 0.5 to 3 s.
 func drawSyscallFailure(rng *rand.Rand, call hostos.Op, errnos []syscall.Errno, maxAllS float64) scenario.Fault {
 	f := scenario.Fault{Action: scenario.FailSyscalls, Syscall: call, Errno: int(errnos[rng.IntN(len(errnos))]), EveryNth: 1 + rng.IntN(4), Fraction: 0.6}
 	f.Duration = uniform(rng, 0.05, maxAllS)
@@ -136,7 +136,7 @@
 
 const (
 	quietAtStart    = 2.5 // seconds without a fault at a soak's start
-	quietAtEnd      = 6.0 // seconds without a new fault at its end, in which outstanding answers can still arrive
+	quietAtEnd      = 6.0 // seconds without a new fault at a soak's end, in which outstanding answers can still arrive
 	episodeInterval = 3.0 // mean seconds between the starts of episodes, which overlap
 	episodeSpread   = 0.8 // seconds within which the faults of an episode begin
 	minSoakSeconds  = 10.0
--- a/internal/faultbench/totals.go
+++ b/internal/faultbench/totals.go
@@ -18,9 +18,9 @@
 	HandshakeRate        float64 `json:"handshakes_per_replica_s"` // rate of connections that dispatchers opened
 	MaxConnections       int64   `json:"connections_most"`         // largest number of open connections at one replica
 	// HandshakeSurge is the largest number of connections that all dispatchers opened in 5 s after the first fault,
-	// divided by the mean number before it; 0 without a fault.
+	// divided by the mean number in 5 s before the fault; 0 without a fault.
 	HandshakeSurge    float64 `json:"handshakes_rush"`
-	MaxLoadOverMean   float64 `json:"load_max_over_mean"`      // most work of a replica over its stage's mean by weight
+	MaxLoadOverMean   float64 `json:"load_max_over_mean"`      // most work of a replica over its even share by weight
 	SlowStartUsed     float64 `json:"cold_used"`               // work of replicas in slow start over their share
 	MaxSlowStartLoad  float64 `json:"cold_most"`               // largest load in slow start over the overload limit
 	MaxQuotaSum       float64 `json:"share_sum_most"`          // largest sum of the quotas that dispatchers had at once
@@ -63,8 +63,8 @@
 // maxSum returns the largest sum of weights within totalsWindow.
 func (s *series) maxSum() float64 { return maxSumWithin(s.at, s.weight, totalsWindow) }
 
-// fleetTotals returns the totals of a run whose traffic began at base and lasted for length. It sorts the events by
-// time.
+// fleetTotals returns the totals of a run whose traffic began at base and lasted for length. It sorts the slice events
+// by time.
 func fleetTotals(events []history.Event, rules history.Rules, replicas []*replica.Replica, base, length time.Duration) (out FleetTotals) {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return int(a.At - b.At) })
 	c := newArrivals(replicas)
--- a/internal/faultbench/versionskew.go
+++ b/internal/faultbench/versionskew.go
@@ -12,7 +12,8 @@
 // VersionSkewReport holds how dispatchers with an old list or old settings were fenced and readmitted, as seen from
 // outside.
 type VersionSkewReport struct {
-	// DetectionS holds the seconds from the first change that a dispatcher missed until it stopped taking clients.
+	// DetectionS holds the seconds from the first change of the list or the settings that a dispatcher missed until the
+	// dispatcher stopped taking clients.
 	DetectionS []float64 `json:"straggler_seen_s"`
 	// ReadmissionS holds the seconds from the return of a current list or current settings until the dispatcher took
 	// clients again.
--- a/internal/testutil/loopback.go
+++ b/internal/testutil/loopback.go
@@ -13,9 +13,9 @@
 	testOctets     = 15
 )
 
-// LoopbackPrefix returns the first three octets of a loopback network that only this process uses, such as
-// "127.240.7.". The caller appends the fourth octet. On 127.0.0.1 the tests of other packages, which run at the same
-// time, could take a port first.
+// LoopbackPrefix returns the first three octets of a loopback network, such as "127.240.7.", which it derives from the
+// process ID, so that other test processes use other networks. The caller appends the fourth octet. On 127.0.0.1 the
+// tests of other packages, which run at the same time, could take a port first.
 func LoopbackPrefix() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.", firstTestOctet+pid>>8%testOctets, pid&0xff)
