--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -14,7 +14,7 @@
 type Condition struct {
 	Cut       bool
 	Delay     time.Duration
-	Loss      float64 // fraction of datagrams lost, and of TCP writes delayed by a retransmission timeout
+	Loss      float64 // fraction of datagrams lost, and of TCP reads and writes delayed by retransmissionTimeout
 	BytesPerS float64 // bandwidth, or 0 if it is unlimited
 }
 
--- a/internal/faultbench/options.go
+++ b/internal/faultbench/options.go
@@ -51,8 +51,8 @@
 	AdvertisedDispatchers int
 	// MeasureUsage measures the resource usage of the processes every half second, not only at the end.
 	MeasureUsage bool
-	// Strict checks the stricter rules too. Program must then be rampspread-faults, which reads faults of its clock and
-	// its system calls from a file.
+	// Strict checks the stricter rules too, and adapts the front layer, discovery and the restarts of dispatchers to
+	// them. Program must then be rampspread-faults, which reads faults of its clock and its system calls from a file.
 	Strict bool
 	// RateFactor multiplies the scenario's rate; 0 means 1.
 	RateFactor float64
--- a/internal/faultbench/scenario/draw.go
+++ b/internal/faultbench/scenario/draw.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// DrawShort draws a short scenario for a drawn deployment, with drains while watches are lost, hanging replicas, kills,
-// restarts and moves of discovery.
+// DrawShort draws a short scenario for a drawn deployment. Replicas are drained after watches were reset or fell
+// silent, and three other faults are injected, such as hanging replicas, kills, restarts and moves of discovery.
 func DrawShort(seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0xda4))
 	s := &Scenario{Name: fmt.Sprintf("drawn-%d", seed), Seconds: 13, Rate: 14,
--- a/internal/faultbench/scenario/fault.go
+++ b/internal/faultbench/scenario/fault.go
@@ -11,7 +11,7 @@
 // Fault is one fault: what is injected, when, for how long and into which part of the fleet.
 type Fault struct {
 	At       float64 `json:"at"`
-	Duration float64 `json:"for"` // 0 if the fault does not end
+	Duration float64 `json:"for"` // 0 if the fault does not end, or takes effect only once
 	Action   string  `json:"do"`
 	// Fraction is the fraction of the dispatchers or replicas that are targets, which the seed draws; 0 means one of
 	// them.
@@ -39,7 +39,8 @@
 	LoseState    bool    `json:"forget"`   // a restart loses the stored state
 	// ClockStepS is how far a wall clock is stepped, in seconds.
 	ClockStepS float64 `json:"step_s"`
-	// Syscall is a kind of system call. Every EveryNth call of this kind fails with Errno.
+	// Syscall is a kind of system call. Each EveryNth-th call of this kind, or every call if EveryNth is 0, is delayed by
+	// DelayMS and then fails with Errno, or proceeds if Errno is 0.
 	Syscall  hostos.Op `json:"call"`
 	Errno    int       `json:"errno"`
 	EveryNth int       `json:"calls"`
@@ -86,7 +87,7 @@
 	FlushReplica      = "replica-flush"    // the replica loses its prefix cache
 	ReloadRepeatedly  = "hup-row"          // new settings and moves of discovery by SIGHUP, several in Duration
 	StepClock         = "clock-step"       // the wall clock is stepped by ClockStepS, and back after Duration
-	FailSyscalls      = "calls-fail"       // system calls of the kind Syscall fail with Errno for Duration
+	FailSyscalls      = "calls-fail"       // system calls of the kind Syscall fail or are late for Duration
 	ClientsLeave      = "clients-leave"    // Fraction of the clients leave before their answer is complete, for Duration
 	PartialRequests   = "clients-half"     // clients stop in the middle of a request and stay, for Duration
 	PipelinedRequests = "clients-pipeline" // clients send many requests at once and leave, for Duration
