--- a/internal/faultbench/scenario/fault.go
+++ b/internal/faultbench/scenario/fault.go
@@ -39,8 +39,8 @@
 	LoseState    bool    `json:"forget"`   // a restart loses the stored state
 	// ClockStepS is how far a wall clock is stepped, in seconds.
 	ClockStepS float64 `json:"step_s"`
-	// Syscall is a kind of system call. Each EveryNth-th call of this kind, or every call if EveryNth is 0, is delayed by
-	// DelayMS and then fails with Errno, or proceeds if Errno is 0.
+	// Syscall is a kind of system call. Each EveryNth-th call of this kind, or every call if EveryNth is 0, is delayed
+	// by DelayMS and then fails with Errno, or proceeds if Errno is 0.
 	Syscall  hostos.Op `json:"call"`
 	Errno    int       `json:"errno"`
 	EveryNth int       `json:"calls"`
