--- a/internal/faultbench/loadgen/connection.go
+++ b/internal/faultbench/loadgen/connection.go
@@ -26,7 +26,7 @@
 	// The fields below are guarded by owner.mu.
 	busy      bool      // a request is in flight
 	leaving   bool      // the client is about to leave, so it reads nothing and does not notice a close
-	sentAt    time.Time // when a request last took the connection
+	takenAt   time.Time // when a request last took the connection
 	idleSince time.Time // when the last answer was complete
 }
 
@@ -44,9 +44,9 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// pickDispatcher returns the dispatcher for a request from a zone. Clients go on using idle connections to a dispatcher
-// that gets no new connections from the front layer any more, so such a dispatcher is preferred. Otherwise the front
-// layer picks one.
+// pickDispatcher returns the dispatcher for a request from a zone, or -1 if no dispatcher gets new connections. Clients
+// go on using idle connections to a dispatcher that gets no new connections from the front layer any more, so such a
+// dispatcher is preferred. Otherwise the front layer picks one.
 func (c *Clients) pickDispatcher(zone int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &connection{Conn: inner, reader: bufio.NewReader(inner), dispatcher: dispatcher, owner: c, busy: true, sentAt: time.Now()}
+	k := &connection{Conn: inner, reader: bufio.NewReader(inner), dispatcher: dispatcher, owner: c, busy: true, takenAt: time.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
@@ -106,7 +106,7 @@
 	}
 	k := c.idle[dispatcher][n-1]
 	c.idle[dispatcher] = c.idle[dispatcher][:n-1]
-	k.busy, k.sentAt = true, time.Now()
+	k.busy, k.takenAt = true, time.Now()
 	return k
 }
 
@@ -147,14 +147,15 @@
 	closePeekTimeout = 2 * time.Millisecond // time for a read to return a close that has arrived
 )
 
-// Lingering returns one reason for each connection to a dispatcher that should have ended since its drain began.
+// Lingering returns one reason for each connection to a dispatcher that is still open, although it should have ended
+// since the dispatcher's drain began.
 func (c *Clients) Lingering(dispatcher int, drainBegan time.Time) (reasons []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.open {
 		switch {
 		case k.dispatcher != dispatcher || k.leaving:
-		case k.busy && k.sentAt.After(drainBegan.Add(youngRequestAfter+DrainSlack)) && time.Since(k.sentAt) > DrainSlack:
+		case k.busy && k.takenAt.After(drainBegan.Add(youngRequestAfter+DrainSlack)) && time.Since(k.takenAt) > DrainSlack:
 			reasons = append(reasons, "with a young request")
 		case !k.busy && time.Since(k.idleSince) > DrainSlack && k.openAtPeer():
 			reasons = append(reasons, "at rest")
--- a/internal/faultbench/network/link.go
+++ b/internal/faultbench/network/link.go
@@ -14,7 +14,7 @@
 type Condition struct {
 	Cut       bool
 	Delay     time.Duration
-	Loss      float64 // fraction of datagrams lost, and of TCP writes delayed by a retransmission timeout
+	Loss      float64 // fraction of datagrams lost, and of TCP reads and writes delayed by retransmissionTimeout
 	BytesPerS float64 // bandwidth, or 0 if it is unlimited
 }
 
@@ -68,7 +68,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Healthy reports whether the link has had no fault since t.
+// Healthy reports whether the link has had no fault since t. Resets don't count as faults.
 func (l *Link) Healthy(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
